--- a/crates/mintlb-admin/src/call.rs
+++ b/crates/mintlb-admin/src/call.rs
@@ -10,15 +10,23 @@
 }
 
 /// All calls, as they are written.
-pub const CALLS: [(&str, Call); 4] =
-    [("HEALTH", Call::Health), ("DUMP", Call::Dump), ("LEAVE", Call::Leave), ("JOIN", Call::Join)];
+pub const CALLS: [(&str, Call); 4] = [
+    ("HEALTH", Call::Health),
+    ("DUMP", Call::Dump),
+    ("LEAVE", Call::Leave),
+    ("JOIN", Call::Join),
+];
 
 impl Call {
     /// The call of a line without its end, or what is wrong with it.
     pub fn parse(line: &[u8]) -> Result<Call, String> {
-        let text = std::str::from_utf8(line).map_err(|e| format!("byte {} is no text", e.valid_up_to()))?;
+        let text = std::str::from_utf8(line)
+            .map_err(|e| format!("byte {} is no text", e.valid_up_to()))?;
         let word = text.trim();
-        let call = CALLS.iter().find(|(name, _)| *name == word).map(|(_, call)| *call);
+        let call = CALLS
+            .iter()
+            .find(|(name, _)| *name == word)
+            .map(|(_, call)| *call);
         call.ok_or_else(|| {
             let known = CALLS.map(|(name, _)| name).join(", ");
             match word {
--- a/crates/mintlb-admin/src/door.rs
+++ b/crates/mintlb-admin/src/door.rs
@@ -60,7 +60,13 @@
 impl Door {
     pub fn new(bounds: Bounds, desk: UnboundedSender<Asked>, log: Logger) -> Arc<Door> {
         let (callers, left) = Default::default();
-        Arc::new(Door { bounds, desk, callers, left, log })
+        Arc::new(Door {
+            bounds,
+            desk,
+            callers,
+            left,
+            log,
+        })
     }
 
     pub async fn listen(self: Arc<Door>, listener: TcpListener) {
@@ -71,11 +77,23 @@
             match accepted {
                 Ok((stream, _)) => {
                     let sent_away = Arc::new(Notify::new());
-                    let caller = Caller { heard: Instant::now(), whole: false, sent_away: sent_away.clone() };
+                    let caller = Caller {
+                        heard: Instant::now(),
+                        whole: false,
+                        sent_away: sent_away.clone(),
+                    };
                     self.callers().insert(number, caller);
                     let door = self.clone();
                     tokio::spawn(async move {
-                        door.serve(stream, Place { door: &door, number, sent_away }).await;
+                        door.serve(
+                            stream,
+                            Place {
+                                door: &door,
+                                number,
+                                sent_away,
+                            },
+                        )
+                        .await;
                     });
                     failing = false;
                 }
@@ -101,8 +119,12 @@
         while self.callers().len() >= self.bounds.callers.max(1) {
             {
                 let callers = self.callers();
-                let idle = callers.values().filter(|c| !c.whole && c.heard.elapsed() >= grace);
-                idle.min_by_key(|c| c.heard).iter().for_each(|c| c.sent_away.notify_one());
+                let idle = callers
+                    .values()
+                    .filter(|c| !c.whole && c.heard.elapsed() >= grace);
+                idle.min_by_key(|c| c.heard)
+                    .iter()
+                    .for_each(|c| c.sent_away.notify_one());
             }
             timeout(grace, self.left.notified()).await.ok();
         }
@@ -173,6 +195,10 @@
         self.heard(number, true);
         let (answer, answered) = oneshot::channel();
         self.desk.send((call, answer)).ok();
-        Some(answered.await.unwrap_or_else(|_| Reply::Failure("the scheduler is ending".to_string())))
+        Some(
+            answered
+                .await
+                .unwrap_or_else(|_| Reply::Failure("the scheduler is ending".to_string())),
+        )
     }
 }
--- a/crates/mintlb-admin/tests/door.rs
+++ b/crates/mintlb-admin/tests/door.rs
@@ -11,10 +11,15 @@
 /// A door whose desk echoes what is called; its address.
 async fn door(callers: usize) -> std::net::SocketAddr {
     let (desk, mut asked) = unbounded_channel::<mintlb_admin::door::Asked>();
-    let bounds = Bounds { callers, wait: Duration::from_secs(2) };
+    let bounds = Bounds {
+        callers,
+        wait: Duration::from_secs(2),
+    };
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let at = listener.local_addr().unwrap();
-    tokio::spawn(Door::new(bounds, desk, slog::Logger::root(slog::Discard, slog::o!())).listen(listener));
+    tokio::spawn(
+        Door::new(bounds, desk, slog::Logger::root(slog::Discard, slog::o!())).listen(listener),
+    );
     tokio::spawn(async move {
         while let Some((call, answer)) = asked.recv().await {
             let reply = match call {
@@ -51,29 +56,72 @@
     let endless = "x".repeat(100_000);
     let cases: [(&str, &[u8], bool, &str); 15] = [
         ("a call", b"HEALTH\n", false, "SUCCESS Health\n"),
-        ("with a carriage return", b"LEAVE\r\n", false, "SUCCESS Leave\n"),
+        (
+            "with a carriage return",
+            b"LEAVE\r\n",
+            false,
+            "SUCCESS Leave\n",
+        ),
         ("ended by the end", b"LEAVE", true, "SUCCESS Leave\n"),
         ("said no", b"JOIN\n", false, "FAILURE not now\n"),
         ("figures", b"DUMP\n", false, "a=1\nb=2\nEOT\n"),
-        ("more than a line", b"HEALTH\nDUMP\nJOIN\n", false, "SUCCESS Health\n"),
+        (
+            "more than a line",
+            b"HEALTH\nDUMP\nJOIN\n",
+            false,
+            "SUCCESS Health\n",
+        ),
         (
             "unknown",
             b"SHUTDOWN\n",
             false,
             "FAILURE there is no call \"SHUTDOWN\", only HEALTH, DUMP, LEAVE, JOIN\n",
         ),
-        ("in other letters", b"health\n", false, "FAILURE there is no call \"health\""),
-        ("two words", b"LEAVE NOW\n", false, "FAILURE there is no call \"LEAVE NOW\""),
+        (
+            "in other letters",
+            b"health\n",
+            false,
+            "FAILURE there is no call \"health\"",
+        ),
+        (
+            "two words",
+            b"LEAVE NOW\n",
+            false,
+            "FAILURE there is no call \"LEAVE NOW\"",
+        ),
         ("empty", b"\n", false, "FAILURE an empty line"),
-        ("no text", b"HE\xff\xfe\n", false, "FAILURE byte 2 is no text"),
-        ("a line in the line", b"HE\rALTH\n", false, "FAILURE there is no call \"HE\\rALTH\""),
-        ("overlong", long.as_bytes(), false, "FAILURE a line of over 256 bytes\n"),
-        ("without end", endless.as_bytes(), false, "FAILURE a line of over 256 bytes\n"),
+        (
+            "no text",
+            b"HE\xff\xfe\n",
+            false,
+            "FAILURE byte 2 is no text",
+        ),
+        (
+            "a line in the line",
+            b"HE\rALTH\n",
+            false,
+            "FAILURE there is no call \"HE\\rALTH\"",
+        ),
+        (
+            "overlong",
+            long.as_bytes(),
+            false,
+            "FAILURE a line of over 256 bytes\n",
+        ),
+        (
+            "without end",
+            endless.as_bytes(),
+            false,
+            "FAILURE a line of over 256 bytes\n",
+        ),
         ("nothing", b"", true, ""),
     ];
     for (shown, bytes, ends, answer) in cases {
         let (got, took) = ask(at, bytes, ends).await;
-        assert!(got.starts_with(answer) && (answer.is_empty() == got.is_empty()), "{shown}: {got:?}");
+        assert!(
+            got.starts_with(answer) && (answer.is_empty() == got.is_empty()),
+            "{shown}: {got:?}"
+        );
         assert!(got.is_empty() || got.ends_with('\n'), "{shown}: {got:?}");
         assert!(took < Duration::from_secs(1), "{shown}: {took:?}");
     }
@@ -92,17 +140,26 @@
         }
         for n in 0..5 {
             let (got, took) = ask(at, b"HEALTH\n", false).await;
-            assert_eq!(got, "SUCCESS Health\n", "call {n} behind a crowd of {half:?}");
+            assert_eq!(
+                got, "SUCCESS Health\n",
+                "call {n} behind a crowd of {half:?}"
+            );
             // The first waits until all before it were looked at.
-            assert!(took < Duration::from_secs(if n == 0 { 3 } else { 1 }), "call {n}, {half:?}: {took:?}");
+            assert!(
+                took < Duration::from_secs(if n == 0 { 3 } else { 1 }),
+                "call {n}, {half:?}: {took:?}"
+            );
         }
         // All but the last four were sent away; those few go when their time is up.
         sleep(Duration::from_millis(2200)).await;
         let mut open = 0;
         for mut stream in crowd {
             let mut got = Vec::new();
-            open +=
-                u32::from(timeout(Duration::from_millis(50), stream.read_to_end(&mut got)).await.is_err());
+            open += u32::from(
+                timeout(Duration::from_millis(50), stream.read_to_end(&mut got))
+                    .await
+                    .is_err(),
+            );
         }
         assert_eq!(open, 0, "{half:?}");
     }
--- a/crates/mintlb-batch/src/client.rs
+++ b/crates/mintlb-batch/src/client.rs
@@ -33,11 +33,20 @@
 impl LotClient {
     /// A client that goes by this placement.
     pub fn new(transport: Arc<Transport>, placement: CurrentPlacement) -> LotClient {
-        LotClient { transport, placement, open: Mutex::default() }
+        LotClient {
+            transport,
+            placement,
+            open: Mutex::default(),
+        }
     }
 
     /// Has a lot taken, with the lease of its items for `holder`.
-    pub async fn submit(&self, lot: Submission, holder: DispatcherId, within: Duration) -> SubmitOutcome {
+    pub async fn submit(
+        &self,
+        lot: Submission,
+        holder: DispatcherId,
+        within: Duration,
+    ) -> SubmitOutcome {
         calls::submit(self, lot, holder, within).await
     }
 
@@ -87,12 +96,17 @@
 
     /// Whether a shard of this host has a primary at all, as far as the placement says.
     pub fn is_placed(&self, host: &str) -> bool {
-        (self.placement)().primary(Placement::shard_of(host)).is_some()
+        (self.placement)()
+            .primary(Placement::shard_of(host))
+            .is_some()
     }
 }
 
 /// Encodes an item's payload as it travels and lies on disk.
 pub(crate) fn payload(item: &Item) -> Bytes {
-    let head = crate::entry::ItemPayload { path: item.path.clone(), headers: item.headers.clone() };
+    let head = crate::entry::ItemPayload {
+        path: item.path.clone(),
+        headers: item.headers.clone(),
+    };
     head.encode(&item.body)
 }
--- a/crates/mintlb-batch/src/client/calls.rs
+++ b/crates/mintlb-batch/src/client/calls.rs
@@ -57,7 +57,12 @@
 }
 
 /// Tries until there is an answer or the time is over.
-async fn call_host(client: &LotClient, host: &str, body: Bytes, until: Instant) -> Option<(Answer, Bytes)> {
+async fn call_host(
+    client: &LotClient,
+    host: &str,
+    body: Bytes,
+    until: Instant,
+) -> Option<(Answer, Bytes)> {
     loop {
         let left = until.saturating_duration_since(Instant::now());
         if left.is_zero() {
@@ -80,40 +85,65 @@
 ) -> SubmitOutcome {
     let until = Instant::now() + within;
     let payloads: Vec<Bytes> = lot.items.iter().map(payload).collect();
-    let items = lot.items.into_iter().zip(&payloads).map(|(item, payload)| ItemHead {
-        id: item.instance_id,
-        tokens: item.tokens,
-        length: payload.len() as u64,
-    });
+    let items = lot
+        .items
+        .into_iter()
+        .zip(&payloads)
+        .map(|(item, payload)| ItemHead {
+            id: item.instance_id,
+            tokens: item.tokens,
+            length: payload.len() as u64,
+        });
     let items = items.collect();
-    let head = LotHead { host: lot.host, id: lot.lot_id, route: lot.route, terms: lot.terms, items };
+    let head = LotHead {
+        host: lot.host,
+        id: lot.lot_id,
+        route: lot.route,
+        terms: lot.terms,
+        items,
+    };
     let host = head.host.clone();
     let raw: Vec<&[u8]> = payloads.iter().map(|payload| &payload[..]).collect();
-    let mut submit = Submit { epoch: 0, holder, max_queued_tokens: lot.max_queued_tokens, lot: head };
+    let mut submit = Submit {
+        epoch: 0,
+        holder,
+        max_queued_tokens: lot.max_queued_tokens,
+        lot: head,
+    };
     // Once a try came out unclear it may be carried out at any time, so that only "accepted" can be believed.
     let mut unclear = false;
     let mut body = Bytes::new();
     loop {
         let left = until.saturating_duration_since(Instant::now());
         if left.is_zero() {
-            return if unclear { SubmitOutcome::Unclear } else { SubmitOutcome::Refused };
+            return if unclear {
+                SubmitOutcome::Unclear
+            } else {
+                SubmitOutcome::Refused
+            };
         }
         if let Some((to, epoch)) = primary(client, &host) {
             if body.is_empty() || submit.epoch != epoch {
                 submit.epoch = epoch;
                 let call = Call::Submit(submit);
                 body = encode_call(&call, &raw);
-                let Call::Submit(back) = call else { unreachable!("it was just put in") };
+                let Call::Submit(back) = call else {
+                    unreachable!("it was just put in")
+                };
                 submit = back;
             }
             match call_once(client, to, body.clone(), left.min(TRY)).await {
                 Try::Answered(Answer::Accepted { leased }, _) => {
-                    return SubmitOutcome::Accepted { items_leased: leased };
+                    return SubmitOutcome::Accepted {
+                        items_leased: leased,
+                    };
                 }
                 Try::Answered(Answer::Conflict, _) => return SubmitOutcome::Conflict,
                 Try::Answered(Answer::QuotaFull, _) if !unclear => return SubmitOutcome::QuotaFull,
                 Try::Answered(Answer::DiskFull, _) if !unclear => return SubmitOutcome::Refused,
-                Try::Answered(Answer::QuotaFull | Answer::DiskFull, _) => return SubmitOutcome::Unclear,
+                Try::Answered(Answer::QuotaFull | Answer::DiskFull, _) => {
+                    return SubmitOutcome::Unclear;
+                }
                 Try::Answered(..) | Try::Unclear => unclear = true,
                 Try::NotDone => (),
             }
@@ -153,11 +183,23 @@
         state: result.state,
         text: raw.split_to(result.length as usize),
     });
-    ReadOutcome::Page { total: page.total, next: page.next, results: results.collect() }
+    ReadOutcome::Page {
+        total: page.total,
+        next: page.next,
+        results: results.collect(),
+    }
 }
 
-pub(super) async fn body(client: &LotClient, host: &str, lot_id: &str, instance_id: &str) -> BodyOutcome {
-    let item = ItemName { lot: name(host, lot_id), item: instance_id.to_string() };
+pub(super) async fn body(
+    client: &LotClient,
+    host: &str,
+    lot_id: &str,
+    instance_id: &str,
+) -> BodyOutcome {
+    let item = ItemName {
+        lot: name(host, lot_id),
+        item: instance_id.to_string(),
+    };
     let body = encode_call(&Call::Body(item), &[]);
     match call_host(client, host, body, Instant::now() + SHORT).await {
         Some((Answer::Body, raw)) => match ItemPayload::decode(&raw) {
@@ -189,7 +231,11 @@
         ItemResult::Completed(text) => (ItemState::Completed, text),
         ItemResult::Unrecoverable => (ItemState::Unrecoverable, Bytes::new()),
     };
-    let call = Call::Record(Record { lot: name(host, lot_id), item: index, state });
+    let call = Call::Record(Record {
+        lot: name(host, lot_id),
+        item: index,
+        state,
+    });
     let body = encode_call(&call, &[&text]);
     let answer = call_host(client, host, body, Instant::now() + RECORD).await;
     matches!(answer, Some((Answer::Recorded | Answer::Unknown, _)))
@@ -199,8 +245,16 @@
 fn primaries(placement: &Placement) -> Vec<(StoreId, SocketAddr)> {
     let mut primaries: Vec<(StoreId, SocketAddr)> = Vec::new();
     for assignment in &placement.shards {
-        let Some(store) = assignment.replicas.first().and_then(|id| placement.store(*id)) else { continue };
-        let Ok(address) = store.address.parse() else { continue };
+        let Some(store) = assignment
+            .replicas
+            .first()
+            .and_then(|id| placement.store(*id))
+        else {
+            continue;
+        };
+        let Ok(address) = store.address.parse() else {
+            continue;
+        };
         if !primaries.iter().any(|(id, _)| *id == store.id) {
             primaries.push((store.id, address));
         }
@@ -208,7 +262,11 @@
     primaries
 }
 
-pub(super) async fn lease(client: &LotClient, holder: DispatcherId, most: usize) -> Vec<LeasedItem> {
+pub(super) async fn lease(
+    client: &LotClient,
+    holder: DispatcherId,
+    most: usize,
+) -> Vec<LeasedItem> {
     let mut leased = Vec::new();
     let stores = stores_to_ask(client, holder);
     for (store, address) in stores.into_iter().take(MOST_ASKED) {
@@ -216,14 +274,20 @@
         if left == 0 {
             break;
         }
-        let call = Call::Lease(messages::Lease { holder, most: left as u32 });
+        let call = Call::Lease(messages::Lease {
+            holder,
+            most: left as u32,
+        });
         let answer = call_once(client, address, encode_call(&call, &[]), LEASE).await;
         let got = match answer {
             Try::Answered(Answer::Leased(heads), raw) => leased_items(heads, raw),
             _ => Vec::new(),
         };
         // As long as a store gives something it is asked again at once.
-        client.open.lock().insert(store, (Instant::now(), got.len() as u32));
+        client
+            .open
+            .lock()
+            .insert(store, (Instant::now(), got.len() as u32));
         leased.extend(got);
     }
     leased
@@ -242,7 +306,10 @@
     };
     stores.retain(|(id, _)| waiting(*id).is_some());
     stores.sort_by_key(|(id, _)| {
-        (std::cmp::Reverse(waiting(*id).map(|n| n > 0)), (id ^ holder).rotate_left(17))
+        (
+            std::cmp::Reverse(waiting(*id).map(|n| n > 0)),
+            (id ^ holder).rotate_left(17),
+        )
     });
     stores
 }
@@ -260,21 +327,41 @@
             lot_id: head.lot.id,
             terms: head.terms,
             index: head.index,
-            item: Item { instance_id: head.item, path, headers, body, tokens: head.tokens },
+            item: Item {
+                instance_id: head.item,
+                path,
+                headers,
+                body,
+                tokens: head.tokens,
+            },
             failures: head.failures,
         })
     });
     items.collect()
 }
 
-pub(super) async fn renew(client: &LotClient, holder: DispatcherId, held: Vec<HeldLot>) -> Vec<HeldLot> {
+pub(super) async fn renew(
+    client: &LotClient,
+    holder: DispatcherId,
+    held: Vec<HeldLot>,
+) -> Vec<HeldLot> {
     let placement = (client.placement)();
     let mut by_store: FxHashMap<(StoreId, SocketAddr), Vec<HeldItems>> = FxHashMap::default();
     for lot in held {
         let store = placement.primary(Placement::shard_of(&lot.host));
-        if let Some(address) = store.and_then(|store| Some((store.id, store.address.parse().ok()?))) {
-            let HeldLot { host, lot_id, items, failures } = lot;
-            let lot = HeldItems { lot: LotName { host, id: lot_id }, items, failures };
+        if let Some(address) = store.and_then(|store| Some((store.id, store.address.parse().ok()?)))
+        {
+            let HeldLot {
+                host,
+                lot_id,
+                items,
+                failures,
+            } = lot;
+            let lot = HeldItems {
+                lot: LotName { host, id: lot_id },
+                items,
+                failures,
+            };
             by_store.entry(address).or_default().push(lot);
         }
     }
@@ -290,9 +377,14 @@
         .collect();
     let mut lost = Vec::new();
     for (store, call) in calls {
-        let Ok(Ok(Ok(bytes))) = timeout_at(until, call).await else { continue };
+        let Ok(Ok(Ok(bytes))) = timeout_at(until, call).await else {
+            continue;
+        };
         if let Some((Answer::Renewed(renewed), _)) = framing::decode::<Answer>(&bytes) {
-            client.open.lock().insert(store, (Instant::now(), renewed.open));
+            client
+                .open
+                .lock()
+                .insert(store, (Instant::now(), renewed.open));
             lost.extend(renewed.lost.into_iter().map(|items| HeldLot {
                 host: items.lot.host,
                 lot_id: items.lot.id,
@@ -320,5 +412,8 @@
 }
 
 fn name(host: &str, lot_id: &str) -> LotName {
-    LotName { host: host.to_string(), id: lot_id.to_string() }
+    LotName {
+        host: host.to_string(),
+        id: lot_id.to_string(),
+    }
 }
--- a/crates/mintlb-batch/src/leases.rs
+++ b/crates/mintlb-batch/src/leases.rs
@@ -70,13 +70,22 @@
 
     /// The holder is to run all items of a new lot.
     pub fn grant_all(&mut self, number: u64, items: usize, holder: DispatcherId, now: Moment) {
-        let leases = vec![ItemLease { holder, renewed: now, failures: 0 }; items];
+        let leases = vec![
+            ItemLease {
+                holder,
+                renewed: now,
+                failures: 0
+            };
+            items
+        ];
         self.lots.insert(number, LotLeases { items: leases });
     }
 
     /// Whether this holder has all items of a lot.
     pub fn holds_all(&self, number: u64, lot: &Lot, holder: DispatcherId) -> bool {
-        let Some(leases) = self.lots.get(&number) else { return false };
+        let Some(leases) = self.lots.get(&number) else {
+            return false;
+        };
         (0..lot.items.len()).all(|item| leases.of(item as u32).holder == holder)
     }
 
@@ -93,7 +102,10 @@
         let mut lost = Vec::new();
         for &item in items {
             let waits = lot.ended.is_none()
-                && lot.items.get(item as usize).is_some_and(|item| item.position.is_none());
+                && lot
+                    .items
+                    .get(item as usize)
+                    .is_some_and(|item| item.position.is_none());
             let current = leases.of(item);
             let free = current.holder == holder || !current.is_live(now);
             match waits && free {
@@ -114,13 +126,16 @@
 
     /// How often an item has failed so far, as far as its holders told this primary.
     pub fn failures(&self, number: u64, item: u32) -> u32 {
-        self.lots.get(&number).map_or(0, |leases| leases.of(item).failures)
+        self.lots
+            .get(&number)
+            .map_or(0, |leases| leases.of(item).failures)
     }
 
     /// Gives all leases of a holder up.
     pub fn release(&mut self, holder: DispatcherId) {
         let all = self.lots.values_mut().flat_map(|leases| &mut leases.items);
-        all.filter(|lease| lease.holder == holder).for_each(|lease| lease.holder = 0);
+        all.filter(|lease| lease.holder == holder)
+            .for_each(|lease| lease.holder = 0);
     }
 
     /// Committed items that nobody runs, those of the lot due first in front.
@@ -131,7 +146,9 @@
         now: Moment,
     ) -> impl Iterator<Item = (u64, u32)> + 'a {
         let quiet = now < self.quiet_until;
-        let open = lots.open().filter(move |(number, _)| !quiet && *number <= committed);
+        let open = lots
+            .open()
+            .filter(move |(number, _)| !quiet && *number <= committed);
         open.flat_map(move |(number, lot)| {
             let leases = self.lots.get(&number);
             let is_open = move |item: u32| match leases {
@@ -152,6 +169,7 @@
 
     /// Forgets leases of lots that are done.
     pub fn sweep(&mut self, lots: &Lots) {
-        self.lots.retain(|number, _| lots.get(*number).is_some_and(|lot| !lot.is_done()));
+        self.lots
+            .retain(|number, _| lots.get(*number).is_some_and(|lot| !lot.is_done()));
     }
 }
--- a/crates/mintlb-batch/src/log_index.rs
+++ b/crates/mintlb-batch/src/log_index.rs
@@ -49,7 +49,10 @@
 
     /// The place of the last entry.
     pub fn end(&self) -> Place {
-        Place { epoch: self.runs.last().map_or(0, |run| run.epoch), index: self.last }
+        Place {
+            epoch: self.runs.last().map_or(0, |run| run.epoch),
+            index: self.last,
+        }
     }
 
     /// The epoch at an index; 0 before the first entry and `None` behind the last.
@@ -70,7 +73,10 @@
             return;
         }
         if self.runs.last().is_none_or(|run| run.epoch != epoch) {
-            self.runs.push(Run { first: self.last + 1, epoch });
+            self.runs.push(Run {
+                first: self.last + 1,
+                epoch,
+            });
         }
         self.last = through;
     }
@@ -89,9 +95,16 @@
         let mut index = first;
         while index <= through.min(self.last) {
             let after = self.runs.partition_point(|run| run.first <= index);
-            let Some(run) = after.checked_sub(1).map(|run| self.runs[run]) else { break };
-            runs.push(Run { first: index, epoch: run.epoch });
-            let Some(next) = self.runs.get(after) else { break };
+            let Some(run) = after.checked_sub(1).map(|run| self.runs[run]) else {
+                break;
+            };
+            runs.push(Run {
+                first: index,
+                epoch: run.epoch,
+            });
+            let Some(next) = self.runs.get(after) else {
+                break;
+            };
             index = next.first;
         }
         runs
@@ -107,7 +120,10 @@
         // Epochs differ from some index on; that one begins a run in one of the logs.
         let firsts = self.runs.iter().chain(&other.runs).map(|run| run.first);
         let equal_before = |first: u64| first <= shorter && !equal(first);
-        firsts.filter(|first| equal_before(*first)).min().map_or(0, |first| first - 1)
+        firsts
+            .filter(|first| equal_before(*first))
+            .min()
+            .map_or(0, |first| first - 1)
     }
 }
 
--- a/crates/mintlb-batch/src/lots.rs
+++ b/crates/mintlb-batch/src/lots.rs
@@ -113,7 +113,8 @@
 impl Lot {
     /// How many results are committed.
     pub fn committed_results(&self, committed: u64) -> usize {
-        self.listed.partition_point(|listed| listed.index <= committed)
+        self.listed
+            .partition_point(|listed| listed.index <= committed)
     }
 
     /// Whether nothing of it waits any more.
@@ -134,8 +135,16 @@
 
     /// Items that are not listed, unless it is ended.
     pub fn waiting_items(&self) -> impl Iterator<Item = (u32, &Item)> {
-        let items = if self.ended.is_some() { &[][..] } else { &self.items[..] };
-        items.iter().enumerate().filter(|(_, item)| item.position.is_none()).map(|(i, item)| (i as u32, item))
+        let items = if self.ended.is_some() {
+            &[][..]
+        } else {
+            &self.items[..]
+        };
+        items
+            .iter()
+            .enumerate()
+            .filter(|(_, item)| item.position.is_none())
+            .map(|(i, item)| (i as u32, item))
     }
 
     fn waiting_tokens(&self) -> u64 {
@@ -144,13 +153,17 @@
 
     fn texts_to_come(&self) -> u64 {
         let texts: u64 = self.listed.iter().map(|listed| listed.length).sum();
-        let each = texts.checked_div(self.listed.len() as u64).unwrap_or(USUAL_TEXT);
+        let each = texts
+            .checked_div(self.listed.len() as u64)
+            .unwrap_or(USUAL_TEXT);
         each * (self.items.len() - self.listed.len()) as u64
     }
 
     /// When it is due, Unix time in ms.
     pub fn due_at_ms(&self) -> u64 {
-        self.terms.sent_at_ms.saturating_add(self.terms.completion_target_ms)
+        self.terms
+            .sent_at_ms
+            .saturating_add(self.terms.completion_target_ms)
     }
 
     fn payload_bytes(&self) -> u64 {
@@ -188,7 +201,9 @@
 
     /// Lots with items that wait, the one due first in front.
     pub fn open(&self) -> impl Iterator<Item = (u64, &Lot)> {
-        self.open.iter().filter_map(|(_, index)| self.lots.get(index).map(|lot| (*index, lot)))
+        self.open
+            .iter()
+            .filter_map(|(_, index)| self.lots.get(index).map(|lot| (*index, lot)))
     }
 
     /// All lots by the index of their entries.
@@ -203,7 +218,9 @@
 
     /// Entries on disk behind an index, with their bytes.
     pub fn entries_after(&self, index: u64) -> impl Iterator<Item = (u64, u64)> {
-        self.entries.range(index + 1..).map(|(index, kept)| (*index, kept.length))
+        self.entries
+            .range(index + 1..)
+            .map(|(index, kept)| (*index, kept.length))
     }
 
     /// Applies the entry at the end of the log. `length` is what it takes on disk, `raw` the part behind its
@@ -212,7 +229,9 @@
         let kind = match entry {
             Entry::Begin => Kind::Other,
             Entry::Accepted(head) => self.apply_accepted(index, head, raw, now),
-            Entry::Result { lot, item, state } => self.apply_result(index, *lot, *item, *state, length),
+            Entry::Result { lot, item, state } => {
+                self.apply_result(index, *lot, *item, *state, length)
+            }
             Entry::Ended { lot } => self.apply_ended(index, *lot),
         };
         if matches!(kind, Kind::Other) {
@@ -223,7 +242,10 @@
     }
 
     fn apply_accepted(&mut self, index: u64, head: &LotHead, raw: u64, now: Moment) -> Kind {
-        let name = LotName { host: head.host.clone(), id: head.id.clone() };
+        let name = LotName {
+            host: head.host.clone(),
+            id: head.id.clone(),
+        };
         let items: Vec<Item> = head
             .items
             .iter()
@@ -254,17 +276,35 @@
         Kind::Accepted
     }
 
-    fn apply_result(&mut self, index: u64, number: u64, item: u32, state: ItemState, length: u64) -> Kind {
-        let Some(lot) = self.lots.get_mut(&number) else { return Kind::Other };
+    fn apply_result(
+        &mut self,
+        index: u64,
+        number: u64,
+        item: u32,
+        state: ItemState,
+        length: u64,
+    ) -> Kind {
+        let Some(lot) = self.lots.get_mut(&number) else {
+            return Kind::Other;
+        };
         let position = lot.listed.len() as u32;
         let ended = lot.ended.is_some();
         let due = lot.due_at_ms();
-        let Some(place) = lot.items.get_mut(item as usize).filter(|item| item.position.is_none()) else {
+        let Some(place) = lot
+            .items
+            .get_mut(item as usize)
+            .filter(|item| item.position.is_none())
+        else {
             return Kind::Other;
         };
         place.position = Some(position);
         let tokens = if ended { 0 } else { place.tokens };
-        lot.listed.push(Listed { index, item, state, length });
+        lot.listed.push(Listed {
+            index,
+            item,
+            state,
+            length,
+        });
         if lot.is_done() {
             self.open.remove(&(due, number));
             self.to_strip.insert(number);
@@ -286,7 +326,9 @@
     }
 
     fn take(waiting: &mut FxHashMap<String, u64>, route: &str, tokens: u64) {
-        let Some(sum) = waiting.get_mut(route) else { return };
+        let Some(sum) = waiting.get_mut(route) else {
+            return;
+        };
         *sum = sum.saturating_sub(tokens);
         if *sum == 0 {
             waiting.remove(route);
@@ -295,7 +337,11 @@
 
     /// Undoes all entries behind `last`.
     pub fn truncate(&mut self, last: u64) {
-        while let Some(entry) = self.entries.last_entry().filter(|entry| *entry.key() > last) {
+        while let Some(entry) = self
+            .entries
+            .last_entry()
+            .filter(|entry| *entry.key() > last)
+        {
             let (index, kept) = entry.remove_entry();
             self.bytes -= kept.length;
             match kept.kind {
@@ -308,8 +354,12 @@
     }
 
     fn undo_result(&mut self, number: u64) {
-        let Some(lot) = self.lots.get_mut(&number) else { return };
-        let Some(listed) = lot.listed.pop() else { return };
+        let Some(lot) = self.lots.get_mut(&number) else {
+            return;
+        };
+        let Some(listed) = lot.listed.pop() else {
+            return;
+        };
         let item = &mut lot.items[listed.item as usize];
         item.position = None;
         if lot.ended.is_none() {
@@ -320,7 +370,9 @@
     }
 
     fn undo_ended(&mut self, number: u64) {
-        let Some(lot) = self.lots.get_mut(&number) else { return };
+        let Some(lot) = self.lots.get_mut(&number) else {
+            return;
+        };
         lot.ended = None;
         if !lot.is_done() {
             *self.waiting.entry(lot.route.clone()).or_default() += lot.waiting_tokens();
@@ -330,7 +382,9 @@
     }
 
     fn forget(&mut self, number: u64) {
-        let Some(lot) = self.lots.remove(&number) else { return };
+        let Some(lot) = self.lots.remove(&number) else {
+            return;
+        };
         Self::take(&mut self.waiting, &lot.route, lot.waiting_tokens());
         self.open.remove(&(lot.due_at_ms(), number));
         self.to_strip.remove(&number);
@@ -352,15 +406,21 @@
             .filter(|(_, lot)| {
                 let keep = match lot.is_done() {
                     true => status + DROP_AFTER,
-                    false => status + ABANDONED_AFTER + Duration::from_millis(lot.terms.retention_ms),
+                    false => {
+                        status + ABANDONED_AFTER + Duration::from_millis(lot.terms.retention_ms)
+                    }
                 };
                 now.saturating_sub(lot.since) > keep
             })
             .map(|(index, _)| *index)
             .collect();
-        expired.into_iter().for_each(|number| self.drop_lot(number, &mut sweep.remove));
+        expired
+            .into_iter()
+            .for_each(|number| self.drop_lot(number, &mut sweep.remove));
         let behind = self.of_no_lot.split_off(&(committed + 1));
-        sweep.remove.extend(std::mem::replace(&mut self.of_no_lot, behind));
+        sweep
+            .remove
+            .extend(std::mem::replace(&mut self.of_no_lot, behind));
         self.remove_entries(&mut sweep.remove);
         sweep
     }
@@ -368,23 +428,39 @@
     /// Drops the lots up to an index that are not among these; returns the entries to be removed.
     pub fn drop_all_but(&mut self, numbers: &[u64], through: u64) -> Vec<u64> {
         let kept: BTreeSet<u64> = numbers.iter().copied().collect();
-        let gone: Vec<u64> =
-            self.lots.range(..=through).map(|(number, _)| *number).filter(|n| !kept.contains(n)).collect();
+        let gone: Vec<u64> = self
+            .lots
+            .range(..=through)
+            .map(|(number, _)| *number)
+            .filter(|n| !kept.contains(n))
+            .collect();
         let mut remove = Vec::new();
-        gone.into_iter().for_each(|number| self.drop_lot(number, &mut remove));
+        gone.into_iter()
+            .for_each(|number| self.drop_lot(number, &mut remove));
         self.remove_entries(&mut remove);
         remove
     }
 
     /// All lots up to an index, by the index of their entries.
     pub fn numbers_through(&self, through: u64) -> Vec<u64> {
-        self.lots.range(..=through).map(|(number, _)| *number).collect()
+        self.lots
+            .range(..=through)
+            .map(|(number, _)| *number)
+            .collect()
     }
 
     /// Drops a lot; adds its entries to `remove`.
     fn drop_lot(&mut self, number: u64, remove: &mut Vec<u64>) {
-        let Some(lot) = self.lots.get(&number) else { return };
-        remove.extend(lot.listed.iter().map(|listed| listed.index).chain(lot.ended).chain([number]));
+        let Some(lot) = self.lots.get(&number) else {
+            return;
+        };
+        remove.extend(
+            lot.listed
+                .iter()
+                .map(|listed| listed.index)
+                .chain(lot.ended)
+                .chain([number]),
+        );
         self.forget(number);
     }
 
@@ -401,11 +477,17 @@
             .to_strip
             .iter()
             .copied()
-            .filter(|number| self.lots.get(number).is_none_or(|lot| lot.last_index(*number) <= committed))
+            .filter(|number| {
+                self.lots
+                    .get(number)
+                    .is_none_or(|lot| lot.last_index(*number) <= committed)
+            })
             .collect();
         for number in settled {
             self.to_strip.remove(&number);
-            let Some(lot) = self.lots.get_mut(&number).filter(|lot| lot.has_payloads) else { continue };
+            let Some(lot) = self.lots.get_mut(&number).filter(|lot| lot.has_payloads) else {
+                continue;
+            };
             lot.has_payloads = false;
             let payload_bytes = lot.payload_bytes();
             if let Some(kept) = self.entries.get_mut(&number) {
--- a/crates/mintlb-batch/src/placement_planner.rs
+++ b/crates/mintlb-batch/src/placement_planner.rs
@@ -34,12 +34,19 @@
 const FORGET_RETIRED: Duration = Duration::from_secs(600);
 /// The next placement, if there is something to change.
 pub fn plan(current: &Placement, view: &StoreView, tolerance: usize) -> Option<Placement> {
-    let mut next = Placement { epoch: current.epoch + 1, ..current.clone() };
+    let mut next = Placement {
+        epoch: current.epoch + 1,
+        ..current.clone()
+    };
     if current.shards.is_empty() {
         return first_placement(next, view, tolerance);
     }
     update_stores(&mut next, view);
-    let mut planner = Planner { next, view, tolerance };
+    let mut planner = Planner {
+        next,
+        view,
+        tolerance,
+    };
     for shard in 0..current.shards.len() {
         planner.plan_shard(shard);
     }
@@ -57,17 +64,27 @@
     }
     next.stores = live.iter().map(|store| store.entry()).collect();
     next.shards = vec![ShardAssignment::default(); SHARD_COUNT as usize];
-    let mut planner = Planner { next, view, tolerance };
+    let mut planner = Planner {
+        next,
+        view,
+        tolerance,
+    };
     for shard in 0..SHARD_COUNT as usize {
         let size = planner.size();
         let mut replicas = Vec::with_capacity(size);
         while replicas.len() < size {
-            let Some(store) = planner.candidate(shard, &replicas) else { break };
+            let Some(store) = planner.candidate(shard, &replicas) else {
+                break;
+            };
             replicas.push(store);
             planner.next.shards[shard].replicas = replicas.clone();
         }
         planner.lead_with_least_loaded(shard, &mut replicas);
-        planner.next.shards[shard] = ShardAssignment { epoch: 1, replicas, ..ShardAssignment::default() };
+        planner.next.shards[shard] = ShardAssignment {
+            epoch: 1,
+            replicas,
+            ..ShardAssignment::default()
+        };
     }
     Some(planner.next)
 }
@@ -80,13 +97,22 @@
             None => next.stores.push(new_entry(next, store)),
         }
     }
-    let named: Vec<StoreId> =
-        next.shards.iter().flat_map(|shard| shard.replicas.iter().chain(&shard.previous)).copied().collect();
+    let named: Vec<StoreId> = next
+        .shards
+        .iter()
+        .flat_map(|shard| shard.replicas.iter().chain(&shard.previous))
+        .copied()
+        .collect();
     let gone = |entry: &StoreEntry| {
-        let patience = if entry.retiring { FORGET_RETIRED } else { FORGET };
+        let patience = if entry.retiring {
+            FORGET_RETIRED
+        } else {
+            FORGET
+        };
         view.silence(entry.id) >= patience || (!entry.retiring && view.is_replaced(entry))
     };
-    next.stores.retain(|entry| named.contains(&entry.id) || !gone(entry));
+    next.stores
+        .retain(|entry| named.contains(&entry.id) || !gone(entry));
 }
 
 /// A store that was not known. With an emptied disk the machine is still to be taken away if that was ordered.
@@ -94,7 +120,10 @@
     let is_ordered = |entry: &StoreEntry| {
         entry.retiring && entry.node_name == store.node_name && entry.address == store.address
     };
-    StoreEntry { retiring: next.stores.iter().any(is_ordered), ..store.entry() }
+    StoreEntry {
+        retiring: next.stores.iter().any(is_ordered),
+        ..store.entry()
+    }
 }
 
 struct Planner<'a> {
@@ -111,7 +140,10 @@
 
     /// Live stores that are not to be emptied, or all live ones while the others are too few.
     fn usable(&self) -> impl Iterator<Item = &StoreEntry> {
-        self.next.stores.iter().filter(|entry| self.is_live(entry.id) && !self.is_emptied(entry))
+        self.next
+            .stores
+            .iter()
+            .filter(|entry| self.is_live(entry.id) && !self.is_emptied(entry))
     }
 
     /// Whether a store is to be emptied, and can be: the others are enough to commit.
@@ -122,11 +154,17 @@
     /// Live stores that nobody is to take away.
     fn staying(&self) -> impl Iterator<Item = &StoreEntry> {
         let stays = |entry: &&StoreEntry| !entry.retiring && !self.view.is_leaving(entry.id);
-        self.next.stores.iter().filter(stays).filter(|entry| self.is_live(entry.id))
+        self.next
+            .stores
+            .iter()
+            .filter(stays)
+            .filter(|entry| self.is_live(entry.id))
     }
 
     fn is_retiring(&self, id: StoreId) -> bool {
-        self.next.store(id).is_none_or(|entry| self.is_emptied(entry))
+        self.next
+            .store(id)
+            .is_none_or(|entry| self.is_emptied(entry))
     }
 
     fn is_live(&self, id: StoreId) -> bool {
@@ -134,8 +172,12 @@
     }
 
     fn plan_shard(&mut self, shard: usize) {
-        let Some(assignment) = self.next.shards.get(shard).cloned() else { return };
-        let Some(&primary) = assignment.replicas.first() else { return };
+        let Some(assignment) = self.next.shards.get(shard).cloned() else {
+            return;
+        };
+        let Some(&primary) = assignment.replicas.first() else {
+            return;
+        };
         let report = self.view.report(primary, shard, assignment.epoch);
         let in_charge = report.is_some_and(|report| report.in_charge);
         if in_charge && !assignment.previous.is_empty() {
@@ -144,15 +186,21 @@
         }
         let leaves = self.view.is_leaving(primary);
         let dead = self.view.silence(primary) >= PRIMARY_DEAD || leaves && in_charge;
-        let stuck = !in_charge && self.view.unsettled_for(shard, assignment.epoch) >= TAKEOVER_PATIENCE;
-        if !in_charge && self.lacks_quorum(&assignment) && self.choose_anew(shard, &assignment, false) {
+        let stuck =
+            !in_charge && self.view.unsettled_for(shard, assignment.epoch) >= TAKEOVER_PATIENCE;
+        if !in_charge
+            && self.lacks_quorum(&assignment)
+            && self.choose_anew(shard, &assignment, false)
+        {
             return;
         }
         if stuck && !assignment.previous.is_empty() {
             self.choose_anew(shard, &assignment, true);
             return;
         }
-        let caught_up = report.map(|report| report.caught_up.clone()).unwrap_or_default();
+        let caught_up = report
+            .map(|report| report.caught_up.clone())
+            .unwrap_or_default();
         if in_charge && self.hand_over(shard, &assignment, &caught_up) {
             return;
         }
@@ -172,10 +220,19 @@
         let others = places.filter(|(_, id)| self.is_live(**id) && !self.view.is_leaving(**id));
         let chosen = others.min_by_key(|(place, id)| {
             let behind = !caught_up.contains(id) && !assignment.previous.contains(id);
-            (self.is_retiring(**id), behind, self.primaries_of(**id), *place)
+            (
+                self.is_retiring(**id),
+                behind,
+                self.primaries_of(**id),
+                *place,
+            )
         });
         let Some((_, &chosen)) = chosen else { return };
-        let rest = assignment.replicas.iter().copied().filter(|id| *id != chosen && *id != primary);
+        let rest = assignment
+            .replicas
+            .iter()
+            .copied()
+            .filter(|id| *id != chosen && *id != primary);
         let replicas: Vec<StoreId> = [chosen].into_iter().chain(rest).chain([primary]).collect();
         self.change(shard, assignment, replicas);
     }
@@ -186,22 +243,41 @@
             // Nothing was told by the replicas of an epoch that was not reported in charge.
             false => (assignment.previous.clone(), assignment.settled),
         };
-        self.next.shards[shard] =
-            ShardAssignment { epoch: assignment.epoch + 1, replicas, previous, settled };
+        self.next.shards[shard] = ShardAssignment {
+            epoch: assignment.epoch + 1,
+            replicas,
+            previous,
+            settled,
+        };
     }
 
     fn shards_of(&self, id: StoreId) -> usize {
-        self.next.shards.iter().filter(|shard| shard.replicas.contains(&id)).count()
+        self.next
+            .shards
+            .iter()
+            .filter(|shard| shard.replicas.contains(&id))
+            .count()
     }
 
     fn primaries_of(&self, id: StoreId) -> usize {
-        self.next.shards.iter().filter(|shard| shard.replicas.first() == Some(&id)).count()
+        self.next
+            .shards
+            .iter()
+            .filter(|shard| shard.replicas.first() == Some(&id))
+            .count()
     }
 
     fn lead_with_least_loaded(&self, shard: usize, replicas: &mut [StoreId]) {
         let load = |id: &StoreId| {
-            let shards = self.next.shards.iter().enumerate().filter(|(other, _)| *other != shard);
-            shards.filter(|(_, assignment)| assignment.replicas.first() == Some(id)).count()
+            let shards = self
+                .next
+                .shards
+                .iter()
+                .enumerate()
+                .filter(|(other, _)| *other != shard);
+            shards
+                .filter(|(_, assignment)| assignment.replicas.first() == Some(id))
+                .count()
         };
         let least = (0..replicas.len()).min_by_key(|place| (load(&replicas[*place]), *place));
         if let Some(least) = least {
@@ -212,15 +288,19 @@
 
 /// Spreads equally suited stores over the shards.
 fn hash(shard: usize, id: StoreId) -> u64 {
-    let mixed =
-        (id ^ (shard as u64 + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
+    let mixed = (id ^ (shard as u64 + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15))
+        .wrapping_mul(0xbf58_476d_1ce4_e5b9);
     mixed ^ (mixed >> 31)
 }
 
 /// The shards' assignments by primary, for logs and tests.
 pub fn primaries(placement: &Placement) -> BTreeMap<StoreId, usize> {
     let mut primaries = BTreeMap::new();
-    for id in placement.shards.iter().filter_map(|shard| shard.replicas.first()) {
+    for id in placement
+        .shards
+        .iter()
+        .filter_map(|shard| shard.replicas.first())
+    {
         *primaries.entry(*id).or_default() += 1;
     }
     primaries
--- a/crates/mintlb-batch/src/placement_planner/members.rs
+++ b/crates/mintlb-batch/src/placement_planner/members.rs
@@ -17,7 +17,11 @@
     /// Whether too few replicas are left to commit anything: the others are silent for long, or their disks are
     /// lost.
     pub(super) fn lacks_quorum(&self, assignment: &ShardAssignment) -> bool {
-        let left = assignment.replicas.iter().filter(|id| !self.is_lost(**id, REPLICA_DEAD)).count();
+        let left = assignment
+            .replicas
+            .iter()
+            .filter(|id| !self.is_lost(**id, REPLICA_DEAD))
+            .count();
         left <= self.tolerance
     }
 
@@ -30,7 +34,9 @@
         assignment: &ShardAssignment,
         another_primary: bool,
     ) -> bool {
-        let size = self.size().max(assignment.replicas.len().min(2 * self.tolerance + 1));
+        let size = self
+            .size()
+            .max(assignment.replicas.len().min(2 * self.tolerance + 1));
         let mut replicas = self.live_sources(assignment, size);
         while replicas.len() < size
             && let Some(candidate) = self.candidate(shard, &replicas)
@@ -40,7 +46,8 @@
         if !another_primary && replicas.iter().all(|id| assignment.replicas.contains(id)) {
             return false;
         }
-        if another_primary && replicas.len() > 1 && replicas.first() == assignment.replicas.first() {
+        if another_primary && replicas.len() > 1 && replicas.first() == assignment.replicas.first()
+        {
             replicas.rotate_left(1);
         }
         for id in &assignment.replicas {
@@ -57,13 +64,18 @@
 
     /// Live stores that may have the shard's log, those first that are sure to be of use.
     fn live_sources(&self, assignment: &ShardAssignment, size: usize) -> Vec<StoreId> {
-        let suits =
-            |id: &&StoreId| self.is_live(**id) && !self.is_retiring(**id) && !self.view.is_leaving(**id);
+        let suits = |id: &&StoreId| {
+            self.is_live(**id) && !self.is_retiring(**id) && !self.view.is_leaving(**id)
+        };
         let previous: Vec<StoreId> = assignment.previous.iter().filter(suits).copied().collect();
         let current: Vec<StoreId> = assignment.replicas.iter().filter(suits).copied().collect();
         // With too few of the previous ones left, only a replica of the epoch that was begun may have it all.
         let enough = previous.len() + self.tolerance >= assignment.previous.len();
-        let ordered = if enough { [previous, current] } else { [current, previous] };
+        let ordered = if enough {
+            [previous, current]
+        } else {
+            [current, previous]
+        };
         let mut replicas = Vec::with_capacity(size);
         for id in ordered.into_iter().flatten() {
             if !replicas.contains(&id) && replicas.len() < size {
@@ -83,14 +95,19 @@
         caught_up: &[StoreId],
     ) -> bool {
         let replicas = &assignment.replicas;
-        let leaves =
-            |id: &&StoreId| self.is_live(**id) && self.view.is_leaving(**id) && !self.is_retiring(**id);
-        let Some(leaving) = replicas.iter().find(leaves).copied() else { return false };
-        let candidate =
-            self.candidate(shard, replicas).filter(|id| self.is_new(*id) || self.is_held_back(*id));
+        let leaves = |id: &&StoreId| {
+            self.is_live(**id) && self.view.is_leaving(**id) && !self.is_retiring(**id)
+        };
+        let Some(leaving) = replicas.iter().find(leaves).copied() else {
+            return false;
+        };
+        let candidate = self
+            .candidate(shard, replicas)
+            .filter(|id| self.is_new(*id) || self.is_held_back(*id));
         let mut changed = replace(replicas, leaving, candidate);
-        let is_good =
-            |id: &StoreId| self.is_live(*id) && !self.view.is_leaving(*id) && caught_up.contains(id);
+        let is_good = |id: &StoreId| {
+            self.is_live(*id) && !self.view.is_leaving(*id) && caught_up.contains(id)
+        };
         let good: Vec<StoreId> = changed.iter().copied().filter(is_good).collect();
         let may_shrink = good.len() > self.tolerance && good.iter().any(|id| self.is_new(*id));
         if good.is_empty() || candidate.is_none() && !may_shrink {
@@ -105,11 +122,15 @@
 
     /// Whether a store is to be emptied but can't be spared yet.
     fn is_held_back(&self, id: StoreId) -> bool {
-        self.next.store(id).is_some_and(|entry| entry.retiring && !self.is_emptied(entry))
+        self.next
+            .store(id)
+            .is_some_and(|entry| entry.retiring && !self.is_emptied(entry))
     }
 
     fn is_new(&self, id: StoreId) -> bool {
-        self.view.store(id).is_some_and(|store| store.known_for < NEW_STORE)
+        self.view
+            .store(id)
+            .is_some_and(|store| store.known_for < NEW_STORE)
     }
 
     /// Brings the set to its size, without dead and retiring stores, as far as that takes nothing that is
@@ -121,23 +142,34 @@
         caught_up: &[StoreId],
     ) {
         let replicas = &assignment.replicas;
-        let good: Vec<StoreId> =
-            replicas.iter().copied().filter(|id| self.is_live(*id) && caught_up.contains(id)).collect();
+        let good: Vec<StoreId> = replicas
+            .iter()
+            .copied()
+            .filter(|id| self.is_live(*id) && caught_up.contains(id))
+            .collect();
         let at_ease = replicas.iter().filter(|id| self.is_live(**id)).count() > self.tolerance + 1;
         // First of all a copy that is missing, then one that is to move.
-        let lost = replicas.iter().find(|id| self.is_lost(**id, self.patience(**id, at_ease)));
-        let leaving = lost.or(replicas.iter().find(|id| self.is_retiring(**id))).copied();
+        let lost = replicas
+            .iter()
+            .find(|id| self.is_lost(**id, self.patience(**id, at_ease)));
+        let leaving = lost
+            .or(replicas.iter().find(|id| self.is_retiring(**id)))
+            .copied();
         let candidate = self.candidate(shard, replicas);
         // A copy that is missing is made good at once: the next loss may come as soon as the new store counts no
         // more.
-        let is_missing = leaving.is_some_and(|id| !self.is_live(id)) || replicas.len() < self.size();
+        let is_missing =
+            leaving.is_some_and(|id| !self.is_live(id)) || replicas.len() < self.size();
         if !is_missing && candidate.is_some_and(|id| self.filling(id) >= MOST_FILLING) {
             return;
         }
-        let stays = |leaving: StoreId| good.iter().filter(|id| **id != leaving).count() > self.tolerance;
+        let stays =
+            |leaving: StoreId| good.iter().filter(|id| **id != leaving).count() > self.tolerance;
         let changed = match (leaving, candidate) {
             // One that is lost makes no quorum: beside its successor it would only be one more that can't be read.
-            (Some(leaving), Some(candidate)) if stays(leaving) || self.is_lost(leaving, REPLICA_DEAD) => {
+            (Some(leaving), Some(candidate))
+                if stays(leaving) || self.is_lost(leaving, REPLICA_DEAD) =>
+            {
                 Some(replace(replicas, leaving, Some(candidate)))
             }
             // One more for a while, until there are enough copies without the one that leaves.
@@ -147,10 +179,13 @@
             (Some(leaving), None) if stays(leaving) && self.may_shrink(leaving) => {
                 Some(replace(replicas, leaving, None))
             }
-            (None, Some(candidate)) if replicas.len() < self.size() => Some(with(replicas, candidate)),
-            (None, _) if replicas.len() > 2 * self.tolerance + 1 => {
-                self.surplus(replicas).filter(|one| stays(*one)).map(|one| replace(replicas, one, None))
+            (None, Some(candidate)) if replicas.len() < self.size() => {
+                Some(with(replicas, candidate))
             }
+            (None, _) if replicas.len() > 2 * self.tolerance + 1 => self
+                .surplus(replicas)
+                .filter(|one| stays(*one))
+                .map(|one| replace(replicas, one, None)),
             _ => None,
         };
         let Some(mut changed) = changed else { return };
@@ -169,12 +204,18 @@
 
     /// How long a replica may be silent before its copy is made anew.
     fn patience(&self, id: StoreId, at_ease: bool) -> Duration {
-        if at_ease && !self.has_successor(id) { REPLICA_DEAD_AT_EASE } else { REPLICA_DEAD }
+        if at_ease && !self.has_successor(id) {
+            REPLICA_DEAD_AT_EASE
+        } else {
+            REPLICA_DEAD
+        }
     }
 
     /// Whether its disk is lost, or it was silent for so long.
     fn is_lost(&self, id: StoreId, patience: Duration) -> bool {
-        self.next.store(id).is_none_or(|entry| self.view.is_replaced(entry))
+        self.next
+            .store(id)
+            .is_none_or(|entry| self.view.is_replaced(entry))
             || self.view.silence(id) >= patience
     }
 
@@ -182,28 +223,42 @@
     /// whose disk is lost is of no use, and one whose successor is there will not come back: if it stayed in the
     /// set, the next loss would leave too few to read from.
     fn may_shrink(&self, leaving: StoreId) -> bool {
-        let replaced = self.next.store(leaving).is_none_or(|entry| self.view.is_replaced(entry));
+        let replaced = self
+            .next
+            .store(leaving)
+            .is_none_or(|entry| self.view.is_replaced(entry));
         self.is_retiring(leaving) || replaced || self.has_successor(leaving)
     }
 
     /// Whether a silent store was told to stop, or another one came after its last word.
     fn has_successor(&self, id: StoreId) -> bool {
         let silence = self.view.silence(id);
-        let came_after = self
-            .usable()
-            .any(|entry| self.view.store(entry.id).is_some_and(|store| store.known_for <= silence));
+        let came_after = self.usable().any(|entry| {
+            self.view
+                .store(entry.id)
+                .is_some_and(|store| store.known_for <= silence)
+        });
         silence >= REPLICA_DEAD && (self.view.is_leaving(id) || came_after)
     }
 
     /// The usable store that suits best as one more replica: of a zone with few of them, with few shards.
     pub(super) fn candidate(&self, shard: usize, replicas: &[StoreId]) -> Option<StoreId> {
         let zone_of = |id: &StoreId| self.next.store(*id).map(|entry| entry.zone.as_str());
-        let others =
-            self.usable().filter(|entry| !replicas.contains(&entry.id) && !self.view.is_leaving(entry.id));
+        let others = self
+            .usable()
+            .filter(|entry| !replicas.contains(&entry.id) && !self.view.is_leaving(entry.id));
         let best = others.min_by_key(|entry: &&StoreEntry| {
-            let live = replicas.iter().filter(|id| self.is_live(**id) && !self.is_retiring(**id));
-            let of_zone = live.filter(|id| zone_of(id) == Some(entry.zone.as_str())).count();
-            (of_zone, self.shards_of(entry.id), super::hash(shard, entry.id))
+            let live = replicas
+                .iter()
+                .filter(|id| self.is_live(**id) && !self.is_retiring(**id));
+            let of_zone = live
+                .filter(|id| zone_of(id) == Some(entry.zone.as_str()))
+                .count();
+            (
+                of_zone,
+                self.shards_of(entry.id),
+                super::hash(shard, entry.id),
+            )
         });
         best.map(|entry| entry.id)
     }
@@ -211,7 +266,9 @@
     /// Shards of a store whose entries it has yet to be sent.
     fn filling(&self, id: StoreId) -> usize {
         let lacks = |(shard, assignment): &(usize, &ShardAssignment)| {
-            let Some(&primary) = assignment.replicas.first() else { return false };
+            let Some(&primary) = assignment.replicas.first() else {
+                return false;
+            };
             let report = self.view.report(primary, *shard, assignment.epoch);
             assignment.replicas.contains(&id)
                 && primary != id
@@ -222,7 +279,12 @@
 }
 
 fn replace(replicas: &[StoreId], leaving: StoreId, by: Option<StoreId>) -> Vec<StoreId> {
-    replicas.iter().copied().filter(|id| *id != leaving).chain(by).collect()
+    replicas
+        .iter()
+        .copied()
+        .filter(|id| *id != leaving)
+        .chain(by)
+        .collect()
 }
 
 fn with(replicas: &[StoreId], one_more: StoreId) -> Vec<StoreId> {
--- a/crates/mintlb-batch/src/placement_planner/retirement.rs
+++ b/crates/mintlb-batch/src/placement_planner/retirement.rs
@@ -43,7 +43,12 @@
     if !current.stores.iter().any(|entry| of_node(&entry)) {
         return RetirementOrder::Unknown;
     }
-    if current.stores.iter().filter(of_node).all(|entry| entry.retiring) {
+    if current
+        .stores
+        .iter()
+        .filter(of_node)
+        .all(|entry| entry.retiring)
+    {
         return RetirementOrder::Begun;
     }
     let stays = |entry: &&StoreEntry| {
@@ -57,7 +62,10 @@
     if staying.iter().filter(|entry| !leaves(entry)).count() <= tolerance {
         return RetirementOrder::NotNow;
     }
-    let mut next = Placement { epoch: current.epoch + 1, ..current.clone() };
+    let mut next = Placement {
+        epoch: current.epoch + 1,
+        ..current.clone()
+    };
     next.stores
         .iter_mut()
         .filter(|entry| entry.node_name == node_name)
@@ -74,23 +82,43 @@
     node_name: &str,
     tolerance: usize,
 ) -> Option<Retirement> {
-    let stores: Vec<&StoreEntry> =
-        current.stores.iter().filter(|entry| entry.node_name == node_name && entry.retiring).collect();
+    let stores: Vec<&StoreEntry> = current
+        .stores
+        .iter()
+        .filter(|entry| entry.node_name == node_name && entry.retiring)
+        .collect();
     if stores.is_empty() {
         return None;
     }
-    let is_named = |id| current.shards.iter().any(|s| s.replicas.contains(&id) || s.previous.contains(&id));
+    let is_named = |id| {
+        current
+            .shards
+            .iter()
+            .any(|s| s.replicas.contains(&id) || s.previous.contains(&id))
+    };
     let named = stores.iter().any(|entry| is_named(entry.id));
-    let settled = current.shards.iter().enumerate().all(|(shard, assignment)| {
-        let Some(&primary) = assignment.replicas.first() else { return false };
-        let Some(report) = view.report(primary, shard, assignment.epoch) else { return false };
-        let lacks = |id: &StoreId| view.silence(*id) < COUNTS && !report.caught_up.contains(id);
-        let stays = |id: &StoreId| view.silence(*id) < LIVE && !view.is_leaving(*id);
-        let whole = |id: &&StoreId| stays(id) && report.caught_up.contains(id);
-        assignment.previous.is_empty()
-            && report.in_charge
-            && !assignment.replicas.iter().any(lacks)
-            && assignment.replicas.iter().filter(whole).count() > tolerance
-    });
-    Some(if named || !settled { Retirement::Running } else { Retirement::Completed })
+    let settled = current
+        .shards
+        .iter()
+        .enumerate()
+        .all(|(shard, assignment)| {
+            let Some(&primary) = assignment.replicas.first() else {
+                return false;
+            };
+            let Some(report) = view.report(primary, shard, assignment.epoch) else {
+                return false;
+            };
+            let lacks = |id: &StoreId| view.silence(*id) < COUNTS && !report.caught_up.contains(id);
+            let stays = |id: &StoreId| view.silence(*id) < LIVE && !view.is_leaving(*id);
+            let whole = |id: &&StoreId| stays(id) && report.caught_up.contains(id);
+            assignment.previous.is_empty()
+                && report.in_charge
+                && !assignment.replicas.iter().any(lacks)
+                && assignment.replicas.iter().filter(whole).count() > tolerance
+        });
+    Some(if named || !settled {
+        Retirement::Running
+    } else {
+        Retirement::Completed
+    })
 }
--- a/crates/mintlb-batch/src/placement_planner/view.rs
+++ b/crates/mintlb-batch/src/placement_planner/view.rs
@@ -98,11 +98,15 @@
 
     /// Notes a heartbeat. True if what it says of shards is new.
     pub fn note(&mut self, heartbeat: StoreHeartbeat, now: Duration) -> bool {
-        self.stores.retain(|_, heard| now.saturating_sub(heard.last) < FORGET);
+        self.stores
+            .retain(|_, heard| now.saturating_sub(heard.last) < FORGET);
         for report in heartbeat.shards.iter().filter(|report| report.in_charge) {
             let known = self.caught_up.entry(report.shard).or_default();
             if report.epoch >= known.epoch {
-                *known = CaughtUp { epoch: report.epoch, replicas: report.caught_up.clone() };
+                *known = CaughtUp {
+                    epoch: report.epoch,
+                    replicas: report.caught_up.clone(),
+                };
             }
         }
         if let Some(heard) = self.stores.get_mut(&heartbeat.id) {
@@ -111,7 +115,14 @@
             return news;
         }
         if self.stores.len() < MOST_STORES {
-            self.stores.insert(heartbeat.id, Heard { heartbeat, first: now, last: now });
+            self.stores.insert(
+                heartbeat.id,
+                Heard {
+                    heartbeat,
+                    first: now,
+                    last: now,
+                },
+            );
             return true;
         }
         false
@@ -133,26 +144,38 @@
             stores: stores.collect(),
             watched: now.saturating_sub(self.since),
             unsettled: Vec::new(),
-            caught_up: self.caught_up.iter().map(|(shard, known)| (*shard, known.replicas.clone())).collect(),
+            caught_up: self
+                .caught_up
+                .iter()
+                .map(|(shard, known)| (*shard, known.replicas.clone()))
+                .collect(),
         };
         view.stores.sort_by_key(|store| store.id);
         if now.saturating_sub(self.viewed) > LOOKED_AWAY {
             self.shards.clear();
         }
         self.viewed = now;
-        self.shards.resize(current.shards.len(), ShardView::default());
-        for (shard, (known, assignment)) in self.shards.iter_mut().zip(&current.shards).enumerate() {
+        self.shards
+            .resize(current.shards.len(), ShardView::default());
+        for (shard, (known, assignment)) in self.shards.iter_mut().zip(&current.shards).enumerate()
+        {
             let primary = assignment.replicas.first().copied().unwrap_or(0);
-            let in_charge =
-                view.report(primary, shard, assignment.epoch).is_some_and(|report| report.in_charge);
+            let in_charge = view
+                .report(primary, shard, assignment.epoch)
+                .is_some_and(|report| report.in_charge);
             if known.epoch != assignment.epoch {
-                *known = ShardView { epoch: assignment.epoch, unsettled_since: None };
+                *known = ShardView {
+                    epoch: assignment.epoch,
+                    unsettled_since: None,
+                };
             }
             match in_charge {
                 true => known.unsettled_since = None,
                 false => _ = known.unsettled_since.get_or_insert(now),
             }
-            let unsettled = known.unsettled_since.map_or(Duration::ZERO, |since| now.saturating_sub(since));
+            let unsettled = known
+                .unsettled_since
+                .map_or(Duration::ZERO, |since| now.saturating_sub(since));
             view.unsettled.push((known.epoch, unsettled));
         }
         view
@@ -183,17 +206,25 @@
     /// What the primary of this epoch says of its shard.
     pub fn report(&self, primary: StoreId, shard: usize, epoch: u64) -> Option<&ShardReport> {
         let reports = &self.store(primary)?.reports;
-        reports.iter().find(|report| report.shard as usize == shard && report.epoch == epoch)
+        reports
+            .iter()
+            .find(|report| report.shard as usize == shard && report.epoch == epoch)
     }
 
     /// The replicas of a shard that were last reported to be caught up.
     pub fn last_caught_up(&self, shard: usize) -> Vec<StoreId> {
-        self.caught_up.get(&(shard as u32)).cloned().unwrap_or_default()
+        self.caught_up
+            .get(&(shard as u32))
+            .cloned()
+            .unwrap_or_default()
     }
 
     /// How long the primary of this epoch has not been in charge.
     pub fn unsettled_for(&self, shard: usize, epoch: u64) -> Duration {
-        let known = self.unsettled.get(shard).filter(|(known, _)| *known == epoch);
+        let known = self
+            .unsettled
+            .get(shard)
+            .filter(|(known, _)| *known == epoch);
         known.map_or(Duration::ZERO, |(_, unsettled)| *unsettled)
     }
 
--- a/crates/mintlb-batch/src/replica.rs
+++ b/crates/mintlb-batch/src/replica.rs
@@ -174,7 +174,8 @@
         if self.meta_changed {
             self.meta_changed = false;
             // Before the first effect that waits for the disk, so that it is covered.
-            self.effects.insert(0, Effect::Write(DiskWrite::Meta(self.meta.clone())));
+            self.effects
+                .insert(0, Effect::Write(DiskWrite::Meta(self.meta.clone())));
         }
         std::mem::take(&mut self.effects)
     }
@@ -210,8 +211,15 @@
             return;
         }
         if self.meta.log.last() > 0 {
-            log::info!("lots: shard {}: given up, epoch {}", self.shard, assignment.epoch);
-            self.meta = ShardMeta { promised: assignment.epoch, ..ShardMeta::default() };
+            log::info!(
+                "lots: shard {}: given up, epoch {}",
+                self.shard,
+                assignment.epoch
+            );
+            self.meta = ShardMeta {
+                promised: assignment.epoch,
+                ..ShardMeta::default()
+            };
             self.lots.clear();
             self.effects.push(Effect::Write(DiskWrite::Clear));
             self.meta_changed = true;
@@ -223,7 +231,12 @@
         if envelope.to != self.settings.own {
             return;
         }
-        let Envelope { from, epoch, message, .. } = envelope;
+        let Envelope {
+            from,
+            epoch,
+            message,
+            ..
+        } = envelope;
         match message {
             PeerMessage::Append(append) => self.on_append(from, epoch, append, raw, now),
             PeerMessage::Collect => self.on_collect(from, epoch),
@@ -231,7 +244,9 @@
             PeerMessage::Fenced => self.on_fenced(epoch),
             PeerMessage::Collected { log } => self.on_collected(from, epoch, log, now),
             PeerMessage::Fetched(append) => self.on_fetched(from, epoch, append, raw, now),
-            PeerMessage::Appended { matched, echo } => self.on_appended(from, epoch, matched, echo, now),
+            PeerMessage::Appended { matched, echo } => {
+                self.on_appended(from, epoch, matched, echo, now)
+            }
             PeerMessage::Diverged { log, echo } => self.on_diverged(from, epoch, log, echo, now),
         }
     }
@@ -268,19 +283,25 @@
     }
 
     fn sweep(&mut self, now: Moment) {
-        let sweep = self.lots.sweep(self.meta.committed, self.settings.status, now);
+        let sweep = self
+            .lots
+            .sweep(self.meta.committed, self.settings.status, now);
         if !sweep.strip.is_empty() {
-            self.effects.push(Effect::Write(DiskWrite::Strip(sweep.strip)));
+            self.effects
+                .push(Effect::Write(DiskWrite::Strip(sweep.strip)));
         }
         if !sweep.remove.is_empty() {
-            self.effects.push(Effect::Write(DiskWrite::Remove(sweep.remove)));
+            self.effects
+                .push(Effect::Write(DiskWrite::Remove(sweep.remove)));
         }
         self.leases.sweep(&self.lots);
     }
 
     /// What the controllers are told of this shard; only its primary says something.
     pub fn report(&self) -> Option<ShardReport> {
-        let Role::Primary(primary) = &self.role else { return None };
+        let Role::Primary(primary) = &self.role else {
+            return None;
+        };
         Some(ShardReport {
             shard: self.shard,
             epoch: primary.epoch,
@@ -334,7 +355,13 @@
     }
 
     fn envelope(&self, to: StoreId, epoch: u64, message: PeerMessage) -> Envelope {
-        Envelope { from: self.settings.own, to, shard: self.shard, epoch, message }
+        Envelope {
+            from: self.settings.own,
+            to,
+            shard: self.shard,
+            epoch,
+            message,
+        }
     }
 
     /// The part of the own log behind `after`, up to `through`, as far as it fits into `most` bytes, and the
@@ -353,12 +380,20 @@
             bytes += length;
             indexes.push(index);
         }
-        let previous =
-            crate::log_index::Place { epoch: self.meta.log.epoch_at(after).unwrap_or(0), index: after };
+        let previous = crate::log_index::Place {
+            epoch: self.meta.log.epoch_at(after).unwrap_or(0),
+            index: after,
+        };
         let runs = self.meta.log.runs(after + 1, end);
         let left_out = (indexes.len() as u64) < end - after;
         let lots = left_out.then(|| self.lots.numbers_through(end));
-        let append = Append { previous, through: end, runs, lots, ..Append::default() };
+        let append = Append {
+            previous,
+            through: end,
+            runs,
+            lots,
+            ..Append::default()
+        };
         (append, indexes)
     }
 }
--- a/crates/mintlb-batch/src/replica/follower.rs
+++ b/crates/mintlb-batch/src/replica/follower.rs
@@ -21,7 +21,14 @@
 }
 
 impl Replica {
-    pub(super) fn on_append(&mut self, from: StoreId, epoch: u64, append: Append, raw: Bytes, now: Moment) {
+    pub(super) fn on_append(
+        &mut self,
+        from: StoreId,
+        epoch: u64,
+        append: Append,
+        raw: Bytes,
+        now: Moment,
+    ) {
         if epoch < self.meta.promised {
             return self.refuse(from);
         }
@@ -34,36 +41,56 @@
         let message = match self.take_part(&append, raw, now) {
             Ok(()) => {
                 self.set_committed(committed.min(through));
-                PeerMessage::Appended { matched: through, echo }
+                PeerMessage::Appended {
+                    matched: through,
+                    echo,
+                }
             }
-            Err(NotTaken::Diverged) => PeerMessage::Diverged { log: self.meta.log.clone(), echo },
+            Err(NotTaken::Diverged) => PeerMessage::Diverged {
+                log: self.meta.log.clone(),
+                echo,
+            },
             Err(NotTaken::Wrong) => return,
         };
         let answer = self.envelope(from, epoch, message);
-        self.effects.push(Effect::AfterSync(AfterSync::Send(answer)));
+        self.effects
+            .push(Effect::AfterSync(AfterSync::Send(answer)));
     }
 
     /// Brings the own log in line with a part of another one.
-    pub(super) fn take_part(&mut self, part: &Append, raw: Bytes, now: Moment) -> Result<(), NotTaken> {
+    pub(super) fn take_part(
+        &mut self,
+        part: &Append,
+        raw: Bytes,
+        now: Moment,
+    ) -> Result<(), NotTaken> {
         let previous = part.previous;
         if self.meta.log.epoch_at(previous.index) != Some(previous.epoch) {
             return Err(NotTaken::Diverged);
         }
-        let Some(differs) = self.first_difference(part)? else { return Ok(()) };
+        let Some(differs) = self.first_difference(part)? else {
+            return Ok(());
+        };
         let entries = read_entries(part, raw).ok_or(NotTaken::Wrong)?;
         if differs <= self.meta.log.last() {
             if differs <= self.meta.committed {
-                log::error!("lots: shard {}: a committed entry is contradicted", self.shard);
+                log::error!(
+                    "lots: shard {}: a committed entry is contradicted",
+                    self.shard
+                );
                 return Err(NotTaken::Wrong);
             }
             self.meta.log.truncate(differs - 1);
             self.lots.truncate(differs - 1);
-            self.effects.push(Effect::Write(DiskWrite::Truncate(differs - 1)));
+            self.effects
+                .push(Effect::Write(DiskWrite::Truncate(differs - 1)));
         }
         for (index, entry, bytes, raw_length) in entries {
             if index >= differs {
-                self.lots.apply(index, &entry, bytes.len() as u64, raw_length, now);
-                self.effects.push(Effect::Write(DiskWrite::Put(index, bytes)));
+                self.lots
+                    .apply(index, &entry, bytes.len() as u64, raw_length, now);
+                self.effects
+                    .push(Effect::Write(DiskWrite::Put(index, bytes)));
             }
         }
         self.extend_by(part);
@@ -84,7 +111,12 @@
     fn first_difference(&self, part: &Append) -> Result<Option<u64>, NotTaken> {
         // Epochs of both change at run starts only; the own log's end is a change as well.
         let own_runs = self.meta.log.runs(part.previous.index + 1, part.through);
-        let starts = part.runs.iter().chain(&own_runs).map(|run| run.first).chain([self.meta.log.last() + 1]);
+        let starts = part
+            .runs
+            .iter()
+            .chain(&own_runs)
+            .map(|run| run.first)
+            .chain([self.meta.log.last() + 1]);
         let inside = starts.filter(|first| *first > part.previous.index && *first <= part.through);
         let mut first = None;
         for index in inside {
@@ -98,7 +130,10 @@
 
     fn extend_by(&mut self, part: &Append) {
         for (i, run) in part.runs.iter().enumerate() {
-            let end = part.runs.get(i + 1).map_or(part.through, |next| next.first - 1);
+            let end = part
+                .runs
+                .get(i + 1)
+                .map_or(part.through, |next| next.first - 1);
             self.meta.log.extend(end, run.epoch);
         }
         self.meta_changed = true;
@@ -122,8 +157,15 @@
             self.promise(epoch);
             self.step_down();
         }
-        let answer = self.envelope(from, epoch, PeerMessage::Collected { log: self.meta.log.clone() });
-        self.effects.push(Effect::AfterSync(AfterSync::Send(answer)));
+        let answer = self.envelope(
+            from,
+            epoch,
+            PeerMessage::Collected {
+                log: self.meta.log.clone(),
+            },
+        );
+        self.effects
+            .push(Effect::AfterSync(AfterSync::Send(answer)));
     }
 
     pub(super) fn on_fetch(&mut self, from: StoreId, epoch: u64, after: u64) {
@@ -137,7 +179,8 @@
 
     fn refuse(&mut self, to: StoreId) {
         let fenced = self.envelope(to, self.meta.promised, PeerMessage::Fenced);
-        self.effects.push(Effect::AfterSync(AfterSync::Send(fenced)));
+        self.effects
+            .push(Effect::AfterSync(AfterSync::Send(fenced)));
     }
 
     pub(super) fn on_fenced(&mut self, promised: u64) {
--- a/crates/mintlb-batch/src/replica/primary.rs
+++ b/crates/mintlb-batch/src/replica/primary.rs
@@ -90,14 +90,22 @@
 
     /// Whether it is in charge and gets on.
     pub(super) fn gets_on(&self, now: Moment) -> bool {
-        self.in_charge && self.uncommitted.is_none_or(|since| now.saturating_sub(since) < STUCK)
+        self.in_charge
+            && self
+                .uncommitted
+                .is_none_or(|since| now.saturating_sub(since) < STUCK)
     }
 
     /// The time at which `others` followers still followed.
     fn confirmed(&self, others: usize, now: Moment) -> Option<Moment> {
-        let Some(place) = others.checked_sub(1) else { return Some(now) };
-        let mut times: Vec<Moment> =
-            self.followers.iter().filter_map(|follower| follower.confirmed).collect();
+        let Some(place) = others.checked_sub(1) else {
+            return Some(now);
+        };
+        let mut times: Vec<Moment> = self
+            .followers
+            .iter()
+            .filter_map(|follower| follower.confirmed)
+            .collect();
         times.sort_unstable_by(|a, b| b.cmp(a));
         times.get(place).copied()
     }
@@ -112,14 +120,21 @@
         let bytes = framing::encode(entry, raw);
         self.meta.log.extend(index, epoch);
         self.meta_changed = true;
-        self.lots.apply(index, entry, bytes.len() as u64, raw_length as u64, now);
-        self.effects.push(Effect::Write(DiskWrite::Put(index, bytes)));
-        self.effects.push(Effect::AfterSync(AfterSync::OwnLog { epoch, through: index }));
+        self.lots
+            .apply(index, entry, bytes.len() as u64, raw_length as u64, now);
+        self.effects
+            .push(Effect::Write(DiskWrite::Put(index, bytes)));
+        self.effects.push(Effect::AfterSync(AfterSync::OwnLog {
+            epoch,
+            through: index,
+        }));
         index
     }
 
     pub(super) fn on_own_log(&mut self, epoch: u64, through: u64, now: Moment) {
-        let Role::Primary(primary) = &mut self.role else { return };
+        let Role::Primary(primary) = &mut self.role else {
+            return;
+        };
         if primary.epoch != epoch || through <= primary.durable {
             return;
         }
@@ -129,9 +144,18 @@
         self.feed_all(now);
     }
 
-    pub(super) fn on_appended(&mut self, from: StoreId, epoch: u64, matched: u64, echo: u64, now: Moment) {
+    pub(super) fn on_appended(
+        &mut self,
+        from: StoreId,
+        epoch: u64,
+        matched: u64,
+        echo: u64,
+        now: Moment,
+    ) {
         let end = self.meta.log.last();
-        let Some(follower) = self.follower(from, epoch) else { return };
+        let Some(follower) = self.follower(from, epoch) else {
+            return;
+        };
         if matched > end {
             return;
         }
@@ -139,31 +163,54 @@
         self.answered(from, echo, now);
     }
 
-    pub(super) fn on_diverged(&mut self, from: StoreId, epoch: u64, log: LogIndex, echo: u64, now: Moment) {
+    pub(super) fn on_diverged(
+        &mut self,
+        from: StoreId,
+        epoch: u64,
+        log: LogIndex,
+        echo: u64,
+        now: Moment,
+    ) {
         let common = self.meta.log.common(&log);
-        let Some(follower) = self.follower(from, epoch) else { return };
+        let Some(follower) = self.follower(from, epoch) else {
+            return;
+        };
         // It never has less than before: only a question about where it stands is answered like this.
         follower.matched = Some(follower.matched.unwrap_or(0).max(common));
         self.answered(from, echo, now);
     }
 
     fn follower(&mut self, id: StoreId, epoch: u64) -> Option<&mut Follower> {
-        let Role::Primary(primary) = &mut self.role else { return None };
+        let Role::Primary(primary) = &mut self.role else {
+            return None;
+        };
         if primary.epoch != epoch {
             return None;
         }
-        primary.followers.iter_mut().find(|follower| follower.id == id)
+        primary
+            .followers
+            .iter_mut()
+            .find(|follower| follower.id == id)
     }
 
     fn answered(&mut self, from: StoreId, echo: u64, now: Moment) {
-        let Role::Primary(primary) = &mut self.role else { return };
-        let Some(follower) = primary.followers.iter_mut().find(|follower| follower.id == from) else {
+        let Role::Primary(primary) = &mut self.role else {
+            return;
+        };
+        let Some(follower) = primary
+            .followers
+            .iter_mut()
+            .find(|follower| follower.id == from)
+        else {
             return;
         };
         let sent = Moment::from_millis(echo);
         if sent <= now {
             follower.confirmed = follower.confirmed.max(Some(sent));
-            if follower.outstanding.is_some_and(|outstanding| outstanding.as_millis() as u64 <= echo) {
+            if follower
+                .outstanding
+                .is_some_and(|outstanding| outstanding.as_millis() as u64 <= echo)
+            {
                 follower.outstanding = None;
             }
         }
@@ -175,7 +222,9 @@
     /// Commits what enough replicas have.
     fn advance(&mut self, now: Moment) {
         let quorum = self.quorum();
-        let Role::Primary(primary) = &mut self.role else { return };
+        let Role::Primary(primary) = &mut self.role else {
+            return;
+        };
         let mut matched: Vec<u64> = primary.followers.iter().filter_map(|f| f.matched).collect();
         let all = matched.len() == primary.followers.len();
         matched.push(primary.durable);
@@ -185,14 +234,20 @@
             primary.replicated = replicated;
             self.effects.push(Effect::Replicated(replicated));
         }
-        let Some(&committed) = matched.get(quorum - 1) else { return };
+        let Some(&committed) = matched.get(quorum - 1) else {
+            return;
+        };
         // An entry of an older epoch is committed only together with one of this epoch.
         if committed < primary.base || committed > primary.durable {
             return;
         }
         if !primary.in_charge {
             primary.in_charge = true;
-            log::info!("lots: shard {}: in charge, epoch {}", self.shard, primary.epoch);
+            log::info!(
+                "lots: shard {}: in charge, epoch {}",
+                self.shard,
+                primary.epoch
+            );
             self.effects.push(Effect::ReportChanged);
         }
         if committed == primary.durable {
@@ -214,16 +269,26 @@
     }
 
     fn feed_all(&mut self, now: Moment) {
-        let Role::Primary(primary) = &self.role else { return };
-        let ids: Vec<StoreId> = primary.followers.iter().map(|follower| follower.id).collect();
+        let Role::Primary(primary) = &self.role else {
+            return;
+        };
+        let ids: Vec<StoreId> = primary
+            .followers
+            .iter()
+            .map(|follower| follower.id)
+            .collect();
         ids.into_iter().for_each(|id| self.feed(id, now));
     }
 
     /// Sends a follower what it lacks, one part at a time, or asks where it stands.
     fn feed(&mut self, id: StoreId, now: Moment) {
-        let Role::Primary(primary) = &self.role else { return };
+        let Role::Primary(primary) = &self.role else {
+            return;
+        };
         let (durable, committed) = (primary.durable, self.meta.committed);
-        let Some(follower) = primary.followers.iter().find(|follower| follower.id == id) else { return };
+        let Some(follower) = primary.followers.iter().find(|follower| follower.id == id) else {
+            return;
+        };
         if durable == 0 || follower.outstanding.is_some() {
             return;
         }
@@ -247,15 +312,27 @@
     /// An empty part behind this index: the answer says whether the follower's log is equal up to there.
     fn send_empty(&mut self, id: StoreId, index: u64, now: Moment) {
         let epoch = self.meta.log.epoch_at(index).unwrap_or(0);
-        let part = Append { previous: Place { epoch, index }, through: index, ..Append::default() };
+        let part = Append {
+            previous: Place { epoch, index },
+            through: index,
+            ..Append::default()
+        };
         self.send(id, part, Vec::new(), now);
     }
 
     fn send(&mut self, id: StoreId, mut part: Append, indexes: Vec<u64>, now: Moment) {
         let committed = self.meta.committed;
-        let Role::Primary(primary) = &mut self.role else { return };
+        let Role::Primary(primary) = &mut self.role else {
+            return;
+        };
         let epoch = primary.epoch;
-        let Some(follower) = primary.followers.iter_mut().find(|follower| follower.id == id) else { return };
+        let Some(follower) = primary
+            .followers
+            .iter_mut()
+            .find(|follower| follower.id == id)
+        else {
+            return;
+        };
         follower.outstanding.get_or_insert(now);
         follower.sent = now;
         follower.told = committed.min(part.through);
@@ -266,13 +343,21 @@
     }
 
     pub(super) fn tick_primary(&mut self, now: Moment) {
-        let Role::Primary(primary) = &mut self.role else { return };
+        let Role::Primary(primary) = &mut self.role else {
+            return;
+        };
         let beginning = now.saturating_sub(primary.since) < BEGINNING;
         let mut ids = Vec::with_capacity(primary.followers.len());
         for follower in &mut primary.followers {
             let first = beginning && follower.matched.is_none();
-            let patience = if first { FIRST_PATIENCE } else { ANSWER_PATIENCE };
-            let late = follower.outstanding.is_some_and(|sent| now.saturating_sub(sent) >= patience);
+            let patience = if first {
+                FIRST_PATIENCE
+            } else {
+                ANSWER_PATIENCE
+            };
+            let late = follower
+                .outstanding
+                .is_some_and(|sent| now.saturating_sub(sent) >= patience);
             if late && now.saturating_sub(follower.sent) >= patience {
                 // It may have lost anything sent since; what it said to have on disk it still has.
                 follower.outstanding = None;
@@ -291,8 +376,12 @@
 
     /// Asks a follower that is late for a sign of life; once it answers it is fed again.
     fn probe(&mut self, id: StoreId, now: Moment) {
-        let Role::Primary(primary) = &self.role else { return };
-        let Some(follower) = primary.followers.iter().find(|follower| follower.id == id) else { return };
+        let Role::Primary(primary) = &self.role else {
+            return;
+        };
+        let Some(follower) = primary.followers.iter().find(|follower| follower.id == id) else {
+            return;
+        };
         let index = follower.matched.unwrap_or(primary.durable);
         if primary.durable > 0 {
             self.send_empty(id, index, now);
@@ -303,14 +392,20 @@
     /// confirm.
     pub fn confirm(&mut self, now: Moment) -> bool {
         let others = self.quorum() - 1;
-        let Role::Primary(primary) = &self.role else { return false };
-        if primary.confirmed(others, now).is_some_and(|at| now.saturating_sub(at) <= FRESH) {
+        let Role::Primary(primary) = &self.role else {
+            return false;
+        };
+        if primary
+            .confirmed(others, now)
+            .is_some_and(|at| now.saturating_sub(at) <= FRESH)
+        {
             return true;
         }
         let asked = |follower: &&Follower| now.saturating_sub(follower.sent) >= CONFIRM_AGAIN;
         let asks = primary.followers.iter().filter(asked);
-        let asks: Vec<(StoreId, u64)> =
-            asks.map(|follower| (follower.id, follower.matched.unwrap_or(primary.durable))).collect();
+        let asks: Vec<(StoreId, u64)> = asks
+            .map(|follower| (follower.id, follower.matched.unwrap_or(primary.durable)))
+            .collect();
         for (id, index) in asks {
             self.send_empty(id, index, now);
         }
@@ -319,9 +414,17 @@
 
     /// The replicas that have all but the newest entries. Whether they are alive their heartbeats tell.
     pub(super) fn caught_up(&self, primary: &Primary) -> Vec<StoreId> {
-        let needed = self.meta.committed.saturating_sub(CAUGHT_UP_LAG).max(primary.base);
+        let needed = self
+            .meta
+            .committed
+            .saturating_sub(CAUGHT_UP_LAG)
+            .max(primary.base);
         let has = |follower: &&Follower| follower.matched.is_some_and(|matched| matched >= needed);
-        let others = primary.followers.iter().filter(has).map(|follower| follower.id);
+        let others = primary
+            .followers
+            .iter()
+            .filter(has)
+            .map(|follower| follower.id);
         let own = primary.in_charge.then_some(self.settings.own);
         own.into_iter().chain(others).collect()
     }
--- a/crates/mintlb-batch/src/replica/serving.rs
+++ b/crates/mintlb-batch/src/replica/serving.rs
@@ -3,7 +3,9 @@
 use super::{Replica, Role};
 use crate::entry::{Entry, ItemState, LotHead};
 use crate::lots::{Lot, Moment};
-use crate::messages::{Answer, DispatcherId, HeldItems, LeasedHead, LotName, Page, PageResult, Renewed};
+use crate::messages::{
+    Answer, DispatcherId, HeldItems, LeasedHead, LotName, Page, PageResult, Renewed,
+};
 use bytes::Bytes;
 
 /// What comes of a call that may change the log.
@@ -75,7 +77,10 @@
         if !self.is_serving() || epoch != self.assignment.epoch {
             return Proposal::Done(Answer::NotInCharge);
         }
-        let name = LotName { host: head.host.clone(), id: head.id.clone() };
+        let name = LotName {
+            host: head.host.clone(),
+            id: head.id.clone(),
+        };
         if let Some((index, lot)) = self.lots.find(&name) {
             let leased = self.leases.holds_all(index, lot, holder) && !lot.is_done();
             return Proposal::Compare(index, Answer::Accepted { leased });
@@ -113,8 +118,12 @@
         if !self.is_serving() {
             return Proposal::Done(Answer::NotInCharge);
         }
-        let Some((number, lot)) = self.lots.find(name) else { return Proposal::Done(Answer::Unknown) };
-        let Some(place) = lot.items.get(item as usize) else { return Proposal::Done(Answer::Unknown) };
+        let Some((number, lot)) = self.lots.find(name) else {
+            return Proposal::Done(Answer::Unknown);
+        };
+        let Some(place) = lot.items.get(item as usize) else {
+            return Proposal::Done(Answer::Unknown);
+        };
         if let Some(position) = place.position {
             let index = lot.listed[position as usize].index;
             return self.pending(index, Answer::Recorded);
@@ -122,7 +131,11 @@
         if let Some(index) = lot.ended {
             return self.pending(index, Answer::Recorded);
         }
-        let entry = Entry::Result { lot: number, item, state };
+        let entry = Entry::Result {
+            lot: number,
+            item,
+            state,
+        };
         let index = self.append_own(&entry, &[text], now);
         Proposal::Pending(index, Answer::Recorded)
     }
@@ -132,7 +145,9 @@
         if !self.is_serving() {
             return Proposal::Done(Answer::NotInCharge);
         }
-        let Some((number, lot)) = self.lots.find(name) else { return Proposal::Done(Answer::Unknown) };
+        let Some((number, lot)) = self.lots.find(name) else {
+            return Proposal::Done(Answer::Unknown);
+        };
         if let Some(index) = lot.ended {
             return self.pending(index, Answer::Ended);
         }
@@ -149,7 +164,9 @@
 
     /// A committed lot, with the index of its entry. The caller has had [`Replica::confirm`] say yes.
     pub fn committed_lot(&self, name: &LotName) -> Option<(u64, &Lot)> {
-        self.lots.find(name).filter(|(index, _)| *index <= self.meta.committed)
+        self.lots
+            .find(name)
+            .filter(|(index, _)| *index <= self.meta.committed)
     }
 
     /// Committed results of a lot from a position on.
@@ -158,7 +175,11 @@
         let committed = lot.committed_results(self.meta.committed);
         let start = (start_after as usize).min(committed);
         let mut plan = PagePlan {
-            page: Page { total: lot.items.len() as u64, next: start_after, results: Vec::new() },
+            page: Page {
+                total: lot.items.len() as u64,
+                next: start_after,
+                results: Vec::new(),
+            },
             entries: Vec::new(),
         };
         let mut bytes = 0;
@@ -168,7 +189,11 @@
                 break;
             }
             let item = lot.items[listed.item as usize].id.to_string();
-            plan.page.results.push(PageResult { item, state: listed.state, length: 0 });
+            plan.page.results.push(PageResult {
+                item,
+                state: listed.state,
+                length: 0,
+            });
             plan.entries.push(listed.index);
         }
         plan.page.next += plan.entries.len() as u64;
@@ -203,14 +228,26 @@
         let committed = self.meta.committed;
         let open = self.leases.open_items(&self.lots, committed, now);
         let fits = |(number, item): &(u64, u32)| {
-            bytes += self.lots.get(*number).map_or(0, |lot| lot.items[*item as usize].length);
+            bytes += self
+                .lots
+                .get(*number)
+                .map_or(0, |lot| lot.items[*item as usize].length);
             bytes <= most_bytes
         };
         let taken: Vec<(u64, u32)> = open.take(most).take_while(fits).collect();
-        taken.into_iter().filter_map(|(number, item)| self.lease_one(number, item, holder, now)).collect()
+        taken
+            .into_iter()
+            .filter_map(|(number, item)| self.lease_one(number, item, holder, now))
+            .collect()
     }
 
-    fn lease_one(&mut self, number: u64, item: u32, holder: DispatcherId, now: Moment) -> Option<LeasePlan> {
+    fn lease_one(
+        &mut self,
+        number: u64,
+        item: u32,
+        holder: DispatcherId,
+        now: Moment,
+    ) -> Option<LeasePlan> {
         let lot = self.lots.get(number)?;
         let place = &lot.items[item as usize];
         let head = LeasedHead {
@@ -225,35 +262,59 @@
         };
         let range = lot.payload_range(item as usize);
         self.leases.grant(number, item, holder, now);
-        Some(LeasePlan { head, entry: number, range })
+        Some(LeasePlan {
+            head,
+            entry: number,
+            range,
+        })
     }
 
     /// Renews leases; adds what is lost to `renewed`.
-    pub fn renew(&mut self, holder: DispatcherId, held: &HeldItems, renewed: &mut Renewed, now: Moment) {
+    pub fn renew(
+        &mut self,
+        holder: DispatcherId,
+        held: &HeldItems,
+        renewed: &mut Renewed,
+        now: Moment,
+    ) {
         if !self.is_serving() {
             return;
         }
         let lost = match self.lots.find(&held.lot) {
             Some((number, lot)) => {
-                held.failures.iter().for_each(|(item, count)| self.leases.failed(number, lot, *item, *count));
+                held.failures
+                    .iter()
+                    .for_each(|(item, count)| self.leases.failed(number, lot, *item, *count));
                 self.leases.renew(number, lot, &held.items, holder, now)
             }
             None => held.items.clone(),
         };
         if !lost.is_empty() {
-            renewed.lost.push(HeldItems { lot: held.lot.clone(), items: lost, failures: Vec::new() });
+            renewed.lost.push(HeldItems {
+                lot: held.lot.clone(),
+                items: lost,
+                failures: Vec::new(),
+            });
         }
     }
 
     /// Whether there are items that nobody runs.
     pub fn has_open_items(&self, now: Moment) -> bool {
-        self.is_serving() && self.leases.open_items(&self.lots, self.meta.committed, now).next().is_some()
+        self.is_serving()
+            && self
+                .leases
+                .open_items(&self.lots, self.meta.committed, now)
+                .next()
+                .is_some()
     }
 
     /// How many items nobody runs.
     pub fn open_items(&self, now: Moment) -> u32 {
         match self.is_serving() {
-            true => self.leases.open_items(&self.lots, self.meta.committed, now).count() as u32,
+            true => self
+                .leases
+                .open_items(&self.lots, self.meta.committed, now)
+                .count() as u32,
             false => 0,
         }
     }
--- a/crates/mintlb-batch/src/replica/takeover.rs
+++ b/crates/mintlb-batch/src/replica/takeover.rs
@@ -47,19 +47,33 @@
             if epoch == 1 && self.meta.log.last() == 0 {
                 return self.append_begin(now);
             }
-            log::error!("lots: shard {}: epoch {epoch} was begun by this store, which lacks it", self.shard);
+            log::error!(
+                "lots: shard {}: epoch {epoch} was begun by this store, which lacks it",
+                self.shard
+            );
             return;
         }
         log::info!("lots: shard {}: takes over, epoch {epoch}", self.shard);
-        self.role = Role::Taking(Takeover { epoch, answers: Vec::new(), source: None, asked: now });
-        self.effects.push(Effect::AfterSync(AfterSync::OwnPromise(epoch)));
+        self.role = Role::Taking(Takeover {
+            epoch,
+            answers: Vec::new(),
+            source: None,
+            asked: now,
+        });
+        self.effects
+            .push(Effect::AfterSync(AfterSync::OwnPromise(epoch)));
         self.ask_sources(epoch);
     }
 
     /// Asks all that may have what was told.
     fn ask_sources(&mut self, epoch: u64) {
         let mut others = self.assignment.previous.clone();
-        others.extend(self.assignment.replicas.iter().filter(|id| !self.assignment.previous.contains(id)));
+        others.extend(
+            self.assignment
+                .replicas
+                .iter()
+                .filter(|id| !self.assignment.previous.contains(id)),
+        );
         for id in others.into_iter().filter(|id| *id != self.settings.own) {
             let collect = self.envelope(id, epoch, PeerMessage::Collect);
             self.effects.push(Effect::Send(collect));
@@ -74,7 +88,11 @@
     /// Every committed entry is at `tolerance + 1` of the previous replicas, so all but `tolerance` have to
     /// be read.
     fn answers_needed(&self) -> usize {
-        self.assignment.previous.len().saturating_sub(self.settings.tolerance).max(1)
+        self.assignment
+            .previous
+            .len()
+            .saturating_sub(self.settings.tolerance)
+            .max(1)
     }
 
     /// Whether the log of this replica holds all that was told, so that no other has to be read. It does if it was
@@ -82,7 +100,9 @@
     /// primary since. And it does if it is the one of that primary: nobody else appended in that epoch, an entry is
     /// on its disk before it is committed, and with its promise it commits nothing more.
     fn is_whole(&self, from: StoreId, log: &LogIndex) -> bool {
-        let Some(settled) = self.assignment.settled else { return false };
+        let Some(settled) = self.assignment.settled else {
+            return false;
+        };
         let epoch = log.end().epoch;
         epoch > settled || epoch == settled && self.assignment.previous.first() == Some(&from)
     }
@@ -91,7 +111,9 @@
         let needed = self.answers_needed();
         let is_previous = self.assignment.previous.contains(&from);
         let is_whole = self.is_whole(from, &log);
-        let Role::Taking(takeover) = &mut self.role else { return };
+        let Role::Taking(takeover) = &mut self.role else {
+            return;
+        };
         if takeover.epoch != epoch || !(is_previous || is_whole) || takeover.source.is_some() {
             return;
         }
@@ -100,7 +122,11 @@
         if takeover.answers.len() < needed && !is_whole {
             return;
         }
-        let best = takeover.answers.iter().max_by_key(|(_, log)| log.end()).cloned();
+        let best = takeover
+            .answers
+            .iter()
+            .max_by_key(|(_, log)| log.end())
+            .cloned();
         let Some((source, log)) = best else { return };
         if log.end() <= self.meta.log.end() {
             return self.append_begin(now);
@@ -110,16 +136,31 @@
     }
 
     fn fetch(&mut self) {
-        let Role::Taking(takeover) = &self.role else { return };
-        let Some((source, log, _)) = &takeover.source else { return };
+        let Role::Taking(takeover) = &self.role else {
+            return;
+        };
+        let Some((source, log, _)) = &takeover.source else {
+            return;
+        };
         let after = self.meta.log.common(log);
         let fetch = self.envelope(*source, takeover.epoch, PeerMessage::Fetch { after });
         self.effects.push(Effect::Send(fetch));
     }
 
-    pub(super) fn on_fetched(&mut self, from: StoreId, epoch: u64, part: Append, raw: Bytes, now: Moment) {
-        let Role::Taking(takeover) = &mut self.role else { return };
-        let Some((source, log, heard)) = &mut takeover.source else { return };
+    pub(super) fn on_fetched(
+        &mut self,
+        from: StoreId,
+        epoch: u64,
+        part: Append,
+        raw: Bytes,
+        now: Moment,
+    ) {
+        let Role::Taking(takeover) = &mut self.role else {
+            return;
+        };
+        let Some((source, log, heard)) = &mut takeover.source else {
+            return;
+        };
         if takeover.epoch != epoch || *source != from {
             return;
         }
@@ -135,15 +176,24 @@
     }
 
     pub(super) fn tick_takeover(&mut self, now: Moment) {
-        let Role::Taking(takeover) = &mut self.role else { return };
+        let Role::Taking(takeover) = &mut self.role else {
+            return;
+        };
         let epoch = takeover.epoch;
         let silent = |heard: Moment| now.saturating_sub(heard) >= SOURCE_PATIENCE;
-        if takeover.source.as_ref().is_some_and(|(_, _, heard)| silent(*heard)) {
+        if takeover
+            .source
+            .as_ref()
+            .is_some_and(|(_, _, heard)| silent(*heard))
+        {
             takeover.source = None;
             takeover.answers.clear();
-            self.effects.push(Effect::AfterSync(AfterSync::OwnPromise(epoch)));
+            self.effects
+                .push(Effect::AfterSync(AfterSync::OwnPromise(epoch)));
         }
-        let Role::Taking(takeover) = &mut self.role else { return };
+        let Role::Taking(takeover) = &mut self.role else {
+            return;
+        };
         if now.saturating_sub(takeover.asked) < ASK_AGAIN {
             return;
         }
@@ -160,17 +210,25 @@
         let bytes = framing::encode(&Entry::Begin, &[]);
         self.meta.log.extend(index, self.assignment.epoch);
         self.meta_changed = true;
-        self.lots.apply(index, &Entry::Begin, bytes.len() as u64, 0, now);
-        self.effects.push(Effect::Write(DiskWrite::Put(index, bytes)));
+        self.lots
+            .apply(index, &Entry::Begin, bytes.len() as u64, 0, now);
+        self.effects
+            .push(Effect::Write(DiskWrite::Put(index, bytes)));
         self.become_primary(now);
     }
 
     fn become_primary(&mut self, now: Moment) {
         let epoch = self.assignment.epoch;
-        let followers = self.assignment.replicas.iter().copied().filter(|id| *id != self.settings.own);
+        let followers = self
+            .assignment
+            .replicas
+            .iter()
+            .copied()
+            .filter(|id| *id != self.settings.own);
         let through = self.meta.log.last();
         self.role = Role::Primary(Primary::new(epoch, through, followers, now));
         self.leases.restart(now);
-        self.effects.push(Effect::AfterSync(AfterSync::OwnLog { epoch, through }));
+        self.effects
+            .push(Effect::AfterSync(AfterSync::OwnLog { epoch, through }));
     }
 }
--- a/crates/mintlb-batch/tests/client.rs
+++ b/crates/mintlb-batch/tests/client.rs
@@ -15,11 +15,17 @@
 
 impl Service for Scripted {
     fn request(&self, _from: SocketAddr, body: bytes::Bytes) -> transport::Answer {
-        let Some((Call::Submit(submit), _)) = framing::decode::<Call>(&body) else { panic!("no submission") };
+        let Some((Call::Submit(submit), _)) = framing::decode::<Call>(&body) else {
+            panic!("no submission")
+        };
         self.1.lock().push(submit.epoch);
         let answer = {
             let mut answers = self.0.lock();
-            if answers.len() > 1 { answers.remove(0) } else { answers[0].clone() }
+            if answers.len() > 1 {
+                answers.remove(0)
+            } else {
+                answers[0].clone()
+            }
         };
         Box::pin(async move {
             match answer {
@@ -35,11 +41,26 @@
     let store = Transport::start(any).await.unwrap();
     let script = Arc::new(Scripted(Mutex::new(answers.to_vec()), Mutex::default()));
     store.serve(Channel::Lots, script.clone());
-    let entry = StoreEntry { id: 1, address: store.own_address().to_string(), ..empty_entry() };
-    let shard = ShardAssignment { epoch: 5, replicas: vec![1], ..ShardAssignment::default() };
-    let placement = Placement { epoch: 1, stores: vec![entry], shards: vec![shard; SHARD_COUNT as usize] };
+    let entry = StoreEntry {
+        id: 1,
+        address: store.own_address().to_string(),
+        ..empty_entry()
+    };
+    let shard = ShardAssignment {
+        epoch: 5,
+        replicas: vec![1],
+        ..ShardAssignment::default()
+    };
+    let placement = Placement {
+        epoch: 1,
+        stores: vec![entry],
+        shards: vec![shard; SHARD_COUNT as usize],
+    };
     let placement = Arc::new(placement);
-    let client = LotClient::new(Transport::start(any).await.unwrap(), Arc::new(move || placement.clone()));
+    let client = LotClient::new(
+        Transport::start(any).await.unwrap(),
+        Arc::new(move || placement.clone()),
+    );
     let lot = Submission {
         host: "h".to_string(),
         route: "r".to_string(),
@@ -48,7 +69,9 @@
         max_queued_tokens: 0,
         items: vec![Item::default()],
     };
-    let outcome = client.submit(lot, 1, Duration::from_millis(within_ms)).await;
+    let outcome = client
+        .submit(lot, 1, Duration::from_millis(within_ms))
+        .await;
     let epochs = script.1.lock().clone();
     (outcome, epochs)
 }
@@ -76,8 +99,14 @@
         (vec![Some(Answer::DiskFull)], SubmitOutcome::Refused),
         (vec![Some(Answer::Conflict)], SubmitOutcome::Conflict),
         (vec![Some(Answer::Unsure), Some(leased)], accepted),
-        (vec![Some(Answer::Unsure), Some(Answer::QuotaFull)], SubmitOutcome::Unclear),
-        (vec![Some(Answer::Unsure), not_in_charge.clone()], SubmitOutcome::Unclear),
+        (
+            vec![Some(Answer::Unsure), Some(Answer::QuotaFull)],
+            SubmitOutcome::Unclear,
+        ),
+        (
+            vec![Some(Answer::Unsure), not_in_charge.clone()],
+            SubmitOutcome::Unclear,
+        ),
         (vec![not_in_charge, None], SubmitOutcome::Unclear),
     ];
     for (answers, expected) in cases {
--- a/crates/mintlb-batch/tests/dropped_lots.rs
+++ b/crates/mintlb-batch/tests/dropped_lots.rs
@@ -13,9 +13,18 @@
 
 fn place(model: &mut Model, epoch: u64, replicas: &[u64], previous: &[u64]) {
     let settled = epoch.checked_sub(1);
-    let shard = ShardAssignment { epoch, replicas: replicas.to_vec(), previous: previous.to_vec(), settled };
+    let shard = ShardAssignment {
+        epoch,
+        replicas: replicas.to_vec(),
+        previous: previous.to_vec(),
+        settled,
+    };
     let version = model.placements.len() as u64;
-    model.placements.push(Placement { epoch: version, stores: Vec::new(), shards: vec![shard] });
+    model.placements.push(Placement {
+        epoch: version,
+        stores: Vec::new(),
+        shards: vec![shard],
+    });
 }
 
 /// Everything arrives and is synced.
@@ -34,7 +43,12 @@
 
 /// So long that what is not needed is dropped.
 fn long_after(model: &mut Model) {
-    for passed in [Duration::from_secs(1), LONG, Duration::from_secs(1), Duration::from_secs(1)] {
+    for passed in [
+        Duration::from_secs(1),
+        LONG,
+        Duration::from_secs(1),
+        Duration::from_secs(1),
+    ] {
         model.tick(passed);
         quiet(model);
     }
@@ -59,11 +73,22 @@
 }
 
 fn has(model: &Model, place: usize, lot: &str) -> bool {
-    model.stores[place].replica.as_ref().unwrap().lots().find(&model::name(lot)).is_some()
+    model.stores[place]
+        .replica
+        .as_ref()
+        .unwrap()
+        .lots()
+        .find(&model::name(lot))
+        .is_some()
 }
 
 fn waiting(model: &Model, place: usize) -> u64 {
-    model.stores[place].replica.as_ref().unwrap().lots().waiting_tokens("r")
+    model.stores[place]
+        .replica
+        .as_ref()
+        .unwrap()
+        .lots()
+        .waiting_tokens("r")
 }
 
 /// The third store has two lots as waiting that the others saw done, and dropped, while it was away.
@@ -80,7 +105,11 @@
     quiet(&mut model);
     long_after(&mut model);
     for place in [0, 1] {
-        assert!(!has(&model, place, "ended") && !has(&model, place, "listed") && has(&model, place, "open"));
+        assert!(
+            !has(&model, place, "ended")
+                && !has(&model, place, "listed")
+                && has(&model, place, "open")
+        );
     }
     assert!(has(&model, 2, "ended") && has(&model, 2, "listed"));
     assert_eq!((waiting(&model, 0), waiting(&model, 2)), (30, 120));
@@ -90,7 +119,10 @@
 /// It has the open lot and no other one, also after a restart.
 fn only_the_open_one(model: &mut Model) {
     for _ in 0..2 {
-        assert!(!has(model, 2, "ended") && !has(model, 2, "listed"), "a lot that was dropped has come back");
+        assert!(
+            !has(model, 2, "ended") && !has(model, 2, "listed"),
+            "a lot that was dropped has come back"
+        );
         assert!(has(model, 2, "open"));
         assert_eq!(waiting(model, 2), 30);
         quiet(model);
@@ -142,10 +174,20 @@
         let held = |place: usize| {
             let store: &model::Store = &model.stores[place];
             let lots = store.replica.as_ref().unwrap().lots();
-            (store.disk.entries.len(), lots.all().count(), lots.bytes(), lots.entries_after(0).count())
+            (
+                store.disk.entries.len(),
+                lots.all().count(),
+                lots.bytes(),
+                lots.entries_after(0).count(),
+            )
         };
         seen.push([held(0), held(1), held(2)]);
     }
-    println!("entries on disk, lots, bytes, entries in memory at each store after each 100 lots: {seen:?}");
-    assert!(seen.iter().flatten().all(|held| *held == (0, 0, 0, 0)), "{seen:?}");
+    println!(
+        "entries on disk, lots, bytes, entries in memory at each store after each 100 lots: {seen:?}"
+    );
+    assert!(
+        seen.iter().flatten().all(|held| *held == (0, 0, 0, 0)),
+        "{seen:?}"
+    );
 }
--- a/crates/mintlb-batch/tests/fleet/machines.rs
+++ b/crates/mintlb-batch/tests/fleet/machines.rs
@@ -91,7 +91,10 @@
                 let machine = &mut self.machines[place];
                 (machine.state, machine.up_since, machine.leaving) = (State::Up, now, None);
             }
-            if self.machines[place].successor_at.is_some_and(|at| at <= now) {
+            if self.machines[place]
+                .successor_at
+                .is_some_and(|at| at <= now)
+            {
                 self.machines[place].successor_at = None;
                 self.machines[place].successor = Some(self.add_machine());
             }
@@ -105,21 +108,35 @@
 
     fn end_if_handed_over(&mut self, place: usize) {
         let machine = &self.machines[place];
-        let (State::Up, Some((since, for_good))) = (machine.state.clone(), machine.leaving) else { return };
+        let (State::Up, Some((since, for_good))) = (machine.state.clone(), machine.leaving) else {
+            return;
+        };
         let (id, now) = (machine.id, self.now);
-        let primary = self.placement.shards.iter().any(|shard| shard.replicas.first() == Some(&id));
-        let read = self.placement.shards.iter().any(|shard| shard.previous.contains(&id));
+        let primary = self
+            .placement
+            .shards
+            .iter()
+            .any(|shard| shard.replicas.first() == Some(&id));
+        let read = self
+            .placement
+            .shards
+            .iter()
+            .any(|shard| shard.previous.contains(&id));
         if !(primary || read) && now >= since + LEAST_HAND_OVER || now >= since + HAND_OVER {
             let machine = &mut self.machines[place];
-            machine.state = if for_good { State::Removed } else { State::Down(now + RESTART) };
+            machine.state = if for_good {
+                State::Removed
+            } else {
+                State::Down(now + RESTART)
+            };
         }
     }
 
     /// Whether the machine at this place counts as lost.
     fn counts(&self, place: usize) -> bool {
         let machine = &self.machines[place];
-        let recent =
-            self.now < machine.up_since + self.catch_up && machine.up_since > Duration::from_secs(100);
+        let recent = self.now < machine.up_since + self.catch_up
+            && machine.up_since > Duration::from_secs(100);
         match machine.state {
             State::Up => recent || machine.leaving.is_some() || machine.leaves_at.is_some(),
             State::Down(_) => true,
@@ -137,16 +154,21 @@
             let successor = self.machines[*place].successor;
             successor.is_some_and(|successor| self.counts(successor))
         };
-        let stores = (0..self.machines.len()).filter(|place| self.counts(*place) && !replaced(place)).count();
+        let stores = (0..self.machines.len())
+            .filter(|place| self.counts(*place) && !replaced(place))
+            .count();
         // The controller that had the duty counts as well.
-        let pauses = self.paused_until > Duration::ZERO && self.now < self.paused_until + self.catch_up;
+        let pauses =
+            self.paused_until > Duration::ZERO && self.now < self.paused_until + self.catch_up;
         stores + usize::from(pauses)
     }
 
     /// The controller with the duty is lost, and another one takes it after a while: one that has heard the stores all
     /// along, or one that has just started.
     pub fn lose_controller(&mut self, pause: Duration, is_fresh: bool) {
-        self.note(format!("the controller is lost, another one comes in {pause:?}, fresh: {is_fresh}"));
+        self.note(format!(
+            "the controller is lost, another one comes in {pause:?}, fresh: {is_fresh}"
+        ));
         self.paused_until = self.now + pause;
         if is_fresh {
             self.table = StoreTable::new(self.now);
@@ -162,13 +184,19 @@
     }
 
     pub fn down(&mut self, place: usize, time: Duration) {
-        self.note(format!("{} is down for {time:?}", self.machines[place].node()));
+        self.note(format!(
+            "{} is down for {time:?}",
+            self.machines[place].node()
+        ));
         self.machines[place].state = State::Down(self.now + time);
     }
 
     /// Its disk is lost: another store comes up at its address.
     pub fn wipe(&mut self, place: usize, time: Duration) {
-        self.note(format!("{} loses its disk, back in {time:?}", self.machines[place].node()));
+        self.note(format!(
+            "{} loses its disk, back in {time:?}",
+            self.machines[place].node()
+        ));
         let id = self.next_id;
         self.next_id += 1;
         let machine = &mut self.machines[place];
@@ -178,14 +206,20 @@
 
     /// Gone for good; an empty one comes later at another address.
     pub fn replace(&mut self, place: usize, after: Duration) {
-        self.note(format!("{} is gone, its successor comes in {after:?}", self.machines[place].node()));
+        self.note(format!(
+            "{} is gone, its successor comes in {after:?}",
+            self.machines[place].node()
+        ));
         self.machines[place].state = State::Removed;
         self.machines[place].successor_at = Some(self.now + after);
     }
 
     /// The new one first, then the old one is told to stop.
     pub fn replace_planned(&mut self, place: usize, after: Duration) {
-        self.note(format!("{} is replaced, told to stop in {after:?}", self.machines[place].node()));
+        self.note(format!(
+            "{} is replaced, told to stop in {after:?}",
+            self.machines[place].node()
+        ));
         let successor = self.add_machine();
         self.machines[place].successor = Some(successor);
         self.machines[place].leaves_at = Some(self.now + after);
--- a/crates/mintlb-batch/tests/fleet/mod.rs
+++ b/crates/mintlb-batch/tests/fleet/mod.rs
@@ -98,15 +98,17 @@
 
     fn set_placement(&mut self, next: Placement) {
         self.placement = next;
-        self.shards.resize_with(self.placement.shards.len(), Shard::default);
+        self.shards
+            .resize_with(self.placement.shards.len(), Shard::default);
     }
 
     /// Stores' heartbeats reach the controllers.
     fn tell_controllers(&mut self) {
         let round = self.now.as_millis() as u64 / STEP.as_millis() as u64;
         for machine in self.machines.iter().filter(|machine| machine.is_up()) {
-            let reports: Vec<_> =
-                (0..self.shards.len()).filter_map(|shard| self.report(shard, machine.id)).collect();
+            let reports: Vec<_> = (0..self.shards.len())
+                .filter_map(|shard| self.report(shard, machine.id))
+                .collect();
             let in_charge = reports.iter().filter(|report| report.in_charge).count();
             let due = (round + machine.id).is_multiple_of(HEARTBEAT_STEPS);
             if !due && in_charge <= machine.told_in_charge.get() {
@@ -133,7 +135,9 @@
         match order_retirement(&self.placement, &view, &node, self.tolerance) {
             RetirementOrder::Begin(next) => self.set_placement(next),
             RetirementOrder::Begun => (),
-            RetirementOrder::TooFew | RetirementOrder::NotNow | RetirementOrder::Unknown => return false,
+            RetirementOrder::TooFew | RetirementOrder::NotNow | RetirementOrder::Unknown => {
+                return false;
+            }
         }
         self.note(format!("{node} is to be emptied"));
         self.retiring.push(node);
@@ -144,11 +148,16 @@
     fn finish_retirements(&mut self) {
         let view = self.table.view(&self.placement, self.now);
         let (placement, tolerance) = (&self.placement, self.tolerance);
-        let done =
-            |node: &&String| retirement(placement, &view, node, tolerance) == Some(Retirement::Completed);
+        let done = |node: &&String| {
+            retirement(placement, &view, node, tolerance) == Some(Retirement::Completed)
+        };
         let completed: Vec<String> = self.retiring.iter().filter(done).cloned().collect();
         self.retiring.retain(|node| !completed.contains(node));
-        for machine in self.machines.iter_mut().filter(|machine| completed.contains(&machine.node())) {
+        for machine in self
+            .machines
+            .iter_mut()
+            .filter(|machine| completed.contains(&machine.node()))
+        {
             machine.remove();
         }
     }
@@ -174,9 +183,15 @@
     /// All shards name live stores only, and enough of them.
     pub fn check_sizes(&self) {
         let live = self.machines.iter().filter(|machine| machine.is_up());
-        let usable = live.filter(|machine| !self.retiring.contains(&machine.node())).count();
+        let usable = live
+            .filter(|machine| !self.retiring.contains(&machine.node()))
+            .count();
         for assignment in &self.placement.shards {
-            let up = |id: &StoreId| self.machines.iter().any(|machine| machine.id == *id && machine.is_up());
+            let up = |id: &StoreId| {
+                self.machines
+                    .iter()
+                    .any(|machine| machine.id == *id && machine.is_up())
+            };
             let whole = assignment.replicas.iter().filter(|id| up(id)).count();
             assert!(
                 whole >= (2 * self.tolerance + 1).min(usable),
@@ -187,6 +202,7 @@
     }
 
     pub fn note(&mut self, text: String) {
-        self.history.push(format!("{:>8.1} {text}", self.now.as_secs_f64() - 100.0));
+        self.history
+            .push(format!("{:>8.1} {text}", self.now.as_secs_f64() - 100.0));
     }
 }
--- a/crates/mintlb-batch/tests/fleet/shards.rs
+++ b/crates/mintlb-batch/tests/fleet/shards.rs
@@ -23,13 +23,19 @@
 
 impl Fleet {
     fn is_store_up(&self, id: StoreId) -> bool {
-        self.machines.iter().any(|machine| machine.id == id && machine.is_up())
+        self.machines
+            .iter()
+            .any(|machine| machine.id == id && machine.is_up())
     }
 
     pub(super) fn move_shards(&mut self) {
         for shard in 0..self.shards.len() {
             let assignment = self.placement.shards[shard].clone();
-            if assignment.replicas.first().is_some_and(|primary| self.is_store_up(*primary)) {
+            if assignment
+                .replicas
+                .first()
+                .is_some_and(|primary| self.is_store_up(*primary))
+            {
                 self.move_shard(shard, &assignment);
             } else {
                 // Another life of the primary begins anew.
@@ -40,7 +46,9 @@
 
     fn move_shard(&mut self, shard: usize, assignment: &ShardAssignment) {
         let primary = assignment.replicas[0];
-        if self.shards[shard].begun.is_none_or(|(epoch, _)| epoch != assignment.epoch)
+        if self.shards[shard]
+            .begun
+            .is_none_or(|(epoch, _)| epoch != assignment.epoch)
             && !self.begin(shard, assignment)
         {
             return;
@@ -48,7 +56,11 @@
         self.fill(shard, assignment);
         let has = self.shards[shard].logs[&primary];
         let equal = |id: &&StoreId| {
-            self.is_store_up(**id) && self.shards[shard].logs.get(id).is_some_and(|log| *log == has)
+            self.is_store_up(**id)
+                && self.shards[shard]
+                    .logs
+                    .get(id)
+                    .is_some_and(|log| *log == has)
         };
         let copies = assignment.replicas.iter().filter(equal).count();
         if copies <= self.tolerance {
@@ -61,7 +73,10 @@
                 return;
             }
             // The next entry is on its way.
-            let next = Place { epoch: has.epoch, index: has.index + 1 };
+            let next = Place {
+                epoch: has.epoch,
+                index: has.index + 1,
+            };
             self.shards[shard].logs.insert(primary, next);
         }
     }
@@ -69,7 +84,11 @@
     /// The primary reads what the previous replicas have; false while too few answer.
     fn begin(&mut self, shard: usize, assignment: &ShardAssignment) -> bool {
         let primary = assignment.replicas[0];
-        let own = self.shards[shard].logs.get(&primary).copied().unwrap_or_default();
+        let own = self.shards[shard]
+            .logs
+            .get(&primary)
+            .copied()
+            .unwrap_or_default();
         let at = self.now;
         let state = &mut self.shards[shard];
         (state.in_charge, state.filled_from) = (false, BTreeMap::new());
@@ -91,7 +110,10 @@
             self.shards[shard].told,
             self.history.join("\n")
         );
-        let begin = Place { epoch: assignment.epoch, index: log.index + 1 };
+        let begin = Place {
+            epoch: assignment.epoch,
+            index: log.index + 1,
+        };
         self.shards[shard].logs.insert(primary, begin);
         self.shards[shard].begun = Some((assignment.epoch, at));
         true
@@ -106,12 +128,28 @@
             return Some(log(&first));
         }
         let answers = assignment.previous.iter().filter(up).map(log);
-        let whole = assignment.replicas.iter().filter(up).map(log).chain(answers.clone());
-        if let Some(whole) = whole.filter(|log| Some(log.epoch) > assignment.settled).max() {
+        let whole = assignment
+            .replicas
+            .iter()
+            .filter(up)
+            .map(log)
+            .chain(answers.clone());
+        if let Some(whole) = whole
+            .filter(|log| Some(log.epoch) > assignment.settled)
+            .max()
+        {
             return Some(whole);
         }
-        let needed = assignment.previous.len().saturating_sub(self.tolerance).max(1);
-        if answers.clone().count() < needed { None } else { answers.max() }
+        let needed = assignment
+            .previous
+            .len()
+            .saturating_sub(self.tolerance)
+            .max(1);
+        if answers.clone().count() < needed {
+            None
+        } else {
+            answers.max()
+        }
     }
 
     /// The other replicas get what the primary has, at once unless they have to be filled first.
@@ -123,13 +161,17 @@
                 continue;
             }
             let empty = !self.shards[shard].logs.contains_key(id);
-            let since = *self.shards[shard].filled_from.entry(*id).or_insert(self.now);
+            let since = *self.shards[shard]
+                .filled_from
+                .entry(*id)
+                .or_insert(self.now);
             if !empty || self.now >= since + self.fill {
                 self.shards[shard].logs.insert(*id, has);
             }
         }
         // A store that no shard names drops its copy.
-        let named = |id: &StoreId| assignment.replicas.contains(id) || assignment.previous.contains(id);
+        let named =
+            |id: &StoreId| assignment.replicas.contains(id) || assignment.previous.contains(id);
         if assignment.previous.is_empty() {
             self.shards[shard].logs.retain(|id, _| named(id));
         }
@@ -151,13 +193,21 @@
         let live = assignment.replicas.iter().filter(near).filter(up).count();
         let in_charge = state.in_charge && (self.idle || live > self.tolerance);
         let caught_up = assignment.replicas.iter().filter(near).copied().collect();
-        Some(ShardReport { shard: shard as u32, epoch: assignment.epoch, in_charge, caught_up })
+        Some(ShardReport {
+            shard: shard as u32,
+            epoch: assignment.epoch,
+            in_charge,
+            caught_up,
+        })
     }
 
     /// Whether the shard's primary takes calls and commits.
     pub fn serves(&self, shard: usize) -> bool {
         let assignment = &self.placement.shards[shard];
-        let report = assignment.replicas.first().and_then(|primary| self.report(shard, *primary));
+        let report = assignment
+            .replicas
+            .first()
+            .and_then(|primary| self.report(shard, *primary));
         assignment.previous.is_empty() && report.is_some_and(|report| report.in_charge)
     }
 }
--- a/crates/mintlb-batch/tests/leases.rs
+++ b/crates/mintlb-batch/tests/leases.rs
@@ -11,7 +11,11 @@
 
 /// A lot of three items, its entry the first one.
 fn lots() -> Lots {
-    let item = |id: &str| ItemHead { id: id.to_string(), tokens: 1, length: 0 };
+    let item = |id: &str| ItemHead {
+        id: id.to_string(),
+        tokens: 1,
+        length: 0,
+    };
     let items = ["a", "b", "c"].map(item).to_vec();
     let head = LotHead {
         host: "h.example".into(),
@@ -26,7 +30,10 @@
 }
 
 fn open(leases: &Leases, lots: &Lots, now: Moment) -> Vec<u32> {
-    leases.open_items(lots, LOT, now).map(|(_, item)| item).collect()
+    leases
+        .open_items(lots, LOT, now)
+        .map(|(_, item)| item)
+        .collect()
 }
 
 fn renew(leases: &mut Leases, lots: &Lots, items: &[u32], holder: u64, now: Moment) -> Vec<u32> {
@@ -54,14 +61,28 @@
     let (mut lots, mut leases) = (lots(), Leases::default());
     leases.grant_all(LOT, 3, ONE, Moment::ZERO);
     let almost = LEASE - Duration::from_millis(1);
-    assert_eq!(renew(&mut leases, &lots, &[0, 1], TWO, almost), [0, 1], "the lease still holds");
+    assert_eq!(
+        renew(&mut leases, &lots, &[0, 1], TWO, almost),
+        [0, 1],
+        "the lease still holds"
+    );
     assert!(open(&leases, &lots, almost).is_empty());
     // Frozen for as long as its lease lasts, it finds that another holds the items now.
     leases.grant(LOT, 0, TWO, LEASE);
     assert!(renew(&mut leases, &lots, &[1], TWO, LEASE).is_empty());
     assert_eq!(renew(&mut leases, &lots, &[0, 1, 2], ONE, LEASE), [0, 1]);
     // What is listed is nobody's to run.
-    lots.apply(2, &Entry::Result { lot: LOT, item: 2, state: ItemState::Completed }, 1, 0, LEASE);
+    lots.apply(
+        2,
+        &Entry::Result {
+            lot: LOT,
+            item: 2,
+            state: ItemState::Completed,
+        },
+        1,
+        0,
+        LEASE,
+    );
     assert_eq!(renew(&mut leases, &lots, &[2], ONE, LEASE), [2]);
     leases.release(TWO);
     assert_eq!(open(&leases, &lots, LEASE), [0, 1]);
@@ -78,5 +99,12 @@
     leases.failed(LOT, lot, 900, 1);
     leases.release(ONE);
     leases.grant(LOT, 1, TWO, LEASE);
-    assert_eq!((leases.failures(LOT, 1), leases.failures(LOT, 0), leases.failures(LOT, 900)), (2, 0, 0));
+    assert_eq!(
+        (
+            leases.failures(LOT, 1),
+            leases.failures(LOT, 0),
+            leases.failures(LOT, 900)
+        ),
+        (2, 0, 0)
+    );
 }
--- a/crates/mintlb-batch/tests/model/checks.rs
+++ b/crates/mintlb-batch/tests/model/checks.rs
@@ -46,7 +46,10 @@
 
     /// A worker finished an item: its result is sent from now on.
     pub fn finished(&mut self, lot: &str, item: u32) {
-        self.finished.entry(lot.to_string()).or_default().insert(item);
+        self.finished
+            .entry(lot.to_string())
+            .or_default()
+            .insert(item);
     }
 
     pub fn read(
@@ -57,7 +60,10 @@
         now: Duration,
     ) {
         self.reads += 1;
-        let known = self.accepted.get(lot).is_some_and(|(at, _)| *at + OLD <= now);
+        let known = self
+            .accepted
+            .get(lot)
+            .is_some_and(|(at, _)| *at + OLD <= now);
         let Some((total, results)) = results else {
             assert!(!(sure && known), "an accepted lot is unknown");
             return;
@@ -89,8 +95,14 @@
         self.leases += 1;
         let ended = self.ended.get(lot).is_some_and(|at| *at + OLD <= now);
         assert!(!ended, "an item of an ended lot is leased");
-        let listed = self.results.get(lot).and_then(|results| results.iter().position(|(id, _)| id == item));
+        let listed = self
+            .results
+            .get(lot)
+            .and_then(|results| results.iter().position(|(id, _)| id == item));
         let old = listed.and_then(|position| self.read_at.get(&(lot.to_string(), position)));
-        assert!(old.is_none_or(|at| *at + OLD > now), "an item that was read is leased");
+        assert!(
+            old.is_none_or(|at| *at + OLD > now),
+            "an item that was read is leased"
+        );
     }
 }
--- a/crates/mintlb-batch/tests/model/disk.rs
+++ b/crates/mintlb-batch/tests/model/disk.rs
@@ -19,7 +19,9 @@
             match write {
                 DiskWrite::Put(index, bytes) => _ = self.entries.insert(index, bytes),
                 DiskWrite::Truncate(last) => self.entries.retain(|index, _| *index <= last),
-                DiskWrite::Remove(indexes) => indexes.iter().for_each(|index| _ = self.entries.remove(index)),
+                DiskWrite::Remove(indexes) => indexes
+                    .iter()
+                    .for_each(|index| _ = self.entries.remove(index)),
                 DiskWrite::Strip(indexes) => indexes.iter().for_each(|index| self.strip(*index)),
                 DiskWrite::Clear => self.entries.clear(),
                 DiskWrite::Meta(meta) => self.meta = meta,
@@ -37,7 +39,12 @@
     pub fn load(&self) -> impl Iterator<Item = (u64, Entry, u64, u64)> {
         self.entries.iter().map(|(index, bytes)| {
             let (entry, end) = framing::decode_head::<Entry>(bytes).unwrap();
-            (*index, entry, bytes.len() as u64, (bytes.len() - end) as u64)
+            (
+                *index,
+                entry,
+                bytes.len() as u64,
+                (bytes.len() - end) as u64,
+            )
         })
     }
 }
--- a/crates/mintlb-batch/tests/model/machines.rs
+++ b/crates/mintlb-batch/tests/model/machines.rs
@@ -2,7 +2,9 @@
 
 use super::{Disk, Model, START};
 use mintlb_batch::heartbeat::StoreHeartbeat;
-use mintlb_batch::placement_planner::{Retirement, RetirementOrder, order_retirement, plan, retirement};
+use mintlb_batch::placement_planner::{
+    Retirement, RetirementOrder, order_retirement, plan, retirement,
+};
 use mintlb_common::placement::{Placement, ShardAssignment, StoreId};
 use std::time::Duration;
 
@@ -69,19 +71,25 @@
         if machine.removed {
             return !machine.retired && machine.successor.is_none();
         }
-        let recent = machine.back_at.is_some_and(|at| self.now < at + self.catch_up);
+        let recent = machine
+            .back_at
+            .is_some_and(|at| self.now < at + self.catch_up);
         store.replica.is_none() || store.cut || store.frozen || recent || machine.stops_at.is_some()
     }
 
     pub fn lost(&self) -> usize {
         let pauses = self.paused_until > START && self.now < self.paused_until + self.catch_up;
-        (0..self.stores.len()).filter(|place| self.counts(*place)).count() + usize::from(pauses)
+        (0..self.stores.len())
+            .filter(|place| self.counts(*place))
+            .count()
+            + usize::from(pauses)
     }
 
     /// Whether the operators' promise lets this machine be lost now.
     pub fn may_lose(&self, place: usize) -> bool {
         let machine = &self.stores[place].machine;
-        let is_changing = machine.removed || machine.successor.is_some() || machine.stops_at.is_some();
+        let is_changing =
+            machine.removed || machine.successor.is_some() || machine.stops_at.is_some();
         !is_changing && (self.counts(place) || self.lost() < self.tolerance)
     }
 
@@ -102,10 +110,16 @@
     /// newest placement names it no more and for a while after. `may_lose` is the promise itself.
     pub fn lose_disk(&mut self, place: usize) -> bool {
         let id = self.stores[place].id;
-        let Some(shard) = self.placements.last().and_then(|p| p.shards.first()) else { return false };
+        let Some(shard) = self.placements.last().and_then(|p| p.shards.first()) else {
+            return false;
+        };
         let named = |id: &StoreId| shard.replicas.contains(id) || shard.previous.contains(id);
         let counts = |id: &StoreId, at: &Duration| named(id) || *at + AFTER_LOSS > self.now;
-        let lost = self.lost_disks.iter().filter(|(other, at)| **other != id && counts(other, at)).count();
+        let lost = self
+            .lost_disks
+            .iter()
+            .filter(|(other, at)| **other != id && counts(other, at))
+            .count();
         if lost >= self.tolerance {
             return false;
         }
@@ -148,7 +162,9 @@
         let current = self.placements.last().unwrap().clone();
         let view = self.table.view(&current, self.now);
         let order = order_retirement(&current, &view, &node, self.tolerance);
-        let RetirementOrder::Begin(next) = order else { return false };
+        let RetirementOrder::Begin(next) = order else {
+            return false;
+        };
         self.placements.push(next);
         self.retiring.push(node);
         true
@@ -161,7 +177,11 @@
             if machine.returns_at.is_some_and(|at| at <= self.now) {
                 self.give_back(place);
             }
-            if self.stores[place].machine.successor_at.is_some_and(|at| at <= self.now) {
+            if self.stores[place]
+                .machine
+                .successor_at
+                .is_some_and(|at| at <= self.now)
+            {
                 let successor = self.stores.len();
                 let machine = &mut self.stores[place].machine;
                 (machine.successor_at, machine.successor) = (None, Some(successor));
@@ -192,9 +212,15 @@
     /// A store that was told to stop ends once it is not needed.
     fn stop(&mut self, place: usize) {
         let store = &self.stores[place];
-        let Some(told) = store.machine.stops_at.filter(|told| *told <= self.now) else { return };
-        let Some(replica) = &store.replica else { return };
-        let Some(shard) = self.placements[store.placement].shards.first() else { return };
+        let Some(told) = store.machine.stops_at.filter(|told| *told <= self.now) else {
+            return;
+        };
+        let Some(replica) = &store.replica else {
+            return;
+        };
+        let Some(shard) = self.placements[store.placement].shards.first() else {
+            return;
+        };
         let needed = replica.is_primary() || shard.previous.contains(&store.id);
         let passed = self.now - told;
         if passed < LEAST_HAND_OVER || needed && passed < HAND_OVER {
@@ -211,8 +237,14 @@
 
     /// Stores that are reached report; the controller plans.
     pub fn control(&mut self) {
-        for store in self.stores.iter().filter(|store| !store.cut && !store.frozen) {
-            let Some(replica) = &store.replica else { continue };
+        for store in self
+            .stores
+            .iter()
+            .filter(|store| !store.cut && !store.frozen)
+        {
+            let Some(replica) = &store.replica else {
+                continue;
+            };
             let node = store.machine.node();
             let heartbeat = StoreHeartbeat {
                 id: store.id,
@@ -262,9 +294,15 @@
     }
 
     pub fn note(&mut self, text: String) {
-        let placement = self.placements.last().and_then(|placement| placement.shards.first().cloned());
+        let placement = self
+            .placements
+            .last()
+            .and_then(|placement| placement.shards.first().cloned());
         let ids: Vec<StoreId> = self.stores.iter().map(|store| store.id).collect();
-        self.history.push(format!("{:>8.2} {text}; {ids:?} {placement:?}", (self.now - START).as_secs_f64()));
+        self.history.push(format!(
+            "{:>8.2} {text}; {ids:?} {placement:?}",
+            (self.now - START).as_secs_f64()
+        ));
     }
 }
 
--- a/crates/mintlb-batch/tests/model/mod.rs
+++ b/crates/mintlb-batch/tests/model/mod.rs
@@ -148,14 +148,24 @@
     }
 
     fn settings(&self, id: StoreId) -> ReplicaSettings {
-        ReplicaSettings { own: id, tolerance: self.tolerance, status: STATUS }
+        ReplicaSettings {
+            own: id,
+            tolerance: self.tolerance,
+            status: STATUS,
+        }
     }
 
     /// Starts the process with what is on its disk.
     pub fn start(&mut self, place: usize) {
         let settings = self.settings(self.stores[place].id);
         let store = &mut self.stores[place];
-        let replica = Replica::load(SHARD, settings, store.disk.meta.clone(), store.disk.load(), self.now);
+        let replica = Replica::load(
+            SHARD,
+            settings,
+            store.disk.meta.clone(),
+            store.disk.load(),
+            self.now,
+        );
         store.replica = Some(replica);
         store.placement = 0;
         store.machine.started(self.now);
@@ -163,7 +173,9 @@
 
     pub fn act(&mut self, place: usize) {
         loop {
-            let Some(replica) = &mut self.stores[place].replica else { return };
+            let Some(replica) = &mut self.stores[place].replica else {
+                return;
+            };
             let effects = replica.take_effects();
             if effects.is_empty() {
                 return;
@@ -174,7 +186,9 @@
                     Effect::Write(write) => writes.push(write),
                     Effect::AfterSync(next) => after.push(next),
                     Effect::Send(envelope) => self.messages.push((envelope, Bytes::new())),
-                    Effect::SendEntries(envelope, indexes) => self.send_entries(place, envelope, &indexes),
+                    Effect::SendEntries(envelope, indexes) => {
+                        self.send_entries(place, envelope, &indexes)
+                    }
                     Effect::Committed(through) => self.committed(place, through),
                     Effect::SteppedDown => self.stores[place].waiting.clear(),
                     Effect::Confirmed | Effect::ReportChanged | Effect::Replicated(_) => (),
@@ -183,7 +197,9 @@
             let store = &mut self.stores[place];
             if writes.is_empty() && store.pending.is_empty() {
                 let replica = store.replica.as_mut().unwrap();
-                after.into_iter().for_each(|after| replica.synced(after, self.now));
+                after
+                    .into_iter()
+                    .for_each(|after| replica.synced(after, self.now));
             } else {
                 store.pending.push((writes, after));
             }
@@ -192,13 +208,18 @@
 
     fn send_entries(&mut self, place: usize, mut envelope: Envelope, indexes: &[u64]) {
         let entries = &self.stores[place].disk.entries;
-        let found: Vec<(u64, Bytes)> =
-            indexes.iter().filter_map(|i| Some((*i, entries.get(i)?.clone()))).collect();
-        let (PeerMessage::Append(append) | PeerMessage::Fetched(append)) = &mut envelope.message else {
+        let found: Vec<(u64, Bytes)> = indexes
+            .iter()
+            .filter_map(|i| Some((*i, entries.get(i)?.clone())))
+            .collect();
+        let (PeerMessage::Append(append) | PeerMessage::Fetched(append)) = &mut envelope.message
+        else {
             return;
         };
-        let length =
-            |(index, bytes): &(u64, Bytes)| EntryLength { index: *index, length: bytes.len() as u64 };
+        let length = |(index, bytes): &(u64, Bytes)| EntryLength {
+            index: *index,
+            length: bytes.len() as u64,
+        };
         append.entries = found.iter().map(length).collect();
         let raw: Vec<u8> = found.iter().flat_map(|(_, bytes)| bytes.to_vec()).collect();
         self.messages.push((envelope, raw.into()));
@@ -217,7 +238,9 @@
             follow.extend(after);
         }
         if let Some(replica) = &mut store.replica {
-            follow.into_iter().for_each(|after| replica.synced(after, self.now));
+            follow
+                .into_iter()
+                .for_each(|after| replica.synced(after, self.now));
         }
         self.act(place);
     }
@@ -235,11 +258,15 @@
         if cut(envelope.from) || cut(envelope.to) {
             return;
         }
-        let Some(place) = self.stores.iter().position(|store| store.id == envelope.to) else { return };
+        let Some(place) = self.stores.iter().position(|store| store.id == envelope.to) else {
+            return;
+        };
         if self.stores[place].frozen {
             return self.messages.push((envelope, raw));
         }
-        let Some(replica) = &mut self.stores[place].replica else { return };
+        let Some(replica) = &mut self.stores[place].replica else {
+            return;
+        };
         replica.message(envelope, raw, self.now);
         self.act(place);
     }
@@ -251,9 +278,12 @@
         if store.cut || store.frozen || store.placement >= newest {
             return;
         }
-        let next = store.placement + 1 + self.random.below((newest - store.placement) as u64) as usize;
+        let next =
+            store.placement + 1 + self.random.below((newest - store.placement) as u64) as usize;
         store.placement = next;
-        let (Some(replica), Some(shard)) = (&mut store.replica, self.placements[next].shards.first()) else {
+        let (Some(replica), Some(shard)) =
+            (&mut store.replica, self.placements[next].shards.first())
+        else {
             return;
         };
         replica.set_assignment(shard, self.now);
@@ -318,7 +348,9 @@
     }
 
     pub fn submit(&mut self, place: usize, lot: String, items: usize) {
-        let Some(replica) = &mut self.stores[place].replica else { return };
+        let Some(replica) = &mut self.stores[place].replica else {
+            return;
+        };
         let payload = |item: usize| format!("payload {lot} {item};");
         let heads = (0..items).map(|item| ItemHead {
             id: format!("{lot}-{item}"),
@@ -326,7 +358,10 @@
             length: payload(item).len() as u64,
         });
         let raw: Bytes = (0..items).map(payload).collect::<String>().into();
-        let terms = LotTerms { retention_ms: 1_000_000_000, ..LotTerms::default() };
+        let terms = LotTerms {
+            retention_ms: 1_000_000_000,
+            ..LotTerms::default()
+        };
         let head = LotHead {
             host: HOST.to_string(),
             id: lot.clone(),
@@ -340,7 +375,9 @@
     }
 
     pub fn record(&mut self, place: usize, lot: String, item: u32) {
-        let Some(replica) = &mut self.stores[place].replica else { return };
+        let Some(replica) = &mut self.stores[place].replica else {
+            return;
+        };
         let text = format!("text {} of {lot} {item}", self.random.below(1000));
         let name = name(&lot);
         let proposal = replica.record(&name, item, ItemState::Completed, &text.into(), self.now);
@@ -348,7 +385,9 @@
     }
 
     pub fn end(&mut self, place: usize, lot: String) {
-        let Some(replica) = &mut self.stores[place].replica else { return };
+        let Some(replica) = &mut self.stores[place].replica else {
+            return;
+        };
         let proposal = replica.end(&name(&lot), self.now);
         self.propose(place, proposal, Expected::Ended { lot });
     }
@@ -356,7 +395,9 @@
     /// A reader reads the whole lot at a store, if that is sure enough to answer.
     pub fn read(&mut self, place: usize, lot: &str) {
         let store = &mut self.stores[place];
-        let Some(replica) = &mut store.replica else { return };
+        let Some(replica) = &mut store.replica else {
+            return;
+        };
         if !replica.is_serving() {
             return;
         }
@@ -365,9 +406,16 @@
         let results = plan.map(|plan| {
             let entries = plan.entries.iter().zip(&plan.page.results);
             let texts = entries.map(|(index, result)| {
-                let bytes = store.disk.entries.get(index).expect("a listed text is on disk");
+                let bytes = store
+                    .disk
+                    .entries
+                    .get(index)
+                    .expect("a listed text is on disk");
                 let (_, raw) = framing::decode::<Entry>(bytes).unwrap();
-                (result.item.clone(), String::from_utf8(raw.to_vec()).unwrap())
+                (
+                    result.item.clone(),
+                    String::from_utf8(raw.to_vec()).unwrap(),
+                )
             });
             (plan.page.total, texts.collect::<Vec<_>>())
         });
@@ -377,14 +425,24 @@
 
     /// Leases everything that is open at a store and gives it back.
     pub fn lease(&mut self, place: usize) {
-        let Some(replica) = &mut self.stores[place].replica else { return };
+        let Some(replica) = &mut self.stores[place].replica else {
+            return;
+        };
         let sure = replica.confirm(self.now);
-        let leased = if sure { replica.lease(9, 1000, u64::MAX, self.now) } else { Vec::new() };
+        let leased = if sure {
+            replica.lease(9, 1000, u64::MAX, self.now)
+        } else {
+            Vec::new()
+        };
         replica.release(9);
         for plan in leased {
-            self.told.leased(&plan.head.lot.id, &plan.head.item, self.now);
-            let bytes =
-                self.stores[place].disk.entries.get(&plan.entry).expect("a leased payload is on disk");
+            self.told
+                .leased(&plan.head.lot.id, &plan.head.item, self.now);
+            let bytes = self.stores[place]
+                .disk
+                .entries
+                .get(&plan.entry)
+                .expect("a leased payload is on disk");
             let (_, raw) = framing::decode::<Entry>(bytes).unwrap();
             let payload = raw.slice(plan.range);
             let expected = format!("payload {} {};", plan.head.lot.id, plan.head.index);
@@ -395,7 +453,10 @@
 }
 
 pub fn name(lot: &str) -> LotName {
-    LotName { host: HOST.to_string(), id: lot.to_string() }
+    LotName {
+        host: HOST.to_string(),
+        id: lot.to_string(),
+    }
 }
 
 /// By position, what readers were told.
--- a/crates/mintlb-batch/tests/model/plays.rs
+++ b/crates/mintlb-batch/tests/model/plays.rs
@@ -5,7 +5,12 @@
 
 /// A dispatcher's call, mostly at a store that serves.
 pub fn call(model: &mut Model, any: usize) {
-    let serves = |place: &usize| model.stores[*place].replica.as_ref().is_some_and(|r| r.is_serving());
+    let serves = |place: &usize| {
+        model.stores[*place]
+            .replica
+            .as_ref()
+            .is_some_and(|r| r.is_serving())
+    };
     let serving: Vec<usize> = (0..model.stores.len()).filter(serves).collect();
     let place = match serving.is_empty() || model.random.chance(10) {
         true => any,
@@ -18,7 +23,9 @@
         let items = 1 + model.random.below(4) as usize;
         return model.submit(place, lot, items);
     }
-    let Some((lot, items)) = any_lot(model) else { return };
+    let Some((lot, items)) = any_lot(model) else {
+        return;
+    };
     match kind {
         // The same lot again, perhaps at another store.
         7..=8 => model.submit(place, lot, items),
@@ -75,21 +82,47 @@
 /// What was told can be read at the one store that serves.
 pub fn check_all(model: &mut Model) {
     let serving: Vec<usize> = (0..model.stores.len())
-        .filter(|place| model.stores[*place].replica.as_ref().is_some_and(|replica| replica.is_serving()))
+        .filter(|place| {
+            model.stores[*place]
+                .replica
+                .as_ref()
+                .is_some_and(|replica| replica.is_serving())
+        })
         .collect();
     let history = model.history.join("\n");
-    assert_eq!(serving.len(), 1, "one store serves: {:?}\n{history}", model.placements.last());
+    assert_eq!(
+        serving.len(),
+        1,
+        "one store serves: {:?}\n{history}",
+        model.placements.last()
+    );
     let place = serving[0];
-    model.stores[place].replica.as_mut().unwrap().confirm(model.now);
+    model.stores[place]
+        .replica
+        .as_mut()
+        .unwrap()
+        .confirm(model.now);
     model.act(place);
     exchange(model);
     exchange(model);
-    assert!(model.stores[place].replica.as_mut().unwrap().confirm(model.now));
-    let lots: Vec<(String, usize)> =
-        model.told.accepted.iter().map(|(lot, (_, items))| (lot.clone(), *items)).collect();
+    assert!(
+        model.stores[place]
+            .replica
+            .as_mut()
+            .unwrap()
+            .confirm(model.now)
+    );
+    let lots: Vec<(String, usize)> = model
+        .told
+        .accepted
+        .iter()
+        .map(|(lot, (_, items))| (lot.clone(), *items))
+        .collect();
     for (lot, _) in &lots {
         let lots = model.stores[place].replica.as_ref().unwrap().lots();
-        let Some((_, found)) = lots.find(&name(lot)) else { panic!("LOST: {lot}\n{history}") };
+        let Some((_, found)) = lots.find(&name(lot)) else {
+            panic!("LOST: {lot}\n{history}")
+        };
         if model.told.ended.contains_key(lot) {
             assert!(found.ended.is_some(), "an end is lost");
         }
--- a/crates/mintlb-batch/tests/placement.rs
+++ b/crates/mintlb-batch/tests/placement.rs
@@ -55,16 +55,21 @@
         self.now += STEP;
         for (id, (zone, node)) in &self.live {
             let shards = self.placement.shards.iter().enumerate();
-            let reports = shards.filter(|(_, shard)| shard.replicas.first() == Some(id)).map(|(i, shard)| {
-                let caught_up = |other: &StoreId| self.live.contains_key(other) && !self.slow.contains(other);
-                ShardReport {
-                    shard: i as u32,
-                    epoch: shard.epoch,
-                    in_charge: self.idle
-                        || shard.replicas.iter().filter(|id| caught_up(id)).count() > self.tolerance,
-                    caught_up: shard.replicas.iter().copied().filter(caught_up).collect(),
-                }
-            });
+            let reports = shards
+                .filter(|(_, shard)| shard.replicas.first() == Some(id))
+                .map(|(i, shard)| {
+                    let caught_up = |other: &StoreId| {
+                        self.live.contains_key(other) && !self.slow.contains(other)
+                    };
+                    ShardReport {
+                        shard: i as u32,
+                        epoch: shard.epoch,
+                        in_charge: self.idle
+                            || shard.replicas.iter().filter(|id| caught_up(id)).count()
+                                > self.tolerance,
+                        caught_up: shard.replicas.iter().copied().filter(caught_up).collect(),
+                    }
+                });
             let heartbeat = StoreHeartbeat {
                 id: *id,
                 node_name: node.clone(),
@@ -97,7 +102,11 @@
                 continue;
             }
             assert_eq!(new.epoch, old.epoch + 1);
-            let read_from = if old.previous.is_empty() { &old.replicas } else { &old.previous };
+            let read_from = if old.previous.is_empty() {
+                &old.replicas
+            } else {
+                &old.previous
+            };
             assert_eq!(&new.previous, read_from);
         }
     }
@@ -111,14 +120,26 @@
         let changes = self.changes;
         self.run(Duration::from_secs(5));
         assert_eq!(self.changes, changes, "placements go on changing");
-        assert!(self.placement.shards.iter().all(|shard| shard.previous.is_empty()));
+        assert!(
+            self.placement
+                .shards
+                .iter()
+                .all(|shard| shard.previous.is_empty())
+        );
         for shard in &self.placement.shards {
-            assert!(shard.replicas.iter().all(|id| self.live.contains_key(id)), "{shard:?}");
+            assert!(
+                shard.replicas.iter().all(|id| self.live.contains_key(id)),
+                "{shard:?}"
+            );
         }
     }
 
     fn holds(&self, id: StoreId) -> usize {
-        self.placement.shards.iter().filter(|shard| shard.replicas.contains(&id)).count()
+        self.placement
+            .shards
+            .iter()
+            .filter(|shard| shard.replicas.contains(&id))
+            .count()
     }
 }
 
@@ -130,7 +151,10 @@
     tier.run(Duration::from_millis(400));
     assert_eq!(tier.placement.shards.len(), 16);
     assert!(
-        tier.placement.shards.iter().all(|s| s.replicas.len() == 3 && s.epoch == 1 && s.previous.is_empty())
+        tier.placement
+            .shards
+            .iter()
+            .all(|s| s.replicas.len() == 3 && s.epoch == 1 && s.previous.is_empty())
     );
     assert!(primaries(&tier.placement).values().all(|count| *count >= 5));
     tier.settle();
@@ -146,15 +170,24 @@
 
 #[test]
 fn a_large_tier_uses_all_zones_alike() {
-    let mut tier = Tier::new(&["a", "a", "a", "b", "b", "b", "c", "c", "c", "d", "d", "d"], 2);
+    let mut tier = Tier::new(
+        &["a", "a", "a", "b", "b", "b", "c", "c", "c", "d", "d", "d"],
+        2,
+    );
     tier.settle();
     for shard in &tier.placement.shards {
-        let zones: BTreeSet<&str> =
-            shard.replicas.iter().map(|id| tier.placement.store(*id).unwrap().zone.as_str()).collect();
+        let zones: BTreeSet<&str> = shard
+            .replicas
+            .iter()
+            .map(|id| tier.placement.store(*id).unwrap().zone.as_str())
+            .collect();
         assert_eq!((shard.replicas.len(), zones.len()), (5, 4));
     }
     let loads: Vec<usize> = (1..=12).map(|id| tier.holds(id)).collect();
-    assert!(loads.iter().max().unwrap() - loads.iter().min().unwrap() <= 2, "{loads:?}");
+    assert!(
+        loads.iter().max().unwrap() - loads.iter().min().unwrap() <= 2,
+        "{loads:?}"
+    );
     assert!(primaries(&tier.placement).values().all(|count| *count <= 3));
 }
 
@@ -166,7 +199,11 @@
     tier.run(Duration::from_millis(2500));
     for shard in &tier.placement.shards {
         assert_ne!(shard.replicas[0], 1);
-        assert_eq!(shard.replicas.len(), 3, "without another store the set stays");
+        assert_eq!(
+            shard.replicas.len(),
+            3,
+            "without another store the set stays"
+        );
         assert!(shard.previous.is_empty());
     }
     let changes = tier.changes;
@@ -186,7 +223,12 @@
     tier.settle();
     assert_eq!(tier.holds(2), 0);
     assert!(tier.placement.store(2).is_none());
-    assert!(tier.placement.shards.iter().all(|shard| shard.replicas.len() == 3));
+    assert!(
+        tier.placement
+            .shards
+            .iter()
+            .all(|shard| shard.replicas.len() == 3)
+    );
 }
 
 #[test]
@@ -217,7 +259,12 @@
     tier.settle();
     tier.leaving.insert(1);
     tier.run(STEP * 3);
-    assert!(tier.placement.shards.iter().all(|shard| shard.replicas[0] != 1 && shard.previous.is_empty()));
+    assert!(
+        tier.placement
+            .shards
+            .iter()
+            .all(|shard| shard.replicas[0] != 1 && shard.previous.is_empty())
+    );
     assert_eq!(tier.holds(1), 16, "its copies stay");
     tier.live.remove(&1);
     tier.run(STEP * 5);
@@ -246,13 +293,21 @@
     tier.settle();
     assert_eq!(retire(&mut tier, "nobody"), RetirementOrder::Unknown);
     assert_eq!(state(&mut tier, "node-1"), None);
-    assert!(matches!(retire(&mut tier, "node-1"), RetirementOrder::Begin(_)));
+    assert!(matches!(
+        retire(&mut tier, "node-1"),
+        RetirementOrder::Begin(_)
+    ));
     assert_eq!(retire(&mut tier, "node-1"), RetirementOrder::Begun);
     assert_eq!(state(&mut tier, "node-1"), Some(Retirement::Running));
     tier.settle();
     assert_eq!(state(&mut tier, "node-1"), Some(Retirement::Completed));
     assert_eq!(tier.holds(1), 0);
-    assert!(tier.placement.shards.iter().all(|shard| shard.replicas.len() == 3));
+    assert!(
+        tier.placement
+            .shards
+            .iter()
+            .all(|shard| shard.replicas.len() == 3)
+    );
     // Taken away, it is remembered for a while.
     tier.live.remove(&1);
     tier.settle();
@@ -263,10 +318,18 @@
 fn a_store_without_a_substitute_can_be_retired_while_enough_are_left() {
     let mut tier = Tier::new(&["a", "b", "c"], 1);
     tier.settle();
-    assert!(matches!(retire(&mut tier, "node-2"), RetirementOrder::Begin(_)));
+    assert!(matches!(
+        retire(&mut tier, "node-2"),
+        RetirementOrder::Begin(_)
+    ));
     tier.settle();
     assert_eq!(state(&mut tier, "node-2"), Some(Retirement::Completed));
-    assert!(tier.placement.shards.iter().all(|shard| shard.replicas.len() == 2));
+    assert!(
+        tier.placement
+            .shards
+            .iter()
+            .all(|shard| shard.replicas.len() == 2)
+    );
     assert_eq!(retire(&mut tier, "node-1"), RetirementOrder::TooFew);
 }
 
@@ -279,7 +342,10 @@
     assert_eq!(retire(&mut tier, "node-2"), RetirementOrder::NotNow);
     tier.leaving.clear();
     tier.run(STEP);
-    assert!(matches!(retire(&mut tier, "node-2"), RetirementOrder::Begin(_)), "it was a restart");
+    assert!(
+        matches!(retire(&mut tier, "node-2"), RetirementOrder::Begin(_)),
+        "it was a restart"
+    );
 }
 
 #[test]
@@ -290,10 +356,16 @@
     let retired = 1;
     retire(&mut tier, &format!("node-{retired}"));
     tier.run(Duration::from_secs(30));
-    assert_eq!(state(&mut tier, &format!("node-{retired}")), Some(Retirement::Running));
+    assert_eq!(
+        state(&mut tier, &format!("node-{retired}")),
+        Some(Retirement::Running)
+    );
     tier.slow.clear();
     tier.settle();
-    assert_eq!(state(&mut tier, &format!("node-{retired}")), Some(Retirement::Completed));
+    assert_eq!(
+        state(&mut tier, &format!("node-{retired}")),
+        Some(Retirement::Completed)
+    );
 }
 
 #[test]
@@ -344,7 +416,12 @@
         node_name: format!("node-{id}"),
         address: format!("node-{id}:1"),
         zone: "a".to_string(),
-        shards: vec![ShardReport { shard: 0, epoch, in_charge: true, caught_up: caught_up.to_vec() }],
+        shards: vec![ShardReport {
+            shard: 0,
+            epoch,
+            in_charge: true,
+            caught_up: caught_up.to_vec(),
+        }],
         placement: epoch,
         leaving: false,
     };
@@ -355,7 +432,10 @@
         (says(2, 4, &[2, 1]), [2, 1]),
     ] {
         table.note(heartbeat, now);
-        assert_eq!(table.view(&Placement::default(), now).last_caught_up(0), known);
+        assert_eq!(
+            table.view(&Placement::default(), now).last_caught_up(0),
+            known
+        );
     }
 }
 
@@ -366,7 +446,12 @@
     let epoch = tier.placement.shards[0].epoch;
     // Not in charge for a moment; then another controller looks after the shards.
     let mut table = StoreTable::new(tier.now);
-    assert_eq!(table.view(&tier.placement, tier.now).unsettled_for(0, epoch), Duration::ZERO);
+    assert_eq!(
+        table
+            .view(&tier.placement, tier.now)
+            .unsettled_for(0, epoch),
+        Duration::ZERO
+    );
     let later = table.view(&tier.placement, tier.now + STEP);
     assert_eq!(later.unsettled_for(0, epoch), STEP);
     let much_later = table.view(&tier.placement, tier.now + Duration::from_secs(60));
@@ -389,7 +474,12 @@
             let back = if u.arbitrary()? { id } else { 100 + round };
             tier.add(back, &zone, &node);
             tier.settle();
-            assert!(tier.placement.shards.iter().all(|shard| shard.replicas.len() == 2 * tolerance + 1));
+            assert!(
+                tier.placement
+                    .shards
+                    .iter()
+                    .all(|shard| shard.replicas.len() == 2 * tolerance + 1)
+            );
         }
         Ok(())
     })
--- a/crates/mintlb-batch/tests/placement_losses.rs
+++ b/crates/mintlb-batch/tests/placement_losses.rs
@@ -17,8 +17,9 @@
 
 /// The machines whose disks have lasted longest.
 fn oldest(fleet: &Fleet, count: usize) -> Vec<usize> {
-    let mut places: Vec<usize> =
-        (0..fleet.machines.len()).filter(|place| fleet.machines[*place].is_up()).collect();
+    let mut places: Vec<usize> = (0..fleet.machines.len())
+        .filter(|place| fleet.machines[*place].is_up())
+        .collect();
     places.sort_by_key(|place| fleet.machines[*place].disk_since);
     places.truncate(count);
     places
@@ -42,14 +43,24 @@
     assert!(fleet.retire(2));
     fleet.run(SECOND * 10);
     assert!(!fleet.machines[2].is_up(), "it is emptied and taken away");
-    assert!(fleet.placement.shards.iter().all(|shard| shard.replicas.len() == 2));
+    assert!(
+        fleet
+            .placement
+            .shards
+            .iter()
+            .all(|shard| shard.replicas.len() == 2)
+    );
     closing_fault(&mut fleet, &[0]);
 }
 
 #[test]
 fn a_replaced_store_does_not_stay_in_a_set_that_was_shrunk() {
     // Without calls a primary goes on as if in charge, and a store that comes early is one more.
-    let days = [(false, STEP * 20, false), (true, STEP * 20, false), (false, STEP, true)];
+    let days = [
+        (false, STEP * 20, false),
+        (true, STEP * 20, false),
+        (false, STEP, true),
+    ];
     for (planned, after, idle) in days {
         let mut fleet = small(3);
         fleet.idle = idle;
@@ -145,7 +156,12 @@
         fleet.step();
     }
     let named = |fleet: &Fleet| {
-        fleet.placement.shards.iter().filter(|s| s.replicas.contains(&1) || s.previous.contains(&1)).count()
+        fleet
+            .placement
+            .shards
+            .iter()
+            .filter(|s| s.replicas.contains(&1) || s.previous.contains(&1))
+            .count()
     };
     assert_eq!(named(&fleet), 0, "{:?}", fleet.placement.shards);
     // The successor was there for long: the next may go at once.
@@ -169,7 +185,14 @@
 #[test]
 fn a_store_that_restarts_keeps_its_copies_without_a_successor() {
     let mut fleet = small(3);
-    let epochs = |fleet: &Fleet| fleet.placement.shards.iter().map(|s| s.replicas.len()).collect::<Vec<_>>();
+    let epochs = |fleet: &Fleet| {
+        fleet
+            .placement
+            .shards
+            .iter()
+            .map(|s| s.replicas.len())
+            .collect::<Vec<_>>()
+    };
     fleet.restart(0);
     fleet.run(SECOND * 6);
     assert_eq!(epochs(&fleet), vec![3; 16]);
@@ -193,7 +216,10 @@
 }
 
 /// One random event that the promise allows.
-fn event(fleet: &mut Fleet, u: &mut arbtest::arbitrary::Unstructured) -> arbtest::arbitrary::Result<()> {
+fn event(
+    fleet: &mut Fleet,
+    u: &mut arbtest::arbitrary::Unstructured,
+) -> arbtest::arbitrary::Result<()> {
     let place = u.int_in_range(0..=fleet.machines.len() - 1)?;
     let time = STEP * u.int_in_range(5..=45)?;
     if u.ratio(1, 8)? && fleet.lost() < fleet.tolerance {
@@ -217,7 +243,10 @@
     Ok(())
 }
 
-fn any_day(u: &mut arbtest::arbitrary::Unstructured, tolerance: usize) -> arbtest::arbitrary::Result<()> {
+fn any_day(
+    u: &mut arbtest::arbitrary::Unstructured,
+    tolerance: usize,
+) -> arbtest::arbitrary::Result<()> {
     let catch_up = SECOND * if tolerance == 1 { 5 } else { 6 };
     let count = 2 * tolerance + u.int_in_range(1..=2)?;
     let mut fleet = Fleet::new(count, tolerance, catch_up, STEP * u.int_in_range(1..=6)?);
@@ -251,10 +280,14 @@
 
 #[test]
 fn any_day_of_losses_with_one_tolerated() {
-    arbtest::arbtest(|u| any_day(u, 1)).size_max(4096).budget_ms(5000);
+    arbtest::arbtest(|u| any_day(u, 1))
+        .size_max(4096)
+        .budget_ms(5000);
 }
 
 #[test]
 fn any_day_of_losses_with_two_tolerated() {
-    arbtest::arbtest(|u| any_day(u, 2)).size_max(4096).budget_ms(5000);
+    arbtest::arbtest(|u| any_day(u, 2))
+        .size_max(4096)
+        .budget_ms(5000);
 }
--- a/crates/mintlb-batch/tests/shard_losses.rs
+++ b/crates/mintlb-batch/tests/shard_losses.rs
@@ -24,10 +24,17 @@
     }
     let kind = model.random.below(16);
     let names = [
-        "power", "power", "wipe", "wipe", "wipe", "cut", "freeze", "replace", "planned", "restart", "retire",
+        "power", "power", "wipe", "wipe", "wipe", "cut", "freeze", "replace", "planned", "restart",
+        "retire",
     ];
-    let what = names.get(kind as usize).copied().unwrap_or("wipe when accepted");
-    model.note(format!("{what} of {} for {time:?}", model.stores[place].machine.node()));
+    let what = names
+        .get(kind as usize)
+        .copied()
+        .unwrap_or("wipe when accepted");
+    model.note(format!(
+        "{what} of {} for {time:?}",
+        model.stores[place].machine.node()
+    ));
     let returns_at = Some(model.now + time);
     match kind {
         0 | 1 => {
@@ -87,14 +94,25 @@
     wait_until_nothing_counts(model);
     model.idle = false;
     span(model, SECOND * 3, true);
-    let mut places: Vec<usize> =
-        (0..model.stores.len()).filter(|place| !model.stores[*place].machine.removed).collect();
+    let mut places: Vec<usize> = (0..model.stores.len())
+        .filter(|place| !model.stores[*place].machine.removed)
+        .collect();
     places.sort_by_key(|place| model.stores[*place].machine.disk_since);
     let oldest = model.random.chance(50);
-    let mut left = if model.lost() == 0 { model.tolerance } else { 0 };
-    model.note(format!("{left} lose their disks, oldest: {oldest}, the others power"));
+    let mut left = if model.lost() == 0 {
+        model.tolerance
+    } else {
+        0
+    };
+    model.note(format!(
+        "{left} lose their disks, oldest: {oldest}, the others power"
+    ));
     while !places.is_empty() {
-        let at = if oldest { 0 } else { model.random.below(places.len() as u64) as usize };
+        let at = if oldest {
+            0
+        } else {
+            model.random.below(places.len() as u64) as usize
+        };
         let place = places.remove(at);
         match left > 0 && model.may_lose(place) {
             true => (left, _) = (left - 1, model.wipe(place)),
@@ -149,8 +167,20 @@
     for seed in 0..10 {
         let model = day(seed, 3, 1);
         let told = &model.told;
-        let counts = [told.accepted.len() as u64, told.sure_reads, model.losses, model.takeovers];
-        sums.iter_mut().zip(counts).for_each(|(sum, count)| *sum += count);
+        let counts = [
+            told.accepted.len() as u64,
+            told.sure_reads,
+            model.losses,
+            model.takeovers,
+        ];
+        sums.iter_mut()
+            .zip(counts)
+            .for_each(|(sum, count)| *sum += count);
     }
-    assert!(sums.iter().zip([100, 100, 20, 40]).all(|(sum, least)| *sum >= least), "{sums:?}");
+    assert!(
+        sums.iter()
+            .zip([100, 100, 20, 40])
+            .all(|(sum, least)| *sum >= least),
+        "{sums:?}"
+    );
 }
--- a/crates/mintlb-batch/tests/shard_model.rs
+++ b/crates/mintlb-batch/tests/shard_model.rs
@@ -16,7 +16,11 @@
         0..=99 => {
             // Mostly in order, sometimes not; sometimes twice.
             let count = model.messages.len() as u64;
-            let message = if model.random.chance(85) { 0 } else { model.random.below(count) };
+            let message = if model.random.chance(85) {
+                0
+            } else {
+                model.random.below(count)
+            };
             let keep = trouble && model.random.chance(4);
             model.deliver(message as usize, keep);
         }
@@ -100,10 +104,15 @@
             model.losses,
             model.takeovers,
         ];
-        sums.iter_mut().zip(counts).for_each(|(sum, count)| *sum += count);
+        sums.iter_mut()
+            .zip(counts)
+            .for_each(|(sum, count)| *sum += count);
     }
     let least = [100, 100, 100, 10, 10, 20];
-    assert!(sums.iter().zip(least).all(|(sum, least)| *sum >= least), "{sums:?}");
+    assert!(
+        sums.iter().zip(least).all(|(sum, least)| *sum >= least),
+        "{sums:?}"
+    );
 }
 
 #[test]
--- a/crates/mintlb-batch/tests/takeover.rs
+++ b/crates/mintlb-batch/tests/takeover.rs
@@ -27,9 +27,18 @@
 /// The same after takeovers that were given up: the last epoch that was settled is an older one.
 fn place_after(model: &mut Model, epoch: u64, replicas: &[u64], previous: &[u64], settled: u64) {
     let (replicas, previous) = (replicas.to_vec(), previous.to_vec());
-    let shard = ShardAssignment { epoch, replicas, previous, settled: Some(settled) };
+    let shard = ShardAssignment {
+        epoch,
+        replicas,
+        previous,
+        settled: Some(settled),
+    };
     let version = model.placements.len() as u64;
-    model.placements.push(Placement { epoch: version, stores: Vec::new(), shards: vec![shard] });
+    model.placements.push(Placement {
+        epoch: version,
+        stores: Vec::new(),
+        shards: vec![shard],
+    });
 }
 
 fn hear(model: &mut Model, id: u64) {
@@ -57,12 +66,20 @@
 }
 
 fn serves(model: &Model, id: u64) -> bool {
-    model.stores[id as usize - 1].replica.as_ref().is_some_and(|replica| replica.is_serving())
+    model.stores[id as usize - 1]
+        .replica
+        .as_ref()
+        .is_some_and(|replica| replica.is_serving())
 }
 
 /// Messages of this store that are on their way.
 fn sent(model: &Model, id: u64) -> Vec<&PeerMessage> {
-    model.messages.iter().filter(|(e, _)| e.from == id).map(|(e, _)| &e.message).collect()
+    model
+        .messages
+        .iter()
+        .filter(|(e, _)| e.from == id)
+        .map(|(e, _)| &e.message)
+        .collect()
 }
 
 #[test]
@@ -74,7 +91,10 @@
     (0..model.messages.len()).for_each(|_| model.deliver(0, false));
     assert_eq!(sent(&model, 3), Vec::<&PeerMessage>::new());
     sync(&mut model, 3);
-    assert!(matches!(sent(&model, 3)[..], [PeerMessage::Collected { .. }]));
+    assert!(matches!(
+        sent(&model, 3)[..],
+        [PeerMessage::Collected { .. }]
+    ));
 }
 
 #[test]
@@ -102,7 +122,10 @@
     assert!(model.told.accepted.is_empty());
     sync(&mut model, 3);
     model.deliver(0, false);
-    assert!(model.told.accepted.contains_key("a"), "two of three have it");
+    assert!(
+        model.told.accepted.contains_key("a"),
+        "two of three have it"
+    );
 }
 
 /// The first store has the longest log, the second and the third have one of a later epoch.
@@ -120,7 +143,8 @@
     model.submit(1, "kept".to_string(), 1);
     quiet(&mut model);
     assert!(model.told.accepted.contains_key("kept"));
-    let length = |model: &Model, place: usize| model.stores[place].replica.as_ref().unwrap().log().last();
+    let length =
+        |model: &Model, place: usize| model.stores[place].replica.as_ref().unwrap().log().last();
     assert!(length(&model, 0) > length(&model, 2));
     model
 }
@@ -160,7 +184,10 @@
     quiet(&mut model);
     let report = model.stores[1].replica.as_ref().unwrap().report().unwrap();
     assert!(report.in_charge && report.epoch == 2);
-    assert!(!serves(&model, 2), "if it dies now, others read from the previous replicas");
+    assert!(
+        !serves(&model, 2),
+        "if it dies now, others read from the previous replicas"
+    );
     place(&mut model, 2, &[2, 3, 1], &[]);
     quiet(&mut model);
     assert!(serves(&model, 2));
@@ -174,7 +201,10 @@
     quiet(&mut model);
     place(&mut model, 2, &[2, 3, 1], &[]);
     quiet(&mut model);
-    assert!(serves(&model, 1) && serves(&model, 2), "the old one has not heard of it");
+    assert!(
+        serves(&model, 1) && serves(&model, 2),
+        "the old one has not heard of it"
+    );
     model.submit(0, "stale".to_string(), 1);
     model.submit(1, "new".to_string(), 1);
     quiet(&mut model);
@@ -257,7 +287,10 @@
     model.stores[0].cut = true;
     place_after(&mut model, 4, &[3, 1], &[1, 2], 2);
     quiet(&mut model);
-    assert!(model.stores[2].replica.as_ref().unwrap().is_primary(), "it needs none of the previous ones");
+    assert!(
+        model.stores[2].replica.as_ref().unwrap().is_primary(),
+        "it needs none of the previous ones"
+    );
 }
 
 #[test]
@@ -275,7 +308,14 @@
         (0..model.messages.len()).for_each(|_| model.deliver(0, false));
     }
     assert!(has_lot(&model, 4, "kept"));
-    assert!(model.stores[3].replica.as_ref().unwrap().report().is_some_and(|report| report.in_charge));
+    assert!(
+        model.stores[3]
+            .replica
+            .as_ref()
+            .unwrap()
+            .report()
+            .is_some_and(|report| report.in_charge)
+    );
 }
 
 #[test]
@@ -284,9 +324,20 @@
     model.stores[1].cut = true;
     place(&mut model, 3, &[1, 3], &[1, 2]);
     quiet(&mut model);
-    assert!(model.stores[0].replica.as_ref().unwrap().report().is_some_and(|report| report.in_charge));
+    assert!(
+        model.stores[0]
+            .replica
+            .as_ref()
+            .unwrap()
+            .report()
+            .is_some_and(|report| report.in_charge)
+    );
     // The register does not hear of it; the second one takes over by its own log, before it hears the others.
-    (model.stores[0].cut, model.stores[2].cut, model.stores[1].cut) = (true, true, false);
+    (
+        model.stores[0].cut,
+        model.stores[2].cut,
+        model.stores[1].cut,
+    ) = (true, true, false);
     place_after(&mut model, 4, &[2, 3, 1], &[1, 2], 2);
     quiet(&mut model);
     assert!(model.stores[1].replica.as_ref().unwrap().is_primary());
@@ -294,7 +345,10 @@
     model.tick(Duration::from_millis(800));
     quiet(&mut model);
     let logs = [1, 2, 3].map(|id| model.stores[id - 1].replica.as_ref().unwrap().log().end());
-    assert!(logs.iter().all(|end| end.epoch == 4 && *end == logs[0]), "{logs:?}");
+    assert!(
+        logs.iter().all(|end| end.epoch == 4 && *end == logs[0]),
+        "{logs:?}"
+    );
 }
 
 #[test]
@@ -312,7 +366,14 @@
         [1, 4].iter().for_each(|id| sync(&mut model, *id));
         (0..model.messages.len()).for_each(|_| model.deliver(0, false));
     }
-    assert!(model.stores[0].replica.as_ref().unwrap().report().is_some_and(|report| report.in_charge));
+    assert!(
+        model.stores[0]
+            .replica
+            .as_ref()
+            .unwrap()
+            .report()
+            .is_some_and(|report| report.in_charge)
+    );
     assert!(has_lot(&model, 4, "kept"));
 }
 
@@ -324,7 +385,10 @@
     (model.stores[0].cut, model.stores[1].cut) = (true, true);
     place(&mut model, 2, &[3, 1], &[1, 2, 3]);
     quiet(&mut model);
-    assert!(!model.stores[2].replica.as_ref().unwrap().is_primary(), "the others may have more");
+    assert!(
+        !model.stores[2].replica.as_ref().unwrap().is_primary(),
+        "the others may have more"
+    );
 }
 
 #[test]
@@ -339,7 +403,11 @@
     }
     let now = model.now;
     let replica = model.stores[0].replica.as_mut().unwrap();
-    let held = HeldItems { lot: model::name("a"), items: vec![0, 1, 2], failures: vec![(1, 2), (7, 1)] };
+    let held = HeldItems {
+        lot: model::name("a"),
+        items: vec![0, 1, 2],
+        failures: vec![(1, 2), (7, 1)],
+    };
     let mut renewed = Renewed::default();
     replica.renew(7, &held, &mut renewed, now);
     assert_eq!(renewed.lost, [], "the holder of the submission");
@@ -350,6 +418,9 @@
     let replica = model.stores[0].replica.as_mut().unwrap();
     assert!(replica.confirm(now));
     let leased = replica.lease(9, 10, u64::MAX, now);
-    let failures: Vec<_> = leased.iter().map(|plan| (plan.head.index, plan.head.failures)).collect();
+    let failures: Vec<_> = leased
+        .iter()
+        .map(|plan| (plan.head.index, plan.head.failures))
+        .collect();
     assert_eq!(failures, [(0, 0), (1, 2), (2, 0)]);
 }
--- a/crates/mintlb-beanstalkd/src/codec.rs
+++ b/crates/mintlb-beanstalkd/src/codec.rs
@@ -145,7 +145,10 @@
 impl Reader {
     /// A reader at the begin of a connection that takes job bodies up to `max_job_bytes`.
     pub fn new(max_job_bytes: usize) -> Reader {
-        Reader { position: Position::Line, max_job_bytes }
+        Reader {
+            position: Position::Line,
+            max_job_bytes,
+        }
     }
 
     /// It is within a line that is too long, or a job's body.
@@ -236,12 +239,17 @@
         };
         if words[0] == "put" {
             // Without its length, nobody knows where the job's bytes end and the next command begins.
-            let Some((put, bytes)) = put(&words[1..]) else { return Item::Fault(Fault::Unframed) };
+            let Some((put, bytes)) = put(&words[1..]) else {
+                return Item::Fault(Fault::Unframed);
+            };
             if bytes > self.max_job_bytes as u64 {
                 self.position = Position::Skip(bytes.saturating_add(2), Fault::JobTooBig);
                 return Item::Coming(0);
             }
-            let put = Put { bytes: bytes as usize, ..put };
+            let put = Put {
+                bytes: bytes as usize,
+                ..put
+            };
             self.position = Position::Body(put);
             return Item::Coming(put.bytes);
         }
@@ -254,8 +262,15 @@
 
 /// The arguments of a put, and the length of the body, which may exceed all bounds.
 fn put(words: &[&str]) -> Option<(Put, u64)> {
-    let [priority, delay, ttr, bytes] = words else { return None };
-    let put = Put { priority: number(priority)?, delay: number(delay)?, ttr: number(ttr)?, bytes: 0 };
+    let [priority, delay, ttr, bytes] = words else {
+        return None;
+    };
+    let put = Put {
+        priority: number(priority)?,
+        delay: number(delay)?,
+        ttr: number(ttr)?,
+        bytes: 0,
+    };
     Some((put, number(bytes)?))
 }
 
@@ -268,7 +283,9 @@
 /// A name of a tube, if it follows the protocol's rules.
 fn tube(word: &str) -> Option<Tube> {
     let fits = |b: u8| b.is_ascii_alphanumeric() || b"-+/;.$_()".contains(&b);
-    let good = (1..=MAX_TUBE_NAME).contains(&word.len()) && !word.starts_with('-') && word.bytes().all(fits);
+    let good = (1..=MAX_TUBE_NAME).contains(&word.len())
+        && !word.starts_with('-')
+        && word.bytes().all(fits);
     good.then(|| word.into())
 }
 
@@ -286,10 +303,15 @@
         ("reserve-with-timeout", [seconds]) => Command::ReserveWithTimeout(small(seconds)?),
         ("reserve-job", [job]) => Command::ReserveJob(id(job)?),
         ("delete", [job]) => Command::Delete(id(job)?),
-        ("release", [job, priority, delay]) => {
-            Command::Release { id: id(job)?, priority: small(priority)?, delay: small(delay)? }
-        }
-        ("bury", [job, priority]) => Command::Bury { id: id(job)?, priority: small(priority)? },
+        ("release", [job, priority, delay]) => Command::Release {
+            id: id(job)?,
+            priority: small(priority)?,
+            delay: small(delay)?,
+        },
+        ("bury", [job, priority]) => Command::Bury {
+            id: id(job)?,
+            priority: small(priority)?,
+        },
         ("touch", [job]) => Command::Touch(id(job)?),
         ("peek", [job]) => Command::Peek(id(job)?),
         ("peek-ready", []) => Command::PeekReady,
--- a/crates/mintlb-beanstalkd/src/front.rs
+++ b/crates/mintlb-beanstalkd/src/front.rs
@@ -97,7 +97,10 @@
             empty: Arc::new(()),
             connections: Arc::new(Semaphore::new(bounds.connections)),
             bounds,
-            once: types.iter().map(|t| t.effect != Effect::Rerunnable).collect(),
+            once: types
+                .iter()
+                .map(|t| t.effect != Effect::Rerunnable)
+                .collect(),
             clock,
             tell,
             log,
@@ -115,7 +118,11 @@
             self.carry_out(&shared, deed);
         }
         shared.spare = deeds;
-        if shared.hub.next_due().is_some_and(|due| due < shared.timer_at) {
+        if shared
+            .hub
+            .next_due()
+            .is_some_and(|due| due < shared.timer_at)
+        {
             self.timer_moved.notify_one();
         }
         result
@@ -123,10 +130,24 @@
 
     fn carry_out(self: &Arc<Front>, shared: &Shared, deed: Deed) {
         match deed {
-            Deed::Arrive { id, project_type, customer, arrived, time_budget, body } => {
+            Deed::Arrive {
+                id,
+                project_type,
+                customer,
+                arrived,
+                time_budget,
+                body,
+            } => {
                 let once = self.once[project_type];
-                let answer = Box::new(AnswerSink { front: self.clone(), id });
-                let payload = Payload { body, once, own: self.empty.clone() };
+                let answer = Box::new(AnswerSink {
+                    front: self.clone(),
+                    id,
+                });
+                let payload = Payload {
+                    body,
+                    once,
+                    own: self.empty.clone(),
+                };
                 let (client_id, slots) = (None, 1.0);
                 let arrival = Arrival {
                     id,
@@ -143,10 +164,24 @@
             }
             Deed::Member(change) => {
                 let (machine, runs, generation) = (change.machine, change.runs, change.generation);
-                let reach = Arc::new(GroupReach { front: self.clone(), machine, runs, generation });
+                let reach = Arc::new(GroupReach {
+                    front: self.clone(),
+                    machine,
+                    runs,
+                    generation,
+                });
                 let (name, line) = (change.name, change.line);
-                let member = Member { name, line, host: Some(machine), reach: Some(reach) };
-                let told = Told { source: Source::Callers, full: false, members: vec![member] };
+                let member = Member {
+                    name,
+                    line,
+                    host: Some(machine),
+                    reach: Some(reach),
+                };
+                let told = Told {
+                    source: Source::Callers,
+                    full: false,
+                    members: vec![member],
+                };
                 self.tell.send(Event::Members(None, told)).ok();
             }
             Deed::Tell(event) => drop(self.tell.send(event)),
@@ -226,7 +261,12 @@
     }
 
     /// Serves a session to its end; returns the reason of the end, for the log.
-    async fn serve(self: &Arc<Front>, stream: &mut TcpStream, id: u64, waker: &Notify) -> &'static str {
+    async fn serve(
+        self: &Arc<Front>,
+        stream: &mut TcpStream,
+        id: u64,
+        waker: &Notify,
+    ) -> &'static str {
         let mut reader = Reader::new(self.with(|hub, _| hub.most_bytes()));
         let (mut bytes, mut body_room): (BytesMut, Option<Held>) = Default::default();
         let (mut out, mut sent, mut left) = (Vec::new(), 0, false);
@@ -278,14 +318,33 @@
                 (bytes, out, sent) = (BytesMut::new(), Vec::new(), 0);
             }
             let partial = !blocked && (!bytes.is_empty() || reader.is_within());
-            part = if partial { part.or_else(|| Some(Instant::now())) } else { None };
-            stuck = if written { None } else { stuck.or_else(|| Some(Instant::now())) };
+            part = if partial {
+                part.or_else(|| Some(Instant::now()))
+            } else {
+                None
+            };
+            stuck = if written {
+                None
+            } else {
+                stuck.or_else(|| Some(Instant::now()))
+            };
             let slow = part.map(|at| at + self.bounds.read);
-            let due = slow.into_iter().chain(stuck.map(|at| at + self.bounds.read * UNWRITTEN_FACTOR)).min();
-            let most = if blocked { READ_AHEAD_BYTES } else { reader.wants().max(READ_AHEAD_BYTES) };
+            let due = slow
+                .into_iter()
+                .chain(stuck.map(|at| at + self.bounds.read * UNWRITTEN_FACTOR))
+                .min();
+            let most = if blocked {
+                READ_AHEAD_BYTES
+            } else {
+                reader.wants().max(READ_AHEAD_BYTES)
+            };
             let reads = !left && bytes.len() < most && (written || blocked);
             if reads {
-                bytes.reserve(if reader.is_within() { most - bytes.len() } else { COMMAND_READ_BYTES });
+                bytes.reserve(if reader.is_within() {
+                    most - bytes.len()
+                } else {
+                    COMMAND_READ_BYTES
+                });
             }
             tokio::select! {
                 () = waker.notified() => {}
@@ -328,7 +387,11 @@
                     }
                 }
                 Some(Item::Command(command)) => {
-                    let room = if matches!(command, Command::Put(..)) { body_room.take() } else { None };
+                    let room = if matches!(command, Command::Put(..)) {
+                        body_room.take()
+                    } else {
+                        None
+                    };
                     hub.command(now, id, command, room);
                 }
                 Some(Item::Fault(fault)) => {
@@ -353,7 +416,16 @@
             let line = &member.line;
             let (zone, cell, kind, listed, came_up) =
                 (line.zone, line.cell, line.kind, line.listed, line.came_up);
-            Some((member.host?, Place { zone, cell, kind, listed, came_up }))
+            Some((
+                member.host?,
+                Place {
+                    zone,
+                    cell,
+                    kind,
+                    listed,
+                    came_up,
+                },
+            ))
         });
         self.0.with(|hub, _| hub.hear(told.full, places));
     }
@@ -424,11 +496,18 @@
         let alloc = order.alloc;
         // What the attempt costs is paid now, as a waiting reserve is answered at once. Unpaid, it never ran.
         if order.slip.as_ref().is_some_and(|slip| !slip.pay()) {
-            self.front.tell.send(Event::Back(Back::with(alloc, Outcome::Moot))).ok();
+            self.front
+                .tell
+                .send(Event::Back(Back::with(alloc, Outcome::Moot)))
+                .ok();
             return Box::new(());
         }
-        self.front.with(|hub, _| hub.order(self.machine, self.runs, self.generation, order));
-        Box::new(AttemptRecall { front: self.front.clone(), alloc })
+        self.front
+            .with(|hub, _| hub.order(self.machine, self.runs, self.generation, order));
+        Box::new(AttemptRecall {
+            front: self.front.clone(),
+            alloc,
+        })
     }
 
     /// Does nothing: there is no load report in this protocol.
--- a/crates/mintlb-beanstalkd/src/hub/attempts.rs
+++ b/crates/mintlb-beanstalkd/src/hub/attempts.rs
@@ -29,7 +29,10 @@
         let (attempt, attempt_until) = (order.alloc, order.until);
         let wait = session.wait.take();
         let reserve_until = wait.and_then(|wait| wait.until);
-        session.pending = Some(PendingDelivery { order, reserve_until });
+        session.pending = Some(PendingDelivery {
+            order,
+            reserve_until,
+        });
         let is_flushed = session.output.is_flushed();
         if let Some(wait) = wait {
             self.leave_notice_waiters(id, wait);
@@ -37,7 +40,13 @@
         self.attempts.insert(attempt, Attempt::AtSession(id));
         self.wake_session(id);
         if !is_flushed {
-            self.set_timer(attempt_until, Timer::DeliveryTimeout { session: id, attempt });
+            self.set_timer(
+                attempt_until,
+                Timer::DeliveryTimeout {
+                    session: id,
+                    attempt,
+                },
+            );
         }
     }
 
@@ -45,7 +54,10 @@
     /// accepts work.
     fn take_waiting(&mut self, machine: IpAddr, runs: Runs, generation: u64) -> Option<u64> {
         let accepts_work = self.machines.accepts_work(machine);
-        let group = self.machines.group(machine, runs).filter(|group| group.generation == generation)?;
+        let group = self
+            .machines
+            .group(machine, runs)
+            .filter(|group| group.generation == generation)?;
         group.orders += 1;
         if !accepts_work {
             return None;
@@ -55,13 +67,20 @@
 
     /// Recalls an attempt: the core asks for no outcome of it any more.
     pub fn recall(&mut self, now: f64, attempt: AllocId) {
-        let Some(Attempt::AtSession(id)) = self.attempts.remove(&attempt) else { return };
-        let Some(session) = self.sessions.get_mut(&id) else { return };
+        let Some(Attempt::AtSession(id)) = self.attempts.remove(&attempt) else {
+            return;
+        };
+        let Some(session) = self.sessions.get_mut(&id) else {
+            return;
+        };
         if let Some(pending) = session.take_pending(attempt) {
             return self.wait(now, id, pending.reserve_until);
         }
         let job = attempt.0;
-        let lease = session.leases.get(&job).filter(|lease| lease.leased == Leased::Attempt(attempt));
+        let lease = session
+            .leases
+            .get(&job)
+            .filter(|lease| lease.leased == Leased::Attempt(attempt));
         let Some(lease) = lease else { return };
         if !lease.written {
             self.cut(id);
@@ -78,9 +97,15 @@
 
     /// The delay of a release is over, or a kick has ended it: the attempt goes back to the core.
     pub(super) fn release_delay_over(&mut self, attempt: AllocId) {
-        let Some(Attempt::ReleaseDelayed(outcome)) = self.attempts.get(&attempt) else { return };
+        let Some(Attempt::ReleaseDelayed(outcome)) = self.attempts.get(&attempt) else {
+            return;
+        };
         let outcome = *outcome;
-        if self.jobs.get(attempt.0).is_some_and(|job| matches!(job.state, State::Delayed { .. })) {
+        if self
+            .jobs
+            .get(attempt.0)
+            .is_some_and(|job| matches!(job.state, State::Delayed { .. }))
+        {
             self.jobs.set(attempt.0, State::Ready);
         }
         self.return_attempt(attempt, outcome);
@@ -90,7 +115,9 @@
     /// on.
     pub(super) fn delivery_timed_out(&mut self, now: f64, id: u64, attempt: AllocId) {
         let session = self.sessions.get_mut(&id);
-        let Some(pending) = session.and_then(|session| session.take_pending(attempt)) else { return };
+        let Some(pending) = session.and_then(|session| session.take_pending(attempt)) else {
+            return;
+        };
         self.return_attempt(attempt, Outcome::Full);
         self.wait(now, id, pending.reserve_until);
     }
--- a/crates/mintlb-beanstalkd/src/hub/commands.rs
+++ b/crates/mintlb-beanstalkd/src/hub/commands.rs
@@ -43,9 +43,11 @@
             Command::Ignore(tube) => self.ignore(session, &tube),
             Command::PauseTube(tube, delay) => self.pause_tube(now, tube, f64::from(delay)),
             Command::Delete(job) => self.delete(now, session, job).into(),
-            Command::Release { id, priority, delay } => {
-                self.release(now, session, id, priority, delay).into()
-            }
+            Command::Release {
+                id,
+                priority,
+                delay,
+            } => self.release(now, session, id, priority, delay).into(),
             Command::Bury { id, priority } => self.bury(now, session, id, priority).into(),
             Command::Touch(job) => self.touch(now, session, job).into(),
             Command::Kick(bound) => self.kick(now, session, bound as usize),
