--- a/crates/mintlb-beanstalkd/src/hub/finish.rs
+++ b/crates/mintlb-beanstalkd/src/hub/finish.rs
@@ -13,7 +13,9 @@
             return self.restart_refused(now, id);
         }
         let status = FinalStatus::of(&answer);
-        let Some(tube) = self.record_final_status(now, id, status) else { return };
+        let Some(tube) = self.record_final_status(now, id, status) else {
+            return;
+        };
         self.retain(id, now + self.plan.table.keep_ends);
         if let Some(notice_tube) = self.plan.route(&tube).and_then(|route| route.ends.clone()) {
             self.add_notice(now, notice_tube, id, status, &answer);
@@ -27,7 +29,8 @@
         let expires_at = now + self.plan.table.keep_ends;
         let sequence = self.next_number();
         if let Some(job) = self.jobs.get_mut(id) {
-            (job.final_status, job.expires_at) = (Some(FinalStatus::Deferred(0.0)), Some(expires_at));
+            (job.final_status, job.expires_at) =
+                (Some(FinalStatus::Deferred(0.0)), Some(expires_at));
             self.jobs.set(id, State::Buried(sequence));
             self.retain(id, expires_at);
         }
@@ -37,10 +40,16 @@
     /// request is another protocol's.
     fn record_final_status(&mut self, now: f64, id: u64, status: FinalStatus) -> Option<Tube> {
         let expires_at = now + self.plan.table.keep_ends;
-        let job = self.jobs.get_mut(id).filter(|job| !job.is_foreign && job.final_status.is_none())?;
+        let job = self
+            .jobs
+            .get_mut(id)
+            .filter(|job| !job.is_foreign && job.final_status.is_none())?;
         (job.final_status, job.expires_at) = (Some(status), Some(expires_at));
         let tube = job.tube.clone();
-        let is_idempotent = self.plan.route(&tube).is_some_and(|route| route.is_idempotent());
+        let is_idempotent = self
+            .plan
+            .route(&tube)
+            .is_some_and(|route| route.is_idempotent());
         if matches!(job.state, State::Buried(_)) {
             // Only an idempotent job can be kicked later and needs its capacity then.
             if !is_idempotent {
@@ -75,9 +84,15 @@
     pub fn stop(&mut self, now: f64) {
         self.stopping = true;
         let delayed = self.jobs.tubes().filter_map(|tube| self.jobs.tube(tube));
-        let delayed: Vec<u64> = delayed.flat_map(|tube| tube.delayed.keys().map(|(_, id)| *id)).collect();
+        let delayed: Vec<u64> = delayed
+            .flat_map(|tube| tube.delayed.keys().map(|(_, id)| *id))
+            .collect();
         for id in delayed {
-            if self.jobs.get(id).is_some_and(|job| !job.is_notice && job.counts.releases == 0) {
+            if self
+                .jobs
+                .get(id)
+                .is_some_and(|job| !job.is_notice && job.counts.releases == 0)
+            {
                 self.ended(now, id, Answer::Deferred(0.0));
             }
         }
--- a/crates/mintlb-beanstalkd/src/hub/groups.rs
+++ b/crates/mintlb-beanstalkd/src/hub/groups.rs
@@ -26,7 +26,9 @@
     /// Moves a session into the group that fits the tubes it watches now, if there are tubes of jobs among
     /// them.
     pub(super) fn choose_group(&mut self, now: f64, id: u64) {
-        let Some(session) = self.sessions.get_mut(&id) else { return };
+        let Some(session) = self.sessions.get_mut(&id) else {
+            return;
+        };
         let runs = self.plan.runs_of(&session.watched);
         let joins = (!runs.is_none()).then_some(runs);
         let leaves = std::mem::replace(&mut session.runs, joins);
@@ -43,8 +45,12 @@
 
     /// Adds a session's waiting reserve to its group.
     pub(super) fn join_waiting(&mut self, id: u64, sequence: u64) {
-        let Some(session) = self.sessions.get(&id) else { return };
-        let (machine, Some(runs)) = (session.machine, session.runs) else { return };
+        let Some(session) = self.sessions.get(&id) else {
+            return;
+        };
+        let (machine, Some(runs)) = (session.machine, session.runs) else {
+            return;
+        };
         if let Some(group) = self.machines.group(machine, runs) {
             group.waiting.insert(sequence, id);
             self.announce_waiting(machine, runs);
@@ -62,8 +68,13 @@
     /// since, each will take one.
     pub(super) fn announce_waiting(&mut self, machine: IpAddr, runs: Runs) {
         if let Some(group) = self.machines.group(machine, runs) {
-            let (worker, waiting, orders) = (group.worker, group.waiting.len() as u64, group.orders);
-            self.tell(Event::Asks { worker, waiting, orders });
+            let (worker, waiting, orders) =
+                (group.worker, group.waiting.len() as u64, group.orders);
+            self.tell(Event::Asks {
+                worker,
+                waiting,
+                orders,
+            });
         }
     }
 
--- a/crates/mintlb-beanstalkd/src/hub/leases.rs
+++ b/crates/mintlb-beanstalkd/src/hub/leases.rs
@@ -34,40 +34,99 @@
             };
             self.jobs.add(job, record);
         }
-        let Some(record) = self.jobs.get(job) else { return };
+        let Some(record) = self.jobs.get(job) else {
+            return;
+        };
         // An exclusive job could only be aborted before its hard limit; until then the worker may still do
         // it.
-        let is_exclusive = self.plan.route(&record.tube).is_some_and(|route| route.is_exclusive());
+        let is_exclusive = self
+            .plan
+            .route(&record.tube)
+            .is_some_and(|route| route.is_exclusive());
         let ttr_over = now + f64::from(record.put.ttr);
-        let deadline = if is_exclusive { order.until } else { order.until.min(ttr_over) };
-        let (leased, latest, body) = (Leased::Attempt(order.alloc), order.until, order.payload.body);
-        self.begin_lease(session, NewLease { job, leased, deadline, latest, body });
+        let deadline = if is_exclusive {
+            order.until
+        } else {
+            order.until.min(ttr_over)
+        };
+        let (leased, latest, body) = (
+            Leased::Attempt(order.alloc),
+            order.until,
+            order.payload.body,
+        );
+        self.begin_lease(
+            session,
+            NewLease {
+                job,
+                leased,
+                deadline,
+                latest,
+                body,
+            },
+        );
     }
 
     /// A record of a job whose request came through another protocol.
     fn foreign_job(&self, now: f64, order: &Order) -> Option<Job> {
-        let route = self.plan.routes.iter().find(|route| route.project_type == order.project_type)?;
+        let route = self
+            .plan
+            .routes
+            .iter()
+            .find(|route| route.project_type == order.project_type)?;
         let ttr = route.hard_limit.ceil().max(1.0) as u32;
-        let put = Put { priority: LEAST_URGENT, delay: 0, ttr, bytes: order.payload.body.len() };
-        Some(Job { is_foreign: true, ..Job::new(route.tube.clone(), put, now, order.payload.body.clone()) })
+        let put = Put {
+            priority: LEAST_URGENT,
+            delay: 0,
+            ttr,
+            bytes: order.payload.body.len(),
+        };
+        Some(Job {
+            is_foreign: true,
+            ..Job::new(route.tube.clone(), put, now, order.payload.body.clone())
+        })
     }
 
     /// Begins a lease: the job is reserved, and its body queued for the session.
     pub(super) fn begin_lease(&mut self, id: u64, new: NewLease) {
-        let NewLease { job, leased, deadline, latest, body } = new;
-        let Some(record) = self.jobs.get_mut(job) else { return };
+        let NewLease {
+            job,
+            leased,
+            deadline,
+            latest,
+            body,
+        } = new;
+        let Some(record) = self.jobs.get_mut(job) else {
+            return;
+        };
         record.holders += 1;
         record.last_holder = Some(id);
         record.counts.reserves += 1;
         let ttr = f64::from(record.put.ttr);
         self.jobs.set(job, State::Reserved);
         let timer = self.set_timer(deadline, Timer::LeaseExpiry { session: id, job });
-        let Some(session) = self.sessions.get_mut(&id) else { return };
-        session.output.push(&with_body(&format!("RESERVED {job}"), &body));
+        let Some(session) = self.sessions.get_mut(&id) else {
+            return;
+        };
+        session
+            .output
+            .push(&with_body(&format!("RESERVED {job}"), &body));
         if let Leased::Attempt(_) = leased {
-            session.in_flight = Some(InFlight { job, end: session.output.queued });
+            session.in_flight = Some(InFlight {
+                job,
+                end: session.output.queued,
+            });
         }
-        session.leases.insert(job, Lease { leased, written: false, ttr, deadline, latest, timer });
+        session.leases.insert(
+            job,
+            Lease {
+                leased,
+                written: false,
+                ttr,
+                deadline,
+                latest,
+                timer,
+            },
+        );
     }
 
     /// Takes a session's lease on a job away.
@@ -99,7 +158,9 @@
     /// Counts one lease less on a job. Without any it is in the given state, or ready; a finished one stays
     /// as it is.
     pub(super) fn drop_holder(&mut self, id: u64, state: Option<State>) {
-        let Some(job) = self.jobs.get_mut(id) else { return };
+        let Some(job) = self.jobs.get_mut(id) else {
+            return;
+        };
         job.holders -= 1;
         let is_last = job.holders == 0;
         let is_finished = matches!(job.state, State::Finished(_));
@@ -114,11 +175,16 @@
 
     /// The expiry timer of a lease has expired. If it is still the lease's timer, the lease ends.
     pub(super) fn lease_expired(&mut self, now: f64, id: u64, job: u64, timer: u64) {
-        let lease = self.sessions.get(&id).and_then(|session| session.leases.get(&job));
+        let lease = self
+            .sessions
+            .get(&id)
+            .and_then(|session| session.leases.get(&job));
         if lease.is_none_or(|lease| lease.timer != timer) {
             return;
         }
-        let Some(lease) = self.end_lease(id, job) else { return };
+        let Some(lease) = self.end_lease(id, job) else {
+            return;
+        };
         if !lease.written && lease.leased != Leased::Notice {
             // The worker may have got it whole until the connection is closed, so it counts as perhaps run.
             self.cut(id);
--- a/crates/mintlb-beanstalkd/src/hub/notices.rs
+++ b/crates/mintlb-beanstalkd/src/hub/notices.rs
@@ -20,10 +20,18 @@
         let body = notice_body(job, status, answer);
         let keep_seconds = self.plan.table.keep_ends;
         let ttr = (keep_seconds.ceil() as u32).max(1);
-        let put = Put { priority: 0, delay: 0, ttr, bytes: body.len() };
+        let put = Put {
+            priority: 0,
+            delay: 0,
+            ttr,
+            bytes: body.len(),
+        };
         let expires_at = now + keep_seconds;
-        let notice =
-            Job { is_notice: true, expires_at: Some(expires_at), ..Job::new(tube, put, now, body.into()) };
+        let notice = Job {
+            is_notice: true,
+            expires_at: Some(expires_at),
+            ..Job::new(tube, put, now, body.into())
+        };
         let id = self.job_ids.next();
         self.jobs.add(id, notice);
         self.retain(id, expires_at);
@@ -33,9 +41,13 @@
     /// Makes a notice ready, and gives it to the reserve that has waited for longest for such.
     pub(super) fn notice_ready(&mut self, now: f64, id: u64) {
         self.jobs.set(id, State::Ready);
-        let Some(notice) = self.jobs.get(id) else { return };
+        let Some(notice) = self.jobs.get(id) else {
+            return;
+        };
         let waiters = self.notice_waiters.get(&notice.tube);
-        let Some((_, session)) = waiters.and_then(|waiters| waiters.first().copied()) else { return };
+        let Some((_, session)) = waiters.and_then(|waiters| waiters.first().copied()) else {
+            return;
+        };
         self.stop_waiting(session);
         self.lease_notice(now, session, id);
         self.wake_session(session);
@@ -43,10 +55,21 @@
 
     /// Gives a session a notice as a lease.
     pub(super) fn lease_notice(&mut self, now: f64, session: u64, job: u64) {
-        let Some(notice) = self.jobs.get(job) else { return };
+        let Some(notice) = self.jobs.get(job) else {
+            return;
+        };
         let deadline = now + f64::from(notice.put.ttr);
         let body = notice.body.clone();
-        self.begin_lease(session, NewLease { job, leased: Leased::Notice, deadline, latest: f64::MAX, body });
+        self.begin_lease(
+            session,
+            NewLease {
+                job,
+                leased: Leased::Notice,
+                deadline,
+                latest: f64::MAX,
+                body,
+            },
+        );
     }
 }
 
--- a/crates/mintlb-beanstalkd/src/hub/peek.rs
+++ b/crates/mintlb-beanstalkd/src/hub/peek.rs
@@ -7,7 +7,10 @@
 impl Hub {
     /// `peek`: a job by its id, unless it has finished or came through another protocol.
     pub(super) fn peek(&self, id: u64) -> Reply {
-        let job = self.jobs.get(id).filter(|job| !matches!(job.state, State::Finished(_)) && !job.is_foreign);
+        let job = self
+            .jobs
+            .get(id)
+            .filter(|job| !matches!(job.state, State::Finished(_)) && !job.is_foreign);
         match job {
             Some(job) => Reply::Owned(with_body(&format!("FOUND {id}"), &job.body)),
             None => Reply::Borrowed(NOT_FOUND),
@@ -16,8 +19,16 @@
 
     /// `peek-ready`, `peek-delayed` and `peek-buried`: the first job of such in the tube that the session
     /// uses.
-    pub(super) fn peek_first(&self, session: u64, first: impl Fn(&TubeJobs) -> Option<u64>) -> Reply {
-        let used = self.sessions.get(&session).and_then(|session| self.jobs.tube(&session.used));
-        used.and_then(first).map_or(Reply::Borrowed(NOT_FOUND), |job| self.peek(job))
+    pub(super) fn peek_first(
+        &self,
+        session: u64,
+        first: impl Fn(&TubeJobs) -> Option<u64>,
+    ) -> Reply {
+        let used = self
+            .sessions
+            .get(&session)
+            .and_then(|session| self.jobs.tube(&session.used));
+        used.and_then(first)
+            .map_or(Reply::Borrowed(NOT_FOUND), |job| self.peek(job))
     }
 }
--- a/crates/mintlb-beanstalkd/src/hub/producer.rs
+++ b/crates/mintlb-beanstalkd/src/hub/producer.rs
@@ -13,8 +13,17 @@
 
 impl Hub {
     /// `put`: takes a job, or refuses it.
-    pub(super) fn put(&mut self, now: f64, id: u64, put: Put, body: Bytes, body_room: Option<Held>) -> Reply {
-        let Some(session) = self.sessions.get_mut(&id) else { return Reply::default() };
+    pub(super) fn put(
+        &mut self,
+        now: f64,
+        id: u64,
+        put: Put,
+        body: Bytes,
+        body_room: Option<Held>,
+    ) -> Reply {
+        let Some(session) = self.sessions.get_mut(&id) else {
+            return Reply::default();
+        };
         session.is_producer = true;
         let tube = session.used.clone();
         match self.admit(&tube, &put, body_room) {
@@ -30,23 +39,43 @@
     }
 
     /// The capacity for a job, or the reply to a put that is refused.
-    fn admit(&self, tube: &Tube, put: &Put, body_room: Option<Held>) -> Result<(Held, Held), &'static [u8]> {
+    fn admit(
+        &self,
+        tube: &Tube,
+        put: &Put,
+        body_room: Option<Held>,
+    ) -> Result<(Held, Held), &'static [u8]> {
         if self.stopping || self.leaving {
             return Err(b"DRAINING\r\n");
         }
         if self.plan.route(tube).is_none() || f64::from(put.delay) > self.plan.table.longest_delay {
             return Err(b"BAD_FORMAT\r\n");
         }
-        body_room.and_then(|body| Some((body, self.capacity.work_unit()?))).ok_or(b"OUT_OF_MEMORY\r\n")
+        body_room
+            .and_then(|body| Some((body, self.capacity.work_unit()?)))
+            .ok_or(b"OUT_OF_MEMORY\r\n")
     }
 
     /// Takes a job, which becomes ready now, after its delay, or once its tube is not paused any more.
-    fn take_job(&mut self, now: f64, tube: Tube, put: Put, body: Bytes, capacity: (Held, Held)) -> u64 {
+    fn take_job(
+        &mut self,
+        now: f64,
+        tube: Tube,
+        put: Put,
+        body: Bytes,
+        capacity: (Held, Held),
+    ) -> u64 {
         let id = self.job_ids.next();
         let pause = self.pauses.get(&tube).map_or(0.0, |(until, _)| until - now);
         let delay = f64::from(put.delay).max(pause);
-        let put = Put { ttr: put.ttr.max(MIN_TTR), ..put };
-        let mut job = Job { capacity: Some(capacity), ..Job::new(tube, put, now, body) };
+        let put = Put {
+            ttr: put.ttr.max(MIN_TTR),
+            ..put
+        };
+        let mut job = Job {
+            capacity: Some(capacity),
+            ..Job::new(tube, put, now, body)
+        };
         self.totals.taken += 1;
         if delay > 0.0 {
             job.state = State::Delayed { until: now + delay };
@@ -63,7 +92,9 @@
     pub(super) fn submit(&mut self, now: f64, id: u64) {
         self.jobs.set(id, State::Ready);
         let Some(job) = self.jobs.get(id) else { return };
-        let Some(route) = self.plan.route(&job.tube) else { return };
+        let Some(route) = self.plan.route(&job.tube) else {
+            return;
+        };
         self.deeds.push(Deed::Arrive {
             id,
             project_type: route.project_type,
--- a/crates/mintlb-beanstalkd/src/hub/reply.rs
+++ b/crates/mintlb-beanstalkd/src/hub/reply.rs
@@ -28,7 +28,9 @@
 
 /// A reply with a YAML list of tubes.
 pub(super) fn yaml_list<'a>(tubes: impl Iterator<Item = &'a Tube>) -> Reply {
-    let text = tubes.fold(String::from("---\n"), |text, tube| text + "- " + tube + "\n");
+    let text = tubes.fold(String::from("---\n"), |text, tube| {
+        text + "- " + tube + "\n"
+    });
     Cow::Owned(with_body("OK", text.as_bytes()))
 }
 
--- a/crates/mintlb-beanstalkd/src/hub/reserve.rs
+++ b/crates/mintlb-beanstalkd/src/hub/reserve.rs
@@ -25,14 +25,22 @@
         }
         match self.first_notice(id) {
             Some(notice) => self.lease_notice(now, id, notice),
-            None => self.wait(now, id, timeout.map(|timeout| now + timeout.max(MIN_RESERVE_WAIT))),
+            None => self.wait(
+                now,
+                id,
+                timeout.map(|timeout| now + timeout.max(MIN_RESERVE_WAIT)),
+            ),
         }
         None
     }
 
     /// `reserve-job`: only notices can be picked, as the core alone decides which worker runs a request.
     pub(super) fn reserve_job(&mut self, now: f64, id: u64, job: u64) -> Option<Reply> {
-        if !self.jobs.get(job).is_some_and(|job| job.is_notice && job.state != State::Reserved) {
+        if !self
+            .jobs
+            .get(job)
+            .is_some_and(|job| job.is_notice && job.state != State::Reserved)
+        {
             return Some(Reply::Borrowed(NOT_FOUND));
         }
         self.lease_notice(now, id, job);
@@ -43,7 +51,11 @@
     fn first_notice(&self, id: u64) -> Option<u64> {
         let session = self.sessions.get(&id)?;
         let notices = session.watched.iter().filter_map(|tube| {
-            let ready = &self.jobs.tube(tube).filter(|_| self.plan.tells_ends(tube))?.ready;
+            let ready = &self
+                .jobs
+                .tube(tube)
+                .filter(|_| self.plan.tells_ends(tube))?
+                .ready;
             ready.first_key_value().map(|(key, ())| *key)
         });
         notices.min().map(|(_, job)| job)
@@ -53,23 +65,42 @@
     /// and notices in watched tubes go to it, too.
     pub(super) fn wait(&mut self, now: f64, id: u64, until: Option<f64>) {
         let sequence = self.next_number();
-        let Some(session) = self.sessions.get_mut(&id) else { return };
+        let Some(session) = self.sessions.get_mut(&id) else {
+            return;
+        };
         session.wait = Some(Wait { sequence, until });
         let wake_at = session.reserve_due(until);
-        for tube in session.watched.iter().filter(|tube| self.plan.tells_ends(tube)) {
-            self.notice_waiters.entry(tube.clone()).or_default().insert((sequence, id));
+        for tube in session
+            .watched
+            .iter()
+            .filter(|tube| self.plan.tells_ends(tube))
+        {
+            self.notice_waiters
+                .entry(tube.clone())
+                .or_default()
+                .insert((sequence, id));
         }
         self.choose_group(now, id);
         self.join_waiting(id, sequence);
         if let Some(at) = wake_at {
-            self.set_timer(at, Timer::ReserveTimeout { session: id, sequence });
+            self.set_timer(
+                at,
+                Timer::ReserveTimeout {
+                    session: id,
+                    sequence,
+                },
+            );
         }
     }
 
     /// Ends the wait of a session's reserve, if it waits.
     pub(super) fn stop_waiting(&mut self, id: u64) {
-        let Some(session) = self.sessions.get_mut(&id) else { return };
-        let Some(wait) = session.wait.take() else { return };
+        let Some(session) = self.sessions.get_mut(&id) else {
+            return;
+        };
+        let Some(wait) = session.wait.take() else {
+            return;
+        };
         let (machine, runs) = (session.machine, session.runs);
         self.leave_notice_waiters(id, wait);
         let Some(runs) = runs else { return };
@@ -81,7 +112,9 @@
 
     /// No notice goes to this waiting reserve any more.
     pub(super) fn leave_notice_waiters(&mut self, id: u64, wait: Wait) {
-        let Some(session) = self.sessions.get(&id) else { return };
+        let Some(session) = self.sessions.get(&id) else {
+            return;
+        };
         for tube in &session.watched {
             if let Some(waiters) = self.notice_waiters.get_mut(tube) {
                 waiters.remove(&(wait.sequence, id));
@@ -92,8 +125,12 @@
     /// The timer of a waiting reserve has expired: it is answered if it still waits, or the timer is set
     /// anew.
     pub(super) fn reserve_timer_expired(&mut self, now: f64, id: u64, sequence: u64) {
-        let Some(session) = self.sessions.get(&id) else { return };
-        let Some(wait) = session.wait.filter(|wait| wait.sequence == sequence) else { return };
+        let Some(session) = self.sessions.get(&id) else {
+            return;
+        };
+        let Some(wait) = session.wait.filter(|wait| wait.sequence == sequence) else {
+            return;
+        };
         let soon = session.has_deadline_soon(now);
         if soon || wait.until.is_some_and(|until| until <= now) {
             self.stop_waiting(id);
@@ -102,7 +139,13 @@
         }
         // The lease whose deadline was near is gone, so there is another time to wake for.
         if let Some(at) = session.reserve_due(wait.until) {
-            self.set_timer(at, Timer::ReserveTimeout { session: id, sequence });
+            self.set_timer(
+                at,
+                Timer::ReserveTimeout {
+                    session: id,
+                    sequence,
+                },
+            );
         }
     }
 }
@@ -110,12 +153,15 @@
 impl Session {
     /// One of its leases expires within the protocol's margin.
     fn has_deadline_soon(&self, now: f64) -> bool {
-        self.next_deadline().is_some_and(|deadline| deadline - now <= DEADLINE_MARGIN)
+        self.next_deadline()
+            .is_some_and(|deadline| deadline - now <= DEADLINE_MARGIN)
     }
 
     /// When a reserve that waits until a time must be answered: then, or when a deadline is near.
     fn reserve_due(&self, until: Option<f64>) -> Option<f64> {
-        let deadline_soon = self.next_deadline().map(|deadline| deadline - DEADLINE_MARGIN);
+        let deadline_soon = self
+            .next_deadline()
+            .map(|deadline| deadline - DEADLINE_MARGIN);
         until.into_iter().chain(deadline_soon).reduce(f64::min)
     }
 }
--- a/crates/mintlb-beanstalkd/src/hub/sessions.rs
+++ b/crates/mintlb-beanstalkd/src/hub/sessions.rs
@@ -13,7 +13,8 @@
     pub fn connect(&mut self, machine: IpAddr) -> u64 {
         self.totals.connections += 1;
         let id = self.next_number();
-        self.sessions.insert(id, Session::new(machine, &self.default_tube));
+        self.sessions
+            .insert(id, Session::new(machine, &self.default_tube));
         id
     }
 
@@ -21,7 +22,9 @@
     /// job was not written whole.
     pub fn closed(&mut self, now: f64, id: u64) {
         self.stop_waiting(id);
-        let Some(session) = self.sessions.remove(&id) else { return };
+        let Some(session) = self.sessions.remove(&id) else {
+            return;
+        };
         if let Some(runs) = session.runs {
             self.leave_group(now, session.machine, runs);
         }
@@ -29,7 +32,11 @@
             self.return_attempt(pending.order.alloc, Outcome::NoConnection);
         }
         for (job, lease) in session.leases {
-            let outcome = if lease.written { Outcome::Dropped } else { Outcome::NoConnection };
+            let outcome = if lease.written {
+                Outcome::Dropped
+            } else {
+                Outcome::NoConnection
+            };
             self.settle_lease(now, job, lease.leased, outcome, None);
         }
     }
@@ -56,12 +63,16 @@
 
     /// Nothing more may be written to a session.
     pub fn is_cut(&self, session: u64) -> bool {
-        self.sessions.get(&session).is_none_or(|session| session.cut)
+        self.sessions
+            .get(&session)
+            .is_none_or(|session| session.cut)
     }
 
     /// A session is to be closed.
     pub fn is_over(&self, session: u64) -> bool {
-        self.sessions.get(&session).is_none_or(|session| session.closing)
+        self.sessions
+            .get(&session)
+            .is_none_or(|session| session.closing)
     }
 
     /// Queues bytes for a session.
@@ -73,7 +84,9 @@
 
     /// The number of bytes that are queued for a session and not taken yet.
     pub fn queued_bytes(&self, session: u64) -> usize {
-        self.sessions.get(&session).map_or(0, |session| session.output.waiting.len())
+        self.sessions
+            .get(&session)
+            .map_or(0, |session| session.output.waiting.len())
     }
 
     /// Takes the bytes to be sent to a session. Call it only once all bytes taken before are written.
@@ -92,12 +105,20 @@
     /// Queues a session's pending delivery if there is no output before it and its machine still accepts
     /// work.
     fn deliver_pending(&mut self, now: f64, id: u64) {
-        let Some(session) = self.sessions.get_mut(&id) else { return };
+        let Some(session) = self.sessions.get_mut(&id) else {
+            return;
+        };
         if !session.output.waiting.is_empty() || !session.output.is_flushed() {
             return;
         }
         let machine = session.machine;
-        let Some(PendingDelivery { order, reserve_until }) = session.pending.take() else { return };
+        let Some(PendingDelivery {
+            order,
+            reserve_until,
+        }) = session.pending.take()
+        else {
+            return;
+        };
         if self.machines.accepts_work(machine) {
             self.lease_attempt(now, id, order);
         } else {
@@ -108,13 +129,18 @@
 
     /// Counts bytes as written to a session.
     pub fn wrote(&mut self, id: u64, bytes: usize) {
-        let Some(session) = self.sessions.get_mut(&id) else { return };
+        let Some(session) = self.sessions.get_mut(&id) else {
+            return;
+        };
         session.output.written += bytes as u64;
         let written = session.output.written;
-        let Some(InFlight { job, .. }) = session.in_flight.take_if(|sent| sent.end <= written) else {
+        let Some(InFlight { job, .. }) = session.in_flight.take_if(|sent| sent.end <= written)
+        else {
+            return;
+        };
+        let Some(lease) = session.leases.get_mut(&job) else {
             return;
         };
-        let Some(lease) = session.leases.get_mut(&job) else { return };
         lease.written = true;
         if let Leased::Attempt(attempt) = lease.leased {
             self.sends.fetch_add(1, Relaxed);
@@ -127,7 +153,11 @@
     /// it.
     pub fn is_quiet(&self) -> bool {
         let has_notice = |tube: &Tube| {
-            self.plan.tells_ends(tube) && self.jobs.tube(tube).is_some_and(|jobs| !jobs.ready.is_empty())
+            self.plan.tells_ends(tube)
+                && self
+                    .jobs
+                    .tube(tube)
+                    .is_some_and(|jobs| !jobs.ready.is_empty())
         };
         self.sessions.values().all(|session| {
             session.pending.is_none()
--- a/crates/mintlb-beanstalkd/src/hub/stats.rs
+++ b/crates/mintlb-beanstalkd/src/hub/stats.rs
@@ -48,7 +48,9 @@
 impl Hub {
     /// `stats-job`: a job's state and counters.
     pub(super) fn stats_job(&self, now: f64, id: u64) -> Reply {
-        let Some(job) = self.jobs.get(id) else { return Reply::Borrowed(NOT_FOUND) };
+        let Some(job) = self.jobs.get(id) else {
+            return Reply::Borrowed(NOT_FOUND);
+        };
         let (state, seconds_left) = self.state_of(now, id, job);
         let counts = job.counts;
         let mut pairs = vec![
@@ -79,7 +81,9 @@
 
     /// A job's state as `stats-job` names it, and the seconds until the state changes by itself.
     fn state_of(&self, now: f64, id: u64, job: &Job) -> (&'static str, f64) {
-        let holder = job.last_holder.and_then(|session| self.sessions.get(&session));
+        let holder = job
+            .last_holder
+            .and_then(|session| self.sessions.get(&session));
         let lease = holder.and_then(|session| session.leases.get(&id));
         match job.state {
             State::Delayed { until } => ("delayed", until - now),
@@ -97,10 +101,21 @@
         }
         let no_jobs = TubeJobs::default();
         let jobs = self.jobs.tube(tube).unwrap_or(&no_jobs);
-        let using = self.sessions.values().filter(|session| &*session.used == tube);
-        let watching = || self.sessions.values().filter(|session| session.watches(tube));
-        let (until, pause) =
-            self.pauses.get(tube).copied().filter(|(until, _)| *until > now).unwrap_or((now, 0.0));
+        let using = self
+            .sessions
+            .values()
+            .filter(|session| &*session.used == tube);
+        let watching = || {
+            self.sessions
+                .values()
+                .filter(|session| session.watches(tube))
+        };
+        let (until, pause) = self
+            .pauses
+            .get(tube)
+            .copied()
+            .filter(|(until, _)| *until > now)
+            .unwrap_or((now, 0.0));
         yaml_dictionary(&[
             ("name", quoted(tube)),
             ("current-jobs-urgent", jobs.urgent.to_string()),
@@ -111,7 +126,13 @@
             ("total-jobs", jobs.total.to_string()),
             ("current-using", using.count().to_string()),
             ("current-watching", watching().count().to_string()),
-            ("current-waiting", watching().filter(|session| session.is_blocked()).count().to_string()),
+            (
+                "current-waiting",
+                watching()
+                    .filter(|session| session.is_blocked())
+                    .count()
+                    .to_string(),
+            ),
             ("cmd-delete", jobs.deleted.to_string()),
             ("cmd-pause-tube", jobs.paused.to_string()),
             ("pause", whole_seconds(pause)),
@@ -144,8 +165,17 @@
     }
 
     fn command_stats(&self) -> impl Iterator<Item = Pair> {
-        let count = |command| self.totals.commands.get(command).copied().unwrap_or(0).to_string();
-        COMMAND_COUNTERS.into_iter().map(move |(key, command)| (key, count(command)))
+        let count = |command| {
+            self.totals
+                .commands
+                .get(command)
+                .copied()
+                .unwrap_or(0)
+                .to_string()
+        };
+        COMMAND_COUNTERS
+            .into_iter()
+            .map(move |(key, command)| (key, count(command)))
     }
 
     fn total_stats(&self) -> [Pair; 4] {
@@ -161,9 +191,27 @@
         let sessions = || self.sessions.values();
         [
             ("current-connections", self.sessions.len().to_string()),
-            ("current-producers", sessions().filter(|session| session.is_producer).count().to_string()),
-            ("current-workers", sessions().filter(|session| session.is_worker).count().to_string()),
-            ("current-waiting", sessions().filter(|session| session.is_blocked()).count().to_string()),
+            (
+                "current-producers",
+                sessions()
+                    .filter(|session| session.is_producer)
+                    .count()
+                    .to_string(),
+            ),
+            (
+                "current-workers",
+                sessions()
+                    .filter(|session| session.is_worker)
+                    .count()
+                    .to_string(),
+            ),
+            (
+                "current-waiting",
+                sessions()
+                    .filter(|session| session.is_blocked())
+                    .count()
+                    .to_string(),
+            ),
             ("total-connections", self.totals.connections.to_string()),
         ]
     }
@@ -172,9 +220,18 @@
         let usage = getrusage(UsageWho::RUSAGE_SELF).ok();
         [
             ("pid", std::process::id().to_string()),
-            ("version", quoted(concat!("mintlb ", env!("CARGO_PKG_VERSION")))),
-            ("rusage-utime", processor_time(usage.map(|usage| usage.user_time()))),
-            ("rusage-stime", processor_time(usage.map(|usage| usage.system_time()))),
+            (
+                "version",
+                quoted(concat!("mintlb ", env!("CARGO_PKG_VERSION"))),
+            ),
+            (
+                "rusage-utime",
+                processor_time(usage.map(|usage| usage.user_time())),
+            ),
+            (
+                "rusage-stime",
+                processor_time(usage.map(|usage| usage.system_time())),
+            ),
             ("uptime", whole_seconds(now - self.started_at)),
         ]
     }
@@ -183,7 +240,10 @@
         [
             ("draining", self.stopping.to_string()),
             ("id", quoted(&self.name)),
-            ("hostname", quoted(&gethostname().unwrap_or_default().to_string_lossy())),
+            (
+                "hostname",
+                quoted(&gethostname().unwrap_or_default().to_string_lossy()),
+            ),
             ("os", quoted(std::env::consts::OS)),
             ("platform", quoted(std::env::consts::ARCH)),
         ]
@@ -212,5 +272,7 @@
 
 /// Seconds with microseconds.
 fn processor_time(time: Option<TimeVal>) -> String {
-    time.map_or_else(String::new, |time| format!("{}.{:06}", time.tv_sec(), time.tv_usec()))
+    time.map_or_else(String::new, |time| {
+        format!("{}.{:06}", time.tv_sec(), time.tv_usec())
+    })
 }
--- a/crates/mintlb-beanstalkd/src/hub/timers.rs
+++ b/crates/mintlb-beanstalkd/src/hub/timers.rs
@@ -44,12 +44,17 @@
 
     /// The time of the first timer.
     pub(super) fn next_due(&self) -> Option<f64> {
-        self.queue.first_key_value().map(|((at, _), _)| f64::from_bits(*at))
+        self.queue
+            .first_key_value()
+            .map(|((at, _), _)| f64::from_bits(*at))
     }
 
     /// Takes the first timer if it is due, with its number.
     pub(super) fn pop_due(&mut self, now: f64) -> Option<(u64, Timer)> {
-        let first = self.queue.first_entry().filter(|first| f64::from_bits(first.key().0) <= now)?;
+        let first = self
+            .queue
+            .first_entry()
+            .filter(|first| f64::from_bits(first.key().0) <= now)?;
         let ((_, number), timer) = first.remove_entry();
         Some((number, timer))
     }
--- a/crates/mintlb-beanstalkd/src/hub/tubes.rs
+++ b/crates/mintlb-beanstalkd/src/hub/tubes.rs
@@ -9,14 +9,18 @@
 impl Hub {
     /// `use`: the tube for the session's puts, peeks and kicks.
     pub(super) fn use_tube(&mut self, id: u64, tube: Tube) -> Reply {
-        let Some(session) = self.sessions.get_mut(&id) else { return Reply::default() };
+        let Some(session) = self.sessions.get_mut(&id) else {
+            return Reply::default();
+        };
         session.used = tube;
         using(session)
     }
 
     /// `watch`: one more tube for the session's reserves.
     pub(super) fn watch(&mut self, id: u64, tube: Tube) -> Reply {
-        let Some(session) = self.sessions.get_mut(&id) else { return Reply::default() };
+        let Some(session) = self.sessions.get_mut(&id) else {
+            return Reply::default();
+        };
         if !session.watched.contains(&tube) {
             if session.watched.len() >= self.plan.table.watched {
                 return Reply::Borrowed(b"OUT_OF_MEMORY\r\n");
@@ -28,7 +32,9 @@
 
     /// `ignore`: one tube less for the session's reserves, but never none.
     pub(super) fn ignore(&mut self, id: u64, tube: &Tube) -> Reply {
-        let Some(session) = self.sessions.get_mut(&id) else { return Reply::default() };
+        let Some(session) = self.sessions.get_mut(&id) else {
+            return Reply::default();
+        };
         if session.watched.len() == 1 && session.watched.contains(tube) {
             return Reply::Borrowed(b"NOT_IGNORED\r\n");
         }
@@ -55,13 +61,26 @@
 
     /// `list-tubes-watched`.
     pub(super) fn list_tubes_watched(&self, id: u64) -> Reply {
-        self.sessions.get(&id).map(|session| yaml_list(session.watched.iter())).unwrap_or_default()
+        self.sessions
+            .get(&id)
+            .map(|session| yaml_list(session.watched.iter()))
+            .unwrap_or_default()
     }
 
     /// `list-tubes`: the tubes of the operator's file, and those that are in use.
     pub(super) fn list_tubes(&self) -> Reply {
-        let mut tubes: BTreeSet<Tube> = self.plan.routes.iter().map(|route| route.tube.clone()).collect();
-        tubes.extend(self.plan.routes.iter().filter_map(|route| route.ends.clone()));
+        let mut tubes: BTreeSet<Tube> = self
+            .plan
+            .routes
+            .iter()
+            .map(|route| route.tube.clone())
+            .collect();
+        tubes.extend(
+            self.plan
+                .routes
+                .iter()
+                .filter_map(|route| route.ends.clone()),
+        );
         tubes.extend(self.jobs.tubes().cloned());
         tubes.insert(self.default_tube.clone());
         for session in self.sessions.values() {
@@ -77,7 +96,10 @@
             || self.jobs.tube(tube).is_some()
             || self.plan.route(tube).is_some()
             || self.plan.tells_ends(tube)
-            || self.sessions.values().any(|session| &*session.used == tube || session.watches(tube))
+            || self
+                .sessions
+                .values()
+                .any(|session| &*session.used == tube || session.watches(tube))
     }
 }
 
--- a/crates/mintlb-beanstalkd/src/hub/wake.rs
+++ b/crates/mintlb-beanstalkd/src/hub/wake.rs
@@ -7,7 +7,11 @@
 impl Hub {
     /// When [`Hub::woke`] is to be called next, in seconds of the clock.
     pub fn next_due(&self) -> Option<f64> {
-        self.timers.next_due().into_iter().chain(self.jobs.next_expiry()).reduce(f64::min)
+        self.timers
+            .next_due()
+            .into_iter()
+            .chain(self.jobs.next_expiry())
+            .reduce(f64::min)
     }
 
     /// Runs the timers that are due, and discards the jobs that have expired.
@@ -23,17 +27,24 @@
     fn run_timer(&mut self, now: f64, number: u64, timer: Timer) {
         match timer {
             Timer::LeaseExpiry { session, job } => self.lease_expired(now, session, job, number),
-            Timer::ReserveTimeout { session, sequence } => self.reserve_timer_expired(now, session, sequence),
+            Timer::ReserveTimeout { session, sequence } => {
+                self.reserve_timer_expired(now, session, sequence)
+            }
             Timer::DelayOver { job } => self.delay_over(now, job),
             Timer::ReleaseDelayOver { attempt } => self.release_delay_over(attempt),
-            Timer::DeliveryTimeout { session, attempt } => self.delivery_timed_out(now, session, attempt),
+            Timer::DeliveryTimeout { session, attempt } => {
+                self.delivery_timed_out(now, session, attempt)
+            }
             Timer::ForgetGroups => self.forget_groups(now),
         }
     }
 
     /// The delay of a put is over, or that of a notice's release.
     fn delay_over(&mut self, now: f64, id: u64) {
-        let job = self.jobs.get(id).filter(|job| matches!(job.state, State::Delayed { .. }));
+        let job = self
+            .jobs
+            .get(id)
+            .filter(|job| matches!(job.state, State::Delayed { .. }));
         match job.map(|job| (job.is_notice, job.counts.releases)) {
             Some((true, _)) => self.notice_ready(now, id),
             Some((false, 0)) => self.submit(now, id),
--- a/crates/mintlb-beanstalkd/src/hub/worker.rs
+++ b/crates/mintlb-beanstalkd/src/hub/worker.rs
@@ -44,7 +44,11 @@
 
     /// Deletes a job that no worker holds, and tells the core that nobody wants its answer any more.
     fn withdraw(&mut self, id: u64) -> bool {
-        let Some(job) = self.jobs.get(id).filter(|job| !job.is_foreign && job.holders == 0) else {
+        let Some(job) = self
+            .jobs
+            .get(id)
+            .filter(|job| !job.is_foreign && job.holders == 0)
+        else {
             return false;
         };
         match job.state {
@@ -69,7 +73,9 @@
         priority: u32,
         delay: u32,
     ) -> &'static [u8] {
-        let Some(lease) = self.end_lease(id, job) else { return NOT_FOUND };
+        let Some(lease) = self.end_lease(id, job) else {
+            return NOT_FOUND;
+        };
         let outcome = self.release_outcome(job);
         if let Some(record) = self.jobs.get_mut(job) {
             record.put.priority = priority;
@@ -87,7 +93,10 @@
     /// The outcome of an attempt that its worker releases. It may have begun the job, unless the operator's
     /// file promises that the workers of this tube never do.
     fn release_outcome(&self, job: u64) -> Outcome {
-        let route = self.jobs.get(job).and_then(|job| self.plan.route(&job.tube));
+        let route = self
+            .jobs
+            .get(job)
+            .and_then(|job| self.plan.route(&job.tube));
         match route.map(|route| route.release).unwrap_or_default() {
             Reading::NeverRan => Outcome::Full,
             Reading::MayHaveRun => Outcome::Error,
@@ -99,7 +108,8 @@
         let until = match lease.leased {
             Leased::Attempt(attempt) => {
                 let until = until.min(lease.latest);
-                self.attempts.insert(attempt, Attempt::ReleaseDelayed(outcome));
+                self.attempts
+                    .insert(attempt, Attempt::ReleaseDelayed(outcome));
                 self.set_timer(until, Timer::ReleaseDelayOver { attempt });
                 until
             }
@@ -114,7 +124,9 @@
     /// `bury`: the job is not to be tried again, so its request is given up. The record stays for a while, to
     /// be peeked at, and to be kicked if the job is idempotent.
     pub(super) fn bury(&mut self, now: f64, id: u64, job: u64, priority: u32) -> &'static [u8] {
-        let Some(lease) = self.end_lease(id, job) else { return NOT_FOUND };
+        let Some(lease) = self.end_lease(id, job) else {
+            return NOT_FOUND;
+        };
         if let Some(record) = self.jobs.get_mut(job) {
             record.put.priority = priority;
             record.counts.buries += 1;
@@ -123,20 +135,32 @@
             self.tell(Event::GivenUp(job));
         }
         let sequence = self.next_number();
-        self.settle_lease(now, job, lease.leased, Outcome::Error, Some(State::Buried(sequence)));
+        self.settle_lease(
+            now,
+            job,
+            lease.leased,
+            Outcome::Error,
+            Some(State::Buried(sequence)),
+        );
         b"BURIED\r\n"
     }
 
     /// `touch`: the lease lasts for another time-to-run from now.
     pub(super) fn touch(&mut self, now: f64, id: u64, job: u64) -> &'static [u8] {
-        let lease = self.sessions.get(&id).and_then(|session| session.leases.get(&job));
+        let lease = self
+            .sessions
+            .get(&id)
+            .and_then(|session| session.leases.get(&job));
         let Some(lease) = lease else { return NOT_FOUND };
         // Not past the hard limit, and no earlier than before: an exclusive job's lease lasts up to the hard
         // limit from the start.
         let deadline = (now + lease.ttr).min(lease.latest).max(lease.deadline);
         self.timers.cancel(lease.deadline, lease.timer);
         let timer = self.set_timer(deadline, Timer::LeaseExpiry { session: id, job });
-        let lease = self.sessions.get_mut(&id).and_then(|session| session.leases.get_mut(&job));
+        let lease = self
+            .sessions
+            .get_mut(&id)
+            .and_then(|session| session.leases.get_mut(&job));
         if let Some(lease) = lease {
             (lease.deadline, lease.timer) = (deadline, timer);
         }
--- a/crates/mintlb-beanstalkd/src/job.rs
+++ b/crates/mintlb-beanstalkd/src/job.rs
@@ -180,7 +180,9 @@
 
     /// Moves a job into a state.
     pub fn set(&mut self, id: u64, state: State) {
-        let Some(job) = self.by_id.get_mut(&id) else { return };
+        let Some(job) = self.by_id.get_mut(&id) else {
+            return;
+        };
         if let Some(tube) = self.tubes.get_mut(&job.tube) {
             tube.remove(id, job);
             job.state = state;
@@ -207,7 +209,9 @@
 
     /// Takes the jobs whose expiry time has come.
     pub fn take_expired(&mut self, now: f64) -> Vec<u64> {
-        std::iter::from_fn(|| self.expiring.pop_front_if(|(at, _)| *at <= now)).map(|(_, id)| id).collect()
+        std::iter::from_fn(|| self.expiring.pop_front_if(|(at, _)| *at <= now))
+            .map(|(_, id)| id)
+            .collect()
     }
 
     /// The next expiry time, in seconds of the clock.
@@ -249,7 +253,9 @@
 
     fn insert(&mut self, id: u64, job: &Job) {
         match job.state {
-            State::Delayed { until } => drop(self.delayed.insert((until.max(0.0).to_bits(), id), ())),
+            State::Delayed { until } => {
+                drop(self.delayed.insert((until.max(0.0).to_bits(), id), ()))
+            }
             State::Ready => {
                 self.urgent += (job.put.priority < URGENT_BELOW) as usize;
                 self.ready.insert((job.put.priority, id), ());
--- a/crates/mintlb-beanstalkd/src/machines.rs
+++ b/crates/mintlb-beanstalkd/src/machines.rs
@@ -74,7 +74,11 @@
 impl Machines {
     /// Without any machine; the arguments are `listed` and `cold` of the operator's table.
     pub fn new(listed_only: bool, cold: bool) -> Machines {
-        Machines { listed_only, cold, ..Machines::default() }
+        Machines {
+            listed_only,
+            cold,
+            ..Machines::default()
+        }
     }
 
     /// New jobs may go to a machine: it neither drains nor has gone, and is listed where it must be.
@@ -118,20 +122,40 @@
 
     /// A machine's place for the core: the list's, or else one that follows from when it was first seen.
     fn place(&self, machine: IpAddr) -> Place {
-        let (first_seen, zone) = self.first_seen.get(&machine).copied().unwrap_or((0.0, u16::MAX));
-        let listed = if self.listed_only { Listed::Draining } else { Listed::Ready };
+        let (first_seen, zone) = self
+            .first_seen
+            .get(&machine)
+            .copied()
+            .unwrap_or((0.0, u16::MAX));
+        let listed = if self.listed_only {
+            Listed::Draining
+        } else {
+            Listed::Ready
+        };
         let came_up = if self.cold { first_seen } else { 0.0 };
-        let unlisted = Place { zone, cell: 0, kind: u16::MAX, listed, came_up };
+        let unlisted = Place {
+            zone,
+            cell: 0,
+            kind: u16::MAX,
+            listed,
+            came_up,
+        };
         let place = self.listed.get(&machine).copied().unwrap_or(unlisted);
         // The connections of a machine that has gone from the list may finish their jobs, so it counts as
         // draining.
-        let listed = if place.listed == Listed::Ready { Listed::Ready } else { Listed::Draining };
+        let listed = if place.listed == Listed::Ready {
+            Listed::Ready
+        } else {
+            Listed::Draining
+        };
         Place { listed, ..place }
     }
 
     /// Counts a connection out of a group. Returns true if it was the last.
     pub fn leave(&mut self, now: f64, machine: IpAddr, runs: Runs) -> bool {
-        let Some(group) = self.groups.get_mut(&(machine, runs)) else { return false };
+        let Some(group) = self.groups.get_mut(&(machine, runs)) else {
+            return false;
+        };
         group.sessions -= 1;
         group.empty_since = now;
         group.sessions == 0
@@ -140,20 +164,31 @@
     /// Forgets groups that have had no connection for `after` seconds. Returns what to tell the core.
     pub fn forget_empty(&mut self, now: f64, after: f64) -> Vec<Change> {
         let is_old = |group: &Group| group.sessions == 0 && now >= group.empty_since + after;
-        let gone: Vec<Group> =
-            self.groups.extract_if(|_, group| is_old(group)).map(|(_, group)| group).collect();
+        let gone: Vec<Group> = self
+            .groups
+            .extract_if(|_, group| is_old(group))
+            .map(|(_, group)| group)
+            .collect();
         let groups = &self.groups;
         let has_group = |machine: &IpAddr| groups.keys().any(|(other, _)| other == machine);
-        self.listed.retain(|machine, place| place.listed != Listed::Gone || has_group(machine));
-        let has_left =
-            |machine: &IpAddr| gone.iter().any(|group| group.machine == *machine) && !has_group(machine);
+        self.listed
+            .retain(|machine, place| place.listed != Listed::Gone || has_group(machine));
+        let has_left = |machine: &IpAddr| {
+            gone.iter().any(|group| group.machine == *machine) && !has_group(machine)
+        };
         self.first_seen.retain(|machine, _| !has_left(machine));
-        gone.iter().map(|group| group.change(Listed::Gone)).collect()
+        gone.iter()
+            .map(|group| group.change(Listed::Gone))
+            .collect()
     }
 
     /// Applies what the list service says of machines. With `full`, machines that it does not name have left
     /// it. A machine with several processes is ready if any of them is. Returns what to tell the core.
-    pub fn apply_list(&mut self, full: bool, told: impl Iterator<Item = (IpAddr, Place)>) -> Vec<Change> {
+    pub fn apply_list(
+        &mut self,
+        full: bool,
+        told: impl Iterator<Item = (IpAddr, Place)>,
+    ) -> Vec<Change> {
         let mut changes = Vec::new();
         for (machine, place) in self.by_machine(full, told) {
             if self.listed.insert(machine, place) != Some(place) {
@@ -164,7 +199,11 @@
     }
 
     /// The list's places by machine, with those machines that have left it.
-    fn by_machine(&self, full: bool, told: impl Iterator<Item = (IpAddr, Place)>) -> HashMap<IpAddr, Place> {
+    fn by_machine(
+        &self,
+        full: bool,
+        told: impl Iterator<Item = (IpAddr, Place)>,
+    ) -> HashMap<IpAddr, Place> {
         let mut places: HashMap<IpAddr, Place> = HashMap::new();
         for (machine, place) in told {
             let best = places.entry(machine).or_insert(place);
@@ -175,7 +214,10 @@
         if full {
             for (machine, place) in &self.listed {
                 // It gets nothing new until the list names it again.
-                places.entry(*machine).or_insert(Place { listed: Listed::Gone, ..*place });
+                places.entry(*machine).or_insert(Place {
+                    listed: Listed::Gone,
+                    ..*place
+                });
             }
         }
         places
@@ -184,9 +226,19 @@
     /// Gives a machine's groups its new place; adds what to tell the core.
     fn move_groups(&mut self, machine: IpAddr, changes: &mut Vec<Change>) {
         let place = self.place(machine);
-        for group in self.groups.values_mut().filter(|group| group.machine == machine) {
-            let Place { listed, came_up, .. } = group.announced;
-            let is_moved = Place { listed, came_up, ..place } != group.announced;
+        for group in self
+            .groups
+            .values_mut()
+            .filter(|group| group.machine == machine)
+        {
+            let Place {
+                listed, came_up, ..
+            } = group.announced;
+            let is_moved = Place {
+                listed,
+                came_up,
+                ..place
+            } != group.announced;
             if is_moved {
                 // The core never changes the place of a worker that it knows, so this becomes another worker.
                 changes.push(group.change(Listed::Gone));
@@ -215,11 +267,26 @@
 impl Group {
     /// The group as it was last announced, with the given state.
     fn change(&self, listed: Listed) -> Change {
-        let Place { zone, cell, kind, came_up, .. } = self.announced;
+        let Place {
+            zone,
+            cell,
+            kind,
+            came_up,
+            ..
+        } = self.announced;
         let (id, runs) = (self.worker, self.runs);
         Change {
             name: name(self.machine, runs, self.announced),
-            line: Line { id, zone, cell, kind, listed, came_up, runs, fetches: true },
+            line: Line {
+                id,
+                zone,
+                cell,
+                kind,
+                listed,
+                came_up,
+                runs,
+                fetches: true,
+            },
             generation: self.generation,
             machine: self.machine,
             runs,
@@ -229,9 +296,15 @@
 
 /// The name of the worker that a group is to the core.
 fn name(machine: IpAddr, runs: Runs, place: Place) -> String {
-    let Place { zone, cell, kind, .. } = place;
+    let Place {
+        zone, cell, kind, ..
+    } = place;
     // An unlisted machine's zone may be another after a restart of this program; its worker's name must not
     // be.
-    let place = if kind == u16::MAX { String::new() } else { format!("/{zone}.{cell}.{kind}") };
+    let place = if kind == u16::MAX {
+        String::new()
+    } else {
+        format!("/{zone}.{cell}.{kind}")
+    };
     format!("beanstalkd/{machine}/{runs}{place}")
 }
--- a/crates/mintlb-beanstalkd/src/session.rs
+++ b/crates/mintlb-beanstalkd/src/session.rs
@@ -130,7 +130,10 @@
 
     /// The earliest deadline of its leases, in seconds of the clock.
     pub fn next_deadline(&self) -> Option<f64> {
-        self.leases.values().map(|lease| lease.deadline).reduce(f64::min)
+        self.leases
+            .values()
+            .map(|lease| lease.deadline)
+            .reduce(f64::min)
     }
 
     /// It watches a tube.
@@ -145,6 +148,7 @@
 
     /// Takes the pending delivery if it is this attempt's.
     pub fn take_pending(&mut self, attempt: AllocId) -> Option<PendingDelivery> {
-        self.pending.take_if(|pending| pending.order.alloc == attempt)
+        self.pending
+            .take_if(|pending| pending.order.alloc == attempt)
     }
 }
--- a/crates/mintlb-beanstalkd/src/table.rs
+++ b/crates/mintlb-beanstalkd/src/table.rs
@@ -143,9 +143,9 @@
     let mut bytes = line.as_bytes().into();
     match crate::codec::Reader::new(0).next(&mut bytes) {
         Some(crate::codec::Item::Command(crate::codec::Command::Use(tube))) => Ok(tube),
-        _ => {
-            Err(format!("{name:?} is no name of a tube: 1 to 200 letters, digits and -+/;.$_(), no - first"))
-        }
+        _ => Err(format!(
+            "{name:?} is no name of a tube: 1 to 200 letters, digits and -+/;.$_(), no - first"
+        )),
     }
 }
 
@@ -159,11 +159,18 @@
         customers: &[String],
     ) -> Result<Plan, String> {
         let at = |field: &str, why: String| format!("beanstalkd.{field}: {why}");
-        let least = [("connections", table.connections), ("watched", table.watched), ("ends", table.ends)];
+        let least = [
+            ("connections", table.connections),
+            ("watched", table.watched),
+            ("ends", table.ends),
+        ];
         if let Some((field, _)) = least.iter().find(|(_, value)| *value == 0) {
             return Err(at(field, "0 is too little, 1 at least".into()));
         }
-        for (field, value) in [("keep_ends", table.keep_ends), ("longest_delay", table.longest_delay)] {
+        for (field, value) in [
+            ("keep_ends", table.keep_ends),
+            ("longest_delay", table.longest_delay),
+        ] {
             if !(0.0..=86_400.0).contains(&value) {
                 return Err(at(field, format!("{value} s is no time from 0 to 86400")));
             }
@@ -180,25 +187,36 @@
             if routes.iter().any(|r| r.tube == name) {
                 return Err(at("tube", format!("{name:?} is there twice")));
             }
-            let project_type =
-                known(names, &row.project_type, "project type").map_err(|why| at("project_type", why))?;
+            let project_type = known(names, &row.project_type, "project type")
+                .map_err(|why| at("project_type", why))?;
             let customer = match &row.customer {
-                Some(name) => Some(known(customers, name, "customer").map_err(|why| at("customer", why))?),
+                Some(name) => {
+                    Some(known(customers, name, "customer").map_err(|why| at("customer", why))?)
+                }
                 None => None,
             };
             if project_type >= 64 {
                 return Err(at("project_type", "only the first 64 can be mapped".into()));
             }
             let t = &types[project_type];
-            if runners[project_type].replace(row.workers).is_some_and(|other| other != row.workers) {
-                return Err(at("workers", format!("another tube of {:?} says otherwise", row.project_type)));
+            if runners[project_type]
+                .replace(row.workers)
+                .is_some_and(|other| other != row.workers)
+            {
+                return Err(at(
+                    "workers",
+                    format!("another tube of {:?} says otherwise", row.project_type),
+                ));
             }
             if t.kind.is_some() && row.workers != Runners::Http && !table.listed {
-                let why =
-                    "the project type needs a kind of machine, which only the list tells: set listed = true";
+                let why = "the project type needs a kind of machine, which only the list tells: set listed = true";
                 return Err(at("workers", why.into()));
             }
-            let ends = row.ends.as_deref().map(|name| tube_of("ends", name)).transpose()?;
+            let ends = row
+                .ends
+                .as_deref()
+                .map(|name| tube_of("ends", name))
+                .transpose()?;
             routes.push(Route {
                 tube: name,
                 project_type,
@@ -210,17 +228,31 @@
             });
         }
         for (i, route) in routes.iter().enumerate() {
-            if let Some(ends) = route.ends.as_ref().filter(|ends| routes.iter().any(|r| r.tube == **ends)) {
+            if let Some(ends) = route
+                .ends
+                .as_ref()
+                .filter(|ends| routes.iter().any(|r| r.tube == **ends))
+            {
                 let why = format!("{ends:?} takes jobs, and can't tell of ends, too");
                 return Err(format!("beanstalkd.tubes[{i}].ends: {why}"));
             }
         }
         let of = |wanted: &[Runners]| -> Runs {
-            let named = (0..).zip(&runners).filter(|(_, r)| r.is_some_and(|r| wanted.contains(&r)));
+            let named = (0..)
+                .zip(&runners)
+                .filter(|(_, r)| r.is_some_and(|r| wanted.contains(&r)));
             named.map(|(i, _)| i).collect()
         };
-        let (runs, only) = (of(&[Runners::Beanstalkd, Runners::Both]), of(&[Runners::Beanstalkd]));
-        Ok(Plan { table, routes, runs, only })
+        let (runs, only) = (
+            of(&[Runners::Beanstalkd, Runners::Both]),
+            of(&[Runners::Beanstalkd]),
+        );
+        Ok(Plan {
+            table,
+            routes,
+            runs,
+            only,
+        })
     }
 
     /// The route of a tube that takes jobs.
@@ -230,14 +262,18 @@
 
     /// A tube is for notices.
     pub fn tells_ends(&self, tube: &str) -> bool {
-        self.routes.iter().any(|route| route.ends.as_deref() == Some(tube))
+        self.routes
+            .iter()
+            .any(|route| route.ends.as_deref() == Some(tube))
     }
 
     /// The project types that a worker runs which watches these tubes. Tubes of one project type are one
     /// queue.
     pub fn runs_of(&self, watched: &[Tube]) -> Runs {
-        let routes =
-            self.routes.iter().filter(|r| self.runs.has(r.project_type) && watched.contains(&r.tube));
+        let routes = self
+            .routes
+            .iter()
+            .filter(|r| self.runs.has(r.project_type) && watched.contains(&r.tube));
         routes.map(|route| route.project_type).collect()
     }
 }
--- a/crates/mintlb-bench-adapter/src/host.rs
+++ b/crates/mintlb-bench-adapter/src/host.rs
@@ -3,7 +3,9 @@
 use crate::frame::{Batch, Bytes, Reply};
 use mintlb_scheduler::decide::Scheduler;
 use mintlb_scheduler::settings::Text;
-use mintlb_scheduler::{Allocation, Door, Line, Listed, News, Outcome, Report, Runs, WorkUnit, Worker};
+use mintlb_scheduler::{
+    Allocation, Door, Line, Listed, News, Outcome, Report, Runs, WorkUnit, Worker,
+};
 use std::any::Any;
 use std::collections::{BTreeMap, HashMap};
 use std::panic::{AssertUnwindSafe, catch_unwind};
@@ -49,17 +51,20 @@
     }
     fn recall(&mut self, alloc: &Allocation) {
         if let Some(id) = id_of(alloc) {
-            self.reply.act(19, self.me, &[&id, &alloc.number.to_be_bytes()]);
+            self.reply
+                .act(19, self.me, &[&id, &alloc.number.to_be_bytes()]);
         }
     }
     fn defer(&mut self, wu: &WorkUnit, come_back: f64) {
-        self.reply.act(17, self.me, &[&wu.id.to_be_bytes(), &ms(come_back)]);
+        self.reply
+            .act(17, self.me, &[&wu.id.to_be_bytes(), &ms(come_back)]);
     }
     fn abort(&mut self, wu: &WorkUnit) {
         self.reply.act(18, self.me, &[&wu.id.to_be_bytes()]);
     }
     fn probe(&mut self, worker: &Worker) {
-        self.reply.act(21, self.me, &[&worker.line.id.to_be_bytes()[2..]]);
+        self.reply
+            .act(21, self.me, &[&worker.line.id.to_be_bytes()[2..]]);
     }
     fn follow_list(&mut self) {
         self.reply.act(26, self.me, &[&[1]]);
@@ -82,30 +87,52 @@
             held: HashMap::new(),
             types: text.project_types()?.len(),
             customers: text.customers()?,
-            fields: text.list("stats.fields").iter().map(|f| f.to_string()).collect(),
+            fields: text
+                .list("stats.fields")
+                .iter()
+                .map(|f| f.to_string())
+                .collect(),
         })
     }
 
     fn work_unit(&self, event: Bytes, now: f64) -> Result<Rc<WorkUnit>, String> {
         let (profile, billing) = (usize::from(event.u16(11)), usize::from(event.u16(13)));
         if profile >= self.types {
-            return Err(format!("project type {profile} of {} is out of range", self.types));
+            return Err(format!(
+                "project type {profile} of {} is out of range",
+                self.types
+            ));
         }
         if billing > 0 && billing >= self.customers {
-            return Err(format!("customer {billing} of {} is out of range", self.customers));
+            return Err(format!(
+                "customer {billing} of {} is out of range",
+                self.customers
+            ));
         }
         let customer = (self.customers > 0).then_some(billing);
         let (slots, budget) = (event.f32(39), event.f64(23) / 1000.0);
-        Ok(WorkUnit::new(event.u64(3), profile, customer, slots, now, budget))
+        Ok(WorkUnit::new(
+            event.u64(3),
+            profile,
+            customer,
+            slots,
+            now,
+            budget,
+        ))
     }
 
     fn report(&self, event: Bytes, at: usize) -> Result<Report, String> {
         let n = usize::from(event.u8(at));
         if n > self.fields.len().min(4) {
-            return Err(format!("a load report of {n} values, {} are named", self.fields.len()));
+            return Err(format!(
+                "a load report of {n} values, {} are named",
+                self.fields.len()
+            ));
         }
         let at_slot = self.fields.iter().take(n).position(|f| f == "x0");
-        Ok(Report { free_slots: at_slot.map(|i| event.f32(at + 1 + 4 * i)) })
+        Ok(Report {
+            free_slots: at_slot.map(|i| event.f32(at + 1 + 4 * i)),
+        })
     }
 
     fn event(
@@ -124,7 +151,10 @@
                 self.forget(&wu);
             }
             17 => {
-                let alloc = self.held.get(&event.u64(3)).and_then(|wu| wu.allocation(event.u16(18)));
+                let alloc = self
+                    .held
+                    .get(&event.u64(3))
+                    .and_then(|wu| wu.allocation(event.u16(18)));
                 if let Some(alloc) = alloc.filter(|_| event.u8(17) == 1) {
                     self.scheduler.started(door, now, &alloc);
                 }
@@ -142,10 +172,13 @@
                     other => return Err(format!("unknown outcome {other}")),
                 };
                 let report = self.report(event, 31)?;
-                let Some(wu) = self.held.get(&event.u64(3)).cloned() else { return Ok(()) };
+                let Some(wu) = self.held.get(&event.u64(3)).cloned() else {
+                    return Ok(());
+                };
                 if let Some(alloc) = wu.allocation(event.u16(11)) {
                     alloc.worker.told(now, report);
-                    self.scheduler.came_back(door, now, &alloc, outcome, event.u8(29) != 0);
+                    self.scheduler
+                        .came_back(door, now, &alloc, outcome, event.u8(29) != 0);
                 }
                 self.forget(&wu);
             }
@@ -172,7 +205,9 @@
             19 => {
                 let lines = || {
                     let slot = event.u16(8);
-                    censuses.get(&slot).ok_or_else(|| format!("there is no list number {slot}"))
+                    censuses
+                        .get(&slot)
+                        .ok_or_else(|| format!("there is no list number {slot}"))
                 };
                 let news = match event.u8(3) {
                     0 => News::Changes(lines()?),
@@ -210,7 +245,16 @@
         };
         let (zone, cell, kind) = (e.u16(10), e.u16(12).into(), e.u16(15));
         let came_up = e.f64(17) / 1000.0;
-        Ok(Line { id: e.worker(4), zone, cell, kind, listed, came_up, runs: Runs::default(), fetches: false })
+        Ok(Line {
+            id: e.worker(4),
+            zone,
+            cell,
+            kind,
+            listed,
+            came_up,
+            runs: Runs::default(),
+            fetches: false,
+        })
     });
     lines.collect()
 }
@@ -236,13 +280,16 @@
         let now = batch.clock / 1000.0;
         match event.u8(0) {
             24 => {
-                self.censuses.insert(me, census(batch.tail(event, 3, LINE)?)?);
+                self.censuses
+                    .insert(me, census(batch.tail(event, 3, LINE)?)?);
             }
             26 => {
                 let text = std::str::from_utf8(batch.tail(event, 11, 1)?);
                 let text = Text::new(text.map_err(|e| format!("the settings are no text: {e}"))?);
                 let mut instance = Instance::new(event.u64(3), &text)?;
-                instance.scheduler.power_on(&mut WireDoor { me, reply }, now);
+                instance
+                    .scheduler
+                    .power_on(&mut WireDoor { me, reply }, now);
                 self.instances.insert(me, instance);
             }
             20 => {
@@ -250,7 +297,9 @@
             }
             code => {
                 let Some(instance) = self.instances.get_mut(&me) else {
-                    return Err(format!("event code {code} for scheduler {me}, which is not running"));
+                    return Err(format!(
+                        "event code {code} for scheduler {me}, which is not running"
+                    ));
                 };
                 let mut door = WireDoor { me, reply };
                 let done = catch_unwind(AssertUnwindSafe(|| {
--- a/crates/mintlb-bench-adapter/src/main.rs
+++ b/crates/mintlb-bench-adapter/src/main.rs
@@ -13,7 +13,12 @@
     while let Some(batch) = frame::read(&mut input)? {
         let reply = host.answer(&batch)?;
         let told = output.write_all(&reply).and_then(|()| output.flush());
-        told.map_err(|e| format!("batch {}: the reply could not be written: {e}", batch.number))?;
+        told.map_err(|e| {
+            format!(
+                "batch {}: the reply could not be written: {e}",
+                batch.number
+            )
+        })?;
     }
     Ok(())
 }
--- a/crates/mintlb-bench-adapter/tests/wire.rs
+++ b/crates/mintlb-bench-adapter/tests/wire.rs
@@ -11,23 +11,51 @@
     }
     let length = (4 + records.len() + tail.len()) as u32;
     let count = events.len() as u32;
-    let head =
-        [&1u32.to_be_bytes()[..], &0f64.to_be_bytes(), &length.to_be_bytes(), &count.to_be_bytes()].concat();
+    let head = [
+        &1u32.to_be_bytes()[..],
+        &0f64.to_be_bytes(),
+        &length.to_be_bytes(),
+        &count.to_be_bytes(),
+    ]
+    .concat();
     [&head, &records, tail].concat()
 }
 
 #[test]
 fn frames_and_plain_messages() {
-    let power_on = |n: u32| [&[26, 0, 3][..], &7u64.to_be_bytes(), &[0; 4], &n.to_be_bytes()].concat();
+    let power_on = |n: u32| {
+        [
+            &[26, 0, 3][..],
+            &7u64.to_be_bytes(),
+            &[0; 4],
+            &n.to_be_bytes(),
+        ]
+        .concat()
+    };
     let missing = b"balancers=3\nsurprise=1\n";
     let odd = b"balancers=many\n";
     let empty_reply = [0, 0, 0, 1, 0, 0, 0, 4, 0, 0, 0, 0];
     let cases: [(&str, Vec<u8>, &[u8], &str); 9] = [
         ("end of input", vec![], &[], ""),
         ("an empty batch", batch(&[], &[]), &empty_reply, ""),
-        ("a header cut short", vec![0; 9], &[], "truncated frame: the header ends after 9 of 16 bytes"),
-        ("a body cut short", batch(&[&[20, 0, 0]], &[])[..40].to_vec(), &[], "batch 1: truncated frame"),
-        ("a code of no event", batch(&[&[99, 0, 3]], &[]), &[], "event 0: event code 99 for scheduler 3"),
+        (
+            "a header cut short",
+            vec![0; 9],
+            &[],
+            "truncated frame: the header ends after 9 of 16 bytes",
+        ),
+        (
+            "a body cut short",
+            batch(&[&[20, 0, 0]], &[])[..40].to_vec(),
+            &[],
+            "batch 1: truncated frame",
+        ),
+        (
+            "a code of no event",
+            batch(&[&[99, 0, 3]], &[]),
+            &[],
+            "event 0: event code 99 for scheduler 3",
+        ),
         (
             "a setting missing",
             batch(&[&power_on(23)], missing),
@@ -40,8 +68,18 @@
             &[],
             "the setting balancers=many cannot be read",
         ),
-        ("a tail too short", batch(&[&power_on(99)], odd), &[], "lie outside the tail"),
-        ("halting nobody", batch(&[&[20, 0, 3]], &[]), &empty_reply, ""),
+        (
+            "a tail too short",
+            batch(&[&power_on(99)], odd),
+            &[],
+            "lie outside the tail",
+        ),
+        (
+            "halting nobody",
+            batch(&[&[20, 0, 3]], &[]),
+            &empty_reply,
+            "",
+        ),
     ];
     for (shown, input, reply, message) in cases {
         let mut adapter = Command::new(env!("CARGO_BIN_EXE_mintlb-bench-adapter"))
@@ -55,6 +93,9 @@
         let said = String::from_utf8(out.stderr).unwrap();
         assert_eq!(out.stdout, reply, "{shown}");
         assert_eq!(out.status.success(), message.is_empty(), "{shown}: {said}");
-        assert!(said.contains(message) && !said.contains("panic"), "{shown}: {said}");
+        assert!(
+            said.contains(message) && !said.contains("panic"),
+            "{shown}: {said}"
+        );
     }
 }
--- a/crates/mintlb-common/src/configuration.rs
+++ b/crates/mintlb-common/src/configuration.rs
@@ -188,8 +188,8 @@
 impl Configuration {
     /// Reads and checks a configuration as the operator sends it.
     pub fn parse(json: &[u8]) -> Result<Configuration, ConfigurationError> {
-        let configuration: Configuration =
-            serde_json::from_slice(json).map_err(|e| ConfigurationError::Unreadable(e.to_string()))?;
+        let configuration: Configuration = serde_json::from_slice(json)
+            .map_err(|e| ConfigurationError::Unreadable(e.to_string()))?;
         configuration.check()?;
         Ok(configuration)
     }
@@ -202,15 +202,25 @@
     }
 
     fn check(&self) -> Result<(), ConfigurationError> {
-        let services: HashSet<&str> = self.service_list.iter().map(|service| service.name.as_str()).collect();
+        let services: HashSet<&str> = self
+            .service_list
+            .iter()
+            .map(|service| service.name.as_str())
+            .collect();
         let mut places = HashSet::new();
         for (i, route) in self.route_list.iter().enumerate() {
             let invalid = |field: &str, reason: &str| ConfigurationError::Invalid {
                 field: format!("route_list[{i}].{field}"),
                 reason: reason.to_string(),
             };
-            if !places.insert((route.host_name.to_ascii_lowercase(), route.path_prefix.as_str())) {
-                return Err(invalid("path_prefix", "another route has this host and prefix"));
+            if !places.insert((
+                route.host_name.to_ascii_lowercase(),
+                route.path_prefix.as_str(),
+            )) {
+                return Err(invalid(
+                    "path_prefix",
+                    "another route has this host and prefix",
+                ));
             }
             if !route.path_prefix.starts_with('/') || !route.path_prefix.ends_with('/') {
                 return Err(invalid("path_prefix", "has to begin and end with a slash"));
@@ -218,11 +228,16 @@
             if route.timeout_ms == Some(0) {
                 return Err(invalid("timeout_ms", "is 0"));
             }
-            if route.targets().any(|(service, _)| !services.contains(service)) {
+            if route
+                .targets()
+                .any(|(service, _)| !services.contains(service))
+            {
                 return Err(invalid("target_service", "there is no such service"));
             }
-            let bad_weight =
-                route.traffic_split.iter().any(|part| !part.weight.is_finite() || part.weight < 0.0);
+            let bad_weight = route
+                .traffic_split
+                .iter()
+                .any(|part| !part.weight.is_finite() || part.weight < 0.0);
             if bad_weight || route.targets().map(|(_, weight)| weight).sum::<f64>() <= 0.0 {
                 return Err(invalid("traffic_split", "the weights sum to 0"));
             }
@@ -236,22 +251,37 @@
         let fits = |route: &&Route| {
             route.host_name.eq_ignore_ascii_case(host) && path.starts_with(&route.path_prefix)
         };
-        let fitting = self.route_list.iter().enumerate().filter(|(_, route)| fits(route));
+        let fitting = self
+            .route_list
+            .iter()
+            .enumerate()
+            .filter(|(_, route)| fits(route));
         fitting.max_by_key(|(_, route)| route.path_prefix.len())
     }
 
     /// The service with this name.
     pub fn service(&self, name: &str) -> Option<&Service> {
-        self.service_list.iter().find(|service| service.name == name)
+        self.service_list
+            .iter()
+            .find(|service| service.name == name)
     }
 }
 
 impl Route {
     /// The services that serve it, each with its weight.
     pub fn targets(&self) -> impl Iterator<Item = (&str, f64)> {
-        let single = self.target_service.as_deref().filter(|_| self.traffic_split.is_empty());
-        let split = self.traffic_split.iter().map(|part| (part.target_service.as_str(), part.weight));
-        single.map(|service| (service, 1.0)).into_iter().chain(split)
+        let single = self
+            .target_service
+            .as_deref()
+            .filter(|_| self.traffic_split.is_empty());
+        let split = self
+            .traffic_split
+            .iter()
+            .map(|part| (part.target_service.as_str(), part.weight));
+        single
+            .map(|service| (service, 1.0))
+            .into_iter()
+            .chain(split)
     }
 
     /// Whether a request may run more than once.
--- a/crates/mintlb-common/src/configuration/faults.rs
+++ b/crates/mintlb-common/src/configuration/faults.rs
@@ -1,18 +1,22 @@
 //! All faults of a configuration by the paths of their fields, with the validators of `schematic`.
 
-use super::{ConfigurationError, PartialConfiguration, PartialRoute, PartialService, PartialWeightedService};
+use super::{
+    ConfigurationError, PartialConfiguration, PartialRoute, PartialService, PartialWeightedService,
+};
 use schematic::{ConfigError, PartialConfig, Path, PathSegment, ValidateError, ValidateResult};
 use std::collections::HashSet;
 
 /// Looks for all faults.
 pub(super) fn find(json: &[u8]) -> Result<(), ConfigurationError> {
-    let partial: PartialConfiguration =
-        serde_json::from_slice(json).map_err(|error| ConfigurationError::Unreadable(error.to_string()))?;
+    let partial: PartialConfiguration = serde_json::from_slice(json)
+        .map_err(|error| ConfigurationError::Unreadable(error.to_string()))?;
     match partial.validate(&(), true) {
         Ok(()) => Ok(()),
         Err(ConfigError::Validator { error, .. }) => {
             let named = |fault: &ValidateError| format!("{}: {}", fault.path, fault.message);
-            Err(ConfigurationError::Faults { faults: error.errors.iter().map(named).collect() })
+            Err(ConfigurationError::Faults {
+                faults: error.errors.iter().map(named).collect(),
+            })
         }
         Err(error) => Err(ConfigurationError::Unreadable(error.to_string())),
     }
@@ -27,7 +31,11 @@
 ) -> ValidateResult {
     let mut places = HashSet::new();
     for (i, route) in routes.iter().enumerate() {
-        let host = route.host_name.as_deref().unwrap_or_default().to_ascii_lowercase();
+        let host = route
+            .host_name
+            .as_deref()
+            .unwrap_or_default()
+            .to_ascii_lowercase();
         if !places.insert((host, route.path_prefix.as_deref().unwrap_or_default())) {
             let reason = "another route has this host and prefix";
             return Err(ValidateError::with_path(reason, at(i, "path_prefix")));
@@ -43,20 +51,31 @@
     _: &(),
     _: bool,
 ) -> ValidateResult {
-    let known: HashSet<&str> = services.iter().filter_map(|service| service.name.as_deref()).collect();
+    let known: HashSet<&str> = services
+        .iter()
+        .filter_map(|service| service.name.as_deref())
+        .collect();
     let routes = configuration.route_list.iter().flatten();
-    let unknown = routes.flat_map(named_services).find(|name| !known.contains(name));
+    let unknown = routes
+        .flat_map(named_services)
+        .find(|name| !known.contains(name));
     match unknown {
-        Some(name) => Err(ValidateError::new(format!("a route names {name:?}, which is not there"))),
+        Some(name) => Err(ValidateError::new(format!(
+            "a route names {name:?}, which is not there"
+        ))),
         None => Ok(()),
     }
 }
 
 fn named_services(route: &PartialRoute) -> impl Iterator<Item = &str> {
     let split = route.traffic_split.iter().flatten();
-    let single =
-        route.target_service.as_deref().filter(|_| route.traffic_split.iter().flatten().count() == 0);
-    single.into_iter().chain(split.filter_map(|part| part.target_service.as_deref()))
+    let single = route
+        .target_service
+        .as_deref()
+        .filter(|_| route.traffic_split.iter().flatten().count() == 0);
+    single
+        .into_iter()
+        .chain(split.filter_map(|part| part.target_service.as_deref()))
 }
 
 /// A prefix begins and ends with a slash.
@@ -69,7 +88,11 @@
 
 /// A timeout is above 0.
 pub(super) fn timeout(timeout_ms: &u64, _: &PartialRoute, _: &(), _: bool) -> ValidateResult {
-    if *timeout_ms == 0 { Err(ValidateError::new("is 0")) } else { Ok(()) }
+    if *timeout_ms == 0 {
+        Err(ValidateError::new("is 0"))
+    } else {
+        Ok(())
+    }
 }
 
 /// The weights are numbers from 0 and do not sum to 0.
@@ -90,5 +113,8 @@
 }
 
 fn at(index: usize, field: &str) -> Path {
-    Path::new(vec![PathSegment::Index(index), PathSegment::Key(field.to_string())])
+    Path::new(vec![
+        PathSegment::Index(index),
+        PathSegment::Key(field.to_string()),
+    ])
 }
--- a/crates/mintlb-common/src/logging.rs
+++ b/crates/mintlb-common/src/logging.rs
@@ -6,7 +6,10 @@
 
 /// Starts the log with this level (`info`, `debug`, ...). The log ends when the handle is dropped.
 pub fn start(level: &str) -> Result<LoggerHandle, flexi_logger::FlexiLoggerError> {
-    Logger::try_with_str(level)?.log_to_stderr().format(line).start()
+    Logger::try_with_str(level)?
+        .log_to_stderr()
+        .format(line)
+        .start()
 }
 
 /// One line: the level's first letter, then the text, which begins with its part's prefix.
--- a/crates/mintlb-common/src/settings.rs
+++ b/crates/mintlb-common/src/settings.rs
@@ -173,9 +173,14 @@
 
     /// Reads and checks a file.
     pub fn read(path: &Path) -> Result<NodeSettings, SettingsError> {
-        let text = std::fs::read_to_string(path)
-            .map_err(|cause| SettingsError::Unreadable { path: path.to_owned(), cause })?;
-        NodeSettings::parse(&text).map_err(|cause| SettingsError::Invalid { path: path.to_owned(), cause })
+        let text = std::fs::read_to_string(path).map_err(|cause| SettingsError::Unreadable {
+            path: path.to_owned(),
+            cause,
+        })?;
+        NodeSettings::parse(&text).map_err(|cause| SettingsError::Invalid {
+            path: path.to_owned(),
+            cause,
+        })
     }
 
     /// Reads and checks a text; an error names the field.
@@ -187,7 +192,9 @@
 
     fn check(&self) -> Result<(), String> {
         if self.internal_ports[1] < self.internal_ports[0].saturating_add(INTERNAL_PORT_COUNT - 1) {
-            return Err(format!("internal_ports: {INTERNAL_PORT_COUNT} ports are needed"));
+            return Err(format!(
+                "internal_ports: {INTERNAL_PORT_COUNT} ports are needed"
+            ));
         }
         if self.heartbeat_ms == 0 {
             return Err("heartbeat_ms: 0 is no time between heartbeats".to_string());
@@ -200,13 +207,19 @@
 
     /// Where this process listens for the tier's own messages.
     pub fn internal_address(&self, port: InternalPort) -> SocketAddr {
-        SocketAddr::V4(SocketAddrV4::new(self.ip_address, self.internal_ports[0] + port as u16))
+        SocketAddr::V4(SocketAddrV4::new(
+            self.ip_address,
+            self.internal_ports[0] + port as u16,
+        ))
     }
 
     /// Where the controller of a seed listens for the tier's own messages: ports are the same on all machines.
     pub fn seed_addresses(&self) -> Vec<SocketAddr> {
         let port = self.internal_ports[0] + InternalPort::Controller as u16;
-        self.seed_nodes.iter().map(|seed| SocketAddr::V4(SocketAddrV4::new(*seed.ip(), port))).collect()
+        self.seed_nodes
+            .iter()
+            .map(|seed| SocketAddr::V4(SocketAddrV4::new(*seed.ip(), port)))
+            .collect()
     }
 
     /// A worker is taken for silent after so long without a heartbeat.
--- a/crates/mintlb-common/src/transport.rs
+++ b/crates/mintlb-common/src/transport.rs
@@ -64,9 +64,14 @@
 
 impl Channel {
     fn from_byte(byte: u8) -> Option<Channel> {
-        [Channel::Overlay, Channel::Register, Channel::Lots, Channel::Duties]
-            .into_iter()
-            .find(|c| *c as u8 == byte)
+        [
+            Channel::Overlay,
+            Channel::Register,
+            Channel::Lots,
+            Channel::Duties,
+        ]
+        .into_iter()
+        .find(|c| *c as u8 == byte)
     }
 }
 
@@ -169,7 +174,11 @@
     /// Counts what was not taken from a process, also by the service that it was for.
     pub fn refuse(&self, refusal: Refusal, from: SocketAddr) {
         if let Some(count) = self.refusals.lock().count(refusal, from) {
-            let level = if refusal.is_usual() { log::Level::Info } else { log::Level::Warn };
+            let level = if refusal.is_usual() {
+                log::Level::Info
+            } else {
+                log::Level::Warn
+            };
             log::log!(level, "transport: {refusal}, from {from}, {count} so far");
         }
     }
@@ -186,7 +195,12 @@
 
     /// Sends a message that gets no answer; whether there was room for it in the queue.
     pub fn notify(self: &Arc<Self>, to: SocketAddr, channel: Channel, body: Bytes) -> bool {
-        self.link(to).send(Frame { channel: channel as u8, kind: Kind::Notice, call: 0, body })
+        self.link(to).send(Frame {
+            channel: channel as u8,
+            kind: Kind::Notice,
+            call: 0,
+            body,
+        })
     }
 
     /// Sends a message and waits for its answer. One that is found after its time does not count, also if this process
@@ -201,7 +215,12 @@
         let (call, began) = (self.calls.fetch_add(1, Relaxed), Instant::now());
         let link = self.link(to);
         let answered = link.expect_answer(call);
-        let queued = link.send(Frame { channel: channel as u8, kind: Kind::Request, call, body });
+        let queued = link.send(Frame {
+            channel: channel as u8,
+            kind: Kind::Request,
+            call,
+            body,
+        });
         let outcome = match queued {
             false => Err(CallError::Unreachable),
             true => match timeout(within, answered).await {
@@ -229,13 +248,24 @@
     }
 
     /// Carries the messages to one process until the connection breaks or is idle.
-    async fn dial(self: Arc<Self>, to: SocketAddr, link: Arc<Link>, mut queue: mpsc::Receiver<Frame>) {
+    async fn dial(
+        self: Arc<Self>,
+        to: SocketAddr,
+        link: Arc<Link>,
+        mut queue: mpsc::Receiver<Frame>,
+    ) {
         let end = self.carry(to, &link, &mut queue).await;
         drop(queue);
         self.unlink(to, &link);
-        link.ended(if end == End::Refused { CallError::Replaced } else { CallError::Unreachable });
+        link.ended(if end == End::Refused {
+            CallError::Replaced
+        } else {
+            CallError::Unreachable
+        });
         if end != End::Idle {
-            self.services().iter().for_each(|service| service.unreachable(to));
+            self.services()
+                .iter()
+                .for_each(|service| service.unreachable(to));
         }
     }
 
@@ -287,7 +317,10 @@
 
     fn unlink(&self, to: SocketAddr, link: &Arc<Link>) {
         let mut links = self.links.lock();
-        if links.get(&to).is_some_and(|current| Arc::ptr_eq(current, link)) {
+        if links
+            .get(&to)
+            .is_some_and(|current| Arc::ptr_eq(current, link))
+        {
             links.remove(&to);
         }
     }
@@ -303,10 +336,16 @@
         let former = {
             let mut links = self.links.lock();
             let is_former = links.get(&address).is_some_and(is_other);
-            if is_former { links.remove(&address) } else { None }
+            if is_former {
+                links.remove(&address)
+            } else {
+                None
+            }
         };
         former.iter().for_each(|link| link.replace());
-        self.services().iter().for_each(|service| service.restarted(address, incarnation));
+        self.services()
+            .iter()
+            .for_each(|service| service.restarted(address, incarnation));
     }
 
     fn services(&self) -> Vec<Arc<dyn Service>> {
@@ -322,9 +361,16 @@
         let socket = TcpSocket::new_v4()?;
         prepare(&socket2::SockRef::from(&socket));
         let late = || std::io::Error::from(std::io::ErrorKind::TimedOut);
-        let mut stream = timeout(PATIENCE, socket.connect(to)).await.map_err(|_| late())??;
+        let mut stream = timeout(PATIENCE, socket.connect(to))
+            .await
+            .map_err(|_| late())??;
         stream.set_nodelay(true)?;
-        let greeting = Greeting { purpose, address: self.own, incarnation: self.incarnation, expected };
+        let greeting = Greeting {
+            purpose,
+            address: self.own,
+            incarnation: self.incarnation,
+            expected,
+        };
         stream.write_all(&greeting.to_bytes()).await?;
         Ok(stream)
     }
@@ -356,16 +402,26 @@
         stream.set_nodelay(true).ok();
         let mut bytes = [0; GREETING_BYTES];
         let greeted = timeout(PATIENCE, stream.read_exact(&mut bytes)).await;
-        let greeting = if matches!(greeted, Ok(Ok(_))) { Greeting::from_bytes(&bytes) } else { None };
+        let greeting = if matches!(greeted, Ok(Ok(_))) {
+            Greeting::from_bytes(&bytes)
+        } else {
+            None
+        };
         let Some(greeting) = greeting else {
             // Its port says nothing of who it is.
             return self.refuse(Refusal::Greeting, SocketAddr::new(peer.ip(), 0));
         };
-        let replied = stream.write_all(&reply_bytes(self.incarnation)).await.is_ok();
+        let replied = stream
+            .write_all(&reply_bytes(self.incarnation))
+            .await
+            .is_ok();
         if !replied || greeting.purpose == Purpose::Question {
             return;
         }
-        if greeting.expected.is_some_and(|expected| expected != self.incarnation) {
+        if greeting
+            .expected
+            .is_some_and(|expected| expected != self.incarnation)
+        {
             self.refuse(Refusal::MeantForAnother, greeting.from());
             return close(stream).await;
         }
@@ -452,7 +508,8 @@
     }
 
     fn take(&self, frame: Frame, from: SocketAddr, answers: &mpsc::Sender<Frame>) {
-        let service = Channel::from_byte(frame.channel).and_then(|c| self.services.lock().get(&c).cloned());
+        let service =
+            Channel::from_byte(frame.channel).and_then(|c| self.services.lock().get(&c).cloned());
         let Some(service) = service else { return };
         if frame.kind == Kind::Notice {
             return service.notice(from, frame.body);
@@ -460,7 +517,12 @@
         let (answers, answer) = (answers.clone(), service.request(from, frame.body));
         tokio::spawn(async move {
             let body = answer.await;
-            let answer = Frame { channel: frame.channel, kind: Kind::Answer, call: frame.call, body };
+            let answer = Frame {
+                channel: frame.channel,
+                kind: Kind::Answer,
+                call: frame.call,
+                body,
+            };
             answers.send(answer).await.ok();
         });
     }
--- a/crates/mintlb-common/src/transport/frame.rs
+++ b/crates/mintlb-common/src/transport/frame.rs
@@ -56,7 +56,10 @@
 impl Frames {
     /// Of this connection, whose greetings are over.
     pub fn new(read: OwnedReadHalf) -> Frames {
-        Frames { read, bytes: BytesMut::with_capacity(4 << 10) }
+        Frames {
+            read,
+            bytes: BytesMut::with_capacity(4 << 10),
+        }
     }
 
     /// The next frame; none when the connection has ended.
@@ -68,7 +71,12 @@
             if self.bytes.is_empty() && self.bytes.capacity() > 256 << 10 {
                 self.bytes = BytesMut::with_capacity(4 << 10);
             }
-            if !self.read.read_buf(&mut self.bytes).await.is_ok_and(|read| read > 0) {
+            if !self
+                .read
+                .read_buf(&mut self.bytes)
+                .await
+                .is_ok_and(|read| read > 0)
+            {
                 return Ok(None);
             }
         }
@@ -98,5 +106,10 @@
         _ => return Err(NoFrame),
     };
     let call = head.get_u64();
-    Ok(Some(Frame { channel, kind, call, body: bytes.split_to(length).freeze() }))
+    Ok(Some(Frame {
+        channel,
+        kind,
+        call,
+        body: bytes.split_to(length).freeze(),
+    }))
 }
--- a/crates/mintlb-common/src/transport/greeting.rs
+++ b/crates/mintlb-common/src/transport/greeting.rs
@@ -57,7 +57,12 @@
         let ip = rest.get_u32();
         let address = SocketAddrV4::new(ip.into(), rest.get_u16());
         let incarnation = Incarnation::from_number(rest.get_u64())?;
-        Some(Greeting { purpose, address, incarnation, expected: Incarnation::from_number(rest.get_u64()) })
+        Some(Greeting {
+            purpose,
+            address,
+            incarnation,
+            expected: Incarnation::from_number(rest.get_u64()),
+        })
     }
 
     /// The sender's internal address.
--- a/crates/mintlb-common/src/transport/link.rs
+++ b/crates/mintlb-common/src/transport/link.rs
@@ -32,7 +32,12 @@
     /// A link without a connection yet, and the queue of its messages.
     pub fn new(expected: Option<Incarnation>) -> (Arc<Link>, mpsc::Receiver<Frame>) {
         let (queue, queued) = mpsc::channel(QUEUE);
-        let link = Link { expected, queue, waiting: Mutex::default(), replaced: Notify::new() };
+        let link = Link {
+            expected,
+            queue,
+            waiting: Mutex::default(),
+            replaced: Notify::new(),
+        };
         (Arc::new(link), queued)
     }
 
@@ -62,7 +67,9 @@
     /// The connection has ended, and its queue is dropped: no call on it gets an answer.
     pub fn ended(&self, cause: CallError) {
         let waiting = std::mem::take(&mut *self.waiting.lock());
-        waiting.into_values().for_each(|waits| drop(waits.send(Err(cause))));
+        waiting
+            .into_values()
+            .for_each(|waits| drop(waits.send(Err(cause))));
     }
 
     /// Ends the connection.
--- a/crates/mintlb-common/src/transport/lives.rs
+++ b/crates/mintlb-common/src/transport/lives.rs
@@ -50,7 +50,9 @@
         if !self.known.contains_key(&address) && self.known.len() >= MOST_ADDRESSES {
             return false;
         }
-        self.known.insert(address, incarnation).is_some_and(|before| before != incarnation)
+        self.known
+            .insert(address, incarnation)
+            .is_some_and(|before| before != incarnation)
     }
 
     /// Whether what comes from this life is still taken.
--- a/crates/mintlb-common/src/transport/refusals.rs
+++ b/crates/mintlb-common/src/transport/refusals.rs
@@ -44,7 +44,8 @@
 impl Refusals {
     /// Counts one; gives the count when it is worth a line in the log: at 1, 2, 4, 8 and so on.
     pub fn count(&mut self, refusal: Refusal, from: SocketAddr) -> Option<u64> {
-        let has_room = self.counts.len() < MOST_COUNTS || self.counts.contains_key(&(refusal, from));
+        let has_room =
+            self.counts.len() < MOST_COUNTS || self.counts.contains_key(&(refusal, from));
         let from = if has_room { from } else { OTHERS };
         let count = self.counts.entry((refusal, from)).or_default();
         *count += 1;
--- a/crates/mintlb-common/tests/configuration.rs
+++ b/crates/mintlb-common/tests/configuration.rs
@@ -11,7 +11,11 @@
 fn with(path: &str, value: Value) -> String {
     let mut whole: Value = serde_json::from_str(WIRE).unwrap();
     let (parent, field) = path.rsplit_once('/').unwrap_or(("", path));
-    let pointer = if parent.is_empty() { String::new() } else { format!("/{parent}") };
+    let pointer = if parent.is_empty() {
+        String::new()
+    } else {
+        format!("/{parent}")
+    };
     whole.pointer_mut(&pointer).unwrap()[field] = value;
     whole.to_string()
 }
@@ -29,9 +33,20 @@
     assert_eq!(read.config_version, 7);
     let route = &read.route_list[1];
     assert_eq!(route.route_type, RouteType::Streaming);
-    assert_eq!(route.targets().collect::<Vec<_>>(), [("huvo11a", 90.0), ("wuno96b", 10.0)]);
+    assert_eq!(
+        route.targets().collect::<Vec<_>>(),
+        [("huvo11a", 90.0), ("wuno96b", 10.0)]
+    );
     assert!(route.is_idempotent() && !read.route_list[0].is_idempotent());
-    assert_eq!(read.service("huvo11a").unwrap().engine.as_ref().unwrap().stride, Some(19.0));
+    assert_eq!(
+        read.service("huvo11a")
+            .unwrap()
+            .engine
+            .as_ref()
+            .unwrap()
+            .stride,
+        Some(19.0)
+    );
     assert_eq!(read.limits, ClientLimits::default());
     assert_eq!(Configuration::parse(WIRE.as_bytes()), Ok(read));
 }
@@ -47,7 +62,10 @@
     let read = Configuration::parse_from_operator(whole.to_string().as_bytes()).unwrap();
     let route = &read.route_list[0];
     assert_eq!(route.completion_target_ms, Some(8000));
-    assert_eq!((route.retention_s, route.max_queued_tokens), (Some(40.0), 1_200_000));
+    assert_eq!(
+        (route.retention_s, route.max_queued_tokens),
+        (Some(40.0), 1_200_000)
+    );
 }
 
 #[test]
@@ -61,8 +79,14 @@
 fn what_is_cut_short_anywhere_is_refused() {
     for end in 0..WIRE.len() {
         let cut = &WIRE.as_bytes()[..end];
-        assert!(matches!(Configuration::parse(cut), Err(ConfigurationError::Unreadable(_))));
-        assert!(matches!(Configuration::parse_from_operator(cut), Err(ConfigurationError::Unreadable(_))));
+        assert!(matches!(
+            Configuration::parse(cut),
+            Err(ConfigurationError::Unreadable(_))
+        ));
+        assert!(matches!(
+            Configuration::parse_from_operator(cut),
+            Err(ConfigurationError::Unreadable(_))
+        ));
     }
 }
 
@@ -74,15 +98,25 @@
 #[test]
 fn a_route_to_an_unknown_service_is_refused() {
     let single = refused(&with("route_list/0/target_service", json!("nowhere")));
-    assert!(single.contains("service_list") && single.contains("nowhere"), "{single}");
-    let split = refused(&with("route_list/1/traffic_split/1/target_service", json!("nowhere")));
+    assert!(
+        single.contains("service_list") && single.contains("nowhere"),
+        "{single}"
+    );
+    let split = refused(&with(
+        "route_list/1/traffic_split/1/target_service",
+        json!("nowhere"),
+    ));
     assert!(split.contains("nowhere"), "{split}");
 }
 
 #[test]
 fn a_route_to_no_service_is_refused() {
     let none = with("route_list/0/target_service", Value::Null);
-    assert!(refused(&none).contains("route_list[0]"), "{}", refused(&none));
+    assert!(
+        refused(&none).contains("route_list[0]"),
+        "{}",
+        refused(&none)
+    );
 }
 
 #[test]
@@ -110,7 +144,10 @@
 #[test]
 fn a_weight_below_0_is_refused() {
     let told = refused(&with("route_list/1/traffic_split/0/weight", json!(-1)));
-    assert!(told.contains("route_list[1].traffic_split[0].weight"), "{told}");
+    assert!(
+        told.contains("route_list[1].traffic_split[0].weight"),
+        "{told}"
+    );
 }
 
 #[test]
@@ -188,8 +225,10 @@
             whole["route_list"][route][*u.choose(&fields)?] = u.choose(&values)?.clone();
         }
         let text = whole.to_string();
-        let (fast, whole) =
-            (Configuration::parse(text.as_bytes()), Configuration::parse_from_operator(text.as_bytes()));
+        let (fast, whole) = (
+            Configuration::parse(text.as_bytes()),
+            Configuration::parse_from_operator(text.as_bytes()),
+        );
         assert_eq!(fast.is_ok(), whole.is_ok(), "{text}: {fast:?} {whole:?}");
         Ok(())
     });
@@ -201,7 +240,8 @@
         {"name":"a","host_name":"h.example","path_prefix":"/","route_type":"idempotent","target_service":"s"},
         {"name":"b","host_name":"h.example","path_prefix":"/x/","route_type":"idempotent","target_service":"s"}]}"#;
     let read = Configuration::parse(json.as_bytes()).unwrap();
-    let name = |host: &str, path: &str| read.route(host, path).map(|(_, route)| route.name.as_str());
+    let name =
+        |host: &str, path: &str| read.route(host, path).map(|(_, route)| route.name.as_str());
     assert_eq!(name("h.example", "/x/1"), Some("b"));
     assert_eq!(name("H.example:8080", "/y"), Some("a"));
     assert_eq!(name("other.example", "/x/1"), None);
--- a/crates/mintlb-common/tests/messages/mod.rs
+++ b/crates/mintlb-common/tests/messages/mod.rs
@@ -46,20 +46,27 @@
         self.0.send(Seen::Unreachable(peer)).unwrap();
     }
     fn restarted(&self, peer: SocketAddr, incarnation: mintlb_common::incarnation::Incarnation) {
-        self.0.send(Seen::Restarted(peer, incarnation.number())).unwrap();
+        self.0
+            .send(Seen::Restarted(peer, incarnation.number()))
+            .unwrap();
     }
 }
 
 /// A process whose service tells what it sees.
 pub async fn process() -> (Arc<Transport>, UnboundedReceiver<Seen>) {
-    let transport = Transport::start("127.0.0.1:0".parse().unwrap()).await.unwrap();
+    let transport = Transport::start("127.0.0.1:0".parse().unwrap())
+        .await
+        .unwrap();
     let (seen, sees) = unbounded_channel();
     transport.serve(Channel::Lots, Arc::new(Echo(seen)));
     (transport, sees)
 }
 
 pub async fn next(sees: &mut UnboundedReceiver<Seen>) -> Seen {
-    timeout(WAIT, sees.recv()).await.expect("nothing is seen").unwrap()
+    timeout(WAIT, sees.recv())
+        .await
+        .expect("nothing is seen")
+        .unwrap()
 }
 
 pub fn notice(from: SocketAddr, body: &'static str) -> Seen {
@@ -81,7 +88,9 @@
     /// Dials as this life of the process at this address; gives the incarnation that answers.
     pub async fn dial(to: SocketAddr, from: SocketAddr, own: u64, expected: u64) -> (Wire, u64) {
         let mut stream = TcpStream::connect(to).await.unwrap();
-        let SocketAddr::V4(from) = from else { panic!("no IPv4 address") };
+        let SocketAddr::V4(from) = from else {
+            panic!("no IPv4 address")
+        };
         let mut greeting = b"mintl2\0".to_vec();
         greeting.extend(from.ip().octets());
         greeting.extend(from.port().to_be_bytes());
@@ -89,22 +98,40 @@
         greeting.extend(expected.to_be_bytes());
         stream.write_all(&greeting).await.unwrap();
         let mut reply = [0; 14];
-        timeout(WAIT, stream.read_exact(&mut reply)).await.expect("no reply").unwrap();
+        timeout(WAIT, stream.read_exact(&mut reply))
+            .await
+            .expect("no reply")
+            .unwrap();
         assert_eq!(&reply[..6], b"mintl2");
-        (Wire(stream), u64::from_be_bytes(reply[6..].try_into().unwrap()))
+        (
+            Wire(stream),
+            u64::from_be_bytes(reply[6..].try_into().unwrap()),
+        )
     }
 
     /// Takes the next connection and answers as this life; gives what the other side expected. Questions who is there are
     /// answered on the way.
     pub async fn accept(listener: &TcpListener, own: u64) -> (Wire, u64) {
         loop {
-            let (mut stream, _) = timeout(WAIT, listener.accept()).await.expect("nobody dials").unwrap();
+            let (mut stream, _) = timeout(WAIT, listener.accept())
+                .await
+                .expect("nobody dials")
+                .unwrap();
             let mut greeting = [0; 29];
-            timeout(WAIT, stream.read_exact(&mut greeting)).await.expect("no greeting").unwrap();
+            timeout(WAIT, stream.read_exact(&mut greeting))
+                .await
+                .expect("no greeting")
+                .unwrap();
             assert_eq!(&greeting[..6], b"mintl2");
-            stream.write_all(&[&b"mintl2"[..], &own.to_be_bytes()].concat()).await.unwrap();
+            stream
+                .write_all(&[&b"mintl2"[..], &own.to_be_bytes()].concat())
+                .await
+                .unwrap();
             if greeting[6] == 0 {
-                return (Wire(stream), u64::from_be_bytes(greeting[21..].try_into().unwrap()));
+                return (
+                    Wire(stream),
+                    u64::from_be_bytes(greeting[21..].try_into().unwrap()),
+                );
             }
         }
     }
@@ -119,16 +146,29 @@
 
     pub async fn read(&mut self) -> Read {
         let mut head = [0; 14];
-        timeout(WAIT, self.0.read_exact(&mut head)).await.expect("no frame").unwrap();
+        timeout(WAIT, self.0.read_exact(&mut head))
+            .await
+            .expect("no frame")
+            .unwrap();
         let mut body = vec![0; u32::from_be_bytes(head[..4].try_into().unwrap()) as usize];
-        timeout(WAIT, self.0.read_exact(&mut body)).await.expect("no body").unwrap();
-        Read { kind: head[5], call: u64::from_be_bytes(head[6..].try_into().unwrap()), body }
+        timeout(WAIT, self.0.read_exact(&mut body))
+            .await
+            .expect("no body")
+            .unwrap();
+        Read {
+            kind: head[5],
+            call: u64::from_be_bytes(head[6..].try_into().unwrap()),
+            body,
+        }
     }
 
     /// Waits until the other side has closed the connection; nothing more may come on it.
     pub async fn closed(mut self) {
         let mut rest = Vec::new();
-        timeout(WAIT, self.0.read_to_end(&mut rest)).await.expect("it stays open").ok();
+        timeout(WAIT, self.0.read_to_end(&mut rest))
+            .await
+            .expect("it stays open")
+            .ok();
         assert!(rest.is_empty(), "{rest:?}");
     }
 }
--- a/crates/mintlb-common/tests/settings.rs
+++ b/crates/mintlb-common/tests/settings.rs
@@ -38,7 +38,10 @@
     assert_eq!(settings.node_name, "edge-hba-1");
     assert_eq!(settings.bounds.drain_ms, 2500);
     assert_eq!(settings.fault_tolerance.machines, 1);
-    assert_eq!(settings.internal_address(InternalPort::Store).to_string(), "10.1.0.35:7662");
+    assert_eq!(
+        settings.internal_address(InternalPort::Store).to_string(),
+        "10.1.0.35:7662"
+    );
 }
 
 #[test]
@@ -52,19 +55,39 @@
 #[test]
 fn a_seed_is_known_by_its_controllers_internal_address() {
     let settings = NodeSettings::parse(EDGE).unwrap();
-    let seeds: Vec<String> = settings.seed_addresses().iter().map(ToString::to_string).collect();
+    let seeds: Vec<String> = settings
+        .seed_addresses()
+        .iter()
+        .map(ToString::to_string)
+        .collect();
     assert_eq!(seeds, ["10.1.0.35:7661", "10.2.0.28:7661"]);
 }
 
 #[test]
 fn a_wrong_field_is_refused_by_its_name() {
     let wrong = [
-        ("heartbeat_ms = 1200", "heartbeat_ms = \"soon\"", "heartbeat_ms"),
+        (
+            "heartbeat_ms = 1200",
+            "heartbeat_ms = \"soon\"",
+            "heartbeat_ms",
+        ),
         ("heartbeat_ms = 1200", "heartbeat_ms = 0", "heartbeat_ms"),
         ("heartbeat_ms = 1200", "", "heartbeat_ms"),
-        ("ip_address = \"10.1.0.35\"", "ip_address = \"here\"", "ip_address"),
-        ("internal_ports = [7660,7675]", "internal_ports = [7660,7661]", "internal_ports"),
-        ("node_name = \"edge-hba-1\"", "node_name = \"\"", "node_name"),
+        (
+            "ip_address = \"10.1.0.35\"",
+            "ip_address = \"here\"",
+            "ip_address",
+        ),
+        (
+            "internal_ports = [7660,7675]",
+            "internal_ports = [7660,7661]",
+            "internal_ports",
+        ),
+        (
+            "node_name = \"edge-hba-1\"",
+            "node_name = \"\"",
+            "node_name",
+        ),
         ("machines = 1", "machines = -1", "machines"),
     ];
     for (good, bad, field) in wrong {
--- a/crates/mintlb-common/tests/transport.rs
+++ b/crates/mintlb-common/tests/transport.rs
@@ -16,7 +16,10 @@
     let (b, mut sees) = process().await;
     assert!(a.notify(b.own_address(), Channel::Lots, Bytes::from_static(b"word")));
     let seen = timeout(WAIT, sees.recv()).await.unwrap().unwrap();
-    assert_eq!(seen, Seen::Notice(a.own_address(), Bytes::from_static(b"word")));
+    assert_eq!(
+        seen,
+        Seen::Notice(a.own_address(), Bytes::from_static(b"word"))
+    );
 }
 
 #[tokio::test]
@@ -29,7 +32,10 @@
     };
     let calls: Vec<_> = (0..50).map(|i| (i, call(format!("{i},")))).collect();
     for (i, call) in calls {
-        assert_eq!(call.await.unwrap().unwrap(), Bytes::from(format!("{i},{i},")));
+        assert_eq!(
+            call.await.unwrap().unwrap(),
+            Bytes::from(format!("{i},{i},"))
+        );
     }
 }
 
@@ -38,7 +44,10 @@
     let (a, _) = process().await;
     let (b, _sees) = process().await;
     let body = Bytes::from(vec![7_u8; 3 << 20]);
-    let answer = a.call(b.own_address(), Channel::Lots, body, WAIT).await.unwrap();
+    let answer = a
+        .call(b.own_address(), Channel::Lots, body, WAIT)
+        .await
+        .unwrap();
     assert_eq!(answer.len(), 6 << 20);
 }
 
@@ -47,11 +56,17 @@
     let (a, _) = process().await;
     let (b, _sees) = process().await;
     let (to, soon) = (b.own_address(), Duration::from_millis(20));
-    let silent = a.call(to, Channel::Lots, Bytes::from_static(b"silence"), soon).await;
+    let silent = a
+        .call(to, Channel::Lots, Bytes::from_static(b"silence"), soon)
+        .await;
     assert_eq!(silent, Err(CallError::TimedOut));
-    let unknown = a.call(to, Channel::Lots, Bytes::from_static(b"what"), WAIT).await;
+    let unknown = a
+        .call(to, Channel::Lots, Bytes::from_static(b"what"), WAIT)
+        .await;
     assert_eq!(unknown, Err(CallError::NotUnderstood));
-    let next = a.call(to, Channel::Lots, Bytes::from_static(b"x"), WAIT).await;
+    let next = a
+        .call(to, Channel::Lots, Bytes::from_static(b"x"), WAIT)
+        .await;
     assert_eq!(next.unwrap(), Bytes::from_static(b"xx"));
 }
 
@@ -61,9 +76,14 @@
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let nobody = listener.local_addr().unwrap();
     drop(listener);
-    let call = a.call(nobody, Channel::Lots, Bytes::from_static(b"x"), WAIT).await;
+    let call = a
+        .call(nobody, Channel::Lots, Bytes::from_static(b"x"), WAIT)
+        .await;
     assert_eq!(call, Err(CallError::Unreachable));
-    assert_eq!(timeout(WAIT, sees.recv()).await.unwrap().unwrap(), Seen::Unreachable(nobody));
+    assert_eq!(
+        timeout(WAIT, sees.recv()).await.unwrap().unwrap(),
+        Seen::Unreachable(nobody)
+    );
 }
 
 #[tokio::test]
@@ -74,7 +94,10 @@
     a.notify(there, Channel::Lots, Bytes::from_static(b"x"));
     let (connection, _) = timeout(WAIT, listener.accept()).await.unwrap().unwrap();
     drop(connection);
-    assert_eq!(timeout(WAIT, sees.recv()).await.unwrap().unwrap(), Seen::Unreachable(there));
+    assert_eq!(
+        timeout(WAIT, sees.recv()).await.unwrap().unwrap(),
+        Seen::Unreachable(there)
+    );
     a.notify(there, Channel::Lots, Bytes::from_static(b"y"));
     assert!(timeout(WAIT, listener.accept()).await.unwrap().is_ok());
 }
@@ -83,12 +106,24 @@
 async fn bytes_of_another_protocol_are_not_taken() {
     let (b, mut sees) = process().await;
     let mut stranger = TcpStream::connect(b.own_address()).await.unwrap();
-    stranger.write_all(b"GET / HTTP/1.1\r\nHost: x\r\n\r\n").await.unwrap();
+    stranger
+        .write_all(b"GET / HTTP/1.1\r\nHost: x\r\n\r\n")
+        .await
+        .unwrap();
     // The stranger is closed, and who speaks the protocol is served.
     let mut end = Vec::new();
-    timeout(WAIT, tokio::io::AsyncReadExt::read_to_end(&mut stranger, &mut end)).await.unwrap().ok();
+    timeout(
+        WAIT,
+        tokio::io::AsyncReadExt::read_to_end(&mut stranger, &mut end),
+    )
+    .await
+    .unwrap()
+    .ok();
     assert!(end.is_empty());
     let (a, _) = process().await;
     a.notify(b.own_address(), Channel::Lots, Bytes::from_static(b"word"));
-    assert!(matches!(timeout(WAIT, sees.recv()).await.unwrap().unwrap(), Seen::Notice(..)));
+    assert!(matches!(
+        timeout(WAIT, sees.recv()).await.unwrap().unwrap(),
+        Seen::Notice(..)
+    ));
 }
--- a/crates/mintlb-common/tests/transport_lives.rs
+++ b/crates/mintlb-common/tests/transport_lives.rs
@@ -19,7 +19,10 @@
 /// Begins a call.
 fn call(from: &Arc<Transport>, to: SocketAddr) -> JoinHandle<Result<Bytes, CallError>> {
     let from = from.clone();
-    tokio::spawn(async move { from.call(to, Channel::Lots, Bytes::from_static(b"call"), LONG).await })
+    tokio::spawn(async move {
+        from.call(to, Channel::Lots, Bytes::from_static(b"call"), LONG)
+            .await
+    })
 }
 
 #[tokio::test]
@@ -141,8 +144,15 @@
     let (mut successor, _) = Wire::dial(a.own_address(), there, 2, 0).await;
     successor.write(NOTICE, 0, "two").await;
     assert_eq!(next(&mut sees).await, Seen::Restarted(there, 2));
-    let outcome = timeout(WAIT, call).await.expect("it is still waited for").unwrap();
-    assert_eq!(outcome, Err(CallError::Unreachable), "it may have been carried out");
+    let outcome = timeout(WAIT, call)
+        .await
+        .expect("it is still waited for")
+        .unwrap();
+    assert_eq!(
+        outcome,
+        Err(CallError::Unreachable),
+        "it may have been carried out"
+    );
     wire.closed().await;
 }
 
@@ -152,7 +162,8 @@
     let (b, _) = process().await;
     assert_ne!(a.incarnation(), b.incarnation());
     let own = a.own_address();
-    let drawn: std::collections::HashSet<_> = (0..1000).map(|_| Incarnation::draw(own).number()).collect();
+    let drawn: std::collections::HashSet<_> =
+        (0..1000).map(|_| Incarnation::draw(own).number()).collect();
     assert_eq!(drawn.len(), 1000);
     assert!(!drawn.contains(&0));
 }
@@ -166,7 +177,10 @@
     let within = Duration::from_millis(600);
     let call = {
         let a = a.clone();
-        tokio::spawn(async move { a.call(there, Channel::Lots, Bytes::from_static(b"ping"), within).await })
+        tokio::spawn(async move {
+            a.call(there, Channel::Lots, Bytes::from_static(b"ping"), within)
+                .await
+        })
     };
     let (mut wire, _) = Wire::accept(&listener, 1).await;
     let read = wire.read().await;
@@ -183,7 +197,12 @@
     for number in 1..=5000 {
         assert_eq!(lives.dialled_by(address(number), life(1)), Claim::Known);
     }
-    assert_eq!((1..=5000).filter(|number| lives.at(address(*number)).is_some()).count(), 4096);
+    assert_eq!(
+        (1..=5000)
+            .filter(|number| lives.at(address(*number)).is_some())
+            .count(),
+        4096
+    );
     // Of one that there was no room for anything is taken; of a known one the other life is asked for.
     assert!(lives.is_current(address(5000), life(2)));
     assert_eq!(lives.dialled_by(address(1), life(2)), Claim::Conflict);
--- a/crates/mintlb-common/tests/transport_refusals.rs
+++ b/crates/mintlb-common/tests/transport_refusals.rs
@@ -22,7 +22,12 @@
     let (a, mut sees) = process().await;
     let (good, bad) = (listener().await.1, listener().await.1);
     let (mut wire, _) = Wire::dial(a.own_address(), good, 1, 0).await;
-    let unreadable = [head(MOST_BYTES as u32 + 1, NOTICE), head(u32::MAX, REQUEST), head(0, 3), head(0, 255)];
+    let unreadable = [
+        head(MOST_BYTES as u32 + 1, NOTICE),
+        head(u32::MAX, REQUEST),
+        head(0, 3),
+        head(0, 255),
+    ];
     for (round, bytes) in unreadable.into_iter().enumerate() {
         let (mut stranger, _) = Wire::dial(a.own_address(), bad, 1, 0).await;
         stranger.0.write_all(&bytes).await.unwrap();
@@ -54,7 +59,10 @@
     answers.abort();
     let mut stranger = TcpStream::connect(a.own_address()).await.unwrap();
     let from = SocketAddr::new(stranger.local_addr().unwrap().ip(), 0);
-    stranger.write_all(b"mintl1 is an earlier version of it.").await.unwrap();
+    stranger
+        .write_all(b"mintl1 is an earlier version of it.")
+        .await
+        .unwrap();
     Wire(stranger).closed().await;
     assert_eq!(a.refused(Refusal::Greeting, from), 1);
 }
@@ -68,7 +76,9 @@
         stream.write_all(b"mintl1 and more").await.unwrap();
         stream
     });
-    let call = a.call(there, Channel::Lots, Bytes::from_static(b"call"), WAIT).await;
+    let call = a
+        .call(there, Channel::Lots, Bytes::from_static(b"call"), WAIT)
+        .await;
     assert_eq!(call, Err(CallError::Unreachable));
     assert_eq!(a.refused(Refusal::Greeting, there), 1);
     drop(answers.await);
@@ -78,7 +88,9 @@
 fn counts_are_bounded_and_told_at_powers_of_two() {
     let mut refusals = Refusals::default();
     let sender = |port| SocketAddr::from(([10, 0, 0, 1], port));
-    let told: Vec<_> = (0..100).filter_map(|_| refusals.count(Refusal::Unreadable, sender(1))).collect();
+    let told: Vec<_> = (0..100)
+        .filter_map(|_| refusals.count(Refusal::Unreadable, sender(1)))
+        .collect();
     assert_eq!(told, [1, 2, 4, 8, 16, 32, 64]);
     for port in 2..2000 {
         refusals.count(Refusal::Misplaced, sender(port));
--- a/crates/mintlb-control/src/cli.rs
+++ b/crates/mintlb-control/src/cli.rs
@@ -40,11 +40,23 @@
 /// The parser of the command line.
 pub fn parser() -> OptionParser<Verb> {
     let verb = |verb: Verb, name: &'static str, help: &'static str| {
-        bpaf::pure(verb).to_options().descr(help).command(name).help(help)
+        bpaf::pure(verb)
+            .to_options()
+            .descr(help)
+            .command(name)
+            .help(help)
     };
-    let controller = verb(Verb::Controller, "controller", "Take workers' and the operator's calls");
+    let controller = verb(
+        Verb::Controller,
+        "controller",
+        "Take workers' and the operator's calls",
+    );
     let store = verb(Verb::Store, "store", "Keep the lots");
-    let check = verb(Verb::Check, "check", "Read the settings that MINTLB_BOOT names and say what is wrong");
+    let check = verb(
+        Verb::Check,
+        "check",
+        "Read the settings that MINTLB_BOOT names and say what is wrong",
+    );
     bpaf::construct!([controller, store, check])
         .to_options()
         .version(env!("CARGO_PKG_VERSION"))
@@ -97,12 +109,19 @@
     let serves = |service: &str| settings.serves.iter().any(|served| served == service);
     let mut faults = Vec::new();
     if serves("control") && settings.listen_addresses.control_plane.is_none() {
-        faults.push("listen_addresses.control_plane: is missing, though the role serves control".to_string());
+        faults.push(
+            "listen_addresses.control_plane: is missing, though the role serves control"
+                .to_string(),
+        );
     }
     if serves("storage") && settings.data_directory.is_none() {
         faults.push("data_directory: is missing, though the role serves storage".to_string());
     }
-    if let Some(folder) = settings.data_directory.as_ref().filter(|folder| !folder.is_dir()) {
+    if let Some(folder) = settings
+        .data_directory
+        .as_ref()
+        .filter(|folder| !folder.is_dir())
+    {
         faults.push(format!("data_directory: {} is no folder", folder.display()));
     }
     if settings.seed_nodes.is_empty() {
--- a/crates/mintlb-control/src/controller/answers.rs
+++ b/crates/mintlb-control/src/controller/answers.rs
@@ -17,14 +17,22 @@
 const RETRY_LATER: f64 = 0.3;
 
 /// The whole body, if it is short enough and comes in time.
-pub async fn body_within(body: Body, most_bytes: usize, within: Duration) -> Result<Bytes, Answered> {
+pub async fn body_within(
+    body: Body,
+    most_bytes: usize,
+    within: Duration,
+) -> Result<Bytes, Answered> {
     match timeout(within, Limited::new(body, most_bytes).collect()).await {
         Ok(Ok(body)) => Ok(body.to_bytes()),
-        Ok(Err(error)) if error.is::<http_body_util::LengthLimitError>() => {
-            Err(refuse(StatusCode::PAYLOAD_TOO_LARGE, "M471 the body is too long"))
-        }
+        Ok(Err(error)) if error.is::<http_body_util::LengthLimitError>() => Err(refuse(
+            StatusCode::PAYLOAD_TOO_LARGE,
+            "M471 the body is too long",
+        )),
         Ok(Err(_)) => Err(refuse(StatusCode::BAD_REQUEST, "M472 the body ended early")),
-        Err(_) => Err(refuse(StatusCode::REQUEST_TIMEOUT, "M473 the body did not come in time")),
+        Err(_) => Err(refuse(
+            StatusCode::REQUEST_TIMEOUT,
+            "M473 the body did not come in time",
+        )),
     }
 }
 
@@ -46,5 +54,10 @@
 /// 503: come back after so many seconds.
 pub fn retry(after_s: f64, text: &str) -> Answered {
     let headers = [(header::RETRY_AFTER, format!("{after_s:.2}"))];
-    (StatusCode::SERVICE_UNAVAILABLE, headers, format!("{text}\n")).into_response()
+    (
+        StatusCode::SERVICE_UNAVAILABLE,
+        headers,
+        format!("{text}\n"),
+    )
+        .into_response()
 }
--- a/crates/mintlb-control/src/controller/configuration_api.rs
+++ b/crates/mintlb-control/src/controller/configuration_api.rs
@@ -1,7 +1,9 @@
 //! The operator's calls on the configuration.
 
 use super::Controller;
-use super::answers::{Answered, RETRY_SOON, body_within, out_of_contact, refuse, retry, unavailable};
+use super::answers::{
+    Answered, RETRY_SOON, body_within, out_of_contact, refuse, retry, unavailable,
+};
 use axum::Router;
 use axum::extract::State;
 use axum::http::{HeaderMap, StatusCode, header};
@@ -63,7 +65,10 @@
     };
     let begun = Instant::now();
     let Some(base) = base_version(&headers) else {
-        return refuse(StatusCode::BAD_REQUEST, "M452 If-Match: has to hold the version it builds on");
+        return refuse(
+            StatusCode::BAD_REQUEST,
+            "M452 If-Match: has to hold the version it builds on",
+        );
     };
     let configuration = match Configuration::parse_from_operator(&body) {
         Ok(configuration) => configuration,
@@ -82,8 +87,13 @@
     };
     match controller.register.change(change, REGISTER_WITHIN).await {
         Ok(outcome) => {
-            log::info!("configuration: version {version} on {base}: {:?}", outcome.answer);
-            let left = ANSWER_WITHIN.saturating_sub(begun.elapsed()).min(CONFIRMED_WITHIN);
+            log::info!(
+                "configuration: version {version} on {base}: {:?}",
+                outcome.answer
+            );
+            let left = ANSWER_WITHIN
+                .saturating_sub(begun.elapsed())
+                .min(CONFIRMED_WITHIN);
             answer(&controller, outcome.answer, &outcome.chosen.state, left).await
         }
         Err(error) => {
@@ -102,7 +112,10 @@
     let current = state.configuration_version;
     match answer {
         Answer::Done | Answer::AlreadyDone => {
-            controller.publisher.confirm_configuration(state, left).await;
+            controller
+                .publisher
+                .confirm_configuration(state, left)
+                .await;
             StatusCode::OK.into_response()
         }
         Answer::StaleBase => {
@@ -110,18 +123,28 @@
             refuse(StatusCode::PRECONDITION_FAILED, &text)
         }
         Answer::VersionNotAbove => {
-            let text =
-                format!("M404 config_version: is not above the version it builds on; current is {current}");
+            let text = format!(
+                "M404 config_version: is not above the version it builds on; current is {current}"
+            );
             refuse(StatusCode::BAD_REQUEST, &text)
         }
         Answer::Forgotten => unavailable(&format!(
             "M406 config_version: is so old that it can't be told whether it was taken; current is {current}"
         )),
-        Answer::TooFewReplicas | Answer::SetFull => retry(RETRY_SOON, "M405 there are too few replicas yet"),
+        Answer::TooFewReplicas | Answer::SetFull => {
+            retry(RETRY_SOON, "M405 there are too few replicas yet")
+        }
     }
 }
 
 /// The version in `If-Match`, with or without quotes.
 fn base_version(headers: &HeaderMap) -> Option<u64> {
-    headers.get(header::IF_MATCH)?.to_str().ok()?.trim().trim_matches('"').parse().ok()
+    headers
+        .get(header::IF_MATCH)?
+        .to_str()
+        .ok()?
+        .trim()
+        .trim_matches('"')
+        .parse()
+        .ok()
 }
--- a/crates/mintlb-control/src/controller/contact.rs
+++ b/crates/mintlb-control/src/controller/contact.rs
@@ -27,19 +27,30 @@
 impl Contact {
     /// Nothing is proved yet. `own` is the replica here, if there is one: it needs no proof.
     pub fn new(own: Option<ReplicaId>) -> Contact {
-        Contact { own, reached: FxHashMap::default(), majority_at: None }
+        Contact {
+            own,
+            reached: FxHashMap::default(),
+            majority_at: None,
+        }
     }
 
     /// This replica has answered a message that was sent at that time.
     pub fn reached(&mut self, replica: ReplicaId, sent_at: Instant) {
-        let newest = self.reached.get(&replica).map_or(sent_at, |known| sent_at.max(*known));
-        self.reached.retain(|_, known| newest.saturating_duration_since(*known) < KEPT);
+        let newest = self
+            .reached
+            .get(&replica)
+            .map_or(sent_at, |known| sent_at.max(*known));
+        self.reached
+            .retain(|_, known| newest.saturating_duration_since(*known) < KEPT);
         self.reached.insert(replica, newest);
     }
 
     /// A majority of the set has answered a round that began at that time.
     pub fn majority_reached(&mut self, begun_at: Instant) {
-        self.majority_at = Some(self.majority_at.map_or(begun_at, |known| begun_at.max(known)));
+        self.majority_at = Some(
+            self.majority_at
+                .map_or(begun_at, |known| begun_at.max(known)),
+        );
     }
 
     /// Whether this replica is proved to have been reached within that time.
--- a/crates/mintlb-control/src/controller/duties.rs
+++ b/crates/mintlb-control/src/controller/duties.rs
@@ -74,7 +74,9 @@
     /// register began that a majority answered.
     pub fn is_in_contact(&self, set: &ReplicaSet, majority_at: Option<Instant>) -> bool {
         let peers = &mut self.pings().peers;
-        majority_at.into_iter().for_each(|at| peers.majority_reached(at));
+        majority_at
+            .into_iter()
+            .for_each(|at| peers.majority_reached(at));
         peers.is_in_contact(Instant::now(), set)
     }
 
@@ -87,7 +89,9 @@
     pub fn step(&self, set: &ReplicaSet, majority_at: Option<Instant>) -> Option<u64> {
         let now = Instant::now();
         let peers = &mut self.pings().peers;
-        majority_at.into_iter().for_each(|at| peers.majority_reached(at));
+        majority_at
+            .into_iter()
+            .for_each(|at| peers.majority_reached(at));
         peers.step(now, set);
         peers.held(now, set)
     }
@@ -144,22 +148,39 @@
 
 /// Reads the register if another controller has written a newer placement than the one known here.
 async fn keep_up(controller: &Controller) {
-    let published = controller.overlay.get(PLACEMENT).map_or(0, |record| record.version);
-    let known = controller.register.chosen().map_or(0, |chosen| chosen.state.placement.epoch);
+    let published = controller
+        .overlay
+        .get(PLACEMENT)
+        .map_or(0, |record| record.version);
+    let known = controller
+        .register
+        .chosen()
+        .map_or(0, |chosen| chosen.state.placement.epoch);
     if published > known {
-        controller.register.read_once(Instant::now() + READ_WITHIN).await;
+        controller
+            .register
+            .read_once(Instant::now() + READ_WITHIN)
+            .await;
     }
 }
 
 /// Writes the next placement, if the planner has one.
 async fn place_shards(controller: &Controller) {
-    let Some(chosen) = controller.register.chosen() else { return };
+    let Some(chosen) = controller.register.chosen() else {
+        return;
+    };
     let placement = &chosen.state.placement;
     let view = controller.duties.store_view(placement);
     let tolerance = controller.settings().fault_tolerance.machines;
-    let Some(next) = plan(placement, &view, tolerance) else { return };
+    let Some(next) = plan(placement, &view, tolerance) else {
+        return;
+    };
     let epoch = next.epoch;
-    match controller.register.change(Change::Placement(next), CHANGE_WITHIN).await {
+    match controller
+        .register
+        .change(Change::Placement(next), CHANGE_WITHIN)
+        .await
+    {
         Ok(outcome) if is_done(outcome.answer) => log::info!("duties: placement epoch {epoch}"),
         Ok(outcome) => log::info!("duties: placement epoch {epoch}: {:?}", outcome.answer),
         Err(error) => log::info!("duties: placement epoch {epoch}: {error}"),
@@ -168,13 +189,17 @@
 
 /// Takes one long silent replica out of a set that is larger than it has to be.
 async fn remove_silent_replica(controller: &Controller) {
-    let Some(chosen) = controller.register.chosen() else { return };
+    let Some(chosen) = controller.register.chosen() else {
+        return;
+    };
     let set = &chosen.state.replicas;
     let fewest = 2 * controller.settings().fault_tolerance.machines + 1;
     if set.is_joint() || set.current.len() <= fewest {
         return;
     }
-    let Some(id) = controller.duties.silent_replicas(set).first().copied() else { return };
+    let Some(id) = controller.duties.silent_replicas(set).first().copied() else {
+        return;
+    };
     let change = Change::Leave { id, fewest };
     if let Ok(outcome) = controller.register.change(change, CHANGE_WITHIN).await
         && outcome.answer == ChangeAnswer::Done
@@ -192,7 +217,11 @@
     let mut calls = JoinSet::new();
     for address in controller.duties.live_addresses() {
         let (transport, body) = (controller.transport.clone(), body.clone());
-        calls.spawn(async move { transport.call(address, Channel::Duties, body, WORKERS_WITHIN).await });
+        calls.spawn(async move {
+            transport
+                .call(address, Channel::Duties, body, WORKERS_WITHIN)
+                .await
+        });
     }
     while let Some(answer) = calls.join_next().await {
         let answer = answer.ok().and_then(Result::ok);
@@ -206,7 +235,10 @@
         return;
     }
     for record in orphans.look(Instant::now(), &controller.overlay.snapshot(), &claimed) {
-        log::info!("duties: no controller hears the worker {}", record.instance_id);
+        log::info!(
+            "duties: no controller hears the worker {}",
+            record.instance_id
+        );
         controller.overlay.publish_now(record.to_record());
     }
 }
--- a/crates/mintlb-control/src/controller/duty_service.rs
+++ b/crates/mintlb-control/src/controller/duty_service.rs
@@ -14,7 +14,9 @@
 
 /// Answers on the channel of the duties from now on.
 pub fn serve(controller: &Arc<Controller>) {
-    controller.transport.serve(Channel::Duties, Arc::new(DutyService(controller.clone())));
+    controller
+        .transport
+        .serve(Channel::Duties, Arc::new(DutyService(controller.clone())));
 }
 
 struct DutyService(Arc<Controller>);
@@ -29,7 +31,9 @@
     fn request(&self, from: SocketAddr, body: Bytes) -> Answer {
         let controller = self.0.clone();
         Box::pin(async move {
-            let Ok(call) = minicbor::decode(&body) else { return Bytes::new() };
+            let Ok(call) = minicbor::decode(&body) else {
+                return Bytes::new();
+            };
             encoded(&answer(&controller, from, call).await)
         })
     }
@@ -39,15 +43,24 @@
     match call {
         DutyCall::Ping(ping) => {
             let set = controller.register.set();
-            DutyAnswer::Pong(controller.duties.pings().answer(Instant::now(), from, ping, set.as_ref()))
+            DutyAnswer::Pong(controller.duties.pings().answer(
+                Instant::now(),
+                from,
+                ping,
+                set.as_ref(),
+            ))
         }
         DutyCall::Workers { epoch } => {
             let known = controller.duties.pings().peers.epoch();
             match epoch < known {
                 true => DutyAnswer::Stale { epoch: known },
-                false => DutyAnswer::Workers(controller.registry.lock().ids().map(id_hash).collect()),
+                false => {
+                    DutyAnswer::Workers(controller.registry.lock().ids().map(id_hash).collect())
+                }
             }
         }
-        DutyCall::Retire(call) => DutyAnswer::Retire(retirement::carry_out(controller, &call).await),
+        DutyCall::Retire(call) => {
+            DutyAnswer::Retire(retirement::carry_out(controller, &call).await)
+        }
     }
 }
--- a/crates/mintlb-control/src/controller/error.rs
+++ b/crates/mintlb-control/src/controller/error.rs
@@ -40,7 +40,10 @@
 
 impl ControllerError {
     pub(super) fn disk(path: &Path, cause: std::io::Error) -> ControllerError {
-        ControllerError::Disk { path: path.to_owned(), cause }
+        ControllerError::Disk {
+            path: path.to_owned(),
+            cause,
+        }
     }
 
     pub(super) fn database(cause: impl std::fmt::Display) -> ControllerError {
@@ -51,7 +54,10 @@
     pub(super) fn opening(cause: DatabaseError) -> ControllerError {
         let damaged = match &cause {
             DatabaseError::Storage(StorageError::Io(error)) => {
-                matches!(error.kind(), ErrorKind::InvalidData | ErrorKind::UnexpectedEof)
+                matches!(
+                    error.kind(),
+                    ErrorKind::InvalidData | ErrorKind::UnexpectedEof
+                )
             }
             DatabaseError::Storage(StorageError::Corrupted(_)) => true,
             DatabaseError::RepairAborted | DatabaseError::UpgradeRequired(_) => true,
--- a/crates/mintlb-control/src/controller/http.rs
+++ b/crates/mintlb-control/src/controller/http.rs
@@ -27,7 +27,9 @@
 /// All calls.
 pub fn router(controller: Arc<Controller>) -> Router {
     let configuration = configuration_api::routes();
-    let calls = configuration.merge(instance_api::routes()).merge(retire_api::routes());
+    let calls = configuration
+        .merge(instance_api::routes())
+        .merge(retire_api::routes());
     calls.with_state(controller)
 }
 
@@ -73,7 +75,10 @@
 async fn connection(stream: TcpStream, router: Router, mut stopping: watch::Receiver<bool>) {
     stream.set_nodelay(true).ok();
     let mut builder = hyper::server::conn::http1::Builder::new();
-    builder.timer(TokioTimer::new()).header_read_timeout(HEAD_WITHIN).max_buf_size(MOST_HEAD_BYTES);
+    builder
+        .timer(TokioTimer::new())
+        .header_read_timeout(HEAD_WITHIN)
+        .max_buf_size(MOST_HEAD_BYTES);
     let service = TowerToHyperService::new(router);
     let mut connection = std::pin::pin!(builder.serve_connection(TokioIo::new(stream), service));
     tokio::select! {
--- a/crates/mintlb-control/src/controller/instance_api.rs
+++ b/crates/mintlb-control/src/controller/instance_api.rs
@@ -97,7 +97,10 @@
         }
         return out_of_contact();
     }
-    let heard = controller.registry.lock().heartbeat(Instant::now(), told, in_force.as_ref());
+    let heard = controller
+        .registry
+        .lock()
+        .heartbeat(Instant::now(), told, in_force.as_ref());
     match heard {
         Heard::Nothing | Heard::Late => acknowledged(),
         Heard::TooMany => unavailable("M463 there are too many workers"),
@@ -126,8 +129,15 @@
 /// Publishes the record of a worker to which nothing new may be sent. That is promised only once a neighbour has the
 /// record, and by a process that is in contact at that moment.
 async fn publish_confirmed(controller: &Controller, record: WorkerRecord) -> Answered {
-    let confirmed = controller.overlay.publish(record.to_record(), CONFIRMED_WITHIN).await;
-    log::debug!("workers: {} is {:?}, confirmed: {confirmed}", record.instance_id, record.state);
+    let confirmed = controller
+        .overlay
+        .publish(record.to_record(), CONFIRMED_WITHIN)
+        .await;
+    log::debug!(
+        "workers: {} is {:?}, confirmed: {confirmed}",
+        record.instance_id,
+        record.state
+    );
     if !confirmed {
         return unavailable("M445 no other process has confirmed it yet");
     }
--- a/crates/mintlb-control/src/controller/knowledge.rs
+++ b/crates/mintlb-control/src/controller/knowledge.rs
@@ -20,7 +20,10 @@
     /// Nothing is known but what the replica here accepted last, which may not be chosen.
     pub fn stored(accepted: Option<Accepted>) -> Knowledge {
         let hint = accepted.map(|accepted| accepted.state.replicas.clone());
-        Knowledge { hint, ..Knowledge::default() }
+        Knowledge {
+            hint,
+            ..Knowledge::default()
+        }
     }
 
     /// The newest value known to be chosen.
@@ -36,7 +39,11 @@
 
     /// Takes note of a set that another process knows.
     pub fn hint(&mut self, set: ReplicaSet) {
-        if self.hint.as_ref().is_none_or(|known| known.epoch < set.epoch) {
+        if self
+            .hint
+            .as_ref()
+            .is_none_or(|known| known.epoch < set.epoch)
+        {
             self.hint = Some(set);
         }
     }
@@ -45,7 +52,11 @@
     /// epoch of the set known before. What was only heard of is forgotten, as it may never have been chosen.
     pub fn learn(&mut self, accepted: &Accepted) -> Option<u64> {
         self.hint = None;
-        if self.chosen.as_ref().is_some_and(|known| known.ballot >= accepted.ballot) {
+        if self
+            .chosen
+            .as_ref()
+            .is_some_and(|known| known.ballot >= accepted.ballot)
+        {
             return None;
         }
         let before = self.chosen.replace(accepted.clone());
--- a/crates/mintlb-control/src/controller/membership.rs
+++ b/crates/mintlb-control/src/controller/membership.rs
@@ -97,8 +97,12 @@
 
 /// Takes the set from the overlay's records; whether there is one.
 fn hint_from_overlay(controller: &Controller) -> bool {
-    let Some(record) = controller.overlay.get(REPLICAS) else { return false };
-    let Ok(set) = minicbor::decode::<ReplicaSet>(&record.body) else { return false };
+    let Some(record) = controller.overlay.get(REPLICAS) else {
+        return false;
+    };
+    let Ok(set) = minicbor::decode::<ReplicaSet>(&record.body) else {
+        return false;
+    };
     controller.register.hint(set);
     true
 }
@@ -108,7 +112,12 @@
     let own = controller.transport.own_address();
     let mut answers = vec![None; seeds.len()];
     let mut calls = JoinSet::new();
-    for (place, seed) in seeds.iter().copied().enumerate().filter(|(_, seed)| *seed != own) {
+    for (place, seed) in seeds
+        .iter()
+        .copied()
+        .enumerate()
+        .filter(|(_, seed)| *seed != own)
+    {
         let register = controller.register.clone();
         calls.spawn(async move { (place, register.status_of(seed, SEED_WITHIN).await) });
     }
@@ -120,7 +129,12 @@
 
 /// Reads the register; after unclear reads it makes sure of the value.
 async fn read(controller: &Controller, unclear: &mut u32) -> bool {
-    if controller.register.read_once(Instant::now() + READ_WITHIN).await.is_some() {
+    if controller
+        .register
+        .read_once(Instant::now() + READ_WITHIN)
+        .await
+        .is_some()
+    {
         *unclear = 0;
         return true;
     }
@@ -129,12 +143,18 @@
     if *unclear < UNCLEAR_READS && !unknown {
         return false;
     }
-    controller.register.change(Change::Confirm, READ_WITHIN).await.is_ok()
+    controller
+        .register
+        .change(Change::Confirm, READ_WITHIN)
+        .await
+        .is_ok()
 }
 
 /// Joins the set, and ends changes of it. Returns the pause until the next look.
 async fn keep_place(controller: &Controller) -> Duration {
-    let Some(chosen) = controller.register.chosen() else { return JOIN_PAUSE };
+    let Some(chosen) = controller.register.chosen() else {
+        return JOIN_PAUSE;
+    };
     let set = &chosen.state.replicas;
     if let Some(replica) = controller.register.replica() {
         replica.catch_up(&chosen).await;
@@ -156,8 +176,14 @@
 
 /// Joins the set. Returns the pause until the next look.
 async fn join(controller: &Controller, silent: Vec<ReplicaId>) -> Duration {
-    let Some(replica) = controller.register.replica() else { return READ_EVERY };
-    let change = Change::Join { replica: replica.identity().clone(), silent, most: MOST_REPLICAS };
+    let Some(replica) = controller.register.replica() else {
+        return READ_EVERY;
+    };
+    let change = Change::Join {
+        replica: replica.identity().clone(),
+        silent,
+        most: MOST_REPLICAS,
+    };
     match controller.register.change(change, JOIN_WITHIN).await {
         Ok(outcome) if is_done(outcome.answer) && settle(controller).await => Duration::ZERO,
         Ok(outcome) if outcome.answer == Answer::SetFull => READ_EVERY,
@@ -169,14 +195,21 @@
 /// counts would add to the losses that the set has to bear. The replica votes until the change is over.
 pub async fn leave(controller: &Controller) {
     controller.stopping.store(true, Relaxed);
-    let Some(id) = controller.replica_id() else { return };
-    let Ok(chosen) = controller.register.read(READ_WITHIN).await else { return };
+    let Some(id) = controller.replica_id() else {
+        return;
+    };
+    let Ok(chosen) = controller.register.read(READ_WITHIN).await else {
+        return;
+    };
     let fewest = 2 * controller.settings().fault_tolerance.machines + 1;
     let set = &chosen.state.replicas;
     if set.current_replica(id).is_none() || set.current.len() <= fewest {
         return;
     }
-    let left = controller.register.change(Change::Leave { id, fewest }, JOIN_WITHIN).await;
+    let left = controller
+        .register
+        .change(Change::Leave { id, fewest }, JOIN_WITHIN)
+        .await;
     if left.is_ok_and(|outcome| is_done(outcome.answer)) && settle(controller).await {
         log::info!("register: this replica has left the set");
     }
@@ -184,5 +217,9 @@
 
 /// Ends a change of the set.
 pub async fn settle(controller: &Controller) -> bool {
-    controller.register.change(Change::Settle, JOIN_WITHIN).await.is_ok()
+    controller
+        .register
+        .change(Change::Settle, JOIN_WITHIN)
+        .await
+        .is_ok()
 }
--- a/crates/mintlb-control/src/controller/mod.rs
+++ b/crates/mintlb-control/src/controller/mod.rs
@@ -117,19 +117,24 @@
     pub fn hears_stores(&self) -> bool {
         let id = self.replica_id();
         let set = self.register.set();
-        id.zip(set).is_some_and(|(id, set)| set.current_replica(id).is_some())
+        id.zip(set)
+            .is_some_and(|(id, set)| set.current_replica(id).is_some())
     }
 
     /// Whether this process is in contact with a majority of the register's replicas now. Without that it can promise
     /// nothing that needs others.
     pub fn is_in_contact(&self) -> bool {
         let majority_at = self.register.majority_at();
-        self.register.set().is_some_and(|set| self.duties.is_in_contact(&set, majority_at))
+        self.register
+            .set()
+            .is_some_and(|set| self.duties.is_in_contact(&set, majority_at))
     }
 
     /// For how long it has been in contact without a pause.
     pub fn in_contact_for(&self) -> Duration {
-        self.register.set().map_or(Duration::ZERO, |set| self.duties.in_contact_for(&set))
+        self.register
+            .set()
+            .map_or(Duration::ZERO, |set| self.duties.in_contact_for(&set))
     }
 
     /// The epoch under which this process has the duties now.
@@ -167,21 +172,38 @@
 
 async fn serve(settings: NodeSettings) -> Result<(), ControllerError> {
     let mut signals = Signals::install().map_err(ControllerError::System)?;
-    let address = settings.listen_addresses.control_plane.ok_or(ControllerError::NoAddress)?;
+    let address = settings
+        .listen_addresses
+        .control_plane
+        .ok_or(ControllerError::NoAddress)?;
     let listener = bound(address.into(), async || http::listen(address)).await?;
     let controller = start(settings).await?;
-    log::info!("controller: at {address}, internal {}", controller.transport.own_address());
+    log::info!(
+        "controller: at {address}, internal {}",
+        controller.transport.own_address()
+    );
     tokio::spawn(reload::run(controller.clone()));
     let (stop, stopping) = watch::channel(false);
     let most_connections = (controller.settings().limits.max_open_files as usize)
         .saturating_sub(OTHER_DESCRIPTORS)
         .max(OTHER_DESCRIPTORS);
-    let server = http::serve(listener, http::router(controller.clone()), most_connections, stopping);
+    let server = http::serve(
+        listener,
+        http::router(controller.clone()),
+        most_connections,
+        stopping,
+    );
     let server = tokio::spawn(server);
     signals.stop().await;
     log::info!("controller: told to stop");
     stop.send_replace(true);
-    let grace = Duration::from_secs_f64(controller.settings().bounds.grace_period_s.clamp(0.5, 600.0));
+    let grace = Duration::from_secs_f64(
+        controller
+            .settings()
+            .bounds
+            .grace_period_s
+            .clamp(0.5, 600.0),
+    );
     let served_and_left = async { tokio::join!(server, membership::leave(&controller)) };
     timeout(grace / 2, served_and_left).await.ok();
     controller.close();
@@ -202,9 +224,13 @@
 }
 
 /// Joins the parts.
-fn assemble(settings: NodeSettings, transport: Arc<Transport>) -> Result<Arc<Controller>, ControllerError> {
+fn assemble(
+    settings: NodeSettings,
+    transport: Arc<Transport>,
+) -> Result<Arc<Controller>, ControllerError> {
     let own = transport.own_address();
-    let draw = RandomState::new().hash_one((own, &settings.node_name, std::time::SystemTime::now()));
+    let draw =
+        RandomState::new().hash_one((own, &settings.node_name, std::time::SystemTime::now()));
     let identity = Replica {
         id: 0,
         address: own.to_string(),
@@ -226,7 +252,11 @@
         zone: settings.zone.clone(),
     };
     let seeds = settings.seed_addresses();
-    let overlay = Overlay::start(OverlayConfig { transport: transport.clone(), seeds, member });
+    let overlay = Overlay::start(OverlayConfig {
+        transport: transport.clone(),
+        seeds,
+        member,
+    });
     let register = Register::start(transport.clone(), replica, draw, settings.first_start);
     let replica_id = register.replica().map(|replica| replica.identity().id);
     let publisher = Arc::new(Publisher::new(overlay.clone()));
@@ -251,8 +281,16 @@
     let mut ticks = interval(WORKERS_TICK);
     loop {
         ticks.tick().await;
-        let in_force = |id: &str| controller.worker_in_force(id).map(|record| record.version());
-        let silent = controller.registry.lock().tick(Instant::now(), controller.is_in_contact(), in_force);
+        let in_force = |id: &str| {
+            controller
+                .worker_in_force(id)
+                .map(|record| record.version())
+        };
+        let silent =
+            controller
+                .registry
+                .lock()
+                .tick(Instant::now(), controller.is_in_contact(), in_force);
         for record in silent {
             log::info!("workers: {} is silent", record.instance_id);
             controller.overlay.publish_now(record.to_record());
--- a/crates/mintlb-control/src/controller/orphans.rs
+++ b/crates/mintlb-control/src/controller/orphans.rs
@@ -18,12 +18,19 @@
 
 /// A worker's id in the lists that controllers exchange.
 pub fn id_hash(id: &str) -> u32 {
-    id.bytes().fold(0x811c_9dc5, |hash: u32, byte| (hash ^ u32::from(byte)).wrapping_mul(0x0100_0193))
+    id.bytes().fold(0x811c_9dc5, |hash: u32, byte| {
+        (hash ^ u32::from(byte)).wrapping_mul(0x0100_0193)
+    })
 }
 
 impl Orphans {
     /// One look at the records, with the workers that controllers claim. Returns the records of those that are silent.
-    pub fn look(&mut self, now: Instant, table: &Table, claimed: &FxHashSet<u32>) -> Vec<WorkerRecord> {
+    pub fn look(
+        &mut self,
+        now: Instant,
+        table: &Table,
+        claimed: &FxHashSet<u32>,
+    ) -> Vec<WorkerRecord> {
         let workers = table.iter().filter_map(|record| {
             let id = record.key.strip_prefix(WORKER_PREFIX)?;
             (!claimed.contains(&id_hash(id))).then_some((id, record))
@@ -31,14 +38,22 @@
         let mut unclaimed = FxHashMap::default();
         let mut orphans = Vec::new();
         for (id, record) in workers {
-            let Ok(worker) = minicbor::decode::<WorkerRecord>(&record.body) else { continue };
+            let Ok(worker) = minicbor::decode::<WorkerRecord>(&record.body) else {
+                continue;
+            };
             if matches!(worker.state, WorkerState::Silent | WorkerState::Gone) {
                 continue;
             }
-            let before = self.unclaimed.get(id).filter(|(version, _)| *version == record.version);
+            let before = self
+                .unclaimed
+                .get(id)
+                .filter(|(version, _)| *version == record.version);
             let since = before.map_or(now, |(_, since)| *since);
             if now.saturating_duration_since(since) >= ORPHANED_AFTER {
-                orphans.push(WorkerRecord { state: WorkerState::Silent, ..worker });
+                orphans.push(WorkerRecord {
+                    state: WorkerState::Silent,
+                    ..worker
+                });
             }
             unclaimed.insert(id.to_string(), (record.version, since));
         }
--- a/crates/mintlb-control/src/controller/peers.rs
+++ b/crates/mintlb-control/src/controller/peers.rs
@@ -60,11 +60,19 @@
     }
 
     /// A controller pinged or answered: with its replica, if it has one, and the highest epoch of the duties it knows.
-    pub fn heard(&mut self, now: Instant, address: SocketAddr, replica: Option<ReplicaId>, epoch: u64) {
-        self.addresses.retain(|_, heard_at| now.saturating_duration_since(*heard_at) < SILENT);
+    pub fn heard(
+        &mut self,
+        now: Instant,
+        address: SocketAddr,
+        replica: Option<ReplicaId>,
+        epoch: u64,
+    ) {
+        self.addresses
+            .retain(|_, heard_at| now.saturating_duration_since(*heard_at) < SILENT);
         self.addresses.insert(address, now);
         if let Some(replica) = replica {
-            self.heard.retain(|_, heard_at| now.saturating_duration_since(*heard_at) < SILENT * 20);
+            self.heard
+                .retain(|_, heard_at| now.saturating_duration_since(*heard_at) < SILENT * 20);
             self.heard.insert(replica, now);
         }
         if epoch > self.epoch {
@@ -97,7 +105,8 @@
 
     /// The epoch under which this process has the duties now.
     pub fn held(&self, now: Instant, set: &ReplicaSet) -> Option<u64> {
-        self.held.filter(|_| !self.has_paused(now) && self.is_in_contact(now, set))
+        self.held
+            .filter(|_| !self.has_paused(now) && self.is_in_contact(now, set))
     }
 
     /// Whether the contact with a majority of the set is proved now.
@@ -107,26 +116,35 @@
 
     /// For how long this process has run without a pause, in contact with a majority of the set.
     pub fn in_contact_for(&self, now: Instant, set: &ReplicaSet) -> Duration {
-        let since = self.in_contact_since.filter(|_| !self.has_paused(now) && self.is_in_contact(now, set));
+        let since = self
+            .in_contact_since
+            .filter(|_| !self.has_paused(now) && self.is_in_contact(now, set));
         since.map_or(Duration::ZERO, |since| now.saturating_duration_since(since))
     }
 
     /// Controllers heard of lately.
     pub fn live_addresses(&self, now: Instant) -> Vec<SocketAddr> {
         let live = |heard_at: &Instant| now.saturating_duration_since(*heard_at) < SILENT;
-        self.addresses.iter().filter(|(_, at)| live(at)).map(|(address, _)| *address).collect()
+        self.addresses
+            .iter()
+            .filter(|(_, at)| live(at))
+            .map(|(address, _)| *address)
+            .collect()
     }
 
     /// Whether a ping to this controller can be left out, as its own have come for that long.
     pub fn is_heard(&self, now: Instant, address: SocketAddr, within: Duration) -> bool {
-        self.addresses.get(&address).is_some_and(|at| now.saturating_duration_since(*at) < within)
+        self.addresses
+            .get(&address)
+            .is_some_and(|at| now.saturating_duration_since(*at) < within)
     }
 
     /// Looks at who has the duties; to be called regularly.
     pub fn step(&mut self, now: Instant, set: &ReplicaSet) {
         let paused = self.has_paused(now);
         self.stepped_at = now;
-        self.named.retain(|replica, _| set.members().any(|member| member.id == *replica));
+        self.named
+            .retain(|replica, _| set.members().any(|member| member.id == *replica));
         if paused || !self.is_in_contact(now, set) {
             (self.in_contact_since, self.first_since, self.held) = (None, None, None);
             return;
@@ -148,10 +166,17 @@
     pub fn silent(&self, now: Instant, set: &ReplicaSet) -> Vec<ReplicaId> {
         let watched = self.in_contact_for(now, set);
         let silence = |id: &ReplicaId| {
-            let silence = self.heard.get(id).map_or(watched, |at| now.saturating_duration_since(*at));
+            let silence = self
+                .heard
+                .get(id)
+                .map_or(watched, |at| now.saturating_duration_since(*at));
             silence.min(watched)
         };
-        let others = set.current.iter().map(|replica| replica.id).filter(|id| Some(*id) != self.own);
+        let others = set
+            .current
+            .iter()
+            .map(|replica| replica.id)
+            .filter(|id| Some(*id) != self.own);
         others.filter(|id| silence(id) >= SILENT).collect()
     }
 
@@ -165,7 +190,8 @@
         let Some(own) = self.own else { return false };
         let names_own = |replica| {
             replica == own
-                || self.contact.is_reached(now, replica, LIVE) && self.named.get(&replica) == Some(&own)
+                || self.contact.is_reached(now, replica, LIVE)
+                    && self.named.get(&replica) == Some(&own)
         };
         self.first_live(now, set) == Some(own) && set.is_quorum(names_own)
     }
@@ -177,9 +203,14 @@
         }
         let is_live = |replica: &&Replica| {
             Some(replica.id) == self.own
-                || self.contact.is_reached(now, replica.id, LIVE) && self.named.contains_key(&replica.id)
+                || self.contact.is_reached(now, replica.id, LIVE)
+                    && self.named.contains_key(&replica.id)
         };
         let place = |replica: &&Replica| replica.address.parse::<SocketAddr>().ok();
-        set.current.iter().filter(is_live).min_by_key(place).map(|replica| replica.id)
+        set.current
+            .iter()
+            .filter(is_live)
+            .min_by_key(place)
+            .map(|replica| replica.id)
     }
 }
--- a/crates/mintlb-control/src/controller/ping_state.rs
+++ b/crates/mintlb-control/src/controller/ping_state.rs
@@ -67,38 +67,65 @@
 impl PingState {
     /// Nothing is known yet. `own` is the replica here, if there is one, `draw` a random number of this life of the
     /// process.
-    pub fn new(now: Instant, own: Option<ReplicaId>, own_address: SocketAddr, draw: u64) -> PingState {
+    pub fn new(
+        now: Instant,
+        own: Option<ReplicaId>,
+        own_address: SocketAddr,
+        draw: u64,
+    ) -> PingState {
         let (stamps, peers) = (Stamps::new(now, draw), Peers::new(now, own));
-        PingState { own, own_address, stamps, echoes: FxHashMap::default(), peers }
+        PingState {
+            own,
+            own_address,
+            stamps,
+            echoes: FxHashMap::default(),
+            peers,
+        }
     }
 
     /// Whether the replica here has a vote in this set.
     pub fn votes(&self, set: &ReplicaSet) -> bool {
-        self.own.is_some_and(|own| set.members().any(|replica| replica.id == own))
+        self.own
+            .is_some_and(|own| set.members().any(|replica| replica.id == own))
     }
 
     /// Whom to ping now. Of two replicas that hear each other the one with the lower address pings.
     pub fn targets(&self, now: Instant, set: &ReplicaSet) -> Vec<SocketAddr> {
         let voting = self.votes(set);
         let is_target = |address: &SocketAddr| {
-            let pings_here =
-                voting && self.own_address > *address && self.peers.is_heard(now, *address, HEARD_WITHIN);
+            let pings_here = voting
+                && self.own_address > *address
+                && self.peers.is_heard(now, *address, HEARD_WITHIN);
             *address != self.own_address && !pings_here
         };
-        let addresses = set.members().filter_map(|replica| replica.address.parse().ok());
+        let addresses = set
+            .members()
+            .filter_map(|replica| replica.address.parse().ok());
         addresses.filter(is_target).collect()
     }
 
     /// The ping to this controller.
     pub fn ping(&self, now: Instant, to: SocketAddr, set: &ReplicaSet) -> Ping {
-        Ping { status: self.status(now, Some(set)), echo: self.echoes.get(&to).copied() }
+        Ping {
+            status: self.status(now, Some(set)),
+            echo: self.echoes.get(&to).copied(),
+        }
     }
 
     /// The answer to a ping. `set` is the newest set known here, if there is one.
-    pub fn answer(&mut self, now: Instant, from: SocketAddr, ping: Ping, set: Option<&ReplicaSet>) -> Pong {
+    pub fn answer(
+        &mut self,
+        now: Instant,
+        from: SocketAddr,
+        ping: Ping,
+        set: Option<&ReplicaSet>,
+    ) -> Pong {
         let answered_at = ping.echo.and_then(|echo| self.stamps.made_at(now, echo));
         self.note(now, from, ping.status, answered_at);
-        Pong { status: self.status(now, set), stamp: self.stamps.stamp(now) }
+        Pong {
+            status: self.status(now, set),
+            stamp: self.stamps.stamp(now),
+        }
     }
 
     /// A ping that was sent at that time has been answered.
@@ -119,7 +146,13 @@
     }
 
     /// Takes note of what a controller says. It is known to have received what was sent to it at `reached_at`.
-    fn note(&mut self, now: Instant, from: SocketAddr, status: Status, reached_at: Option<Instant>) {
+    fn note(
+        &mut self,
+        now: Instant,
+        from: SocketAddr,
+        status: Status,
+        reached_at: Option<Instant>,
+    ) {
         self.peers.heard(now, from, status.replica, status.epoch);
         if let Some((replica, reached_at)) = status.replica.zip(reached_at) {
             self.peers.reached(replica, reached_at, status.first);
--- a/crates/mintlb-control/src/controller/pings.rs
+++ b/crates/mintlb-control/src/controller/pings.rs
@@ -22,15 +22,26 @@
     loop {
         sleep(STEP).await;
         step += 1;
-        let Some(set) = controller.register.set() else { continue };
+        let Some(set) = controller.register.set() else {
+            continue;
+        };
         let votes = controller.duties.pings().votes(&set);
         if votes || step % STEPS_WITHOUT_VOTE == 0 {
             ping_all(&controller, &set);
         }
-        let holds = controller.duties.step(&set, controller.register.majority_at());
+        let holds = controller
+            .duties
+            .step(&set, controller.register.majority_at());
         if controller.is_in_contact() != in_contact {
             in_contact = !in_contact;
-            log::info!("contact: {}", if in_contact { "with a majority" } else { "lost" });
+            log::info!(
+                "contact: {}",
+                if in_contact {
+                    "with a majority"
+                } else {
+                    "lost"
+                }
+            );
         }
         if holds != held {
             log::info!(
@@ -55,8 +66,17 @@
 async fn ping(controller: &Controller, to: SocketAddr, set: &ReplicaSet) {
     let sent_at = Instant::now();
     let call = DutyCall::Ping(controller.duties.pings().ping(sent_at, to, set));
-    let answer = controller.transport.call(to, Channel::Duties, encoded(&call), PING_WITHIN).await;
-    if let Some(DutyAnswer::Pong(pong)) = answer.ok().and_then(|answer| minicbor::decode(&answer).ok()) {
-        controller.duties.pings().answered(Instant::now(), to, sent_at, pong);
+    let answer = controller
+        .transport
+        .call(to, Channel::Duties, encoded(&call), PING_WITHIN)
+        .await;
+    if let Some(DutyAnswer::Pong(pong)) = answer
+        .ok()
+        .and_then(|answer| minicbor::decode(&answer).ok())
+    {
+        controller
+            .duties
+            .pings()
+            .answered(Instant::now(), to, sent_at, pong);
     }
 }
--- a/crates/mintlb-control/src/controller/publisher.rs
+++ b/crates/mintlb-control/src/controller/publisher.rs
@@ -34,19 +34,34 @@
     }
 
     fn is_news(&self, record: &Record) -> bool {
-        self.overlay.get(&record.key).is_none_or(|known| known.version < record.version)
+        self.overlay
+            .get(&record.key)
+            .is_none_or(|known| known.version < record.version)
     }
 }
 
 /// The records of a value.
 fn records(state: &ControlState) -> impl Iterator<Item = Record> {
-    let replicas = kept(REPLICAS, state.replicas.epoch, minicbor::to_vec(&state.replicas));
-    let placement = (state.placement.epoch > 0)
-        .then(|| kept(PLACEMENT, state.placement.epoch, minicbor::to_vec(&state.placement)));
-    [Some(replicas), placement.flatten().map(Some), Some(configuration(state))]
-        .into_iter()
-        .flatten()
-        .flatten()
+    let replicas = kept(
+        REPLICAS,
+        state.replicas.epoch,
+        minicbor::to_vec(&state.replicas),
+    );
+    let placement = (state.placement.epoch > 0).then(|| {
+        kept(
+            PLACEMENT,
+            state.placement.epoch,
+            minicbor::to_vec(&state.placement),
+        )
+    });
+    [
+        Some(replicas),
+        placement.flatten().map(Some),
+        Some(configuration(state)),
+    ]
+    .into_iter()
+    .flatten()
+    .flatten()
 }
 
 fn configuration(state: &ControlState) -> Option<Record> {
@@ -60,5 +75,10 @@
 
 fn kept<E>(key: &str, version: u64, body: Result<Vec<u8>, E>) -> Option<Record> {
     let body = body.ok()?.into();
-    Some(Record { key: key.to_string(), version, lifetime_s: 0, body })
+    Some(Record {
+        key: key.to_string(),
+        version,
+        lifetime_s: 0,
+        body,
+    })
 }
--- a/crates/mintlb-control/src/controller/register.rs
+++ b/crates/mintlb-control/src/controller/register.rs
@@ -101,7 +101,10 @@
             majority_at: Mutex::default(),
             listener: Mutex::default(),
         });
-        transport.serve(Channel::Register, Arc::new(RegisterService(register.clone())));
+        transport.serve(
+            Channel::Register,
+            Arc::new(RegisterService(register.clone())),
+        );
         register
     }
 
@@ -143,7 +146,9 @@
 
     /// Founds the register with the replica of this process; whether that is on disk.
     pub async fn found(&self) -> bool {
-        let Some(replica) = &self.replica else { return false };
+        let Some(replica) = &self.replica else {
+            return false;
+        };
         let ballot = Ballot::default().next(self.proposer());
         match replica.found(ballot).await {
             Some(accepted) => {
@@ -158,11 +163,14 @@
     pub async fn change(&self, change: Change, within: Duration) -> Result<Outcome, Unavailable> {
         let begun_at = Instant::now();
         let deadline = begun_at + within;
-        let _turn = timeout_at(deadline, self.turn.lock()).await.map_err(|_| Unavailable)?;
+        let _turn = timeout_at(deadline, self.turn.lock())
+            .await
+            .map_err(|_| Unavailable)?;
         let set = self.set().ok_or(Unavailable)?;
         let known = self.chosen();
         let floor = self.knowledge.lock().floor();
-        let (mut proposal, mut effects) = Proposal::start(self.proposer(), floor, set, known, change);
+        let (mut proposal, mut effects) =
+            Proposal::start(self.proposer(), floor, set, known, change);
         let (replies, mut inputs) = mpsc::channel(REPLIES);
         let mut timer = deadline;
         loop {
@@ -194,11 +202,16 @@
     /// Reads the newest value: no older one than any that was acknowledged before the call.
     pub async fn read(&self, within: Duration) -> Result<Accepted, Unavailable> {
         let deadline = Instant::now() + within;
-        match self.read_once(deadline.min(Instant::now() + ONE_ROUND_READ)).await {
+        match self
+            .read_once(deadline.min(Instant::now() + ONE_ROUND_READ))
+            .await
+        {
             Some(chosen) => Ok(chosen),
             None => {
                 let left = deadline.saturating_duration_since(Instant::now());
-                self.change(Change::Confirm, left).await.map(|outcome| outcome.chosen)
+                self.change(Change::Confirm, left)
+                    .await
+                    .map(|outcome| outcome.chosen)
             }
         }
     }
@@ -231,7 +244,11 @@
     /// Asks another process what it knows of the register.
     pub async fn status_of(&self, address: SocketAddr, within: Duration) -> Option<SeedAnswer> {
         let body = encoded(&Call::Status);
-        let answer = self.transport.call(address, Channel::Register, body, within).await.ok()?;
+        let answer = self
+            .transport
+            .call(address, Channel::Register, body, within)
+            .await
+            .ok()?;
         match minicbor::decode(&answer).ok()? {
             CallAnswer::Status { has_disk, set } => Some(SeedAnswer { has_disk, set }),
             _ => None,
@@ -240,10 +257,17 @@
 
     /// Asks a seed without a disk whether the replica here may found the register.
     pub async fn ask_grant(&self, seed: SocketAddr, within: Duration) -> bool {
-        let Some(replica) = &self.replica else { return false };
+        let Some(replica) = &self.replica else {
+            return false;
+        };
         let body = encoded(&Call::Grant(replica.identity().id));
-        let answer = self.transport.call(seed, Channel::Register, body, within).await;
-        let answer = answer.ok().and_then(|answer| minicbor::decode(&answer).ok());
+        let answer = self
+            .transport
+            .call(seed, Channel::Register, body, within)
+            .await;
+        let answer = answer
+            .ok()
+            .and_then(|answer| minicbor::decode(&answer).ok());
         matches!(answer, Some(CallAnswer::Grant(true)))
     }
 
@@ -254,11 +278,17 @@
 
     /// Takes note of a value that is chosen.
     fn learn(&self, accepted: Accepted) {
-        let Some(epoch) = self.knowledge.lock().learn(&accepted) else { return };
+        let Some(epoch) = self.knowledge.lock().learn(&accepted) else {
+            return;
+        };
         let set = &accepted.state.replicas;
         if set.epoch != epoch {
             let joint = if set.is_joint() { ", joint" } else { "" };
-            log::info!("register: set epoch {}, {} replicas{joint}", set.epoch, set.current.len());
+            log::info!(
+                "register: set epoch {}, {} replicas{joint}",
+                set.epoch,
+                set.current.len()
+            );
         }
         if let Some(listener) = &*self.listener.lock() {
             listener(&accepted);
@@ -268,7 +298,10 @@
     /// A number that no other proposal has.
     fn proposer(&self) -> u64 {
         let number = self.proposals.fetch_add(1, Relaxed) + 1;
-        scramble(self.draw.wrapping_add(number.wrapping_mul(0x9e37_79b9_7f4a_7c15)))
+        scramble(
+            self.draw
+                .wrapping_add(number.wrapping_mul(0x9e37_79b9_7f4a_7c15)),
+        )
     }
 
     /// Sends a message to a replica, and its reply or its loss to `replies`.
@@ -278,7 +311,11 @@
             Ask::Accept { proposed } => proposed.ballot,
             Ask::Read { .. } => Ballot::default(),
         };
-        let local = self.replica.as_ref().filter(|local| local.identity().id == replica.id).cloned();
+        let local = self
+            .replica
+            .as_ref()
+            .filter(|local| local.identity().id == replica.id)
+            .cloned();
         let transport = self.transport.clone();
         tokio::spawn(async move {
             let from = replica.id;
@@ -286,7 +323,14 @@
                 Some(local) => local.answer(request).await,
                 None => remote(&transport, &replica, request).await,
             };
-            replies.send(Received { from, ballot, reply }).await.ok();
+            replies
+                .send(Received {
+                    from,
+                    ballot,
+                    reply,
+                })
+                .await
+                .ok();
         });
     }
 }
@@ -294,7 +338,10 @@
 async fn remote(transport: &Arc<Transport>, replica: &Replica, request: Request) -> Option<Reply> {
     let address = replica.address.parse().ok()?;
     let body = encoded(&Call::Vote(request));
-    let answer = transport.call(address, Channel::Register, body, ROUND).await.ok()?;
+    let answer = transport
+        .call(address, Channel::Register, body, ROUND)
+        .await
+        .ok()?;
     match minicbor::decode(&answer).ok()? {
         CallAnswer::Vote(reply) => Some(reply),
         _ => None,
@@ -326,7 +373,9 @@
         Box::pin(async move {
             match minicbor::decode(&body) {
                 Ok(Call::Vote(request)) => {
-                    let Some(replica) = &register.replica else { return Bytes::new() };
+                    let Some(replica) = &register.replica else {
+                        return Bytes::new();
+                    };
                     match replica.answer(request).await {
                         Some(reply) => encoded(&CallAnswer::Vote(reply)),
                         None => Bytes::new(),
@@ -334,12 +383,18 @@
                 }
                 Ok(Call::Status) => {
                     let set = register.set();
-                    encoded(&CallAnswer::Status { has_disk: register.replica.is_some(), set })
+                    encoded(&CallAnswer::Status {
+                        has_disk: register.replica.is_some(),
+                        set,
+                    })
                 }
                 Ok(Call::Grant(candidate)) => {
                     let knows_set = register.set().is_some();
                     let granted = register.replica.is_none()
-                        && register.grant.lock().ask(candidate, register.first_start, knows_set);
+                        && register
+                            .grant
+                            .lock()
+                            .ask(candidate, register.first_start, knows_set);
                     encoded(&CallAnswer::Grant(granted))
                 }
                 Err(_) => Bytes::new(),
--- a/crates/mintlb-control/src/controller/registry.rs
+++ b/crates/mintlb-control/src/controller/registry.rs
@@ -50,7 +50,11 @@
 impl Registry {
     /// Without workers. One is silent after this time without a call.
     pub fn new(now: Instant, silence: Duration) -> Registry {
-        Registry { workers: FxHashMap::default(), silence, ticked_at: now }
+        Registry {
+            workers: FxHashMap::default(),
+            silence,
+            ticked_at: now,
+        }
     }
 
     /// Sets after which time without a call a worker is silent.
@@ -74,20 +78,31 @@
     }
 
     /// A worker's call. `in_force` is its record as everybody knows it.
-    pub fn heartbeat(&mut self, now: Instant, told: WorkerRecord, in_force: Option<&WorkerRecord>) -> Heard {
+    pub fn heartbeat(
+        &mut self,
+        now: Instant,
+        told: WorkerRecord,
+        in_force: Option<&WorkerRecord>,
+    ) -> Heard {
         let sequence = told.call_sequence;
         let gone = in_force.is_some_and(|known| known.state == WorkerState::Gone);
         let later = in_force.is_some_and(|known| known.call_sequence > sequence);
-        let repeated = self.workers.get(&told.instance_id).is_some_and(|kept| kept.call_sequence >= sequence);
+        let repeated = self
+            .workers
+            .get(&told.instance_id)
+            .is_some_and(|kept| kept.call_sequence >= sequence);
         if gone || later || repeated {
-            return self.unconfirmed_drain(&told).map_or(Heard::Late, Heard::Publish);
+            return self
+                .unconfirmed_drain(&told)
+                .map_or(Heard::Late, Heard::Publish);
         }
         if !self.workers.contains_key(&told.instance_id) && self.workers.len() >= MOST_WORKERS {
             return Heard::TooMany;
         }
         let old = self.workers.get(&told.instance_id);
-        let own =
-            old.filter(|kept| in_force.is_some_and(|known| known.version() == kept.published.version()));
+        let own = old.filter(|kept| {
+            in_force.is_some_and(|known| known.version() == kept.published.version())
+        });
         if let Some(kept) = own
             && is_same(&kept.published, &told)
             && (kept.confirmed || told.state != WorkerState::Draining)
@@ -99,14 +114,22 @@
             }
             return Heard::Nothing;
         }
-        let kept = Kept { published: told.clone(), confirmed: false, call_sequence: sequence, heard_at: now };
+        let kept = Kept {
+            published: told.clone(),
+            confirmed: false,
+            call_sequence: sequence,
+            heard_at: now,
+        };
         self.workers.insert(told.instance_id.clone(), kept);
         Heard::Publish(told)
     }
 
     /// The drain of a worker that says again that it drains, if no neighbour has confirmed it yet.
     fn unconfirmed_drain(&self, told: &WorkerRecord) -> Option<WorkerRecord> {
-        let kept = self.workers.get(&told.instance_id).filter(|kept| !kept.confirmed)?;
+        let kept = self
+            .workers
+            .get(&told.instance_id)
+            .filter(|kept| !kept.confirmed)?;
         let drains = |record: &WorkerRecord| record.state == WorkerState::Draining;
         (drains(told) && drains(&kept.published)).then(|| kept.published.clone())
     }
@@ -124,7 +147,10 @@
     pub fn leave(&mut self, id: &str, in_force: Option<WorkerRecord>) -> WorkerRecord {
         let kept = self.workers.remove(id).map(|kept| kept.published);
         let known = in_force.or(kept).unwrap_or_else(|| unknown(id));
-        WorkerRecord { state: WorkerState::Gone, ..known }
+        WorkerRecord {
+            state: WorkerState::Gone,
+            ..known
+        }
     }
 
     /// Those that have become silent, as records to publish. `in_force` tells a worker's version as everybody knows it:
@@ -140,7 +166,9 @@
         let paused = now.saturating_duration_since(self.ticked_at) > FROZEN;
         self.ticked_at = now;
         if paused || !in_contact {
-            self.workers.values_mut().for_each(|kept| kept.heard_at = now);
+            self.workers
+                .values_mut()
+                .for_each(|kept| kept.heard_at = now);
             return Vec::new();
         }
         let silence = self.silence;
@@ -164,7 +192,8 @@
 
 /// What a worker's call says beyond its record in force, for a controller that does not take the worker in.
 pub fn news(told: WorkerRecord, in_force: Option<&WorkerRecord>) -> Option<WorkerRecord> {
-    let is_news = in_force.is_none_or(|known| known.version() < told.version() && !is_same(known, &told));
+    let is_news =
+        in_force.is_none_or(|known| known.version() < told.version() && !is_same(known, &told));
     is_news.then_some(told)
 }
 
--- a/crates/mintlb-control/src/controller/reload.rs
+++ b/crates/mintlb-control/src/controller/reload.rs
@@ -13,8 +13,12 @@
 
 /// Watches the settings file for the life of the process.
 pub async fn run(controller: Arc<Controller>) {
-    let Some(path) = std::env::var_os(SETTINGS_VARIABLE).map(PathBuf::from) else { return };
-    let Ok(mut hangup) = signal(SignalKind::hangup()) else { return };
+    let Some(path) = std::env::var_os(SETTINGS_VARIABLE).map(PathBuf::from) else {
+        return;
+    };
+    let Ok(mut hangup) = signal(SignalKind::hangup()) else {
+        return;
+    };
     let mut looks = interval(LOOK_EVERY);
     looks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     let mut seen = changed_at(&path);
@@ -53,13 +57,29 @@
         ("seed_nodes", old.seed_nodes != new.seed_nodes),
         ("first_start", old.first_start != new.first_start),
         ("heartbeat_ms", old.heartbeat_ms != new.heartbeat_ms),
-        ("fault_tolerance", old.fault_tolerance != new.fault_tolerance),
+        (
+            "fault_tolerance",
+            old.fault_tolerance != new.fault_tolerance,
+        ),
         ("bounds", old.bounds != new.bounds),
         ("limits", old.limits != new.limits),
         ("zones", old.zones != new.zones),
-        ("listen_addresses (at the next start)", old.listen_addresses != new.listen_addresses),
-        ("internal_ports (at the next start)", old.internal_ports != new.internal_ports),
-        ("data_directory (at the next start)", old.data_directory != new.data_directory),
+        (
+            "listen_addresses (at the next start)",
+            old.listen_addresses != new.listen_addresses,
+        ),
+        (
+            "internal_ports (at the next start)",
+            old.internal_ports != new.internal_ports,
+        ),
+        (
+            "data_directory (at the next start)",
+            old.data_directory != new.data_directory,
+        ),
     ];
-    fields.into_iter().filter(|(_, differs)| *differs).map(|(name, _)| name).collect()
+    fields
+        .into_iter()
+        .filter(|(_, differs)| *differs)
+        .map(|(name, _)| name)
+        .collect()
 }
--- a/crates/mintlb-control/src/controller/replica.rs
+++ b/crates/mintlb-control/src/controller/replica.rs
@@ -53,8 +53,14 @@
     /// Takes in a chosen value that has not come here: then the disk here is as new as those of the majority. Nothing
     /// happens if it has it, or something newer, or is no member of the value's set.
     pub async fn catch_up(&self, chosen: &Accepted) {
-        let is_behind = self.accepted().is_none_or(|accepted| accepted.ballot < chosen.ballot);
-        let is_member = chosen.state.replicas.members().any(|member| member.id == self.identity.id);
+        let is_behind = self
+            .accepted()
+            .is_none_or(|accepted| accepted.ballot < chosen.ballot);
+        let is_member = chosen
+            .state
+            .replicas
+            .members()
+            .any(|member| member.id == self.identity.id);
         if is_behind && is_member {
             self.synced(|acceptor| (acceptor.learn(chosen), ())).await;
         }
@@ -85,7 +91,12 @@
     pub async fn found(&self, ballot: Ballot) -> Option<Accepted> {
         let state = Arc::new(ControlState::founded_by(self.identity.clone()));
         let proposed = Accepted { ballot, state };
-        let request = Request { target: self.identity.id, ask: Ask::Accept { proposed: proposed.clone() } };
+        let request = Request {
+            target: self.identity.id,
+            ask: Ask::Accept {
+                proposed: proposed.clone(),
+            },
+        };
         match self.answer(request).await {
             Some(Reply::Accepted { .. }) => Some(proposed),
             _ => None,
--- a/crates/mintlb-control/src/controller/retire_api.rs
+++ b/crates/mintlb-control/src/controller/retire_api.rs
@@ -58,7 +58,11 @@
 }
 
 fn state(state: &str) -> Answered {
-    ([(header::CONTENT_TYPE, "application/json")], format!("{{\"state\":\"{state}\"}}")).into_response()
+    (
+        [(header::CONTENT_TYPE, "application/json")],
+        format!("{{\"state\":\"{state}\"}}"),
+    )
+        .into_response()
 }
 
 /// Passes a call on to the replicas, one after the other.
@@ -66,13 +70,20 @@
     let deadline = Instant::now() + ANSWER_WITHIN;
     let set = controller.register.set().unwrap_or_default();
     let own = controller.transport.own_address();
-    let addresses = set.current.iter().filter_map(|replica| replica.address.parse().ok());
+    let addresses = set
+        .current
+        .iter()
+        .filter_map(|replica| replica.address.parse().ok());
     let body = encoded(&DutyCall::Retire(call.clone()));
     for address in addresses.filter(|address| *address != own) {
         let left = deadline.saturating_duration_since(Instant::now());
-        let answer = controller.transport.call(address, Channel::Duties, body.clone(), left / 2).await;
-        if let Some(DutyAnswer::Retire(answer)) =
-            answer.ok().and_then(|answer| minicbor::decode(&answer).ok())
+        let answer = controller
+            .transport
+            .call(address, Channel::Duties, body.clone(), left / 2)
+            .await;
+        if let Some(DutyAnswer::Retire(answer)) = answer
+            .ok()
+            .and_then(|answer| minicbor::decode(&answer).ok())
             && answer != RetireAnswer::Unavailable
         {
             return answer;
--- a/crates/mintlb-control/src/controller/retirement.rs
+++ b/crates/mintlb-control/src/controller/retirement.rs
@@ -47,7 +47,11 @@
             RetirementOrder::Begin(next) => next,
         };
         let left = deadline.saturating_duration_since(Instant::now());
-        match controller.register.change(Change::Placement(next), left).await {
+        match controller
+            .register
+            .change(Change::Placement(next), left)
+            .await
+        {
             Ok(outcome) if is_done(outcome.answer) => return RetireAnswer::Ordered,
             // The placement has changed in between.
             Ok(_) => (),
@@ -76,6 +80,9 @@
 }
 
 fn hears_primaries(placement: &Placement, view: &StoreView) -> bool {
-    let mut primaries = placement.shards.iter().filter_map(|shard| shard.replicas.first());
+    let mut primaries = placement
+        .shards
+        .iter()
+        .filter_map(|shard| shard.replicas.first());
     primaries.all(|primary| view.silence(*primary) < LIVE)
 }
--- a/crates/mintlb-control/src/controller/stamps.rs
+++ b/crates/mintlb-control/src/controller/stamps.rs
@@ -15,7 +15,10 @@
 impl Stamps {
     /// Stamps of a life that begins now. `draw` is a random number of this life.
     pub fn new(now: Instant, draw: u64) -> Stamps {
-        Stamps { first: draw, begun: now }
+        Stamps {
+            first: draw,
+            begun: now,
+        }
     }
 
     /// The stamp of this moment.
--- a/crates/mintlb-control/src/controller/vote_file.rs
+++ b/crates/mintlb-control/src/controller/vote_file.rs
@@ -50,25 +50,51 @@
         std::fs::remove_file(&unfinished).map_err(disk)?;
     }
     {
-        let database = builder().create(&unfinished).map_err(ControllerError::database)?;
-        rewrite(&database, &Contents { id, vote: Vote::default() })?;
+        let database = builder()
+            .create(&unfinished)
+            .map_err(ControllerError::database)?;
+        rewrite(
+            &database,
+            &Contents {
+                id,
+                vote: Vote::default(),
+            },
+        )?;
     }
     std::fs::rename(&unfinished, directory.join(FILE)).map_err(disk)?;
-    std::fs::File::open(directory).and_then(|folder| folder.sync_all()).map_err(disk)
+    std::fs::File::open(directory)
+        .and_then(|folder| folder.sync_all())
+        .map_err(disk)
 }
 
 /// Reads everything.
 pub fn read(database: &Database) -> Result<Contents, ControllerError> {
     let transaction = database.begin_read().map_err(ControllerError::database)?;
-    let table = transaction.open_table(VOTE).map_err(|error| ControllerError::Damaged(error.to_string()))?;
+    let table = transaction
+        .open_table(VOTE)
+        .map_err(|error| ControllerError::Damaged(error.to_string()))?;
     let read = |key: &str| table.get(key).map_err(ControllerError::database);
     let id = match read(IDENTITY)? {
         Some(bytes) => decoded(bytes.value())?,
-        None => return Err(ControllerError::Damaged("there is no identity in it".to_string())),
+        None => {
+            return Err(ControllerError::Damaged(
+                "there is no identity in it".to_string(),
+            ));
+        }
     };
-    let promised: Option<Ballot> = read(PROMISED)?.map(|bytes| decoded(bytes.value())).transpose()?;
-    let accepted: Option<Accepted> = read(ACCEPTED)?.map(|bytes| decoded(bytes.value())).transpose()?;
-    Ok(Contents { id, vote: Vote { promised: promised.unwrap_or_default(), accepted } })
+    let promised: Option<Ballot> = read(PROMISED)?
+        .map(|bytes| decoded(bytes.value()))
+        .transpose()?;
+    let accepted: Option<Accepted> = read(ACCEPTED)?
+        .map(|bytes| decoded(bytes.value()))
+        .transpose()?;
+    Ok(Contents {
+        id,
+        vote: Vote {
+            promised: promised.unwrap_or_default(),
+            accepted,
+        },
+    })
 }
 
 /// Writes everything and syncs it.
@@ -94,13 +120,21 @@
 ) -> Result<(), ControllerError> {
     let transaction = database.begin_write().map_err(ControllerError::database)?;
     {
-        let mut table = transaction.open_table(VOTE).map_err(ControllerError::database)?;
+        let mut table = transaction
+            .open_table(VOTE)
+            .map_err(ControllerError::database)?;
         if let Some(id) = id {
-            table.insert(IDENTITY, &*encoded(&id)).map_err(ControllerError::database)?;
+            table
+                .insert(IDENTITY, &*encoded(&id))
+                .map_err(ControllerError::database)?;
         }
-        table.insert(PROMISED, &*encoded(&promised)).map_err(ControllerError::database)?;
+        table
+            .insert(PROMISED, &*encoded(&promised))
+            .map_err(ControllerError::database)?;
         if let Some(accepted) = accepted {
-            table.insert(ACCEPTED, &*encoded(accepted)).map_err(ControllerError::database)?;
+            table
+                .insert(ACCEPTED, &*encoded(accepted))
+                .map_err(ControllerError::database)?;
         }
     }
     transaction.commit().map_err(ControllerError::database)
--- a/crates/mintlb-control/src/controller/vote_store.rs
+++ b/crates/mintlb-control/src/controller/vote_store.rs
@@ -104,7 +104,10 @@
         if path.exists() {
             match VoteStore::start(Box::new(opener.clone())) {
                 Err(error) if error.is_damage() => {
-                    log::warn!("register: {} is damaged and put aside: {error}", path.display());
+                    log::warn!(
+                        "register: {} is damaged and put aside: {error}",
+                        path.display()
+                    );
                     std::fs::rename(&path, directory.join(UNREADABLE_FILE))
                         .map_err(|cause| ControllerError::disk(&path, cause))?;
                 }
@@ -121,12 +124,21 @@
         let Contents { id, vote } = vote_file::read(&database)?;
         let (jobs, queue) = sync_channel(QUEUE);
         let shared = Arc::new(Shared::default());
-        let worker = Worker { opener, id, queue, shared: shared.clone() };
+        let worker = Worker {
+            opener,
+            id,
+            queue,
+            shared: shared.clone(),
+        };
         let thread = std::thread::Builder::new()
             .name("register-sync".to_string())
             .spawn(move || worker.run(database))
             .map_err(|cause| ControllerError::disk(Path::new(FILE), cause))?;
-        let store = VoteStore { jobs: Mutex::new(Some(jobs)), thread: Mutex::new(Some(thread)), shared };
+        let store = VoteStore {
+            jobs: Mutex::new(Some(jobs)),
+            thread: Mutex::new(Some(thread)),
+            shared,
+        };
         Ok(Opened { store, id, vote })
     }
 
@@ -169,9 +181,18 @@
         if *health != Health::Good {
             return receiver;
         }
-        let job = Job { sync, life: self.shared.life.load(SeqCst), done };
+        let job = Job {
+            sync,
+            life: self.shared.life.load(SeqCst),
+            done,
+        };
         self.shared.unfinished.fetch_add(1, SeqCst);
-        if self.jobs.lock().as_ref().is_none_or(|jobs| jobs.try_send(job).is_err()) {
+        if self
+            .jobs
+            .lock()
+            .as_ref()
+            .is_none_or(|jobs| jobs.try_send(job).is_err())
+        {
             // The vote in memory is ahead of the disk, and the file is closed.
             *health = Health::Failed;
             self.shared.finish(1);
@@ -245,7 +266,9 @@
         let database = (self.opener)()?;
         let contents = vote_file::read(&database)?;
         if contents.id != self.id {
-            return Err(ControllerError::Damaged("it is another replica's".to_string()));
+            return Err(ControllerError::Damaged(
+                "it is another replica's".to_string(),
+            ));
         }
         vote_file::rewrite(&database, &contents)?;
         Ok((database, contents.vote))
@@ -260,9 +283,14 @@
         Sync::Value(accepted) => Some(accepted.ballot),
         Sync::Learned { promised, .. } => Some(*promised),
     });
-    let Some(promise) = promise else { return Ok(()) };
+    let Some(promise) = promise else {
+        return Ok(());
+    };
     let value = jobs.iter().rev().find_map(|job| match &job.sync {
-        Sync::Value(accepted) | Sync::Learned { chosen: accepted, .. } => Some(accepted),
+        Sync::Value(accepted)
+        | Sync::Learned {
+            chosen: accepted, ..
+        } => Some(accepted),
         _ => None,
     });
     vote_file::write_vote(database, promise, value)
