--- a/crates/mintlb-control/src/store/calls.rs
+++ b/crates/mintlb-control/src/store/calls.rs
@@ -56,7 +56,15 @@
         let report_changed = core.report_changed.clone();
         let own = settings.own;
         let (core, started, leaving) = (Mutex::new(core), Instant::now(), Default::default());
-        Arc::new(Store { core, own, started, clock_offset, disk_bytes, report_changed, leaving })
+        Arc::new(Store {
+            core,
+            own,
+            started,
+            clock_offset,
+            disk_bytes,
+            report_changed,
+            leaving,
+        })
     }
 
     fn now(&self) -> Moment {
@@ -136,7 +144,11 @@
     /// its copy may have to be read.
     pub fn is_needed(&self) -> bool {
         let core = self.core.lock();
-        let is_read = core.placement().shards.iter().any(|shard| shard.previous.contains(&self.own));
+        let is_read = core
+            .placement()
+            .shards
+            .iter()
+            .any(|shard| shard.previous.contains(&self.own));
         is_read || core.replicas().iter().any(Replica::is_primary)
     }
 
@@ -194,18 +206,32 @@
         if self.is_disk_full(raw.len() as u64) {
             return messages::Answer::DiskFull;
         }
-        let Submit { epoch, holder, max_queued_tokens, lot } = submit;
+        let Submit {
+            epoch,
+            holder,
+            max_queued_tokens,
+            lot,
+        } = submit;
         let new = lot.clone();
-        let change =
-            |replica: &mut Replica, now| replica.submit(epoch, lot, &raw, holder, max_queued_tokens, now);
+        let change = |replica: &mut Replica, now| {
+            replica.submit(epoch, lot, &raw, holder, max_queued_tokens, now)
+        };
         match self.propose(shard, change, |_, _| ()).await {
             Proposal::Done(answer) | Proposal::Pending(_, answer) => answer,
             Proposal::Compare(index, answer) => {
                 let stored = self.core.lock().read(shard, &[index]).unwrap_or_default();
-                let entry = stored.first().and_then(|(_, bytes)| framing::decode::<Entry>(bytes));
-                let Some((Entry::Accepted(head), stored)) = entry else { return messages::Answer::Unsure };
+                let entry = stored
+                    .first()
+                    .and_then(|(_, bytes)| framing::decode::<Entry>(bytes));
+                let Some((Entry::Accepted(head), stored)) = entry else {
+                    return messages::Answer::Unsure;
+                };
                 let same = Replica::same_items(&head, &new) && (stored.is_empty() || stored == raw);
-                if same { answer } else { messages::Answer::Conflict }
+                if same {
+                    answer
+                } else {
+                    messages::Answer::Conflict
+                }
             }
         }
     }
@@ -220,16 +246,23 @@
 
     async fn end(&self, lot: LotName) -> messages::Answer {
         let shard = Placement::shard_of(&lot.host);
-        let proposal = self.propose(shard, |replica, now| replica.end(&lot, now), |_, _| ()).await;
+        let proposal = self
+            .propose(shard, |replica, now| replica.end(&lot, now), |_, _| ())
+            .await;
         self.sure(shard, proposal).await
     }
 
     async fn record(&self, record: Record, raw: Bytes) -> messages::Answer {
         let shard = Placement::shard_of(&record.lot.host);
-        let change =
-            |replica: &mut Replica, now| replica.record(&record.lot, record.item, record.state, &raw, now);
+        let change = |replica: &mut Replica, now| {
+            replica.record(&record.lot, record.item, record.state, &raw, now)
+        };
         let look = |core: &mut Core, proposal: &Proposal| {
-            let lot = core.replica(shard).lots().find(&record.lot).map(|(number, _)| number);
+            let lot = core
+                .replica(shard)
+                .lots()
+                .find(&record.lot)
+                .map(|(number, _)| number);
             if let (Proposal::Pending(index, _), Some(lot)) = (proposal, lot) {
                 core.result_on_its_way(shard, *index, lot);
             }
@@ -244,7 +277,9 @@
             Proposal::Done(messages::Answer::Unknown) if !self.confirmed(shard).await => {
                 messages::Answer::Unsure
             }
-            Proposal::Done(answer) | Proposal::Pending(_, answer) | Proposal::Compare(_, answer) => answer,
+            Proposal::Done(answer)
+            | Proposal::Pending(_, answer)
+            | Proposal::Compare(_, answer) => answer,
         }
     }
 
@@ -288,7 +323,9 @@
         if !core.replica(shard).is_serving() {
             return Look::Answer(framing::encode(&messages::Answer::NotInCharge, &[]));
         }
-        let plan = core.replica(shard).page(&read.lot, read.start_after, read.most_bytes);
+        let plan = core
+            .replica(shard)
+            .page(&read.lot, read.start_after, read.most_bytes);
         if let Some(plan) = plan.as_ref().filter(|plan| !plan.entries.is_empty()) {
             return Look::Answer(page(&core, shard, plan));
         }
@@ -364,9 +401,14 @@
         let mut renewed = messages::Renewed::default();
         for held in &renew.lots {
             let shard = Placement::shard_of(&held.lot.host);
-            core.replica(shard).renew(renew.holder, held, &mut renewed, now);
+            core.replica(shard)
+                .renew(renew.holder, held, &mut renewed, now);
         }
-        renewed.open = core.replicas().iter().map(|replica| replica.open_items(now)).sum();
+        renewed.open = core
+            .replicas()
+            .iter()
+            .map(|replica| replica.open_items(now))
+            .sum();
         messages::Answer::Renewed(renewed)
     }
 
@@ -396,12 +438,17 @@
 fn page(core: &Core, shard: u32, plan: &PagePlan) -> Bytes {
     let mut page = plan.page.clone();
     let stored = core.read(shard, &plan.entries).unwrap_or_default();
-    let texts: Vec<Bytes> =
-        stored.iter().filter_map(|(_, bytes)| Some(framing::decode::<Entry>(bytes)?.1)).collect();
+    let texts: Vec<Bytes> = stored
+        .iter()
+        .filter_map(|(_, bytes)| Some(framing::decode::<Entry>(bytes)?.1))
+        .collect();
     if texts.len() != page.results.len() {
         return framing::encode(&messages::Answer::Unsure, &[]);
     }
-    page.results.iter_mut().zip(&texts).for_each(|(result, text)| result.length = text.len() as u64);
+    page.results
+        .iter_mut()
+        .zip(&texts)
+        .for_each(|(result, text)| result.length = text.len() as u64);
     let raw: Vec<&[u8]> = texts.iter().map(|text| &text[..]).collect();
     framing::encode(&messages::Answer::Page(page), &raw)
 }
@@ -429,7 +476,10 @@
         let (_, raw) = raws.iter().find(|(index, _)| *index == plan.entry)?;
         (plan.range.end <= raw.len()).then(|| raw.slice(plan.range.clone()))
     };
-    plans.into_iter().filter_map(|plan| payload(&plan).map(|bytes| (plan, bytes))).collect()
+    plans
+        .into_iter()
+        .filter_map(|plan| payload(&plan).map(|bytes| (plan, bytes)))
+        .collect()
 }
 
 async fn is_told(commit: oneshot::Receiver<bool>) -> bool {
@@ -441,7 +491,9 @@
 
 impl Service for StoreService {
     fn notice(&self, _from: SocketAddr, body: Bytes) {
-        let Some((envelope, raw)) = framing::decode::<Envelope>(&body) else { return };
+        let Some((envelope, raw)) = framing::decode::<Envelope>(&body) else {
+            return;
+        };
         let now = self.0.now();
         self.0.core.lock().message(envelope, raw, now);
     }
--- a/crates/mintlb-control/src/store/core.rs
+++ b/crates/mintlb-control/src/store/core.rs
@@ -60,7 +60,12 @@
 
 impl Core {
     /// Replicas with what the disk held.
-    pub fn new(transport: Arc<Transport>, opened: Opened, settings: ReplicaSettings, now: Moment) -> Core {
+    pub fn new(
+        transport: Arc<Transport>,
+        opened: Opened,
+        settings: ReplicaSettings,
+        now: Moment,
+    ) -> Core {
         Core {
             replicas: load(opened.shards, settings, now),
             waiting: no_calls(),
@@ -90,7 +95,8 @@
         self.replicas = load(shards, self.settings, now);
         self.writer.resume();
         self.suspended = false;
-        for (shard, assignment) in (0..SHARD_COUNT).zip(std::mem::take(&mut self.placement.shards)) {
+        for (shard, assignment) in (0..SHARD_COUNT).zip(std::mem::take(&mut self.placement.shards))
+        {
             self.replica(shard).set_assignment(&assignment, now);
             self.act(shard, now);
             self.placement.shards.push(assignment);
@@ -127,8 +133,10 @@
         if placement.epoch <= self.placement.epoch {
             return;
         }
-        let addresses =
-            placement.stores.iter().filter_map(|store| Some((store.id, store.address.parse().ok()?)));
+        let addresses = placement
+            .stores
+            .iter()
+            .filter_map(|store| Some((store.id, store.address.parse().ok()?)));
         self.addresses = addresses.collect();
         for (shard, assignment) in (0..SHARD_COUNT).zip(&placement.shards) {
             if self.suspended {
@@ -170,7 +178,9 @@
             self.replica(shard).tick(now);
             self.act(shard, now);
         }
-        self.waiting.iter_mut().for_each(Waiting::forget_readers_that_left);
+        self.waiting
+            .iter_mut()
+            .for_each(Waiting::forget_readers_that_left);
     }
 
     /// What the controllers are told.
@@ -181,7 +191,11 @@
     /// Waits for the commit of an index; told `false` if it can't be told any more whether it comes about.
     pub fn wait_commit(&mut self, shard: u32, index: u64) -> oneshot::Receiver<bool> {
         let (told, receiver) = oneshot::channel();
-        self.waiting[shard as usize].commits.entry(index).or_default().push(told);
+        self.waiting[shard as usize]
+            .commits
+            .entry(index)
+            .or_default()
+            .push(told);
         receiver
     }
 
@@ -201,7 +215,10 @@
 
     /// Lots that readers wait for.
     pub fn lots_waited_for(&self) -> usize {
-        self.waiting.iter().map(|waiting| waiting.readers.len()).sum()
+        self.waiting
+            .iter()
+            .map(|waiting| waiting.readers.len())
+            .sum()
     }
 
     /// Waits for a sign of the followers.
@@ -245,24 +262,35 @@
                 continue;
             }
             if let Err(at_once) = self.writer.write(shard, writes, after) {
-                at_once.into_iter().for_each(|after| self.replica(shard).synced(after, now));
+                at_once
+                    .into_iter()
+                    .for_each(|after| self.replica(shard).synced(after, now));
             }
         }
     }
 
     fn send(&self, envelope: &Envelope, raw: &[&[u8]]) {
-        let Some(address) = self.addresses.get(&envelope.to) else { return };
-        self.transport.notify(*address, Channel::Lots, framing::encode(envelope, raw));
+        let Some(address) = self.addresses.get(&envelope.to) else {
+            return;
+        };
+        self.transport
+            .notify(*address, Channel::Lots, framing::encode(envelope, raw));
     }
 
     fn send_entries(&self, mut envelope: Envelope, indexes: &[u64]) {
-        let Some(entries) = self.read(envelope.shard, indexes) else { return };
-        let (PeerMessage::Append(append) | PeerMessage::Fetched(append)) = &mut envelope.message else {
+        let Some(entries) = self.read(envelope.shard, indexes) else {
+            return;
+        };
+        let (PeerMessage::Append(append) | PeerMessage::Fetched(append)) = &mut envelope.message
+        else {
             return;
         };
         append.entries = entries
             .iter()
-            .map(|(index, bytes)| EntryLength { index: *index, length: bytes.len() as u64 })
+            .map(|(index, bytes)| EntryLength {
+                index: *index,
+                length: bytes.len() as u64,
+            })
             .collect();
         let raw: Vec<&[u8]> = entries.iter().map(|(_, bytes)| &bytes[..]).collect();
         self.send(&envelope, &raw);
@@ -272,7 +300,11 @@
     pub fn read(&self, shard: u32, indexes: &[u64]) -> Option<Vec<(u64, Bytes)>> {
         let recent: Vec<(u64, Bytes)> = indexes
             .iter()
-            .map_while(|index| self.recent.get(shard, *index).map(|bytes| (*index, bytes.clone())))
+            .map_while(|index| {
+                self.recent
+                    .get(shard, *index)
+                    .map(|bytes| (*index, bytes.clone()))
+            })
             .collect();
         if recent.len() == indexes.len() {
             return Some(recent);
@@ -288,10 +320,20 @@
 
     fn committed(&mut self, shard: u32, through: u64) {
         let waiting = &mut self.waiting[shard as usize];
-        while let Some(first) = waiting.commits.first_entry().filter(|entry| *entry.key() <= through) {
-            first.remove().into_iter().for_each(|told| _ = told.send(true));
+        while let Some(first) = waiting
+            .commits
+            .first_entry()
+            .filter(|entry| *entry.key() <= through)
+        {
+            first
+                .remove()
+                .into_iter()
+                .for_each(|told| _ = told.send(true));
         }
-        while waiting.results.front().is_some_and(|(index, _)| *index <= through)
+        while waiting
+            .results
+            .front()
+            .is_some_and(|(index, _)| *index <= through)
             && let Some((_, lot)) = waiting.results.pop_front()
         {
             let readers = waiting.readers.remove(&lot).unwrap_or_default();
@@ -314,7 +356,13 @@
 fn load(mut shards: LoadedShards, settings: ReplicaSettings, now: Moment) -> Vec<Replica> {
     let replicas = (0..SHARD_COUNT).map(|shard| {
         let loaded = shards.remove(&shard).unwrap_or_default();
-        Replica::load(shard, settings, loaded.meta, loaded.entries.into_iter(), now)
+        Replica::load(
+            shard,
+            settings,
+            loaded.meta,
+            loaded.entries.into_iter(),
+            now,
+        )
     });
     replicas.collect()
 }
--- a/crates/mintlb-control/src/store/disk.rs
+++ b/crates/mintlb-control/src/store/disk.rs
@@ -63,15 +63,28 @@
             Ok(Some(loaded)) => loaded,
             Ok(None) => file::create(&open, directory, new_id)?,
             Err(DiskError::Damaged(cause)) => {
-                log::warn!("store: {} can't be read and is put aside: {cause}", path.display());
+                log::warn!(
+                    "store: {} can't be read and is put aside: {cause}",
+                    path.display()
+                );
                 file::put_aside(directory)?;
                 file::create(&open, directory, new_id)?
             }
             Err(refused) => return Err(refused),
         };
         let database = RwLock::new(Some(loaded.database));
-        let shared = Shared { database, open, path, id: loaded.id };
-        Ok((LotDisk { shared: Arc::new(shared) }, loaded.shards))
+        let shared = Shared {
+            database,
+            open,
+            path,
+            id: loaded.id,
+        };
+        Ok((
+            LotDisk {
+                shared: Arc::new(shared),
+            },
+            loaded.shards,
+        ))
     }
 
     /// Lets go of the file after a failed commit: nothing can be read or written until it is opened again.
@@ -88,7 +101,9 @@
             return Err(DiskError::Damaged("the file is gone".to_string()));
         };
         if loaded.id != self.shared.id {
-            return Err(DiskError::Damaged("the file is another store's".to_string()));
+            return Err(DiskError::Damaged(
+                "the file is another store's".to_string(),
+            ));
         }
         probe(&loaded.database)?;
         *database = Some(loaded.database);
--- a/crates/mintlb-control/src/store/driver.rs
+++ b/crates/mintlb-control/src/store/driver.rs
@@ -35,7 +35,13 @@
     pub fn new(store: Arc<Store>, disk: LotDisk, commits: UnboundedReceiver<Committed>) -> Driver {
         let mut ticks = interval(TICK);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
-        Driver { store, disk, commits, reopening: None, ticks }
+        Driver {
+            store,
+            disk,
+            commits,
+            reopening: None,
+            ticks,
+        }
     }
 
     /// Waits for the next thing and does it. Fails if the file turns out to be damaged. Can be dropped while it
@@ -60,14 +66,18 @@
         log::error!("store: suspended until the disk takes bytes");
         self.store.suspend();
         let disk = self.disk.clone();
-        self.reopening = Some(tokio::spawn(async move { when_possible(move || disk.reopen()).await }));
+        self.reopening = Some(tokio::spawn(async move {
+            when_possible(move || disk.reopen()).await
+        }));
     }
 }
 
 /// The end of reopening; never, if that is not under way.
 async fn done(reopening: &mut Option<Reopening>) -> Result<LoadedShards, DiskError> {
     match reopening {
-        Some(reopening) => reopening.await.unwrap_or_else(|error| Err(DiskError::Damaged(error.to_string()))),
+        Some(reopening) => reopening
+            .await
+            .unwrap_or_else(|error| Err(DiskError::Damaged(error.to_string()))),
         None => std::future::pending().await,
     }
 }
@@ -90,7 +100,9 @@
         let next = attempt.clone();
         let outcome = spawn_blocking(move || next()).await;
         match outcome.unwrap_or_else(|error| Err(DiskError::Damaged(error.to_string()))) {
-            Err(DiskError::Refused(cause)) => log::warn!("store: the disk does not take bytes: {cause}"),
+            Err(DiskError::Refused(cause)) => {
+                log::warn!("store: the disk does not take bytes: {cause}")
+            }
             outcome => return outcome,
         }
         sleep(pause).await;
--- a/crates/mintlb-control/src/store/file.rs
+++ b/crates/mintlb-control/src/store/file.rs
@@ -66,7 +66,12 @@
         | Error::TableDoesNotExist(_)
         | Error::TableTypeMismatch { .. }
         | Error::TypeDefinitionChanged { .. } => DiskError::Damaged(text),
-        Error::Io(error) if matches!(error.kind(), ErrorKind::InvalidData | ErrorKind::UnexpectedEof) => {
+        Error::Io(error)
+            if matches!(
+                error.kind(),
+                ErrorKind::InvalidData | ErrorKind::UnexpectedEof
+            ) =>
+        {
             DiskError::Damaged(text)
         }
         _ => DiskError::Refused(text),
@@ -90,7 +95,11 @@
 }
 
 /// Makes the file under another name first, so that a file with the right name is whole.
-pub(super) fn create(open: &OpenDatabase, directory: &Path, id: StoreId) -> Result<Loaded, DiskError> {
+pub(super) fn create(
+    open: &OpenDatabase,
+    directory: &Path,
+    id: StoreId,
+) -> Result<Loaded, DiskError> {
     let refused = |cause| refused(directory, cause);
     std::fs::create_dir_all(directory).map_err(refused)?;
     let unfinished = directory.join(UNFINISHED_FILE);
@@ -110,8 +119,11 @@
     }
     let path = directory.join(FILE);
     std::fs::rename(&unfinished, &path).map_err(refused)?;
-    std::fs::File::open(directory).and_then(|folder| folder.sync_all()).map_err(refused)?;
-    open_existing(open, &path)?.ok_or_else(|| DiskError::Refused("the new file is gone".to_string()))
+    std::fs::File::open(directory)
+        .and_then(|folder| folder.sync_all())
+        .map_err(refused)?;
+    open_existing(open, &path)?
+        .ok_or_else(|| DiskError::Refused("the new file is gone".to_string()))
 }
 
 /// Gives a damaged file another name.
@@ -136,7 +148,11 @@
     let id = id.ok_or_else(|| DiskError::Damaged("there is no identity in it".to_string()))?;
     let shards = read_shards(&transaction)?;
     drop((store, transaction));
-    Ok(Some(Loaded { database, id, shards }))
+    Ok(Some(Loaded {
+        database,
+        id,
+        shards,
+    }))
 }
 
 fn read_shards(transaction: &redb::ReadTransaction) -> Result<LoadedShards, DiskError> {
@@ -144,16 +160,21 @@
     let metas = transaction.open_table(SHARDS).map_err(failed)?;
     for row in metas.iter().map_err(failed)? {
         let (shard, meta) = row.map_err(failed)?;
-        let meta = minicbor::decode(meta.value()).map_err(|error| DiskError::Damaged(error.to_string()))?;
+        let meta = minicbor::decode(meta.value())
+            .map_err(|error| DiskError::Damaged(error.to_string()))?;
         shards.entry(shard.value()).or_default().meta = meta;
     }
     let entries = transaction.open_table(PARTS).map_err(failed)?;
     parts::read_all(&entries, |shard, index, bytes| {
         let Some((entry, end)) = framing::decode_head::<Entry>(bytes) else {
-            return Err(DiskError::Damaged(format!("entry {index} of shard {shard} can't be read")));
+            return Err(DiskError::Damaged(format!(
+                "entry {index} of shard {shard} can't be read"
+            )));
         };
         let loaded: &mut LoadedShard = shards.entry(shard).or_default();
-        loaded.entries.push((index, entry, bytes.len() as u64, (bytes.len() - end) as u64));
+        loaded
+            .entries
+            .push((index, entry, bytes.len() as u64, (bytes.len() - end) as u64));
         Ok(())
     })?;
     Ok(shards)
--- a/crates/mintlb-control/src/store/heartbeats.rs
+++ b/crates/mintlb-control/src/store/heartbeats.rs
@@ -27,7 +27,9 @@
     loop {
         if store.is_without_disk() {
             // It is no better than a store that is down, and counts as one.
-            timeout(HEARTBEAT, store.report_changed().notified()).await.ok();
+            timeout(HEARTBEAT, store.report_changed().notified())
+                .await
+                .ok();
             continue;
         }
         let (shards, placement) = store.report();
@@ -44,14 +46,20 @@
         for controller in controllers(&overlay) {
             transport.notify(controller, Channel::Duties, body.clone());
         }
-        timeout(HEARTBEAT, store.report_changed().notified()).await.ok();
+        timeout(HEARTBEAT, store.report_changed().notified())
+            .await
+            .ok();
         sleep(LEAST_PAUSE).await;
     }
 }
 
 /// The controllers that hold the register, once they are known.
 fn controllers(overlay: &Overlay) -> Vec<SocketAddr> {
-    let set = overlay.get(REPLICAS).and_then(|record| minicbor::decode::<ReplicaSet>(&record.body).ok());
+    let set = overlay
+        .get(REPLICAS)
+        .and_then(|record| minicbor::decode::<ReplicaSet>(&record.body).ok());
     let Some(set) = set else { return Vec::new() };
-    set.members().filter_map(|replica| replica.address.parse().ok()).collect()
+    set.members()
+        .filter_map(|replica| replica.address.parse().ok())
+        .collect()
 }
--- a/crates/mintlb-control/src/store/mod.rs
+++ b/crates/mintlb-control/src/store/mod.rs
@@ -84,8 +84,10 @@
 
 /// Runs the store until it is told to stop.
 pub fn run(settings: NodeSettings) -> Result<(), StoreError> {
-    let runtime =
-        tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(StoreError::System)?;
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .map_err(StoreError::System)?;
     let outcome = runtime.block_on(serve(settings));
     // A disk that answers nothing keeps the process no longer.
     runtime.shutdown_background();
@@ -96,14 +98,19 @@
     let mut signals = Signals::install().map_err(StoreError::System)?;
     let directory = settings.data_directory.clone().ok_or(StoreError::NoDisk)?;
     let own = settings.internal_address(InternalPort::Store);
-    let draw = RandomState::new().hash_one((own, &settings.node_name, std::time::SystemTime::now()));
+    let draw =
+        RandomState::new().hash_one((own, &settings.node_name, std::time::SystemTime::now()));
     let opening = driver::open_when_possible(directory.clone(), draw.max(1));
     let (disk, shards) = tokio::select! {
         opened = opening => opened?,
         () = signals.stop() => return Ok(()),
     };
     let transport = bound(own).await?;
-    log::info!("store: {:x} at {own}, {} MB of lots", disk.id(), disk.file_bytes() >> 20);
+    log::info!(
+        "store: {:x} at {own}, {} MB of lots",
+        disk.id(),
+        disk.file_bytes() >> 20
+    );
     let replica_settings = ReplicaSettings {
         own: disk.id(),
         tolerance: settings.fault_tolerance.machines,
@@ -111,12 +118,25 @@
     };
     let (committed, commits) = tokio::sync::mpsc::unbounded_channel();
     let writer = Writer::start(disk.clone(), committed)?;
-    let opened = Opened { disk: disk.clone(), writer: writer.clone(), shards };
-    let put_aside = std::fs::metadata(directory.join(file::UNREADABLE_FILE)).map_or(0, |meta| meta.len());
-    let disk_bytes = (settings.limits.disk_mb.unwrap_or(u64::MAX >> 20) << 20).saturating_sub(put_aside);
-    let store = Store::new(transport.clone(), opened, replica_settings, disk_bytes, draw);
-    let hand_over =
-        HAND_OVER.min(Duration::from_secs_f64(settings.bounds.grace_period_s.clamp(0.0, 60.0) / 2.0));
+    let opened = Opened {
+        disk: disk.clone(),
+        writer: writer.clone(),
+        shards,
+    };
+    let put_aside =
+        std::fs::metadata(directory.join(file::UNREADABLE_FILE)).map_or(0, |meta| meta.len());
+    let disk_bytes =
+        (settings.limits.disk_mb.unwrap_or(u64::MAX >> 20) << 20).saturating_sub(put_aside);
+    let store = Store::new(
+        transport.clone(),
+        opened,
+        replica_settings,
+        disk_bytes,
+        draw,
+    );
+    let hand_over = HAND_OVER.min(Duration::from_secs_f64(
+        settings.bounds.grace_period_s.clamp(0.0, 60.0) / 2.0,
+    ));
     let overlay = join_overlay(&settings, &transport, &store);
     transport.serve(Channel::Lots, Arc::new(StoreService(store.clone())));
     tokio::spawn(heartbeats::run(settings, store.clone(), transport, overlay));
@@ -131,8 +151,9 @@
     log::info!("store: told to stop");
     store.leave();
     let told = Instant::now();
-    let has_to_go_on =
-        || told.elapsed() < LEAST_HAND_OVER.min(hand_over) || store.is_needed() || !writer.is_idle();
+    let has_to_go_on = || {
+        told.elapsed() < LEAST_HAND_OVER.min(hand_over) || store.is_needed() || !writer.is_idle()
+    };
     while told.elapsed() < hand_over && has_to_go_on() {
         driver.step().await?;
     }
@@ -142,7 +163,11 @@
 }
 
 /// Joins the overlay, and goes by the placement that it brings.
-fn join_overlay(settings: &NodeSettings, transport: &Arc<Transport>, store: &Arc<Store>) -> Arc<Overlay> {
+fn join_overlay(
+    settings: &NodeSettings,
+    transport: &Arc<Transport>,
+    store: &Arc<Store>,
+) -> Arc<Overlay> {
     let member = Member {
         address: transport.own_address(),
         incarnation: transport.incarnation(),
@@ -151,7 +176,11 @@
         zone: settings.zone.clone(),
     };
     let seeds = settings.seed_addresses();
-    let overlay = Overlay::start(OverlayConfig { transport: transport.clone(), seeds, member });
+    let overlay = Overlay::start(OverlayConfig {
+        transport: transport.clone(),
+        seeds,
+        member,
+    });
     let store = Arc::downgrade(store);
     overlay.subscribe(Arc::new(move |record| {
         if record.key != PLACEMENT {
@@ -172,7 +201,9 @@
     loop {
         match Transport::start(address).await {
             Ok(transport) => return Ok(transport),
-            Err(cause) if Instant::now() > deadline => return Err(StoreError::Listen { address, cause }),
+            Err(cause) if Instant::now() > deadline => {
+                return Err(StoreError::Listen { address, cause });
+            }
             Err(_) => sleep(BIND_PAUSE).await,
         }
     }
--- a/crates/mintlb-control/src/store/parts.rs
+++ b/crates/mintlb-control/src/store/parts.rs
@@ -5,7 +5,9 @@
 use mintlb_batch::entry::Entry;
 use mintlb_batch::framing;
 use mintlb_batch::replica::DiskWrite;
-use redb::{Database, ReadableDatabase, ReadableTable, StorageError, Table, TableDefinition, TableError};
+use redb::{
+    Database, ReadableDatabase, ReadableTable, StorageError, Table, TableDefinition, TableError,
+};
 
 /// Parts of entries by shard, index and place.
 pub(super) const PARTS: TableDefinition<PartKey, &[u8]> = TableDefinition::new("parts");
@@ -78,7 +80,10 @@
     for part in parts.iter()? {
         let (key, bytes) = part?;
         let (shard, index, _) = key.value();
-        if let Some((shard, index)) = current.replace((shard, index)).filter(|last| *last != (shard, index)) {
+        if let Some((shard, index)) = current
+            .replace((shard, index))
+            .filter(|last| *last != (shard, index))
+        {
             each(shard, index, &entry)?;
             entry.clear();
         }
--- a/crates/mintlb-control/src/store/recent.rs
+++ b/crates/mintlb-control/src/store/recent.rs
@@ -15,14 +15,19 @@
 
 impl Default for Recent {
     fn default() -> Recent {
-        Recent { shards: vec![VecDeque::new(); SHARD_COUNT as usize], bytes: 0 }
+        Recent {
+            shards: vec![VecDeque::new(); SHARD_COUNT as usize],
+            bytes: 0,
+        }
     }
 }
 
 impl Recent {
     /// Keeps an entry; older ones of the shard give way.
     pub fn put(&mut self, shard: u32, index: u64, bytes: Bytes) {
-        let Some(entries) = self.shards.get_mut(shard as usize) else { return };
+        let Some(entries) = self.shards.get_mut(shard as usize) else {
+            return;
+        };
         self.bytes += bytes.len();
         entries.push_back((index, bytes));
         while self.bytes > MOST_BYTES
@@ -35,13 +40,17 @@
     /// An entry, if it is kept.
     pub fn get(&self, shard: u32, index: u64) -> Option<&Bytes> {
         let entries = self.shards.get(shard as usize)?;
-        let place = entries.binary_search_by_key(&index, |(index, _)| *index).ok()?;
+        let place = entries
+            .binary_search_by_key(&index, |(index, _)| *index)
+            .ok()?;
         Some(&entries[place].1)
     }
 
     /// Entries up to `through` are no longer needed.
     pub fn drop_through(&mut self, shard: u32, through: u64) {
-        let Some(entries) = self.shards.get_mut(shard as usize) else { return };
+        let Some(entries) = self.shards.get_mut(shard as usize) else {
+            return;
+        };
         while entries.front().is_some_and(|(index, _)| *index <= through)
             && let Some((_, oldest)) = entries.pop_front()
         {
--- a/crates/mintlb-control/src/store/writer.rs
+++ b/crates/mintlb-control/src/store/writer.rs
@@ -59,8 +59,13 @@
 impl Writer {
     /// Starts the thread. After each commit it says what follows; after a failed one that it failed, and then
     /// drops all that it is given until [`Writer::resume`].
-    pub fn start(disk: LotDisk, committed: UnboundedSender<Committed>) -> Result<Writer, StoreError> {
-        let writer = Writer { shared: Arc::default() };
+    pub fn start(
+        disk: LotDisk,
+        committed: UnboundedSender<Committed>,
+    ) -> Result<Writer, StoreError> {
+        let writer = Writer {
+            shared: Arc::default(),
+        };
         let worker = writer.clone();
         std::thread::Builder::new()
             .name("lots-commit".to_string())
@@ -79,7 +84,10 @@
                 waiting.committing = None;
                 after.append(&mut waiting.after_current);
                 if outcome.is_err() {
-                    *waiting = Waiting { failed: true, ..Waiting::default() };
+                    *waiting = Waiting {
+                        failed: true,
+                        ..Waiting::default()
+                    };
                 }
             }
             if let Err(error) = &outcome {
@@ -103,10 +111,15 @@
             condition.wait(&mut waiting);
         }
         let until = Instant::now() + LINGER;
-        while waiting.bytes < WORTH_A_COMMIT && !condition.wait_until(&mut waiting, until).timed_out() {}
+        while waiting.bytes < WORTH_A_COMMIT
+            && !condition.wait_until(&mut waiting, until).timed_out()
+        {}
         waiting.committing = Some(Instant::now());
         waiting.bytes = 0;
-        Batch { writes: std::mem::take(&mut waiting.writes), after: std::mem::take(&mut waiting.after) }
+        Batch {
+            writes: std::mem::take(&mut waiting.writes),
+            after: std::mem::take(&mut waiting.after),
+        }
     }
 
     /// Whether nothing is on its way to the disk.
@@ -146,7 +159,9 @@
         waiting.bytes += writes.iter().map(bytes_of).sum::<usize>();
         let enough = before < WORTH_A_COMMIT && waiting.bytes >= WORTH_A_COMMIT;
         let idle = waiting.writes.is_empty();
-        waiting.writes.extend(writes.into_iter().map(|write| (shard, write)));
+        waiting
+            .writes
+            .extend(writes.into_iter().map(|write| (shard, write)));
         let after = after.into_iter().map(|after| (shard, after));
         match waiting.writes.is_empty() {
             true => waiting.after_current.extend(after),
--- a/crates/mintlb-control/tests/contact_world/mod.rs
+++ b/crates/mintlb-control/tests/contact_world/mod.rs
@@ -70,14 +70,27 @@
             node_name: format!("edge-{place}"),
             zone: String::new(),
         };
-        let set =
-            ReplicaSet { epoch: 1, previous: Vec::new(), current: (0..replicas).map(replica).collect() };
+        let set = ReplicaSet {
+            epoch: 1,
+            previous: Vec::new(),
+            current: (0..replicas).map(replica).collect(),
+        };
         let count = replicas + others;
         let node = |place: usize| {
             let own = (place < replicas).then(|| id(place));
-            let state = PingState::new(now, own, address(place), dice.wrapping_mul(place as u64 + 7));
+            let state = PingState::new(
+                now,
+                own,
+                address(place),
+                dice.wrapping_mul(place as u64 + 7),
+            );
             let next_step = now + TICK * (place as u32 * 7 % 30);
-            Node { state, frozen: false, next_step, steps: 0 }
+            Node {
+                state,
+                frozen: false,
+                next_step,
+                steps: 0,
+            }
         };
         World {
             now,
@@ -101,7 +114,9 @@
     /// Cuts or joins the links between these places and these others, from the first to the second ones.
     pub fn set_cut(&mut self, from: &[usize], to: &[usize], cut: bool) {
         for &a in from {
-            to.iter().filter(|b| **b != a).for_each(|&b| self.cut[a][b] = cut);
+            to.iter()
+                .filter(|b| **b != a)
+                .for_each(|&b| self.cut[a][b] = cut);
         }
     }
 
@@ -114,7 +129,10 @@
 
     /// Whether a controller says now that it is in contact.
     pub fn is_in_contact(&self, place: usize) -> bool {
-        self.nodes[place].state.peers.is_in_contact(self.now, &self.set)
+        self.nodes[place]
+            .state
+            .peers
+            .is_in_contact(self.now, &self.set)
     }
 
     /// Who has the duties now.
@@ -180,7 +198,9 @@
                 let ping_sent_at = sent_at - TICK * MOST_DELAY as u32;
                 self.send(to, from, Message::Pong { ping_sent_at, pong });
             }
-            Message::Pong { ping_sent_at, pong } => state.answered(now, address(from), ping_sent_at, pong),
+            Message::Pong { ping_sent_at, pong } => {
+                state.answered(now, address(from), ping_sent_at, pong)
+            }
         }
         self.check(to);
     }
@@ -205,7 +225,12 @@
 
     fn send(&mut self, from: usize, to: usize, message: Message) {
         let due = self.now + TICK * (1 + self.roll(MOST_DELAY)) as u32;
-        self.messages.push(InFlight { due, from, to, message });
+        self.messages.push(InFlight {
+            due,
+            from,
+            to,
+            message,
+        });
     }
 
     /// A number from 0 to below `most` (xorshift).
@@ -224,18 +249,25 @@
         }
         let (now, peers) = (self.now, &self.nodes[place].state.peers);
         let in_contact = peers.is_in_contact(now, &self.set);
-        let has_more = peers.held(now, &self.set).is_some() || !peers.silent(now, &self.set).is_empty();
-        let lately = |at: Instant| now.saturating_duration_since(at) < LEASE + TICK * MOST_DELAY as u32;
+        let has_more =
+            peers.held(now, &self.set).is_some() || !peers.silent(now, &self.set).is_empty();
+        let lately =
+            |at: Instant| now.saturating_duration_since(at) < LEASE + TICK * MOST_DELAY as u32;
         let reachable = |other: u64| {
             let other = (other - 100) as usize;
-            other == place || (lately(self.linked_at[place][other]) && lately(self.linked_at[other][place]))
+            other == place
+                || (lately(self.linked_at[place][other]) && lately(self.linked_at[other][place]))
         };
         let could = self.set.is_quorum(reachable);
         if in_contact && !could {
-            self.broken.get_or_insert(format!("{place} says that it is in contact and reaches no majority"));
+            self.broken.get_or_insert(format!(
+                "{place} says that it is in contact and reaches no majority"
+            ));
         }
         if has_more && !in_contact {
-            self.broken.get_or_insert(format!("{place} is out of contact, with duties or silent replicas"));
+            self.broken.get_or_insert(format!(
+                "{place} is out of contact, with duties or silent replicas"
+            ));
         }
         self.in_contact += usize::from(in_contact);
     }
--- a/crates/mintlb-control/tests/controller_catch_up.rs
+++ b/crates/mintlb-control/tests/controller_catch_up.rs
@@ -8,17 +8,35 @@
 use std::sync::Arc;
 
 fn wait<T>(future: impl Future<Output = T>) -> T {
-    tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap().block_on(future)
+    tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .unwrap()
+        .block_on(future)
 }
 
 fn identity(id: ReplicaId) -> Replica {
     let address = format!("10.0.0.{id}:7661");
-    Replica { id, address, node_name: format!("edge-{id}"), zone: "z".to_string() }
+    Replica {
+        id,
+        address,
+        node_name: format!("edge-{id}"),
+        zone: "z".to_string(),
+    }
 }
 
 fn chosen(counter: u64, member: ReplicaId) -> Accepted {
-    let state = ControlState { revision: counter, ..ControlState::founded_by(identity(member)) };
-    Accepted { ballot: Ballot { counter, proposer: 3 }, state: Arc::new(state) }
+    let state = ControlState {
+        revision: counter,
+        ..ControlState::founded_by(identity(member))
+    };
+    Accepted {
+        ballot: Ballot {
+            counter,
+            proposer: 3,
+        },
+        state: Arc::new(state),
+    }
 }
 
 #[test]
@@ -30,7 +48,11 @@
         wait(replica.catch_up(&chosen(missed_from, 7)));
         wait(replica.catch_up(&chosen(500, 7)));
         wait(replica.catch_up(&chosen(499, 7)));
-        assert_eq!(replica.accepted(), Some(chosen(500, 7)), "nothing older over something newer");
+        assert_eq!(
+            replica.accepted(),
+            Some(chosen(500, 7)),
+            "nothing older over something newer"
+        );
         drop(replica);
         assert_eq!(open().accepted(), Some(chosen(500, 7)), "it is on disk");
     }
@@ -42,12 +64,22 @@
     let replica = LocalReplica::new(VoteStore::open(folder.path(), 7).unwrap(), identity(7));
     wait(replica.catch_up(&chosen(5, 8)));
     assert_eq!(replica.accepted(), None, "another's set");
-    let promised = Ballot { counter: 9, proposer: 1 };
-    let ask = Ask::Prepare { ballot: promised, known: None };
+    let promised = Ballot {
+        counter: 9,
+        proposer: 1,
+    };
+    let ask = Ask::Prepare {
+        ballot: promised,
+        known: None,
+    };
     let reply = wait(replica.answer(Request { target: 7, ask }));
     assert!(matches!(reply, Some(Reply::Promised { .. })), "{reply:?}");
     wait(replica.catch_up(&chosen(8, 7)));
-    assert_eq!(replica.accepted(), Some(chosen(8, 7)), "a chosen value, though a higher ballot was promised");
+    assert_eq!(
+        replica.accepted(),
+        Some(chosen(8, 7)),
+        "a chosen value, though a higher ballot was promised"
+    );
     drop(replica);
     let opened = VoteStore::open(folder.path(), 7).unwrap();
     assert_eq!(
--- a/crates/mintlb-control/tests/controller_cli.rs
+++ b/crates/mintlb-control/tests/controller_cli.rs
@@ -32,13 +32,31 @@
 
 #[test]
 fn the_verbs_are_read() {
-    for (name, verb) in [("controller", Verb::Controller), ("store", Verb::Store), ("check", Verb::Check)] {
+    for (name, verb) in [
+        ("controller", Verb::Controller),
+        ("store", Verb::Store),
+        ("check", Verb::Check),
+    ] {
         let arguments = [name];
-        assert_eq!(parser().run_inner(Args::from(&arguments[..])).ok(), Some(verb));
+        assert_eq!(
+            parser().run_inner(Args::from(&arguments[..])).ok(),
+            Some(verb)
+        );
     }
-    assert!(parser().run_inner(Args::from(["dispatch"].as_slice())).is_err());
-    assert!(parser().run_inner(Args::from([].as_slice() as &[&str])).is_err());
-    let version = parser().run_inner(Args::from(["--version"].as_slice())).unwrap_err().unwrap_stdout();
+    assert!(
+        parser()
+            .run_inner(Args::from(["dispatch"].as_slice()))
+            .is_err()
+    );
+    assert!(
+        parser()
+            .run_inner(Args::from([].as_slice() as &[&str]))
+            .is_err()
+    );
+    let version = parser()
+        .run_inner(Args::from(["--version"].as_slice()))
+        .unwrap_err()
+        .unwrap_stdout();
     assert!(version.contains(env!("CARGO_PKG_VERSION")), "{version}");
 }
 
@@ -53,7 +71,10 @@
     assert!(of(&no_address)[0].starts_with("listen_addresses.control_plane"));
     let no_disk = EDGE.replace("serves = [\"control\"]", "serves = [\"storage\"]");
     assert!(of(&no_disk)[0].starts_with("data_directory"));
-    let no_folder = EDGE.replace("heartbeat_ms", "data_directory = \"/nowhere/at/all\"\nheartbeat_ms");
+    let no_folder = EDGE.replace(
+        "heartbeat_ms",
+        "data_directory = \"/nowhere/at/all\"\nheartbeat_ms",
+    );
     assert!(of(&no_folder)[0].starts_with("data_directory"));
     let no_seeds = EDGE.replace("[\"10.1.0.35:8146\"]", "[]");
     assert!(of(&no_seeds)[0].starts_with("seed_nodes"));
--- a/crates/mintlb-control/tests/controller_contact.rs
+++ b/crates/mintlb-control/tests/controller_contact.rs
@@ -19,7 +19,11 @@
 }
 
 fn set(ids: &[u64]) -> ReplicaSet {
-    ReplicaSet { epoch: 1, previous: Vec::new(), current: replicas(ids) }
+    ReplicaSet {
+        epoch: 1,
+        previous: Vec::new(),
+        current: replicas(ids),
+    }
 }
 
 #[test]
@@ -48,7 +52,10 @@
     let now = Instant::now();
     let mut contact = Contact::new(Some(1));
     contact.reached(2, now);
-    let joint = ReplicaSet { previous: replicas(&[1, 4, 5]), ..set(&[1, 2, 3]) };
+    let joint = ReplicaSet {
+        previous: replicas(&[1, 4, 5]),
+        ..set(&[1, 2, 3])
+    };
     assert!(!contact.is_held(now, &joint));
     contact.reached(4, now);
     assert!(contact.is_held(now, &joint));
@@ -84,7 +91,11 @@
     let (made_at, read_at) = (begun + MOMENT, begun + LEASE);
     let stamp = stamps.stamp(made_at);
     assert_eq!(stamps.made_at(read_at, stamp), Some(made_at));
-    assert_eq!(stamps.made_at(begun, stamp), None, "it can't have been made yet");
+    assert_eq!(
+        stamps.made_at(begun, stamp),
+        None,
+        "it can't have been made yet"
+    );
     let another_life = Stamps::new(begun, 1 << 40);
     assert_eq!(another_life.made_at(read_at, stamp), None);
 }
--- a/crates/mintlb-control/tests/controller_contact_model.rs
+++ b/crates/mintlb-control/tests/controller_contact_model.rs
@@ -18,7 +18,10 @@
     let mut world = World::new(replicas, others, seed);
     world.pass(SETTLED);
     assert_eq!(world.broken, None);
-    assert!((0..world.count()).all(|place| world.is_in_contact(place)), "at the start");
+    assert!(
+        (0..world.count()).all(|place| world.is_in_contact(place)),
+        "at the start"
+    );
     assert_eq!(world.holders(), [0]);
     world
 }
@@ -26,15 +29,22 @@
 /// Cuts as told, waits, and looks at who is in contact and has the duties; then all is joined again.
 fn cut(replicas: usize, cuts: &[(&[usize], &[usize])], out: &[usize], holder: usize) {
     let mut world = settled(replicas, 2);
-    cuts.iter().for_each(|(from, to)| world.set_cut(from, to, true));
+    cuts.iter()
+        .for_each(|(from, to)| world.set_cut(from, to, true));
     world.pass(CUT_FOR);
     assert_eq!(world.broken, None);
-    let away: Vec<usize> = (0..world.count()).filter(|place| !world.is_in_contact(*place)).collect();
+    let away: Vec<usize> = (0..world.count())
+        .filter(|place| !world.is_in_contact(*place))
+        .collect();
     assert_eq!((away.as_slice(), world.holders()), (out, vec![holder]));
-    cuts.iter().for_each(|(from, to)| world.set_cut(from, to, false));
+    cuts.iter()
+        .for_each(|(from, to)| world.set_cut(from, to, false));
     world.pass(SETTLED);
     assert_eq!(world.broken, None);
-    assert!((0..world.count()).all(|place| world.is_in_contact(place)), "after the cut");
+    assert!(
+        (0..world.count()).all(|place| world.is_in_contact(place)),
+        "after the cut"
+    );
     assert_eq!(world.holders(), [0]);
 }
 
@@ -56,7 +66,12 @@
 #[test]
 fn the_first_is_cut_off_with_a_controller_of_its_zone() {
     // 5 has no replica and is on its side alone: it reaches 0, and no majority.
-    cut(5, &[(&[0, 5], &[1, 2, 3, 4, 6]), (&[1, 2, 3, 4, 6], &[0, 5])], &[0, 5], 1);
+    cut(
+        5,
+        &[(&[0, 5], &[1, 2, 3, 4, 6]), (&[1, 2, 3, 4, 6], &[0, 5])],
+        &[0, 5],
+        1,
+    );
 }
 
 #[test]
@@ -100,10 +115,16 @@
 #[test]
 fn two_are_gone_and_nobody_promises_anything() {
     let mut world = settled(3, 2);
-    [1, 2].into_iter().for_each(|place| world.set_frozen(place, true));
+    [1, 2]
+        .into_iter()
+        .for_each(|place| world.set_frozen(place, true));
     world.pass(CUT_FOR);
     assert_eq!(world.broken, None);
-    assert!([0, 3, 4].into_iter().all(|place| !world.is_in_contact(place)));
+    assert!(
+        [0, 3, 4]
+            .into_iter()
+            .all(|place| !world.is_in_contact(place))
+    );
     assert!(world.holders().is_empty());
 }
 
@@ -111,16 +132,26 @@
 fn no_drawn_course_of_cuts_and_pauses_breaks_it() {
     let (mut plays, mut questions) = (0, 0);
     for seed in 1..=24_u64 {
-        let mut world =
-            World::new([3, 5, 9][seed as usize % 3], 2, 0x9e37_79b9_7f4a_7c15_u64.wrapping_mul(seed));
+        let mut world = World::new(
+            [3, 5, 9][seed as usize % 3],
+            2,
+            0x9e37_79b9_7f4a_7c15_u64.wrapping_mul(seed),
+        );
         for _ in 0..12 {
             let (a, b) = (world.roll(64), world.roll(64));
-            let some: Vec<usize> = (0..world.count()).filter(|place| a >> (place % 6) & 1 == 1).collect();
-            let others: Vec<usize> = (0..world.count()).filter(|place| b >> (place % 6) & 1 == 1).collect();
+            let some: Vec<usize> = (0..world.count())
+                .filter(|place| a >> (place % 6) & 1 == 1)
+                .collect();
+            let others: Vec<usize> = (0..world.count())
+                .filter(|place| b >> (place % 6) & 1 == 1)
+                .collect();
             match world.roll(5) {
                 0 => world.set_cut(&some, &others, true),
                 1 | 2 => world.set_cut(&some, &others, false),
-                kind => some.iter().take(2).for_each(|place| world.set_frozen(*place, kind == 3)),
+                kind => some
+                    .iter()
+                    .take(2)
+                    .for_each(|place| world.set_frozen(*place, kind == 3)),
             }
             let time = Duration::from_millis(50 + world.roll(4000));
             world.pass(time);
@@ -130,7 +161,10 @@
         all.iter().for_each(|place| world.set_frozen(*place, false));
         world.pass(SETTLED);
         assert_eq!(world.broken, None, "seed {seed}");
-        assert!(all.iter().all(|place| world.is_in_contact(*place)), "seed {seed}: not all are back");
+        assert!(
+            all.iter().all(|place| world.is_in_contact(*place)),
+            "seed {seed}: not all are back"
+        );
         assert_eq!(world.holders(), [0], "seed {seed}");
         plays += 1;
         questions += world.in_contact;
--- a/crates/mintlb-control/tests/controller_disk_faults.rs
+++ b/crates/mintlb-control/tests/controller_disk_faults.rs
@@ -19,12 +19,20 @@
 const ID: u64 = 7;
 
 fn ballot(counter: u64) -> Ballot {
-    Ballot { counter, proposer: 3 }
+    Ballot {
+        counter,
+        proposer: 3,
+    }
 }
 
 fn identity() -> Replica {
     let address = "10.0.0.1:7661".to_string();
-    Replica { id: ID, address, node_name: "edge-1".to_string(), zone: "z".to_string() }
+    Replica {
+        id: ID,
+        address,
+        node_name: "edge-1".to_string(),
+        zone: "z".to_string(),
+    }
 }
 
 fn value(counter: u64, bytes: usize) -> Accepted {
@@ -34,19 +42,36 @@
         configuration: vec![counter as u8; bytes],
         ..ControlState::founded_by(identity())
     };
-    Accepted { ballot: ballot(counter), state: Arc::new(state) }
+    Accepted {
+        ballot: ballot(counter),
+        state: Arc::new(state),
+    }
 }
 
 fn prepare(counter: u64) -> Request {
-    Request { target: ID, ask: Ask::Prepare { ballot: ballot(counter), known: None } }
+    Request {
+        target: ID,
+        ask: Ask::Prepare {
+            ballot: ballot(counter),
+            known: None,
+        },
+    }
 }
 
 fn accept(counter: u64) -> Request {
-    Request { target: ID, ask: Ask::Accept { proposed: value(counter, 100) } }
+    Request {
+        target: ID,
+        ask: Ask::Accept {
+            proposed: value(counter, 100),
+        },
+    }
 }
 
 fn read() -> Request {
-    Request { target: ID, ask: Ask::Read { known: None } }
+    Request {
+        target: ID,
+        ask: Ask::Read { known: None },
+    }
 }
 
 fn replica(disk: &Disk) -> LocalReplica {
@@ -55,8 +80,15 @@
 
 /// Waits for an answer on this thread.
 fn answer(replica: &LocalReplica, request: Request) -> Option<Reply> {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_time().build().unwrap();
-    runtime.block_on(async { tokio::time::timeout(PATIENCE, replica.answer(request)).await.unwrap() })
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_time()
+        .build()
+        .unwrap();
+    runtime.block_on(async {
+        tokio::time::timeout(PATIENCE, replica.answer(request))
+            .await
+            .unwrap()
+    })
 }
 
 /// Asks until there is an answer.
@@ -84,11 +116,25 @@
     for mode in [Mode::SyncFails, Mode::Full] {
         let disk = Disk::with_replica(ID);
         let replica = replica(&disk);
-        assert_eq!(answer(&replica, accept(1)), Some(Reply::Accepted { ballot: ballot(1) }));
+        assert_eq!(
+            answer(&replica, accept(1)),
+            Some(Reply::Accepted { ballot: ballot(1) })
+        );
         disk.set(mode);
         assert_eq!(answer(&replica, accept(2)), None, "{mode:?}");
-        for request in [accept(2), prepare(2), read(), prepare(9), read(), prepare(9)] {
-            assert_eq!(answer(&replica, request.clone()), None, "{mode:?}, {request:?}");
+        for request in [
+            accept(2),
+            prepare(2),
+            read(),
+            prepare(9),
+            read(),
+            prepare(9),
+        ] {
+            assert_eq!(
+                answer(&replica, request.clone()),
+                None,
+                "{mode:?}, {request:?}"
+            );
         }
     }
 }
@@ -105,12 +151,17 @@
             assert_eq!(answer(&replica, accept(counter)), None);
             disk.set(Mode::Good);
             let told = told(answer_at_last(&replica, read())).unwrap();
-            assert!(told == ballot(counter) || told == ballot(counter - 9), "{mode:?}: {told:?}");
+            assert!(
+                told == ballot(counter) || told == ballot(counter - 9),
+                "{mode:?}: {told:?}"
+            );
             assert_eq!(
                 answer(&replica, prepare(counter + 1)).map(|reply| self::told(reply).is_some()),
                 Some(true)
             );
-            let accepted = Some(Reply::Accepted { ballot: ballot(counter + 1) });
+            let accepted = Some(Reply::Accepted {
+                ballot: ballot(counter + 1),
+            });
             assert_eq!(answer(&replica, accept(counter + 1)), accepted, "{mode:?}");
         }
     }
@@ -154,18 +205,38 @@
     disk.set(Mode::Hangs);
     let first = begun(&replica, accept(2));
     disk.wait_until_it_hangs();
-    let waiting: Vec<_> = (1..QUEUE as u64).map(|i| begun(&replica, prepare(i + 2))).collect();
-    let over = Box::pin(replica.answer(prepare(9000))).as_mut().poll(&mut Context::from_waker(Waker::noop()));
+    let waiting: Vec<_> = (1..QUEUE as u64)
+        .map(|i| begun(&replica, prepare(i + 2)))
+        .collect();
+    let over = Box::pin(replica.answer(prepare(9000)))
+        .as_mut()
+        .poll(&mut Context::from_waker(Waker::noop()));
     assert_eq!(over, Poll::Ready(None), "no more wait than may");
     disk.set(Mode::Good);
-    let runtime = tokio::runtime::Builder::new_current_thread().build().unwrap();
-    assert_eq!(runtime.block_on(first), Some(Reply::Accepted { ballot: ballot(2) }));
-    assert!(waiting.into_iter().all(|call| runtime.block_on(call).is_some()));
-    let Some(Reply::Promised { report: Report::Value(accepted), .. }) = answer(&replica, prepare(9001))
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .build()
+        .unwrap();
+    assert_eq!(
+        runtime.block_on(first),
+        Some(Reply::Accepted { ballot: ballot(2) })
+    );
+    assert!(
+        waiting
+            .into_iter()
+            .all(|call| runtime.block_on(call).is_some())
+    );
+    let Some(Reply::Promised {
+        report: Report::Value(accepted),
+        ..
+    }) = answer(&replica, prepare(9001))
     else {
         panic!("no promise")
     };
-    assert_eq!(accepted.ballot, ballot(2), "what was turned away has left nothing behind");
+    assert_eq!(
+        accepted.ballot,
+        ballot(2),
+        "what was turned away has left nothing behind"
+    );
 }
 
 #[test]
@@ -192,7 +263,14 @@
     for counter in 1..=500 {
         answer(&replica, prepare(counter)).unwrap();
         let proposed = value(counter, 20 << 10);
-        answer(&replica, Request { target: ID, ask: Ask::Accept { proposed } }).unwrap();
+        answer(
+            &replica,
+            Request {
+                target: ID,
+                ask: Ask::Accept { proposed },
+            },
+        )
+        .unwrap();
         if [10, 100, 500].contains(&counter) {
             at.push((counter, disk.longest(), disk.syncs()));
         }
--- a/crates/mintlb-control/tests/controller_fleet.rs
+++ b/crates/mintlb-control/tests/controller_fleet.rs
@@ -42,14 +42,32 @@
     assert_eq!(read(&fleet, 1).0, StatusCode::NOT_FOUND);
     assert_eq!(fleet.configure(1, 0, &configuration(4)), StatusCode::OK);
     assert_eq!(read(&fleet, 2), (StatusCode::OK, configuration(4)));
-    fleet.wait_for_record(0, |record| record.key == CONFIGURATION && record.version == 4);
-    assert_eq!(fleet.configure(2, 0, &configuration(4)), StatusCode::OK, "repeated to another controller");
-    assert_eq!(fleet.configure(0, 0, &configuration(9)), StatusCode::PRECONDITION_FAILED);
-    assert_eq!(fleet.configure(0, 4, &configuration(4).replace("/a/", "/b/")), StatusCode::BAD_REQUEST);
+    fleet.wait_for_record(0, |record| {
+        record.key == CONFIGURATION && record.version == 4
+    });
+    assert_eq!(
+        fleet.configure(2, 0, &configuration(4)),
+        StatusCode::OK,
+        "repeated to another controller"
+    );
+    assert_eq!(
+        fleet.configure(0, 0, &configuration(9)),
+        StatusCode::PRECONDITION_FAILED
+    );
+    assert_eq!(
+        fleet.configure(0, 4, &configuration(4).replace("/a/", "/b/")),
+        StatusCode::BAD_REQUEST
+    );
     assert_eq!(fleet.configure(0, 4, &configuration(9)), StatusCode::OK);
     let cut = &configuration(12)[..40];
     assert_eq!(fleet.configure(0, 9, cut), StatusCode::BAD_REQUEST);
-    let (status, told) = fleet.call(0, Method::PUT, "/v1/configuration", None, &configuration(12));
+    let (status, told) = fleet.call(
+        0,
+        Method::PUT,
+        "/v1/configuration",
+        None,
+        &configuration(12),
+    );
     assert_eq!(status, StatusCode::BAD_REQUEST);
     assert!(told.contains("If-Match"), "{told}");
     assert_eq!(read(&fleet, 1), (StatusCode::OK, configuration(9)));
@@ -66,7 +84,9 @@
     fleet.restart(0);
     let new = fleet.at(0).replica_id();
     assert_ne!(new, lost);
-    fleet.wait_for_set(0, 3, move |set| new.is_some_and(|id| set.current_replica(id).is_some()));
+    fleet.wait_for_set(0, 3, move |set| {
+        new.is_some_and(|id| set.current_replica(id).is_some())
+    });
     fleet.kill(2);
     assert_eq!(read(&fleet, 0), (StatusCode::OK, configuration(5)));
     assert_eq!(fleet.configure(0, 5, &configuration(8)), StatusCode::OK);
@@ -79,7 +99,9 @@
     assert_eq!(fleet.configure(2, 0, &configuration(4)), StatusCode::OK);
     (0..3).for_each(|place| fleet.kill(place));
     (1..3).for_each(|place| fleet.restart(place));
-    fleet.wait_for_record(1, |record| record.key == CONFIGURATION && record.version == 4);
+    fleet.wait_for_record(1, |record| {
+        record.key == CONFIGURATION && record.version == 4
+    });
     assert_eq!(read(&fleet, 2), (StatusCode::OK, configuration(4)));
 }
 
@@ -89,7 +111,13 @@
     assert_eq!(fleet.configure(2, 0, &configuration(4)), StatusCode::OK);
     fleet.kill(0);
     fleet.kill(1);
-    let (status, _) = fleet.call(2, Method::PUT, "/v1/configuration", Some(4), &configuration(5));
+    let (status, _) = fleet.call(
+        2,
+        Method::PUT,
+        "/v1/configuration",
+        Some(4),
+        &configuration(5),
+    );
     assert_eq!(status, StatusCode::SERVICE_UNAVAILABLE);
     assert_eq!(read_once(&fleet, 2).0, StatusCode::SERVICE_UNAVAILABLE);
 }
@@ -97,18 +125,35 @@
 #[test]
 fn a_drain_is_known_at_another_controller_once_it_is_acknowledged() {
     let fleet = Fleet::assembled(3);
-    let put = |place, body: String| fleet.call(place, Method::PUT, "/v1/instances/i-1", None, &body).0;
+    let put = |place, body: String| {
+        fleet
+            .call(place, Method::PUT, "/v1/instances/i-1", None, &body)
+            .0
+    };
     assert_eq!(put(0, heartbeat("in_service", 1)), StatusCode::OK);
     assert_eq!(put(0, heartbeat("draining", 2)), StatusCode::OK);
     fleet.wait_for_record(1, |record| {
         let worker = minicbor::decode::<WorkerRecord>(&record.body).ok();
-        record.key == "worker/i-1" && worker.is_some_and(|worker| worker.state == WorkerState::Draining)
+        record.key == "worker/i-1"
+            && worker.is_some_and(|worker| worker.state == WorkerState::Draining)
     });
-    assert_eq!(put(1, heartbeat("in_service", 1)), StatusCode::OK, "late, and acknowledged all the same");
-    let state = |place: usize| fleet.at(place).worker_in_force("i-1").map(|worker| worker.state);
+    assert_eq!(
+        put(1, heartbeat("in_service", 1)),
+        StatusCode::OK,
+        "late, and acknowledged all the same"
+    );
+    let state = |place: usize| {
+        fleet
+            .at(place)
+            .worker_in_force("i-1")
+            .map(|worker| worker.state)
+    };
     assert_eq!(state(1), Some(WorkerState::Draining));
     let (status, _) = fleet.call(2, Method::DELETE, "/v1/instances/i-1", None, "");
-    assert_eq!((status, state(2)), (StatusCode::OK, Some(WorkerState::Gone)));
+    assert_eq!(
+        (status, state(2)),
+        (StatusCode::OK, Some(WorkerState::Gone))
+    );
     assert_eq!(put(0, "{}".to_string()), StatusCode::BAD_REQUEST);
 }
 
@@ -116,7 +161,13 @@
 fn the_retirement_of_an_unknown_store_is_refused() {
     let fleet = Fleet::assembled(3);
     for method in [Method::POST, Method::GET] {
-        let (status, text) = fleet.call(1, method, "/v1/retire/storage-9", None, r#"{"duration_s":10}"#);
+        let (status, text) = fleet.call(
+            1,
+            method,
+            "/v1/retire/storage-9",
+            None,
+            r#"{"duration_s":10}"#,
+        );
         assert_eq!(status, StatusCode::NOT_FOUND, "{text}");
     }
 }
@@ -124,7 +175,11 @@
 #[test]
 fn where_no_seed_has_a_disk_the_others_found_one_register() {
     let fleet = Fleet::assembled_with(&[false, false, false, true, true, true]);
-    assert_eq!(fleet.configure(0, 0, &configuration(4)), StatusCode::OK, "through one without a disk");
+    assert_eq!(
+        fleet.configure(0, 0, &configuration(4)),
+        StatusCode::OK,
+        "through one without a disk"
+    );
     assert_eq!(read(&fleet, 1), (StatusCode::OK, configuration(4)));
     assert_eq!(read(&fleet, 5), (StatusCode::OK, configuration(4)));
     let (status, _) = fleet.call(2, Method::GET, "/v1/retire/storage-9", None, "");
@@ -141,7 +196,11 @@
             return;
         }
         seen.push(status);
-        assert!(std::time::Instant::now() < give_up, "never {expected}, last {:?}", seen.last());
+        assert!(
+            std::time::Instant::now() < give_up,
+            "never {expected}, last {:?}",
+            seen.last()
+        );
     }
 }
 
@@ -150,16 +209,26 @@
     let mut fleet = Fleet::assembled(3);
     let beat = |fleet: &Fleet, id: &str, state: &str, sequence: u64| {
         let body = heartbeat(state, sequence);
-        fleet.call(2, Method::PUT, &format!("/v1/instances/{id}"), None, &body).0
+        fleet
+            .call(2, Method::PUT, &format!("/v1/instances/{id}"), None, &body)
+            .0
     };
     assert_eq!(beat(&fleet, "i-1", "in_service", 1), StatusCode::OK);
     fleet.kill(0);
     fleet.kill(1);
     // Within the lease, but nobody is there who confirms it.
-    assert_eq!(beat(&fleet, "i-0", "draining", 1), StatusCode::SERVICE_UNAVAILABLE);
-    until(StatusCode::SERVICE_UNAVAILABLE, |number| beat(&fleet, "i-1", "in_service", 2 + number));
+    assert_eq!(
+        beat(&fleet, "i-0", "draining", 1),
+        StatusCode::SERVICE_UNAVAILABLE
+    );
+    until(StatusCode::SERVICE_UNAVAILABLE, |number| {
+        beat(&fleet, "i-1", "in_service", 2 + number)
+    });
     // From now on the lease is over, for good: nobody is there who could renew it.
-    assert_eq!(beat(&fleet, "i-2", "draining", 7), StatusCode::SERVICE_UNAVAILABLE);
+    assert_eq!(
+        beat(&fleet, "i-2", "draining", 7),
+        StatusCode::SERVICE_UNAVAILABLE
+    );
     let call = |method, path| fleet.call(2, method, path, None, "");
     let refused = [
         (Method::DELETE, "/v1/instances/i-3"),
@@ -172,14 +241,33 @@
         assert_eq!(status, StatusCode::SERVICE_UNAVAILABLE, "{path}");
         assert!(text.starts_with("M444"), "{path}: {text}");
     }
-    let (status, text) = fleet.call(2, Method::PUT, "/v1/configuration", Some(0), &configuration(4));
-    assert_eq!((status, text.starts_with("M444")), (StatusCode::SERVICE_UNAVAILABLE, true));
+    let (status, text) = fleet.call(
+        2,
+        Method::PUT,
+        "/v1/configuration",
+        Some(0),
+        &configuration(4),
+    );
+    assert_eq!(
+        (status, text.starts_with("M444")),
+        (StatusCode::SERVICE_UNAVAILABLE, true)
+    );
     let state = |id: &str| fleet.at(2).worker_in_force(id).map(|worker| worker.state);
-    assert_eq!(state("i-1"), Some(WorkerState::InService), "nobody is called silent");
-    assert_eq!(state("i-2"), Some(WorkerState::Draining), "what workers say is told all the same");
+    assert_eq!(
+        state("i-1"),
+        Some(WorkerState::InService),
+        "nobody is called silent"
+    );
+    assert_eq!(
+        state("i-2"),
+        Some(WorkerState::Draining),
+        "what workers say is told all the same"
+    );
     assert_eq!(state("i-3"), Some(WorkerState::Gone));
     fleet.restart(0);
-    until(StatusCode::OK, |number| beat(&fleet, "i-2", "draining", 8 + number));
+    until(StatusCode::OK, |number| {
+        beat(&fleet, "i-2", "draining", 8 + number)
+    });
     assert_eq!(fleet.configure(2, 0, &configuration(4)), StatusCode::OK);
 }
 
@@ -187,12 +275,23 @@
 fn the_first_calls_after_a_freeze_are_not_acknowledged() {
     let fleet = Fleet::assembled(3);
     let beat = |place: usize, state: &str, sequence: u64| {
-        fleet.call(place, Method::PUT, "/v1/instances/i-1", None, &heartbeat(state, sequence)).0
+        fleet
+            .call(
+                place,
+                Method::PUT,
+                "/v1/instances/i-1",
+                None,
+                &heartbeat(state, sequence),
+            )
+            .0
     };
     until(StatusCode::OK, |number| beat(2, "in_service", 1 + number));
     let thaw = fleet.freeze(2);
     std::thread::scope(|scope| {
-        let calls = [(Method::PUT, heartbeat("draining", 1_000_000)), (Method::DELETE, String::new())];
+        let calls = [
+            (Method::PUT, heartbeat("draining", 1_000_000)),
+            (Method::DELETE, String::new()),
+        ];
         let fleet = &fleet;
         let first = calls.map(|(method, body)| {
             scope.spawn(move || fleet.call(2, method, "/v1/instances/i-2", None, &body))
@@ -209,10 +308,15 @@
         drop(thaw);
         for call in first {
             let (status, text) = call.join().unwrap();
-            assert_eq!((status, &text[..4]), (StatusCode::SERVICE_UNAVAILABLE, "M444"));
+            assert_eq!(
+                (status, &text[..4]),
+                (StatusCode::SERVICE_UNAVAILABLE, "M444")
+            );
         }
     });
-    until(StatusCode::OK, |number| beat(2, "draining", 2_000_000 + number));
+    until(StatusCode::OK, |number| {
+        beat(2, "draining", 2_000_000 + number)
+    });
 }
 
 #[test]
@@ -221,9 +325,18 @@
     (0..3).for_each(|place| fleet.kill(place));
     fleet.lose_disk(1);
     fleet.restart(1);
-    let put = fleet.call(1, Method::PUT, "/v1/instances/i-1", None, &heartbeat("draining", 1));
+    let put = fleet.call(
+        1,
+        Method::PUT,
+        "/v1/instances/i-1",
+        None,
+        &heartbeat("draining", 1),
+    );
     assert_eq!(put.0, StatusCode::SERVICE_UNAVAILABLE);
-    assert_eq!(fleet.call(1, Method::GET, "/v1/configuration", None, "").0, StatusCode::SERVICE_UNAVAILABLE);
+    assert_eq!(
+        fleet.call(1, Method::GET, "/v1/configuration", None, "").0,
+        StatusCode::SERVICE_UNAVAILABLE
+    );
 }
 
 #[test]
@@ -250,10 +363,17 @@
             .filter(|(status, _)| **status == StatusCode::OK)
             .map(|of| of.1)
             .collect();
-        assert!(statuses.iter().all(|status| matches!(status.as_u16(), 200 | 412)), "{statuses:?}");
+        assert!(
+            statuses
+                .iter()
+                .all(|status| matches!(status.as_u16(), 200 | 412)),
+            "{statuses:?}"
+        );
         let expected = if texts[0] == texts[1] { 2 } else { 1 };
         assert_eq!(confirmed.len(), expected, "round {round}: {statuses:?}");
-        (0..3).for_each(|place| assert_eq!(read(&fleet, place), (StatusCode::OK, confirmed[0].clone())));
+        (0..3).for_each(|place| {
+            assert_eq!(read(&fleet, place), (StatusCode::OK, confirmed[0].clone()))
+        });
         // Sent again, each gets the answer that it had.
         let again = texts.each_ref().map(|text| fleet.configure(2, base, text));
         assert_eq!(again, statuses);
@@ -265,8 +385,16 @@
     let fleet = Fleet::assembled(3);
     assert_eq!(fleet.configure(0, 0, &configuration(4)), StatusCode::OK);
     assert_eq!(fleet.configure(1, 4, &configuration(7)), StatusCode::OK);
-    assert_eq!(fleet.configure(2, 7, &configuration(4)), StatusCode::BAD_REQUEST, "back to an old one");
-    assert_eq!(fleet.configure(2, 7, &configuration(7)), StatusCode::BAD_REQUEST, "the same number again");
+    assert_eq!(
+        fleet.configure(2, 7, &configuration(4)),
+        StatusCode::BAD_REQUEST,
+        "back to an old one"
+    );
+    assert_eq!(
+        fleet.configure(2, 7, &configuration(7)),
+        StatusCode::BAD_REQUEST,
+        "the same number again"
+    );
     assert_eq!(
         fleet.configure(2, 0, &configuration(4)),
         StatusCode::OK,
@@ -279,7 +407,9 @@
 fn a_controller_that_returns_with_an_old_value_hands_it_to_nobody() {
     let mut fleet = Fleet::assembled(3);
     assert_eq!(fleet.configure(0, 0, &configuration(4)), StatusCode::OK);
-    fleet.wait_for_record(2, |record| record.key == CONFIGURATION && record.version == 4);
+    fleet.wait_for_record(2, |record| {
+        record.key == CONFIGURATION && record.version == 4
+    });
     fleet.kill(2);
     for version in 5..25 {
         assert_eq!(
@@ -297,10 +427,22 @@
         }
     };
     assert_eq!(answer, (StatusCode::OK, configuration(24)));
-    let seen = |place: usize| fleet.at(place).overlay.get(CONFIGURATION).map(|record| record.version);
-    fleet.wait_for_record(2, |record| record.key == CONFIGURATION && record.version == 24);
+    let seen = |place: usize| {
+        fleet
+            .at(place)
+            .overlay
+            .get(CONFIGURATION)
+            .map(|record| record.version)
+    };
+    fleet.wait_for_record(2, |record| {
+        record.key == CONFIGURATION && record.version == 24
+    });
     assert_eq!([0, 1, 2].map(seen), [Some(24); 3]);
-    assert_eq!(fleet.configure(2, 4, &configuration(5)), StatusCode::OK, "an order of that time, sent again");
+    assert_eq!(
+        fleet.configure(2, 4, &configuration(5)),
+        StatusCode::OK,
+        "an order of that time, sent again"
+    );
     let another = configuration(5).replace("/a/", "/b/");
     assert_eq!(
         fleet.configure(2, 4, &another),
@@ -321,14 +463,26 @@
         };
         let routes: Vec<String> = (0..40).map(route).collect();
         let list = routes.join(",");
-        format!(r#"{{"config_version":{version},"route_list":[{list}],"service_list":[{{"name":"s"}}]}}"#)
+        format!(
+            r#"{{"config_version":{version},"route_list":[{list}],"service_list":[{{"name":"s"}}]}}"#
+        )
     };
     let mut sizes = Vec::new();
     for version in 1..=100 {
-        assert_eq!(fleet.configure(version as usize % 3, version - 1, &routes(version)), StatusCode::OK);
+        assert_eq!(
+            fleet.configure(version as usize % 3, version - 1, &routes(version)),
+            StatusCode::OK
+        );
         if [10, 50, 100].contains(&version) {
-            let value = minicbor::to_vec(fleet.at(0).register.chosen().unwrap()).unwrap().len();
-            sizes.push((version, routes(version).len(), value, fleet.register_file_bytes(0)));
+            let value = minicbor::to_vec(fleet.at(0).register.chosen().unwrap())
+                .unwrap()
+                .len();
+            sizes.push((
+                version,
+                routes(version).len(),
+                value,
+                fleet.register_file_bytes(0),
+            ));
         }
     }
     println!("changes, bytes of the text, of the value, of the file: {sizes:?}");
@@ -344,7 +498,10 @@
 
 /// What a controller does when it is told to stop.
 fn leave(fleet: &Fleet, place: usize) {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .unwrap();
     runtime.block_on(membership::leave(fleet.at(place)));
 }
 
@@ -361,7 +518,12 @@
     fleet.kill(3);
     leave(&fleet, 2);
     let set = fleet.at(2).register.set().unwrap();
-    assert!(set.current_replica(ids[2].unwrap()).is_some(), "three are needed: {set:?}");
+    assert!(
+        set.current_replica(ids[2].unwrap()).is_some(),
+        "three are needed: {set:?}"
+    );
     fleet.restart(3);
-    fleet.wait_for_set(0, 4, move |set| set.current_replica(ids[3].unwrap()).is_some());
+    fleet.wait_for_set(0, 4, move |set| {
+        set.current_replica(ids[3].unwrap()).is_some()
+    });
 }
--- a/crates/mintlb-control/tests/controller_knowledge.rs
+++ b/crates/mintlb-control/tests/controller_knowledge.rs
@@ -9,21 +9,44 @@
 fn set(epoch: u64, ids: &[u64]) -> ReplicaSet {
     let replica = |id: &u64| {
         let address = format!("10.0.0.{id}:7661");
-        Replica { id: *id, address, node_name: format!("edge-{id}"), zone: "z".to_string() }
+        Replica {
+            id: *id,
+            address,
+            node_name: format!("edge-{id}"),
+            zone: "z".to_string(),
+        }
     };
-    ReplicaSet { epoch, previous: Vec::new(), current: ids.iter().map(replica).collect() }
+    ReplicaSet {
+        epoch,
+        previous: Vec::new(),
+        current: ids.iter().map(replica).collect(),
+    }
 }
 
 fn accepted(counter: u64, set: ReplicaSet) -> Accepted {
-    let state = ControlState { revision: counter, replicas: set, ..ControlState::default() };
-    Accepted { ballot: Ballot { counter, proposer: 1 }, state: Arc::new(state) }
+    let state = ControlState {
+        revision: counter,
+        replicas: set,
+        ..ControlState::default()
+    };
+    Accepted {
+        ballot: Ballot {
+            counter,
+            proposer: 1,
+        },
+        state: Arc::new(state),
+    }
 }
 
 #[test]
 fn a_set_from_the_disk_that_was_never_chosen_gives_way_to_a_chosen_one() {
     for epoch in [2, 3] {
         let mut knowledge = Knowledge::stored(Some(accepted(9, set(3, &[1, 2, 3, 4]))));
-        assert_eq!(knowledge.set(), Some(&set(3, &[1, 2, 3, 4])), "somebody has to be asked");
+        assert_eq!(
+            knowledge.set(),
+            Some(&set(3, &[1, 2, 3, 4])),
+            "somebody has to be asked"
+        );
         let chosen = set(epoch, &[1, 2, 3]);
         assert_eq!(knowledge.learn(&accepted(10, chosen.clone())), Some(0));
         assert_eq!(knowledge.set(), Some(&chosen));
@@ -36,7 +59,11 @@
     let chosen = accepted(10, set(4, &[1, 2, 3]));
     knowledge.learn(&chosen);
     knowledge.hint(set(4, &[7, 8, 9]));
-    assert_eq!(knowledge.set(), Some(&set(4, &[1, 2, 3])), "of one epoch the chosen one");
+    assert_eq!(
+        knowledge.set(),
+        Some(&set(4, &[1, 2, 3])),
+        "of one epoch the chosen one"
+    );
     knowledge.hint(set(6, &[7, 8, 9]));
     assert_eq!(knowledge.set(), Some(&set(6, &[7, 8, 9])));
     assert_eq!(knowledge.learn(&chosen), None, "the same value again");
@@ -48,5 +75,8 @@
     let mut knowledge = Knowledge::default();
     knowledge.learn(&accepted(10, set(4, &[1, 2, 3])));
     assert_eq!(knowledge.learn(&accepted(9, set(3, &[1, 2]))), None);
-    assert_eq!(knowledge.chosen().map(|chosen| chosen.ballot.counter), Some(10));
+    assert_eq!(
+        knowledge.chosen().map(|chosen| chosen.ballot.counter),
+        Some(10)
+    );
 }
--- a/crates/mintlb-control/tests/controller_orphans.rs
+++ b/crates/mintlb-control/tests/controller_orphans.rs
@@ -28,7 +28,11 @@
 
 impl World {
     fn new() -> World {
-        World { now: Instant::now(), records: RecordStore::default(), orphans: Orphans::default() }
+        World {
+            now: Instant::now(),
+            records: RecordStore::default(),
+            orphans: Orphans::default(),
+        }
     }
 
     fn publish(&mut self, record: WorkerRecord) {
@@ -49,7 +53,10 @@
     world.publish(worker("b", 3, WorkerState::InService));
     assert!(world.look(Duration::ZERO, &["b"]).is_empty());
     assert!(world.look(ORPHANED_AFTER / 2, &["b"]).is_empty());
-    assert_eq!(world.look(ORPHANED_AFTER / 2, &["b"]), [worker("a", 3, WorkerState::Silent)]);
+    assert_eq!(
+        world.look(ORPHANED_AFTER / 2, &["b"]),
+        [worker("a", 3, WorkerState::Silent)]
+    );
 }
 
 #[test]
@@ -58,9 +65,15 @@
     world.publish(worker("a", 3, WorkerState::InService));
     world.look(Duration::ZERO, &[]);
     world.look(ORPHANED_AFTER / 2, &["a"]);
-    assert!(world.look(ORPHANED_AFTER / 2, &[]).is_empty(), "the time begins anew");
+    assert!(
+        world.look(ORPHANED_AFTER / 2, &[]).is_empty(),
+        "the time begins anew"
+    );
     world.publish(worker("a", 4, WorkerState::InService));
-    assert!(world.look(ORPHANED_AFTER, &[]).is_empty(), "it has called since");
+    assert!(
+        world.look(ORPHANED_AFTER, &[]).is_empty(),
+        "it has called since"
+    );
     assert_eq!(world.look(ORPHANED_AFTER, &[]).len(), 1);
 }
 
--- a/crates/mintlb-control/tests/controller_peers.rs
+++ b/crates/mintlb-control/tests/controller_peers.rs
@@ -21,7 +21,11 @@
         node_name: format!("edge-{id}"),
         zone: String::new(),
     };
-    ReplicaSet { epoch: 1, previous: Vec::new(), current: [11, 9, 10].map(replica).to_vec() }
+    ReplicaSet {
+        epoch: 1,
+        previous: Vec::new(),
+        current: [11, 9, 10].map(replica).to_vec(),
+    }
 }
 
 /// One is heard, and has answered what was sent at this moment; it sees the same replica as the first.
@@ -83,7 +87,10 @@
     now += Duration::from_secs(4);
     peers.step(now, &set());
     assert_eq!(peers.held(now, &set()), None);
-    assert!(peers.silent(now, &set()).is_empty(), "it was not there to hear them");
+    assert!(
+        peers.silent(now, &set()).is_empty(),
+        "it was not there to hear them"
+    );
 }
 
 #[test]
@@ -172,7 +179,9 @@
     let end = now + LEASE;
     while now < end {
         now += STEP;
-        [10, 11].into_iter().for_each(|id| peers.heard(now, address(id), Some(id), 0));
+        [10, 11]
+            .into_iter()
+            .for_each(|id| peers.heard(now, address(id), Some(id), 0));
         peers.step(now, &set());
     }
     assert!(!peers.is_in_contact(now, &set()));
--- a/crates/mintlb-control/tests/controller_registry.rs
+++ b/crates/mintlb-control/tests/controller_registry.rs
@@ -31,7 +31,12 @@
 }
 
 /// Ticks often enough that no pause is seen.
-fn pass(registry: &mut Registry, from: Instant, time: Duration, version: Option<u64>) -> Vec<WorkerRecord> {
+fn pass(
+    registry: &mut Registry,
+    from: Instant,
+    time: Duration,
+    version: Option<u64>,
+) -> Vec<WorkerRecord> {
     let mut silent = Vec::new();
     let mut passed = Duration::ZERO;
     while passed < time {
@@ -45,11 +50,26 @@
 fn only_what_changes_is_published() {
     let now = Instant::now();
     let mut registry = Registry::new(now, SILENCE);
-    assert_eq!(registry.heartbeat(now, in_service(1), None), Heard::Publish(in_service(1)));
-    assert_eq!(registry.heartbeat(now, in_service(2), Some(&in_service(1))), Heard::Nothing);
-    assert_eq!(registry.heartbeat(now, draining(3), Some(&in_service(1))), Heard::Publish(draining(3)));
-    let moved = WorkerRecord { address: "10.128.0.9:9090".to_string(), ..draining(4) };
-    assert_eq!(registry.heartbeat(now, moved.clone(), Some(&draining(3))), Heard::Publish(moved));
+    assert_eq!(
+        registry.heartbeat(now, in_service(1), None),
+        Heard::Publish(in_service(1))
+    );
+    assert_eq!(
+        registry.heartbeat(now, in_service(2), Some(&in_service(1))),
+        Heard::Nothing
+    );
+    assert_eq!(
+        registry.heartbeat(now, draining(3), Some(&in_service(1))),
+        Heard::Publish(draining(3))
+    );
+    let moved = WorkerRecord {
+        address: "10.128.0.9:9090".to_string(),
+        ..draining(4)
+    };
+    assert_eq!(
+        registry.heartbeat(now, moved.clone(), Some(&draining(3))),
+        Heard::Publish(moved)
+    );
 }
 
 #[test]
@@ -57,9 +77,15 @@
     let now = Instant::now();
     let mut registry = Registry::new(now, SILENCE);
     registry.heartbeat(now, draining(1), None);
-    assert_eq!(registry.heartbeat(now, draining(2), Some(&draining(1))), Heard::Publish(draining(2)));
+    assert_eq!(
+        registry.heartbeat(now, draining(2), Some(&draining(1))),
+        Heard::Publish(draining(2))
+    );
     registry.confirmed(&draining(2));
-    assert_eq!(registry.heartbeat(now, draining(3), Some(&draining(2))), Heard::Nothing);
+    assert_eq!(
+        registry.heartbeat(now, draining(3), Some(&draining(2))),
+        Heard::Nothing
+    );
 }
 
 #[test]
@@ -67,9 +93,15 @@
     let now = Instant::now();
     let mut registry = Registry::new(now, SILENCE);
     registry.heartbeat(now, draining(5), None);
-    assert_eq!(registry.heartbeat(now, in_service(4), Some(&draining(5))), Heard::Late);
+    assert_eq!(
+        registry.heartbeat(now, in_service(4), Some(&draining(5))),
+        Heard::Late
+    );
     let mut other = Registry::new(now, SILENCE);
-    assert_eq!(other.heartbeat(now, in_service(4), Some(&draining(5))), Heard::Late);
+    assert_eq!(
+        other.heartbeat(now, in_service(4), Some(&draining(5))),
+        Heard::Late
+    );
 }
 
 #[test]
@@ -78,8 +110,14 @@
     let mut registry = Registry::new(now, SILENCE);
     registry.heartbeat(now, in_service(1), None);
     let gone = registry.leave("i-1", Some(in_service(1)));
-    assert_eq!((gone.state, gone.service.as_str()), (WorkerState::Gone, "s"));
-    assert_eq!(registry.heartbeat(now, in_service(9), Some(&gone)), Heard::Late);
+    assert_eq!(
+        (gone.state, gone.service.as_str()),
+        (WorkerState::Gone, "s")
+    );
+    assert_eq!(
+        registry.heartbeat(now, in_service(9), Some(&gone)),
+        Heard::Late
+    );
 }
 
 #[test]
@@ -110,7 +148,15 @@
     let now = Instant::now();
     let mut registry = Registry::new(now, SILENCE);
     registry.heartbeat(now, in_service(1), None);
-    assert!(pass(&mut registry, now, SILENCE * 2, Some(in_service(3).version())).is_empty());
+    assert!(
+        pass(
+            &mut registry,
+            now,
+            SILENCE * 2,
+            Some(in_service(3).version())
+        )
+        .is_empty()
+    );
     assert!(registry.is_empty());
 }
 
@@ -123,17 +169,29 @@
     let woken = now + SILENCE * 3;
     assert!(registry.tick(woken, true, |_| version).is_empty());
     assert!(pass(&mut registry, woken, SILENCE - TICK, version).is_empty());
-    assert_eq!(pass(&mut registry, woken + SILENCE - TICK, TICK * 2, version).len(), 1);
+    assert_eq!(
+        pass(&mut registry, woken + SILENCE - TICK, TICK * 2, version).len(),
+        1
+    );
 }
 
 #[test]
 fn the_end_of_the_cold_time_is_no_news_when_it_hardly_moves() {
     let now = Instant::now();
     let mut registry = Registry::new(now, SILENCE);
-    let cold = |sequence, warm_at_ms| WorkerRecord { warm_at_ms, ..in_service(sequence) };
+    let cold = |sequence, warm_at_ms| WorkerRecord {
+        warm_at_ms,
+        ..in_service(sequence)
+    };
     registry.heartbeat(now, cold(1, 10_000), None);
-    assert_eq!(registry.heartbeat(now, cold(2, 10_300), Some(&cold(1, 10_000))), Heard::Nothing);
-    assert_eq!(registry.heartbeat(now, cold(3, 0), Some(&cold(1, 10_000))), Heard::Publish(cold(3, 0)));
+    assert_eq!(
+        registry.heartbeat(now, cold(2, 10_300), Some(&cold(1, 10_000))),
+        Heard::Nothing
+    );
+    assert_eq!(
+        registry.heartbeat(now, cold(3, 0), Some(&cold(1, 10_000))),
+        Heard::Publish(cold(3, 0))
+    );
 }
 
 #[test]
@@ -144,7 +202,11 @@
         let drains_at = u.int_in_range(1..=6)?;
         let mut calls: Vec<(WorkerRecord, usize)> = Vec::new();
         for sequence in 1..=count {
-            let state = if sequence >= drains_at { WorkerState::Draining } else { WorkerState::InService };
+            let state = if sequence >= drains_at {
+                WorkerState::Draining
+            } else {
+                WorkerState::InService
+            };
             calls.push((call("i-1", sequence, state), u.int_in_range(0..=1)?));
         }
         let now = Instant::now();
@@ -155,12 +217,18 @@
             let (told, at) = calls.remove(u.choose_index(calls.len())?);
             highest = highest.max(told.call_sequence);
             if let Heard::Publish(record) = controllers[at].heartbeat(now, told, in_force.as_ref())
-                && in_force.as_ref().is_none_or(|known| known.version() < record.version())
+                && in_force
+                    .as_ref()
+                    .is_none_or(|known| known.version() < record.version())
             {
                 in_force = Some(record);
             }
         }
-        let expected = if highest >= drains_at { WorkerState::Draining } else { WorkerState::InService };
+        let expected = if highest >= drains_at {
+            WorkerState::Draining
+        } else {
+            WorkerState::InService
+        };
         assert_eq!(in_force.map(|record| record.state), Some(expected));
         Ok(())
     });
@@ -179,7 +247,10 @@
     }
     let back = now + passed;
     assert!(pass(&mut registry, back, SILENCE - TICK, version).is_empty());
-    assert_eq!(pass(&mut registry, back + SILENCE - TICK, TICK * 2, version).len(), 1);
+    assert_eq!(
+        pass(&mut registry, back + SILENCE - TICK, TICK * 2, version).len(),
+        1
+    );
 }
 
 #[test]
@@ -189,8 +260,18 @@
     registry.heartbeat(now, in_service(1), None);
     registry.heartbeat(now, in_service(4), Some(&in_service(1)));
     let back = now + SILENCE;
-    (1..=10).for_each(|tick| _ = registry.tick(now + TICK * tick, false, |_| Some(in_service(1).version())));
-    assert!(pass(&mut registry, back, SILENCE * 2, Some(in_service(5).version())).is_empty());
+    (1..=10).for_each(|tick| {
+        _ = registry.tick(now + TICK * tick, false, |_| Some(in_service(1).version()))
+    });
+    assert!(
+        pass(
+            &mut registry,
+            back,
+            SILENCE * 2,
+            Some(in_service(5).version())
+        )
+        .is_empty()
+    );
     assert!(registry.is_empty());
 }
 
@@ -200,21 +281,45 @@
     let mut registry = Registry::new(now, SILENCE);
     registry.heartbeat(now, in_service(1), None);
     registry.heartbeat(now, draining(3), Some(&in_service(1)));
-    assert_eq!(registry.heartbeat(now, draining(3), Some(&draining(3))), Heard::Publish(draining(3)));
-    assert_eq!(registry.heartbeat(now, draining(2), Some(&draining(3))), Heard::Publish(draining(3)));
-    assert_eq!(registry.heartbeat(now, in_service(2), Some(&draining(3))), Heard::Late);
+    assert_eq!(
+        registry.heartbeat(now, draining(3), Some(&draining(3))),
+        Heard::Publish(draining(3))
+    );
+    assert_eq!(
+        registry.heartbeat(now, draining(2), Some(&draining(3))),
+        Heard::Publish(draining(3))
+    );
+    assert_eq!(
+        registry.heartbeat(now, in_service(2), Some(&draining(3))),
+        Heard::Late
+    );
     registry.confirmed(&draining(3));
-    assert_eq!(registry.heartbeat(now, draining(3), Some(&draining(3))), Heard::Late);
+    assert_eq!(
+        registry.heartbeat(now, draining(3), Some(&draining(3))),
+        Heard::Late
+    );
 }
 
 #[test]
 fn out_of_contact_only_what_is_new_and_later_is_told() {
     assert_eq!(news(in_service(3), None), Some(in_service(3)));
-    assert_eq!(news(in_service(3), Some(&in_service(2))), None, "the same but for its number");
+    assert_eq!(
+        news(in_service(3), Some(&in_service(2))),
+        None,
+        "the same but for its number"
+    );
     assert_eq!(news(draining(3), Some(&in_service(2))), Some(draining(3)));
     assert_eq!(news(in_service(2), Some(&draining(3))), None, "late");
     let silent = call("i-1", 2, WorkerState::Silent);
-    assert_eq!(news(in_service(2), Some(&silent)), None, "the call that was followed by silence");
+    assert_eq!(
+        news(in_service(2), Some(&silent)),
+        None,
+        "the call that was followed by silence"
+    );
     assert_eq!(news(in_service(3), Some(&silent)), Some(in_service(3)));
-    assert_eq!(news(in_service(9), Some(&call("i-1", 2, WorkerState::Gone))), None, "it has ended");
+    assert_eq!(
+        news(in_service(9), Some(&call("i-1", 2, WorkerState::Gone))),
+        None,
+        "it has ended"
+    );
 }
--- a/crates/mintlb-control/tests/controller_retirement.rs
+++ b/crates/mintlb-control/tests/controller_retirement.rs
@@ -9,36 +9,87 @@
 
 fn entry(id: u64, retiring: bool) -> StoreEntry {
     let (node_name, address) = (format!("storage-{id}"), format!("10.0.1.{id}:7662"));
-    StoreEntry { id, node_name, address, zone: String::new(), retiring }
+    StoreEntry {
+        id,
+        node_name,
+        address,
+        zone: String::new(),
+        retiring,
+    }
 }
 
 /// One shard on the stores 2, 3 and 4; store 1 is emptied.
 fn placement() -> Placement {
-    let shard = ShardAssignment { epoch: 4, replicas: vec![2, 3, 4], previous: Vec::new(), settled: None };
-    let stores = vec![entry(1, true), entry(2, false), entry(3, false), entry(4, false)];
-    Placement { epoch: 9, stores, shards: vec![shard] }
+    let shard = ShardAssignment {
+        epoch: 4,
+        replicas: vec![2, 3, 4],
+        previous: Vec::new(),
+        settled: None,
+    };
+    let stores = vec![
+        entry(1, true),
+        entry(2, false),
+        entry(3, false),
+        entry(4, false),
+    ];
+    Placement {
+        epoch: 9,
+        stores,
+        shards: vec![shard],
+    }
 }
 
 /// The primary of the shard has reported, and was last heard so long ago.
 fn view(silence: Duration) -> StoreView {
-    let report = ShardReport { shard: 0, epoch: 4, in_charge: true, caught_up: vec![2, 3, 4] };
-    let primary = StoreSeen { id: 2, silence, reports: vec![report], ..StoreSeen::default() };
-    let other = |id| StoreSeen { id, ..StoreSeen::default() };
-    StoreView { stores: vec![primary, other(3), other(4)], ..StoreView::default() }
+    let report = ShardReport {
+        shard: 0,
+        epoch: 4,
+        in_charge: true,
+        caught_up: vec![2, 3, 4],
+    };
+    let primary = StoreSeen {
+        id: 2,
+        silence,
+        reports: vec![report],
+        ..StoreSeen::default()
+    };
+    let other = |id| StoreSeen {
+        id,
+        ..StoreSeen::default()
+    };
+    StoreView {
+        stores: vec![primary, other(3), other(4)],
+        ..StoreView::default()
+    }
 }
 
 #[test]
 fn it_is_completed_by_what_primaries_said_lately() {
     let fresh = view(LIVE - Duration::from_millis(1));
-    assert_eq!(progress(&placement(), &fresh, "storage-1", 1, true), RetireAnswer::Completed);
+    assert_eq!(
+        progress(&placement(), &fresh, "storage-1", 1, true),
+        RetireAnswer::Completed
+    );
     let stale = view(LIVE);
-    assert_eq!(progress(&placement(), &stale, "storage-1", 1, true), RetireAnswer::Unavailable);
+    assert_eq!(
+        progress(&placement(), &stale, "storage-1", 1, true),
+        RetireAnswer::Unavailable
+    );
 }
 
 #[test]
 fn it_is_not_completed_to_a_controller_that_has_only_just_come_back() {
     let fresh = view(Duration::ZERO);
-    assert_eq!(progress(&placement(), &fresh, "storage-1", 1, false), RetireAnswer::Unavailable);
-    assert_eq!(progress(&placement(), &fresh, "storage-7", 1, false), RetireAnswer::Unknown);
-    assert_eq!(progress(&placement(), &StoreView::default(), "storage-1", 1, false), RetireAnswer::Running);
+    assert_eq!(
+        progress(&placement(), &fresh, "storage-1", 1, false),
+        RetireAnswer::Unavailable
+    );
+    assert_eq!(
+        progress(&placement(), &fresh, "storage-7", 1, false),
+        RetireAnswer::Unknown
+    );
+    assert_eq!(
+        progress(&placement(), &StoreView::default(), "storage-1", 1, false),
+        RetireAnswer::Running
+    );
 }
--- a/crates/mintlb-control/tests/controller_vote_store.rs
+++ b/crates/mintlb-control/tests/controller_vote_store.rs
@@ -8,14 +8,28 @@
 use std::sync::Arc;
 
 fn ballot(counter: u64) -> Ballot {
-    Ballot { counter, proposer: 7 }
+    Ballot {
+        counter,
+        proposer: 7,
+    }
 }
 
 fn accepted(counter: u64) -> Accepted {
     let address = "10.0.0.1:7661".to_string();
-    let replica = Replica { id: 1, address, node_name: "edge-1".to_string(), zone: "z".to_string() };
-    let state = ControlState { revision: counter, ..ControlState::founded_by(replica) };
-    Accepted { ballot: ballot(counter), state: Arc::new(state) }
+    let replica = Replica {
+        id: 1,
+        address,
+        node_name: "edge-1".to_string(),
+        zone: "z".to_string(),
+    };
+    let state = ControlState {
+        revision: counter,
+        ..ControlState::founded_by(replica)
+    };
+    Accepted {
+        ballot: ballot(counter),
+        state: Arc::new(state),
+    }
 }
 
 /// Waits for a sync on the calling thread.
@@ -35,8 +49,14 @@
     assert!(!opened.store.is_busy());
     drop(opened.store);
     let again = VoteStore::open(folder.path(), 99).unwrap();
-    assert_eq!(again.id, 41, "the identity offered to an existing file is not taken");
-    assert_eq!((again.vote.promised, again.vote.accepted), (ballot(5), Some(accepted(3))));
+    assert_eq!(
+        again.id, 41,
+        "the identity offered to an existing file is not taken"
+    );
+    assert_eq!(
+        (again.vote.promised, again.vote.accepted),
+        (ballot(5), Some(accepted(3)))
+    );
 }
 
 #[test]
@@ -59,10 +79,15 @@
             _ => opened.store.sync(Sync::Value(accepted(counter))),
         })
         .collect();
-    waiting.into_iter().for_each(|sync| sync.blocking_recv().unwrap());
+    waiting
+        .into_iter()
+        .for_each(|sync| sync.blocking_recv().unwrap());
     drop(opened.store);
     let again = VoteStore::open(folder.path(), 99).unwrap();
-    assert_eq!((again.vote.promised, again.vote.accepted), (ballot(50), Some(accepted(49))));
+    assert_eq!(
+        (again.vote.promised, again.vote.accepted),
+        (ballot(50), Some(accepted(49)))
+    );
 }
 
 #[test]
--- a/crates/mintlb-control/tests/controller_worker_records.rs
+++ b/crates/mintlb-control/tests/controller_worker_records.rs
@@ -50,20 +50,35 @@
 impl Fleet {
     fn new() -> Fleet {
         let now = Instant::now();
-        let controller = |_| Controller { registry: Registry::new(now, SILENCE), table: None, told: None };
-        Fleet { now, controllers: (0..CONTROLLERS).map(controller).collect() }
+        let controller = |_| Controller {
+            registry: Registry::new(now, SILENCE),
+            table: None,
+            told: None,
+        };
+        Fleet {
+            now,
+            controllers: (0..CONTROLLERS).map(controller).collect(),
+        }
     }
 
     /// Puts a record into a controller's table as the overlay does.
     fn put(&mut self, at: usize, record: WorkerRecord) {
         let controller = &mut self.controllers[at];
-        if controller.table.as_ref().is_none_or(|known| known.version() < record.version()) {
+        if controller
+            .table
+            .as_ref()
+            .is_none_or(|known| known.version() < record.version())
+        {
             controller.table = Some(record);
         }
         let state = controller.table.as_ref().map(|record| record.state);
         match controller.told {
             Some(WorkerState::Gone) => assert_eq!(state, Some(WorkerState::Gone), "it is back"),
-            Some(_) => assert_ne!(state, Some(WorkerState::InService), "it takes requests again"),
+            Some(_) => assert_ne!(
+                state,
+                Some(WorkerState::InService),
+                "it takes requests again"
+            ),
             None => (),
         }
     }
@@ -78,13 +93,21 @@
             }
             Call::Beat(sequence, state) => {
                 let told = record(sequence, state);
-                let heard = controller.registry.heartbeat(self.now, told, in_force.as_ref());
+                let heard = controller
+                    .registry
+                    .heartbeat(self.now, told, in_force.as_ref());
                 let drains = state == WorkerState::Draining && controller.told.is_none();
                 controller.told = if drains { Some(state) } else { controller.told };
-                if let Heard::Publish(record) = heard { Some(record) } else { None }
+                if let Heard::Publish(record) = heard {
+                    Some(record)
+                } else {
+                    None
+                }
             }
         };
-        published.into_iter().for_each(|record| self.put(at, record));
+        published
+            .into_iter()
+            .for_each(|record| self.put(at, record));
     }
 
     /// Two controllers compare what they have.
@@ -104,8 +127,11 @@
     /// One starts anew and knows nothing; what it had told has reached a neighbour before.
     fn restart(&mut self, at: usize) {
         self.compare(at, (at + 1) % CONTROLLERS);
-        self.controllers[at] =
-            Controller { registry: Registry::new(self.now, SILENCE), table: None, told: None };
+        self.controllers[at] = Controller {
+            registry: Registry::new(self.now, SILENCE),
+            table: None,
+            told: None,
+        };
     }
 
     fn pass(&mut self, ticks: usize) {
@@ -125,10 +151,20 @@
 fn history(u: &mut Unstructured<'_>) -> Result<()> {
     let mut fleet = Fleet::new();
     let count = u.int_in_range(1..=12)?;
-    let drains_at = if u.arbitrary()? { u.int_in_range(1..=14)? } else { u64::MAX };
+    let drains_at = if u.arbitrary()? {
+        u.int_in_range(1..=14)?
+    } else {
+        u64::MAX
+    };
     let ends: bool = u.arbitrary()?;
     let mut late: Vec<(usize, Call)> = Vec::new();
-    let state = |sequence| if sequence >= drains_at { WorkerState::Draining } else { WorkerState::InService };
+    let state = |sequence| {
+        if sequence >= drains_at {
+            WorkerState::Draining
+        } else {
+            WorkerState::InService
+        }
+    };
     let beats = (1..=count).map(|sequence| Call::Beat(sequence, state(sequence)));
     for call in beats.chain(ends.then_some(Call::End)) {
         let at = u.int_in_range(0..=CONTROLLERS - 1)?;
@@ -142,9 +178,10 @@
         }
         for _ in 0..u.int_in_range(0..=2)? {
             match u.int_in_range(0..=4)? {
-                0 => {
-                    fleet.compare(u.int_in_range(0..=CONTROLLERS - 1)?, u.int_in_range(0..=CONTROLLERS - 1)?)
-                }
+                0 => fleet.compare(
+                    u.int_in_range(0..=CONTROLLERS - 1)?,
+                    u.int_in_range(0..=CONTROLLERS - 1)?,
+                ),
                 1 if !late.is_empty() => {
                     let (at, call) = late.remove(u.choose_index(late.len())?);
                     fleet.take(at, call);
@@ -167,14 +204,22 @@
         }
         fleet.controllers.iter().for_each(|controller| {
             let known = controller.table.as_ref().map(|record| record.state);
-            assert_eq!(known, Some(state(count + 39)), "a worker that calls is known as it says");
+            assert_eq!(
+                known,
+                Some(state(count + 39)),
+                "a worker that calls is known as it says"
+            );
         });
     }
     fleet.pass(60);
     fleet.compare_all();
     for controller in &fleet.controllers {
         let known = controller.table.as_ref().map(|record| record.state);
-        let expected = if ends { WorkerState::Gone } else { WorkerState::Silent };
+        let expected = if ends {
+            WorkerState::Gone
+        } else {
+            WorkerState::Silent
+        };
         assert_eq!(known, Some(expected), "after the worker's end");
     }
     Ok(())
--- a/crates/mintlb-control/tests/controllers/mod.rs
+++ b/crates/mintlb-control/tests/controllers/mod.rs
@@ -70,8 +70,15 @@
         let count = disks.len();
         let base = 20_000 + (std::process::id() % 2000) as u16 * 16;
         let port = base + NEXT_PORT.fetch_add(4, SeqCst);
-        let folders = disks.iter().map(|disk| disk.then(|| tempfile::tempdir().unwrap())).collect();
-        let mut fleet = Fleet { folders, port, processes: Vec::new() };
+        let folders = disks
+            .iter()
+            .map(|disk| disk.then(|| tempfile::tempdir().unwrap()))
+            .collect();
+        let mut fleet = Fleet {
+            folders,
+            port,
+            processes: Vec::new(),
+        };
         for place in 0..count {
             let process = fleet.launch(place, true);
             fleet.processes.push(Some(process));
@@ -98,7 +105,12 @@
     pub fn freeze(&self, place: usize) -> mpsc::Sender<()> {
         let (thaw, thawed) = mpsc::channel();
         let process = self.processes[place].as_ref().unwrap();
-        process.jobs.as_ref().unwrap().send(Job::Freeze(thawed)).unwrap();
+        process
+            .jobs
+            .as_ref()
+            .unwrap()
+            .send(Job::Freeze(thawed))
+            .unwrap();
         thaw
     }
 
@@ -128,7 +140,11 @@
     }
 
     /// Waits until a record to which `fits` applies is in force at this machine.
-    pub fn wait_for_record(&self, place: usize, fits: impl Fn(&Record) -> bool + Send + Sync + 'static) {
+    pub fn wait_for_record(
+        &self,
+        place: usize,
+        fits: impl Fn(&Record) -> bool + Send + Sync + 'static,
+    ) {
         let (found, finding) = mpsc::channel();
         let overlay: &Arc<Overlay> = &self.at(place).overlay;
         overlay.subscribe(Arc::new(move |record| {
@@ -136,7 +152,9 @@
                 found.send(()).ok();
             }
         }));
-        finding.recv_timeout(PATIENCE).expect("the record does not come");
+        finding
+            .recv_timeout(PATIENCE)
+            .expect("the record does not come");
     }
 
     /// A call, and its answer.
@@ -155,7 +173,12 @@
         }
         let request = request.body(Body::from(body.to_string())).unwrap();
         let (answer, answered) = mpsc::channel();
-        process.jobs.as_ref().unwrap().send(Job::Call(Box::new(Call { request, answer }))).unwrap();
+        process
+            .jobs
+            .as_ref()
+            .unwrap()
+            .send(Job::Call(Box::new(Call { request, answer })))
+            .unwrap();
         answered.recv_timeout(PATIENCE).expect("no answer")
     }
 
@@ -172,11 +195,18 @@
     }
 
     fn launch(&self, place: usize, first_start: bool) -> Process {
-        let settings = self.settings(place, first_start, self.folders[place].as_ref().map(TempDir::path));
+        let settings = self.settings(
+            place,
+            first_start,
+            self.folders[place].as_ref().map(TempDir::path),
+        );
         let (started, starting) = mpsc::channel();
         let (jobs, mut incoming) = tokio::sync::mpsc::unbounded_channel::<Job>();
         let thread = std::thread::spawn(move || {
-            let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
+            let runtime = tokio::runtime::Builder::new_current_thread()
+                .enable_all()
+                .build()
+                .unwrap();
             runtime.block_on(async move {
                 let controller = start(settings).await.unwrap();
                 started.send(controller.clone()).unwrap();
@@ -189,13 +219,21 @@
             });
         });
         let controller = starting.recv_timeout(PATIENCE).expect("it does not start");
-        Process { jobs: Some(jobs), thread: Some(thread), controller }
+        Process {
+            jobs: Some(jobs),
+            thread: Some(thread),
+            controller,
+        }
     }
 
     fn settings(&self, place: usize, first_start: bool, folder: Option<&Path>) -> NodeSettings {
-        let folder = folder.map(|folder| format!("data_directory = {folder:?}\n")).unwrap_or_default();
+        let folder = folder
+            .map(|folder| format!("data_directory = {folder:?}\n"))
+            .unwrap_or_default();
         let (port, last) = (self.port, self.port + 3);
-        let seeds: Vec<String> = (1..=3).map(|host| format!("\"127.9.0.{host}:80\"")).collect();
+        let seeds: Vec<String> = (1..=3)
+            .map(|host| format!("\"127.9.0.{host}:80\""))
+            .collect();
         let text = format!(
             "node_name = \"edge-{place}\"\nrole = \"controller\"\nmachine_class = \"edge\"\nserves = [\"control\"]\n\
              ip_address = \"127.9.0.{host}\"\nzone = \"z{place}\"\nregion = \"r\"\ninternal_ports = [{port},{last}]\n\
@@ -213,7 +251,9 @@
     let answer = http::router(controller).call(call.request).await.unwrap();
     let status = answer.status();
     let body = to_bytes(answer.into_body(), 8 << 20).await.unwrap();
-    call.answer.send((status, String::from_utf8(body.to_vec()).unwrap())).ok();
+    call.answer
+        .send((status, String::from_utf8(body.to_vec()).unwrap()))
+        .ok();
 }
 
 impl Drop for Process {
--- a/crates/mintlb-control/tests/faulty_disk/mod.rs
+++ b/crates/mintlb-control/tests/faulty_disk/mod.rs
@@ -54,8 +54,17 @@
             hanging: 0,
         };
         let disk = Disk(Arc::new((Mutex::new(bytes), Condvar::new())));
-        let database = vote_file::builder().create_with_backend(disk.clone()).unwrap();
-        vote_file::rewrite(&database, &Contents { id, vote: Vote::default() }).unwrap();
+        let database = vote_file::builder()
+            .create_with_backend(disk.clone())
+            .unwrap();
+        vote_file::rewrite(
+            &database,
+            &Contents {
+                id,
+                vote: Vote::default(),
+            },
+        )
+        .unwrap();
         disk
     }
 
--- a/crates/mintlb-control/tests/faulty_file/mod.rs
+++ b/crates/mintlb-control/tests/faulty_file/mod.rs
@@ -42,15 +42,25 @@
         let disk = self.clone();
         Arc::new(move |path| {
             let mut options = std::fs::OpenOptions::new();
-            let file = options.read(true).write(true).create(true).truncate(false).open(path)?;
+            let file = options
+                .read(true)
+                .write(true)
+                .create(true)
+                .truncate(false)
+                .open(path)?;
             {
                 let mut state = disk.0.0.lock();
                 if !std::mem::replace(&mut state.known, true) {
                     state.durable = std::fs::read(path)?;
                 }
             }
-            let backend = FaultyFile { file: FileBackend::new(file)?, disk: disk.clone() };
-            Database::builder().set_cache_size(CACHE_BYTES).create_with_backend(backend)
+            let backend = FaultyFile {
+                file: FileBackend::new(file)?,
+                disk: disk.clone(),
+            };
+            Database::builder()
+                .set_cache_size(CACHE_BYTES)
+                .create_with_backend(backend)
         })
     }
 
@@ -149,7 +159,8 @@
     }
 
     fn write(&self, offset: u64, bytes: &[u8]) -> Result<(), Error> {
-        self.disk.take(Some(Change::Write(offset, bytes.to_vec())))?;
+        self.disk
+            .take(Some(Change::Write(offset, bytes.to_vec())))?;
         self.file.write(offset, bytes)
     }
 }
--- a/crates/mintlb-control/tests/signals.rs
+++ b/crates/mintlb-control/tests/signals.rs
@@ -54,11 +54,17 @@
 /// Starts the verb and waits for the line that says that it serves.
 fn start(verb: &str, settings: &Path, up: &str) -> Child {
     let mut command = Command::new(env!("CARGO_BIN_EXE_mintlb-control"));
-    command.arg(verb).env("MINTLB_BOOT", settings).stderr(Stdio::piped());
+    command
+        .arg(verb)
+        .env("MINTLB_BOOT", settings)
+        .stderr(Stdio::piped());
     let mut child = command.spawn().unwrap();
     let lines = BufReader::new(child.stderr.take().unwrap()).lines();
     let mut lines = lines.map_while(Result::ok);
-    assert!(lines.any(|line| line.contains(up)), "{verb} said nothing of {up:?}");
+    assert!(
+        lines.any(|line| line.contains(up)),
+        "{verb} said nothing of {up:?}"
+    );
     // What it still writes must have a reader.
     std::thread::spawn(move || lines.for_each(drop));
     child
--- a/crates/mintlb-control/tests/store_cluster.rs
+++ b/crates/mintlb-control/tests/store_cluster.rs
@@ -3,7 +3,9 @@
 mod stores;
 
 use bytes::Bytes;
-use mintlb_batch::client::{BodyOutcome, EndOutcome, HeldLot, ItemResult, ReadOutcome, SubmitOutcome};
+use mintlb_batch::client::{
+    BodyOutcome, EndOutcome, HeldLot, ItemResult, ReadOutcome, SubmitOutcome,
+};
 use mintlb_batch::entry::ItemState;
 use mintlb_common::placement::Placement;
 use std::time::Duration;
@@ -22,17 +24,33 @@
     );
     assert_eq!(
         client.submit(lot("a", 3, 500), 8, WITHIN).await,
-        SubmitOutcome::Accepted { items_leased: false }
+        SubmitOutcome::Accepted {
+            items_leased: false
+        }
+    );
+    assert_eq!(
+        client.submit(lot("a", 4, 500), 8, WITHIN).await,
+        SubmitOutcome::Conflict
+    );
+    assert_eq!(
+        client.submit(lot("b", 3, 500), 8, WITHIN).await,
+        SubmitOutcome::QuotaFull
     );
-    assert_eq!(client.submit(lot("a", 4, 500), 8, WITHIN).await, SubmitOutcome::Conflict);
-    assert_eq!(client.submit(lot("b", 3, 500), 8, WITHIN).await, SubmitOutcome::QuotaFull);
     assert_eq!(
         client.submit(lot("b", 2, 500), 8, WITHIN).await,
         SubmitOutcome::Accepted { items_leased: true }
     );
 
-    assert!(client.record(HOST, "a", 2, ItemResult::Completed("two".into())).await);
-    assert!(client.record(HOST, "a", 2, ItemResult::Completed("again".into())).await);
+    assert!(
+        client
+            .record(HOST, "a", 2, ItemResult::Completed("two".into()))
+            .await
+    );
+    assert!(
+        client
+            .record(HOST, "a", 2, ItemResult::Completed("again".into()))
+            .await
+    );
     assert!(client.record(HOST, "a", 0, ItemResult::Unrecoverable).await);
     let expected = vec![
         ("a-2".to_string(), ItemState::Completed, "two".to_string()),
@@ -41,9 +59,15 @@
     assert_eq!(cluster.texts("a", 0).await, expected);
     assert_eq!(cluster.texts("a", 1).await, expected[1..]);
 
-    assert_eq!(client.body(HOST, "a", "a-1").await, BodyOutcome::Body(Bytes::from(vec![1; 5000])));
+    assert_eq!(
+        client.body(HOST, "a", "a-1").await,
+        BodyOutcome::Body(Bytes::from(vec![1; 5000]))
+    );
     assert_eq!(client.body(HOST, "a", "a-2").await, BodyOutcome::Unknown);
-    assert_eq!(client.read(HOST, "x", 0, Duration::ZERO, 1000).await, ReadOutcome::Unknown);
+    assert_eq!(
+        client.read(HOST, "x", 0, Duration::ZERO, 1000).await,
+        ReadOutcome::Unknown
+    );
 
     let held = HeldLot {
         host: HOST.to_string(),
@@ -52,7 +76,14 @@
         failures: vec![(2, 1)],
     };
     let lost = client.renew(7, vec![held.clone()]).await;
-    assert_eq!(lost, vec![HeldLot { items: vec![2], failures: vec![], ..held.clone() }]);
+    assert_eq!(
+        lost,
+        vec![HeldLot {
+            items: vec![2],
+            failures: vec![],
+            ..held.clone()
+        }]
+    );
     assert_eq!(client.lease(9, 10).await, vec![], "all items are leased");
     client.release(7).await;
 
@@ -60,7 +91,13 @@
     assert_eq!(client.end(HOST, "a").await, EndOutcome::Ended);
     assert_eq!(client.end(HOST, "x").await, EndOutcome::Unknown);
     assert_eq!(client.body(HOST, "a", "a-1").await, BodyOutcome::Unknown);
-    assert_eq!(client.renew(7, vec![held.clone()]).await, vec![HeldLot { failures: vec![], ..held }]);
+    assert_eq!(
+        client.renew(7, vec![held.clone()]).await,
+        vec![HeldLot {
+            failures: vec![],
+            ..held
+        }]
+    );
     assert_eq!(cluster.texts("a", 0).await, expected);
 }
 
@@ -69,8 +106,16 @@
     let mut cluster = Cluster::start(3).await;
     cluster.place(placement(&cluster.nodes, 1, &[0, 1, 2], &[]));
     let accepted = SubmitOutcome::Accepted { items_leased: true };
-    assert_eq!(cluster.client.submit(lot("a", 3, 0), 7, WITHIN).await, accepted);
-    assert!(cluster.client.record(HOST, "a", 1, ItemResult::Completed("one".into())).await);
+    assert_eq!(
+        cluster.client.submit(lot("a", 3, 0), 7, WITHIN).await,
+        accepted
+    );
+    assert!(
+        cluster
+            .client
+            .record(HOST, "a", 1, ItemResult::Completed("one".into()))
+            .await
+    );
 
     cluster.nodes[0].task.abort();
     let taken_over = placement(&cluster.nodes, 2, &[1, 2, 0], &[0, 1, 2]);
@@ -78,14 +123,23 @@
     cluster.nodes[2].store.set_placement(taken_over);
     cluster.in_charge(1, 2).await;
     let settled = placement(&cluster.nodes, 2, &[1, 2, 0], &[]);
-    cluster.place(Placement { epoch: 3, ..settled });
+    cluster.place(Placement {
+        epoch: 3,
+        ..settled
+    });
 
     assert_eq!(
         cluster.texts("a", 0).await,
         vec![("a-1".to_string(), ItemState::Completed, "one".to_string())]
     );
-    assert_eq!(cluster.client.body(HOST, "a", "a-2").await, BodyOutcome::Body(Bytes::from(vec![2; 5000])));
-    assert_eq!(cluster.client.submit(lot("b", 3, 0), 7, WITHIN).await, accepted);
+    assert_eq!(
+        cluster.client.body(HOST, "a", "a-2").await,
+        BodyOutcome::Body(Bytes::from(vec![2; 5000]))
+    );
+    assert_eq!(
+        cluster.client.submit(lot("b", 3, 0), 7, WITHIN).await,
+        accepted
+    );
 
     // The first two come back with their disks under new addresses.
     let old: Vec<Node> = cluster.nodes.drain(..2).collect();
@@ -100,12 +154,20 @@
         cluster.nodes.insert(i, node);
     }
     let settled = placement(&cluster.nodes, 2, &[1, 2, 0], &[]);
-    cluster.place(Placement { epoch: 4, ..settled });
+    cluster.place(Placement {
+        epoch: 4,
+        ..settled
+    });
     assert_eq!(
         cluster.texts("a", 0).await,
         vec![("a-1".to_string(), ItemState::Completed, "one".to_string())]
     );
-    assert!(cluster.client.record(HOST, "b", 0, ItemResult::Completed("b".into())).await);
+    assert!(
+        cluster
+            .client
+            .record(HOST, "b", 0, ItemResult::Completed("b".into()))
+            .await
+    );
     assert_eq!(cluster.texts("b", 0).await.len(), 1);
 }
 
@@ -117,7 +179,9 @@
     for i in 0..20 {
         let id = format!("r{i}");
         client.submit(lot(&id, 1, 0), 7, WITHIN).await;
-        client.read(HOST, &id, 0, Duration::from_millis(5), 1000).await;
+        client
+            .read(HOST, &id, 0, Duration::from_millis(5), 1000)
+            .await;
         client.end(HOST, &id).await;
     }
     let mut ticks = tokio::time::interval(Duration::from_millis(10));
@@ -127,7 +191,11 @@
         }
     };
     let left = tokio::time::timeout(Duration::from_secs(3), none).await;
-    assert!(left.is_ok(), "{} lots are waited for", cluster.nodes[0].store.lots_waited_for());
+    assert!(
+        left.is_ok(),
+        "{} lots are waited for",
+        cluster.nodes[0].store.lots_waited_for()
+    );
 }
 
 #[tokio::test]
@@ -141,6 +209,9 @@
     assert!(is_needed(2));
     cluster.in_charge(0, 2).await;
     let settled = placement(&cluster.nodes, 2, &[0, 1, 3], &[]);
-    cluster.place(Placement { epoch: 3, ..settled });
+    cluster.place(Placement {
+        epoch: 3,
+        ..settled
+    });
     assert!(!is_needed(2));
 }
--- a/crates/mintlb-control/tests/store_disk.rs
+++ b/crates/mintlb-control/tests/store_disk.rs
@@ -16,7 +16,11 @@
 use std::time::{Duration, Instant};
 
 fn lot(payload: &[u8]) -> Bytes {
-    let items = vec![ItemHead { id: "i".to_string(), tokens: 5, length: payload.len() as u64 }];
+    let items = vec![ItemHead {
+        id: "i".to_string(),
+        tokens: 5,
+        length: payload.len() as u64,
+    }];
     let head = LotHead {
         host: "h".to_string(),
         id: "l".to_string(),
@@ -36,7 +40,15 @@
     let shards = shards
         .into_iter()
         .map(|(shard, loaded)| {
-            (shard, loaded.meta, loaded.entries.into_iter().map(|(index, ..)| index).collect())
+            (
+                shard,
+                loaded.meta,
+                loaded
+                    .entries
+                    .into_iter()
+                    .map(|(index, ..)| index)
+                    .collect(),
+            )
         })
         .collect();
     (disk, shards)
@@ -49,18 +61,36 @@
     assert_eq!((disk.id(), shards.len()), (77, 0));
     let mut log = LogIndex::default();
     log.extend(4, 2);
-    let meta = ShardMeta { promised: 3, log, committed: 2 };
+    let meta = ShardMeta {
+        promised: 3,
+        log,
+        committed: 2,
+    };
     let puts = (1..=4).map(|index| (5, DiskWrite::Put(index, begin())));
-    let other = [(6, DiskWrite::Put(1, begin())), (4, DiskWrite::Put(9, begin()))];
+    let other = [
+        (6, DiskWrite::Put(1, begin())),
+        (4, DiskWrite::Put(9, begin())),
+    ];
     disk.commit(&puts.chain(other).collect::<Vec<_>>()).unwrap();
-    disk.commit(&[(5, DiskWrite::Truncate(3)), (5, DiskWrite::Remove(vec![2])), (4, DiskWrite::Clear)])
-        .unwrap();
-    disk.commit(&[(5, DiskWrite::Meta(ShardMeta::default())), (5, DiskWrite::Meta(meta.clone()))]).unwrap();
+    disk.commit(&[
+        (5, DiskWrite::Truncate(3)),
+        (5, DiskWrite::Remove(vec![2])),
+        (4, DiskWrite::Clear),
+    ])
+    .unwrap();
+    disk.commit(&[
+        (5, DiskWrite::Meta(ShardMeta::default())),
+        (5, DiskWrite::Meta(meta.clone())),
+    ])
+    .unwrap();
     drop(disk);
     let (disk, shards) = LotDisk::open(directory.path(), 78).unwrap();
     assert_eq!(disk.id(), 77, "the identity is drawn once");
-    let indexes =
-        |shard: u32| shards.get(&shard).map(|loaded| loaded.entries.iter().map(|e| e.0).collect::<Vec<_>>());
+    let indexes = |shard: u32| {
+        shards
+            .get(&shard)
+            .map(|loaded| loaded.entries.iter().map(|e| e.0).collect::<Vec<_>>())
+    };
     assert_eq!(indexes(5), Some(vec![1, 3]));
     assert_eq!(indexes(6), Some(vec![1]));
     assert_eq!(indexes(4), None);
@@ -71,7 +101,8 @@
 fn a_stripped_lot_keeps_its_head() {
     let directory = tempfile::tempdir().unwrap();
     let (disk, _) = open(directory.path());
-    disk.commit(&[(0, DiskWrite::Put(1, lot(&[7; 3000])))]).unwrap();
+    disk.commit(&[(0, DiskWrite::Put(1, lot(&[7; 3000])))])
+        .unwrap();
     assert_eq!(disk.read(0, &[1, 2]).unwrap(), vec![(1, lot(&[7; 3000]))]);
     disk.commit(&[(0, DiskWrite::Strip(vec![1, 2]))]).unwrap();
     drop(disk);
@@ -98,17 +129,32 @@
     let (committed, mut commits) = tokio::sync::mpsc::unbounded_channel();
     let writer = Writer::start(disk.clone(), committed).unwrap();
     let follows = |through| AfterSync::OwnLog { epoch: 1, through };
-    assert_eq!(writer.write(3, Vec::new(), vec![follows(0)]), Err(vec![follows(0)]), "nothing to wait for");
+    assert_eq!(
+        writer.write(3, Vec::new(), vec![follows(0)]),
+        Err(vec![follows(0)]),
+        "nothing to wait for"
+    );
     for index in 1..=50 {
-        writer.write(3, vec![DiskWrite::Put(index, begin())], vec![follows(index)]).unwrap();
+        writer
+            .write(
+                3,
+                vec![DiskWrite::Put(index, begin())],
+                vec![follows(index)],
+            )
+            .unwrap();
     }
     // It may have nothing to wait for any more.
-    let mut last = writer.write(3, Vec::new(), vec![follows(51)]).err().unwrap_or_default();
+    let mut last = writer
+        .write(3, Vec::new(), vec![follows(51)])
+        .err()
+        .unwrap_or_default();
     let mut followed = Vec::new();
     while followed.len() + last.len() < 51 {
         let batch = commits.recv().await.unwrap().unwrap();
         for (shard, after) in batch {
-            let AfterSync::OwnLog { through, .. } = after else { panic!() };
+            let AfterSync::OwnLog { through, .. } = after else {
+                panic!()
+            };
             assert_eq!(shard, 3);
             if through <= 50 {
                 assert_eq!(disk.read(3, &[through]).unwrap().len(), 1);
@@ -141,7 +187,9 @@
     let later = |seconds: u64| Instant::now() + Duration::from_secs(seconds);
     assert!(!writer.is_stalled(later(60)), "nothing is under way");
     faulty.set_stalled(true);
-    writer.write(3, vec![DiskWrite::Put(1, begin())], Vec::new()).unwrap();
+    writer
+        .write(3, vec![DiskWrite::Put(1, begin())], Vec::new())
+        .unwrap();
     // The thread begins it when it likes.
     let stalled = async {
         while !writer.is_stalled(later(2)) {
@@ -175,7 +223,10 @@
         let factor = full as f64 / sum as f64;
         println!("{bytes} bytes: {factor:.2}");
         assert!(factor < 1.7 || bytes < 100, "{bytes} bytes: {factor:.2}");
-        assert_eq!(disk.read(0, &[1, index]).unwrap()[1], (index, lot(&vec![7; bytes])));
+        assert_eq!(
+            disk.read(0, &[1, index]).unwrap()[1],
+            (index, lot(&vec![7; bytes]))
+        );
     }
 }
 
@@ -185,11 +236,16 @@
     drop(open(directory.path()));
     {
         let whole: redb::TableDefinition<(u32, u64), &[u8]> = redb::TableDefinition::new("entries");
-        let parts: redb::TableDefinition<(u32, u64, u16), &[u8]> = redb::TableDefinition::new("parts");
+        let parts: redb::TableDefinition<(u32, u64, u16), &[u8]> =
+            redb::TableDefinition::new("parts");
         let database = redb::Database::open(directory.path().join(FILE)).unwrap();
         let transaction = database.begin_write().unwrap();
         transaction.delete_table(parts).unwrap();
-        transaction.open_table(whole).unwrap().insert((2, 9), &lot(&[5; 40_000])[..]).unwrap();
+        transaction
+            .open_table(whole)
+            .unwrap()
+            .insert((2, 9), &lot(&[5; 40_000])[..])
+            .unwrap();
         transaction.commit().unwrap();
     }
     for _ in 0..2 {
--- a/crates/mintlb-control/tests/store_faults.rs
+++ b/crates/mintlb-control/tests/store_faults.rs
@@ -15,13 +15,24 @@
 const SHARD: u32 = 3;
 
 fn result(text: &[u8]) -> Bytes {
-    framing::encode(&Entry::Result { lot: 1, item: 0, state: ItemState::Completed }, &[text])
+    framing::encode(
+        &Entry::Result {
+            lot: 1,
+            item: 0,
+            state: ItemState::Completed,
+        },
+        &[text],
+    )
 }
 
 /// The indexes of the entries with the bytes that each takes.
 fn held(shards: &LoadedShards) -> BTreeMap<u64, u64> {
     shards.get(&SHARD).map_or(BTreeMap::new(), |shard| {
-        shard.entries.iter().map(|(index, _, length, _)| (*index, *length)).collect()
+        shard
+            .entries
+            .iter()
+            .map(|(index, _, length, _)| (*index, *length))
+            .collect()
     })
 }
 
@@ -29,7 +40,8 @@
 fn killed_store(directory: &Path) -> BTreeMap<u64, u64> {
     let copy = directory.join("copy");
     let (disk, _) = LotDisk::open(directory, 77).unwrap();
-    disk.commit(&[(SHARD, DiskWrite::Put(1, result(&[7; 3000])))]).unwrap();
+    disk.commit(&[(SHARD, DiskWrite::Put(1, result(&[7; 3000])))])
+        .unwrap();
     std::fs::copy(directory.join(FILE), &copy).unwrap();
     drop(disk);
     std::fs::rename(copy, directory.join(FILE)).unwrap();
@@ -44,7 +56,11 @@
     disk.set_full(true);
     for _ in 0..3 {
         let refused = LotDisk::open_by(disk.opener(), directory.path(), 99);
-        assert!(matches!(refused, Err(DiskError::Refused(_))), "{:?}", refused.err());
+        assert!(
+            matches!(refused, Err(DiskError::Refused(_))),
+            "{:?}",
+            refused.err()
+        );
         assert!(directory.path().join(FILE).exists());
         assert!(!directory.path().join(UNREADABLE_FILE).exists());
     }
@@ -59,14 +75,22 @@
     let disk = Disk::default();
     disk.set_full(true);
     let refused = LotDisk::open_by(disk.opener(), directory.path(), 5);
-    assert!(matches!(refused, Err(DiskError::Refused(_))), "{:?}", refused.err());
+    assert!(
+        matches!(refused, Err(DiskError::Refused(_))),
+        "{:?}",
+        refused.err()
+    );
     disk.set_full(false);
     let (opened, _) = LotDisk::open_by(disk.opener(), directory.path(), 6).unwrap();
     assert_eq!(opened.id(), 6);
     drop(opened);
     std::fs::write(directory.path().join("file"), []).unwrap();
     let refused = LotDisk::open(&directory.path().join("file"), 7);
-    assert!(matches!(refused, Err(DiskError::Folder(_))), "{:?}", refused.err());
+    assert!(
+        matches!(refused, Err(DiskError::Folder(_))),
+        "{:?}",
+        refused.err()
+    );
 }
 
 #[test]
@@ -79,12 +103,19 @@
     disk.set_full(true);
     assert!(opened.commit(&put(2)).is_err());
     disk.set_full(false);
-    assert!(opened.commit(&put(3)).is_err(), "the file has to be opened again first");
+    assert!(
+        opened.commit(&put(3)).is_err(),
+        "the file has to be opened again first"
+    );
     opened.close();
     assert!(opened.read(SHARD, &[1]).is_err());
     disk.set_full(true);
     let refused = opened.reopen();
-    assert!(matches!(refused, Err(DiskError::Refused(_))), "{:?}", refused.err());
+    assert!(
+        matches!(refused, Err(DiskError::Refused(_))),
+        "{:?}",
+        refused.err()
+    );
     disk.set_full(false);
     let shards = opened.reopen().unwrap();
     assert_eq!(held(&shards).keys().copied().collect::<Vec<_>>(), [1]);
@@ -152,7 +183,13 @@
             }
             losses += 1;
             let none_remains = random.u8(..4) == 0;
-            disk.lose_power(&path, |bytes| if none_remains { 0 } else { kept(&mut random, bytes) });
+            disk.lose_power(&path, |bytes| {
+                if none_remains {
+                    0
+                } else {
+                    kept(&mut random, bytes)
+                }
+            });
         }
     }
     println!(
--- a/crates/mintlb-control/tests/store_full_disk.rs
+++ b/crates/mintlb-control/tests/store_full_disk.rs
@@ -33,23 +33,52 @@
 #[tokio::test]
 async fn full_disks_stop_promises_until_they_take_bytes() {
     let (cluster, disks) = cluster().await;
-    assert_eq!(cluster.client.submit(lot("a", 3, 0), 7, WITHIN).await, TAKEN);
+    assert_eq!(
+        cluster.client.submit(lot("a", 3, 0), 7, WITHIN).await,
+        TAKEN
+    );
     disks.iter().for_each(|disk| disk.set_full(true));
     let while_full = cluster.client.submit(lot("b", 3, 0), 7, SHORT).await;
-    assert!(matches!(while_full, SubmitOutcome::Unclear), "{while_full:?}");
+    assert!(
+        matches!(while_full, SubmitOutcome::Unclear),
+        "{while_full:?}"
+    );
     assert!(cluster.nodes[0].store.is_suspended());
-    assert!(cluster.nodes[0].store.report().0.is_empty(), "it is in charge of nothing");
+    assert!(
+        cluster.nodes[0].store.report().0.is_empty(),
+        "it is in charge of nothing"
+    );
     // Nothing of this one can be in, so that its client is told to come back.
-    assert_eq!(cluster.client.submit(lot("c", 3, 0), 7, SHORT).await, SubmitOutcome::Refused);
-    assert_eq!(body(&cluster, "a").await, BodyOutcome::Unavailable, "503, not 404");
-    let read = cluster.client.read(HOST, "x", 0, Duration::ZERO, 1000).await;
+    assert_eq!(
+        cluster.client.submit(lot("c", 3, 0), 7, SHORT).await,
+        SubmitOutcome::Refused
+    );
+    assert_eq!(
+        body(&cluster, "a").await,
+        BodyOutcome::Unavailable,
+        "503, not 404"
+    );
+    let read = cluster
+        .client
+        .read(HOST, "x", 0, Duration::ZERO, 1000)
+        .await;
     assert_eq!(read, ReadOutcome::Unavailable, "503, not 404");
 
     disks.iter().for_each(|disk| disk.set_full(false));
-    assert_eq!(cluster.client.submit(lot("d", 3, 0), 7, WITHIN).await, TAKEN);
-    assert!(cluster.nodes.iter().all(|node| !node.task.is_finished()), "no process has ended");
+    assert_eq!(
+        cluster.client.submit(lot("d", 3, 0), 7, WITHIN).await,
+        TAKEN
+    );
+    assert!(
+        cluster.nodes.iter().all(|node| !node.task.is_finished()),
+        "no process has ended"
+    );
     for lot in ["a", "d"] {
-        assert_eq!(body(&cluster, lot).await, BodyOutcome::Body(Bytes::from(vec![1; 5000])), "{lot}");
+        assert_eq!(
+            body(&cluster, lot).await,
+            BodyOutcome::Body(Bytes::from(vec![1; 5000])),
+            "{lot}"
+        );
     }
     assert_eq!(body(&cluster, "c").await, BodyOutcome::Unknown);
 }
@@ -60,7 +89,10 @@
     let mut taken = Vec::new();
     for round in 0..3 {
         let before = format!("before{round}");
-        assert_eq!(cluster.client.submit(lot(&before, 3, 0), 7, WITHIN).await, TAKEN);
+        assert_eq!(
+            cluster.client.submit(lot(&before, 3, 0), 7, WITHIN).await,
+            TAKEN
+        );
         disks.iter().for_each(|disk| disk.set_full(true));
         let during = format!("during{round}");
         if cluster.client.submit(lot(&during, 3, 0), 7, SHORT).await == TAKEN {
@@ -69,11 +101,16 @@
         disks.iter().for_each(|disk| disk.set_full(false));
         taken.push(before);
     }
-    assert_eq!(cluster.client.submit(lot("last", 3, 0), 7, WITHIN).await, TAKEN);
+    assert_eq!(
+        cluster.client.submit(lot("last", 3, 0), 7, WITHIN).await,
+        TAKEN
+    );
     taken.push("last".to_string());
 
     // All lose power: none of what was not synced remains.
-    let Cluster { nodes, directories, .. } = cluster;
+    let Cluster {
+        nodes, directories, ..
+    } = cluster;
     nodes.iter().for_each(|node| node.task.abort());
     let mut again = Vec::new();
     for (directory, disk) in directories.iter().zip(&disks) {
@@ -85,7 +122,10 @@
         again.push((opened.0.id(), held));
         drop((directory, other));
     }
-    assert!(again.iter().all(|(id, _)| (1..=3).contains(id)), "{again:?}");
+    assert!(
+        again.iter().all(|(id, _)| (1..=3).contains(id)),
+        "{again:?}"
+    );
     // Begin of 16 shards, and each lot at two of the three at least.
     let lots: usize = again.iter().map(|(_, held)| held.saturating_sub(16)).sum();
     assert!(lots >= 2 * taken.len(), "{again:?} for {taken:?}");
--- a/crates/mintlb-control/tests/store_long_day.rs
+++ b/crates/mintlb-control/tests/store_long_day.rs
@@ -29,7 +29,10 @@
 }
 
 fn name(number: u64) -> LotName {
-    LotName { host: "h".to_string(), id: format!("lot{number}") }
+    LotName {
+        host: "h".to_string(),
+        id: format!("lot{number}"),
+    }
 }
 
 /// What a store holds at a moment.
@@ -45,12 +48,25 @@
     fn open(directory: &Path, now: Duration) -> Store {
         let (disk, mut shards) =
             LotDisk::open_by(faulty_file::Disk::default().opener(), directory, 7).unwrap();
-        let settings = ReplicaSettings { own: disk.id(), tolerance: 0, status: STATUS };
+        let settings = ReplicaSettings {
+            own: disk.id(),
+            tolerance: 0,
+            status: STATUS,
+        };
         let loaded = shards.remove(&SHARD).unwrap_or_default();
-        let replica = Replica::load(SHARD, settings, loaded.meta, loaded.entries.into_iter(), now);
+        let replica = Replica::load(
+            SHARD,
+            settings,
+            loaded.meta,
+            loaded.entries.into_iter(),
+            now,
+        );
         let mut store = Store { disk, replica, now };
-        let shard =
-            ShardAssignment { epoch: 1, replicas: vec![store.disk.id()], ..ShardAssignment::default() };
+        let shard = ShardAssignment {
+            epoch: 1,
+            replicas: vec![store.disk.id()],
+            ..ShardAssignment::default()
+        };
         store.replica.set_assignment(&shard, now);
         store.act();
         store
@@ -62,7 +78,8 @@
             if effects.is_empty() {
                 return;
             }
-            let (mut writes, mut after): (Vec<(u32, DiskWrite)>, Vec<AfterSync>) = Default::default();
+            let (mut writes, mut after): (Vec<(u32, DiskWrite)>, Vec<AfterSync>) =
+                Default::default();
             for effect in effects {
                 match effect {
                     Effect::Write(write) => writes.push((SHARD, write)),
@@ -71,18 +88,27 @@
                 }
             }
             self.disk.commit(&writes).unwrap();
-            after.into_iter().for_each(|after| self.replica.synced(after, self.now));
+            after
+                .into_iter()
+                .for_each(|after| self.replica.synced(after, self.now));
         }
     }
 
     fn submit(&mut self, number: u64, item_bytes: usize) {
         let id = format!("lot{number}");
-        let item = |i| ItemHead { id: format!("{id}-{i}"), tokens: 10, length: item_bytes as u64 };
+        let item = |i| ItemHead {
+            id: format!("{id}-{i}"),
+            tokens: 10,
+            length: item_bytes as u64,
+        };
         let head = LotHead {
             host: "h".to_string(),
             id: id.clone(),
             route: "r".to_string(),
-            terms: LotTerms { retention_ms: 5_000, ..LotTerms::default() },
+            terms: LotTerms {
+                retention_ms: 5_000,
+                ..LotTerms::default()
+            },
             items: (0..ITEMS).map(item).collect(),
         };
         let raw = Bytes::from(vec![number as u8; ITEMS * item_bytes]);
@@ -91,13 +117,18 @@
 
     fn record(&mut self, number: u64, item: u32, bytes: usize) {
         let text = Bytes::from(vec![b't'; bytes]);
-        self.replica.record(&name(number), item, ItemState::Completed, &text, self.now);
+        self.replica
+            .record(&name(number), item, ItemState::Completed, &text, self.now);
     }
 
     fn run_lot(&mut self, number: u64) {
         self.submit(number, SMALL);
         // One in ten is ended half-way.
-        let run = if number.is_multiple_of(10) { ITEMS / 2 } else { ITEMS };
+        let run = if number.is_multiple_of(10) {
+            ITEMS / 2
+        } else {
+            ITEMS
+        };
         (0..run as u32).for_each(|item| self.record(number, item, SMALL));
         if run < ITEMS {
             self.replica.end(&name(number), self.now);
@@ -132,8 +163,14 @@
     }
     let (first, last) = (&seen[0], &seen[seen.len() - 1]);
     // Those of status_s and 10 s.
-    assert!(last.lots <= 32 && last.entries <= 32 * (ITEMS + 1), "{last:?}");
-    assert!(last.bytes <= first.bytes + (first.bytes >> 3), "{first:?} {last:?}");
+    assert!(
+        last.lots <= 32 && last.entries <= 32 * (ITEMS + 1),
+        "{last:?}"
+    );
+    assert!(
+        last.bytes <= first.bytes + (first.bytes >> 3),
+        "{first:?} {last:?}"
+    );
     assert!(last.file <= seen[1].file, "{seen:?}");
 
     // A restart reads as much, and begins the time anew.
@@ -144,7 +181,10 @@
     again.now += STATUS + Duration::from_secs(11);
     again.replica.tick(again.now);
     again.act();
-    assert_eq!((again.held().lots, again.held().entries, again.held().bytes), (0, 0, 0));
+    assert_eq!(
+        (again.held().lots, again.held().entries, again.held().bytes),
+        (0, 0, 0)
+    );
     println!("all dropped: {:?}", again.held());
 }
 
@@ -175,7 +215,15 @@
             store.act();
         }
     }
-    println!("with all results: file {}, entries {}", store.disk.file_bytes(), store.replica.bytes());
+    println!(
+        "with all results: file {}, entries {}",
+        store.disk.file_bytes(),
+        store.replica.bytes()
+    );
     assert!(taken >= 12, "{taken}");
-    assert!(store.disk.file_bytes() <= DISK, "{}", store.disk.file_bytes());
+    assert!(
+        store.disk.file_bytes() <= DISK,
+        "{}",
+        store.disk.file_bytes()
+    );
 }
--- a/crates/mintlb-control/tests/stores/mod.rs
+++ b/crates/mintlb-control/tests/stores/mod.rs
@@ -41,18 +41,33 @@
     }
 
     pub async fn start_on((disk, shards): (LotDisk, LoadedShards), draw: u64) -> Node {
-        let transport = Transport::start("127.0.0.1:0".parse().unwrap()).await.unwrap();
+        let transport = Transport::start("127.0.0.1:0".parse().unwrap())
+            .await
+            .unwrap();
         let address = transport.own_address();
-        let settings = ReplicaSettings { own: disk.id(), tolerance: 1, status: Duration::from_secs(120) };
+        let settings = ReplicaSettings {
+            own: disk.id(),
+            tolerance: 1,
+            status: Duration::from_secs(120),
+        };
         let (committed, commits) = tokio::sync::mpsc::unbounded_channel();
         let writer = Writer::start(disk.clone(), committed).unwrap();
         let id = disk.id();
-        let opened = Opened { disk: disk.clone(), writer, shards };
+        let opened = Opened {
+            disk: disk.clone(),
+            writer,
+            shards,
+        };
         let store = Store::new(transport.clone(), opened, settings, 1 << 30, draw);
         transport.serve(Channel::Lots, Arc::new(StoreService(store.clone())));
         let mut driver = Driver::new(store.clone(), disk, commits);
         let task = tokio::spawn(async move { while driver.step().await.is_ok() {} });
-        Node { store, address, id, task }
+        Node {
+            store,
+            address,
+            id,
+            task,
+        }
     }
 }
 
@@ -66,8 +81,17 @@
         retiring: false,
     });
     let settled = Some(epoch - 1);
-    let shard = ShardAssignment { epoch, replicas: ids(order), previous: ids(previous), settled };
-    Placement { epoch, stores: stores.collect(), shards: vec![shard; SHARD_COUNT as usize] }
+    let shard = ShardAssignment {
+        epoch,
+        replicas: ids(order),
+        previous: ids(previous),
+        settled,
+    };
+    Placement {
+        epoch,
+        stores: stores.collect(),
+        shards: vec![shard; SHARD_COUNT as usize],
+    }
 }
 
 pub fn lot(id: &str, items: usize, max_queued_tokens: u64) -> Submission {
@@ -82,7 +106,12 @@
         host: HOST.to_string(),
         route: "r".to_string(),
         lot_id: id.to_string(),
-        terms: LotTerms { sent_at_ms: 1, completion_target_ms: 5000, retention_ms: 60_000, max_attempts: 3 },
+        terms: LotTerms {
+            sent_at_ms: 1,
+            completion_target_ms: 5000,
+            retention_ms: 60_000,
+            max_attempts: 3,
+        },
         max_queued_tokens,
         items: items.collect(),
     }
@@ -107,14 +136,23 @@
 
     pub async fn of(nodes: Vec<Node>, directories: Vec<TempDir>) -> Cluster {
         let placement = Arc::new(Mutex::new(Arc::new(Placement::default())));
-        let transport = Transport::start("127.0.0.1:0".parse().unwrap()).await.unwrap();
+        let transport = Transport::start("127.0.0.1:0".parse().unwrap())
+            .await
+            .unwrap();
         let known = placement.clone();
         let client = LotClient::new(transport, Arc::new(move || known.lock().clone()));
-        Cluster { nodes, directories, placement, client }
+        Cluster {
+            nodes,
+            directories,
+            placement,
+            client,
+        }
     }
 
     pub fn place(&self, placement: Placement) {
-        self.nodes.iter().for_each(|node| node.store.set_placement(placement.clone()));
+        self.nodes
+            .iter()
+            .for_each(|node| node.store.set_placement(placement.clone()));
         *self.placement.lock() = Arc::new(placement);
     }
 
@@ -122,18 +160,31 @@
         let store = &self.nodes[node].store;
         let all = |store: &Store| {
             let (reports, _) = store.report();
-            reports.len() == SHARD_COUNT as usize && reports.iter().all(|r| r.in_charge && r.epoch == epoch)
+            reports.len() == SHARD_COUNT as usize
+                && reports.iter().all(|r| r.in_charge && r.epoch == epoch)
         };
         while !all(store) {
-            tokio::time::timeout(WITHIN, store.report_changed().notified()).await.unwrap();
+            tokio::time::timeout(WITHIN, store.report_changed().notified())
+                .await
+                .unwrap();
         }
     }
 
     pub async fn texts(&self, id: &str, start: u64) -> Vec<(String, ItemState, String)> {
-        match self.client.read(HOST, id, start, Duration::ZERO, 1 << 20).await {
+        match self
+            .client
+            .read(HOST, id, start, Duration::ZERO, 1 << 20)
+            .await
+        {
             ReadOutcome::Page { results, .. } => results
                 .into_iter()
-                .map(|r| (r.instance_id, r.state, String::from_utf8(r.text.to_vec()).unwrap()))
+                .map(|r| {
+                    (
+                        r.instance_id,
+                        r.state,
+                        String::from_utf8(r.text.to_vec()).unwrap(),
+                    )
+                })
                 .collect(),
             other => panic!("{other:?}"),
         }
--- a/crates/mintlb-core/src/clock.rs
+++ b/crates/mintlb-core/src/clock.rs
@@ -11,8 +11,13 @@
 
 impl Clock {
     pub fn start() -> Clock {
-        let unix = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
-        Clock { began: Instant::now(), unix: unix.as_secs_f64() }
+        let unix = SystemTime::now()
+            .duration_since(SystemTime::UNIX_EPOCH)
+            .unwrap_or_default();
+        Clock {
+            began: Instant::now(),
+            unix: unix.as_secs_f64(),
+        }
     }
 
     pub fn now(&self) -> f64 {
@@ -27,5 +32,9 @@
 
 /// So many seconds; what is no length of time is none, what is absurdly long a day.
 pub fn seconds(length: f64) -> Duration {
-    Duration::from_secs_f64(if length.is_finite() { length.clamp(0.0, 86_400.0) } else { 0.0 })
+    Duration::from_secs_f64(if length.is_finite() {
+        length.clamp(0.0, 86_400.0)
+    } else {
+        0.0
+    })
 }
--- a/crates/mintlb-core/src/figures.rs
+++ b/crates/mintlb-core/src/figures.rs
@@ -55,7 +55,9 @@
         }
         if types.len() >= NAMES {
             // Nobody counts on it but this list.
-            let unused = types.iter().position(|(_, ends)| Arc::strong_count(ends) == 1);
+            let unused = types
+                .iter()
+                .position(|(_, ends)| Arc::strong_count(ends) == 1);
             types.remove(unused.unwrap_or(0));
         }
         let ends: Arc<Ends> = Arc::default();
@@ -74,7 +76,9 @@
             .types()
             .iter()
             .map(|(_, ends)| ends.all())
-            .fold([0; 3], |sum, ends| [sum[0] + ends[0], sum[1] + ends[1], sum[2] + ends[2]]);
+            .fold([0; 3], |sum, ends| {
+                [sum[0] + ends[0], sum[1] + ends[1], sum[2] + ends[2]]
+            });
         [ends[0], ends[1], ends[2], self.sends.load(Relaxed)]
     }
 
@@ -84,8 +88,16 @@
         let mut line = |name: &str, value: u64| page += &format!("edge_router.{name}={value}\n");
         for (name, ends) in self.types().iter() {
             // A name is free text, and must not end a line or a figure's name.
-            let name: String =
-                name.chars().map(|c| if c.is_ascii_graphic() && c != '=' { c } else { '_' }).collect();
+            let name: String = name
+                .chars()
+                .map(|c| {
+                    if c.is_ascii_graphic() && c != '=' {
+                        c
+                    } else {
+                        '_'
+                    }
+                })
+                .collect();
             for (figure, value) in ["answered", "deferred", "errored"].iter().zip(ends.all()) {
                 line(&format!("transactions.{name}.{figure}"), value);
             }
--- a/crates/mintlb-core/src/hands.rs
+++ b/crates/mintlb-core/src/hands.rs
@@ -36,14 +36,25 @@
 impl<W: Watcher> Hands<W> {
     pub fn new(list: W, clock: Clock, log: Logger, figures: Arc<Figures>) -> Hands<W> {
         let (out, due, ends, counted) = Default::default();
-        Hands { list, clock, log, out, due, figures, ends, closed: 0, counted }
+        Hands {
+            list,
+            clock,
+            log,
+            out,
+            due,
+            figures,
+            ends,
+            closed: 0,
+            counted,
+        }
     }
 
     /// These project types stand for their numbers from now on.
     pub fn take_types(&mut self, types: &[Named]) {
         for named in types {
             let ends = self.figures.of(&named.name);
-            self.ends.resize(self.ends.len().max(named.number + 1), ends.clone());
+            self.ends
+                .resize(self.ends.len().max(named.number + 1), ends.clone());
             self.ends[named.number] = ends;
         }
     }
@@ -91,7 +102,12 @@
                     out.recall();
                 }
             }
-            Act::Answer { wu, project_type, to, answer } => {
+            Act::Answer {
+                wu,
+                project_type,
+                to,
+                answer,
+            } => {
                 let ends = project_type.and_then(|number| self.ends.get(number));
                 let (count, what) = match answer {
                     Answer::Completed(_) => (ends.map(|ends| &ends.completed), "completed"),
@@ -107,7 +123,9 @@
             }
             Act::Probe { worker, to } => to.probe(worker),
             Act::Watch { after } => self.list.watch(after),
-            Act::WakeIn(after) => self.due = Some(self.clock.instant(self.clock.now()) + seconds(after)),
+            Act::WakeIn(after) => {
+                self.due = Some(self.clock.instant(self.clock.now()) + seconds(after))
+            }
             Act::Log(line) => info!(self.log, "{}", line),
         }
     }
--- a/crates/mintlb-core/src/members.rs
+++ b/crates/mintlb-core/src/members.rs
@@ -60,22 +60,41 @@
     /// The lines for the decisions, and whether they are all that there are. One source's whole list must not
     /// strike out the workers of another, so theirs are added to it.
     pub fn hear(&mut self, told: Told) -> (bool, Vec<Line>) {
-        let Told { source, full, members } = told;
+        let Told {
+            source,
+            full,
+            members,
+        } = told;
         let mut lines: Vec<Line> = members.iter().map(|member| member.line.clone()).collect();
         if full {
             self.known.retain(|_, known| known.source != source);
             lines.extend(self.known.values().map(|known| known.line.clone()));
         }
-        for Member { name, line, reach, .. } in members {
+        for Member {
+            name, line, reach, ..
+        } in members
+        {
             if line.listed == Listed::Gone {
                 self.known.remove(&line.id);
                 continue;
             }
-            let shown = reach.as_ref().map(|reach| reach.to_string()).unwrap_or_default();
+            let shown = reach
+                .as_ref()
+                .map(|reach| reach.to_string())
+                .unwrap_or_default();
             let id = line.id;
-            let was = self.known.insert(id, Known { source, line, reach, shown: shown.clone() });
+            let was = self.known.insert(
+                id,
+                Known {
+                    source,
+                    line,
+                    reach,
+                    shown: shown.clone(),
+                },
+            );
             if !shown.is_empty() && was.is_none_or(|was| was.shown != shown) {
-                self.said.push(format!("worker {id:012x} is {name} at {shown}"));
+                self.said
+                    .push(format!("worker {id:012x} is {name} at {shown}"));
             }
         }
         (full, lines)
@@ -84,8 +103,8 @@
 
 /// A worker's name as a number of 48 bits, the same at all schedulers (FNV-1a, folded).
 pub fn worker_id(name: &str) -> u64 {
-    let hash = name
-        .bytes()
-        .fold(0xcbf2_9ce4_8422_2325, |hash, byte| (hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3));
+    let hash = name.bytes().fold(0xcbf2_9ce4_8422_2325, |hash, byte| {
+        (hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3)
+    });
     (hash ^ (hash >> 48)) & 0xffff_ffff_ffff
 }
--- a/crates/mintlb-core/src/reducer.rs
+++ b/crates/mintlb-core/src/reducer.rs
@@ -129,7 +129,12 @@
         let held = self.held.get_mut(&id);
         if let Some((to, wu)) = held.and_then(|held| Some((held.answer.take()?, &held.wu))) {
             let project_type = Some(wu.project_type);
-            self.acts.push(Act::Answer { wu: id, project_type, to, answer });
+            self.acts.push(Act::Answer {
+                wu: id,
+                project_type,
+                to,
+                answer,
+            });
         }
     }
 }
@@ -146,9 +151,14 @@
                 }
             }
         }
-        let Some(purse) = self.purse.filter(|_| wu.is_again()) else { return true };
+        let Some(purse) = self.purse.filter(|_| wu.is_again()) else {
+            return true;
+        };
         // Asked for each work unit that waits and each worker: the answer holds until something is sent.
-        let has = self.has.get().unwrap_or_else(|| purse.has(Spend { again: true }));
+        let has = self
+            .has
+            .get()
+            .unwrap_or_else(|| purse.has(Spend { again: true }));
         self.has.set(Some(has));
         has
     }
@@ -159,19 +169,36 @@
         let taken_back = CancellationToken::new();
         self.out.insert(id, taken_back.clone());
         let again = alloc.number > 0;
-        let slip = self.purse.filter(|_| again).map(|purse| purse.slip(Spend { again }));
+        let slip = self
+            .purse
+            .filter(|_| again)
+            .map(|purse| purse.slip(Spend { again }));
         self.has.set(None);
         // What was permitted a moment ago may have lapsed.
         let full = full || slip.as_ref().is_some_and(Option::is_none);
-        match (self.members.reach(alloc.worker.line.id), self.held.get(&wu.id)) {
+        match (
+            self.members.reach(alloc.worker.line.id),
+            self.held.get(&wu.id),
+        ) {
             // Without a descriptor or a budget to spare it is not sent, and that is known at once.
             (Some(_), Some(_)) if full => self.known.push(Back::with(id, Outcome::Moot)),
             (Some(to), Some(held)) => {
                 let (project_type, customer) = (wu.project_type, wu.customer);
                 let (payload, until) = (held.payload.clone(), wu.limit - self.margin);
                 let slip = slip.flatten();
-                let order = Order { alloc: id, project_type, customer, payload, until, slip, taken_back };
-                self.acts.push(Act::Send { to: to.clone(), order });
+                let order = Order {
+                    alloc: id,
+                    project_type,
+                    customer,
+                    payload,
+                    until,
+                    slip,
+                    taken_back,
+                };
+                self.acts.push(Act::Send {
+                    to: to.clone(),
+                    order,
+                });
             }
             _ => self.known.push(Back::with(id, Outcome::NoConnection)),
         }
@@ -191,11 +218,16 @@
     fn probe(&mut self, worker: &Worker) {
         let worker = worker.line.id;
         if let Some(to) = self.members.reach(worker) {
-            self.acts.push(Act::Probe { worker, to: to.clone() });
+            self.acts.push(Act::Probe {
+                worker,
+                to: to.clone(),
+            });
         }
     }
     fn follow_list(&mut self) {
-        self.acts.push(Act::Watch { after: self.version });
+        self.acts.push(Act::Watch {
+            after: self.version,
+        });
     }
     fn wake_in(&mut self, seconds: f64) {
         self.acts.push(Act::WakeIn(seconds));
@@ -256,28 +288,52 @@
     /// New work is of these project types and under these terms from now on; an error, and nothing has changed. All
     /// that was read before must have been reduced before, as it goes by the numbers of then.
     pub fn retune(&mut self, types: &[(String, ProjectType)], terms: &Terms) -> Result<(), String> {
-        let held: FxHashSet<usize> = self.held.values().map(|held| held.wu.project_type).collect();
+        let held: FxHashSet<usize> = self
+            .held
+            .values()
+            .map(|held| held.wu.project_type)
+            .collect();
         let changes = self.types.change(types, |number| held.contains(&number))?;
-        let Terms { repeats, excess_credit, come_back, costs } = terms.clone();
-        self.scheduler.retune(&changes, repeats, (excess_credit, come_back), costs);
+        let Terms {
+            repeats,
+            excess_credit,
+            come_back,
+            costs,
+        } = terms.clone();
+        self.scheduler
+            .retune(&changes, repeats, (excess_credit, come_back), costs);
         Ok(())
     }
 
     /// What is so now, for the figures.
     pub fn now(&self) -> Now {
         let (listed, avoided) = self.scheduler.cluster();
-        let open = self.held.values().filter(|held| held.answer.is_some()).count();
-        Now { open, listed, avoided }
+        let open = self
+            .held
+            .values()
+            .filter(|held| held.answer.is_some())
+            .count();
+        Now {
+            open,
+            listed,
+            avoided,
+        }
     }
 
     /// The start: what the list last said, and which version that was, then whatever the decisions ask for first.
     /// `takes_over` from a process that still sends.
     pub fn start(&mut self, now: f64, known: Option<(u64, Told)>, takes_over: bool) -> Vec<Act> {
         self.version = known.as_ref().map(|(version, _)| *version);
-        let lines = known.map(|(_, told)| self.members.hear(told).1).unwrap_or_default();
+        let lines = known
+            .map(|(_, told)| self.members.hear(told).1)
+            .unwrap_or_default();
         self.with_door(now, |scheduler, door| {
             scheduler.power_on(door, now);
-            let news = if takes_over { News::Inherited(&lines) } else { News::Cached(&lines) };
+            let news = if takes_over {
+                News::Inherited(&lines)
+            } else {
+                News::Cached(&lines)
+            };
             scheduler.news(door, now, news);
         })
     }
@@ -287,17 +343,36 @@
             Event::Arrived(a)
                 if self.held.contains_key(&a.id) || !self.is_new(now, a.client_id.as_deref()) =>
             {
-                vec![Act::Answer { wu: a.id, project_type: None, to: a.answer, answer: Answer::Repeated }]
+                vec![Act::Answer {
+                    wu: a.id,
+                    project_type: None,
+                    to: a.answer,
+                    answer: Answer::Repeated,
+                }]
             }
             Event::Arrived(a) => {
-                let wu = WorkUnit::new(a.id, a.project_type, a.customer, a.slots, a.arrived, a.time_budget);
+                let wu = WorkUnit::new(
+                    a.id,
+                    a.project_type,
+                    a.customer,
+                    a.slots,
+                    a.arrived,
+                    a.time_budget,
+                );
                 let (client_id, payload) = (a.client_id, a.payload);
-                let held = Held { wu: wu.clone(), client_id, payload, answer: Some(a.answer) };
+                let held = Held {
+                    wu: wu.clone(),
+                    client_id,
+                    payload,
+                    answer: Some(a.answer),
+                };
                 self.held.insert(a.id, held);
                 self.with_door(now, |scheduler, door| scheduler.arrived(door, now, &wu))
             }
             Event::Left(id) => {
-                let Some(held) = self.held.get_mut(&id) else { return Vec::new() };
+                let Some(held) = self.held.get_mut(&id) else {
+                    return Vec::new();
+                };
                 held.answer = None;
                 let wu = held.wu.clone();
                 self.with_door(now, |scheduler, door| {
@@ -307,11 +382,16 @@
             }
             Event::GivenUp(id) => {
                 let open = self.held.get(&id).filter(|held| held.answer.is_some());
-                let Some(wu) = open.map(|held| held.wu.clone()) else { return Vec::new() };
+                let Some(wu) = open.map(|held| held.wu.clone()) else {
+                    return Vec::new();
+                };
                 self.with_door(now, |scheduler, door| scheduler.give_up(door, now, &wu))
             }
             Event::Started((id, number)) => {
-                let alloc = self.held.get(&id).and_then(|held| held.wu.allocation(number));
+                let alloc = self
+                    .held
+                    .get(&id)
+                    .and_then(|held| held.wu.allocation(number));
                 let Some(alloc) = alloc.filter(|_| self.out.contains_key(&(id, number))) else {
                     return Vec::new();
                 };
@@ -324,8 +404,14 @@
                 }
                 Vec::new()
             }
-            Event::Asks { worker, waiting, orders } => {
-                let Some(worker) = self.scheduler.worker(worker).cloned() else { return Vec::new() };
+            Event::Asks {
+                worker,
+                waiting,
+                orders,
+            } => {
+                let Some(worker) = self.scheduler.worker(worker).cloned() else {
+                    return Vec::new();
+                };
                 worker.asked(waiting, orders);
                 self.with_door(now, |scheduler, door| scheduler.woke(door, now))
             }
@@ -359,7 +445,10 @@
     /// (rules 3 and 4): a connection may come up long after the list has told of that.
     fn take_back(&self) {
         for ((id, number), taken_back) in &self.out {
-            let alloc = self.held.get(id).and_then(|held| held.wu.allocation(*number));
+            let alloc = self
+                .held
+                .get(id)
+                .and_then(|held| held.wu.allocation(*number));
             if alloc.is_some_and(|alloc| !alloc.worker.takes_new()) {
                 taken_back.cancel();
             }
@@ -384,7 +473,11 @@
         })
     }
 
-    fn with_door(&mut self, now: f64, call: impl FnOnce(&mut Scheduler, &mut OpenDoor)) -> Vec<Act> {
+    fn with_door(
+        &mut self,
+        now: f64,
+        call: impl FnOnce(&mut Scheduler, &mut OpenDoor),
+    ) -> Vec<Act> {
         let acts = self.members.said().into_iter().map(Act::Log).collect();
         let mut door = OpenDoor {
             now,
@@ -406,7 +499,12 @@
         while let Some(told) = door.known.pop() {
             back(&mut self.scheduler, &mut door, told);
         }
-        let OpenDoor { acts, touched, look_at, .. } = door;
+        let OpenDoor {
+            acts,
+            touched,
+            look_at,
+            ..
+        } = door;
         self.look_at = self.look_at.min(look_at.get());
         for id in touched {
             if let Entry::Occupied(held) = self.held.entry(id)
@@ -414,7 +512,9 @@
             {
                 // Where nothing may be called off, what is not written yet still may not go.
                 let allocs = (0..).map_while(|n| held.get().wu.allocation(n).map(|_| (id, n)));
-                allocs.filter_map(|id| self.out.get(&id)).for_each(CancellationToken::cancel);
+                allocs
+                    .filter_map(|id| self.out.get(&id))
+                    .for_each(CancellationToken::cancel);
                 if !held.get().wu.is_over() {
                     continue;
                 }
@@ -432,8 +532,12 @@
     if door.out.remove(&told.alloc).is_none() {
         return;
     }
-    let Some(wu) = door.held.get(&told.alloc.0).map(|held| held.wu.clone()) else { return };
-    let Some(alloc) = wu.allocation(told.alloc.1) else { return };
+    let Some(wu) = door.held.get(&told.alloc.0).map(|held| held.wu.clone()) else {
+        return;
+    };
+    let Some(alloc) = wu.allocation(told.alloc.1) else {
+        return;
+    };
     door.touched.push(wu.id);
     let completed = told.outcome == Outcome::Completed;
     if completed {
--- a/crates/mintlb-core/src/room.rs
+++ b/crates/mintlb-core/src/room.rs
@@ -18,12 +18,18 @@
 impl Room {
     /// For so many work units, and so many bytes of their bodies.
     pub fn new(open: usize, bodies: usize) -> Room {
-        Room { open: Arc::new(Semaphore::new(open)), bodies: Arc::new(Semaphore::new(bodies / KILO)) }
+        Room {
+            open: Arc::new(Semaphore::new(open)),
+            bodies: Arc::new(Semaphore::new(bodies / KILO)),
+        }
     }
 
     /// For a body of so many bytes.
     pub fn body(&self, bytes: usize) -> Option<Held> {
-        self.bodies.clone().try_acquire_many_owned(bytes.div_ceil(KILO) as u32).ok()
+        self.bodies
+            .clone()
+            .try_acquire_many_owned(bytes.div_ceil(KILO) as u32)
+            .ok()
     }
 
     pub fn work_unit(&self) -> Option<Held> {
--- a/crates/mintlb-core/src/standing.rs
+++ b/crates/mintlb-core/src/standing.rs
@@ -32,7 +32,12 @@
 
 impl Standing {
     pub fn new(notice: Notice) -> Standing {
-        Standing { notice, ready: false, left: None, stopped: None }
+        Standing {
+            notice,
+            ready: false,
+            left: None,
+            stopped: None,
+        }
     }
 
     /// What it is from then on; an error where the word can't be followed, and nothing has changed.
@@ -40,7 +45,9 @@
         match word {
             Word::Ready => self.ready = true,
             Word::Leave => self.left = self.left.or(Some(now)),
-            Word::Join if self.stopped.is_some() => return Err("it is stopping, and takes no clients again"),
+            Word::Join if self.stopped.is_some() => {
+                return Err("it is stopping, and takes no clients again");
+            }
             Word::Join => self.left = None,
             Word::Stop { succeeded } => self.stopped = self.stopped.or(Some((now, succeeded))),
         }
@@ -82,7 +89,9 @@
     /// One word for it.
     pub fn shown(&self) -> &'static str {
         match self {
-            Standing { stopped: Some(_), .. } => "stopping",
+            Standing {
+                stopped: Some(_), ..
+            } => "stopping",
             Standing { left: Some(_), .. } => "leaving",
             Standing { ready: true, .. } => "ready",
             _ => "starting",
--- a/crates/mintlb-core/src/types.rs
+++ b/crates/mintlb-core/src/types.rs
@@ -22,7 +22,15 @@
     /// In this order, from 0 on.
     pub fn new(types: Vec<(String, ProjectType)>) -> Types {
         let numbered = types.into_iter().enumerate();
-        Types(numbered.map(|(number, (name, project_type))| Named { name, number, project_type }).collect())
+        Types(
+            numbered
+                .map(|(number, (name, project_type))| Named {
+                    name,
+                    number,
+                    project_type,
+                })
+                .collect(),
+        )
     }
 
     pub fn served(&self) -> &[Named] {
@@ -44,16 +52,25 @@
             let was = self.0.iter().find(|named| named.name == *name);
             let number = match was.filter(|was| was.project_type == *project_type) {
                 Some(same) => same.number,
-                None => free.next().ok_or("work still holds the project types of too many changes before")?,
+                None => free
+                    .next()
+                    .ok_or("work still holds the project types of too many changes before")?,
             };
             let continues = was.map(|was| was.number);
-            changes.push(Numbered { number, continues, project_type: project_type.clone() });
+            changes.push(Numbered {
+                number,
+                continues,
+                project_type: project_type.clone(),
+            });
         }
-        let named = types.iter().zip(&changes).map(|((name, project_type), change)| Named {
-            name: name.clone(),
-            number: change.number,
-            project_type: project_type.clone(),
-        });
+        let named = types
+            .iter()
+            .zip(&changes)
+            .map(|((name, project_type), change)| Named {
+                name: name.clone(),
+                number: change.number,
+                project_type: project_type.clone(),
+            });
         self.0 = named.collect();
         Ok(changes)
     }
--- a/crates/mintlb-core/src/work.rs
+++ b/crates/mintlb-core/src/work.rs
@@ -100,7 +100,12 @@
 impl Back {
     /// With nothing else told.
     pub fn with(alloc: AllocId, outcome: Outcome) -> Back {
-        Back { alloc, outcome, report: Report::default(), result: Bytes::new() }
+        Back {
+            alloc,
+            outcome,
+            report: Report::default(),
+            result: Bytes::new(),
+        }
     }
 }
 
--- a/crates/mintlb-dispatcher/src/answer.rs
+++ b/crates/mintlb-dispatcher/src/answer.rs
@@ -62,7 +62,11 @@
 
 impl From<Outcome> for Answered {
     fn from(outcome: Outcome) -> Answered {
-        Answered { came: Came::with(outcome), not_run: false, keep: None }
+        Answered {
+            came: Came::with(outcome),
+            not_run: false,
+            keep: None,
+        }
     }
 }
 
@@ -92,12 +96,16 @@
     fn new(most: Option<f64>) -> Silence {
         let most = most.map(|seconds| Duration::from_secs_f64(seconds.clamp(0.0, 3600.0)));
         let heard = Instant::now();
-        let timer = Box::pin(sleep_until(heard + most.unwrap_or(Duration::from_secs(3600))));
+        let timer = Box::pin(sleep_until(
+            heard + most.unwrap_or(Duration::from_secs(3600)),
+        ));
         Silence { heard, most, timer }
     }
 
     async fn fill(&mut self, connection: &mut Connection) -> Result<(), Failed> {
-        let Some(most) = self.most else { return connection.fill().await.map_err(|_| Failed::Broken) };
+        let Some(most) = self.most else {
+            return connection.fill().await.map_err(|_| Failed::Broken);
+        };
         loop {
             tokio::select! {
                 biased;
@@ -119,19 +127,26 @@
 impl Reading<'_> {
     /// Reads the whole answer.
     pub async fn read(&self, connection: &mut Connection) -> Answered {
-        self.try_read(connection).await.unwrap_or_else(Answered::from)
+        self.try_read(connection)
+            .await
+            .unwrap_or_else(Answered::from)
     }
 
     async fn try_read(&self, connection: &mut Connection) -> Result<Answered, Failed> {
         let mut silence = Silence::new(self.patience());
         let head = self.own_head(connection, &mut silence).await?;
-        let load = head.headers.get(LOAD).and_then(|load| Load::read(load.to_str().ok()?));
+        let load = head
+            .headers
+            .get(LOAD)
+            .and_then(|load| Load::read(load.to_str().ok()?));
         if let Some(load) = load {
             self.worker.told_load(load, self.exchange.hub().clock.now());
         }
         let mut answered = self.sort(connection, &mut silence, &head).await?;
         answered.came.free_slots = load.map(|load| load.free());
-        let keep = Keep { idle: head.keep_alive() };
+        let keep = Keep {
+            idle: head.keep_alive(),
+        };
         answered.keep = answered.keep.filter(|_| head.keeps_alive).map(|_| keep);
         Ok(answered)
     }
@@ -140,8 +155,12 @@
     /// such a bound; all else ends with its own time.
     fn patience(&self) -> Option<f64> {
         let terms = &self.exchange.terms;
-        let another = terms.idempotent && self.exchange.may_be_sent() && self.exchange.manner == Manner::Live;
-        let usual = terms.gap.map_or(0.0, |gap| SILENT_GAPS * gap).max(SILENT_TARGETS * terms.target);
+        let another =
+            terms.idempotent && self.exchange.may_be_sent() && self.exchange.manner == Manner::Live;
+        let usual = terms
+            .gap
+            .map_or(0.0, |gap| SILENT_GAPS * gap)
+            .max(SILENT_TARGETS * terms.target);
         another.then_some(usual.max(LEAST_SILENCE))
     }
 
@@ -181,7 +200,11 @@
     ) -> Result<(), Failed> {
         let mut body = BodyReader::new(framing);
         loop {
-            while body.take(&mut connection.buffer).map_err(|_| Failed::Broken)?.is_some() {}
+            while body
+                .take(&mut connection.buffer)
+                .map_err(|_| Failed::Broken)?
+                .is_some()
+            {}
             if body.is_done() {
                 return Ok(());
             }
@@ -207,7 +230,11 @@
             }
             let whole = self.skip_soon(connection, silence, framing).await;
             let keep = (whole && !misplaced).then_some(Keep { idle: None });
-            return Ok(Answered { came: Came::with(Outcome::Full), not_run: true, keep });
+            return Ok(Answered {
+                came: Came::with(Outcome::Full),
+                not_run: true,
+                keep,
+            });
         }
         if head.status.is_success() {
             let stream = self.is_stream(head);
@@ -227,7 +254,12 @@
     }
 
     /// Passes over a body that is not used; whether it came whole, and soon.
-    async fn skip_soon(&self, connection: &mut Connection, silence: &mut Silence, framing: Framing) -> bool {
+    async fn skip_soon(
+        &self,
+        connection: &mut Connection,
+        silence: &mut Silence,
+        framing: Framing,
+    ) -> bool {
         let rest = timeout(UNUSED_BODY, self.skip(connection, silence, framing)).await;
         matches!(rest, Ok(Ok(())))
     }
@@ -243,17 +275,30 @@
         let whole = self.skip_soon(connection, silence, framing).await;
         self.exchange.fail_item(client_head(head));
         let keep = whole.then_some(Keep { idle: None });
-        Answered { came: Came::with(Outcome::Completed), not_run: false, keep }
+        Answered {
+            came: Came::with(Outcome::Completed),
+            not_run: false,
+            keep,
+        }
     }
 
     fn is_stream(&self, head: &AnswerHead) -> bool {
-        let told = head.headers.get(CONTENT_TYPE).map(|value| value.as_bytes().to_ascii_lowercase());
-        matches!(self.exchange.terms.route_type, RouteType::Streaming | RouteType::Batch)
-            || told.is_some_and(|told| told.starts_with(b"text/event-stream"))
+        let told = head
+            .headers
+            .get(CONTENT_TYPE)
+            .map(|value| value.as_bytes().to_ascii_lowercase());
+        matches!(
+            self.exchange.terms.route_type,
+            RouteType::Streaming | RouteType::Batch
+        ) || told.is_some_and(|told| told.starts_with(b"text/event-stream"))
     }
 
     fn started(&self) {
-        self.exchange.hub().tell.send(Event::Started(self.alloc)).ok();
+        self.exchange
+            .hub()
+            .tell
+            .send(Event::Started(self.alloc))
+            .ok();
     }
 
     /// Passes events on as they come.
@@ -268,7 +313,10 @@
         let mut events = EventReader::after(self.exchange.last_event());
         let mut started = false;
         loop {
-            while let Some(piece) = body.take(&mut connection.buffer).map_err(|_| Failed::Broken)? {
+            while let Some(piece) = body
+                .take(&mut connection.buffer)
+                .map_err(|_| Failed::Broken)?
+            {
                 let whole = events.take(piece).map_err(|_| Failed::Broken)?;
                 if !whole.is_empty() {
                     self.exchange.pass(&mut given, whole, events.last());
@@ -314,7 +362,10 @@
         }
         let (mut body, mut held) = (BodyReader::new(framing), BytesMut::new());
         loop {
-            while let Some(piece) = body.take(&mut connection.buffer).map_err(|_| Failed::Broken)? {
+            while let Some(piece) = body
+                .take(&mut connection.buffer)
+                .map_err(|_| Failed::Broken)?
+            {
                 held.extend_from_slice(&piece);
             }
             if body.is_done() {
@@ -339,7 +390,10 @@
     ) -> Result<Answered, Failed> {
         let (mut body, mut held) = (BodyReader::new(framing), BytesMut::new());
         while !body.is_done() {
-            while let Some(piece) = body.take(&mut connection.buffer).map_err(|_| Failed::Broken)? {
+            while let Some(piece) = body
+                .take(&mut connection.buffer)
+                .map_err(|_| Failed::Broken)?
+            {
                 held.extend_from_slice(&piece);
             }
             if held.len() > MOST_HELD_BYTES {
@@ -349,7 +403,10 @@
                 more(connection, silence, &mut body).await?;
             }
         }
-        let failed = Answered { came: Came::with(Outcome::Error), ..whole(connection) };
+        let failed = Answered {
+            came: Came::with(Outcome::Error),
+            ..whole(connection)
+        };
         if self.exchange.has_begun() {
             return Ok(failed);
         }
@@ -357,7 +414,9 @@
         // These would promise that it has not run, which only the worker can say, and has not said.
         let promises = matches!(
             head.status,
-            StatusCode::REQUEST_TIMEOUT | StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE
+            StatusCode::REQUEST_TIMEOUT
+                | StatusCode::TOO_MANY_REQUESTS
+                | StatusCode::SERVICE_UNAVAILABLE
         );
         match (promises, head.status.is_server_error()) {
             (true, _) => {}
@@ -387,7 +446,11 @@
 /// The answer is whole, and the connection good unless more has come, or something was out of order.
 fn whole(connection: &Connection) -> Answered {
     let keep = connection.buffer.is_empty().then_some(Keep { idle: None });
-    Answered { came: Came::with(Outcome::Completed), not_run: false, keep }
+    Answered {
+        came: Came::with(Outcome::Completed),
+        not_run: false,
+        keep,
+    }
 }
 
 /// A worker's head as the client gets it.
@@ -395,5 +458,8 @@
     let mut headers: HeaderMap = head.headers.clone();
     strip_connection_headers(&mut headers);
     headers.remove(LOAD);
-    Head { status: head.status, headers }
+    Head {
+        status: head.status,
+        headers,
+    }
 }
--- a/crates/mintlb-dispatcher/src/back.rs
+++ b/crates/mintlb-dispatcher/src/back.rs
@@ -32,8 +32,14 @@
 
 impl Reach for Way {
     fn send(&self, order: Order) -> Box<dyn Recall> {
-        let Ok(exchange) = order.payload.own.clone().downcast::<Exchange>() else { return Box::new(()) };
-        let send = Send { worker: self.0.clone(), exchange, order };
+        let Ok(exchange) = order.payload.own.clone().downcast::<Exchange>() else {
+            return Box::new(());
+        };
+        let send = Send {
+            worker: self.0.clone(),
+            exchange,
+            order,
+        };
         Box::new(Out(tokio::spawn(send.run()).abort_handle()))
     }
 
@@ -67,20 +73,31 @@
 impl Came {
     /// With nothing told of places.
     pub fn with(outcome: Outcome) -> Came {
-        Came { outcome, free_slots: None }
+        Came {
+            outcome,
+            free_slots: None,
+        }
     }
 }
 
 impl Send {
     async fn run(self) {
         let hub = self.exchange.hub().clone();
-        let occupied = self.worker.occupy(self.exchange.prompt.map_or(0, |prompt| prompt.tokens));
+        let occupied = self
+            .worker
+            .occupy(self.exchange.prompt.map_or(0, |prompt| prompt.tokens));
         let end = hub.clock.instant(self.order.until);
         let came = timeout_at(end, self.carry_out()).await;
-        let Came { outcome, free_slots } = came.unwrap_or_else(|_| Came::with(Outcome::TimedOut));
+        let Came {
+            outcome,
+            free_slots,
+        } = came.unwrap_or_else(|_| Came::with(Outcome::TimedOut));
         drop(occupied);
         log::debug!("back: {} {:?}", self.worker.instance_id, outcome);
-        let back = Back { report: Report { free_slots }, ..Back::with(self.order.alloc, outcome) };
+        let back = Back {
+            report: Report { free_slots },
+            ..Back::with(self.order.alloc, outcome)
+        };
         hub.tell.send(Event::Back(back)).ok();
         // Nothing more will be sent for it, so its answer is due.
         if outcome != Outcome::Completed && !self.exchange.may_be_sent() {
@@ -101,13 +118,23 @@
                 () = self.order.taken_back.cancelled() => return Came::with(Outcome::Full),
             },
         };
-        let Ok(mut connection) = connection else { return Came::with(Outcome::NoConnection) };
+        let Ok(mut connection) = connection else {
+            return Came::with(Outcome::NoConnection);
+        };
         let ran_before = self.exchange.may_have_run();
         if let Err(outcome) = self.send(&mut connection).await {
             return Came::with(outcome);
         }
-        let reading = Reading { worker: &self.worker, exchange: &self.exchange, alloc: self.order.alloc };
-        let Answered { came, not_run, keep } = reading.read(&mut connection).await;
+        let reading = Reading {
+            worker: &self.worker,
+            exchange: &self.exchange,
+            alloc: self.order.alloc,
+        };
+        let Answered {
+            came,
+            not_run,
+            keep,
+        } = reading.read(&mut connection).await;
         if not_run {
             self.exchange.not_run(ran_before);
         }
@@ -120,12 +147,17 @@
     /// Sends the request. An error where its head is not whole at the worker, so that it can't run.
     async fn send(&self, connection: &mut Connection) -> Result<(), Outcome> {
         let left = self.order.until - self.exchange.hub().clock.now();
-        let RequestBytes { mut bytes, head_length } =
-            request::bytes(&self.exchange, &self.worker.instance_id, left);
+        let RequestBytes {
+            mut bytes,
+            head_length,
+        } = request::bytes(&self.exchange, &self.worker.instance_id, left);
         self.still_meant()?;
         if self.order.payload.once && !connection.is_proven() {
             let first = bytes.split_to(head_length - 1);
-            connection.write(&first).await.map_err(|_| Outcome::NoConnection)?;
+            connection
+                .write(&first)
+                .await
+                .map_err(|_| Outcome::NoConnection)?;
             if !connection.stays_quiet(PROVING).await {
                 return Err(Outcome::NoConnection);
             }
--- a/crates/mintlb-dispatcher/src/batch/calls.rs
+++ b/crates/mintlb-dispatcher/src/batch/calls.rs
@@ -62,7 +62,13 @@
         overlay: Arc<Overlay>,
         holder: DispatcherId,
     ) -> BatchCalls {
-        BatchCalls { client, runner, overlay, holder, leaving: AtomicBool::new(false) }
+        BatchCalls {
+            client,
+            runner,
+            overlay,
+            holder,
+            leaving: AtomicBool::new(false),
+        }
     }
 }
 
@@ -74,7 +80,10 @@
                 false => answer(StatusCode::METHOD_NOT_ALLOWED),
             };
         }
-        let (path, query) = call.path_and_query.split_once('?').unwrap_or((&call.path_and_query, ""));
+        let (path, query) = call
+            .path_and_query
+            .split_once('?')
+            .unwrap_or((&call.path_and_query, ""));
         match (named(path), &call.method) {
             (Some(Named::Lot(id)), &Method::GET) => self.read(&call, id, query),
             (Some(Named::Lot(id)), &Method::DELETE) => self.end(&call, id),
@@ -100,7 +109,10 @@
         if self.leaving.load(Relaxed) {
             return Box::pin(async { later(StatusCode::SERVICE_UNAVAILABLE, COME_BACK) });
         }
-        let id = call.headers.get("mintlb-request-id").and_then(|id| id.to_str().ok());
+        let id = call
+            .headers
+            .get("mintlb-request-id")
+            .and_then(|id| id.to_str().ok());
         let Some(lot_id) = id.filter(|id| !id.is_empty()) else {
             return wrong("M414 Mintlb-Request-Id: one is needed".to_string());
         };
@@ -120,7 +132,10 @@
         let (client, runner, holder) = (self.client.clone(), self.runner.clone(), self.holder);
         // On its own task: what is taken is run here, also when its client has left meanwhile.
         let task = tokio::spawn(async move { submit(&client, &runner, holder, lot, within).await });
-        Box::pin(async move { task.await.unwrap_or_else(|_| StatusCode::BAD_GATEWAY.into_response()) })
+        Box::pin(async move {
+            task.await
+                .unwrap_or_else(|_| StatusCode::BAD_GATEWAY.into_response())
+        })
     }
 
     fn read(&self, call: &BatchCall, lot_id: &str, query: &str) -> Answer {
@@ -128,11 +143,24 @@
             Ok(position) => position,
             Err(_) => return wrong("M415 start_after: is no position".to_string()),
         };
-        let wait = milliseconds(&call.headers, "mintlb-wait-ms").unwrap_or_default().min(LONGEST_READ_WAIT);
-        let (client, host, lot_id) = (self.client.clone(), host_name(&call.host), lot_id.to_string());
+        let wait = milliseconds(&call.headers, "mintlb-wait-ms")
+            .unwrap_or_default()
+            .min(LONGEST_READ_WAIT);
+        let (client, host, lot_id) = (
+            self.client.clone(),
+            host_name(&call.host),
+            lot_id.to_string(),
+        );
         Box::pin(async move {
-            match client.read(&host, &lot_id, start_after, wait, MOST_PAGE_BYTES).await {
-                ReadOutcome::Page { total, next, results } => json(page::to_json(total, next, &results)),
+            match client
+                .read(&host, &lot_id, start_after, wait, MOST_PAGE_BYTES)
+                .await
+            {
+                ReadOutcome::Page {
+                    total,
+                    next,
+                    results,
+                } => json(page::to_json(total, next, &results)),
                 ReadOutcome::Unknown => StatusCode::NOT_FOUND.into_response(),
                 ReadOutcome::Unavailable => later(StatusCode::SERVICE_UNAVAILABLE, COME_BACK),
             }
@@ -143,7 +171,11 @@
         let Some(instance_id) = parameter(query, "instance_id").map(str::to_string) else {
             return wrong("M416 instance_id: one is needed".to_string());
         };
-        let (client, host, lot_id) = (self.client.clone(), host_name(&call.host), lot_id.to_string());
+        let (client, host, lot_id) = (
+            self.client.clone(),
+            host_name(&call.host),
+            lot_id.to_string(),
+        );
         Box::pin(async move {
             match client.body(&host, &lot_id, &instance_id).await {
                 BodyOutcome::Body(body) => Response::new(Body::from(body)),
@@ -154,7 +186,11 @@
     }
 
     fn end(&self, call: &BatchCall, lot_id: &str) -> Answer {
-        let (client, runner, overlay) = (self.client.clone(), self.runner.clone(), self.overlay.clone());
+        let (client, runner, overlay) = (
+            self.client.clone(),
+            self.runner.clone(),
+            self.overlay.clone(),
+        );
         let (host, lot_id) = (host_name(&call.host), lot_id.to_string());
         Box::pin(async move {
             match client.end(&host, &lot_id).await {
@@ -190,7 +226,9 @@
             StatusCode::ACCEPTED.into_response()
         }
         SubmitOutcome::QuotaFull => later(StatusCode::TOO_MANY_REQUESTS, QUOTA_COME_BACK),
-        SubmitOutcome::Conflict => (StatusCode::CONFLICT, "M417 another lot has this id").into_response(),
+        SubmitOutcome::Conflict => {
+            (StatusCode::CONFLICT, "M417 another lot has this id").into_response()
+        }
         SubmitOutcome::Refused => later(StatusCode::SERVICE_UNAVAILABLE, COME_BACK),
         // It may be in: a status that promises that it is not would be a lie.
         SubmitOutcome::Unclear => StatusCode::GATEWAY_TIMEOUT.into_response(),
@@ -198,7 +236,14 @@
 }
 
 fn leased(lot: Submission) -> Vec<LeasedItem> {
-    let Submission { host, route, lot_id, terms, items, .. } = lot;
+    let Submission {
+        host,
+        route,
+        lot_id,
+        terms,
+        items,
+        ..
+    } = lot;
     let leased = |(index, item)| LeasedItem {
         host: host.clone(),
         route: route.clone(),
@@ -215,14 +260,18 @@
     LotTerms {
         sent_at_ms: now_ms,
         completion_target_ms: route.completion_target_ms.unwrap_or(USUAL_RETENTION_MS),
-        retention_ms: route.retention_s.map_or(USUAL_RETENTION_MS, |seconds| (seconds * 1e3) as u64),
+        retention_ms: route
+            .retention_s
+            .map_or(USUAL_RETENTION_MS, |seconds| (seconds * 1e3) as u64),
         max_attempts: route.max_attempts,
     }
 }
 
 fn submit_within(headers: &HeaderMap) -> Duration {
     let deadline = milliseconds(headers, "mintlb-deadline-ms");
-    deadline.map_or(SUBMIT_WITHIN, |deadline| deadline.saturating_sub(SUBMIT_MARGIN).min(SUBMIT_WITHIN))
+    deadline.map_or(SUBMIT_WITHIN, |deadline| {
+        deadline.saturating_sub(SUBMIT_MARGIN).min(SUBMIT_WITHIN)
+    })
 }
 
 fn milliseconds(headers: &HeaderMap, name: &str) -> Option<Duration> {
@@ -233,7 +282,11 @@
 fn named(path: &str) -> Option<Named<'_>> {
     let is_id = |id: &&str| !id.is_empty() && !id.contains('/');
     let lot = path.strip_prefix("/v1/lots/").filter(is_id).map(Named::Lot);
-    lot.or_else(|| path.strip_prefix("/v1/items/").filter(is_id).map(Named::Items))
+    lot.or_else(|| {
+        path.strip_prefix("/v1/items/")
+            .filter(is_id)
+            .map(Named::Items)
+    })
 }
 
 fn parameter<'a>(query: &'a str, name: &str) -> Option<&'a str> {
@@ -245,7 +298,9 @@
 
 /// The host's name without a port, as lots are found by it.
 fn host_name(host: &str) -> String {
-    host.rsplit_once(':').map_or(host, |(name, _)| name).to_ascii_lowercase()
+    host.rsplit_once(':')
+        .map_or(host, |(name, _)| name)
+        .to_ascii_lowercase()
 }
 
 fn answer(status: StatusCode) -> Answer {
@@ -261,5 +316,9 @@
 }
 
 fn json(body: Vec<u8>) -> Response {
-    ([(CONTENT_TYPE, HeaderValue::from_static("application/json"))], body).into_response()
+    (
+        [(CONTENT_TYPE, HeaderValue::from_static("application/json"))],
+        body,
+    )
+        .into_response()
 }
--- a/crates/mintlb-dispatcher/src/batch/mod.rs
+++ b/crates/mintlb-dispatcher/src/batch/mod.rs
@@ -28,14 +28,20 @@
 ) -> Arc<dyn BatchHandler> {
     let placement = Arc::new(ArcSwap::from_pointee(Placement::default()));
     let current = placement.clone();
-    let client = Arc::new(LotClient::new(transport, Arc::new(move || current.load_full())));
+    let client = Arc::new(LotClient::new(
+        transport,
+        Arc::new(move || current.load_full()),
+    ));
     let runner = runner::Runner::start(client.clone(), intake, holder);
     let listener = runner.clone();
     overlay.subscribe(Arc::new(move |record: &Record| {
         if record.key == PLACEMENT {
             match minicbor::decode(&record.body) {
                 Ok(newer) => placement.store(Arc::new(newer)),
-                Err(why) => log::warn!("lots: the placement {} can't be read: {why}", record.version),
+                Err(why) => log::warn!(
+                    "lots: the placement {} can't be read: {why}",
+                    record.version
+                ),
             }
         } else if let Some(lot_id) = record.key.strip_prefix(ENDED_LOT_PREFIX) {
             listener.lot_ended(&String::from_utf8_lossy(&record.body), lot_id);
--- a/crates/mintlb-dispatcher/src/batch/page.rs
+++ b/crates/mintlb-dispatcher/src/batch/page.rs
@@ -20,7 +20,11 @@
 
 /// The JSON of a page.
 pub fn to_json(total: u64, next: u64, results: &[ListedResult]) -> Vec<u8> {
-    let page = Page { total, next_page_token: next, results: results.iter().map(line).collect() };
+    let page = Page {
+        total,
+        next_page_token: next,
+        results: results.iter().map(line).collect(),
+    };
     serde_json::to_vec(&page).unwrap_or_default()
 }
 
@@ -29,5 +33,9 @@
         ItemState::Completed => "completed",
         ItemState::Unrecoverable => "unrecoverable",
     };
-    ResultLine { instance_id: &result.instance_id, state, text: String::from_utf8_lossy(&result.text) }
+    ResultLine {
+        instance_id: &result.instance_id,
+        state,
+        text: String::from_utf8_lossy(&result.text),
+    }
 }
--- a/crates/mintlb-dispatcher/src/batch/progress.rs
+++ b/crates/mintlb-dispatcher/src/batch/progress.rs
@@ -56,7 +56,10 @@
 impl Progress {
     /// Of an item that has failed so often before, at whatever dispatcher.
     pub fn after_failures(failures: u32) -> Progress {
-        Progress { failures, ..Progress::default() }
+        Progress {
+            failures,
+            ..Progress::default()
+        }
     }
 
     /// How often it has failed, at whatever dispatcher.
@@ -92,7 +95,9 @@
     /// has run since, in ms; so a step of the clock while it runs changes nothing.
     pub fn ended(&mut self, outcome: &AttemptOutcome, terms: &LotTerms, now_ms: u64) -> Next {
         match outcome {
-            AttemptOutcome::Completed => return Next::Record(ItemResult::Completed(self.take_text())),
+            AttemptOutcome::Completed => {
+                return Next::Record(ItemResult::Completed(self.take_text()));
+            }
             AttemptOutcome::CannotBeDone => {
                 self.failures = terms.max_attempts.max(1);
                 return Next::Record(ItemResult::Unrecoverable);
@@ -102,16 +107,26 @@
         }
         let no_route = *outcome == AttemptOutcome::NoRoute;
         self.no_route_since = no_route.then(|| self.no_route_since.unwrap_or(now_ms));
-        let is_gone = self.no_route_since.is_some_and(|since| now_ms >= since + ROUTE_GONE_MS);
-        let given_up_at =
-            terms.sent_at_ms.saturating_add(terms.retention_ms).saturating_add(CLOCK_TOLERANCE_MS);
+        let is_gone = self
+            .no_route_since
+            .is_some_and(|since| now_ms >= since + ROUTE_GONE_MS);
+        let given_up_at = terms
+            .sent_at_ms
+            .saturating_add(terms.retention_ms)
+            .saturating_add(CLOCK_TOLERANCE_MS);
         let too_old = terms.retention_ms > 0 && now_ms >= given_up_at;
         if self.is_spent(terms) || too_old || is_gone {
             return Next::Record(ItemResult::Unrecoverable);
         }
-        let pause = FIRST_PAUSE.saturating_mul(1 << self.fruitless.min(3)).min(LONGEST_PAUSE);
+        let pause = FIRST_PAUSE
+            .saturating_mul(1 << self.fruitless.min(3))
+            .min(LONGEST_PAUSE);
         self.fruitless += 1;
-        Next::RunAgain(if *outcome == AttemptOutcome::Broken { pause / 4 } else { pause })
+        Next::RunAgain(if *outcome == AttemptOutcome::Broken {
+            pause / 4
+        } else {
+            pause
+        })
     }
 
     fn take_text(&mut self) -> Bytes {
--- a/crates/mintlb-dispatcher/src/batch/queue.rs
+++ b/crates/mintlb-dispatcher/src/batch/queue.rs
@@ -33,7 +33,10 @@
         if self.ended.contains(&key) || !self.held.entry(key).or_default().insert(item.index) {
             return;
         }
-        let due = item.terms.sent_at_ms.saturating_add(item.terms.completion_target_ms);
+        let due = item
+            .terms
+            .sent_at_ms
+            .saturating_add(item.terms.completion_target_ms);
         self.waiting.insert((due, self.next_number), item);
         self.next_number += 1;
     }
@@ -44,7 +47,10 @@
             return None;
         }
         let ((_, number), item) = self.waiting.pop_first()?;
-        self.running.insert(number, ((item.host.clone(), item.lot_id.clone()), item.index));
+        self.running.insert(
+            number,
+            ((item.host.clone(), item.lot_id.clone()), item.index),
+        );
         Some((number, item))
     }
 
@@ -58,28 +64,45 @@
     /// An item that runs has failed so often, over all holders. What is to be told of it at once.
     pub fn failed(&mut self, number: ItemNumber, count: u32) -> Option<HeldLot> {
         let (key, index) = self.running.get(&number).filter(|_| count > 0)?;
-        self.failures.entry(key.clone()).or_default().insert(*index, count);
+        self.failures
+            .entry(key.clone())
+            .or_default()
+            .insert(*index, count);
         let (host, lot_id) = key.clone();
-        Some(HeldLot { host, lot_id, items: vec![*index], failures: vec![(*index, count)] })
+        Some(HeldLot {
+            host,
+            lot_id,
+            items: vec![*index],
+            failures: vec![(*index, count)],
+        })
     }
 
     /// Whether an item that runs is still held: its lot is not ended, its lease not lost.
     pub fn is_held(&self, number: ItemNumber) -> bool {
         let running = self.running.get(&number);
-        running.is_some_and(|(key, index)| self.held.get(key).is_some_and(|items| items.contains(index)))
+        running.is_some_and(|(key, index)| {
+            self.held
+                .get(key)
+                .is_some_and(|items| items.contains(index))
+        })
     }
 
     /// These items, or with no items named the whole lot, are no longer to run here. Returns those that run.
     pub fn drop_items(&mut self, key: &LotKey, items: Option<&[u32]>) -> Vec<ItemNumber> {
         let fits = |index: u32| items.is_none_or(|items| items.contains(&index));
-        self.waiting.retain(|_, item| !((&item.host, &item.lot_id) == (&key.0, &key.1) && fits(item.index)));
+        self.waiting.retain(|_, item| {
+            !((&item.host, &item.lot_id) == (&key.0, &key.1) && fits(item.index))
+        });
         if let Some(held) = self.held.get_mut(key) {
             held.retain(|index| !fits(*index));
             if held.is_empty() {
                 self.held.remove(key);
             }
         }
-        let running = self.running.iter().filter(|(_, (of, index))| of == key && fits(*index));
+        let running = self
+            .running
+            .iter()
+            .filter(|(_, (of, index))| of == key && fits(*index));
         running.map(|(number, _)| *number).collect()
     }
 
@@ -103,7 +126,12 @@
             let (host, lot_id) = key.clone();
             let failures = self.failures.get(key).into_iter().flatten();
             let failures = failures.map(|(item, count)| (*item, *count)).collect();
-            HeldLot { host, lot_id, items: items.iter().copied().collect(), failures }
+            HeldLot {
+                host,
+                lot_id,
+                items: items.iter().copied().collect(),
+                failures,
+            }
         };
         self.held.iter().map(lot).collect()
     }
