--- a/crates/mintlb-dispatcher/src/batch/runner.rs
+++ b/crates/mintlb-dispatcher/src/batch/runner.rs
@@ -65,13 +65,18 @@
         if self.leaving.load(Relaxed) {
             return;
         }
-        items.into_iter().for_each(|item| self.queue.lock().add(item));
+        items
+            .into_iter()
+            .for_each(|item| self.queue.lock().add(item));
         self.run_next();
     }
 
     /// No item of this lot runs here any more, nor one whose lease is still under way.
     pub fn lot_ended(&self, host: &str, lot_id: &str) {
-        let stopped = self.queue.lock().end_lot((host.to_string(), lot_id.to_string()));
+        let stopped = self
+            .queue
+            .lock()
+            .end_lot((host.to_string(), lot_id.to_string()));
         self.cancel(&stopped);
     }
 
@@ -79,19 +84,27 @@
     pub fn leave(self: &Arc<Self>) {
         self.leaving.store(true, Relaxed);
         *self.queue.lock() = ItemQueue::default();
-        self.running.lock().values().for_each(CancellationToken::cancel);
+        self.running
+            .lock()
+            .values()
+            .for_each(CancellationToken::cancel);
         let (client, holder) = (self.client.clone(), self.holder);
         tokio::spawn(async move { client.release(holder).await });
     }
 
     fn cancel(&self, numbers: &[ItemNumber]) {
         let running = self.running.lock();
-        numbers.iter().filter_map(|number| running.get(number)).for_each(CancellationToken::cancel);
+        numbers
+            .iter()
+            .filter_map(|number| running.get(number))
+            .for_each(CancellationToken::cancel);
     }
 
     fn run_next(self: &Arc<Self>) {
         loop {
-            let Some((number, item)) = self.queue.lock().start(MOST_RUNNING) else { return };
+            let Some((number, item)) = self.queue.lock().start(MOST_RUNNING) else {
+                return;
+            };
             let stop = CancellationToken::new();
             self.running.lock().insert(number, stop.clone());
             let runner = self.clone();
@@ -117,7 +130,9 @@
             return self.record(&item, ItemResult::Unrecoverable).await;
         }
         while self.queue.lock().is_held(number) {
-            let outcome = self.attempt(&item, id.clone(), headers.clone(), &mut progress).await;
+            let outcome = self
+                .attempt(&item, id.clone(), headers.clone(), &mut progress)
+                .await;
             let next = progress.ended(&outcome, &item.terms, self.now_ms());
             let failed = self.queue.lock().failed(number, progress.failures());
             match next {
@@ -163,12 +178,19 @@
 
     async fn record(&self, item: &LeasedItem, result: ItemResult) {
         for _ in 0..MOST_RECORDS {
-            if self.client.record(&item.host, &item.lot_id, item.index, result.clone()).await {
+            if self
+                .client
+                .record(&item.host, &item.lot_id, item.index, result.clone())
+                .await
+            {
                 return;
             }
             sleep(RECORD_PAUSE).await;
         }
-        log::warn!("lots: a result of lot {} could not be recorded", item.lot_id);
+        log::warn!(
+            "lots: a result of lot {} could not be recorded",
+            item.lot_id
+        );
     }
 
     /// Renews the leases of what is held.
@@ -200,7 +222,11 @@
                 true => self.client.lease(self.holder, LEASE_AT_ONCE).await,
                 false => Vec::new(),
             };
-            let pause = if leased.is_empty() { RENEWAL } else { NEXT_LEASE };
+            let pause = if leased.is_empty() {
+                RENEWAL
+            } else {
+                NEXT_LEASE
+            };
             self.take(leased);
             sleep(pause).await;
         }
@@ -223,7 +249,10 @@
     let id = HeaderValue::from_str(&item.item.instance_id).ok()?;
     let mut headers = HeaderMap::new();
     for (name, value) in &item.item.headers {
-        headers.append(HeaderName::from_bytes(name.as_bytes()).ok()?, HeaderValue::from_str(value).ok()?);
+        headers.append(
+            HeaderName::from_bytes(name.as_bytes()).ok()?,
+            HeaderValue::from_str(value).ok()?,
+        );
     }
     Some((id, headers))
 }
--- a/crates/mintlb-dispatcher/src/batch/submission.rs
+++ b/crates/mintlb-dispatcher/src/batch/submission.rs
@@ -55,15 +55,19 @@
 
 /// The items of a lot for this route.
 pub fn parse(json: &[u8], route: &Route) -> Result<Vec<Item>, SubmissionError> {
-    let lot: Lot = serde_json::from_slice(json).map_err(|e| SubmissionError::Unreadable(e.to_string()))?;
+    let lot: Lot =
+        serde_json::from_slice(json).map_err(|e| SubmissionError::Unreadable(e.to_string()))?;
     if lot.requests.is_empty() || lot.requests.len() > MOST_ITEMS {
         return Err(SubmissionError::Count(lot.requests.len()));
     }
     let mut ids = HashSet::new();
     let mut items = Vec::with_capacity(lot.requests.len());
     for (position, request) in lot.requests.into_iter().enumerate() {
-        let wrong =
-            |field, reason: &str| SubmissionError::Item { position, field, reason: reason.to_string() };
+        let wrong = |field, reason: &str| SubmissionError::Item {
+            position,
+            field,
+            reason: reason.to_string(),
+        };
         if request.instance_id.is_empty() {
             return Err(wrong("instance_id", "is empty"));
         }
@@ -74,15 +78,25 @@
         if !readable || !request.path.starts_with(&route.path_prefix) {
             return Err(wrong("path", "is not under the route's prefix"));
         }
-        if request.headers.iter().any(|(name, value)| !is_header(name, value)) {
+        if request
+            .headers
+            .iter()
+            .any(|(name, value)| !is_header(name, value))
+        {
             return Err(wrong("headers", "a name or value is no header's"));
         }
         let tokens = u64::try_from(request.tokens).map_err(|_| wrong("tokens", "is below 0"))?;
-        let body = STANDARD.decode(request.body.as_bytes()).map_err(|e| wrong("body", &e.to_string()))?;
+        let body = STANDARD
+            .decode(request.body.as_bytes())
+            .map_err(|e| wrong("body", &e.to_string()))?;
         items.push(Item {
             instance_id: request.instance_id.into_owned(),
             path: request.path.into_owned(),
-            headers: request.headers.into_iter().map(|(n, v)| (n.into_owned(), v.into_owned())).collect(),
+            headers: request
+                .headers
+                .into_iter()
+                .map(|(n, v)| (n.into_owned(), v.into_owned()))
+                .collect(),
             body: Bytes::from(body),
             tokens,
         });
@@ -94,5 +108,7 @@
     let token = |byte: u8| byte.is_ascii_alphanumeric() || b"!#$%&'*+-.^_`|~".contains(&byte);
     !name.is_empty()
         && name.bytes().all(token)
-        && value.bytes().all(|byte| byte == b'\t' || byte >= b' ' && byte != 127)
+        && value
+            .bytes()
+            .all(|byte| byte == b'\t' || byte >= b' ' && byte != 127)
 }
--- a/crates/mintlb-dispatcher/src/body.rs
+++ b/crates/mintlb-dispatcher/src/body.rs
@@ -41,7 +41,12 @@
 impl Relay {
     /// The body of this exchange's answer. Room and id are held until it is over.
     pub fn new(exchange: Arc<Exchange>, room: (Held, Option<Held>), once: Option<OnceId>) -> Relay {
-        Relay { exchange, is_over: false, _room: room, _once: once }
+        Relay {
+            exchange,
+            is_over: false,
+            _room: room,
+            _once: once,
+        }
     }
 
     /// What it reads.
@@ -88,7 +93,10 @@
 impl FrontBody {
     /// A body that goes out on this connection.
     pub fn new(source: Source, seen: Arc<Seen>) -> FrontBody {
-        let mut body = FrontBody { source, seen: Some(seen) };
+        let mut body = FrontBody {
+            source,
+            seen: Some(seen),
+        };
         body.look_over();
         body
     }
@@ -108,7 +116,10 @@
     type Data = Bytes;
     type Error = io::Error;
 
-    fn poll_frame(self: Pin<&mut Self>, cx: &mut Context) -> Poll<Option<io::Result<Frame<Bytes>>>> {
+    fn poll_frame(
+        self: Pin<&mut Self>,
+        cx: &mut Context,
+    ) -> Poll<Option<io::Result<Frame<Bytes>>>> {
         let body = self.get_mut();
         let polled = body.source.poll(cx);
         if polled.is_ready() {
@@ -123,10 +134,13 @@
 
     fn size_hint(&self) -> SizeHint {
         match &self.source {
-            Source::Whole(bytes) => SizeHint::with_exact(bytes.as_ref().map_or(0, Bytes::len) as u64),
-            Source::Relay(relay) => {
-                relay.exchange.whole_length().map_or_else(SizeHint::new, SizeHint::with_exact)
+            Source::Whole(bytes) => {
+                SizeHint::with_exact(bytes.as_ref().map_or(0, Bytes::len) as u64)
             }
+            Source::Relay(relay) => relay
+                .exchange
+                .whole_length()
+                .map_or_else(SizeHint::new, SizeHint::with_exact),
             Source::Boxed(body) => body.size_hint(),
         }
     }
--- a/crates/mintlb-dispatcher/src/connection.rs
+++ b/crates/mintlb-dispatcher/src/connection.rs
@@ -86,7 +86,11 @@
 impl Pool {
     /// For the worker that listens there.
     pub fn new(address: SocketAddr) -> Pool {
-        Pool { address, idle: Mutex::default(), open: Arc::default() }
+        Pool {
+            address,
+            idle: Mutex::default(),
+            open: Arc::default(),
+        }
     }
 
     /// Where the worker listens.
@@ -129,7 +133,9 @@
         socket.set_nodelay(true)?;
         watch_over(&socket).ok();
         let late = |_| io::Error::from(io::ErrorKind::TimedOut);
-        let stream = timeout(CONNECT, socket.connect(self.address)).await.map_err(late)??;
+        let stream = timeout(CONNECT, socket.connect(self.address))
+            .await
+            .map_err(late)??;
         Ok(Connection {
             stream,
             buffer: BytesMut::new(),
@@ -162,13 +168,19 @@
     pub fn sweep(&self, all: bool) {
         let now = Instant::now();
         let mut idle = self.idle.lock();
-        idle.retain(|connection| !all && now < connection.good_until(false) && connection.is_quiet());
+        idle.retain(|connection| {
+            !all && now < connection.good_until(false) && connection.is_quiet()
+        });
     }
 }
 
 /// Peers that are gone without a word must be known as such in time.
 fn watch_over(socket: &impl AsFd) -> nix::Result<()> {
-    setsockopt(socket, sockopt::TcpUserTimeout, &(UNACKNOWLEDGED.as_millis() as u32))?;
+    setsockopt(
+        socket,
+        sockopt::TcpUserTimeout,
+        &(UNACKNOWLEDGED.as_millis() as u32),
+    )?;
     setsockopt(socket, sockopt::KeepAlive, &true)?;
     setsockopt(socket, sockopt::TcpKeepIdle, &1)?;
     setsockopt(socket, sockopt::TcpKeepInterval, &1)?;
@@ -231,7 +243,11 @@
         self.unwritten = rest;
         let all = self.unwritten.len();
         let written = self.write_on();
-        if self.unwritten.len() == all { written } else { Ok(()) }
+        if self.unwritten.len() == all {
+            written
+        } else {
+            Ok(())
+        }
     }
 
     /// Writes what the system takes now.
@@ -255,7 +271,11 @@
     pub async fn fill(&mut self) -> io::Result<()> {
         loop {
             let waits = !self.unwritten.is_empty();
-            let interest = if waits { Interest::READABLE | Interest::WRITABLE } else { Interest::READABLE };
+            let interest = if waits {
+                Interest::READABLE | Interest::WRITABLE
+            } else {
+                Interest::READABLE
+            };
             let ready = self.stream.ready(interest).await?;
             if ready.is_readable() && self.read_some()? {
                 return Ok(());
--- a/crates/mintlb-dispatcher/src/dispatcher.rs
+++ b/crates/mintlb-dispatcher/src/dispatcher.rs
@@ -116,7 +116,14 @@
         let (tell_event, events) = unbounded_channel();
         let (tell, known) = unbounded_channel();
         let hub = Arc::new(Hub::new(Clock::start(), tell_event, grants.seed));
-        Dispatcher { hub, tell, batch: None, grants, events, known }
+        Dispatcher {
+            hub,
+            tell,
+            batch: None,
+            grants,
+            events,
+            known,
+        }
     }
 
     /// Takes items of lots in.
@@ -125,11 +132,29 @@
     }
 
     /// Serves until `stop` resolves, and then until all that was taken is answered.
-    pub async fn serve(self, frontend: TcpListener, readiness: TcpListener, stop: impl Future<Output = ()>) {
-        let Dispatcher { hub, tell: _tell, batch, grants, mut events, mut known } = self;
-        let notice = Notice { leave: NOTICE, stop: NOTICE };
+    pub async fn serve(
+        self,
+        frontend: TcpListener,
+        readiness: TcpListener,
+        stop: impl Future<Output = ()>,
+    ) {
+        let Dispatcher {
+            hub,
+            tell: _tell,
+            batch,
+            grants,
+            mut events,
+            mut known,
+        } = self;
+        let notice = Notice {
+            leave: NOTICE,
+            stop: NOTICE,
+        };
         let standing = Arc::new(Mutex::new(Standing::new(notice)));
-        let descriptors = grants.max_open_files.saturating_sub(OTHER_DESCRIPTORS).max(64) as usize;
+        let descriptors = grants
+            .max_open_files
+            .saturating_sub(OTHER_DESCRIPTORS)
+            .max(64) as usize;
         let bodies = (grants.memory_mb as f64 * BODY_MEMORY_SHARE * 1e6) as usize;
         let front = Front::new(FrontParts {
             hub: hub.clone(),
@@ -140,7 +165,10 @@
             batch: batch.clone(),
         });
         let asked = standing.clone();
-        tokio::spawn(readiness::listen(readiness, Arc::new(move || asked.lock().is_ready())));
+        tokio::spawn(readiness::listen(
+            readiness,
+            Arc::new(move || asked.lock().is_ready()),
+        ));
         tokio::spawn(front.clone().listen(frontend));
         let numbering = Numbering::new(grants.zones.iter());
         let mut reducer = Reducer::new(
@@ -150,7 +178,12 @@
             SEND_MARGIN,
         );
         reducer.take_permit(Arc::new(Permits::new(hub.clone())));
-        let hands = Hands::new(NoWatch, hub.clock, log_bridge::logger(), Arc::new(Figures::default()));
+        let hands = Hands::new(
+            NoWatch,
+            hub.clock,
+            log_bridge::logger(),
+            Arc::new(Figures::default()),
+        );
         let mut main = Loop {
             hub: hub.clone(),
             reducer,
@@ -211,8 +244,17 @@
 }
 
 fn scheduler(grants: &Grants, numbering: &Numbering) -> Scheduler {
-    let cold = ColdRule { among: 1.0, ..ColdRule::default() };
-    let fleet = Fleet::new(cold, numbering.zone(&grants.zone), true, tuning::costs(), &[]);
+    let cold = ColdRule {
+        among: 1.0,
+        ..ColdRule::default()
+    };
+    let fleet = Fleet::new(
+        cold,
+        numbering.zone(&grants.zone),
+        true,
+        tuning::costs(),
+        &[],
+    );
     let buffers = Buffers::new(Vec::new(), 1.0, tuning::come_back());
     let chain = (Shares::new(&[]), buffers, tuning::repeats(), fleet);
     Scheduler::new(Chance::new(grants.seed), chain, Follow::default())
@@ -276,8 +318,12 @@
         self.version = Some(version);
         self.configured = self.configured.or(Some(Instant::now()));
         self.hands.take_types(self.reducer.types());
-        self.hub.take_routing(RoutingTable::new(configuration, self.reducer.types()));
-        log::info!("dispatch: configuration {version} is in force, {} project types", types.len());
+        self.hub
+            .take_routing(RoutingTable::new(configuration, self.reducer.types()));
+        log::info!(
+            "dispatch: configuration {version} is in force, {} project types",
+            types.len()
+        );
         self.step(Event::Woke);
     }
 
@@ -286,17 +332,33 @@
         if self.standing.lock().is_ready() {
             return;
         }
-        let Some((configured, table)) = self.configured.zip(self.hub.routing()) else { return };
-        let served =
-            || table.configuration.service_list.iter().all(|service| self.hub.workers.serves(&service.name));
+        let Some((configured, table)) = self.configured.zip(self.hub.routing()) else {
+            return;
+        };
+        let served = || {
+            table
+                .configuration
+                .service_list
+                .iter()
+                .all(|service| self.hub.workers.serves(&service.name))
+        };
         if self.joined && (configured.elapsed() >= WORKERS_WAIT || served()) {
-            self.standing.lock().hear(self.hub.clock.now(), Word::Ready).ok();
+            self.standing
+                .lock()
+                .hear(self.hub.clock.now(), Word::Ready)
+                .ok();
         }
     }
 
     fn leave(&mut self) {
-        log::info!("dispatch: told to end, {} requests are held", self.reducer.held());
-        self.standing.lock().hear(self.hub.clock.now(), Word::Stop { succeeded: true }).ok();
+        log::info!(
+            "dispatch: told to end, {} requests are held",
+            self.reducer.held()
+        );
+        self.standing
+            .lock()
+            .hear(self.hub.clock.now(), Word::Stop { succeeded: true })
+            .ok();
         self.batch.iter().for_each(|batch| batch.leave());
     }
 
@@ -312,24 +374,39 @@
         self.hub.workers.sweep();
         let members = self.hub.workers.forget_silent();
         if !members.is_empty() {
-            self.step(Event::Members(None, Told { source: Source::List, full: false, members }));
+            self.step(Event::Members(
+                None,
+                Told {
+                    source: Source::List,
+                    full: false,
+                    members,
+                },
+            ));
         }
         let (now, standing) = (self.hub.clock.now(), *self.standing.lock());
-        let Some(stopped) = standing.stopped() else { return false };
+        let Some(stopped) = standing.stopped() else {
+            return false;
+        };
         let since = now - stopped;
         if standing.closes_idle(now) {
             self.front.close_idle();
         }
         if since >= self.grace - LAST_CALL && !std::mem::replace(&mut self.last_call, true) {
-            log::warn!("dispatch: the time to end is over, {} requests are held", self.reducer.held());
+            log::warn!(
+                "dispatch: the time to end is over, {} requests are held",
+                self.reducer.held()
+            );
             self.hub.end();
             self.step(Event::LastCall);
         }
         let quiet = self.reducer.held() == 0 && self.front.connected() == 0;
-        let over =
-            since >= self.grace - LAST_EXIT || quiet && since >= LATE_ARRIVALS.min(self.grace - LAST_CALL);
+        let over = since >= self.grace - LAST_EXIT
+            || quiet && since >= LATE_ARRIVALS.min(self.grace - LAST_CALL);
         if over {
-            log::info!("dispatch: ends, {} connections are open", self.front.connected());
+            log::info!(
+                "dispatch: ends, {} connections are open",
+                self.front.connected()
+            );
         }
         over
     }
--- a/crates/mintlb-dispatcher/src/events.rs
+++ b/crates/mintlb-dispatcher/src/events.rs
@@ -35,7 +35,11 @@
 impl EventReader {
     /// A run that was asked to go on after this event, if one is named.
     pub fn after(last: Option<u64>) -> EventReader {
-        EventReader { held: BytesMut::new(), last, resumes: last.is_some() }
+        EventReader {
+            held: BytesMut::new(),
+            last,
+            resumes: last.is_some(),
+        }
     }
 
     /// The id of the last event passed on.
@@ -85,7 +89,9 @@
     }
 
     fn is_new(&mut self, event: &[u8]) -> Result<bool, StreamError> {
-        let Some(id) = event_id(event) else { return Ok(true) };
+        let Some(id) = event_id(event) else {
+            return Ok(true);
+        };
         if let Some(last) = self.last {
             match (id <= last, self.resumes) {
                 (true, true) => return Ok(false),
@@ -127,7 +133,9 @@
     let mut first = true;
     for line in event.split(|byte| *byte == b'\n') {
         let line = line.strip_suffix(b"\r").unwrap_or(line);
-        let Some(value) = line.strip_prefix(b"data:") else { continue };
+        let Some(value) = line.strip_prefix(b"data:") else {
+            continue;
+        };
         if !std::mem::take(&mut first) {
             data.push(b'\n');
         }
--- a/crates/mintlb-dispatcher/src/exchange.rs
+++ b/crates/mintlb-dispatcher/src/exchange.rs
@@ -158,11 +158,27 @@
 impl Exchange {
     /// Hands a request to the reducer. Whoever reads its answer leaves by [`Exchange::leave`].
     pub fn start(hub: &Arc<Hub>, new: NewExchange) -> Arc<Exchange> {
-        let NewExchange { request, body, terms, service, manner, project_type, time_budget } = new;
-        let header = |name: &str| request.headers.get(name).and_then(|value| value.to_str().ok());
+        let NewExchange {
+            request,
+            body,
+            terms,
+            service,
+            manner,
+            project_type,
+            time_budget,
+        } = new;
+        let header = |name: &str| {
+            request
+                .headers
+                .get(name)
+                .and_then(|value| value.to_str().ok())
+        };
         let prompt = Prompt::read(header("mintlb-prompt-prefix"), header("mintlb-token-usage"));
         let arrived = hub.clock.now();
-        let state = State { last_event: request.last_event_id, ..State::default() };
+        let state = State {
+            last_event: request.last_event_id,
+            ..State::default()
+        };
         let exchange = Arc::new(Exchange {
             request,
             body,
@@ -183,7 +199,11 @@
         let id = self.hub.numbers.next();
         self.state.lock().wu = id;
         let once = !self.terms.idempotent;
-        let payload = Payload { body: self.body.clone(), once, own: self.clone() };
+        let payload = Payload {
+            body: self.body.clone(),
+            once,
+            own: self.clone(),
+        };
         let time_budget = self.limit - now;
         let answer = Box::new(Settlement(self));
         let arrival = Arrival {
@@ -290,7 +310,11 @@
     pub fn fail_item(&self, head: Head) {
         let mut state = self.state.lock();
         state.item_failure = Some(head.status);
-        let end = if state.begun { End::Broken } else { End::Complete };
+        let end = if state.begun {
+            End::Broken
+        } else {
+            End::Complete
+        };
         if !state.begun {
             (state.head, state.begun) = (Some(head), true);
         }
@@ -390,7 +414,10 @@
     /// Nobody reads the answer any more.
     pub fn leave(&self) {
         let mut state = self.state.lock();
-        if std::mem::replace(&mut state.left, true) || state.end.is_some() || state.refusal.is_some() {
+        if std::mem::replace(&mut state.left, true)
+            || state.end.is_some()
+            || state.refusal.is_some()
+        {
             return;
         }
         self.hub.tell.send(Event::Left(state.wu)).ok();
@@ -448,7 +475,9 @@
     state.refusal = Some(match refusal {
         Refusal::NotRun(_) if state.may_have_run => Refusal::Unknown,
         // No worker was handed its whole head, and none will be.
-        Refusal::Unknown | Refusal::TimedOut if !state.may_have_run => Refusal::NotRun(NEVER_SENT_COME_BACK),
+        Refusal::Unknown | Refusal::TimedOut if !state.may_have_run => {
+            Refusal::NotRun(NEVER_SENT_COME_BACK)
+        }
         refusal => refusal,
     });
 }
--- a/crates/mintlb-dispatcher/src/front.rs
+++ b/crates/mintlb-dispatcher/src/front.rs
@@ -100,9 +100,23 @@
 impl Front {
     /// One that does not listen yet.
     pub fn new(parts: FrontParts) -> Arc<Front> {
-        let FrontParts { hub, room, connections, standing, takes_late, batch } = parts;
+        let FrontParts {
+            hub,
+            room,
+            connections,
+            standing,
+            takes_late,
+            batch,
+        } = parts;
         let places = Places::new(connections, Duration::from_millis(500));
-        Arc::new(Front { hub, room, places, standing, takes_late, batch })
+        Arc::new(Front {
+            hub,
+            room,
+            places,
+            standing,
+            takes_late,
+            batch,
+        })
     }
 
     /// Takes clients until it is dropped.
@@ -134,7 +148,10 @@
     }
 
     fn limits(&self) -> ClientLimits {
-        self.hub.routing().map(|table| table.configuration.limits.clone()).unwrap_or_default()
+        self.hub
+            .routing()
+            .map(|table| table.configuration.limits.clone())
+            .unwrap_or_default()
     }
 
     fn closes(&self) -> bool {
@@ -146,7 +163,9 @@
         let limits = self.limits();
         let (seen, socket) = (place.seen.clone(), Arc::new(stream));
         let looking = seen.clone();
-        let stream = InspectReader::new(Socket(socket.clone()), move |bytes: &[u8]| looking.look(bytes));
+        let stream = InspectReader::new(Socket(socket.clone()), move |bytes: &[u8]| {
+            looking.look(bytes)
+        });
         let service = service_fn(|request: Request<Incoming>| {
             let (front, seen) = (self.clone(), seen.clone());
             async move { Ok::<_, Infallible>(front.answer(request, &seen).await) }
@@ -156,8 +175,10 @@
             .auto_date_header(false)
             .max_buf_size(limits.max_header_bytes.max(LEAST_BUFFER))
             .serve_connection(TokioIo::new(stream), service);
-        let (mut called, mut alarm) =
-            (pin!(place.seen.called()), pin!(sleep_until(due(&place.seen, &limits))));
+        let (mut called, mut alarm) = (
+            pin!(place.seen.called()),
+            pin!(sleep_until(due(&place.seen, &limits))),
+        );
         let ended = poll_fn(|cx| {
             if let Poll::Ready(ended) = Pin::new(&mut served).poll(cx) {
                 return Poll::Ready(Some(ended.is_ok()));
@@ -194,7 +215,8 @@
                 if alarm.as_mut().poll(cx).is_pending() {
                     return Poll::Pending;
                 }
-                if Instant::now() >= due && !(place.seen.is_idle() && has_come(socket.as_raw_fd())) {
+                if Instant::now() >= due && !(place.seen.is_idle() && has_come(socket.as_raw_fd()))
+                {
                     return Poll::Ready(None);
                 }
                 alarm.as_mut().reset(due.max(Instant::now() + ACCEPT_PAUSE));
@@ -218,11 +240,15 @@
                 self.whole(whole).await
             }
             // Without a configuration nobody knows how long a body may be.
-            Err(StatusCode::PAYLOAD_TOO_LARGE) if self.hub.routing().is_none() => refused(COME_BACK),
+            Err(StatusCode::PAYLOAD_TOO_LARGE) if self.hub.routing().is_none() => {
+                refused(COME_BACK)
+            }
             Err(status) => plain(status),
         };
         if self.closes() || !seen.may_go_on() {
-            answer.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
+            answer
+                .headers_mut()
+                .insert(CONNECTION, HeaderValue::from_static("close"));
         }
         answer.map(|source| FrontBody::new(source, seen.clone()))
     }
@@ -238,7 +264,11 @@
         if body.size_hint().lower() > most as u64 {
             return Err(StatusCode::PAYLOAD_TOO_LARGE);
         }
-        let expected = body.size_hint().exact().unwrap_or(UNTOLD_BODY).min(most as u64) as usize;
+        let expected = body
+            .size_hint()
+            .exact()
+            .unwrap_or(UNTOLD_BODY)
+            .min(most as u64) as usize;
         // What is held at once is bounded. What has no room is read, or a reset would lose the answer.
         let mut body_room = self.room.body(expected);
         let work_room = self.room.work_unit();
@@ -274,7 +304,9 @@
 
     /// Answers a request that was read whole. It goes by the routes in force now.
     async fn whole(&self, whole: Whole) -> Answer {
-        let Some(table) = self.hub.routing() else { return refused(COME_BACK) };
+        let Some(table) = self.hub.routing() else {
+            return refused(COME_BACK);
+        };
         let path = whole.path_and_query.split('?').next().unwrap_or_default();
         let route = table.route(&whole.host, path);
         let is_lot = route.is_some_and(|(_, terms)| terms.route_type == RouteType::Batch)
@@ -284,7 +316,9 @@
             return self.batch(whole, &table, route).await;
         }
         let id = whole.headers.get(REQUEST_ID).cloned();
-        let Some(id) = id.filter(|id| !id.is_empty()) else { return plain(StatusCode::BAD_REQUEST) };
+        let Some(id) = id.filter(|id| !id.is_empty()) else {
+            return plain(StatusCode::BAD_REQUEST);
+        };
         let Some(target) = self.hub.target(&table, &whole.host, path) else {
             return plain(StatusCode::NOT_FOUND);
         };
@@ -301,7 +335,9 @@
     }
 
     async fn batch(&self, whole: Whole, table: &RoutingTable, route: Option<usize>) -> Answer {
-        let Some(handler) = &self.batch else { return refused(COME_BACK) };
+        let Some(handler) = &self.batch else {
+            return refused(COME_BACK);
+        };
         let call = BatchCall {
             method: whole.method,
             host: whole.host,
@@ -315,7 +351,15 @@
     }
 
     async fn live(&self, whole: Whole, id: HeaderValue, target: Target) -> Answer {
-        let Whole { method, path_and_query, mut headers, body, began, room, .. } = whole;
+        let Whole {
+            method,
+            path_and_query,
+            mut headers,
+            body,
+            began,
+            room,
+            ..
+        } = whole;
         // The same request twice at once would run twice, and nothing can be promised of the one that runs.
         let once = match target.terms.idempotent {
             true => None,
@@ -324,16 +368,27 @@
                 None => return plain(StatusCode::BAD_GATEWAY),
             },
         };
-        let deadline = headers.get(DEADLINE).and_then(|ms| ms.to_str().ok()?.trim().parse::<f64>().ok());
-        let deadline = deadline.filter(|ms| *ms >= 0.0).map_or(f64::INFINITY, |ms| ms / 1e3);
+        let deadline = headers
+            .get(DEADLINE)
+            .and_then(|ms| ms.to_str().ok()?.trim().parse::<f64>().ok());
+        let deadline = deadline
+            .filter(|ms| *ms >= 0.0)
+            .map_or(f64::INFINITY, |ms| ms / 1e3);
         let last_event_id = last_event_id(&headers);
         strip_connection_headers(&mut headers);
         strip_own_headers(&mut headers);
-        let request = ClientRequest { method, target: path_and_query, headers, id, last_event_id };
+        let request = ClientRequest {
+            method,
+            target: path_and_query,
+            headers,
+            id,
+            last_event_id,
+        };
         let new = NewExchange {
             request,
             body,
-            time_budget: (deadline.min(target.terms.timeout) - (self.hub.clock.now() - began)).max(0.0),
+            time_budget: (deadline.min(target.terms.timeout) - (self.hub.clock.now() - began))
+                .max(0.0),
             terms: target.terms,
             service: target.service,
             manner: Manner::Live,
@@ -372,7 +427,9 @@
     let length = body.size_hint().exact().unwrap_or(0).min(most as u64) as usize;
     while let Some(frame) = body.frame().await {
         let frame = frame.map_err(|_| StatusCode::BAD_REQUEST)?;
-        let Ok(data) = frame.into_data() else { continue };
+        let Ok(data) = frame.into_data() else {
+            continue;
+        };
         let so_far = all.as_ref().map_or(first.len(), BytesMut::len);
         if so_far + data.len() > most {
             return Err(StatusCode::PAYLOAD_TOO_LARGE);
--- a/crates/mintlb-dispatcher/src/hub.rs
+++ b/crates/mintlb-dispatcher/src/hub.rs
@@ -63,7 +63,10 @@
     /// Takes a request in that may run once only; none if one with its id is under way here, which would run again.
     pub fn once(self: &Arc<Self>, id: &HeaderValue) -> Option<OnceId> {
         let is_new = self.once_ids.lock().insert(id.clone());
-        is_new.then(|| OnceId { hub: self.clone(), id: id.clone() })
+        is_new.then(|| OnceId {
+            hub: self.clone(),
+            id: id.clone(),
+        })
     }
 
     /// The routes in force, once a configuration is known.
--- a/crates/mintlb-dispatcher/src/intake.rs
+++ b/crates/mintlb-dispatcher/src/intake.rs
@@ -106,21 +106,46 @@
 
     /// Whether workers of some service of the item's route take requests.
     pub fn has_workers(&self, host: &str, path: &str) -> bool {
-        let target = self.hub.routing().and_then(|table| self.hub.target(&table, host, path));
+        let target = self
+            .hub
+            .routing()
+            .and_then(|table| self.hub.target(&table, host, path));
         target.is_some_and(|target| self.hub.workers.serves(&target.service))
     }
 
     /// Runs an item. Dropped, the run ends.
     pub fn run(&self, item: ItemRequest) -> ItemRun {
-        let target = self.hub.routing().and_then(|table| self.hub.target(&table, &item.host, &item.path));
-        let Some(target) = target else { return ItemRun { exchange: None, status: None } };
-        let ItemRequest { host, path, id, mut headers, body, time, last_event_id } = item;
+        let target = self
+            .hub
+            .routing()
+            .and_then(|table| self.hub.target(&table, &item.host, &item.path));
+        let Some(target) = target else {
+            return ItemRun {
+                exchange: None,
+                status: None,
+            };
+        };
+        let ItemRequest {
+            host,
+            path,
+            id,
+            mut headers,
+            body,
+            time,
+            last_event_id,
+        } = item;
         strip_connection_headers(&mut headers);
         strip_own_headers(&mut headers);
         if let Ok(host) = HeaderValue::from_str(&host) {
             headers.insert("host", host);
         }
-        let request = ClientRequest { method: Method::POST, target: path, headers, id, last_event_id };
+        let request = ClientRequest {
+            method: Method::POST,
+            target: path,
+            headers,
+            id,
+            last_event_id,
+        };
         let new = NewExchange {
             request,
             body,
@@ -130,7 +155,10 @@
             project_type: target.project_type,
             time_budget: time.as_secs_f64(),
         };
-        ItemRun { exchange: Some(Exchange::start(&self.hub, new)), status: None }
+        ItemRun {
+            exchange: Some(Exchange::start(&self.hub, new)),
+            status: None,
+        }
     }
 }
 
@@ -144,14 +172,18 @@
 impl ItemRun {
     /// What comes next. After [`ItemStep::Ended`] it is not to be called again.
     pub async fn next(&mut self) -> ItemStep {
-        let Some(exchange) = self.exchange.clone() else { return ItemStep::Ended(ItemOutcome::NoRoute) };
+        let Some(exchange) = self.exchange.clone() else {
+            return ItemStep::Ended(ItemOutcome::NoRoute);
+        };
         let status = match self.status {
             Some(status) => status,
             None => match poll_fn(|cx| exchange.poll_head(cx)).await {
                 Ok(head) => *self.status.insert(head.status),
                 Err(Refusal::NotRun(_)) => return ItemStep::Ended(ItemOutcome::Refused),
                 Err(Refusal::Unknown | Refusal::TimedOut) => {
-                    return ItemStep::Ended(ItemOutcome::Broken { last_event_id: exchange.last_event() });
+                    return ItemStep::Ended(ItemOutcome::Broken {
+                        last_event_id: exchange.last_event(),
+                    });
                 }
             },
         };
@@ -164,7 +196,9 @@
                 }
                 Piece::Complete => return ItemStep::Ended(ItemOutcome::Completed),
                 Piece::Broken => {
-                    return ItemStep::Ended(ItemOutcome::Broken { last_event_id: exchange.last_event() });
+                    return ItemStep::Ended(ItemOutcome::Broken {
+                        last_event_id: exchange.last_event(),
+                    });
                 }
             }
         }
@@ -172,7 +206,9 @@
 
     /// The last event that came, or that was known before.
     pub fn last_event_id(&self) -> Option<u64> {
-        self.exchange.as_ref().and_then(|exchange| exchange.last_event())
+        self.exchange
+            .as_ref()
+            .and_then(|exchange| exchange.last_event())
     }
 }
 
@@ -192,5 +228,11 @@
 
 /// The last event that a client says it has.
 pub fn last_event_id(headers: &HeaderMap) -> Option<u64> {
-    headers.get(LAST_EVENT_ID)?.to_str().ok()?.trim().parse().ok()
+    headers
+        .get(LAST_EVENT_ID)?
+        .to_str()
+        .ok()?
+        .trim()
+        .parse()
+        .ok()
 }
--- a/crates/mintlb-dispatcher/src/knowledge.rs
+++ b/crates/mintlb-dispatcher/src/knowledge.rs
@@ -27,9 +27,15 @@
 pub fn read(record: &Record) -> Option<Known> {
     if record.key == CONFIGURATION {
         return match Configuration::parse(&record.body) {
-            Ok(configuration) => Some(Known::Configuration(record.version, Arc::new(configuration))),
+            Ok(configuration) => Some(Known::Configuration(
+                record.version,
+                Arc::new(configuration),
+            )),
             Err(error) => {
-                log::warn!("dispatch: configuration {} can't be used: {error}", record.version);
+                log::warn!(
+                    "dispatch: configuration {} can't be used: {error}",
+                    record.version
+                );
                 None
             }
         };
@@ -55,7 +61,10 @@
     /// For these zones.
     pub fn new<'a>(zones: impl Iterator<Item = &'a String>) -> Numbering {
         let zones = zones.cloned().zip(0..).collect();
-        Numbering { zones, services: ServiceNumbers::default() }
+        Numbering {
+            zones,
+            services: ServiceNumbers::default(),
+        }
     }
 
     /// The number of a zone. One that is not known is far from all others.
@@ -65,9 +74,18 @@
 
     /// What the reducer has to hear of a worker.
     pub fn worker_event(&mut self, hub: &Hub, record: &WorkerRecord) -> Option<Event> {
-        let numbers = LineNumbers { zone: self.zone(&record.zone), kind: self.services.of(&record.service) };
-        let member = hub.workers.hear(record, numbers, |entry| Arc::new(Way(entry)))?;
-        let told = Told { source: Source::List, full: false, members: vec![member] };
+        let numbers = LineNumbers {
+            zone: self.zone(&record.zone),
+            kind: self.services.of(&record.service),
+        };
+        let member = hub
+            .workers
+            .hear(record, numbers, |entry| Arc::new(Way(entry)))?;
+        let told = Told {
+            source: Source::List,
+            full: false,
+            members: vec![member],
+        };
         Some(Event::Members(None, told))
     }
 }
--- a/crates/mintlb-dispatcher/src/load.rs
+++ b/crates/mintlb-dispatcher/src/load.rs
@@ -22,10 +22,21 @@
 impl Load {
     /// Reads `RUNNING,WAITING,SLOTS`.
     pub fn read(header: &str) -> Option<Load> {
-        let figures: Vec<f64> = header.split(',').map_while(|figure| figure.trim().parse().ok()).collect();
-        let [running, waiting, slots] = figures[..] else { return None };
-        let good = figures.iter().all(|figure| figure.is_finite() && *figure >= 0.0);
-        good.then_some(Load { running, waiting, slots })
+        let figures: Vec<f64> = header
+            .split(',')
+            .map_while(|figure| figure.trim().parse().ok())
+            .collect();
+        let [running, waiting, slots] = figures[..] else {
+            return None;
+        };
+        let good = figures
+            .iter()
+            .all(|figure| figure.is_finite() && *figure >= 0.0);
+        good.then_some(Load {
+            running,
+            waiting,
+            slots,
+        })
     }
 
     /// Places that are free.
@@ -45,7 +56,11 @@
 impl KnownLoad {
     /// The worker says this at `now` (seconds of the clock).
     pub fn told(&mut self, load: Load, now: f64) {
-        *self = KnownLoad { told: load, told_at: now, sent_since: 0.0 };
+        *self = KnownLoad {
+            told: load,
+            told_at: now,
+            sent_since: 0.0,
+        };
     }
 
     /// A request was sent there.
@@ -62,7 +77,11 @@
     /// dispatcher are there.
     pub fn has_place_for_item(&self, now: f64, own: f64) -> bool {
         let most = self.told.slots * (1.0 - LIVE_SHARE);
-        let taken = if self.is_fresh(now) { self.taken() } else { own };
+        let taken = if self.is_fresh(now) {
+            self.taken()
+        } else {
+            own
+        };
         self.told.slots == 0.0 || taken < most
     }
 
--- a/crates/mintlb-dispatcher/src/permits.rs
+++ b/crates/mintlb-dispatcher/src/permits.rs
@@ -33,14 +33,21 @@
 
     /// Connections that this dispatcher may have to one worker.
     fn connections(&self, service: ServiceTerms) -> usize {
-        let share = f64::from(service.max_connections) * CONNECTION_SHARE / self.hub.dispatchers() as f64;
-        if service.max_connections == 0 { usize::MAX } else { (share as usize).max(LEAST_CONNECTIONS) }
+        let share =
+            f64::from(service.max_connections) * CONNECTION_SHARE / self.hub.dispatchers() as f64;
+        if service.max_connections == 0 {
+            usize::MAX
+        } else {
+            (share as usize).max(LEAST_CONNECTIONS)
+        }
     }
 
     /// Whether one more request fits there.
     fn fits(&self, worker: &WorkerEntry, prompt: Option<Prompt>, service: ServiceTerms) -> bool {
         let tokens = prompt.map_or(0, |prompt| prompt.tokens);
-        let memory = service.kv_cache_tokens.map_or(u64::MAX, |all| (all as f64 * MEMORY_SHARE) as u64);
+        let memory = service
+            .kv_cache_tokens
+            .map_or(u64::MAX, |all| (all as f64 * MEMORY_SHARE) as u64);
         let in_memory = worker.tokens() == 0 || worker.tokens() + tokens <= memory;
         worker.in_service() && in_memory && worker.requests() < self.connections(service)
     }
@@ -57,15 +64,24 @@
         let rank = || workers.with_service(&worker.service, |ids| preferred(prompt.subject, ids));
         let best = exchange.preferred(workers.age(), rank);
         let others = || best.iter().flatten().filter_map(|id| workers.get(*id));
-        !best.contains(&Some(worker.id)) && others().any(|other| self.fits(&other, Some(prompt), service))
+        !best.contains(&Some(worker.id))
+            && others().any(|other| self.fits(&other, Some(prompt), service))
     }
 }
 
 impl Permit for Permits {
     fn permits(&self, now: f64, wu: &WorkUnit, payload: &Payload, worker: &Worker) -> Permission {
-        let Some(exchange) = payload.own.downcast_ref::<Exchange>() else { return Permission::Granted };
-        let Some(entry) = self.hub.workers.get(worker.line.id) else { return Permission::Refused };
-        let service = self.hub.routing().map(|table| table.service(&entry.service)).unwrap_or_default();
+        let Some(exchange) = payload.own.downcast_ref::<Exchange>() else {
+            return Permission::Granted;
+        };
+        let Some(entry) = self.hub.workers.get(worker.line.id) else {
+            return Permission::Refused;
+        };
+        let service = self
+            .hub
+            .routing()
+            .map(|table| table.service(&entry.service))
+            .unwrap_or_default();
         if !exchange.may_be_sent() || !self.fits(&entry, exchange.prompt, service) {
             return Permission::Refused;
         }
@@ -81,7 +97,8 @@
             return Permission::Refused;
         }
         let patience = wu.arrived + exchange.terms.target * WAIT_SHARE;
-        let looks = exchange.terms.session_affinity && exchange.manner == Manner::Live && now < patience;
+        let looks =
+            exchange.terms.session_affinity && exchange.manner == Manner::Live && now < patience;
         match exchange.prompt.filter(|prompt| looks && prompt.is_long()) {
             Some(prompt) if self.has_better(exchange, prompt, &entry, service) => {
                 Permission::NotBefore(patience)
--- a/crates/mintlb-dispatcher/src/prompts.rs
+++ b/crates/mintlb-dispatcher/src/prompts.rs
@@ -22,14 +22,24 @@
 impl Prompt {
     /// Reads `Mintlb-Prompt-Prefix` (`ID:TOKENS,...`) and `Mintlb-Token-Usage` (`PROMPT,OUT`).
     pub fn read(prefix: Option<&str>, usage: Option<&str>) -> Option<Prompt> {
-        let parts: Vec<(&str, u64)> = prefix.unwrap_or_default().split(',').filter_map(part).collect();
+        let parts: Vec<(&str, u64)> = prefix
+            .unwrap_or_default()
+            .split(',')
+            .filter_map(part)
+            .collect();
         let shared = &parts[..parts.len().saturating_sub(1)];
-        let subject = shared.iter().fold(HASH_START, |hash, (id, _)| hash_bytes(hash, id.as_bytes()));
+        let subject = shared
+            .iter()
+            .fold(HASH_START, |hash, (id, _)| hash_bytes(hash, id.as_bytes()));
         let used = usage.map(|usage| usage.split(',').filter_map(number).sum());
         let in_parts = parts.iter().map(|(_, tokens)| tokens).sum();
         let tokens = used.unwrap_or(0).max(in_parts);
         let shared_tokens = shared.iter().map(|(_, tokens)| tokens).sum();
-        (tokens > 0).then_some(Prompt { subject, shared_tokens, tokens })
+        (tokens > 0).then_some(Prompt {
+            subject,
+            shared_tokens,
+            tokens,
+        })
     }
 
     /// Whether it matters which worker has its shared parts.
@@ -52,7 +62,9 @@
 fn hash_bytes(hash: u64, bytes: &[u8]) -> u64 {
     // A byte that no part holds separates them.
     let bytes = bytes.iter().chain(std::iter::once(&0xff));
-    bytes.fold(hash, |hash, byte| (hash ^ u64::from(*byte)).wrapping_mul(0x0100_0000_01b3))
+    bytes.fold(hash, |hash, byte| {
+        (hash ^ u64::from(*byte)).wrapping_mul(0x0100_0000_01b3)
+    })
 }
 
 /// How a subject ranks a worker; the same everywhere.
--- a/crates/mintlb-dispatcher/src/request.rs
+++ b/crates/mintlb-dispatcher/src/request.rs
@@ -34,7 +34,15 @@
     for name in named {
         headers.remove(name);
     }
-    for own in [CONNECTION, CONTENT_LENGTH, TE, TRAILER, TRANSFER_ENCODING, UPGRADE, EXPECT] {
+    for own in [
+        CONNECTION,
+        CONTENT_LENGTH,
+        TE,
+        TRAILER,
+        TRANSFER_ENCODING,
+        UPGRADE,
+        EXPECT,
+    ] {
         headers.remove(own);
     }
     for own in ["keep-alive", "proxy-connection"] {
@@ -60,7 +68,10 @@
 /// The bytes of a request to this worker; `left` are the seconds that it has.
 pub fn bytes(exchange: &Exchange, instance_id: &str, left: f64) -> RequestBytes {
     let request = &exchange.request;
-    let headers = request.headers.iter().map(|(name, value)| name.as_str().len() + value.len() + 4);
+    let headers = request
+        .headers
+        .iter()
+        .map(|(name, value)| name.as_str().len() + value.len() + 4);
     let most = headers.sum::<usize>() + request.target.len() + exchange.body.len() + 320;
     let mut bytes = Vec::with_capacity(most);
     bytes.extend_from_slice(request.method.as_str().as_bytes());
@@ -75,15 +86,26 @@
     let left = (left * 1e3).max(1.0) as u64;
     put(&mut bytes, DEADLINE, HeaderValue::from(left).as_bytes());
     if let Some(last) = exchange.last_event() {
-        put(&mut bytes, LAST_EVENT_ID, HeaderValue::from(last).as_bytes());
+        put(
+            &mut bytes,
+            LAST_EVENT_ID,
+            HeaderValue::from(last).as_bytes(),
+        );
     }
     if !exchange.body.is_empty() || !matches!(request.method, Method::GET | Method::HEAD) {
-        put(&mut bytes, CONTENT_LENGTH.as_str(), HeaderValue::from(exchange.body.len()).as_bytes());
+        put(
+            &mut bytes,
+            CONTENT_LENGTH.as_str(),
+            HeaderValue::from(exchange.body.len()).as_bytes(),
+        );
     }
     bytes.extend_from_slice(b"\r\n");
     let head_length = bytes.len();
     bytes.extend_from_slice(&exchange.body);
-    RequestBytes { bytes: bytes.into(), head_length }
+    RequestBytes {
+        bytes: bytes.into(),
+        head_length,
+    }
 }
 
 fn put(bytes: &mut Vec<u8>, name: &str, value: &[u8]) {
--- a/crates/mintlb-dispatcher/src/routing.rs
+++ b/crates/mintlb-dispatcher/src/routing.rs
@@ -98,7 +98,8 @@
 impl RoutingTable {
     /// Builds the table; `types` are the project types as the reducer numbers them.
     pub fn new(configuration: Arc<Configuration>, types: &[Named]) -> RoutingTable {
-        let by_name: FxHashMap<&str, usize> = types.iter().map(|t| (t.name.as_str(), t.number)).collect();
+        let by_name: FxHashMap<&str, usize> =
+            types.iter().map(|t| (t.name.as_str(), t.number)).collect();
         let mut hosts: FxHashMap<String, Vec<RouteEntry>> = FxHashMap::default();
         let mut numbers = FxHashMap::default();
         for (index, route) in configuration.route_list.iter().enumerate() {
@@ -106,22 +107,43 @@
             let (mut so_far, mut shares) = (0.0, Vec::new());
             for (service, weight) in route.targets().filter(|(_, weight)| *weight > 0.0) {
                 so_far += weight / sum;
-                let Some(number) = by_name.get(type_name(&route.name, service).as_str()) else { continue };
+                let Some(number) = by_name.get(type_name(&route.name, service).as_str()) else {
+                    continue;
+                };
                 numbers.insert((route.name.clone(), service.to_string()), *number);
                 shares.push((so_far, Arc::from(service), *number));
             }
             let terms = Arc::new(RouteTerms::new(route));
-            let entry = RouteEntry { prefix: route.path_prefix.clone(), index, terms, shares };
-            hosts.entry(route.host_name.to_ascii_lowercase()).or_default().push(entry);
+            let entry = RouteEntry {
+                prefix: route.path_prefix.clone(),
+                index,
+                terms,
+                shares,
+            };
+            hosts
+                .entry(route.host_name.to_ascii_lowercase())
+                .or_default()
+                .push(entry);
         }
         for entries in hosts.values_mut() {
             entries.sort_by_key(|entry| std::cmp::Reverse(entry.prefix.len()));
         }
         let services = configuration.service_list.iter().map(|service| {
             let kv_cache_tokens = service.engine.as_ref().map(|engine| engine.kv_cache_tokens);
-            (service.name.clone(), ServiceTerms { max_connections: service.max_connections, kv_cache_tokens })
+            (
+                service.name.clone(),
+                ServiceTerms {
+                    max_connections: service.max_connections,
+                    kv_cache_tokens,
+                },
+            )
         });
-        RoutingTable { services: services.collect(), configuration, hosts, numbers }
+        RoutingTable {
+            services: services.collect(),
+            configuration,
+            hosts,
+            numbers,
+        }
     }
 
     /// What the workers of this service bear.
@@ -131,13 +153,17 @@
 
     fn entry(&self, host: &str, path: &str) -> Option<&RouteEntry> {
         let name = host.rsplit_once(':').map_or(host, |(name, _)| name);
-        let entries = self.hosts.get(name).or_else(|| self.hosts.get(&name.to_ascii_lowercase()))?;
+        let entries = self
+            .hosts
+            .get(name)
+            .or_else(|| self.hosts.get(&name.to_ascii_lowercase()))?;
         entries.iter().find(|entry| path.starts_with(&entry.prefix))
     }
 
     /// The place in the configuration's list, and the terms, of the route of a request.
     pub fn route(&self, host: &str, path: &str) -> Option<(usize, &Arc<RouteTerms>)> {
-        self.entry(host, path).map(|entry| (entry.index, &entry.terms))
+        self.entry(host, path)
+            .map(|entry| (entry.index, &entry.terms))
     }
 
     /// Where a request goes; `draw`, from 0 up to 1, picks one of the services that share the route. One that has no
@@ -150,18 +176,40 @@
         has_workers: impl Fn(&str) -> bool,
     ) -> Option<Target> {
         let entry = self.entry(host, path)?;
-        let drawn = entry.shares.iter().find(|(up_to, ..)| draw < *up_to).or(entry.shares.last())?;
-        let others = || entry.shares.iter().find(|(_, service, _)| has_workers(service));
+        let drawn = entry
+            .shares
+            .iter()
+            .find(|(up_to, ..)| draw < *up_to)
+            .or(entry.shares.last())?;
+        let others = || {
+            entry
+                .shares
+                .iter()
+                .find(|(_, service, _)| has_workers(service))
+        };
         let is_good = entry.shares.len() == 1 || has_workers(&drawn.1);
-        let share = if is_good { drawn } else { others().unwrap_or(drawn) };
-        Some(Target { terms: entry.terms.clone(), service: share.1.clone(), project_type: share.2 })
+        let share = if is_good {
+            drawn
+        } else {
+            others().unwrap_or(drawn)
+        };
+        Some(Target {
+            terms: entry.terms.clone(),
+            service: share.1.clone(),
+            project_type: share.2,
+        })
     }
 
     /// The project type of a route and a service: that of this route, or of another route to the service if this one is
     /// gone.
     pub fn type_of(&self, route: &str, service: &str) -> Option<usize> {
         let own = self.numbers.get(&(route.to_string(), service.to_string()));
-        own.or_else(|| self.numbers.iter().find(|((_, to), _)| to == service).map(|(_, number)| number))
-            .copied()
+        own.or_else(|| {
+            self.numbers
+                .iter()
+                .find(|((_, to), _)| to == service)
+                .map(|(_, number)| number)
+        })
+        .copied()
     }
 }
--- a/crates/mintlb-dispatcher/src/run.rs
+++ b/crates/mintlb-dispatcher/src/run.rs
@@ -24,7 +24,9 @@
 
 /// Runs a dispatcher until SIGTERM.
 pub fn run(settings: NodeSettings) -> Result<(), DispatchError> {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()?;
     runtime.block_on(serve(settings))
 }
 
@@ -32,10 +34,21 @@
     // What changes in the settings of a dispatcher holds from its next start.
     let mut signals = Signals::install()?;
     let addresses = &settings.listen_addresses;
-    let frontend = listen(addresses.frontend.ok_or(DispatchError::NoAddress("frontend"))?)?;
-    let readiness = listen(addresses.readiness.ok_or(DispatchError::NoAddress("readiness"))?)?;
+    let frontend = listen(
+        addresses
+            .frontend
+            .ok_or(DispatchError::NoAddress("frontend"))?,
+    )?;
+    let readiness = listen(
+        addresses
+            .readiness
+            .ok_or(DispatchError::NoAddress("readiness"))?,
+    )?;
     let internal = settings.internal_address(InternalPort::Dispatcher);
-    let cause = |cause| DispatchError::Listen { address: internal, cause };
+    let cause = |cause| DispatchError::Listen {
+        address: internal,
+        cause,
+    };
     let transport = Transport::start(internal).await.map_err(cause)?;
     let member = Member {
         address: internal,
@@ -52,7 +65,12 @@
     let grants = grants(&settings, transport.incarnation());
     let holder = grants.seed;
     let mut dispatcher = Dispatcher::new(grants);
-    dispatcher.batch = Some(batch::start(transport, overlay.clone(), dispatcher.intake(), holder));
+    dispatcher.batch = Some(batch::start(
+        transport,
+        overlay.clone(),
+        dispatcher.intake(),
+        holder,
+    ));
     let tell = dispatcher.tell.clone();
     overlay.subscribe(Arc::new(move |record: &Record| {
         if let Some(known) = knowledge::read(record) {
@@ -65,7 +83,11 @@
         tell.send(Known::Joined).ok();
     });
     tokio::spawn(estimate(overlay, dispatcher.hub.clone()));
-    log::info!("dispatch: {} serves on {:?}", settings.node_name, addresses.frontend);
+    log::info!(
+        "dispatch: {} serves on {:?}",
+        settings.node_name,
+        addresses.frontend
+    );
     dispatcher
         .serve(frontend, readiness, async move {
             signals.stop().await;
@@ -77,7 +99,11 @@
 /// Keeps the number of dispatchers that share the workers.
 async fn estimate(overlay: Arc<Overlay>, hub: Arc<Hub>) {
     loop {
-        let others = overlay.members().iter().filter(|member| member.role == Role::Dispatcher).count();
+        let others = overlay
+            .members()
+            .iter()
+            .filter(|member| member.role == Role::Dispatcher)
+            .count();
         hub.take_dispatchers(others + 1);
         sleep(ESTIMATE).await;
     }
--- a/crates/mintlb-dispatcher/src/tuning.rs
+++ b/crates/mintlb-dispatcher/src/tuning.rs
@@ -66,10 +66,14 @@
     let batch = route.route_type == RouteType::Batch;
     let rank = RANK_WEIGHT.powi((MOST_RANK - route.priority.min(MOST_RANK)) as i32);
     let seconds = |ms: u64| ms as f64 / 1e3;
-    let target = Some(route.target_latency_ms).filter(|ms| *ms > 0).map_or(USUAL_TARGET, seconds);
+    let target = Some(route.target_latency_ms)
+        .filter(|ms| *ms > 0)
+        .map_or(USUAL_TARGET, seconds);
     let (promise, hard_limit) = match batch {
         true => {
-            let due = route.completion_target_ms.map_or(LONGEST_ITEM / 4.0, seconds);
+            let due = route
+                .completion_target_ms
+                .map_or(LONGEST_ITEM / 4.0, seconds);
             (due, LONGEST_ITEM.max(2.0 * due))
         }
         false => (target, route.timeout_ms.map_or(4.0 * target, seconds)),
@@ -80,24 +84,40 @@
         promised_turnaround: promise,
         stretch: 1.0,
         hard_limit,
-        effect: if route.is_idempotent() { Effect::Rerunnable } else { Effect::Exclusive },
+        effect: if route.is_idempotent() {
+            Effect::Rerunnable
+        } else {
+            Effect::Exclusive
+        },
         kind: Some(kind),
     }
 }
 
 /// The terms under which requests of all routes are sent.
 pub fn terms() -> Terms {
-    Terms { repeats: repeats(), excess_credit: 1.0, come_back: COME_BACK, costs: costs() }
+    Terms {
+        repeats: repeats(),
+        excess_credit: 1.0,
+        come_back: COME_BACK,
+        costs: costs(),
+    }
 }
 
 /// What may be sent again: one send at a time, within the module's own bound.
 pub fn repeats() -> Repeats {
-    Repeats { parallel: false, may_recall: true, most_allocations: MOST_SENDS }
+    Repeats {
+        parallel: false,
+        may_recall: true,
+        most_allocations: MOST_SENDS,
+    }
 }
 
 /// What costs points.
 pub fn costs() -> Costs {
-    Costs { crossing: CROSSING, message: None }
+    Costs {
+        crossing: CROSSING,
+        message: None,
+    }
 }
 
 /// How long clients heed advice on when to come back, in s.
--- a/crates/mintlb-dispatcher/src/wire.rs
+++ b/crates/mintlb-dispatcher/src/wire.rs
@@ -49,7 +49,11 @@
     pub fn take(bytes: &mut BytesMut) -> Result<Option<AnswerHead>, Garbled> {
         loop {
             let Some((length, head)) = parse(bytes)? else {
-                return if bytes.len() > MOST_HEAD_BYTES { Err(Garbled("a long head")) } else { Ok(None) };
+                return if bytes.len() > MOST_HEAD_BYTES {
+                    Err(Garbled("a long head"))
+                } else {
+                    Ok(None)
+                };
             };
             bytes.advance(length);
             if let Some(head) = head {
@@ -61,7 +65,9 @@
     /// After how long of idleness the worker says that it closes the connection.
     pub fn keep_alive(&self) -> Option<Duration> {
         let value = self.headers.get("keep-alive")?.to_str().ok()?;
-        let seconds = value.split(',').find_map(|part| part.trim().strip_prefix("timeout="))?;
+        let seconds = value
+            .split(',')
+            .find_map(|part| part.trim().strip_prefix("timeout="))?;
         Some(Duration::from_secs(seconds.trim().parse().ok()?))
     }
 }
@@ -85,14 +91,27 @@
     }
     let mut map = HeaderMap::with_capacity(answer.headers.len());
     for header in answer.headers.iter() {
-        let name = HeaderName::from_bytes(header.name.as_bytes()).map_err(|_| Garbled("a header's name"))?;
-        let value = HeaderValue::from_bytes(header.value).map_err(|_| Garbled("a header's value"))?;
+        let name = HeaderName::from_bytes(header.name.as_bytes())
+            .map_err(|_| Garbled("a header's name"))?;
+        let value =
+            HeaderValue::from_bytes(header.value).map_err(|_| Garbled("a header's value"))?;
         map.append(name, value);
     }
     let framing = framing(status, &map)?;
-    let closes = map.get_all(CONNECTION).iter().any(|value| has_token(value, "close"));
+    let closes = map
+        .get_all(CONNECTION)
+        .iter()
+        .any(|value| has_token(value, "close"));
     let keeps_alive = answer.version == Some(1) && !closes && framing != Framing::UntilClose;
-    Ok(Some((length, Some(AnswerHead { status, headers: map, framing, keeps_alive }))))
+    Ok(Some((
+        length,
+        Some(AnswerHead {
+            status,
+            headers: map,
+            framing,
+            keeps_alive,
+        }),
+    )))
 }
 
 fn framing(status: StatusCode, headers: &HeaderMap) -> Result<Framing, Garbled> {
@@ -107,12 +126,23 @@
     }
     if let Some(coding) = coding {
         let chunked = coding.as_bytes().eq_ignore_ascii_case(b"chunked");
-        return if chunked { Ok(Framing::Chunked) } else { Err(Garbled("an unknown coding")) };
+        return if chunked {
+            Ok(Framing::Chunked)
+        } else {
+            Err(Garbled("an unknown coding"))
+        };
     }
-    let Some(length) = length else { return Ok(Framing::UntilClose) };
+    let Some(length) = length else {
+        return Ok(Framing::UntilClose);
+    };
     let digits = length.as_bytes();
-    let number = std::str::from_utf8(digits).ok().and_then(|digits| digits.parse().ok());
-    number.filter(|_| digits.iter().all(u8::is_ascii_digit)).map(Framing::Length).ok_or(Garbled("a length"))
+    let number = std::str::from_utf8(digits)
+        .ok()
+        .and_then(|digits| digits.parse().ok());
+    number
+        .filter(|_| digits.iter().all(u8::is_ascii_digit))
+        .map(Framing::Length)
+        .ok_or(Garbled("a length"))
 }
 
 /// Whether a list of tokens names this one.
@@ -180,7 +210,11 @@
                 At::Chunk(left) => {
                     let piece = split(bytes, left);
                     let left = left - piece.len() as u64;
-                    self.at = if left == 0 { At::ChunkEnd } else { At::Chunk(left) };
+                    self.at = if left == 0 {
+                        At::ChunkEnd
+                    } else {
+                        At::Chunk(left)
+                    };
                     return Ok(Some(piece));
                 }
                 At::ChunkEnd => match line(bytes)? {
@@ -212,8 +246,16 @@
 
 /// The next line, without its end, if it is whole.
 fn line(bytes: &mut BytesMut) -> Result<Option<BytesMut>, Garbled> {
-    let Some(end) = bytes.iter().take(MOST_LINE_BYTES).position(|byte| *byte == b'\n') else {
-        return if bytes.len() >= MOST_LINE_BYTES { Err(Garbled("a long line")) } else { Ok(None) };
+    let Some(end) = bytes
+        .iter()
+        .take(MOST_LINE_BYTES)
+        .position(|byte| *byte == b'\n')
+    else {
+        return if bytes.len() >= MOST_LINE_BYTES {
+            Err(Garbled("a long line"))
+        } else {
+            Ok(None)
+        };
     };
     let mut line = bytes.split_to(end + 1);
     if !line.ends_with(b"\r\n") {
@@ -224,8 +266,13 @@
 }
 
 fn chunk_size(line: &[u8]) -> Result<u64, Garbled> {
-    let digits = line.split(|byte| *byte == b';').next().unwrap_or_default().trim_ascii();
+    let digits = line
+        .split(|byte| *byte == b';')
+        .next()
+        .unwrap_or_default()
+        .trim_ascii();
     let good = !digits.is_empty() && digits.len() <= 15 && digits.iter().all(u8::is_ascii_hexdigit);
     let text = std::str::from_utf8(digits).ok().filter(|_| good);
-    text.and_then(|text| u64::from_str_radix(text, 16).ok()).ok_or(Garbled("a chunk's size"))
+    text.and_then(|text| u64::from_str_radix(text, 16).ok())
+        .ok_or(Garbled("a chunk's size"))
 }
--- a/crates/mintlb-dispatcher/src/workers.rs
+++ b/crates/mintlb-dispatcher/src/workers.rs
@@ -87,7 +87,10 @@
         self.requests.fetch_add(1, Relaxed);
         self.tokens.fetch_add(tokens, Relaxed);
         self.load.lock().sent();
-        Occupied { worker: self.clone(), tokens }
+        Occupied {
+            worker: self.clone(),
+            tokens,
+        }
     }
 }
 
@@ -134,22 +137,35 @@
 
     /// How many workers take requests.
     pub fn in_service(&self) -> usize {
-        self.entries.lock().values().filter(|entry| entry.in_service()).count()
+        self.entries
+            .lock()
+            .values()
+            .filter(|entry| entry.in_service())
+            .count()
     }
 
     /// Whether a worker of this service takes requests.
     pub fn serves(&self, service: &str) -> bool {
-        self.entries.lock().values().any(|entry| entry.service == service && entry.in_service())
+        self.entries
+            .lock()
+            .values()
+            .any(|entry| entry.service == service && entry.in_service())
     }
 
     /// Whether another worker of its service takes requests.
     pub fn has_other(&self, worker: &WorkerEntry) -> bool {
         let entries = self.entries.lock();
-        entries.values().any(|e| e.id != worker.id && e.service == worker.service && e.in_service())
+        entries
+            .values()
+            .any(|e| e.id != worker.id && e.service == worker.service && e.in_service())
     }
 
     /// Calls this with the numbers of all workers of a service that take requests.
-    pub fn with_service<T>(&self, service: &str, call: impl FnOnce(&mut dyn Iterator<Item = u64>) -> T) -> T {
+    pub fn with_service<T>(
+        &self,
+        service: &str,
+        call: impl FnOnce(&mut dyn Iterator<Item = u64>) -> T,
+    ) -> T {
         let entries = self.entries.lock();
         let ready = |entry: &&Arc<WorkerEntry>| entry.service == service && entry.in_service();
         call(&mut entries.values().filter(ready).map(|entry| entry.id))
@@ -157,7 +173,10 @@
 
     /// Closes idle connections that will not be used again.
     pub fn sweep(&self) {
-        self.entries.lock().values().for_each(|entry| entry.pool.sweep(!entry.in_service()));
+        self.entries
+            .lock()
+            .values()
+            .for_each(|entry| entry.pool.sweep(!entry.in_service()));
     }
 
     /// Takes a record in, and gives what the reducer has to hear of it. Nothing for a record that can't be used.
@@ -193,7 +212,9 @@
                 entry
             }
         };
-        entry.in_service.store(record.state == WorkerState::InService, Relaxed);
+        entry
+            .in_service
+            .store(record.state == WorkerState::InService, Relaxed);
         let silent = record.state == WorkerState::Silent;
         let since = silent.then(|| entry.silent_since.lock().unwrap_or_else(Instant::now));
         *entry.silent_since.lock() = since;
@@ -208,7 +229,12 @@
             WorkerState::Gone => Listed::Gone,
         };
         let (name, line) = (record.instance_id.clone(), entry.line(listed));
-        Some(Member { name, line, host: address.map(|address| address.ip()), reach: Some(reach(entry)) })
+        Some(Member {
+            name,
+            line,
+            host: address.map(|address| address.ip()),
+            reach: Some(reach(entry)),
+        })
     }
 
     /// Forgets the workers that have been silent for long and have none of our requests: one that comes back has to
@@ -219,8 +245,13 @@
             let since = *entry.silent_since.lock();
             entry.requests() == 0 && since.is_some_and(|since| since.elapsed() >= FORGOTTEN)
         };
-        let over: Vec<_> = entries.values().filter(|entry| is_over(entry)).cloned().collect();
-        over.iter().for_each(|entry| drop(entries.remove(&entry.id)));
+        let over: Vec<_> = entries
+            .values()
+            .filter(|entry| is_over(entry))
+            .cloned()
+            .collect();
+        over.iter()
+            .for_each(|entry| drop(entries.remove(&entry.id)));
         let member = |entry: &Arc<WorkerEntry>| Member {
             name: entry.instance_id.clone(),
             line: entry.line(Listed::Gone),
--- a/crates/mintlb-dispatcher/tests/batch.rs
+++ b/crates/mintlb-dispatcher/tests/batch.rs
@@ -13,7 +13,10 @@
 
 fn items(requests: &str) -> Result<Vec<Item>, submission::SubmissionError> {
     let configuration = Configuration::parse(CONFIGURATION.as_bytes()).unwrap();
-    submission::parse(format!("{{\"requests\":{requests}}}").as_bytes(), &configuration.route_list[0])
+    submission::parse(
+        format!("{{\"requests\":{requests}}}").as_bytes(),
+        &configuration.route_list[0],
+    )
 }
 
 #[test]
@@ -23,7 +26,10 @@
     );
     let read = read.unwrap();
     assert_eq!(read[0].instance_id, "e5");
-    assert_eq!(read[0].headers, [("Mintlb-Model".to_string(), "m".to_string())]);
+    assert_eq!(
+        read[0].headers,
+        [("Mintlb-Model".to_string(), "m".to_string())]
+    );
     assert_eq!(&read[0].body[..], [0xab, 0xcd, 0xef, 0x12]);
     assert_eq!(read[0].tokens, 940);
 }
@@ -36,12 +42,30 @@
             "requests[1].instance_id",
         ),
         (r#"[{"instance_id":"a","path":"/q/1"}]"#, "requests[0].path"),
-        (r#"[{"instance_id":"a","path":"/p/ 1"}]"#, "requests[0].path"),
-        (r#"[{"instance_id":"","path":"/p/1"}]"#, "requests[0].instance_id"),
-        (r#"[{"instance_id":"a","path":"/p/1","body":"%%"}]"#, "requests[0].body"),
-        (r#"[{"instance_id":"a","path":"/p/1","tokens":-1}]"#, "requests[0].tokens"),
-        (r#"[{"instance_id":"a","path":"/p/1","headers":{"A b":"x"}}]"#, "requests[0].headers"),
-        (r#"[{"instance_id":"a","path":"/p/1","headers":{"A":"x\r\nB: y"}}]"#, "requests[0].headers"),
+        (
+            r#"[{"instance_id":"a","path":"/p/ 1"}]"#,
+            "requests[0].path",
+        ),
+        (
+            r#"[{"instance_id":"","path":"/p/1"}]"#,
+            "requests[0].instance_id",
+        ),
+        (
+            r#"[{"instance_id":"a","path":"/p/1","body":"%%"}]"#,
+            "requests[0].body",
+        ),
+        (
+            r#"[{"instance_id":"a","path":"/p/1","tokens":-1}]"#,
+            "requests[0].tokens",
+        ),
+        (
+            r#"[{"instance_id":"a","path":"/p/1","headers":{"A b":"x"}}]"#,
+            "requests[0].headers",
+        ),
+        (
+            r#"[{"instance_id":"a","path":"/p/1","headers":{"A":"x\r\nB: y"}}]"#,
+            "requests[0].headers",
+        ),
         (r#"[{"path":"/p/1"}]"#, "instance_id"),
         ("[]", "requests: 0 items"),
         (r#"[{"instance_id":"a""#, "can't be read"),
@@ -50,34 +74,55 @@
         let error = items(requests).unwrap_err().to_string();
         assert!(error.contains(named), "{requests}: {error}");
     }
-    let many: Vec<String> = (0..201).map(|i| format!(r#"{{"instance_id":"{i}","path":"/p/1"}}"#)).collect();
-    assert!(items(&format!("[{}]", many.join(","))).unwrap_err().to_string().contains("201 items"));
+    let many: Vec<String> = (0..201)
+        .map(|i| format!(r#"{{"instance_id":"{i}","path":"/p/1"}}"#))
+        .collect();
+    assert!(
+        items(&format!("[{}]", many.join(",")))
+            .unwrap_err()
+            .to_string()
+            .contains("201 items")
+    );
 }
 
 #[test]
 fn a_page_says_what_is_listed() {
-    let result =
-        ListedResult { instance_id: "e5".into(), state: ItemState::Completed, text: "a\n\"b\"".into() };
-    let json: serde_json::Value = serde_json::from_slice(&page::to_json(40, 13, &[result])).unwrap();
+    let result = ListedResult {
+        instance_id: "e5".into(),
+        state: ItemState::Completed,
+        text: "a\n\"b\"".into(),
+    };
+    let json: serde_json::Value =
+        serde_json::from_slice(&page::to_json(40, 13, &[result])).unwrap();
     let expected = serde_json::json!({"total": 40, "next_page_token": 13,
         "results": [{"instance_id": "e5", "state": "completed", "text": "a\n\"b\""}]});
     assert_eq!(json, expected);
 }
 
-const TERMS: LotTerms =
-    LotTerms { sent_at_ms: 1_000, completion_target_ms: 10_000, retention_ms: 40_000, max_attempts: 3 };
+const TERMS: LotTerms = LotTerms {
+    sent_at_ms: 1_000,
+    completion_target_ms: 10_000,
+    retention_ms: 40_000,
+    max_attempts: 3,
+};
 
 #[test]
 fn an_attempt_that_breaks_goes_on_after_its_last_event() {
     let mut progress = Progress::default();
     progress.event(Some(1), b"one");
     progress.event(Some(2), b"two");
-    assert!(matches!(progress.ended(&AttemptOutcome::Broken, &TERMS, 2_000), Next::RunAgain(_)));
+    assert!(matches!(
+        progress.ended(&AttemptOutcome::Broken, &TERMS, 2_000),
+        Next::RunAgain(_)
+    ));
     assert_eq!(progress.last_event(), Some(2));
     progress.event(Some(2), b"two");
     progress.event(Some(3), b"three");
     let next = progress.ended(&AttemptOutcome::Completed, &TERMS, 3_000);
-    assert_eq!(next, Next::Record(ItemResult::Completed("one\ntwo\nthree".into())));
+    assert_eq!(
+        next,
+        Next::Record(ItemResult::Completed("one\ntwo\nthree".into()))
+    );
 }
 
 #[test]
@@ -85,16 +130,37 @@
     let unrecoverable = Next::Record(ItemResult::Unrecoverable);
     let mut progress = Progress::default();
     for _ in 0..20 {
-        assert!(matches!(progress.ended(&AttemptOutcome::NotRun, &TERMS, 2_000), Next::RunAgain(_)));
-        assert!(matches!(progress.ended(&AttemptOutcome::Broken, &TERMS, 2_000), Next::RunAgain(_)));
+        assert!(matches!(
+            progress.ended(&AttemptOutcome::NotRun, &TERMS, 2_000),
+            Next::RunAgain(_)
+        ));
+        assert!(matches!(
+            progress.ended(&AttemptOutcome::Broken, &TERMS, 2_000),
+            Next::RunAgain(_)
+        ));
     }
-    assert!(matches!(progress.ended(&AttemptOutcome::Failed, &TERMS, 2_000), Next::RunAgain(_)));
-    assert!(matches!(progress.ended(&AttemptOutcome::Failed, &TERMS, 2_000), Next::RunAgain(_)));
-    assert_eq!(progress.ended(&AttemptOutcome::Failed, &TERMS, 2_000), unrecoverable);
-    assert_eq!(Progress::default().ended(&AttemptOutcome::CannotBeDone, &TERMS, 2_000), unrecoverable);
+    assert!(matches!(
+        progress.ended(&AttemptOutcome::Failed, &TERMS, 2_000),
+        Next::RunAgain(_)
+    ));
+    assert!(matches!(
+        progress.ended(&AttemptOutcome::Failed, &TERMS, 2_000),
+        Next::RunAgain(_)
+    ));
+    assert_eq!(
+        progress.ended(&AttemptOutcome::Failed, &TERMS, 2_000),
+        unrecoverable
+    );
+    assert_eq!(
+        Progress::default().ended(&AttemptOutcome::CannotBeDone, &TERMS, 2_000),
+        unrecoverable
+    );
     let almost = Progress::default().ended(&AttemptOutcome::NotRun, &TERMS, 45_999);
     assert!(matches!(almost, Next::RunAgain(_)));
-    assert_eq!(Progress::default().ended(&AttemptOutcome::NotRun, &TERMS, 46_000), unrecoverable);
+    assert_eq!(
+        Progress::default().ended(&AttemptOutcome::NotRun, &TERMS, 46_000),
+        unrecoverable
+    );
 }
 
 /// The lot was taken where the time of day was 2 s behind, and its item runs where it is 2 s ahead and a little more.
@@ -103,16 +169,31 @@
     let clocks_apart = 4_500;
     let now = TERMS.sent_at_ms + TERMS.retention_ms - 1 + clocks_apart;
     let next = Progress::default().ended(&AttemptOutcome::NotRun, &TERMS, now);
-    assert!(matches!(next, Next::RunAgain(_)), "given up {clocks_apart} ms before its time");
+    assert!(
+        matches!(next, Next::RunAgain(_)),
+        "given up {clocks_apart} ms before its time"
+    );
 }
 
 #[test]
 fn a_route_that_is_missing_for_a_moment_costs_no_item() {
     let mut progress = Progress::default();
-    assert!(matches!(progress.ended(&AttemptOutcome::NoRoute, &TERMS, 2_000), Next::RunAgain(_)));
-    assert!(matches!(progress.ended(&AttemptOutcome::NotRun, &TERMS, 7_000), Next::RunAgain(_)));
-    assert!(matches!(progress.ended(&AttemptOutcome::NoRoute, &TERMS, 8_000), Next::RunAgain(_)));
-    assert!(matches!(progress.ended(&AttemptOutcome::NoRoute, &TERMS, 13_999), Next::RunAgain(_)));
+    assert!(matches!(
+        progress.ended(&AttemptOutcome::NoRoute, &TERMS, 2_000),
+        Next::RunAgain(_)
+    ));
+    assert!(matches!(
+        progress.ended(&AttemptOutcome::NotRun, &TERMS, 7_000),
+        Next::RunAgain(_)
+    ));
+    assert!(matches!(
+        progress.ended(&AttemptOutcome::NoRoute, &TERMS, 8_000),
+        Next::RunAgain(_)
+    ));
+    assert!(matches!(
+        progress.ended(&AttemptOutcome::NoRoute, &TERMS, 13_999),
+        Next::RunAgain(_)
+    ));
     assert_eq!(
         progress.ended(&AttemptOutcome::NoRoute, &TERMS, 14_000),
         Next::Record(ItemResult::Unrecoverable)
@@ -124,7 +205,10 @@
         host: "a.example".into(),
         route: "notices".into(),
         lot_id: lot.into(),
-        terms: LotTerms { sent_at_ms, ..TERMS },
+        terms: LotTerms {
+            sent_at_ms,
+            ..TERMS
+        },
         index,
         item: Item::default(),
         failures: 0,
@@ -142,9 +226,13 @@
     ] {
         queue.add(item);
     }
-    let order: Vec<(String, u32)> =
-        std::iter::from_fn(|| queue.start(9)).map(|(_, item)| (item.lot_id, item.index)).collect();
-    assert_eq!(order, [("soon".into(), 1), ("soon".into(), 0), ("late".into(), 0)]);
+    let order: Vec<(String, u32)> = std::iter::from_fn(|| queue.start(9))
+        .map(|(_, item)| (item.lot_id, item.index))
+        .collect();
+    assert_eq!(
+        order,
+        [("soon".into(), 1), ("soon".into(), 0), ("late".into(), 0)]
+    );
 }
 
 #[test]
@@ -178,7 +266,11 @@
 fn a_lease_that_crosses_the_end_of_its_lot_brings_nothing_to_run() {
     let mut queue = ItemQueue::default();
     let host = "a.example".to_string();
-    assert!(queue.end_lot((host.clone(), "ended".to_string())).is_empty());
+    assert!(
+        queue
+            .end_lot((host.clone(), "ended".to_string()))
+            .is_empty()
+    );
     // The store had granted it before the end; the answer comes after it.
     queue.add(leased("ended", 0, 0));
     queue.add(leased("other", 0, 0));
@@ -187,7 +279,11 @@
     queue.add(elsewhere);
     let next = |queue: &mut ItemQueue| queue.start(9).map(|(_, item)| (item.host, item.lot_id));
     assert_eq!(next(&mut queue), Some((host, "other".to_string())));
-    assert_eq!(next(&mut queue), Some(("b.example".to_string(), "ended".to_string())), "another lot");
+    assert_eq!(
+        next(&mut queue),
+        Some(("b.example".to_string(), "ended".to_string())),
+        "another lot"
+    );
     assert_eq!(next(&mut queue), None);
     assert_eq!(queue.held().len(), 2, "its lease is not renewed");
 }
@@ -201,8 +297,14 @@
     for lot in ["0", "4999", "904"] {
         queue.add(leased(lot, 0, 0));
     }
-    let left: Vec<String> = std::iter::from_fn(|| queue.start(9)).map(|(_, item)| item.lot_id).collect();
-    assert_eq!(left, ["0"], "the oldest are forgotten, the newest 4096 are not");
+    let left: Vec<String> = std::iter::from_fn(|| queue.start(9))
+        .map(|(_, item)| item.lot_id)
+        .collect();
+    assert_eq!(
+        left,
+        ["0"],
+        "the oldest are forgotten, the newest 4096 are not"
+    );
 }
 
 #[test]
@@ -211,17 +313,30 @@
     queue.add(leased("lot", 2, 0));
     let (number, _) = queue.start(1).unwrap();
     let mut progress = Progress::default();
-    assert!(matches!(progress.ended(&AttemptOutcome::Failed, &TERMS, 2_000), Next::RunAgain(_)));
-    assert!(matches!(progress.ended(&AttemptOutcome::Failed, &TERMS, 2_000), Next::RunAgain(_)));
+    assert!(matches!(
+        progress.ended(&AttemptOutcome::Failed, &TERMS, 2_000),
+        Next::RunAgain(_)
+    ));
+    assert!(matches!(
+        progress.ended(&AttemptOutcome::Failed, &TERMS, 2_000),
+        Next::RunAgain(_)
+    ));
     let told = queue.failed(number, progress.failures()).unwrap();
     assert_eq!((told.items, told.failures), (vec![2], vec![(2, 2)]));
-    assert_eq!(queue.held()[0].failures, [(2, 2)], "and again with each renewal");
+    assert_eq!(
+        queue.held()[0].failures,
+        [(2, 2)],
+        "and again with each renewal"
+    );
     queue.finish(number);
     assert!(queue.held().is_empty());
     // The next holder is told of it with the lease: the third failure is the last.
     let mut next = Progress::after_failures(2);
     assert!(!next.is_spent(&TERMS));
-    assert_eq!(next.ended(&AttemptOutcome::Failed, &TERMS, 2_000), Next::Record(ItemResult::Unrecoverable));
+    assert_eq!(
+        next.ended(&AttemptOutcome::Failed, &TERMS, 2_000),
+        Next::Record(ItemResult::Unrecoverable)
+    );
     // After the third, or a 422, whose record got lost, nobody runs it again.
     assert!(Progress::after_failures(next.failures()).is_spent(&TERMS));
     let mut never = Progress::default();
--- a/crates/mintlb-dispatcher/tests/chaos.rs
+++ b/crates/mintlb-dispatcher/tests/chaos.rs
@@ -37,7 +37,9 @@
         2 => {
             let own = "mintlb-request-id: {id}\r\nmintlb-not-executed: full\r\ncontent-length: 4\r\n\r\nbusy";
             let own = own.replace("{id}", &id);
-            return asked.answer_with(&format!("HTTP/1.1 429 Busy\r\n{own}")).await;
+            return asked
+                .answer_with(&format!("HTTP/1.1 429 Busy\r\n{own}"))
+                .await;
         }
         3 => {
             // A surplus refusal stands where the answer to the next request is due.
@@ -50,22 +52,39 @@
     match one_of(chance, 34) {
         0 => drop(asked),
         1 => asked.on.reset(),
-        2 => asked.answer_as("500 Oh", "content-length: 3\r\n\r\nwhy").await,
-        3 => asked.answer_as("503 Oh", "content-length: 3\r\n\r\nwhy").await,
-        4 => asked.answer_with("nonsense\r\n\r\nHTTP/1.1 200 OK\r\n\r\n").await,
+        2 => {
+            asked
+                .answer_as("500 Oh", "content-length: 3\r\n\r\nwhy")
+                .await
+        }
+        3 => {
+            asked
+                .answer_as("503 Oh", "content-length: 3\r\n\r\nwhy")
+                .await
+        }
+        4 => {
+            asked
+                .answer_with("nonsense\r\n\r\nHTTP/1.1 200 OK\r\n\r\n")
+                .await
+        }
         5 => {
-            let unsigned =
-                format!("HTTP/1.1 200 OK\r\nmintlb-request-id: {id}\r\ncontent-length: 2\r\n\r\nno");
+            let unsigned = format!(
+                "HTTP/1.1 200 OK\r\nmintlb-request-id: {id}\r\ncontent-length: 2\r\n\r\nno"
+            );
             asked.answer_with(&unsigned).await;
         }
         6 if is_stream => stream(asked, &id, true).await,
         6 => {
             let own = asked.own();
-            asked.on.write(&format!("HTTP/1.1 200 OK\r\n{own}content-length: 5000\r\n\r\ncut")).await;
+            asked
+                .on
+                .write(&format!(
+                    "HTTP/1.1 200 OK\r\n{own}content-length: 5000\r\n\r\ncut"
+                ))
+                .await;
         }
         7 => {
-            let late =
-                "mintlb-request-id: another\r\nmintlb-response-signature: s\r\ncontent-length: 4\r\n\r\nlate";
+            let late = "mintlb-request-id: another\r\nmintlb-response-signature: s\r\ncontent-length: 4\r\n\r\nlate";
             asked.on.write(&format!("HTTP/1.1 200 OK\r\n{late}")).await;
             succeed(asked, &id, is_stream, "").await;
         }
@@ -82,7 +101,15 @@
             let again = machine::raw::ok(&id, &body(&id));
             succeed(asked, &id, is_stream, &again).await;
         }
-        8 => succeed(asked, &id, is_stream, "HTTP/1.1 200 OK\r\ncontent-length: 5\r\n\r\nextra").await,
+        8 => {
+            succeed(
+                asked,
+                &id,
+                is_stream,
+                "HTTP/1.1 200 OK\r\ncontent-length: 5\r\n\r\nextra",
+            )
+            .await
+        }
         _ => succeed(asked, &id, is_stream, "").await,
     }
 }
@@ -120,19 +147,29 @@
             Some(connection) => connection,
             None => machine.client().await,
         };
-        on.post(&format!("{path}{number}"), &id, "", "a prompt").await;
+        on.post(&format!("{path}{number}"), &id, "", "a prompt")
+            .await;
         let got = on.get().await;
         let ran = runs.borrow().get(&id).copied().unwrap_or(0);
         let (once, resumes) = (matches!(path, "/o/" | "/s/"), path == "/r/");
         *seen.entry(got.status).or_default() += 1;
         if once {
             assert!(ran <= 1, "{id} ran {ran} times");
-            assert!(got.status != 503 || ran == 0, "{id} was promised not to run, and ran");
+            assert!(
+                got.status != 503 || ran == 0,
+                "{id} was promised not to run, and ran"
+            );
         }
         assert!(ran <= 2, "{id} went to more workers than its route allows");
         if got.status == 200 {
-            assert_eq!(header(&got.head, "mintlb-request-id").as_deref(), Some(&id[..]));
-            assert_eq!(header(&got.head, "mintlb-response-signature"), Some(format!("s-{id}")));
+            assert_eq!(
+                header(&got.head, "mintlb-request-id").as_deref(),
+                Some(&id[..])
+            );
+            assert_eq!(
+                header(&got.head, "mintlb-response-signature"),
+                Some(format!("s-{id}"))
+            );
             let expected = match path {
                 "/s/" | "/r/" => (1..=length(&id)).map(event).collect(),
                 _ => body(&id),
@@ -141,9 +178,15 @@
                 true => assert_eq!(got.text(), expected, "{id}"),
                 false => assert!(expected.starts_with(&got.text()), "{id}: {}", got.text()),
             }
-            assert!(got.whole || once || resumes, "{id}: only a stream may break after its head");
+            assert!(
+                got.whole || once || resumes,
+                "{id}: only a stream may break after its head"
+            );
         } else {
-            assert!(got.whole && [500, 502, 503].contains(&got.status), "{id}: {got:?}");
+            assert!(
+                got.whole && [500, 502, 503].contains(&got.status),
+                "{id}: {got:?}"
+            );
         }
         let closes = header(&got.head, "connection").is_some();
         connection = (got.whole && !closes).then_some(on);
--- a/crates/mintlb-dispatcher/tests/clients.rs
+++ b/crates/mintlb-dispatcher/tests/clients.rs
@@ -10,7 +10,10 @@
 
 async fn with_worker() -> (Machine, Worker) {
     // On a machine that is busy a request must not outlive its target by the test's own pauses.
-    with_worker_of(&CONFIGURATION.replace("\"target_latency_ms\":300", "\"target_latency_ms\":3000")).await
+    with_worker_of(
+        &CONFIGURATION.replace("\"target_latency_ms\":300", "\"target_latency_ms\":3000"),
+    )
+    .await
 }
 
 async fn with_worker_of(configuration: &str) -> (Machine, Worker) {
@@ -34,14 +37,21 @@
 }
 
 fn deadline(asked: &Asked) -> u64 {
-    header(&asked.head, "mintlb-deadline-ms").unwrap().parse().unwrap()
+    header(&asked.head, "mintlb-deadline-ms")
+        .unwrap()
+        .parse()
+        .unwrap()
 }
 
 /// A request by a client that waits for 20 s, longer than any route allows.
 async fn patient(machine: &Machine, path: &str) -> Client {
     let mut client = machine.client().await;
     let head = format!("POST {path} HTTP/1.1\r\nHost: shop.example\r\nMintlb-Request-Id: a\r\n");
-    client.write(&format!("{head}Mintlb-Deadline-Ms: 20000\r\nContent-Length: 0\r\n\r\n")).await;
+    client
+        .write(&format!(
+            "{head}Mintlb-Deadline-Ms: 20000\r\nContent-Length: 0\r\n\r\n"
+        ))
+        .await;
     client
 }
 
@@ -69,7 +79,10 @@
     let began = Instant::now();
     let mut client = patient(&machine, path).await;
     let silent = worker.asked().await;
-    assert!((4500..=5000).contains(&deadline(&silent)), "the route's 5 s are the shorter");
+    assert!(
+        (4500..=5000).contains(&deadline(&silent)),
+        "the route's 5 s are the shorter"
+    );
     pass(Duration::from_millis(4900) - began.elapsed()).await;
     assert_eq!(client.get().await.status, 504, "{path}");
     let waited = began.elapsed();
@@ -136,14 +149,21 @@
     on_one_thread(async {
         let (machine, mut worker) = with_worker().await;
         let mut client = machine.client().await;
-        let head =
-            "POST /o/1 HTTP/1.1\r\nHost: shop.example\r\nMintlb-Request-Id: a\r\nContent-Length: 4\r\n";
-        client.write(&format!("{head}Mintlb-Deadline-Ms: 3000\r\nExpect: 100-continue\r\n\r\n")).await;
+        let head = "POST /o/1 HTTP/1.1\r\nHost: shop.example\r\nMintlb-Request-Id: a\r\nContent-Length: 4\r\n";
+        client
+            .write(&format!(
+                "{head}Mintlb-Deadline-Ms: 3000\r\nExpect: 100-continue\r\n\r\n"
+            ))
+            .await;
         assert_eq!(client.head().await.0, 100, "its head was read");
         pass(Duration::from_millis(1200)).await;
         client.write("body").await;
         let asked = worker.asked().await;
-        assert!((1000..=1800).contains(&deadline(&asked)), "{}", deadline(&asked));
+        assert!(
+            (1000..=1800).contains(&deadline(&asked)),
+            "{}",
+            deadline(&asked)
+        );
         asked.answer("ok").await;
         assert_eq!(client.get().await.text(), "ok");
     });
@@ -162,7 +182,11 @@
         let before = deadline(&first);
         first.on.reset();
         let second = two.asked().await;
-        assert!(deadline(&second) + 600 <= before, "{before} {}", deadline(&second));
+        assert!(
+            deadline(&second) + 600 <= before,
+            "{before} {}",
+            deadline(&second)
+        );
         second.answer("ok").await;
         assert_eq!(client.get().await.text(), "ok");
     });
@@ -175,9 +199,13 @@
         let mut client = machine.client().await;
         client.post("/p/1", "a", "", "").await;
         let first = one.asked().await;
-        let (mut two, mut three) = (another(&machine, "i-2").await, another(&machine, "i-3").await);
+        let (mut two, mut three) = (
+            another(&machine, "i-2").await,
+            another(&machine, "i-3").await,
+        );
         first.on.reset();
-        let second = tokio::select! { asked = two.asked() => asked, asked = three.asked() => asked };
+        let second =
+            tokio::select! { asked = two.asked() => asked, asked = three.asked() => asked };
         second.on.reset();
         assert_eq!(client.get().await.status, 502);
         assert!(!one.has_request() && !two.has_request() && !three.has_request());
@@ -198,9 +226,18 @@
                 "HTTP/1.1 421 No\r\nmintlb-request-id: a\r\nversions: 6\r\ncontent-length: 0\r\n\r\n",
             )
             .await;
-        two.asked().await.answer_as("200 OK", "versions: 7\r\ncontent-length: 2\r\n\r\nok").await;
+        two.asked()
+            .await
+            .answer_as("200 OK", "versions: 7\r\ncontent-length: 2\r\n\r\nok")
+            .await;
         let got = client.get().await;
-        assert_eq!((got.text().as_str(), header(&got.head, "versions").as_deref()), ("ok", Some("7")));
+        assert_eq!(
+            (
+                got.text().as_str(),
+                header(&got.head, "versions").as_deref()
+            ),
+            ("ok", Some("7"))
+        );
         assert_eq!(machine.hub.workers.in_service(), 2);
     });
 }
@@ -216,7 +253,10 @@
             let mut two = another(&machine, "i-2").await;
             let head = "HTTP/1.1 200 OK\r\nmintlb-request-id: a\r\ncontent-type: text/event-stream\r\n\
                     transfer-encoding: chunked\r\nmintlb-response-signature: ";
-            asked.on.write(&format!("{head}first\r\nversions: 1\r\n\r\n")).await;
+            asked
+                .on
+                .write(&format!("{head}first\r\nversions: 1\r\n\r\n"))
+                .await;
             asked.event(1).await;
             // It breaks off in the middle of an event.
             asked.chunk("id: 2\ndata: ha").await;
@@ -228,12 +268,18 @@
             }
             let mut asked = two.asked().await;
             assert_eq!(header(&asked.head, "last-event-id").as_deref(), Some("1"));
-            asked.on.write(&format!("{head}second\r\nversions: 2\r\n\r\n")).await;
+            asked
+                .on
+                .write(&format!("{head}second\r\nversions: 2\r\n\r\n"))
+                .await;
             let second = format!("versions: 2\n{}", event(2));
             asked.chunk(&second).await;
             asked.end_stream().await;
             assert_eq!(client.rest().await, (event(1) + &second, true));
-            assert_eq!(header(&given, "mintlb-response-signature").as_deref(), Some("first"));
+            assert_eq!(
+                header(&given, "mintlb-response-signature").as_deref(),
+                Some("first")
+            );
             assert_eq!(header(&given, "versions").as_deref(), Some("1"));
         }
     });
@@ -273,7 +319,10 @@
         asked.answer("to a").await;
         let got = client.get().await;
         assert_eq!(
-            (got.text().as_str(), header(&got.head, "mintlb-request-id").as_deref()),
+            (
+                got.text().as_str(),
+                header(&got.head, "mintlb-request-id").as_deref()
+            ),
             ("to a", Some("a"))
         );
         assert!(client.ends().await, "nothing else passes");
--- a/crates/mintlb-dispatcher/tests/events.rs
+++ b/crates/mintlb-dispatcher/tests/events.rs
@@ -16,7 +16,11 @@
 fn however_the_bytes_are_cut_whole_events_pass_in_order() {
     arbtest(|u| {
         let count: u64 = u.int_in_range(0..=12)?;
-        let after: Option<u64> = if u.arbitrary()? { Some(u.int_in_range(0..=20)?) } else { None };
+        let after: Option<u64> = if u.arbitrary()? {
+            Some(u.int_in_range(0..=20)?)
+        } else {
+            None
+        };
         let first = after.map_or(1, |after| after + 1);
         // A worker may repeat events that the client has.
         let repeated = after.map_or(0, |after| after.min(u.int_in_range(0..=3).unwrap_or(0)));
@@ -26,11 +30,24 @@
         while !rest.is_empty() {
             let length = u.int_in_range(1..=rest.len())?;
             let whole = reader.take(rest.split_to(length)).unwrap();
-            assert!(whole.is_empty() || whole.ends_with(b"\n\n"), "only whole events pass");
+            assert!(
+                whole.is_empty() || whole.ends_with(b"\n\n"),
+                "only whole events pass"
+            );
             passed.extend_from_slice(&whole);
         }
-        assert_eq!(String::from_utf8(passed).unwrap(), run(first..first + count));
-        assert_eq!(reader.last(), if count > 0 { Some(first + count - 1) } else { after });
+        assert_eq!(
+            String::from_utf8(passed).unwrap(),
+            run(first..first + count)
+        );
+        assert_eq!(
+            reader.last(),
+            if count > 0 {
+                Some(first + count - 1)
+            } else {
+                after
+            }
+        );
         Ok(())
     });
 }
@@ -42,13 +59,22 @@
     assert_eq!(take(Some(4), &[4, 6]), Err(StreamError::Gap));
     assert_eq!(take(None, &[1, 2, 2]), Err(StreamError::Disorder));
     assert_eq!(take(None, &[3, 1]), Err(StreamError::Disorder));
-    assert_eq!(take(Some(4), &[5, 4]), Err(StreamError::Disorder), "it had begun to go on");
+    assert_eq!(
+        take(Some(4), &[5, 4]),
+        Err(StreamError::Disorder),
+        "it had begun to go on"
+    );
 }
 
 #[test]
 fn what_has_no_id_passes() {
     let mut reader = EventReader::after(Some(2));
-    let bytes = format!(": still here\n\n{}{}versions: 2\n{}", event(1), event(2), event(3));
+    let bytes = format!(
+        ": still here\n\n{}{}versions: 2\n{}",
+        event(1),
+        event(2),
+        event(3)
+    );
     let passed = reader.take(bytes.into()).unwrap();
     assert_eq!(passed, format!(": still here\n\nversions: 2\n{}", event(3)));
     assert_eq!(reader.last(), Some(3));
@@ -57,14 +83,22 @@
 #[test]
 fn an_end_without_a_blank_line_is_kept() {
     let mut reader = EventReader::after(None);
-    assert_eq!(reader.take("id: 1\ndata: a\n\nid: 2\ndata: b".into()).unwrap(), "id: 1\ndata: a\n\n");
+    assert_eq!(
+        reader
+            .take("id: 1\ndata: a\n\nid: 2\ndata: b".into())
+            .unwrap(),
+        "id: 1\ndata: a\n\n"
+    );
     assert_eq!(reader.into_rest(), "id: 2\ndata: b");
 }
 
 #[test]
 fn ids_and_data_are_read() {
     let event = b"id:7\r\ndata: one\r\ndata:two\r\n\r\n";
-    assert_eq!((event_id(event), event_data(event)), (Some(7), b"one\ntwo".to_vec()));
+    assert_eq!(
+        (event_id(event), event_data(event)),
+        (Some(7), b"one\ntwo".to_vec())
+    );
     assert_eq!(event_id(b"data: id: 3\n\n"), None);
     let events: Vec<Bytes> = split_events(run(1..4).into()).collect();
     assert_eq!(events, [event_text(1), event_text(2), event_text(3)]);
--- a/crates/mintlb-dispatcher/tests/items.rs
+++ b/crates/mintlb-dispatcher/tests/items.rs
@@ -38,7 +38,10 @@
         let mut run = machine.intake.run(item("e5", None));
         let mut asked = worker.asked().await;
         assert!(asked.head.starts_with("POST /b/3/91c4 HTTP/1.1\r\n"));
-        assert_eq!((asked.id().as_str(), &asked.body[..]), ("e5", &b"the item"[..]));
+        assert_eq!(
+            (asked.id().as_str(), &asked.body[..]),
+            ("e5", &b"the item"[..])
+        );
         assert_eq!(header(&asked.head, "host").as_deref(), Some("shop.example"));
         assert_eq!(header(&asked.head, "mintlb-model").as_deref(), Some("m"));
         asked.begin_stream().await;
@@ -80,15 +83,26 @@
     on_one_thread(async {
         let (machine, mut worker) = with_worker().await;
         let mut run = machine.intake.run(item("e5", None));
-        worker.asked().await.answer_as("500 Oh", "content-length: 3\r\n\r\nwhy").await;
+        worker
+            .asked()
+            .await
+            .answer_as("500 Oh", "content-length: 3\r\n\r\nwhy")
+            .await;
         let failed = ItemOutcome::Failed(StatusCode::INTERNAL_SERVER_ERROR);
         assert_eq!(run.next().await, ItemStep::Ended(failed));
         let mut run = machine.intake.run(item("e5", None));
-        worker.asked().await.answer_as("422 Never", "content-length: 0\r\n\r\n").await;
+        worker
+            .asked()
+            .await
+            .answer_as("422 Never", "content-length: 0\r\n\r\n")
+            .await;
         assert_eq!(run.next().await, ItemStep::Ended(ItemOutcome::CannotBeDone));
         let mut gone = item("e5", None);
         gone.path = "/nowhere/1".to_string();
-        assert_eq!(machine.intake.run(gone).next().await, ItemStep::Ended(ItemOutcome::NoRoute));
+        assert_eq!(
+            machine.intake.run(gone).next().await,
+            ItemStep::Ended(ItemOutcome::NoRoute)
+        );
     });
 }
 
@@ -97,17 +111,31 @@
     on_one_thread(async {
         let failures = [
             ("422 Never", ItemOutcome::CannotBeDone),
-            ("500 Oh", ItemOutcome::Failed(StatusCode::INTERNAL_SERVER_ERROR)),
+            (
+                "500 Oh",
+                ItemOutcome::Failed(StatusCode::INTERNAL_SERVER_ERROR),
+            ),
         ];
         for (status, outcome) in failures {
-            for rest in ["content-length: 5\r\n\r\nwh", "transfer-encoding: chunked\r\n\r\n", "\r\nwhy"] {
+            for rest in [
+                "content-length: 5\r\n\r\nwh",
+                "transfer-encoding: chunked\r\n\r\n",
+                "\r\nwhy",
+            ] {
                 let (machine, mut worker) = with_worker().await;
                 let mut run = machine.intake.run(item("e5", None));
                 let mut asked = worker.asked().await;
                 let own = asked.own();
-                asked.on.write(&format!("HTTP/1.1 {status}\r\n{own}{rest}")).await;
+                asked
+                    .on
+                    .write(&format!("HTTP/1.1 {status}\r\n{own}{rest}"))
+                    .await;
                 asked.on.reset();
-                assert_eq!(run.next().await, ItemStep::Ended(outcome), "{status} {rest:?}");
+                assert_eq!(
+                    run.next().await,
+                    ItemStep::Ended(outcome),
+                    "{status} {rest:?}"
+                );
                 assert!(!worker.has_request());
             }
         }
@@ -126,7 +154,10 @@
         asked.event(1).await;
         assert_eq!(run.next().await, ItemStep::Events(event(1).into()));
         asked.on.reset();
-        two.asked().await.answer_as("422 Never", "content-length: 0\r\n\r\n").await;
+        two.asked()
+            .await
+            .answer_as("422 Never", "content-length: 0\r\n\r\n")
+            .await;
         assert_eq!(run.next().await, ItemStep::Ended(ItemOutcome::CannotBeDone));
         assert!(!one.has_request() && !two.has_request());
     });
--- a/crates/mintlb-dispatcher/tests/lifecycle.rs
+++ b/crates/mintlb-dispatcher/tests/lifecycle.rs
@@ -9,7 +9,9 @@
 
 async fn is_ready(machine: &Machine) -> bool {
     let mut client = Client::connect(machine.readiness).await;
-    client.write("GET /v1/readiness HTTP/1.1\r\nHost: x\r\n\r\n").await;
+    client
+        .write("GET /v1/readiness HTTP/1.1\r\nHost: x\r\n\r\n")
+        .await;
     client.get().await.status == 200
 }
 
@@ -19,7 +21,10 @@
 
 async fn with_workers() -> (Machine, Worker, Worker) {
     let machine = Machine::start().await;
-    let (one, two) = (Worker::start("i-1", "s").await, Worker::start("i-2", "t").await);
+    let (one, two) = (
+        Worker::start("i-1", "s").await,
+        Worker::start("i-2", "t").await,
+    );
     machine.configure(CONFIGURATION).await;
     machine.know(&one, WorkerState::InService, 1).await;
     machine.know(&two, WorkerState::InService, 1).await;
@@ -33,7 +38,10 @@
     on_one_thread(async {
         let machine = Machine::start().await;
         assert!(!is_ready(&machine).await);
-        let (one, two) = (Worker::start("i-1", "s").await, Worker::start("i-2", "t").await);
+        let (one, two) = (
+            Worker::start("i-1", "s").await,
+            Worker::start("i-2", "t").await,
+        );
         machine.tell.send(Known::Joined).unwrap();
         machine.configure(CONFIGURATION).await;
         machine.know(&one, WorkerState::InService, 1).await;
@@ -47,7 +55,10 @@
 fn without_the_overlay_it_is_not_ready() {
     on_one_thread(async {
         let machine = Machine::start().await;
-        let (one, two) = (Worker::start("i-1", "s").await, Worker::start("i-2", "t").await);
+        let (one, two) = (
+            Worker::start("i-1", "s").await,
+            Worker::start("i-2", "t").await,
+        );
         machine.configure(CONFIGURATION).await;
         machine.know(&one, WorkerState::InService, 1).await;
         machine.know(&two, WorkerState::InService, 1).await;
@@ -63,19 +74,32 @@
         let worker = Worker::start("i-1", "s").await;
         machine.know(&worker, WorkerState::InService, 1).await;
         machine.tell.send(Known::Joined).unwrap();
-        for path in ["/p/1", "/o/1", "/b/1", "/v1/lots/l", "/v1/items/l?instance_id=e", "/nowhere"] {
+        for path in [
+            "/p/1",
+            "/o/1",
+            "/b/1",
+            "/v1/lots/l",
+            "/v1/items/l?instance_id=e",
+            "/nowhere",
+        ] {
             let mut client = machine.client().await;
             client.post(path, "a", "", "x").await;
             assert_eq!(client.get().await.status, 503, "{path}");
             for method in ["GET", "DELETE"] {
                 let mut client = machine.client().await;
-                client.write(&format!("{method} {path} HTTP/1.1\r\nHost: shop.example\r\n\r\n")).await;
+                client
+                    .write(&format!(
+                        "{method} {path} HTTP/1.1\r\nHost: shop.example\r\n\r\n"
+                    ))
+                    .await;
                 assert_eq!(client.get().await.status, 503, "{method} {path}");
             }
         }
         // How long a body may be stands in the configuration, too.
         let mut client = machine.client().await;
-        client.write("POST /p/1 HTTP/1.1\r\nHost: shop.example\r\nContent-Length: 8000000\r\n\r\n").await;
+        client
+            .write("POST /p/1 HTTP/1.1\r\nHost: shop.example\r\nContent-Length: 8000000\r\n\r\n")
+            .await;
         assert_eq!(client.get().await.status, 503, "a long body");
         assert!(!is_ready(&machine).await);
     });
@@ -107,7 +131,10 @@
         asked.event(2).await;
         asked.end_stream().await;
         let (text, whole) = before.rest().await;
-        assert_eq!((text, whole), (machine::event(1) + &machine::event(2), true));
+        assert_eq!(
+            (text, whole),
+            (machine::event(1) + &machine::event(2), true)
+        );
         assert!(before.ends().await);
         machine.ended.await.unwrap();
     });
@@ -140,7 +167,10 @@
                 }
             }
             assert_eq!(client.get().await.text(), "taken");
-            assert!(told.elapsed() < Duration::from_secs(3), "it would be cut by the end");
+            assert!(
+                told.elapsed() < Duration::from_secs(3),
+                "it would be cut by the end"
+            );
         }
         assert!(!worker.has_request());
         asked.end_stream().await;
@@ -167,14 +197,26 @@
 fn an_older_configuration_changes_nothing() {
     on_one_thread(async {
         let (machine, _one, _two) = with_workers().await;
-        let older =
-            CONFIGURATION.replace("\"config_version\":3", "\"config_version\":2").replace("/p/", "/q/");
+        let older = CONFIGURATION
+            .replace("\"config_version\":3", "\"config_version\":2")
+            .replace("/p/", "/q/");
         let older = mintlb_common::configuration::Configuration::parse(older.as_bytes()).unwrap();
-        machine.tell.send(Known::Configuration(2, std::sync::Arc::new(older))).unwrap();
-        let newer =
-            CONFIGURATION.replace("\"config_version\":3", "\"config_version\":9").replace("/o/", "/w/");
+        machine
+            .tell
+            .send(Known::Configuration(2, std::sync::Arc::new(older)))
+            .unwrap();
+        let newer = CONFIGURATION
+            .replace("\"config_version\":3", "\"config_version\":9")
+            .replace("/o/", "/w/");
         machine.configure(&newer).await;
-        let route = |path: &str| machine.hub.routing().unwrap().route("shop.example", path).is_some();
+        let route = |path: &str| {
+            machine
+                .hub
+                .routing()
+                .unwrap()
+                .route("shop.example", path)
+                .is_some()
+        };
         assert!(route("/p/1") && route("/w/1") && !route("/o/1") && !route("/q/1"));
     });
 }
--- a/crates/mintlb-dispatcher/tests/load.rs
+++ b/crates/mintlb-dispatcher/tests/load.rs
@@ -4,17 +4,33 @@
 
 #[test]
 fn a_head_is_read_or_passed_over() {
-    assert_eq!(Load::read("3,1,8"), Some(Load { running: 3.0, waiting: 1.0, slots: 8.0 }));
+    assert_eq!(
+        Load::read("3,1,8"),
+        Some(Load {
+            running: 3.0,
+            waiting: 1.0,
+            slots: 8.0
+        })
+    );
     assert_eq!(Load::read(" 3, 1 ,8 ").map(|load| load.free()), Some(4.0));
     assert_eq!(Load::read("9,4,8").map(|load| load.free()), Some(0.0));
-    for bad in ["", "3,1", "3,1,8,2", "a,b,c", "-1,0,8", "inf,0,8", "NaN,0,8"] {
+    for bad in [
+        "", "3,1", "3,1,8,2", "a,b,c", "-1,0,8", "inf,0,8", "NaN,0,8",
+    ] {
         assert_eq!(Load::read(bad), None, "{bad}");
     }
 }
 
 fn known(running: f64, waiting: f64) -> KnownLoad {
     let mut load = KnownLoad::default();
-    load.told(Load { running, waiting, slots: 8.0 }, 100.0);
+    load.told(
+        Load {
+            running,
+            waiting,
+            slots: 8.0,
+        },
+        100.0,
+    );
     load
 }
 
@@ -39,7 +55,14 @@
     assert!(load.has_place(100.1));
     load.sent();
     assert!(!load.has_place(100.1));
-    load.told(Load { running: 2.0, waiting: 0.0, slots: 8.0 }, 100.2);
+    load.told(
+        Load {
+            running: 2.0,
+            waiting: 0.0,
+            slots: 8.0,
+        },
+        100.2,
+    );
     assert!(load.has_place_for_item(100.3, 0.0));
 }
 
--- a/crates/mintlb-dispatcher/tests/machine/mod.rs
+++ b/crates/mintlb-dispatcher/tests/machine/mod.rs
@@ -26,9 +26,16 @@
 
 /// Runs a test on one thread, as the dispatcher does.
 pub fn on_one_thread(test: impl Future<Output = ()>) {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .unwrap();
     let local = tokio::task::LocalSet::new();
-    local.block_on(&runtime, async { timeout(Duration::from_secs(60), test).await.expect("the test hangs") });
+    local.block_on(&runtime, async {
+        timeout(Duration::from_secs(60), test)
+            .await
+            .expect("the test hangs")
+    });
 }
 
 /// A dispatcher that serves.
@@ -66,7 +73,9 @@
             ended,
         };
         tokio::task::spawn_local(async move {
-            dispatcher.serve(frontend, readiness, async { stopped.await.unwrap_or(()) }).await;
+            dispatcher
+                .serve(frontend, readiness, async { stopped.await.unwrap_or(()) })
+                .await;
             end.send(()).ok();
         });
         machine
@@ -76,8 +85,14 @@
     pub async fn configure(&self, json: &str) {
         let configuration = Configuration::parse(json.as_bytes()).unwrap();
         let version = configuration.config_version;
-        self.tell.send(Known::Configuration(version, Arc::new(configuration))).unwrap();
-        self.until(|hub| hub.routing().is_some_and(|t| t.configuration.config_version >= version)).await;
+        self.tell
+            .send(Known::Configuration(version, Arc::new(configuration)))
+            .unwrap();
+        self.until(|hub| {
+            hub.routing()
+                .is_some_and(|t| t.configuration.config_version >= version)
+        })
+        .await;
     }
 
     /// Tells it of a worker and waits until it knows.
@@ -95,7 +110,9 @@
     /// Tells it of a worker whose connections the test handles, and waits until it knows.
     pub async fn know_raw(&self, worker: &raw::RawWorker) {
         let age = self.hub.workers.age();
-        self.tell.send(Known::Worker(worker.record.clone())).unwrap();
+        self.tell
+            .send(Known::Worker(worker.record.clone()))
+            .unwrap();
         self.until(|hub| hub.workers.age() > age).await;
     }
 
@@ -105,7 +122,9 @@
                 tokio::task::yield_now().await;
             }
         };
-        timeout(STEP, reached).await.expect("the dispatcher does not hear");
+        timeout(STEP, reached)
+            .await
+            .expect("the dispatcher does not hear");
     }
 
     pub async fn client(&self) -> Client {
@@ -164,11 +183,21 @@
         tokio::spawn(async move {
             while let Ok((stream, _)) = listener.accept().await {
                 count.fetch_add(1, Relaxed);
-                let connection = Connection { stream, read: Vec::new(), tell: tell.clone() };
+                let connection = Connection {
+                    stream,
+                    read: Vec::new(),
+                    tell: tell.clone(),
+                };
                 tokio::spawn(connection.next());
             }
         });
-        Worker { instance_id: instance_id.into(), service: service.into(), address, requests, connections }
+        Worker {
+            instance_id: instance_id.into(),
+            service: service.into(),
+            address,
+            requests,
+            connections,
+        }
     }
 
     /// One that resets each connection as it comes up.
@@ -193,7 +222,10 @@
 
     /// The next request that comes whole.
     pub async fn asked(&mut self) -> Asked {
-        timeout(STEP, self.requests.recv()).await.expect("no request comes").unwrap()
+        timeout(STEP, self.requests.recv())
+            .await
+            .expect("no request comes")
+            .unwrap()
     }
 
     /// The next request that comes whole, however long it takes.
@@ -217,7 +249,12 @@
                 let body = self.read[length..length + body_length].to_vec();
                 self.read.drain(..length + body_length);
                 let tell = self.tell.clone();
-                tell.send(Asked { head, body, on: self }).ok();
+                tell.send(Asked {
+                    head,
+                    body,
+                    on: self,
+                })
+                .ok();
                 return;
             }
             if !matches!(self.stream.read_buf(&mut self.read).await, Ok(1..)) {
@@ -227,7 +264,11 @@
     }
 
     fn whole_head(&self) -> Option<(String, usize, usize)> {
-        let length = self.read.windows(4).position(|bytes| bytes == b"\r\n\r\n")? + 4;
+        let length = self
+            .read
+            .windows(4)
+            .position(|bytes| bytes == b"\r\n\r\n")?
+            + 4;
         let head = String::from_utf8(self.read[..length].to_vec()).unwrap();
         let body = header(&head, "content-length").map_or(0, |length| length.parse().unwrap());
         Some((head, length, body))
@@ -240,7 +281,9 @@
     /// Waits until the other side has closed.
     pub async fn closed(mut self) {
         let ended = async { while matches!(self.stream.read(&mut [0; 64]).await, Ok(1..)) {} };
-        timeout(STEP, ended).await.expect("the connection stays open");
+        timeout(STEP, ended)
+            .await
+            .expect("the connection stays open");
     }
 
     /// Cuts the connection with a reset.
@@ -271,7 +314,11 @@
 
     /// Answers with a whole 200.
     pub async fn answer(mut self, body: &str) {
-        let head = format!("HTTP/1.1 200 OK\r\n{}content-length: {}\r\n\r\n", self.own(), body.len());
+        let head = format!(
+            "HTTP/1.1 200 OK\r\n{}content-length: {}\r\n\r\n",
+            self.own(),
+            body.len()
+        );
         self.on.write(&(head + body)).await;
         tokio::spawn(self.on.next());
     }
@@ -307,7 +354,9 @@
     }
 
     pub async fn chunk(&mut self, data: &str) {
-        self.on.write(&format!("{:x}\r\n{data}\r\n", data.len())).await;
+        self.on
+            .write(&format!("{:x}\r\n{data}\r\n", data.len()))
+            .await;
     }
 
     pub async fn end_stream(mut self) {
@@ -325,7 +374,9 @@
 pub fn header(head: &str, name: &str) -> Option<String> {
     head.lines().find_map(|line| {
         let (named, value) = line.split_once(':')?;
-        named.eq_ignore_ascii_case(name).then(|| value.trim().to_string())
+        named
+            .eq_ignore_ascii_case(name)
+            .then(|| value.trim().to_string())
     })
 }
 
@@ -353,7 +404,10 @@
 
 impl Client {
     pub async fn connect(to: SocketAddr) -> Client {
-        Client { stream: TcpStream::connect(to).await.unwrap(), read: Vec::new() }
+        Client {
+            stream: TcpStream::connect(to).await.unwrap(),
+            read: Vec::new(),
+        }
     }
 
     pub async fn write(&mut self, bytes: &str) {
@@ -378,7 +432,11 @@
                 let head = String::from_utf8(head).unwrap();
                 return (head.split(' ').nth(1).unwrap().parse().unwrap(), head);
             }
-            assert!(self.more().await, "closed before the head; so far {:?}", self.read);
+            assert!(
+                self.more().await,
+                "closed before the head; so far {:?}",
+                self.read
+            );
         }
     }
 
@@ -389,7 +447,11 @@
             if body.len() >= length {
                 return String::from_utf8(body).unwrap();
             }
-            assert!(self.more().await, "closed too soon: {:?}", String::from_utf8_lossy(&self.read));
+            assert!(
+                self.more().await,
+                "closed too soon: {:?}",
+                String::from_utf8_lossy(&self.read)
+            );
         }
     }
 
@@ -413,18 +475,39 @@
         if let Some(length) = length {
             while self.read.len() < length {
                 if !self.more().await {
-                    return Got { status, head, body: std::mem::take(&mut self.read), whole: false };
+                    return Got {
+                        status,
+                        head,
+                        body: std::mem::take(&mut self.read),
+                        whole: false,
+                    };
                 }
             }
-            return Got { status, head, body: self.read.drain(..length).collect(), whole: true };
+            return Got {
+                status,
+                head,
+                body: self.read.drain(..length).collect(),
+                whole: true,
+            };
         }
-        assert_eq!(header(&head, "transfer-encoding").as_deref(), Some("chunked"), "{head}");
+        assert_eq!(
+            header(&head, "transfer-encoding").as_deref(),
+            Some("chunked"),
+            "{head}"
+        );
         let (body, whole) = self.rest().await;
-        Got { status, head, body: body.into_bytes(), whole }
+        Got {
+            status,
+            head,
+            body: body.into_bytes(),
+            whole,
+        }
     }
 
     async fn more(&mut self) -> bool {
-        let read = timeout(STEP, self.stream.read_buf(&mut self.read)).await.expect("no bytes come");
+        let read = timeout(STEP, self.stream.read_buf(&mut self.read))
+            .await
+            .expect("no bytes come");
         matches!(read, Ok(1..))
     }
 
@@ -441,7 +524,8 @@
         let Some(end) = bytes[at..].windows(2).position(|pair| pair == b"\r\n") else {
             return (body, at, false);
         };
-        let size = usize::from_str_radix(std::str::from_utf8(&bytes[at..at + end]).unwrap(), 16).unwrap();
+        let size =
+            usize::from_str_radix(std::str::from_utf8(&bytes[at..at + end]).unwrap(), 16).unwrap();
         let data = at + end + 2;
         if bytes.len() < data + size + 2 {
             return (body, at, false);
--- a/crates/mintlb-dispatcher/tests/machine/raw.rs
+++ b/crates/mintlb-dispatcher/tests/machine/raw.rs
@@ -34,12 +34,21 @@
             call_sequence: 1,
             warm_at_ms: 0,
         };
-        RawWorker { record, address, listener }
+        RawWorker {
+            record,
+            address,
+            listener,
+        }
     }
 
     pub async fn accept(&self) -> RawConnection {
-        let accepted = timeout(STEP, self.listener.accept()).await.expect("no connection comes");
-        RawConnection { stream: accepted.unwrap().0, read: Vec::new() }
+        let accepted = timeout(STEP, self.listener.accept())
+            .await
+            .expect("no connection comes");
+        RawConnection {
+            stream: accepted.unwrap().0,
+            read: Vec::new(),
+        }
     }
 }
 
@@ -50,7 +59,11 @@
             if let Some(end) = self.read.windows(4).position(|bytes| bytes == b"\r\n\r\n") {
                 return String::from_utf8(self.read.drain(..end + 4).collect()).unwrap();
             }
-            assert!(self.more().await, "closed before a head: {:?}", String::from_utf8_lossy(&self.read));
+            assert!(
+                self.more().await,
+                "closed before a head: {:?}",
+                String::from_utf8_lossy(&self.read)
+            );
         }
     }
 
@@ -77,7 +90,9 @@
     }
 
     async fn more(&mut self) -> bool {
-        let read = timeout(STEP, self.stream.read_buf(&mut self.read)).await.expect("no bytes come");
+        let read = timeout(STEP, self.stream.read_buf(&mut self.read))
+            .await
+            .expect("no bytes come");
         matches!(read, Ok(1..))
     }
 
@@ -98,13 +113,19 @@
 
 /// A whole 200 to the request with this id, its connection kept for 5 s.
 pub fn ok(id: &str, body: &str) -> String {
-    let own =
-        format!("mintlb-request-id: {id}\r\nmintlb-response-signature: s-{id}\r\nkeep-alive: timeout=5\r\n");
-    format!("HTTP/1.1 200 OK\r\n{own}content-length: {}\r\n\r\n{body}", body.len())
+    let own = format!(
+        "mintlb-request-id: {id}\r\nmintlb-response-signature: s-{id}\r\nkeep-alive: timeout=5\r\n"
+    );
+    format!(
+        "HTTP/1.1 200 OK\r\n{own}content-length: {}\r\n\r\n{body}",
+        body.len()
+    )
 }
 
 /// Says that the request with this id has not run.
 pub fn not_run(id: &str) -> String {
-    let own = format!("mintlb-request-id: {id}\r\nmintlb-not-executed: full\r\nkeep-alive: timeout=5\r\n");
+    let own = format!(
+        "mintlb-request-id: {id}\r\nmintlb-not-executed: full\r\nkeep-alive: timeout=5\r\n"
+    );
     format!("HTTP/1.1 503 Full\r\n{own}content-length: 0\r\n\r\n")
 }
--- a/crates/mintlb-dispatcher/tests/requests.rs
+++ b/crates/mintlb-dispatcher/tests/requests.rs
@@ -20,21 +20,44 @@
         let mut client = machine.client().await;
         for round in 0..3 {
             let id = format!("id{round}");
-            client.post("/p/7?x=%20&y=1", &id, "X-Own: a\r\nConnection: x-hop\r\nX-Hop: b\r\n", "body").await;
+            client
+                .post(
+                    "/p/7?x=%20&y=1",
+                    &id,
+                    "X-Own: a\r\nConnection: x-hop\r\nX-Hop: b\r\n",
+                    "body",
+                )
+                .await;
             let asked = worker.asked().await;
-            assert!(asked.head.starts_with("POST /p/7?x=%20&y=1 HTTP/1.1\r\n"), "{}", asked.head);
+            assert!(
+                asked.head.starts_with("POST /p/7?x=%20&y=1 HTTP/1.1\r\n"),
+                "{}",
+                asked.head
+            );
             assert_eq!(asked.body, b"body");
             assert_eq!(asked.id(), id);
             assert_eq!(header(&asked.head, "host").as_deref(), Some("shop.example"));
             assert_eq!(header(&asked.head, "x-own").as_deref(), Some("a"));
             assert_eq!(header(&asked.head, "x-hop"), None);
-            assert_eq!(header(&asked.head, "mintlb-target-instance").as_deref(), Some("i-1"));
-            let left: u64 = header(&asked.head, "mintlb-deadline-ms").unwrap().parse().unwrap();
+            assert_eq!(
+                header(&asked.head, "mintlb-target-instance").as_deref(),
+                Some("i-1")
+            );
+            let left: u64 = header(&asked.head, "mintlb-deadline-ms")
+                .unwrap()
+                .parse()
+                .unwrap();
             assert!((1000..=5000).contains(&left), "{left}");
             asked.answer("the answer").await;
             let got = client.get().await;
-            assert_eq!((got.status, got.text().as_str(), got.whole), (200, "the answer", true));
-            assert_eq!(header(&got.head, "mintlb-response-signature"), Some(format!("s-{id}")));
+            assert_eq!(
+                (got.status, got.text().as_str(), got.whole),
+                (200, "the answer", true)
+            );
+            assert_eq!(
+                header(&got.head, "mintlb-response-signature"),
+                Some(format!("s-{id}"))
+            );
             assert_eq!(header(&got.head, "mintlb-request-id"), Some(id));
             assert_eq!(header(&got.head, "connection"), None);
         }
@@ -48,7 +71,9 @@
         let mut client = machine.client().await;
         let head = "POST /o/1 HTTP/1.1\r\nHost: shop.example\r\nMintlb-Request-Id: a\r\n";
         client
-            .write(&format!("{head}Transfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n"))
+            .write(&format!(
+                "{head}Transfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n"
+            ))
             .await;
         let asked = worker.asked().await;
         assert_eq!(asked.body, b"abcde");
@@ -70,7 +95,9 @@
         machine.configure(CONFIGURATION).await;
         client.post("/none/1", "b", "", "").await;
         assert_eq!(client.get().await.status, 404);
-        client.write("POST /p/1 HTTP/1.1\r\nHost: shop.example\r\nContent-Length: 0\r\n\r\n").await;
+        client
+            .write("POST /p/1 HTTP/1.1\r\nHost: shop.example\r\nContent-Length: 0\r\n\r\n")
+            .await;
         assert_eq!(client.get().await.status, 400, "without an id");
     });
 }
@@ -99,10 +126,14 @@
         client.post("/p/1", "a", "", &"x".repeat(5000)).await;
         assert_eq!(client.get().await.status, 413);
         let mut client = machine.client().await;
-        client.post("/p/1", "b", &format!("X: {}\r\n", "y".repeat(40_000)), "").await;
+        client
+            .post("/p/1", "b", &format!("X: {}\r\n", "y".repeat(40_000)), "")
+            .await;
         assert_eq!(client.get().await.status, 431);
         let mut client = machine.client().await;
-        client.post("/p/1", "c", "Transfer-Encoding: chunked\r\n", "0\r\n\r\n").await;
+        client
+            .post("/p/1", "c", "Transfer-Encoding: chunked\r\n", "0\r\n\r\n")
+            .await;
         assert_eq!(client.get().await.status, 400);
         assert!(!worker.has_request());
     });
@@ -123,8 +154,14 @@
             if id == 1 {
                 let (status, head) = client.head().await;
                 assert_eq!(status, 200);
-                assert_eq!(header(&head, "content-type").as_deref(), Some("text/event-stream"));
-                assert_eq!(header(&head, "transfer-encoding").as_deref(), Some("chunked"));
+                assert_eq!(
+                    header(&head, "content-type").as_deref(),
+                    Some("text/event-stream")
+                );
+                assert_eq!(
+                    header(&head, "transfer-encoding").as_deref(),
+                    Some("chunked")
+                );
             }
             assert_eq!(client.chunks(so_far.len()).await, so_far);
         }
@@ -237,7 +274,8 @@
         // Refused everywhere, its client is told that it has not run.
         client.post("/o/2", "b", "", "").await;
         for _ in 0..2 {
-            let asked = tokio::select! { asked = one.asked() => asked, asked = two.asked() => asked };
+            let asked =
+                tokio::select! { asked = one.asked() => asked, asked = two.asked() => asked };
             asked.refuse().await;
         }
         let got = client.get().await;
@@ -252,12 +290,20 @@
         let (machine, mut worker) = with_worker().await;
         let mut client = machine.client().await;
         client.post("/o/1", "a", "", "").await;
-        worker.asked().await.answer_as("500 Oh", "content-length: 3\r\n\r\nwhy").await;
+        worker
+            .asked()
+            .await
+            .answer_as("500 Oh", "content-length: 3\r\n\r\nwhy")
+            .await;
         let got = client.get().await;
         assert_eq!((got.status, got.text().as_str()), (500, "why"));
         // A 503 that does not say that it has not run must not look as if it did.
         client.post("/o/1", "b", "", "").await;
-        worker.asked().await.answer_as("503 Oh", "content-length: 0\r\n\r\n").await;
+        worker
+            .asked()
+            .await
+            .answer_as("503 Oh", "content-length: 0\r\n\r\n")
+            .await;
         assert_eq!(client.get().await.status, 502);
     });
 }
@@ -269,12 +315,20 @@
         let mut client = machine.client().await;
         client.post("/o/1", "a", "", "").await;
         let mut asked = worker.asked().await;
-        asked.on.write("HTTP/1.1 200 OK\r\nmintlb-request-id: a\r\ncontent-length: 2\r\n\r\nok").await;
+        asked
+            .on
+            .write("HTTP/1.1 200 OK\r\nmintlb-request-id: a\r\ncontent-length: 2\r\n\r\nok")
+            .await;
         assert_eq!(client.get().await.status, 502);
         client.post("/o/1", "b", "", "").await;
         let mut asked = worker.asked().await;
         let own = asked.own();
-        asked.on.write(&format!("HTTP/1.1 200 OK\r\n{own}content-length: 9\r\n\r\nok")).await;
+        asked
+            .on
+            .write(&format!(
+                "HTTP/1.1 200 OK\r\n{own}content-length: 9\r\n\r\nok"
+            ))
+            .await;
         drop(asked);
         assert_eq!(client.get().await.status, 502);
         client.post("/o/1", "c", "", "").await;
@@ -293,7 +347,8 @@
         assert_eq!(client.get().await.text(), "first");
         client.post("/o/2", "b", "", "").await;
         let mut asked = worker.asked().await;
-        let late = "mintlb-request-id: a\r\nmintlb-response-signature: s\r\ncontent-length: 4\r\n\r\nlate";
+        let late =
+            "mintlb-request-id: a\r\nmintlb-response-signature: s\r\ncontent-length: 4\r\n\r\nlate";
         asked.on.write(&format!("HTTP/1.1 200 OK\r\n{late}")).await;
         asked.answer("second").await;
         assert_eq!(client.get().await.text(), "second");
@@ -307,7 +362,10 @@
         let mut client = machine.client().await;
         client.post("/o/1", "a", "", "").await;
         let mut asked = worker.asked().await;
-        asked.on.write("HTTP/1.1 421 No\r\nmintlb-request-id: a\r\ncontent-length: 0\r\n\r\n").await;
+        asked
+            .on
+            .write("HTTP/1.1 421 No\r\nmintlb-request-id: a\r\ncontent-length: 0\r\n\r\n")
+            .await;
         let got = client.get().await;
         assert_eq!(got.status, 503);
         assert!(!worker.has_request());
@@ -325,7 +383,11 @@
         two.post("/o/2", "b", "", "").await;
         assert_eq!(two.get().await.status, 503);
         asked.answer("finished").await;
-        assert_eq!(one.get().await.text(), "finished", "what was there before is finished");
+        assert_eq!(
+            one.get().await.text(),
+            "finished",
+            "what was there before is finished"
+        );
     });
 }
 
--- a/crates/mintlb-dispatcher/tests/routing.rs
+++ b/crates/mintlb-dispatcher/tests/routing.rs
@@ -23,8 +23,13 @@
     let configuration = Arc::new(Configuration::parse(CONFIGURATION.as_bytes()).unwrap());
     let types = project_types(&configuration, &mut ServiceNumbers::default());
     let named = types.into_iter().enumerate();
-    let types: Vec<Named> =
-        named.map(|(number, (name, project_type))| Named { name, number, project_type }).collect();
+    let types: Vec<Named> = named
+        .map(|(number, (name, project_type))| Named {
+            name,
+            number,
+            project_type,
+        })
+        .collect();
     (RoutingTable::new(configuration, &types), types)
 }
 
@@ -45,29 +50,72 @@
     let (table, types) = table();
     let drawn = |draw| table.target("one.example", "/x/1", draw, |_| true).unwrap();
     assert_eq!((&*drawn(0.0).service, &*drawn(0.89).service), ("s", "s"));
-    assert_eq!((&*drawn(0.91).service, &*drawn(0.999_999).service), ("t", "t"));
-    let only_t = |draw| table.target("one.example", "/x/1", draw, |service| service == "t").unwrap();
-    assert_eq!((&*only_t(0.0).service, &*only_t(0.95).service), ("t", "t"), "s has no worker");
-    assert_eq!(&*table.target("one.example", "/x/1", 0.0, |_| false).unwrap().service, "s");
-    let name = |number: usize| types.iter().find(|named| named.number == number).unwrap().name.clone();
+    assert_eq!(
+        (&*drawn(0.91).service, &*drawn(0.999_999).service),
+        ("t", "t")
+    );
+    let only_t = |draw| {
+        table
+            .target("one.example", "/x/1", draw, |service| service == "t")
+            .unwrap()
+    };
+    assert_eq!(
+        (&*only_t(0.0).service, &*only_t(0.95).service),
+        ("t", "t"),
+        "s has no worker"
+    );
+    assert_eq!(
+        &*table
+            .target("one.example", "/x/1", 0.0, |_| false)
+            .unwrap()
+            .service,
+        "s"
+    );
+    let name = |number: usize| {
+        types
+            .iter()
+            .find(|named| named.number == number)
+            .unwrap()
+            .name
+            .clone()
+    };
     assert_eq!(name(drawn(0.0).project_type), "a@s");
     assert_eq!(name(drawn(0.95).project_type), "a@t");
     assert!(types.iter().all(|named| named.name != "a@u"));
     assert_eq!(table.type_of("a", "t").map(name).as_deref(), Some("a@t"));
     let other = table.type_of("gone", "t").map(name).unwrap();
-    assert!(other.ends_with("@t"), "a stream whose route is gone goes on at its service, as {other}");
+    assert!(
+        other.ends_with("@t"),
+        "a stream whose route is gone goes on at its service, as {other}"
+    );
     assert_eq!(table.type_of("gone", "gone"), None);
 }
 
 #[test]
 fn project_types_say_what_routes_say() {
     let (_, types) = table();
-    let of = |name: &str| &types.iter().find(|named| named.name == name).unwrap().project_type;
+    let of = |name: &str| {
+        &types
+            .iter()
+            .find(|named| named.name == name)
+            .unwrap()
+            .project_type
+    };
     assert_eq!(of("a@s").effect, Effect::Rerunnable);
     assert_eq!(of("b@t").effect, Effect::Exclusive);
-    assert_eq!(of("c@t").effect, Effect::Rerunnable, "a stream that may be resumed may run again");
-    assert_eq!((of("c@t").promised_turnaround, of("c@t").hard_limit), (0.1, 2.0));
-    assert!(of("a@s").credit > of("c@t").credit && of("c@t").credit > of("b@t").credit, "rank 0 is highest");
+    assert_eq!(
+        of("c@t").effect,
+        Effect::Rerunnable,
+        "a stream that may be resumed may run again"
+    );
+    assert_eq!(
+        (of("c@t").promised_turnaround, of("c@t").hard_limit),
+        (0.1, 2.0)
+    );
+    assert!(
+        of("a@s").credit > of("c@t").credit && of("c@t").credit > of("b@t").credit,
+        "rank 0 is highest"
+    );
     assert_eq!(of("a@t").kind, of("b@t").kind);
     assert_ne!(of("a@s").kind, of("a@t").kind);
 }
@@ -92,11 +140,17 @@
         let workers: Vec<u64> = (0..u.int_in_range(1..=30)?).collect();
         let (subject, lost) = (u.arbitrary()?, u.choose_index(workers.len())? as u64);
         let before = preferred(subject, workers.iter().copied());
-        let after = preferred(subject, workers.iter().copied().filter(|worker| *worker != lost));
+        let after = preferred(
+            subject,
+            workers.iter().copied().filter(|worker| *worker != lost),
+        );
         if !before.contains(&Some(lost)) {
             assert_eq!(before, after);
         }
-        assert_eq!(before.iter().flatten().count(), workers.len().min(before.len()));
+        assert_eq!(
+            before.iter().flatten().count(),
+            workers.len().min(before.len())
+        );
         let kept = before.iter().flatten().filter(|worker| **worker != lost);
         assert!(kept.clone().all(|worker| after.contains(&Some(*worker))));
         Ok(())
@@ -112,5 +166,8 @@
         let best = preferred(prompt.subject, 0..18)[0].unwrap();
         counts[best as usize] += 1;
     }
-    assert!(counts.iter().all(|count| (60..150).contains(count)), "{counts:?}");
+    assert!(
+        counts.iter().all(|count| (60..150).contains(count)),
+        "{counts:?}"
+    );
 }
--- a/crates/mintlb-dispatcher/tests/trouble.rs
+++ b/crates/mintlb-dispatcher/tests/trouble.rs
@@ -21,11 +21,23 @@
         let (machine, mut worker) = with_worker().await;
         let gone = worker_record(&worker, WorkerState::Gone, 0);
         let (service, address, zone) = Default::default();
-        machine.hear(WorkerRecord { service, address, zone, capacity_slots: 0, ..gone }).await;
+        machine
+            .hear(WorkerRecord {
+                service,
+                address,
+                zone,
+                capacity_slots: 0,
+                ..gone
+            })
+            .await;
         assert_eq!(machine.hub.workers.in_service(), 0);
         let mut client = machine.client().await;
-        client.write("POST /p/1 HTTP/1.1\r\nHost: shop.example\r\nMintlb-Request-Id: a\r\n").await;
-        client.write("Mintlb-Deadline-Ms: 300\r\nContent-Length: 0\r\n\r\n").await;
+        client
+            .write("POST /p/1 HTTP/1.1\r\nHost: shop.example\r\nMintlb-Request-Id: a\r\n")
+            .await;
+        client
+            .write("Mintlb-Deadline-Ms: 300\r\nContent-Length: 0\r\n\r\n")
+            .await;
         assert_ne!(client.get().await.status, 200);
         assert!(!worker.has_request());
     });
@@ -45,14 +57,27 @@
         client.post("/o/1", "b", "", "").await;
         let asked = worker.asked().await;
         let head = "HTTP/1.1 200 OK\r\nmintlb-request-id: b\r\nmintlb-response-signature: s\r\n";
-        asked.answer_with(&format!("{head}connection: close\r\ncontent-length: 0\r\n\r\n")).await;
+        asked
+            .answer_with(&format!(
+                "{head}connection: close\r\ncontent-length: 0\r\n\r\n"
+            ))
+            .await;
         assert_eq!(client.get().await.status, 200);
         client.post("/o/1", "c", "", "").await;
         let asked = worker.asked().await;
-        assert_eq!(worker.connections(), 2, "the worker has said that it closes the first");
+        assert_eq!(
+            worker.connections(),
+            2,
+            "the worker has said that it closes the first"
+        );
         // It closes what is idle for less than the time that is taken to be safe.
-        let own = "mintlb-request-id: c\r\nmintlb-response-signature: s\r\nkeep-alive: timeout=0\r\n";
-        asked.answer_with(&format!("HTTP/1.1 200 OK\r\n{own}content-length: 0\r\n\r\n")).await;
+        let own =
+            "mintlb-request-id: c\r\nmintlb-response-signature: s\r\nkeep-alive: timeout=0\r\n";
+        asked
+            .answer_with(&format!(
+                "HTTP/1.1 200 OK\r\n{own}content-length: 0\r\n\r\n"
+            ))
+            .await;
         assert_eq!(client.get().await.status, 200);
         client.post("/o/1", "d", "", "").await;
         worker.asked().await.answer("ok").await;
@@ -69,7 +94,11 @@
         client.post("/o/1", "a", "", "").await;
         let asked = worker.asked().await;
         let own = asked.own();
-        asked.answer_with(&format!("HTTP/1.1 200 OK\r\n{own}content-length: 2\r\n\r\nokEXTRA")).await;
+        asked
+            .answer_with(&format!(
+                "HTTP/1.1 200 OK\r\n{own}content-length: 2\r\n\r\nokEXTRA"
+            ))
+            .await;
         assert_eq!(client.get().await.text(), "ok");
         client.post("/o/1", "b", "", "").await;
         worker.asked().await.answer("next").await;
@@ -86,7 +115,12 @@
         client.post("/o/1", "a", "", "").await;
         let mut asked = worker.asked().await;
         let own = "mintlb-request-id: other\r\nmintlb-response-signature: s\r\n";
-        asked.on.write(&format!("HTTP/1.1 200 OK\r\n{own}content-length: 2\r\n\r\nno")).await;
+        asked
+            .on
+            .write(&format!(
+                "HTTP/1.1 200 OK\r\n{own}content-length: 2\r\n\r\nno"
+            ))
+            .await;
         drop(asked);
         assert_eq!(client.get().await.status, 502);
         assert!(!worker.has_request(), "it may have run");
@@ -126,10 +160,15 @@
             let after: f64 = header(&got.head, "retry-after").unwrap().parse().unwrap();
             assert!(after > 0.0 && after <= 1.0);
         }
-        let head =
-            "POST /o/1 HTTP/1.1\r\nHost: shop.example\r\nMintlb-Request-Id: b\r\nContent-Length: 0\r\n";
-        client.write(&format!("{head}Mintlb-Deadline-Ms: 30\r\n\r\n")).await;
-        assert_eq!(client.get().await.status, 503, "its time is over, and it has not run");
+        let head = "POST /o/1 HTTP/1.1\r\nHost: shop.example\r\nMintlb-Request-Id: b\r\nContent-Length: 0\r\n";
+        client
+            .write(&format!("{head}Mintlb-Deadline-Ms: 30\r\n\r\n"))
+            .await;
+        assert_eq!(
+            client.get().await.status,
+            503,
+            "its time is over, and it has not run"
+        );
     });
 }
 
@@ -149,7 +188,10 @@
         let mut asked = two.asked().await;
         let waited = began.elapsed();
         // Well before its own time, 5 s, is over.
-        assert!(waited > Duration::from_millis(600) && waited < Duration::from_secs(4), "{waited:?}");
+        assert!(
+            waited > Duration::from_millis(600) && waited < Duration::from_secs(4),
+            "{waited:?}"
+        );
         assert_eq!(header(&asked.head, "last-event-id").as_deref(), Some("1"));
         asked.begin_stream().await;
         asked.event(2).await;
@@ -188,7 +230,10 @@
             client.post("/o/1", "a", "", "").await;
             let mut asked = worker.asked().await;
             let own = asked.own();
-            let head = format!("HTTP/1.1 200 OK\r\n{own}content-length: {}\r\n\r\n", long.len());
+            let head = format!(
+                "HTTP/1.1 200 OK\r\n{own}content-length: {}\r\n\r\n",
+                long.len()
+            );
             let sent = if whole { &long[..] } else { &long[..600_000] };
             let bytes = head + sent;
             let writes = tokio::spawn(async move { asked.on.write(&bytes).await });
@@ -206,7 +251,10 @@
         let bytes = format!("{head}{:x}\r\n{long}\r\n0\r\n\r\n", long.len());
         tokio::spawn(async move { asked.on.write(&bytes).await });
         let got = client.get().await;
-        assert_eq!((got.status, got.whole, got.body.len()), (200, true, long.len()));
+        assert_eq!(
+            (got.status, got.whole, got.body.len()),
+            (200, true, long.len())
+        );
     });
 }
 
@@ -215,7 +263,10 @@
     on_one_thread(async {
         let machine = Machine::start().await;
         machine
-            .configure(&CONFIGURATION.replace("\"max_attempts\":2,\"gap", "\"session_affinity\":true,\"gap"))
+            .configure(&CONFIGURATION.replace(
+                "\"max_attempts\":2,\"gap",
+                "\"session_affinity\":true,\"gap",
+            ))
             .await;
         let mut workers = Vec::new();
         for number in 0..6 {
@@ -268,7 +319,8 @@
         client.head().await;
         // It reads nothing more until the worker can't go on.
         let mut sent = 0;
-        while let Ok(Some(id)) = tokio::time::timeout(Duration::from_millis(400), told.recv()).await {
+        while let Ok(Some(id)) = tokio::time::timeout(Duration::from_millis(400), told.recv()).await
+        {
             sent = id;
         }
         assert!(sent < 399, "all of it was taken in");
--- a/crates/mintlb-dispatcher/tests/whose_answer.rs
+++ b/crates/mintlb-dispatcher/tests/whose_answer.rs
@@ -116,7 +116,11 @@
             asked.answer("ran").await;
             assert_eq!(client.get().await.text(), "ran");
             let rest = early.rest().await;
-            assert!(rest.len() < LONG && rest.iter().all(|byte| *byte == b'x'), "{path}: {}", rest.len());
+            assert!(
+                rest.len() < LONG && rest.iter().all(|byte| *byte == b'x'),
+                "{path}: {}",
+                rest.len()
+            );
         }
     });
 }
@@ -162,7 +166,9 @@
                 let mut first = worker.accept().await;
                 first.request().await;
                 let own = "mintlb-request-id: a\r\nmintlb-response-signature: s\r\n";
-                first.write(&format!("HTTP/1.1 {status}\r\n{own}\r\nall of it")).await;
+                first
+                    .write(&format!("HTTP/1.1 {status}\r\n{own}\r\nall of it"))
+                    .await;
                 drop(first);
                 let got = match (path, status) {
                     ("/p/1", "500 Oh") => {
@@ -173,7 +179,11 @@
                     }
                     _ => client.get().await,
                 };
-                assert_eq!((got.text().as_str(), got.whole), ("all of it", true), "{path} {status}");
+                assert_eq!(
+                    (got.text().as_str(), got.whole),
+                    ("all of it", true),
+                    "{path} {status}"
+                );
             }
         }
         let (machine, worker) = with_raw_worker().await;
@@ -181,7 +191,9 @@
         let mut first = worker.accept().await;
         first.request().await;
         let own = "mintlb-request-id: a\r\nmintlb-response-signature: s\r\n";
-        first.write(&format!("HTTP/1.1 200 OK\r\n{own}\r\npart of it")).await;
+        first
+            .write(&format!("HTTP/1.1 200 OK\r\n{own}\r\npart of it"))
+            .await;
         first.reset();
         assert_eq!(client.get().await.status, 502);
     });
@@ -196,7 +208,11 @@
             let mut first = worker.accept().await;
             first.request().await;
             let stamp = "mintlb-response-signature: s\r\n";
-            first.write(&format!("HTTP/1.1 200 OK\r\n{own}{stamp}content-length: 2\r\n\r\nno")).await;
+            first
+                .write(&format!(
+                    "HTTP/1.1 200 OK\r\n{own}{stamp}content-length: 2\r\n\r\nno"
+                ))
+                .await;
             assert_eq!(client.get().await.status, 502, "{own}");
             client.post("/o/1", "b", "", "").await;
             answers_anew(&worker, &mut client, "b").await;
@@ -208,16 +224,24 @@
 #[test]
 fn a_refusal_whose_body_does_not_come_is_one_all_the_same() {
     on_one_thread(async {
-        for rest in ["content-length: 5\r\n\r\n", "transfer-encoding: chunked\r\n\r\n5\r\nfu", "\r\n"] {
+        for rest in [
+            "content-length: 5\r\n\r\n",
+            "transfer-encoding: chunked\r\n\r\n5\r\nfu",
+            "\r\n",
+        ] {
             let (machine, worker) = with_raw_worker().await;
             let mut client = asks(&machine, "/o/1", "a", "").await;
             let mut refuses = worker.accept().await;
             refuses.request().await;
             let mut other = with_another(&machine).await;
             let own = "mintlb-request-id: a\r\nmintlb-not-executed: full\r\n";
-            refuses.write(&format!("HTTP/1.1 503 Full\r\n{own}{rest}")).await;
+            refuses
+                .write(&format!("HTTP/1.1 503 Full\r\n{own}{rest}"))
+                .await;
             let came = timeout(Duration::from_secs(1), other.asked()).await;
-            came.expect("its time goes by at the worker that refused it").answer("ran").await;
+            came.expect("its time goes by at the worker that refused it")
+                .answer("ran")
+                .await;
             assert_eq!(client.get().await.text(), "ran");
             assert_eq!(refuses.rest().await, b"");
         }
@@ -245,7 +269,11 @@
     assert_eq!(second.request().await.1, body.as_bytes());
     second.answer("b", "ran").await;
     let got = client.get().await;
-    assert_eq!((got.status, got.text().contains("ran")), (200, true), "{path}");
+    assert_eq!(
+        (got.status, got.text().contains("ran")),
+        (200, true),
+        "{path}"
+    );
     true
 }
 
--- a/crates/mintlb-dispatcher/tests/wire.rs
+++ b/crates/mintlb-dispatcher/tests/wire.rs
@@ -6,7 +6,9 @@
 use std::time::Duration;
 
 fn head(text: &str) -> AnswerHead {
-    AnswerHead::take(&mut BytesMut::from(text)).unwrap().unwrap()
+    AnswerHead::take(&mut BytesMut::from(text))
+        .unwrap()
+        .unwrap()
 }
 
 #[test]
@@ -14,17 +16,25 @@
     arbtest(|u| {
         let (mut sent, mut wire) = (Vec::new(), Vec::new());
         for _ in 0..u.int_in_range(0..=6)? {
-            let data: Vec<u8> =
-                (0..u.int_in_range(1..=40)?).map(|_| u.arbitrary()).collect::<Result<_, _>>()?;
-            wire.extend(format!("{:X};ext=1\r\n", data.len()).bytes().chain(data.iter().copied()));
+            let data: Vec<u8> = (0..u.int_in_range(1..=40)?)
+                .map(|_| u.arbitrary())
+                .collect::<Result<_, _>>()?;
+            wire.extend(
+                format!("{:X};ext=1\r\n", data.len())
+                    .bytes()
+                    .chain(data.iter().copied()),
+            );
             wire.extend(b"\r\n");
             sent.extend(data);
         }
         wire.extend(b"0\r\nTrailer: x\r\n\r\n");
         let behind = u.int_in_range(0..=3)?;
         wire.extend(vec![b'!'; behind]);
-        let (mut body, mut buffer, mut read) =
-            (BodyReader::new(Framing::Chunked), BytesMut::new(), Vec::new());
+        let (mut body, mut buffer, mut read) = (
+            BodyReader::new(Framing::Chunked),
+            BytesMut::new(),
+            Vec::new(),
+        );
         let mut rest = &wire[..];
         while !rest.is_empty() {
             let (piece, others) = rest.split_at(u.int_in_range(1..=rest.len())?);
@@ -35,7 +45,11 @@
             }
         }
         assert!(body.is_done());
-        assert_eq!((read, buffer.len()), (sent, behind), "what is behind the body is left alone");
+        assert_eq!(
+            (read, buffer.len()),
+            (sent, behind),
+            "what is behind the body is left alone"
+        );
         Ok(())
     });
 }
@@ -53,8 +67,15 @@
 
 #[test]
 fn broken_chunks_are_known_as_such() {
-    for wire in ["x\r\n", "\r\n", "3\r\nabcd\r\n", "3\r\nabc!\r\n", "3\nabc\r\n", "-1\r\n", &"1".repeat(5000)]
-    {
+    for wire in [
+        "x\r\n",
+        "\r\n",
+        "3\r\nabcd\r\n",
+        "3\r\nabc!\r\n",
+        "3\nabc\r\n",
+        "-1\r\n",
+        &"1".repeat(5000),
+    ] {
         let (mut buffer, mut body) = (BytesMut::from(wire), BodyReader::new(Framing::Chunked));
         let end = loop {
             match body.take(&mut buffer) {
@@ -73,15 +94,27 @@
     assert_eq!(read.framing, Framing::Length(5));
     assert!(read.keeps_alive);
     assert_eq!(read.keep_alive(), Some(Duration::from_secs(7)));
-    let read = head("HTTP/1.1 200 OK\r\nTransfer-Encoding: Chunked\r\nConnection: x, Close\r\n\r\n");
+    let read =
+        head("HTTP/1.1 200 OK\r\nTransfer-Encoding: Chunked\r\nConnection: x, Close\r\n\r\n");
     assert_eq!((read.framing, read.keeps_alive), (Framing::Chunked, false));
     let read = head("HTTP/1.1 200 OK\r\n\r\n");
-    assert_eq!((read.framing, read.keeps_alive), (Framing::UntilClose, false));
+    assert_eq!(
+        (read.framing, read.keeps_alive),
+        (Framing::UntilClose, false)
+    );
     assert!(!head("HTTP/1.0 200 OK\r\nContent-Length: 0\r\n\r\n").keeps_alive);
     assert_eq!(head("HTTP/1.1 204 No\r\n\r\n").framing, Framing::Length(0));
     let interim = "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n";
-    assert_eq!(head(interim).status, 200, "an interim head only says that another comes");
-    assert!(AnswerHead::take(&mut BytesMut::from("HTTP/1.1 200 OK\r\nA: b\r\n")).unwrap().is_none());
+    assert_eq!(
+        head(interim).status,
+        200,
+        "an interim head only says that another comes"
+    );
+    assert!(
+        AnswerHead::take(&mut BytesMut::from("HTTP/1.1 200 OK\r\nA: b\r\n"))
+            .unwrap()
+            .is_none()
+    );
 }
 
 #[test]
@@ -94,7 +127,10 @@
         "HTTP/1.1 200 OK\r\nContent-Length: +5\r\n\r\n",
         "HTTP/1.1 101 Other\r\n\r\n",
     ] {
-        assert!(AnswerHead::take(&mut BytesMut::from(text)).is_err(), "{text:?}");
+        assert!(
+            AnswerHead::take(&mut BytesMut::from(text)).is_err(),
+            "{text:?}"
+        );
     }
     let long = format!("HTTP/1.1 200 OK\r\nA: {}", "b".repeat(40_000));
     assert!(AnswerHead::take(&mut BytesMut::from(&long[..])).is_err());
--- a/crates/mintlb-gossip/src/broadcast.rs
+++ b/crates/mintlb-gossip/src/broadcast.rs
@@ -98,7 +98,11 @@
     /// A link is new; it starts as part of the tree.
     pub fn link_up(&mut self, address: SocketAddr) {
         self.link_down(address);
-        self.links.push(Link { address, in_tree: true, announcements: Vec::new() });
+        self.links.push(Link {
+            address,
+            in_tree: true,
+            announcements: Vec::new(),
+        });
     }
 
     /// A link is gone.
@@ -127,9 +131,15 @@
     ) {
         let stamps: Vec<_> = records
             .iter()
-            .map(|record| Stamp { id: record_id(&record.key), version: record.version })
+            .map(|record| Stamp {
+                id: record_id(&record.key),
+                version: record.version,
+            })
             .collect();
-        let tree = self.links.iter().filter(|link| link.in_tree && Some(link.address) != from);
+        let tree = self
+            .links
+            .iter()
+            .filter(|link| link.in_tree && Some(link.address) != from);
         let tree: Vec<_> = tree.map(|link| link.address).collect();
         for records in split(records) {
             effects.send_all(&tree, &Message::Push(Push { records, confirm }));
@@ -208,16 +218,29 @@
     }
 
     /// A neighbour has records that may not be known here yet.
-    pub fn on_announce(&mut self, now: Instant, from: SocketAddr, announce: Announce, store: &RecordStore) {
+    pub fn on_announce(
+        &mut self,
+        now: Instant,
+        from: SocketAddr,
+        announce: Announce,
+        store: &RecordStore,
+    ) {
         for stamp in announce.stamps.into_iter().take(MOST_ANNOUNCEMENTS) {
-            if store.version(stamp.id).is_some_and(|version| version >= stamp.version) {
+            if store
+                .version(stamp.id)
+                .is_some_and(|version| version >= stamp.version)
+            {
                 continue;
             }
             let due = now + GRAFT_DELAY;
             let full = self.missing.len() >= MOST_MISSING;
             match self.missing.get_mut(&stamp.id) {
                 Some(missing) if stamp.version > missing.version => {
-                    *missing = Missing { version: stamp.version, sources: vec![from], due };
+                    *missing = Missing {
+                        version: stamp.version,
+                        sources: vec![from],
+                        due,
+                    };
                 }
                 Some(missing) if stamp.version < missing.version => continue,
                 Some(missing) => {
@@ -227,7 +250,11 @@
                 }
                 None if full => continue,
                 None => {
-                    let missing = Missing { version: stamp.version, sources: vec![from], due };
+                    let missing = Missing {
+                        version: stamp.version,
+                        sources: vec![from],
+                        due,
+                    };
                     self.missing.insert(stamp.id, missing);
                 }
             }
@@ -249,20 +276,32 @@
         }
         let wanted = graft.ids.into_iter().take(MOST_ANNOUNCEMENTS);
         let mut bytes = 0;
-        let records = wanted.filter_map(|id| store.carry(now, id)).take_while(|record| {
-            let fits = bytes == 0 || bytes + record.size() <= MESSAGE_BYTES;
-            bytes += record.size();
-            fits
-        });
+        let records = wanted
+            .filter_map(|id| store.carry(now, id))
+            .take_while(|record| {
+                let fits = bytes == 0 || bytes + record.size() <= MESSAGE_BYTES;
+                bytes += record.size();
+                fits
+            });
         let records: Vec<_> = records.collect();
         if !records.is_empty() {
-            effects.send(from, &Message::Push(Push { records, confirm: false }));
+            effects.send(
+                from,
+                &Message::Push(Push {
+                    records,
+                    confirm: false,
+                }),
+            );
         }
     }
 
     /// A record has come, by whatever way.
     pub fn settle(&mut self, id: u64, store: &RecordStore) {
-        if self.missing.get(&id).is_some_and(|missing| store.version(id) >= Some(missing.version)) {
+        if self
+            .missing
+            .get(&id)
+            .is_some_and(|missing| store.version(id) >= Some(missing.version))
+        {
             self.missing.remove(&id);
         }
     }
@@ -290,7 +329,9 @@
             if now < missing.due {
                 return true;
             }
-            missing.sources.retain(|source| links.iter().any(|link| link.address == *source));
+            missing
+                .sources
+                .retain(|source| links.iter().any(|link| link.address == *source));
             if missing.sources.is_empty() {
                 return false;
             }
--- a/crates/mintlb-gossip/src/codec.rs
+++ b/crates/mintlb-gossip/src/codec.rs
@@ -19,7 +19,9 @@
         encoder: &mut Encoder<W>,
         _: &mut C,
     ) -> Result<(), EncodeError<W::Error>> {
-        let SocketAddr::V4(address) = address else { return Err(EncodeError::message("no IPv4 address")) };
+        let SocketAddr::V4(address) = address else {
+            return Err(EncodeError::message("no IPv4 address"));
+        };
         encoder.u64(u64::from(address.ip().to_bits()) << 16 | u64::from(address.port()))?;
         Ok(())
     }
@@ -27,7 +29,8 @@
     /// Reads an address.
     pub fn decode<C>(decoder: &mut Decoder<'_>, _: &mut C) -> Result<SocketAddr, DecodeError> {
         let number = decoder.u64()?;
-        let ip = u32::try_from(number >> 16).map_err(|_| DecodeError::message("no IPv4 address"))?;
+        let ip =
+            u32::try_from(number >> 16).map_err(|_| DecodeError::message("no IPv4 address"))?;
         Ok(SocketAddr::V4(SocketAddrV4::new(ip.into(), number as u16)))
     }
 }
@@ -82,7 +85,12 @@
         if over || self.key.len() > MOST_KEY_BYTES {
             return None;
         }
-        Some(Record { key: self.key, version: self.version, lifetime_s: self.lifetime_s, body: self.body })
+        Some(Record {
+            key: self.key,
+            version: self.version,
+            lifetime_s: self.lifetime_s,
+            body: self.body,
+        })
     }
 
     /// About how many bytes it takes in a message.
@@ -106,7 +114,9 @@
 pub fn record_id(key: &str) -> u64 {
     const FNV_OFFSET: u64 = 0xcbf2_9ce4_8422_2325;
     const FNV_PRIME: u64 = 0x0100_0000_01b3;
-    scramble(key.bytes().fold(FNV_OFFSET, |hash, byte| (hash ^ u64::from(byte)).wrapping_mul(FNV_PRIME)))
+    scramble(key.bytes().fold(FNV_OFFSET, |hash, byte| {
+        (hash ^ u64::from(byte)).wrapping_mul(FNV_PRIME)
+    }))
 }
 
 /// Spreads every bit of a number over all of its bits (the last step of splitmix64).
--- a/crates/mintlb-gossip/src/digest.rs
+++ b/crates/mintlb-gossip/src/digest.rs
@@ -97,7 +97,12 @@
     /// A link is new, or messages on it were lost: both sides send a digest.
     pub fn link_up(&mut self, address: SocketAddr, store: &RecordStore, effects: &mut Effects) {
         self.link_down(address);
-        self.links.push(Link { address, difference: 0, compared: false, differences: Vec::new() });
+        self.links.push(Link {
+            address,
+            difference: 0,
+            compared: false,
+            differences: Vec::new(),
+        });
         effects.send(address, &ping(store.table(), true));
     }
 
@@ -112,8 +117,10 @@
     /// Sends each neighbour a sign of life.
     pub fn ping_all(&self, store: &RecordStore, effects: &mut Effects) {
         let table = store.table();
-        let (same, differing): (Vec<_>, Vec<_>) = self.links.iter().partition(|link| link.difference == 0);
-        let addresses = |links: Vec<&Link>| links.iter().map(|link| link.address).collect::<Vec<_>>();
+        let (same, differing): (Vec<_>, Vec<_>) =
+            self.links.iter().partition(|link| link.difference == 0);
+        let addresses =
+            |links: Vec<&Link>| links.iter().map(|link| link.address).collect::<Vec<_>>();
         if !same.is_empty() {
             effects.send_all(&addresses(same), &ping(table, false));
         }
@@ -133,7 +140,9 @@
         effects: &mut Effects,
     ) {
         let table = store.table();
-        let Some(link) = self.links.iter_mut().find(|link| link.address == from) else { return };
+        let Some(link) = self.links.iter_mut().find(|link| link.address == from) else {
+            return;
+        };
         let difference = ping.hash ^ table.hash();
         let steady = link.difference == difference;
         link.difference = difference;
@@ -170,13 +179,18 @@
         store: &RecordStore,
         effects: &mut Effects,
     ) {
-        let theirs: FxHashMap<u64, u64> = listing.stamps.iter().map(|s| (s.id, s.version)).collect();
+        let theirs: FxHashMap<u64, u64> =
+            listing.stamps.iter().map(|s| (s.id, s.version)).collect();
         let mut answer = Answer::default();
         let mut buckets: Vec<_> = listing.buckets.iter().map(|&b| usize::from(b)).collect();
         buckets.sort_unstable();
         buckets.dedup();
         for bucket in buckets.into_iter().filter(|&bucket| bucket < BUCKETS) {
-            for stamp in store.table().stamps(bucket).filter(|stamp| !theirs.contains_key(&stamp.id)) {
+            for stamp in store
+                .table()
+                .stamps(bucket)
+                .filter(|stamp| !theirs.contains_key(&stamp.id))
+            {
                 answer.add(bucket, || store.carry(now, stamp.id));
             }
         }
@@ -230,7 +244,10 @@
             let id = record_id(&record.key);
             match store.take(now, record) {
                 Some(Put::InForce(record)) => {
-                    fresh.push(Stamp { id, version: record.version });
+                    fresh.push(Stamp {
+                        id,
+                        version: record.version,
+                    });
                     effects.push(Effect::InForce(record));
                 }
                 Some(Put::Older) => answer.add(bucket_of(id), || store.carry_to_older(now, id)),
@@ -249,7 +266,10 @@
             self.finish(from);
         } else {
             self.repair = Some((from, now + REPAIR_TIME));
-            let buckets: Vec<_> = unfinished.into_iter().filter(|&bucket| bucket < BUCKETS).collect();
+            let buckets: Vec<_> = unfinished
+                .into_iter()
+                .filter(|&bucket| bucket < BUCKETS)
+                .collect();
             effects.send(from, &self::listing(store.table(), &buckets));
         }
     }
@@ -290,7 +310,10 @@
     }
 
     fn into_message(self) -> Message {
-        Message::Records(Records { records: self.records, unfinished: self.unfinished.into() })
+        Message::Records(Records {
+            records: self.records,
+            unfinished: self.unfinished.into(),
+        })
     }
 }
 
@@ -303,13 +326,26 @@
 
 fn ping(table: &Table, with_buckets: bool) -> Message {
     let hashes = || (0..BUCKETS).flat_map(|bucket| table.bucket_hash(bucket).to_be_bytes());
-    let buckets = if with_buckets { hashes().collect::<Vec<_>>() } else { Vec::new() };
-    Message::Ping(Ping { hash: table.hash(), records: table.len() as u64, buckets: buckets.into() })
+    let buckets = if with_buckets {
+        hashes().collect::<Vec<_>>()
+    } else {
+        Vec::new()
+    };
+    Message::Ping(Ping {
+        hash: table.hash(),
+        records: table.len() as u64,
+        buckets: buckets.into(),
+    })
 }
 
 fn differences(table: &Table, theirs: &[u8]) -> Vec<u32> {
-    let hashes = theirs.chunks_exact(4).map(|hash| u32::from_be_bytes([hash[0], hash[1], hash[2], hash[3]]));
-    hashes.enumerate().map(|(bucket, hash)| hash ^ table.bucket_hash(bucket)).collect()
+    let hashes = theirs
+        .chunks_exact(4)
+        .map(|hash| u32::from_be_bytes([hash[0], hash[1], hash[2], hash[3]]));
+    hashes
+        .enumerate()
+        .map(|(bucket, hash)| hash ^ table.bucket_hash(bucket))
+        .collect()
 }
 
 /// As many of the buckets as fit into a message.
@@ -322,5 +358,8 @@
         listed.push(bucket as u8);
         stamps.extend(table.stamps(bucket));
     }
-    Message::Listing(Listing { buckets: listed.into(), stamps })
+    Message::Listing(Listing {
+        buckets: listed.into(),
+        stamps,
+    })
 }
--- a/crates/mintlb-gossip/src/driver.rs
+++ b/crates/mintlb-gossip/src/driver.rs
@@ -64,11 +64,16 @@
     /// Joins the overlay; its task runs on the current runtime from now on.
     pub fn start(config: OverlayConfig) -> Arc<Overlay> {
         let now = Instant::now();
-        let seed = record_id(&config.member.address.to_string()) ^ config.member.incarnation.number();
+        let seed =
+            record_id(&config.member.address.to_string()) ^ config.member.incarnation.number();
         let node = Node::new(now, config.member, &config.seeds, seed);
         let overlay = Arc::new(Overlay {
             transport: config.transport.clone(),
-            state: Mutex::new(State { node, waiters: Vec::new(), wake_at: now }),
+            state: Mutex::new(State {
+                node,
+                waiters: Vec::new(),
+                wake_at: now,
+            }),
             deliveries: Mutex::default(),
             joined: watch::Sender::new(false),
             sooner: Notify::new(),
@@ -84,16 +89,29 @@
     pub async fn publish(&self, record: Record, wait: Duration) -> bool {
         let (confirmed, confirmation) = oneshot::channel();
         let (id, version) = (record_id(&record.key), record.version);
-        self.state.lock().waiters.push(Waiter { id, version, confirmed });
-        self.handle(Input::Publish { record, confirm_until: Some(Instant::now() + wait) });
+        self.state.lock().waiters.push(Waiter {
+            id,
+            version,
+            confirmed,
+        });
+        self.handle(Input::Publish {
+            record,
+            confirm_until: Some(Instant::now() + wait),
+        });
         let outcome = timeout(wait, confirmation).await;
-        self.state.lock().waiters.retain(|waiter| !waiter.confirmed.is_closed());
+        self.state
+            .lock()
+            .waiters
+            .retain(|waiter| !waiter.confirmed.is_closed());
         matches!(outcome, Ok(Ok(())))
     }
 
     /// Publishes a record without waiting for anybody.
     pub fn publish_now(&self, record: Record) {
-        self.handle(Input::Publish { record, confirm_until: None });
+        self.handle(Input::Publish {
+            record,
+            confirm_until: None,
+        });
     }
 
     /// The record in force of this key.
@@ -112,7 +130,11 @@
         {
             let state = self.state.lock();
             let mut deliveries = self.deliveries.lock();
-            let known = state.node.table().shared().map(|record| (listener.clone(), record.clone()));
+            let known = state
+                .node
+                .table()
+                .shared()
+                .map(|record| (listener.clone(), record.clone()));
             deliveries.queue.extend(known);
             deliveries.listeners.push(listener);
         }
@@ -137,7 +159,11 @@
 
     /// Waits until [`Overlay::joined`] is true.
     pub async fn settled(&self) {
-        self.joined.subscribe().wait_for(|&joined| joined).await.ok();
+        self.joined
+            .subscribe()
+            .wait_for(|&joined| joined)
+            .await
+            .ok();
     }
 
     async fn run(self: Arc<Self>) {
@@ -188,7 +214,9 @@
                 if deliveries.delivering {
                     return;
                 }
-                let Some(next) = deliveries.queue.pop_front() else { return };
+                let Some(next) = deliveries.queue.pop_front() else {
+                    return;
+                };
                 deliveries.delivering = true;
                 next
             };
--- a/crates/mintlb-gossip/src/effects.rs
+++ b/crates/mintlb-gossip/src/effects.rs
@@ -41,7 +41,10 @@
 impl Effects {
     /// Sends a message.
     pub fn send(&mut self, to: SocketAddr, message: &Message) {
-        self.list.push(Effect::Send { to, body: message.to_bytes() });
+        self.list.push(Effect::Send {
+            to,
+            body: message.to_bytes(),
+        });
     }
 
     /// Sends one message to several; it is written once.
@@ -50,7 +53,10 @@
             return;
         }
         let body = message.to_bytes();
-        self.list.extend(to.iter().map(|&to| Effect::Send { to, body: body.clone() }));
+        self.list.extend(to.iter().map(|&to| Effect::Send {
+            to,
+            body: body.clone(),
+        }));
     }
 
     /// Adds another effect.
--- a/crates/mintlb-gossip/src/node.rs
+++ b/crates/mintlb-gossip/src/node.rs
@@ -112,7 +112,9 @@
 
     /// When the node wants its next tick.
     pub fn deadline(&self) -> Instant {
-        self.broadcast.deadline().map_or(self.tick_at, |deadline| deadline.min(self.tick_at))
+        self.broadcast
+            .deadline()
+            .map_or(self.tick_at, |deadline| deadline.min(self.tick_at))
     }
 
     /// Handles one input.
@@ -129,9 +131,13 @@
             },
             Input::Unreachable(peer) => self.views.on_unreachable(now, peer, &mut effects),
             Input::Restarted { peer, incarnation } => {
-                self.views.on_restarted(now, peer, incarnation, &mut effects);
+                self.views
+                    .on_restarted(now, peer, incarnation, &mut effects);
             }
-            Input::Publish { record, confirm_until } => {
+            Input::Publish {
+                record,
+                confirm_until,
+            } => {
                 self.publish(now, record, confirm_until, &mut effects);
             }
             Input::Tick => self.tick(now, &mut effects),
@@ -148,27 +154,44 @@
             Message::Refused(reply) => self.views.on_refused(now, from, reply, effects),
             Message::Disconnect => self.views.on_disconnect(now, from, effects),
             Message::Shuffle(shuffle) => self.views.on_shuffle(now, from, shuffle, true, effects),
-            Message::ShuffleReply(shuffle) => self.views.on_shuffle(now, from, shuffle, false, effects),
+            Message::ShuffleReply(shuffle) => {
+                self.views.on_shuffle(now, from, shuffle, false, effects)
+            }
             Message::Probe(probe) => self.views.on_probe(now, from, probe, hash(), effects),
-            Message::ProbeReply(probe) => self.views.on_probe_reply(now, from, probe, hash(), effects),
+            Message::ProbeReply(probe) => {
+                self.views.on_probe_reply(now, from, probe, hash(), effects)
+            }
             Message::Ping(ping) => {
                 if self.views.check_neighbour(from, effects) {
                     let own = self.views.own().address;
-                    self.digests.on_ping(now, from, own, ping, &self.store, effects);
+                    self.digests
+                        .on_ping(now, from, own, ping, &self.store, effects);
                 }
             }
-            Message::Listing(listing) => self.digests.on_listing(now, from, listing, &self.store, effects),
-            Message::Fetch(fetch) => self.digests.on_fetch(now, from, fetch, &self.store, effects),
+            Message::Listing(listing) => {
+                self.digests
+                    .on_listing(now, from, listing, &self.store, effects)
+            }
+            Message::Fetch(fetch) => self
+                .digests
+                .on_fetch(now, from, fetch, &self.store, effects),
             Message::Records(records) => {
                 let (store, broadcast) = (&mut self.store, &mut self.broadcast);
-                self.digests.on_records(now, from, records, store, broadcast, effects);
+                self.digests
+                    .on_records(now, from, records, store, broadcast, effects);
+            }
+            Message::Push(push) => {
+                self.broadcast
+                    .on_push(now, from, push, &mut self.store, effects)
             }
-            Message::Push(push) => self.broadcast.on_push(now, from, push, &mut self.store, effects),
             Message::Announce(announce) => {
                 self.confirmed(&announce.stamps, effects);
                 self.broadcast.on_announce(now, from, announce, &self.store);
             }
-            Message::Graft(graft) => self.broadcast.on_graft(now, from, graft, &self.store, effects),
+            Message::Graft(graft) => {
+                self.broadcast
+                    .on_graft(now, from, graft, &self.store, effects)
+            }
             Message::Prune => self.broadcast.on_prune(from),
             Message::Offer(offer) => self.on_offer(now, from, offer, effects),
             Message::Have(have) => self.confirmed(&have.stamps, effects),
@@ -182,7 +205,10 @@
         confirm_until: Option<Instant>,
         effects: &mut Effects,
     ) {
-        let stamp = Stamp { id: record_id(&record.key), version: record.version };
+        let stamp = Stamp {
+            id: record_id(&record.key),
+            version: record.version,
+        };
         let confirm = confirm_until.is_some();
         if let Some(until) = confirm_until.filter(|_| self.awaited.len() < MOST_AWAITED) {
             self.awaited.push(Awaited { stamp, until });
@@ -215,11 +241,17 @@
         if let Some(Put::InForce(record)) = self.store.take(now, offer.record) {
             effects.push(Effect::InForce(record));
             let records: Vec<_> = self.store.carry(now, id).into_iter().collect();
-            self.broadcast.spread(now, records, Some(from), false, effects);
+            self.broadcast
+                .spread(now, records, Some(from), false, effects);
         }
         self.broadcast.settle(id, &self.store);
         if let Some(version) = self.store.version(id) {
-            effects.send(from, &Message::Have(Have { stamps: vec![Stamp { id, version }] }));
+            effects.send(
+                from,
+                &Message::Have(Have {
+                    stamps: vec![Stamp { id, version }],
+                }),
+            );
         }
     }
 
@@ -230,9 +262,13 @@
         }
         for have in stamps {
             let before = self.awaited.len();
-            self.awaited.retain(|a| a.stamp.id != have.id || a.stamp.version > have.version);
+            self.awaited
+                .retain(|a| a.stamp.id != have.id || a.stamp.version > have.version);
             if self.awaited.len() < before {
-                effects.push(Effect::Confirmed { id: have.id, version: have.version });
+                effects.push(Effect::Confirmed {
+                    id: have.id,
+                    version: have.version,
+                });
             }
         }
     }
@@ -242,11 +278,18 @@
         if now < self.tick_at {
             return;
         }
-        self.views.tick(now, TICK_INTERVAL, self.store.table().hash(), effects);
+        self.views
+            .tick(now, TICK_INTERVAL, self.store.table().hash(), effects);
         self.awaited.retain(|awaited| now < awaited.until);
-        let mut unconfirmed: Vec<_> = self.awaited.iter().map(|awaited| awaited.stamp.id).collect();
+        let mut unconfirmed: Vec<_> = self
+            .awaited
+            .iter()
+            .map(|awaited| awaited.stamp.id)
+            .collect();
         unconfirmed.dedup();
-        unconfirmed.into_iter().for_each(|id| self.offer(now, id, effects));
+        unconfirmed
+            .into_iter()
+            .for_each(|id| self.offer(now, id, effects));
         if now >= self.ping_at {
             self.ping_at = now + PING_INTERVAL;
             self.digests.ping_all(&self.store, effects);
--- a/crates/mintlb-gossip/src/table.rs
+++ b/crates/mintlb-gossip/src/table.rs
@@ -51,19 +51,27 @@
 
 impl Default for Table {
     fn default() -> Table {
-        Table { buckets: vec![Arc::default(); BUCKETS], length: 0 }
+        Table {
+            buckets: vec![Arc::default(); BUCKETS],
+            length: 0,
+        }
     }
 }
 
 impl Table {
     /// The record in force of this key.
     pub fn get(&self, key: &str) -> Option<&Record> {
-        self.entry(record_id(key)).map(|entry| &*entry.record).filter(|record| record.key == key)
+        self.entry(record_id(key))
+            .map(|entry| &*entry.record)
+            .filter(|record| record.key == key)
     }
 
     /// All records in force, in no order.
     pub fn iter(&self) -> impl Iterator<Item = &Record> {
-        self.buckets.iter().flat_map(|bucket| bucket.entries.values()).map(|entry| &*entry.record)
+        self.buckets
+            .iter()
+            .flat_map(|bucket| bucket.entries.values())
+            .map(|entry| &*entry.record)
     }
 
     /// How many records there are.
@@ -78,7 +86,9 @@
 
     /// The hash of the whole table.
     pub fn hash(&self) -> u64 {
-        self.buckets.iter().fold(0, |hash, bucket| hash ^ bucket.hash)
+        self.buckets
+            .iter()
+            .fold(0, |hash, bucket| hash ^ bucket.hash)
     }
 
     /// The hash of one bucket, shortened.
@@ -88,7 +98,13 @@
 
     /// What a bucket holds.
     pub fn stamps(&self, bucket: usize) -> impl Iterator<Item = Stamp> + '_ {
-        self.buckets[bucket].entries.iter().map(|(&id, entry)| Stamp { id, version: entry.record.version })
+        self.buckets[bucket]
+            .entries
+            .iter()
+            .map(|(&id, entry)| Stamp {
+                id,
+                version: entry.record.version,
+            })
     }
 
     /// How many records a bucket holds.
@@ -97,7 +113,10 @@
     }
 
     pub(crate) fn shared(&self) -> impl Iterator<Item = &Arc<Record>> {
-        self.buckets.iter().flat_map(|bucket| bucket.entries.values()).map(|entry| &entry.record)
+        self.buckets
+            .iter()
+            .flat_map(|bucket| bucket.entries.values())
+            .map(|entry| &entry.record)
     }
 
     fn entry(&self, id: u64) -> Option<&Entry> {
@@ -161,7 +180,9 @@
     pub fn take(&mut self, now: Instant, carried: CarriedRecord) -> Option<Put> {
         let lifetime = Duration::from_secs(carried.lifetime_s.into());
         let remaining = Duration::from_millis(carried.remaining_ms).min(lifetime);
-        carried.into_record().map(|record| self.put(now, record, remaining))
+        carried
+            .into_record()
+            .map(|record| self.put(now, record, remaining))
     }
 
     fn put(&mut self, now: Instant, record: Record, remaining: Duration) -> Put {
@@ -187,9 +208,18 @@
         if offered {
             bucket.hash ^= share_of_hash(id, record.version);
         }
-        let before = bucket.entries.insert(id, Entry { record: record.clone(), ends, offered });
+        let before = bucket.entries.insert(
+            id,
+            Entry {
+                record: record.clone(),
+                ends,
+                offered,
+            },
+        );
         match before {
-            Some(before) if before.offered => bucket.hash ^= share_of_hash(id, before.record.version),
+            Some(before) if before.offered => {
+                bucket.hash ^= share_of_hash(id, before.record.version)
+            }
             Some(_) => (),
             None => table.length += 1,
         }
@@ -199,17 +229,27 @@
     /// The record as it is handed on; none if it isn't known or is in the last quarter of its lifetime.
     pub fn carry(&self, now: Instant, id: u64) -> Option<CarriedRecord> {
         let entry = self.table.entry(id).filter(|entry| entry.offered)?;
-        let remaining = entry.ends.map_or(Duration::ZERO, |ends| ends.saturating_duration_since(now));
+        let remaining = entry
+            .ends
+            .map_or(Duration::ZERO, |ends| ends.saturating_duration_since(now));
         Some(carried(&entry.record, remaining))
     }
 
     /// The record that a process with an older version has to be told: also one in the last quarter of its lifetime
     /// or dropped, with a quarter of its lifetime as what is left.
     pub fn carry_to_older(&self, now: Instant, id: u64) -> Option<CarriedRecord> {
-        let known = || self.table.entry(id).map(|entry| &entry.record).or_else(|| self.retired.get(&id));
+        let known = || {
+            self.table
+                .entry(id)
+                .map(|entry| &entry.record)
+                .or_else(|| self.retired.get(&id))
+        };
         self.carry(now, id).or_else(|| {
             let record = known()?;
-            Some(carried(record, Duration::from_secs(record.lifetime_s.into()) / 4))
+            Some(carried(
+                record,
+                Duration::from_secs(record.lifetime_s.into()) / 4,
+            ))
         })
     }
 
@@ -227,14 +267,20 @@
                 break;
             }
             self.retired_at.pop_front();
-            if self.retired.get(&id).is_some_and(|record| record.version == version) {
+            if self
+                .retired
+                .get(&id)
+                .is_some_and(|record| record.version == version)
+            {
                 self.retired.remove(&id);
             }
         }
     }
 
     fn look_at(&mut self, now: Instant, id: u64) {
-        let Some(entry) = self.table.entry(id) else { return };
+        let Some(entry) = self.table.entry(id) else {
+            return;
+        };
         let Some(ends) = entry.ends else { return };
         let (offered, record) = (entry.offered, entry.record.clone());
         let quiet = Duration::from_secs(record.lifetime_s.into()) / 4;
--- a/crates/mintlb-gossip/src/views.rs
+++ b/crates/mintlb-gossip/src/views.rs
@@ -176,7 +176,13 @@
         Views {
             active: Vec::new(),
             passive: Vec::new(),
-            seeds: others.map(|&address| Seed { address, failures: 0, ask_after: now }).collect(),
+            seeds: others
+                .map(|&address| Seed {
+                    address,
+                    failures: 0,
+                    ask_after: now,
+                })
+                .collect(),
             is_seed,
             requests: Vec::new(),
             lost: VecDeque::new(),
@@ -205,14 +211,22 @@
 
     /// Whether this process is a neighbour.
     pub fn is_neighbour(&self, address: SocketAddr) -> bool {
-        self.active.iter().any(|neighbour| neighbour.member.address == address)
+        self.active
+            .iter()
+            .any(|neighbour| neighbour.member.address == address)
     }
 
     /// The neighbours and the others that were heard of recently.
     pub fn members(&self, now: Instant) -> Vec<Member> {
         let active = self.active.iter().map(|neighbour| &neighbour.member);
-        let recent = self.passive.iter().filter(|other| now < other.heard + RECENT);
-        active.chain(recent.map(|other| &other.member)).cloned().collect()
+        let recent = self
+            .passive
+            .iter()
+            .filter(|other| now < other.heard + RECENT);
+        active
+            .chain(recent.map(|other| &other.member))
+            .cloned()
+            .collect()
     }
 
     /// How many processes the passive view holds.
@@ -227,8 +241,9 @@
 
     /// Whether this life of a process is a neighbour.
     fn is_linked(&self, member: &Member) -> bool {
-        let same =
-            |n: &Neighbour| (n.member.address, n.member.incarnation) == (member.address, member.incarnation);
+        let same = |n: &Neighbour| {
+            (n.member.address, n.member.incarnation) == (member.address, member.incarnation)
+        };
         self.active.iter().any(same)
     }
 
@@ -336,7 +351,9 @@
         effects: &mut Effects,
     ) {
         if answer {
-            let reply = Shuffle { entries: self.sample(now, from) };
+            let reply = Shuffle {
+                entries: self.sample(now, from),
+            };
             effects.send(from, &Message::ShuffleReply(reply));
         }
         self.learn(now, shuffle.entries);
@@ -364,7 +381,9 @@
                 self.fill(now, effects);
             }
         }
-        let Some(neighbour) = self.active.iter_mut().find(|n| n.member.address == peer) else { return };
+        let Some(neighbour) = self.active.iter_mut().find(|n| n.member.address == peer) else {
+            return;
+        };
         if neighbour.broke.is_some_and(|broke| now < broke + BREAK) {
             self.lose(now, peer);
             self.fill(now, effects);
@@ -375,7 +394,13 @@
     }
 
     /// The regular look at the clock.
-    pub fn tick(&mut self, now: Instant, interval: Duration, table_hash: u64, effects: &mut Effects) {
+    pub fn tick(
+        &mut self,
+        now: Instant,
+        interval: Duration,
+        table_hash: u64,
+        effects: &mut Effects,
+    ) {
         if now > self.ticked + interval + STALL {
             self.wake(now);
         }
@@ -392,16 +417,26 @@
 
     /// This process stood still: its neighbours get the time to be heard again.
     fn wake(&mut self, now: Instant) {
-        log::info!("overlay: stood still, {} neighbours to hear from", self.active.len());
+        log::info!(
+            "overlay: stood still, {} neighbours to hear from",
+            self.active.len()
+        );
         for neighbour in &mut self.active {
             neighbour.heard = neighbour.heard.max(now - SILENCE / 2);
-            self.changes.push(LinkChange::Broken(neighbour.member.address));
+            self.changes
+                .push(LinkChange::Broken(neighbour.member.address));
         }
-        self.requests.iter_mut().for_each(|request| request.until = now + ANSWER_TIME / 2);
+        self.requests
+            .iter_mut()
+            .for_each(|request| request.until = now + ANSWER_TIME / 2);
     }
 
     fn drop_silent(&mut self, now: Instant, effects: &mut Effects) {
-        let silent = self.active.iter().filter(|n| now > n.heard + SILENCE).map(|n| n.member.address);
+        let silent = self
+            .active
+            .iter()
+            .filter(|n| now > n.heard + SILENCE)
+            .map(|n| n.member.address);
         for address in silent.collect::<Vec<_>>() {
             effects.send(address, &Message::Disconnect);
             self.lose(now, address);
@@ -409,9 +444,15 @@
     }
 
     fn drop_unanswered(&mut self, now: Instant) {
-        let late: Vec<_> = self.requests.iter().filter(|r| now >= r.until).map(|r| r.to).collect();
+        let late: Vec<_> = self
+            .requests
+            .iter()
+            .filter(|r| now >= r.until)
+            .map(|r| r.to)
+            .collect();
         self.requests.retain(|request| now < request.until);
-        late.into_iter().for_each(|address| self.unanswered(now, address));
+        late.into_iter()
+            .for_each(|address| self.unanswered(now, address));
     }
 
     fn shuffle(&mut self, now: Instant, effects: &mut Effects) {
@@ -425,8 +466,14 @@
     /// Itself and some of whom it knows, neighbours and others.
     fn sample(&mut self, now: Instant, to: SocketAddr) -> Vec<Heard> {
         let age = |heard| age_s(now, heard);
-        let active = self.active.iter().map(|n| Heard { member: n.member.clone(), age_s: age(n.heard) });
-        let passive = self.passive.iter().map(|o| Heard { member: o.member.clone(), age_s: age(o.heard) });
+        let active = self.active.iter().map(|n| Heard {
+            member: n.member.clone(),
+            age_s: age(n.heard),
+        });
+        let passive = self.passive.iter().map(|o| Heard {
+            member: o.member.clone(),
+            age_s: age(o.heard),
+        });
         let mut active: Vec<_> = active.filter(|heard| heard.member.address != to).collect();
         let mut passive: Vec<_> = passive.filter(|heard| heard.member.address != to).collect();
         self.random.shuffle(&mut active);
@@ -434,7 +481,10 @@
         active.truncate((SAMPLE / 2).max(SAMPLE.saturating_sub(passive.len())));
         passive.truncate(SAMPLE - active.len().min(SAMPLE));
         active.append(&mut passive);
-        active.push(Heard { member: self.own.clone(), age_s: 0 });
+        active.push(Heard {
+            member: self.own.clone(),
+            age_s: 0,
+        });
         active
     }
 
@@ -446,7 +496,11 @@
         self.failed.retain(|&(failed, _)| failed != address);
         self.requests.retain(|request| request.to != address);
         self.refusals = 0;
-        let neighbour = Neighbour { member, heard: now, broke: None };
+        let neighbour = Neighbour {
+            member,
+            heard: now,
+            broke: None,
+        };
         match self.active.iter_mut().find(|n| n.member.address == address) {
             Some(known) => *known = neighbour,
             None => self.active.push(neighbour),
@@ -455,21 +509,29 @@
     }
 
     fn remove(&mut self, address: SocketAddr) -> Option<Member> {
-        let at = self.active.iter().position(|n| n.member.address == address)?;
+        let at = self
+            .active
+            .iter()
+            .position(|n| n.member.address == address)?;
         self.changes.push(LinkChange::Down(address));
         Some(self.active.swap_remove(at).member)
     }
 
     /// Makes room for an urgent neighbour.
     fn evict(&mut self, now: Instant, effects: &mut Effects) {
-        let mut open: Vec<_> = self.neighbours().filter(|&address| !self.is_needed(address)).collect();
+        let mut open: Vec<_> = self
+            .neighbours()
+            .filter(|&address| !self.is_needed(address))
+            .collect();
         if open.is_empty() {
             open = self.neighbours().collect();
         }
         if let Some(address) = self.random.pick(&open) {
             effects.send(address, &Message::Disconnect);
             let member = self.remove(address);
-            member.into_iter().for_each(|member| self.remember(now, member, now));
+            member
+                .into_iter()
+                .for_each(|member| self.remember(now, member, now));
         }
     }
 
