--- a/crates/mintlb-gossip/src/views/candidates.rs
+++ b/crates/mintlb-gossip/src/views/candidates.rs
@@ -2,8 +2,8 @@
 
 use super::{
     ANSWER_TIME, Acquaintance, Heard, MOST_ENDED, MOST_FAILED, MOST_NEIGHBOURS, NeighbourReply,
-    NeighbourRequest, PASSIVE_VIEW, PROBE_INTERVAL, Probe, RECENT, REFUSALS, Request, SEED_PROBE_INTERVAL,
-    Views, WANTED_NEIGHBOURS, age_s,
+    NeighbourRequest, PASSIVE_VIEW, PROBE_INTERVAL, Probe, RECENT, REFUSALS, Request,
+    SEED_PROBE_INTERVAL, Views, WANTED_NEIGHBOURS, age_s,
 };
 use crate::effects::Effects;
 use crate::message::{Member, Message, Role};
@@ -78,22 +78,39 @@
 
     /// This life has shown itself at the address. Any other one that is known there has ended; and if this one was taken
     /// for ended, that was wrong. What else is known of the process goes over to the new life until it says more.
-    pub(super) fn end_former(&mut self, now: Instant, address: SocketAddr, incarnation: Incarnation) {
+    pub(super) fn end_former(
+        &mut self,
+        now: Instant,
+        address: SocketAddr,
+        incarnation: Incarnation,
+    ) {
         self.ended.retain(|ended| *ended != (address, incarnation));
-        let is_former = |member: &Member| member.address == address && member.incarnation != incarnation;
+        let is_former =
+            |member: &Member| member.address == address && member.incarnation != incarnation;
         let mut ended = Vec::new();
-        if self.active.iter().any(|neighbour| is_former(&neighbour.member))
+        if self
+            .active
+            .iter()
+            .any(|neighbour| is_former(&neighbour.member))
             && let Some(former) = self.remove(address)
         {
             ended.push(former.incarnation);
-            self.remember(now, Member { incarnation, ..former }, now);
+            self.remember(
+                now,
+                Member {
+                    incarnation,
+                    ..former
+                },
+                now,
+            );
         }
         let passive = self.passive.iter_mut().map(|other| &mut other.member);
         let lost = self.lost.iter_mut().map(|lost| &mut lost.member);
         for member in passive.chain(lost).filter(|member| is_former(member)) {
             ended.push(std::mem::replace(&mut member.incarnation, incarnation));
         }
-        self.ended.extend(ended.into_iter().map(|ended| (address, ended)));
+        self.ended
+            .extend(ended.into_iter().map(|ended| (address, ended)));
         while self.ended.len() > MOST_ENDED {
             self.ended.pop_front();
         }
@@ -105,7 +122,11 @@
         if address == self.own.address || self.is_neighbour(address) {
             return;
         }
-        if let Some(known) = self.passive.iter_mut().find(|other| other.member.address == address) {
+        if let Some(known) = self
+            .passive
+            .iter_mut()
+            .find(|other| other.member.address == address)
+        {
             if member.incarnation == known.member.incarnation || heard > known.heard {
                 known.heard = known.heard.max(heard);
                 known.member = member;
@@ -115,17 +136,29 @@
         if self.passive.len() >= PASSIVE_VIEW {
             let oldest = (0..self.passive.len()).min_by_key(|&at| self.passive[at].heard);
             match oldest {
-                Some(oldest) if self.passive[oldest].heard <= heard => self.passive.swap_remove(oldest),
+                Some(oldest) if self.passive[oldest].heard <= heard => {
+                    self.passive.swap_remove(oldest)
+                }
                 _ => return,
             };
         }
-        self.passive.push(Acquaintance { member, heard, ask_after: now });
+        self.passive.push(Acquaintance {
+            member,
+            heard,
+            ask_after: now,
+        });
     }
 
     /// A neighbour has fallen silent: it is replaced and looked for.
     pub(super) fn lose(&mut self, now: Instant, address: SocketAddr) {
-        let Some(member) = self.remove(address) else { return };
-        log::info!("overlay: lost {} at {address}, {} neighbours left", member.node_name, self.active.len());
+        let Some(member) = self.remove(address) else {
+            return;
+        };
+        log::info!(
+            "overlay: lost {} at {address}, {} neighbours left",
+            member.node_name,
+            self.active.len()
+        );
         self.fail(now, address);
         self.lost.retain(|lost| lost.member.address != address);
         self.lost.push_back(Lost { member, since: now });
@@ -136,19 +169,36 @@
 
     /// The answer to a process that wants to be a neighbour.
     pub(super) fn reply(&mut self, now: Instant, to: SocketAddr) -> NeighbourReply {
-        let recent = self.lost.iter().filter(|lost| now < lost.since + RECENT && lost.member.address != to);
-        let lost = recent.map(|lost| Heard { member: lost.member.clone(), age_s: age_s(now, lost.since) });
+        let recent = self
+            .lost
+            .iter()
+            .filter(|lost| now < lost.since + RECENT && lost.member.address != to);
+        let lost = recent.map(|lost| Heard {
+            member: lost.member.clone(),
+            age_s: age_s(now, lost.since),
+        });
         let lost = lost.collect();
-        NeighbourReply { member: self.own.clone(), sample: self.sample(now, to), lost }
+        NeighbourReply {
+            member: self.own.clone(),
+            sample: self.sample(now, to),
+            lost,
+        }
     }
 
     /// Looks for those that another process has lost lately, while there is room beside the own ones.
     pub(super) fn look_for(&mut self, now: Instant, lost: Vec<Heard>) {
         for Heard { member, age_s } in lost {
             let age = Duration::from_secs(age_s.into());
-            let known = self.lost.iter().any(|lost| lost.member.address == member.address);
-            if self.lost.len() < MOST_LOST && age < RECENT && !known && self.is_free(member.address) {
-                self.lost.push_back(Lost { member, since: now.checked_sub(age).unwrap_or(now) });
+            let known = self
+                .lost
+                .iter()
+                .any(|lost| lost.member.address == member.address);
+            if self.lost.len() < MOST_LOST && age < RECENT && !known && self.is_free(member.address)
+            {
+                self.lost.push_back(Lost {
+                    member,
+                    since: now.checked_sub(age).unwrap_or(now),
+                });
             }
         }
     }
@@ -181,11 +231,19 @@
     pub(super) fn postpone(&mut self, now: Instant, address: SocketAddr) {
         let alone = self.active.is_empty() || self.is_seed;
         if let Some(seed) = self.seeds.iter_mut().find(|seed| seed.address == address) {
-            let most = if alone { SEED_PAUSE_ALONE } else { SEED_PAUSE_LINKED };
+            let most = if alone {
+                SEED_PAUSE_ALONE
+            } else {
+                SEED_PAUSE_LINKED
+            };
             seed.ask_after = now + (SEED_PAUSE * (1 << seed.failures.min(8))).min(most);
             seed.failures += 1;
         }
-        if let Some(other) = self.passive.iter_mut().find(|other| other.member.address == address) {
+        if let Some(other) = self
+            .passive
+            .iter_mut()
+            .find(|other| other.member.address == address)
+        {
             other.ask_after = now + if alone { SEED_PAUSE_ALONE } else { ASK_PAUSE };
         }
     }
@@ -195,7 +253,9 @@
         self.hold_fellow_seeds(now, effects);
         let urgent = self.refusals >= REFUSALS;
         while self.active.len() + self.requests.len() < WANTED_NEIGHBOURS {
-            let Some(to) = self.candidate(now, !self.has_foreign()) else { break };
+            let Some(to) = self.candidate(now, !self.has_foreign()) else {
+                break;
+            };
             self.ask(now, to, urgent, effects);
         }
         let room = self.active.len() + self.requests.len() < MOST_NEIGHBOURS;
@@ -212,7 +272,11 @@
         if !self.is_seed {
             return;
         }
-        let due = self.seeds.iter().filter(|seed| now >= seed.ask_after).map(|seed| seed.address);
+        let due = self
+            .seeds
+            .iter()
+            .filter(|seed| now >= seed.ask_after)
+            .map(|seed| seed.address);
         for to in due.collect::<Vec<_>>() {
             if self.is_free(to) {
                 self.ask(now, to, true, effects);
@@ -223,8 +287,15 @@
     /// Whether a neighbour is in another zone, or is being asked.
     fn has_foreign(&self) -> bool {
         let foreign = |member: &Member| member.zone != self.own.zone;
-        let asked = self.passive.iter().any(|o| foreign(&o.member) && self.is_asked(o.member.address));
-        asked || self.active.iter().any(|neighbour| foreign(&neighbour.member))
+        let asked = self
+            .passive
+            .iter()
+            .any(|o| foreign(&o.member) && self.is_asked(o.member.address));
+        asked
+            || self
+                .active
+                .iter()
+                .any(|neighbour| foreign(&neighbour.member))
     }
 
     fn passive_candidates(&self, now: Instant, foreign: bool) -> Vec<SocketAddr> {
@@ -233,7 +304,11 @@
                 && (other.member.zone != self.own.zone) == foreign
                 && self.is_free(other.member.address)
         };
-        self.passive.iter().filter(fits).map(|other| other.member.address).collect()
+        self.passive
+            .iter()
+            .filter(fits)
+            .map(|other| other.member.address)
+            .collect()
     }
 
     /// Whom to ask next: somebody of the wanted zone, else of another, else a seed.
@@ -244,20 +319,34 @@
                 return Some(address);
             }
         }
-        let due = self.seeds.iter().filter(|seed| now >= seed.ask_after).map(|seed| seed.address);
+        let due = self
+            .seeds
+            .iter()
+            .filter(|seed| now >= seed.ask_after)
+            .map(|seed| seed.address);
         let open: Vec<_> = due.filter(|&address| self.is_free(address)).collect();
         self.random.pick(&open)
     }
 
     fn ask(&mut self, now: Instant, to: SocketAddr, urgent: bool, effects: &mut Effects) {
-        let request = NeighbourRequest { member: self.own.clone(), urgent, sample: self.sample(now, to) };
+        let request = NeighbourRequest {
+            member: self.own.clone(),
+            urgent,
+            sample: self.sample(now, to),
+        };
         effects.send(to, &Message::Neighbour(request));
-        self.requests.push(Request { to, until: now + ANSWER_TIME });
+        self.requests.push(Request {
+            to,
+            until: now + ANSWER_TIME,
+        });
     }
 
     /// Looks for one lost neighbour; a controller also for one seed.
     pub(super) fn probe(&mut self, now: Instant, table_hash: u64, effects: &mut Effects) {
-        let question = Message::Probe(Probe { member: self.own.clone(), table_hash });
+        let question = Message::Probe(Probe {
+            member: self.own.clone(),
+            table_hash,
+        });
         if now >= self.probe_at {
             self.probe_at = now + PROBE_INTERVAL;
             self.lost.rotate_left(1.min(self.lost.len()));
@@ -286,7 +375,10 @@
     ) {
         if probe.member.address == from {
             self.meet(now, probe.member);
-            let reply = Probe { member: self.own.clone(), table_hash };
+            let reply = Probe {
+                member: self.own.clone(),
+                table_hash,
+            };
             effects.send(from, &Message::ProbeReply(reply));
         }
     }
@@ -308,7 +400,8 @@
         self.lost.retain(|lost| lost.member.address != from);
         let was_neighbour = self.lost.len() < before;
         let differs = probe.table_hash != table_hash;
-        if (was_neighbour || differs) && self.is_free(from) && self.requests.len() < MOST_NEIGHBOURS {
+        if (was_neighbour || differs) && self.is_free(from) && self.requests.len() < MOST_NEIGHBOURS
+        {
             let urgent = was_neighbour && differs;
             self.ask(now, from, urgent, effects);
         }
--- a/crates/mintlb-gossip/tests/broadcasting.rs
+++ b/crates/mintlb-gossip/tests/broadcasting.rs
@@ -37,7 +37,8 @@
             simulation.publish(publisher, record("placement", version));
             let all = simulation.running();
             let took = simulation.time_until_known(&all, "placement", version, BOUND);
-            slowest = slowest.max(took.unwrap_or_else(|| panic!("{count}: version {version} is lacking")));
+            slowest = slowest
+                .max(took.unwrap_or_else(|| panic!("{count}: version {version} is lacking")));
         }
         let (bytes, messages) = (simulation.sent().0 - bytes, simulation.sent().1 - messages);
         println!(
@@ -60,7 +61,11 @@
     let mut victims: Vec<_> = (0..count).filter(|&number| number != publisher).collect();
     random.shuffle(&mut victims);
     for &victim in &victims[..count.div_ceil(10)] {
-        if power_lost { simulation.vanish(victim) } else { simulation.kill(victim) }
+        if power_lost {
+            simulation.vanish(victim)
+        } else {
+            simulation.kill(victim)
+        }
     }
     let rest = simulation.running();
     let took = simulation.time_until_known(&rest, "configuration", 1, BOUND);
@@ -69,7 +74,10 @@
         panic!("{count} processes, seed {seed}, power lost {power_lost}: {lacking} lack it")
     });
     simulation.run_for(ms(8000));
-    assert!(simulation.is_connected(), "{count} processes, seed {seed}: came apart");
+    assert!(
+        simulation.is_connected(),
+        "{count} processes, seed {seed}: came apart"
+    );
     let latest = simulation.time_until_known(&rest, "configuration", 1, BOUND);
     assert_eq!(latest, Some(Duration::ZERO));
     took
@@ -81,7 +89,9 @@
         for (count, seeds) in [(10, 20), (30, 20), (100, 8), (200, 4)] {
             let times = (0..seeds).map(|seed| survives(count, seed, power_lost));
             let slowest = times.max().unwrap();
-            println!("{count:4} processes, power lost {power_lost}: slowest of {seeds} took {slowest:?}");
+            println!(
+                "{count:4} processes, power lost {power_lost}: slowest of {seeds} took {slowest:?}"
+            );
         }
     }
 }
@@ -90,8 +100,11 @@
 fn the_tree_gets_thin() {
     let mut simulation = grown(11, 60);
     warm_up(&mut simulation, 20);
-    let links: usize =
-        simulation.running().iter().map(|&n| simulation.node(n).broadcast().tree_links()).sum();
+    let links: usize = simulation
+        .running()
+        .iter()
+        .map(|&n| simulation.node(n).broadcast().tree_links())
+        .sum();
     println!("60 processes: {links} ends of tree links, a tree has 118");
     assert!(links < 60 * 3, "{links} ends of tree links");
 }
--- a/crates/mintlb-gossip/tests/common/mod.rs
+++ b/crates/mintlb-gossip/tests/common/mod.rs
@@ -36,7 +36,12 @@
 }
 
 pub fn record(key: &str, version: u64) -> Record {
-    Record { key: key.into(), version, lifetime_s: 0, body: Bytes::from(format!("{key} {version}")) }
+    Record {
+        key: key.into(),
+        version,
+        lifetime_s: 0,
+        body: Bytes::from(format!("{key} {version}")),
+    }
 }
 
 /// What happens to one message.
@@ -51,8 +56,16 @@
 }
 
 enum Happening {
-    Message { from: (SocketAddr, Incarnation), to: SocketAddr, meant_for: Incarnation, body: Bytes },
-    Unreachable { at: SocketAddr, peer: SocketAddr },
+    Message {
+        from: (SocketAddr, Incarnation),
+        to: SocketAddr,
+        meant_for: Incarnation,
+        body: Bytes,
+    },
+    Unreachable {
+        at: SocketAddr,
+        peer: SocketAddr,
+    },
     Wake(SocketAddr),
     Start(SocketAddr),
 }
@@ -137,7 +150,11 @@
     }
 
     pub fn add(&mut self, number: usize, zone: &str, delay: Duration) {
-        let role = if number < 3 { Role::Controller } else { Role::Dispatcher };
+        let role = if number < 3 {
+            Role::Controller
+        } else {
+            Role::Dispatcher
+        };
         let member = Member {
             address: address(number),
             incarnation: self.draw_incarnation(),
@@ -206,8 +223,15 @@
     fn happen(&mut self, happening: Happening) -> bool {
         match happening {
             Happening::Message { from, to, .. } if self.is_cut(from.0, to) => return false,
-            Happening::Message { from, to, meant_for, body } => {
-                let Some(process) = self.processes.get_mut(&to) else { return false };
+            Happening::Message {
+                from,
+                to,
+                meant_for,
+                body,
+            } => {
+                let Some(process) = self.processes.get_mut(&to) else {
+                    return false;
+                };
                 if process.member.incarnation != meant_for {
                     self.warn(from.0, to, DIAL_PAUSE);
                     return false;
@@ -243,7 +267,12 @@
     fn boot(&mut self, at: SocketAddr) {
         let seed = self.random.next_number();
         let process = self.processes.get_mut(&at).unwrap();
-        process.node = Some(Node::new(self.now, process.member.clone(), &self.seeds, seed));
+        process.node = Some(Node::new(
+            self.now,
+            process.member.clone(),
+            &self.seeds,
+            seed,
+        ));
         process.condition = Condition::Running;
         process.wake_at = self.now;
         self.schedule(self.now, Happening::Wake(at));
@@ -253,7 +282,10 @@
     /// has ended is not heard any more.
     fn receive(&mut self, at: SocketAddr, from: (SocketAddr, Incarnation), body: Bytes) {
         let (peer, incarnation) = from;
-        let living = self.processes.get(&peer).map(|process| process.member.incarnation);
+        let living = self
+            .processes
+            .get(&peer)
+            .map(|process| process.member.incarnation);
         let known = self.processes[&at].lives.get(&peer).copied();
         if known.is_some_and(|known| known != incarnation) {
             if living.is_some_and(|living| living != incarnation) {
@@ -261,7 +293,11 @@
             }
             self.handle(at, Input::Restarted { peer, incarnation });
         }
-        self.processes.get_mut(&at).unwrap().lives.insert(peer, incarnation);
+        self.processes
+            .get_mut(&at)
+            .unwrap()
+            .lives
+            .insert(peer, incarnation);
         self.handle(at, Input::Received { from: peer, body });
     }
 
@@ -283,7 +319,9 @@
                     sends.push((to, body));
                 }
                 Effect::InForce(record) => {
-                    process.history.push((now, record.key.clone(), record.version));
+                    process
+                        .history
+                        .push((now, record.key.clone(), record.version));
                 }
                 Effect::Confirmed { .. } => process.confirmed += 1,
                 Effect::Unreadable(_) => (),
@@ -298,14 +336,17 @@
     fn send(&mut self, from: SocketAddr, to: SocketAddr, body: Bytes) {
         self.sent_messages += 1;
         self.largest_message = self.largest_message.max(body.len());
-        let fate = self.fate_of.filter(|(number, _)| *number == self.sent_messages);
+        let fate = self
+            .fate_of
+            .filter(|(number, _)| *number == self.sent_messages);
         let fate = fate.map_or(Fate::Deliver, |(_, fate)| fate);
         let delay = self.delay(from, to);
         if self.warned.contains(&(from, to)) {
             // The transport still waits for its broken connection; what is queued for it is lost with it.
             return;
         }
-        let silent = matches!(self.condition(to), Some(Condition::Vanished)) || self.is_cut(from, to);
+        let silent =
+            matches!(self.condition(to), Some(Condition::Vanished)) || self.is_cut(from, to);
         if silent || self.condition(to).is_none() {
             return self.warn(from, to, PATIENCE);
         }
@@ -316,7 +357,11 @@
             Fate::Drop => return,
             Fate::Delay(more) => self.now + delay + more,
             _ => {
-                let last = self.last_arrival.get(&(from, to)).copied().unwrap_or(self.now);
+                let last = self
+                    .last_arrival
+                    .get(&(from, to))
+                    .copied()
+                    .unwrap_or(self.now);
                 let arrival = (self.now + delay).max(last + Duration::from_micros(1));
                 self.last_arrival.insert((from, to), arrival);
                 arrival
@@ -330,19 +375,42 @@
         let meant_for = self.processes[&to].member.incarnation;
         if fate == Fate::Duplicate {
             let again = arrival + ms(50);
-            self.schedule(again, Happening::Message { from, to, meant_for, body: body.clone() });
+            self.schedule(
+                again,
+                Happening::Message {
+                    from,
+                    to,
+                    meant_for,
+                    body: body.clone(),
+                },
+            );
         }
-        self.schedule(arrival, Happening::Message { from, to, meant_for, body });
+        self.schedule(
+            arrival,
+            Happening::Message {
+                from,
+                to,
+                meant_for,
+                body,
+            },
+        );
     }
 
     fn warn(&mut self, from: SocketAddr, to: SocketAddr, after: Duration) {
         if self.warned.insert((from, to)) {
-            self.schedule(self.now + after, Happening::Unreachable { at: from, peer: to });
+            self.schedule(
+                self.now + after,
+                Happening::Unreachable { at: from, peer: to },
+            );
         }
     }
 
     fn delay(&mut self, from: SocketAddr, to: SocketAddr) -> Duration {
-        let zone = |at: SocketAddr| self.processes.get(&at).map(|process| process.member.zone.clone());
+        let zone = |at: SocketAddr| {
+            self.processes
+                .get(&at)
+                .map(|process| process.member.zone.clone())
+        };
         let base = if zone(from) == zone(to) { 500 } else { 8000 };
         Duration::from_micros((base + self.random.below(base)) as u64)
     }
@@ -358,12 +426,24 @@
     // What tests do.
 
     pub fn publish(&mut self, number: usize, record: Record) {
-        self.handle(address(number), Input::Publish { record, confirm_until: None });
+        self.handle(
+            address(number),
+            Input::Publish {
+                record,
+                confirm_until: None,
+            },
+        );
     }
 
     pub fn publish_confirmed(&mut self, number: usize, record: Record, wait: Duration) {
         let confirm_until = Some(self.now + wait);
-        self.handle(address(number), Input::Publish { record, confirm_until });
+        self.handle(
+            address(number),
+            Input::Publish {
+                record,
+                confirm_until,
+            },
+        );
     }
 
     /// Kills the process; its machine answers with resets.
@@ -405,7 +485,13 @@
     /// Breaks the connection in both directions.
     pub fn reset(&mut self, one: usize, other: usize) {
         for (at, peer) in [(one, other), (other, one)] {
-            self.schedule(self.now, Happening::Unreachable { at: address(at), peer: address(peer) });
+            self.schedule(
+                self.now,
+                Happening::Unreachable {
+                    at: address(at),
+                    peer: address(peer),
+                },
+            );
         }
     }
 
--- a/crates/mintlb-gossip/tests/common/questions.rs
+++ b/crates/mintlb-gossip/tests/common/questions.rs
@@ -10,7 +10,9 @@
 impl Simulation {
     pub fn running(&self) -> Vec<usize> {
         let numbers = 0..self.processes.len();
-        numbers.filter(|&number| self.condition(address(number)) == Some(Condition::Running)).collect()
+        numbers
+            .filter(|&number| self.condition(address(number)) == Some(Condition::Running))
+            .collect()
     }
 
     pub fn zone(&self, number: usize) -> &str {
@@ -30,11 +32,17 @@
     }
 
     pub fn version(&self, number: usize, key: &str) -> Option<u64> {
-        self.node(number).table().get(key).map(|record| record.version)
+        self.node(number)
+            .table()
+            .get(key)
+            .map(|record| record.version)
     }
 
     pub fn lacking(&self, among: &[usize], key: &str, version: u64) -> usize {
-        among.iter().filter(|&&number| self.version(number, key) != Some(version)).count()
+        among
+            .iter()
+            .filter(|&&number| self.version(number, key) != Some(version))
+            .count()
     }
 
     /// Runs until all of them have the version; how long it took.
@@ -46,7 +54,9 @@
         most: Duration,
     ) -> Option<Duration> {
         let (start, until) = (self.now, self.now + most);
-        let done = self.run_until(until, |simulation| simulation.lacking(among, key, version) == 0);
+        let done = self.run_until(until, |simulation| {
+            simulation.lacking(among, key, version) == 0
+        });
         done.then(|| self.now - start)
     }
 
@@ -57,7 +67,12 @@
             let node = self.processes[&at].node.as_ref().unwrap();
             for next in node.views().neighbours() {
                 let both = self.condition(next) == Some(Condition::Running)
-                    && self.processes[&next].node.as_ref().unwrap().views().is_neighbour(at);
+                    && self.processes[&next]
+                        .node
+                        .as_ref()
+                        .unwrap()
+                        .views()
+                        .is_neighbour(at);
                 if both && seen.insert(next) {
                     open.push(next);
                 }
@@ -75,7 +90,10 @@
     pub fn one_sided(&self) -> usize {
         let running = self.running();
         let links = running.iter().flat_map(|&number| {
-            self.node(number).views().neighbours().map(move |neighbour| (address(number), neighbour))
+            self.node(number)
+                .views()
+                .neighbours()
+                .map(move |neighbour| (address(number), neighbour))
         });
         let known = |(at, neighbour): &(SocketAddr, SocketAddr)| {
             let process = &self.processes[neighbour];
@@ -86,17 +104,20 @@
     }
 
     pub fn all_joined(&self) -> bool {
-        self.running().iter().all(|&number| self.node(number).joined())
+        self.running()
+            .iter()
+            .all(|&number| self.node(number).joined())
     }
 
     /// Whether versions of each key only ever rose, at every process.
     pub fn only_rises(&self) -> bool {
         self.processes.values().all(|process| {
             let mut newest: HashMap<&str, u64> = HashMap::new();
-            process
-                .history
-                .iter()
-                .all(|(_, key, version)| newest.insert(key, *version).is_none_or(|before| before < *version))
+            process.history.iter().all(|(_, key, version)| {
+                newest
+                    .insert(key, *version)
+                    .is_none_or(|before| before < *version)
+            })
         })
     }
 
--- a/crates/mintlb-gossip/tests/driver.rs
+++ b/crates/mintlb-gossip/tests/driver.rs
@@ -33,11 +33,20 @@
         node_name: format!("machine{number}"),
         zone: format!("zone{}", number % 2),
     };
-    Overlay::start(OverlayConfig { transport: transport.clone(), seeds: seeds.to_vec(), member })
+    Overlay::start(OverlayConfig {
+        transport: transport.clone(),
+        seeds: seeds.to_vec(),
+        member,
+    })
 }
 
 fn record(key: &str, version: u64) -> Record {
-    Record { key: key.into(), version, lifetime_s: 0, body: Bytes::from(vec![7; 300_000]) }
+    Record {
+        key: key.into(),
+        version,
+        lifetime_s: 0,
+        body: Bytes::from(vec![7; 300_000]),
+    }
 }
 
 async fn heard(events: &mut mpsc::UnboundedReceiver<(String, u64)>, key: &str, version: u64) {
@@ -49,14 +58,22 @@
         }
         panic!("the listener is gone");
     };
-    timeout(PATIENCE, wanted).await.unwrap_or_else(|_| panic!("{key} {version} has not come"));
+    timeout(PATIENCE, wanted)
+        .await
+        .unwrap_or_else(|_| panic!("{key} {version} has not come"));
 }
 
 #[tokio::test]
 async fn records_pass_between_processes() {
     let transports = transports(6).await;
-    let seeds: Vec<_> = transports[..3].iter().map(|transport| transport.own_address()).collect();
-    let overlays: Vec<_> = (0..5).rev().map(|number| start(&transports[number], &seeds, number)).collect();
+    let seeds: Vec<_> = transports[..3]
+        .iter()
+        .map(|transport| transport.own_address())
+        .collect();
+    let overlays: Vec<_> = (0..5)
+        .rev()
+        .map(|number| start(&transports[number], &seeds, number))
+        .collect();
     for overlay in &overlays {
         timeout(PATIENCE, overlay.settled()).await.expect("joined");
         assert!(*overlay.joined().borrow() && overlay.neighbours() > 0);
@@ -69,25 +86,48 @@
         }));
         events.push(receiver);
     }
-    assert!(overlays[2].publish(record("configuration", 3), PATIENCE).await);
+    assert!(
+        overlays[2]
+            .publish(record("configuration", 3), PATIENCE)
+            .await
+    );
     for events in &mut events {
         heard(events, "configuration", 3).await;
     }
     // An older version is a no-op; that neighbours have a newer one confirms it.
-    assert!(overlays[2].publish(record("configuration", 2), PATIENCE).await);
-    assert_eq!(overlays[2].get("configuration"), Some(record("configuration", 3)));
+    assert!(
+        overlays[2]
+            .publish(record("configuration", 2), PATIENCE)
+            .await
+    );
+    assert_eq!(
+        overlays[2].get("configuration"),
+        Some(record("configuration", 3))
+    );
     // A snapshot stays as it is.
     let snapshot = overlays[0].snapshot();
     overlays[0].publish_now(record("configuration", 4));
-    assert_eq!(snapshot.get("configuration").map(|record| record.version), Some(3));
-    assert_eq!(overlays[0].snapshot().get("configuration").map(|record| record.version), Some(4));
+    assert_eq!(
+        snapshot.get("configuration").map(|record| record.version),
+        Some(3)
+    );
+    assert_eq!(
+        overlays[0]
+            .snapshot()
+            .get("configuration")
+            .map(|record| record.version),
+        Some(4)
+    );
     for events in &mut events {
         heard(events, "configuration", 4).await;
     }
     // A latecomer gets everything, and its listener is told of what is known.
     let late = start(&transports[5], &seeds, 5);
     timeout(PATIENCE, late.settled()).await.expect("joined");
-    assert_eq!(late.get("configuration").map(|record| record.version), Some(4));
+    assert_eq!(
+        late.get("configuration").map(|record| record.version),
+        Some(4)
+    );
     let (sender, mut receiver) = mpsc::unbounded_channel();
     late.subscribe(Arc::new(move |record: &Record| {
         sender.send((record.key.clone(), record.version)).ok();
@@ -101,12 +141,21 @@
 async fn a_listener_may_publish() {
     let transports = transports(2).await;
     let seeds = [transports[0].own_address()];
-    let (one, other) = (start(&transports[0], &seeds, 0), start(&transports[1], &seeds, 1));
+    let (one, other) = (
+        start(&transports[0], &seeds, 0),
+        start(&transports[1], &seeds, 1),
+    );
     let publisher = Arc::downgrade(&other);
     other.subscribe(Arc::new(move |record: &Record| {
         if record.key == "question" {
-            let answer = Record { key: "answer".into(), ..record.clone() };
-            publisher.upgrade().into_iter().for_each(|overlay| overlay.publish_now(answer.clone()));
+            let answer = Record {
+                key: "answer".into(),
+                ..record.clone()
+            };
+            publisher
+                .upgrade()
+                .into_iter()
+                .for_each(|overlay| overlay.publish_now(answer.clone()));
         }
     }));
     let (sender, mut receiver) = mpsc::unbounded_channel();
@@ -121,8 +170,15 @@
 async fn a_lonely_publication_is_not_confirmed() {
     let transports = transports(1).await;
     let overlay = start(&transports[0], &[transports[0].own_address()], 0);
-    assert!(!overlay.publish(record("configuration", 1), Duration::from_millis(30)).await);
-    assert_eq!(overlay.get("configuration").map(|record| record.version), Some(1));
+    assert!(
+        !overlay
+            .publish(record("configuration", 1), Duration::from_millis(30))
+            .await
+    );
+    assert_eq!(
+        overlay.get("configuration").map(|record| record.version),
+        Some(1)
+    );
     assert!(!*overlay.joined().borrow());
 }
 
@@ -150,7 +206,12 @@
             });
         });
         let (overlay, incarnation) = timeout(PATIENCE, told).await.expect("joined").unwrap();
-        Killable { overlay, incarnation, kill, thread }
+        Killable {
+            overlay,
+            incarnation,
+            kill,
+            thread,
+        }
     }
 
     fn kill(self) {
@@ -164,15 +225,38 @@
     let transport = transports(1).await.remove(0);
     let seeds = [transport.own_address()];
     let one = start(&transport, &seeds, 0);
-    let address = TcpListener::bind("127.0.0.1:0").await.unwrap().local_addr().unwrap();
+    let address = TcpListener::bind("127.0.0.1:0")
+        .await
+        .unwrap()
+        .local_addr()
+        .unwrap();
     let mut former = None;
     for version in 1..=4 {
         let process = Killable::start(address, seeds).await;
-        assert_ne!(former.replace(process.incarnation), Some(process.incarnation));
-        assert!(one.publish(record("configuration", version), PATIENCE).await, "not confirmed");
-        assert_eq!(process.overlay.get("configuration").map(|record| record.version), Some(version));
-        let known = one.members().into_iter().find(|member| member.address == address);
-        assert_eq!(known.map(|member| member.incarnation), Some(process.incarnation));
+        assert_ne!(
+            former.replace(process.incarnation),
+            Some(process.incarnation)
+        );
+        assert!(
+            one.publish(record("configuration", version), PATIENCE)
+                .await,
+            "not confirmed"
+        );
+        assert_eq!(
+            process
+                .overlay
+                .get("configuration")
+                .map(|record| record.version),
+            Some(version)
+        );
+        let known = one
+            .members()
+            .into_iter()
+            .find(|member| member.address == address);
+        assert_eq!(
+            known.map(|member| member.incarnation),
+            Some(process.incarnation)
+        );
         process.kill();
     }
 }
--- a/crates/mintlb-gossip/tests/faults.rs
+++ b/crates/mintlb-gossip/tests/faults.rs
@@ -20,8 +20,10 @@
     simulation.run_for(ms(500));
     simulation.publish(0, record("outside", 1));
     simulation.publish(1, record("inside", 1));
-    let (inside, outside): (Vec<_>, Vec<_>) =
-        simulation.running().into_iter().partition(|&number| simulation.zone(number) == "zone1");
+    let (inside, outside): (Vec<_>, Vec<_>) = simulation
+        .running()
+        .into_iter()
+        .partition(|&number| simulation.zone(number) == "zone1");
     let end = simulation.now + ms(cut_for_s * 1000);
     // A cut of a second ends before the silence is noticed.
     if cut_for_s > 2 {
@@ -40,7 +42,9 @@
     let all = simulation.running();
     let took = ["outside", "inside"].map(|key| {
         let took = simulation.time_until_known(&all, key, 1, ms(3000));
-        took.unwrap_or_else(|| panic!("{count} processes, seed {seed}, cut {cut_for_s} s: {key} is lacking"))
+        took.unwrap_or_else(|| {
+            panic!("{count} processes, seed {seed}, cut {cut_for_s} s: {key} is lacking")
+        })
     });
     println!("{count:4} processes, seed {seed}, cut {cut_for_s} s: healed after {took:?}");
     simulation.run_for(ms(3000));
@@ -90,17 +94,28 @@
             simulation.run_for(ms(pause));
             simulation.restart(number);
             let took = simulation.time_until_known(&[number], "configuration", 7, ms(1500));
-            assert!(took.is_some(), "seed {seed}, pause {pause} ms: not known after the restart");
+            assert!(
+                took.is_some(),
+                "seed {seed}, pause {pause} ms: not known after the restart"
+            );
             simulation.run_for(ms(4000));
             assert!(simulation.is_connected());
             assert_eq!(simulation.one_sided(), 0);
             let stale = |&other: &usize| {
                 let members = simulation.node(other).views().members(simulation.now);
-                members.iter().any(|m| m.address == address(number) && m.incarnation == former)
+                members
+                    .iter()
+                    .any(|m| m.address == address(number) && m.incarnation == former)
             };
             let neighbours: Vec<_> = simulation.node(number).views().neighbours().collect();
             let knows = |other: &usize| neighbours.contains(&address(*other));
-            assert!(!simulation.running().iter().filter(|other| knows(other)).any(stale));
+            assert!(
+                !simulation
+                    .running()
+                    .iter()
+                    .filter(|other| knows(other))
+                    .any(stale)
+            );
         }
     }
 }
@@ -121,7 +136,11 @@
     assert!(simulation.is_connected());
     simulation.publish(20, record("configuration", 2));
     let all = simulation.running();
-    assert!(simulation.time_until_known(&all, "configuration", 2, ms(300)).is_some());
+    assert!(
+        simulation
+            .time_until_known(&all, "configuration", 2, ms(300))
+            .is_some()
+    );
 }
 
 #[test]
@@ -146,7 +165,11 @@
         }
         simulation.publish(3, record("configuration", version));
         let all = simulation.running();
-        assert!(simulation.time_until_known(&all, "configuration", version, ms(1000)).is_some());
+        assert!(
+            simulation
+                .time_until_known(&all, "configuration", version, ms(1000))
+                .is_some()
+        );
     }
     assert!(simulation.is_connected());
 }
@@ -167,7 +190,8 @@
     simulation.run_for(ms(90_000));
     for number in simulation.running() {
         let members = simulation.node(number).views().members(simulation.now);
-        let gone = (3..13).filter(|&gone| members.iter().any(|member| member.address == address(gone)));
+        let gone =
+            (3..13).filter(|&gone| members.iter().any(|member| member.address == address(gone)));
         assert_eq!(gone.count(), 0, "at {number}");
     }
 }
@@ -207,7 +231,11 @@
         });
         simulation.publish(count / 2, record("configuration", 9));
         let all = simulation.running();
-        assert!(simulation.time_until_known(&all, "configuration", 9, ms(2000)).is_some());
+        assert!(
+            simulation
+                .time_until_known(&all, "configuration", 9, ms(2000))
+                .is_some()
+        );
         assert!(simulation.is_connected());
     }
 }
@@ -218,9 +246,14 @@
         let mut simulation = Simulation::new(seed, &[0, 1, 2]);
         simulation.add(0, "zone0", ms(1_000_000));
         simulation.add(1, "zone1", ms(1_000_000));
-        (2..20).for_each(|number| simulation.add(number, &format!("zone{}", number % 3), ms(number as u64)));
+        (2..20).for_each(|number| {
+            simulation.add(number, &format!("zone{}", number % 3), ms(number as u64))
+        });
         let until = simulation.now + ms(2000);
-        assert!(simulation.run_until(until, |s| s.running().len() == 18 && s.is_connected()), "seed {seed}");
+        assert!(
+            simulation.run_until(until, |s| s.running().len() == 18 && s.is_connected()),
+            "seed {seed}"
+        );
     }
 }
 
@@ -248,9 +281,16 @@
         }
         simulation.run_for(ms(4500));
         let all = simulation.running();
-        let newest =
-            all.iter().filter_map(|&number| simulation.version(number, "placement")).max().unwrap_or(0);
-        assert_eq!(simulation.lacking(&all, "placement", newest), 0, "{fate:?} of message {number}");
+        let newest = all
+            .iter()
+            .filter_map(|&number| simulation.version(number, "placement"))
+            .max()
+            .unwrap_or(0);
+        assert_eq!(
+            simulation.lacking(&all, "placement", newest),
+            0,
+            "{fate:?} of message {number}"
+        );
         assert!(simulation.is_connected() && simulation.only_rises());
         assert_eq!(simulation.one_sided(), 0, "{fate:?} of message {number}");
         Ok(())
@@ -268,7 +308,11 @@
         simulation.publish(input.int_in_range(0..=7)?, record("placement", 1));
         let all = simulation.running();
         let took = simulation.time_until_known(&all, "placement", 1, ms(1500));
-        assert!(took.is_some(), "{fate:?}: {} lack it", simulation.lacking(&all, "placement", 1));
+        assert!(
+            took.is_some(),
+            "{fate:?}: {} lack it",
+            simulation.lacking(&all, "placement", 1)
+        );
         Ok(())
     })
     .budget_ms(5000);
@@ -285,7 +329,11 @@
         (1..=3).for_each(|version| simulation.publish(2, record(key, version)));
         simulation.run_for(ms(4000));
         let all = simulation.running();
-        let newest = all.iter().filter_map(|&number| simulation.version(number, key)).max().unwrap_or(0);
+        let newest = all
+            .iter()
+            .filter_map(|&number| simulation.version(number, key))
+            .max()
+            .unwrap_or(0);
         assert_eq!(simulation.lacking(&all, key, newest), 0, "message {number}");
         assert!(simulation.is_connected() && simulation.only_rises());
         Ok(())
@@ -303,20 +351,42 @@
     simulation.cut("zone1");
     simulation.run_for(ms(3000));
     let body = "gone".into();
-    simulation.publish(0, Record { key: "worker/x".into(), version: u64::MAX, lifetime_s: 20, body });
+    simulation.publish(
+        0,
+        Record {
+            key: "worker/x".into(),
+            version: u64::MAX,
+            lifetime_s: 20,
+            body,
+        },
+    );
     simulation.run_for(ms(1000));
-    let outside: Vec<_> = all.iter().copied().filter(|&number| simulation.zone(number) != "zone1").collect();
+    let outside: Vec<_> = all
+        .iter()
+        .copied()
+        .filter(|&number| simulation.zone(number) != "zone1")
+        .collect();
     assert_eq!(simulation.lacking(&outside, "worker/x", u64::MAX), 0);
     simulation.run_for(ms(30_000));
-    assert!(outside.iter().all(|&number| simulation.version(number, "worker/x").is_none()));
+    assert!(
+        outside
+            .iter()
+            .all(|&number| simulation.version(number, "worker/x").is_none())
+    );
     simulation.heal();
     simulation.run_for(ms(10_000));
     for &number in &all {
         let version = simulation.version(number, "worker/x");
-        assert!(version.is_none_or(|version| version == u64::MAX), "{number} still has {version:?}");
+        assert!(
+            version.is_none_or(|version| version == u64::MAX),
+            "{number} still has {version:?}"
+        );
     }
     simulation.run_for(ms(30_000));
-    assert!(all.iter().all(|&number| simulation.version(number, "worker/x").is_none()));
+    assert!(
+        all.iter()
+            .all(|&number| simulation.version(number, "worker/x").is_none())
+    );
     let (bytes, _) = simulation.sent();
     simulation.run_for(ms(10_000));
     let rate = (simulation.sent().0 - bytes) / 10 / 20;
@@ -336,7 +406,10 @@
     }
     simulation.run_for(ms(1000));
     assert_eq!(simulation.lacking(&[0, 1, 2], "configuration", 1), 0);
-    assert_eq!(simulation.lacking(&[3, 4, 5, 6, 7, 8, 9, 10, 11], "configuration", 3), 0);
+    assert_eq!(
+        simulation.lacking(&[3, 4, 5, 6, 7, 8, 9, 10, 11], "configuration", 3),
+        0
+    );
     simulation
 }
 
@@ -356,7 +429,11 @@
         let until = simulation.now + ms(10);
         simulation.run_until(until, |s| s.running().len() == 13);
         let took = simulation.time_until_known(&[12], "configuration", 3, ms(2000));
-        assert!(took.is_some(), "seed {seed}: it knows {:?}", simulation.version(12, "configuration"));
+        assert!(
+            took.is_some(),
+            "seed {seed}: it knows {:?}",
+            simulation.version(12, "configuration")
+        );
         println!("seed {seed}: up to date after {took:?}");
     }
 }
@@ -376,11 +453,17 @@
             simulation.add(12, "zone1", ms(0));
             simulation.run_for(ms(8000));
             assert_eq!(simulation.node(12).joined(), reaches_seeds, "seed {seed}");
-            assert_eq!(simulation.version(12, "configuration"), reaches_seeds.then_some(1));
+            assert_eq!(
+                simulation.version(12, "configuration"),
+                reaches_seeds.then_some(1)
+            );
             simulation.heal();
             let all = simulation.running();
             let took = simulation.time_until_known(&all, "configuration", 3, ms(2000));
-            assert!(took.is_some(), "seed {seed}, reaches seeds: {reaches_seeds}");
+            assert!(
+                took.is_some(),
+                "seed {seed}, reaches seeds: {reaches_seeds}"
+            );
             assert!(simulation.node(12).joined() && simulation.only_rises());
         }
     }
@@ -398,9 +481,22 @@
         simulation.freeze(7);
         simulation.run_for(ms(3000));
         let body = "gone".into();
-        simulation.publish(0, Record { key: "worker/x".into(), version: u64::MAX, lifetime_s: 20, body });
+        simulation.publish(
+            0,
+            Record {
+                key: "worker/x".into(),
+                version: u64::MAX,
+                lifetime_s: 20,
+                body,
+            },
+        );
         simulation.run_for(ms(25_000));
-        assert!(simulation.running().iter().all(|&number| simulation.version(number, "worker/x").is_none()));
+        assert!(
+            simulation
+                .running()
+                .iter()
+                .all(|&number| simulation.version(number, "worker/x").is_none())
+        );
         for number in [1, 2, 3, 5, 8] {
             simulation.kill(number);
             simulation.run_for(ms(200));
@@ -409,10 +505,16 @@
         simulation.run_for(ms(3000));
         simulation.thaw(7);
         let thawed = simulation.now;
-        let is_back =
-            |s: &Simulation| s.running().iter().any(|&number| s.version(number, "worker/x") == Some(4));
+        let is_back = |s: &Simulation| {
+            s.running()
+                .iter()
+                .any(|&number| s.version(number, "worker/x") == Some(4))
+        };
         let until = simulation.now + ms(2500);
-        assert!(simulation.run_until(until, |s| !is_back(s)), "seed {seed}: it is back");
+        assert!(
+            simulation.run_until(until, |s| !is_back(s)),
+            "seed {seed}: it is back"
+        );
         longest = longest.max(simulation.now - thawed);
         simulation.run_for(ms(3000));
         assert!(!is_back(&simulation), "seed {seed}: it came back");
--- a/crates/mintlb-gossip/tests/identity.rs
+++ b/crates/mintlb-gossip/tests/identity.rs
@@ -38,31 +38,59 @@
 impl Watcher {
     fn new() -> Watcher {
         let now = Instant::now();
-        let mut watcher = Watcher { node: Node::new(now, member(0, 1), &[address(2)], 5), now };
+        let mut watcher = Watcher {
+            node: Node::new(now, member(0, 1), &[address(2)], 5),
+            now,
+        };
         let member = member(1, 1);
-        watcher.hear(1, Message::Neighbour(NeighbourRequest { member, urgent: false, sample: Vec::new() }));
+        watcher.hear(
+            1,
+            Message::Neighbour(NeighbourRequest {
+                member,
+                urgent: false,
+                sample: Vec::new(),
+            }),
+        );
         assert!(watcher.node.views().is_neighbour(address(1)));
         watcher
     }
 
     fn hear(&mut self, from: usize, message: Message) {
-        self.node.handle(self.now, Input::Received { from: address(from), body: message.to_bytes() });
+        self.node.handle(
+            self.now,
+            Input::Received {
+                from: address(from),
+                body: message.to_bytes(),
+            },
+        );
     }
 
     /// The neighbour says that somebody heard of this life so many seconds ago.
     fn hearsay(&mut self, incarnation: u64, age_s: u32) {
-        let entries = vec![Heard { member: member(RESTARTED, incarnation), age_s }];
+        let entries = vec![Heard {
+            member: member(RESTARTED, incarnation),
+            age_s,
+        }];
         self.hear(1, Message::ShuffleReply(Shuffle { entries }));
     }
 
     /// This life itself says that it is there.
     fn meet(&mut self, incarnation: u64) {
-        self.hear(RESTARTED, Message::Probe(Probe { member: member(RESTARTED, incarnation), table_hash: 0 }));
+        self.hear(
+            RESTARTED,
+            Message::Probe(Probe {
+                member: member(RESTARTED, incarnation),
+                table_hash: 0,
+            }),
+        );
     }
 
     /// The transport has another life at the address.
     fn restarted(&mut self, incarnation: u64) {
-        let input = Input::Restarted { peer: address(RESTARTED), incarnation: life(incarnation) };
+        let input = Input::Restarted {
+            peer: address(RESTARTED),
+            incarnation: life(incarnation),
+        };
         self.node.handle(self.now, input);
     }
 
@@ -74,7 +102,11 @@
     fn known(&self) -> Vec<u64> {
         let members = self.node.views().members(self.now);
         let at = |member: &Member| member.address == address(RESTARTED);
-        members.into_iter().filter(at).map(|member| member.incarnation.number()).collect()
+        members
+            .into_iter()
+            .filter(at)
+            .map(|member| member.incarnation.number())
+            .collect()
     }
 }
 
@@ -145,7 +177,11 @@
         let mut watcher = Watcher::new();
         let request = |incarnation| {
             let member = member(RESTARTED, incarnation);
-            Message::Neighbour(NeighbourRequest { member, urgent: false, sample: Vec::new() })
+            Message::Neighbour(NeighbourRequest {
+                member,
+                urgent: false,
+                sample: Vec::new(),
+            })
         };
         watcher.hear(RESTARTED, request(former));
         assert!(watcher.node.views().is_neighbour(address(RESTARTED)));
@@ -155,7 +191,11 @@
         let member = member(RESTARTED, former);
         watcher.hear(
             RESTARTED,
-            Message::Accepted(NeighbourReply { member, sample: Vec::new(), lost: Vec::new() }),
+            Message::Accepted(NeighbourReply {
+                member,
+                sample: Vec::new(),
+                lost: Vec::new(),
+            }),
         );
         watcher.hear(RESTARTED, request(new));
         assert!(watcher.node.views().is_neighbour(address(RESTARTED)));
@@ -174,5 +214,9 @@
     watcher.pass(ms(10));
     watcher.hearsay(1, 0);
     watcher.hearsay(999, 0);
-    assert_eq!(watcher.known(), [1], "the oldest is forgotten, the latest is not");
+    assert_eq!(
+        watcher.known(),
+        [1],
+        "the oldest is forgotten, the latest is not"
+    );
 }
--- a/crates/mintlb-gossip/tests/long_day.rs
+++ b/crates/mintlb-gossip/tests/long_day.rs
@@ -29,11 +29,22 @@
 
 /// The versions of the three records after so many changes of the configuration.
 fn versions(change: u64) -> [(&'static str, u64); 3] {
-    [("configuration", change), ("placement", change * 2 / 5), ("replicas", change / 10)]
+    [
+        ("configuration", change),
+        ("placement", change * 2 / 5),
+        ("replicas", change / 10),
+    ]
 }
 
 fn body(key: &str) -> Bytes {
-    Bytes::from(vec![7; if key == "configuration" { CONFIGURATION_BYTES } else { 1500 }])
+    Bytes::from(vec![
+        7;
+        if key == "configuration" {
+            CONFIGURATION_BYTES
+        } else {
+            1500
+        }
+    ])
 }
 
 /// Publishes what the change brings, at one of two controllers that are never away.
@@ -43,7 +54,13 @@
         let at = if change % 2 == 1 { 2 } else { 0 };
         if now != before {
             let (key, version) = now;
-            simulation.publish(at, Record { body: body(key), ..record(key, version) });
+            simulation.publish(
+                at,
+                Record {
+                    body: body(key),
+                    ..record(key, version)
+                },
+            );
         }
     }
 }
@@ -70,7 +87,9 @@
 }
 
 fn knows(simulation: &Simulation, member: usize, wanted: [(&str, u64); 3]) -> bool {
-    wanted.iter().all(|(key, version)| simulation.version(member, key).unwrap_or(0) >= *version)
+    wanted
+        .iter()
+        .all(|(key, version)| simulation.version(member, key).unwrap_or(0) >= *version)
 }
 
 /// Plays the changes with the member away from one of them on; how long it took to catch up.
@@ -96,8 +115,17 @@
     let wanted = versions(change);
     // Back again, it says what it knew, as a controller does that reads its own disk.
     come_back(&mut simulation, member, trouble);
-    for (key, version) in versions(from - 1).into_iter().filter(|(_, version)| *version > 0) {
-        simulation.publish(member, Record { body: body(key), ..record(key, version) });
+    for (key, version) in versions(from - 1)
+        .into_iter()
+        .filter(|(_, version)| *version > 0)
+    {
+        simulation.publish(
+            member,
+            Record {
+                body: body(key),
+                ..record(key, version)
+            },
+        );
     }
     let start = simulation.now;
     while !knows(&simulation, member, wanted) {
@@ -108,7 +136,10 @@
         }
         let until = simulation.now + PAUSE;
         simulation.run_until(until, |s| knows(s, member, wanted));
-        assert!(simulation.now < start + CATCH_UP, "{trouble:?} of {member} from {from}, seed {seed}");
+        assert!(
+            simulation.now < start + CATCH_UP,
+            "{trouble:?} of {member} from {from}, seed {seed}"
+        );
     }
     let took = simulation.now - start;
     while change < CHANGES {
@@ -119,9 +150,15 @@
     simulation.run_for(ms(2500));
     let all = simulation.running();
     assert_eq!(all.len(), COUNT);
-    assert!(simulation.only_rises(), "an older record came over a newer one");
+    assert!(
+        simulation.only_rises(),
+        "an older record came over a newer one"
+    );
     for number in all {
-        assert!(knows(&simulation, number, versions(CHANGES)), "{number} is behind at the end");
+        assert!(
+            knows(&simulation, number, versions(CHANGES)),
+            "{number} is behind at the end"
+        );
         assert_eq!(simulation.node(number).table().len(), 3);
     }
     took
@@ -134,7 +171,9 @@
         for from in [1, 100, 499] {
             for member in MEMBERS {
                 let took = play(from * 7 + member as u64, member, trouble, from);
-                println!("{trouble:?} of member {member} from change {from}: up to date after {took:?}");
+                println!(
+                    "{trouble:?} of member {member} from change {from}: up to date after {took:?}"
+                );
                 longest = longest.max(took);
             }
         }
@@ -156,10 +195,21 @@
             costs.push(((now.0 - before.0) / 100, (now.1 - before.1) / 100));
             before = now;
         }
-        let held: usize = simulation.node(5).table().iter().map(|record| record.body.len()).sum();
-        assert!(simulation.node(5).table().len() <= 3 && held <= CONFIGURATION_BYTES + 3000, "{held} bytes");
+        let held: usize = simulation
+            .node(5)
+            .table()
+            .iter()
+            .map(|record| record.body.len())
+            .sum();
+        assert!(
+            simulation.node(5).table().len() <= 3 && held <= CONFIGURATION_BYTES + 3000,
+            "{held} bytes"
+        );
     }
     println!("bytes and messages of all {COUNT} processes for each change, by hundreds: {costs:?}");
     let (first, last) = (costs[0], costs[4]);
-    assert!(last.0 * 10 <= first.0 * 11 && last.1 * 10 <= first.1 * 11, "they grow: {costs:?}");
+    assert!(
+        last.0 * 10 <= first.0 * 11 && last.1 * 10 <= first.1 * 11,
+        "they grow: {costs:?}"
+    );
 }
--- a/crates/mintlb-gossip/tests/repair.rs
+++ b/crates/mintlb-gossip/tests/repair.rs
@@ -42,7 +42,10 @@
                 break;
             }
         }
-        assert!(simulation.version(1, "placement").is_some(), "seed {seed}: lacking");
+        assert!(
+            simulation.version(1, "placement").is_some(),
+            "seed {seed}: lacking"
+        );
         slowest = slowest.max(simulation.now - start);
     }
     println!("slowest of 40 amid changes: {slowest:?}");
@@ -60,11 +63,21 @@
         let size = *input.choose(&[10, 200, 3000])?;
         let mut newest = std::collections::BTreeMap::new();
         for _ in 0..most {
-            let (key, version) =
-                (format!("key {}", input.int_in_range(0..=most)?), input.int_in_range(1..=9)?);
+            let (key, version) = (
+                format!("key {}", input.int_in_range(0..=most)?),
+                input.int_in_range(1..=9)?,
+            );
             let body = Bytes::from(vec![0; size]);
             let publisher = input.int_in_range(0..=1)?;
-            simulation.publish(publisher, Record { key: key.clone(), version, lifetime_s: 0, body });
+            simulation.publish(
+                publisher,
+                Record {
+                    key: key.clone(),
+                    version,
+                    lifetime_s: 0,
+                    body,
+                },
+            );
             let known = newest.entry(key).or_insert(version);
             *known = version.max(*known);
         }
@@ -77,7 +90,11 @@
             })
         };
         assert!(simulation.run_until(until, same));
-        assert!(simulation.largest_message <= 300 << 10, "{}", simulation.largest_message);
+        assert!(
+            simulation.largest_message <= 300 << 10,
+            "{}",
+            simulation.largest_message
+        );
         Ok(())
     })
     .budget_ms(4000);
@@ -90,10 +107,19 @@
     simulation.run_for(ms(100));
     for number in 0..10 {
         let body = Bytes::from(vec![1; 400 << 10]);
-        simulation.publish(0, Record { key: format!("large {number}"), version: 1, lifetime_s: 0, body });
+        simulation.publish(
+            0,
+            Record {
+                key: format!("large {number}"),
+                version: 1,
+                lifetime_s: 0,
+                body,
+            },
+        );
     }
     simulation.add(1, "zone1", ms(0));
     let until = simulation.now + ms(3000);
-    assert!(simulation.run_until(until, |s| s.running().len() == 2 && s.node(1).table().len() == 10));
+    assert!(simulation.run_until(until, |s| s.running().len() == 2
+        && s.node(1).table().len() == 10));
     assert!(simulation.largest_message < 420 << 10);
 }
--- a/crates/mintlb-gossip/tests/table.rs
+++ b/crates/mintlb-gossip/tests/table.rs
@@ -8,7 +8,12 @@
 use tokio::time::Instant;
 
 fn record(key: &str, version: u64, lifetime_s: u32) -> Record {
-    Record { key: key.into(), version, lifetime_s, body: Bytes::from_static(b"body") }
+    Record {
+        key: key.into(),
+        version,
+        lifetime_s,
+        body: Bytes::from_static(b"body"),
+    }
 }
 
 fn seconds(count: u64) -> Duration {
@@ -18,10 +23,16 @@
 #[test]
 fn the_higher_version_is_in_force_for_good() {
     let (mut store, now) = (RecordStore::default(), Instant::now());
-    assert!(matches!(store.publish(now, record("a", 2, 0)), Put::InForce(_)));
+    assert!(matches!(
+        store.publish(now, record("a", 2, 0)),
+        Put::InForce(_)
+    ));
     assert!(matches!(store.publish(now, record("a", 2, 0)), Put::Known));
     assert!(matches!(store.publish(now, record("a", 1, 0)), Put::Older));
-    assert!(matches!(store.publish(now, record("a", 3, 0)), Put::InForce(_)));
+    assert!(matches!(
+        store.publish(now, record("a", 3, 0)),
+        Put::InForce(_)
+    ));
     assert_eq!(store.table().get("a").map(|record| record.version), Some(3));
     assert_eq!((store.table().len(), store.table().iter().count()), (1, 1));
 }
@@ -72,7 +83,10 @@
     assert!(matches!(store.publish(end, record("a", 4, 0)), Put::Older));
     assert!(matches!(store.publish(end, record("a", 5, 60)), Put::Known));
     assert_eq!(store.carry_to_older(end, id).unwrap().remaining_ms, 15_000);
-    assert!(matches!(store.publish(end, record("a", 6, 0)), Put::InForce(_)));
+    assert!(matches!(
+        store.publish(end, record("a", 6, 0)),
+        Put::InForce(_)
+    ));
     store.expire(end + seconds(100_000));
     assert_eq!(store.table().get("a").map(|record| record.version), Some(6));
 }
@@ -91,7 +105,8 @@
         store.publish(start, record(&format!("key {number}"), 1, 1));
     }
     store.expire(start + seconds(2));
-    let remembered = (0..10_000).filter(|n| store.version(record_id(&format!("key {n}"))).is_some());
+    let remembered =
+        (0..10_000).filter(|n| store.version(record_id(&format!("key {n}"))).is_some());
     assert_eq!(remembered.count(), 4096);
 }
 
--- a/crates/mintlb-gossip/tests/traffic.rs
+++ b/crates/mintlb-gossip/tests/traffic.rs
@@ -33,16 +33,26 @@
         }
         simulation.run_for(ms(3000));
         let all = simulation.running();
-        let most = all.iter().map(|&number| simulation.sent_by(number)).max().unwrap();
+        let most = all
+            .iter()
+            .map(|&number| simulation.sent_by(number))
+            .max()
+            .unwrap();
         println!(
             "{count:4} processes join with {workers} workers known: {} bytes a process, the busiest {most}",
             simulation.sent().0 / count as u64
         );
-        assert!(all.iter().all(|&number| simulation.node(number).table().len() == workers));
+        assert!(
+            all.iter()
+                .all(|&number| simulation.node(number).table().len() == workers)
+        );
         let idle = simulation.sent();
         simulation.run_for(ms(10_000));
         let idle = (simulation.sent().0 - idle.0, simulation.sent().1 - idle.1);
-        let before: Vec<_> = all.iter().map(|&number| simulation.sent_by(number)).collect();
+        let before: Vec<_> = all
+            .iter()
+            .map(|&number| simulation.sent_by(number))
+            .collect();
         let (bytes, messages) = simulation.sent();
         simulation.handling = Duration::ZERO;
         for round in 0..10 * a_second {
@@ -50,7 +60,11 @@
             simulation.run_for(ms(1000 / a_second as u64));
         }
         let (bytes, messages) = (simulation.sent().0 - bytes, simulation.sent().1 - messages);
-        let most = all.iter().map(|&number| simulation.sent_by(number) - before[number]).max().unwrap();
+        let most = all
+            .iter()
+            .map(|&number| simulation.sent_by(number) - before[number])
+            .max()
+            .unwrap();
         let each = 10 * count as u64;
         println!(
             "{count:4} processes, {workers} workers: idle {} bytes {} messages; at {a_second} records/s {} bytes \
@@ -62,8 +76,16 @@
             most / 10,
             simulation.handling / each as u32
         );
-        assert!(bytes / each < 10_000, "{count} processes: {} bytes a process and second", bytes / each);
-        assert!(most / 10 < 20_000, "{count} processes: the busiest {} bytes a second", most / 10);
+        assert!(
+            bytes / each < 10_000,
+            "{count} processes: {} bytes a process and second",
+            bytes / each
+        );
+        assert!(
+            most / 10 < 20_000,
+            "{count} processes: the busiest {} bytes a second",
+            most / 10
+        );
         assert!(simulation.largest_message <= 300 << 10);
     }
 }
@@ -84,8 +106,16 @@
     assert!(simulation.node(30).joined());
     simulation.run_for(ms(2000));
     let bytes = simulation.sent().0 - bytes;
-    println!("a newcomer: {bytes} bytes in all, longest message {}", simulation.largest_message);
-    let table: usize = (0..2700).map(|number| worker(number, 1).body.len() + 40).sum();
-    assert!(bytes < 3 * table as u64 / 2 + 200_000, "{bytes} bytes for a table of {table}");
+    println!(
+        "a newcomer: {bytes} bytes in all, longest message {}",
+        simulation.largest_message
+    );
+    let table: usize = (0..2700)
+        .map(|number| worker(number, 1).body.len() + 40)
+        .sum();
+    assert!(
+        bytes < 3 * table as u64 / 2 + 200_000,
+        "{bytes} bytes for a table of {table}"
+    );
     assert!(simulation.largest_message <= 260 << 10);
 }
--- a/crates/mintlb-http/src/dial.rs
+++ b/crates/mintlb-http/src/dial.rs
@@ -49,7 +49,10 @@
     fn pay(&self, bytes: usize) -> io::Result<Option<Arc<dyn Slip>>> {
         let whole = self.1.load(Relaxed);
         let gate = self.2.lock().clone();
-        if gate.as_ref().is_some_and(|gate| gate.taken_back.is_cancelled()) {
+        if gate
+            .as_ref()
+            .is_some_and(|gate| gate.taken_back.is_cancelled())
+        {
             return Err(io::Error::other(TakenBack));
         }
         if whole == 0 || self.so_far() + (bytes as u64) < whole {
@@ -119,7 +122,11 @@
 }
 
 impl Read for Watched {
-    fn poll_read(mut self: Pin<&mut Self>, cx: &mut Context, buf: ReadBufCursor) -> Poll<io::Result<()>> {
+    fn poll_read(
+        mut self: Pin<&mut Self>,
+        cx: &mut Context,
+        buf: ReadBufCursor,
+    ) -> Poll<io::Result<()>> {
         Pin::new(&mut self.io).poll_read(cx, buf)
     }
 }
@@ -133,13 +140,19 @@
         let makes_whole = matches!(written, Poll::Ready(Ok(n)) if self.written.count(n as u64));
         self.sends.fetch_add(makes_whole.into(), Relaxed);
         // The byte that was paid for has not gone: it may go at any time, and is paid for then.
-        paid.filter(|_| !makes_whole).iter().for_each(|slip| slip.back());
+        paid.filter(|_| !makes_whole)
+            .iter()
+            .for_each(|slip| slip.back());
         written
     }
 }
 
 impl Write for Watched {
-    fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context, buf: &[u8]) -> Poll<io::Result<usize>> {
+    fn poll_write(
+        mut self: Pin<&mut Self>,
+        cx: &mut Context,
+        buf: &[u8],
+    ) -> Poll<io::Result<usize>> {
         let paid = self.written.pay(buf.len())?;
         let written = Pin::new(&mut self.io).poll_write(cx, buf);
         self.count(paid, written)
@@ -208,9 +221,18 @@
 
 /// Whether this scheduler's own system had nothing left for it.
 fn is_short(error: &(dyn Error + 'static)) -> bool {
-    let code = error.downcast_ref::<io::Error>().and_then(io::Error::raw_os_error);
-    code.is_some_and(|c| [libc::EMFILE, libc::ENFILE, libc::ENOBUFS, libc::EADDRNOTAVAIL].contains(&c))
-        || error.source().is_some_and(is_short)
+    let code = error
+        .downcast_ref::<io::Error>()
+        .and_then(io::Error::raw_os_error);
+    code.is_some_and(|c| {
+        [
+            libc::EMFILE,
+            libc::ENFILE,
+            libc::ENOBUFS,
+            libc::EADDRNOTAVAIL,
+        ]
+        .contains(&c)
+    }) || error.source().is_some_and(is_short)
 }
 
 /// Dials with a limit in time, as what never comes up must be known as such, and in number, as descriptors
@@ -237,13 +259,17 @@
         let (links, wait, mut connector) = (self.links.clone(), self.wait, self.connector.clone());
         let (sends, spare) = (self.sends.clone(), self.spare.clone());
         Box::pin(async move {
-            let Ok(link) = timeout(wait, links.acquire_owned()).await else { return Err(NoRoom.into()) };
+            let Ok(link) = timeout(wait, links.acquire_owned()).await else {
+                return Err(NoRoom.into());
+            };
             let _spare = spare.clone().map(Refill);
             let end = Instant::now() + wait;
             let io = loop {
                 let io = connector.call(to.clone()).await;
                 let short = io.as_ref().is_err_and(|e| is_short(e));
-                let Some(spare) = spare.as_ref().filter(|_| short && Instant::now() < end) else { break io };
+                let Some(spare) = spare.as_ref().filter(|_| short && Instant::now() < end) else {
+                    break io;
+                };
                 // Freed, it is the next that the system gives: nothing else runs on this thread in between. If it is out,
                 // the last connection is about to give it back.
                 if !spare.free() {
@@ -254,7 +280,13 @@
                 true => NoRoom.into(),
                 false => Self::Error::from(e),
             })?;
-            Ok(Watched { io, written: Written::default(), sends, _link: link?, _spare })
+            Ok(Watched {
+                io,
+                written: Written::default(),
+                sends,
+                _link: link?,
+                _spare,
+            })
         })
     }
 }
@@ -264,7 +296,13 @@
         let mut connector = HttpConnector::new();
         connector.set_connect_timeout(Some(wait));
         connector.set_nodelay(true);
-        Dialer { connector, links: Arc::new(Semaphore::new(links)), wait, sends, spare: None }
+        Dialer {
+            connector,
+            links: Arc::new(Semaphore::new(links)),
+            wait,
+            sends,
+            spare: None,
+        }
     }
 
     /// One that can dial when all descriptors are taken, by the one that it keeps.
--- a/crates/mintlb-http/src/front.rs
+++ b/crates/mintlb-http/src/front.rs
@@ -132,11 +132,17 @@
             once: named.project_type.effect != Effect::Rerunnable,
             ends: figures.of(&named.name),
         };
-        *self.types.lock() = types.iter().map(|named| (named.name.clone(), Arc::new(entry(named)))).collect();
+        *self.types.lock() = types
+            .iter()
+            .map(|named| (named.name.clone(), Arc::new(entry(named))))
+            .collect();
     }
 
     pub async fn listen(self: Arc<Front>, listener: TcpListener) {
-        let router = Router::new().route("/healthz", get(healthz)).fallback(hand_in).with_state(self.clone());
+        let router = Router::new()
+            .route("/healthz", get(healthz))
+            .fallback(hand_in)
+            .with_state(self.clone());
         let mut failing = false;
         for number in 0.. {
             self.closed.fetch_add(self.places.wait().await, Relaxed);
@@ -180,7 +186,10 @@
 
     /// One line of counts, where there is something to count.
     pub fn count(&self) {
-        let (not_taken, closed) = (self.not_taken.swap(0, Relaxed), self.closed.swap(0, Relaxed));
+        let (not_taken, closed) = (
+            self.not_taken.swap(0, Relaxed),
+            self.closed.swap(0, Relaxed),
+        );
         if not_taken + closed > 0 {
             info!(self.log, "clients"; "closed to make room" => closed, "requests not taken" => not_taken,
                 "connected" => self.connected());
@@ -191,7 +200,9 @@
         stream.set_nodelay(true).ok();
         let (seen, read, socket) = (place.seen.clone(), self.limits.read, Arc::new(stream));
         let looking = seen.clone();
-        let stream = InspectReader::new(Socket(socket.clone()), move |bytes: &[u8]| looking.look(bytes));
+        let stream = InspectReader::new(Socket(socket.clone()), move |bytes: &[u8]| {
+            looking.look(bytes)
+        });
         let service = service_fn(|mut request: Request<Incoming>| {
             request.extensions_mut().insert(seen.clone());
             router.clone().call(request)
@@ -249,10 +260,17 @@
             return Err(unfit(StatusCode::BAD_REQUEST, why));
         }
         if head.method != Method::POST {
-            return Err(unfit(StatusCode::METHOD_NOT_ALLOWED, "work units come by POST"));
+            return Err(unfit(
+                StatusCode::METHOD_NOT_ALLOWED,
+                "work units come by POST",
+            ));
         }
         // Workers close on what they can't read.
-        if !head.uri.path_and_query().is_some_and(|p| p.as_str().bytes().all(|b| b.is_ascii_graphic())) {
+        if !head
+            .uri
+            .path_and_query()
+            .is_some_and(|p| p.as_str().bytes().all(|b| b.is_ascii_graphic()))
+        {
             return Err(unfit(StatusCode::BAD_REQUEST, "the path is no text"));
         }
         let name = head.uri.path().split('/').nth(1).unwrap_or_default();
@@ -264,7 +282,8 @@
         if one(&head, "request-id").is_none() {
             return Err(unfit(StatusCode::BAD_REQUEST, "one Request-Id is needed"));
         }
-        let customer = text(&head, "tenant").and_then(|t| self.customers.iter().position(|c| c == t));
+        let customer =
+            text(&head, "tenant").and_then(|t| self.customers.iter().position(|c| c == t));
         let slots = info(&head, "slots").unwrap_or(1.0);
         let body = self.body(body, seen).await?;
         // Its time counts from its last byte: one that came slowly is not late for that.
@@ -272,40 +291,78 @@
         // While the body came, the project type may have changed: what holds is what holds when the work is taken.
         let entry = entry()?;
         if entry.receipted && one(&head, "idempotency-key").is_none() {
-            return Err(unfit(StatusCode::BAD_REQUEST, "one Idempotency-Key is needed"));
+            return Err(unfit(
+                StatusCode::BAD_REQUEST,
+                "one Idempotency-Key is needed",
+            ));
         }
         let time_budget = match text(&head, "request-timeout") {
             None => entry.hard_limit,
             // Nobody waits longer than the hard limit, whatever is asked for: each wait has a bound.
             Some(value) => length(value)
-                .ok_or_else(|| (StatusCode::BAD_REQUEST, format!("Request-Timeout {value:?} is no time")))?
+                .ok_or_else(|| {
+                    (
+                        StatusCode::BAD_REQUEST,
+                        format!("Request-Timeout {value:?} is no time"),
+                    )
+                })?
                 .min(entry.hard_limit),
         };
         let (answer, receiver) = oneshot::channel();
         let (id, project_type) = (self.numbers.next(), entry.number);
-        let client_id = head.headers.get("request-id").map(|id| id.as_bytes().into());
-        let payload = Payload { body, once: entry.once, own: Arc::new(head) };
+        let client_id = head
+            .headers
+            .get("request-id")
+            .map(|id| id.as_bytes().into());
+        let payload = Payload {
+            body,
+            once: entry.once,
+            own: Arc::new(head),
+        };
         let answer = Box::new(answer);
-        let arrival =
-            Arrival { id, client_id, project_type, customer, slots, arrived, time_budget, payload, answer };
+        let arrival = Arrival {
+            id,
+            client_id,
+            project_type,
+            customer,
+            slots,
+            arrived,
+            time_budget,
+            payload,
+            answer,
+        };
         Ok((arrival, entry.ends.clone(), receiver))
     }
 
     /// The whole body, if it comes in time and is as long as was said.
     async fn body(&self, body: Body, seen: &Seen) -> Result<Bytes, Unfit> {
-        let large = (StatusCode::PAYLOAD_TOO_LARGE, format!("a body of over {} bytes", self.limits.body));
+        let large = (
+            StatusCode::PAYLOAD_TOO_LARGE,
+            format!("a body of over {} bytes", self.limits.body),
+        );
         if body.size_hint().lower() > self.limits.body as u64 {
             return Err(large);
         }
         let Phase::Coming(since) = seen.phase() else {
-            return Err((StatusCode::BAD_REQUEST, "a request before the answer to the last".to_string()));
+            return Err((
+                StatusCode::BAD_REQUEST,
+                "a request before the answer to the last".to_string(),
+            ));
         };
         let body = timeout_at(since + self.limits.read, to_bytes(body, self.limits.body)).await;
-        let body = body.map_err(|_| (StatusCode::REQUEST_TIMEOUT, "the body did not come".to_string()))?;
-        let body = body.map_err(|e| match e.source().is_some_and(|e| e.is::<LengthLimitError>()) {
-            true => large,
-            false => (StatusCode::BAD_REQUEST, format!("the body: {}", causes(&e))),
+        let body = body.map_err(|_| {
+            (
+                StatusCode::REQUEST_TIMEOUT,
+                "the body did not come".to_string(),
+            )
         })?;
+        let body =
+            body.map_err(
+                |e| match e.source().is_some_and(|e| e.is::<LengthLimitError>()) {
+                    true => large,
+                    false => (StatusCode::BAD_REQUEST, format!("the body: {}", causes(&e))),
+                },
+            )?;
         match seen.fault() {
             Some(why) => Err((StatusCode::BAD_REQUEST, why.to_string())),
             None => Ok(body),
@@ -314,7 +371,12 @@
 
     async fn answer(&self, request: Request, seen: &Seen) -> Response {
         // What may be held at once is bounded; a body whose length is not told may be as long as allowed.
-        let most = request.body().size_hint().upper().unwrap_or(u64::MAX).min(self.limits.body as u64);
+        let most = request
+            .body()
+            .size_hint()
+            .upper()
+            .unwrap_or(u64::MAX)
+            .min(self.limits.body as u64);
         let room = self.room.body(most as usize);
         let (arrival, ends, receiver) = match self.take(request, seen).await {
             Ok(taken) => taken,
@@ -329,7 +391,10 @@
             ends.deferred.fetch_add(1, Relaxed);
             return deferred(self.limits.come_back);
         };
-        let mut waiting = Waiting { id: arrival.id, tell: Some(&self.tell) };
+        let mut waiting = Waiting {
+            id: arrival.id,
+            tell: Some(&self.tell),
+        };
         if self.tell.send(Event::Arrived(arrival)).is_err() {
             return deferred(self.limits.come_back);
         }
@@ -350,7 +415,10 @@
 
 fn deferred(come_back: f64) -> Response {
     let mut answer = StatusCode::SERVICE_UNAVAILABLE.into_response();
-    if let Some(after) = Some(come_back).filter(|&s| s > 0.0).and_then(|s| format!("{s:.3}").parse().ok()) {
+    if let Some(after) = Some(come_back)
+        .filter(|&s| s > 0.0)
+        .and_then(|s| format!("{s:.3}").parse().ok())
+    {
         answer.headers_mut().insert(RETRY_AFTER, after);
     }
     answer
@@ -377,7 +445,11 @@
 /// Who asks for this has no work to bring, and needs no place for longer.
 async fn healthz(State(front): State<Arc<Front>>) -> impl IntoResponse {
     let ready = front.standing.lock().is_ready();
-    let status = if ready { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE };
+    let status = if ready {
+        StatusCode::OK
+    } else {
+        StatusCode::SERVICE_UNAVAILABLE
+    };
     (status, [(CONNECTION, "close")])
 }
 
@@ -389,7 +461,9 @@
     let mut answer = front.answer(request, &seen).await;
     let goes_on = seen.answered() && !answer.status().is_client_error();
     if front.closes() || !goes_on {
-        answer.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
+        answer
+            .headers_mut()
+            .insert(CONNECTION, HeaderValue::from_static("close"));
     }
     answer
 }
@@ -406,8 +480,12 @@
 
 /// A figure out of `Request-Info: name=value,name=value`.
 fn info(head: &Parts, wanted: &str) -> Option<f64> {
-    let pairs = text(head, "request-info")?.split(',').filter_map(|pair| pair.split_once('='));
-    pairs.filter(|(name, _)| name.trim() == wanted).find_map(|(_, value)| value.trim().parse().ok())
+    let pairs = text(head, "request-info")?
+        .split(',')
+        .filter_map(|pair| pair.split_once('='));
+    pairs
+        .filter(|(name, _)| name.trim() == wanted)
+        .find_map(|(_, value)| value.trim().parse().ok())
 }
 
 /// A length of time, a number and its unit, in seconds.
--- a/crates/mintlb-http/src/last_byte.rs
+++ b/crates/mintlb-http/src/last_byte.rs
@@ -24,7 +24,12 @@
 impl LastByte {
     pub fn new(mut body: Bytes, wait: Duration) -> LastByte {
         let last = body.split_off(body.len().saturating_sub(1));
-        LastByte { first: body, last, wait, waits: None }
+        LastByte {
+            first: body,
+            last,
+            wait,
+            waits: None,
+        }
     }
 
     /// How many bytes are still to be written.
@@ -49,7 +54,12 @@
         }
         if !self.wait.is_zero() {
             let wait = self.wait;
-            ready!(self.waits.get_or_insert_with(|| Box::pin(sleep(wait))).as_mut().poll(cx));
+            ready!(
+                self.waits
+                    .get_or_insert_with(|| Box::pin(sleep(wait)))
+                    .as_mut()
+                    .poll(cx)
+            );
         }
         Poll::Ready(Some(Ok(Frame::data(std::mem::take(&mut self.last)))))
     }
--- a/crates/mintlb-http/src/lines.rs
+++ b/crates/mintlb-http/src/lines.rs
@@ -13,14 +13,21 @@
 
 impl Lines {
     pub fn new(body: Incoming, longest: usize) -> Lines {
-        Lines { body, held: BytesMut::new(), longest }
+        Lines {
+            body,
+            held: BytesMut::new(),
+            longest,
+        }
     }
 
     /// The next line without its end, the last also if it has none; `None` once the body has ended.
     pub async fn next(&mut self) -> Result<Option<Bytes>, String> {
         let mut searched = 0;
         loop {
-            let end = self.held[searched..].iter().position(|&b| b == b'\n').map(|at| searched + at);
+            let end = self.held[searched..]
+                .iter()
+                .position(|&b| b == b'\n')
+                .map(|at| searched + at);
             searched = self.held.len();
             if end.unwrap_or(searched) > self.longest {
                 return Err(format!("a line of over {} bytes", self.longest));
@@ -34,7 +41,9 @@
                 None if searched == 0 => return Ok(None),
                 None => return Ok(Some(self.held.split().freeze())),
                 Some(Err(e)) => return Err(format!("broken off: {}", causes(&e))),
-                Some(Ok(frame)) => self.held.extend(frame.data_ref().map(|d| &d[..]).unwrap_or_default()),
+                Some(Ok(frame)) => self
+                    .held
+                    .extend(frame.data_ref().map(|d| &d[..]).unwrap_or_default()),
             }
         }
     }
--- a/crates/mintlb-http/src/list.rs
+++ b/crates/mintlb-http/src/list.rs
@@ -76,22 +76,52 @@
 impl Reading {
     /// What a message of the list tells of the workers.
     pub fn told(&self, listing: &Listing) -> Told {
-        let members = listing.workers.iter().map(|worker| self.member(worker)).collect();
-        Told { source: Source::List, full: listing.full, members }
+        let members = listing
+            .workers
+            .iter()
+            .map(|worker| self.member(worker))
+            .collect();
+        Told {
+            source: Source::List,
+            full: listing.full,
+            members,
+        }
     }
 
     fn member(&self, worker: &WorkerLine) -> Member {
         let place = |names: &[String], name: &str| {
-            names.iter().position(|n| n == name).map_or(u16::MAX, |at| at as u16)
+            names
+                .iter()
+                .position(|n| n == name)
+                .map_or(u16::MAX, |at| at as u16)
+        };
+        let (zone, kind) = (
+            place(&self.zones, &worker.zone),
+            place(&self.kinds, &worker.kind),
+        );
+        let came_up = if worker.started_ms.is_finite() {
+            worker.started_ms.max(0.0) / 1000.0
+        } else {
+            0.0
         };
-        let (zone, kind) = (place(&self.zones, &worker.zone), place(&self.kinds, &worker.kind));
-        let came_up = if worker.started_ms.is_finite() { worker.started_ms.max(0.0) / 1000.0 } else { 0.0 };
         let (id, cell, listed) = (worker_id(&worker.id), worker.cell, worker.listed());
         let at: Option<SocketAddr> = worker.addr.parse().ok();
-        let way = at.map(|at| Way { workers: self.workers.clone(), at });
+        let way = at.map(|at| Way {
+            workers: self.workers.clone(),
+            at,
+        });
         Member {
             name: worker.id.clone(),
-            line: Line { id, zone, cell, kind, listed, came_up, runs: self.runs, fetches: false },
+            line: Line {
+                id,
+                zone,
+                cell,
+                kind,
+                listed,
+                came_up,
+                runs: self.runs,
+                fetches: false,
+            },
             host: at.map(|at| at.ip().to_canonical()),
             reach: way.map(|way| Arc::new(way) as Arc<dyn Reach>),
         }
@@ -120,7 +150,14 @@
         besides: Besides,
         log: Logger,
     ) -> Watch {
-        Watch { list, reading, tell, besides, log, alive: None }
+        Watch {
+            list,
+            reading,
+            tell,
+            besides,
+            log,
+            alive: None,
+        }
     }
 
     /// The list is watched there from now on; a watch of the old address ends.
@@ -133,7 +170,11 @@
 impl Watcher for Watch {
     fn watch(&mut self, after: Option<u64>) {
         // A question that was due before the list moved must not end the watch that has begun since.
-        if self.alive.as_ref().is_some_and(|watch| !watch.is_finished()) {
+        if self
+            .alive
+            .as_ref()
+            .is_some_and(|watch| !watch.is_finished())
+        {
             return;
         }
         let (list, reading) = (self.list.clone(), self.reading.clone());
@@ -165,15 +206,31 @@
     pub fn new(limits: &Limits, at: SocketAddr) -> List {
         // An old watch may end only while the new one is dialled.
         let dialer = Dialer::new(2, limits.dial, Arc::default()).with_spare();
-        let client = Client::builder(TokioExecutor::new()).pool_max_idle_per_host(0).build(dialer);
-        let Limits { list_line: line, list_silence: silence, list_call: call, .. } = *limits;
-        List { client, at, line, silence, call }
+        let client = Client::builder(TokioExecutor::new())
+            .pool_max_idle_per_host(0)
+            .build(dialer);
+        let Limits {
+            list_line: line,
+            list_silence: silence,
+            list_call: call,
+            ..
+        } = *limits;
+        List {
+            client,
+            at,
+            line,
+            silence,
+            call,
+        }
     }
 
     /// Has what changes after this version heard until the watch ends, or first the whole list if no version is known;
     /// the cause of the end.
     pub async fn watch(&self, after: Option<u64>, hear: impl Fn(Listing)) -> String {
-        self.follow(after, hear).await.err().unwrap_or_else(|| "it ended".to_string())
+        self.follow(after, hear)
+            .await
+            .err()
+            .unwrap_or_else(|| "it ended".to_string())
     }
 
     async fn follow(&self, after: Option<u64>, hear: impl Fn(Listing)) -> Result<(), String> {
@@ -216,20 +273,36 @@
                 Err(e) => return Err(format!("a bad line: {e}")),
             }
         }
-        if held.is_empty() { Ok(None) } else { Err("it ended within a message".to_string()) }
+        if held.is_empty() {
+            Ok(None)
+        } else {
+            Err("it ended within a message".to_string())
+        }
     }
 
     async fn whole(&self) -> Result<Listing, String> {
         let body = Limited::new(self.ask("").await?, self.line).collect();
-        let body = body.await.map_err(|e| format!("no whole list: {e}"))?.to_bytes();
-        let listing: Listing = serde_json::from_slice(&body).map_err(|e| format!("a bad list: {e}"))?;
-        if listing.full { Ok(listing) } else { Err("a list that says it is not the whole".to_string()) }
+        let body = body
+            .await
+            .map_err(|e| format!("no whole list: {e}"))?
+            .to_bytes();
+        let listing: Listing =
+            serde_json::from_slice(&body).map_err(|e| format!("a bad list: {e}"))?;
+        if listing.full {
+            Ok(listing)
+        } else {
+            Err("a list that says it is not the whole".to_string())
+        }
     }
 
     async fn ask(&self, query: &str) -> Result<Incoming, String> {
         let url = format!("http://{}/v1/servers{query}", self.at);
         let url = url.parse().map_err(|e| format!("{url}: {e}"))?;
-        let answer = self.client.get(url).await.map_err(|e| format!("no answer: {}", causes(&e)))?;
+        let answer = self
+            .client
+            .get(url)
+            .await
+            .map_err(|e| format!("no answer: {}", causes(&e)))?;
         match answer.status() {
             StatusCode::OK => Ok(answer.into_body()),
             status => Err(format!("answered {status}")),
@@ -239,5 +312,7 @@
 
 /// The step, if it is done in so long.
 async fn within<T>(long: Duration, step: impl Future<Output = T>) -> Result<T, String> {
-    timeout(long, step).await.map_err(|_| format!("silent for {} s", long.as_secs_f64()))
+    timeout(long, step)
+        .await
+        .map_err(|_| format!("silent for {} s", long.as_secs_f64()))
 }
--- a/crates/mintlb-http/src/places.rs
+++ b/crates/mintlb-http/src/places.rs
@@ -28,7 +28,9 @@
     /// Whether it may still close, now that its end has been called for. What was read since, or what has come and is not
     /// read yet, would be lost with it: a request may have come, in part or whole, and wait for its answer.
     pub fn may_close(&self) -> bool {
-        self.seen.missed(self.places.takes).is_some_and(|(missed, _)| missed != Missed::Perhaps)
+        self.seen
+            .missed(self.places.takes)
+            .is_some_and(|(missed, _)| missed != Missed::Perhaps)
     }
 }
 
@@ -42,7 +44,12 @@
 impl Places {
     pub fn new(most: usize, takes: Duration) -> Arc<Places> {
         let (taken, left) = Default::default();
-        Arc::new(Places { most, takes, taken, left })
+        Arc::new(Places {
+            most,
+            takes,
+            taken,
+            left,
+        })
     }
 
     pub fn count(&self) -> usize {
@@ -63,11 +70,20 @@
     /// brings none; but not while these are few: whoever waits to be accepted may have handed in work already.
     pub fn make_room(&self) -> bool {
         let taken = self.taken.lock();
-        let missed = || taken.values().filter_map(|seen| Some((seen.missed(self.takes)?, seen)));
-        let may_yet = missed().filter(|((missed, _), _)| *missed == Missed::Perhaps).count();
-        let goes =
-            |missed| missed < Missed::Perhaps || missed > Missed::Perhaps && may_yet < self.most.div_ceil(2);
-        let least = missed().filter(|((missed, _), _)| goes(*missed)).min_by_key(|&(missed, _)| missed);
+        let missed = || {
+            taken
+                .values()
+                .filter_map(|seen| Some((seen.missed(self.takes)?, seen)))
+        };
+        let may_yet = missed()
+            .filter(|((missed, _), _)| *missed == Missed::Perhaps)
+            .count();
+        let goes = |missed| {
+            missed < Missed::Perhaps || missed > Missed::Perhaps && may_yet < self.most.div_ceil(2)
+        };
+        let least = missed()
+            .filter(|((missed, _), _)| goes(*missed))
+            .min_by_key(|&(missed, _)| missed);
         least.map(|(_, seen)| seen.call()).is_some()
     }
 
@@ -75,7 +91,10 @@
     /// comes slowly is bounded by the time that any request is given.
     pub fn close_idle(&self) {
         let taken = self.taken.lock();
-        let missed = |seen: &Seen| seen.missed(self.takes).map_or(Missed::Perhaps, |(missed, _)| missed);
+        let missed = |seen: &Seen| {
+            seen.missed(self.takes)
+                .map_or(Missed::Perhaps, |(missed, _)| missed)
+        };
         let idle = |seen: &&Arc<Seen>| !seen.is_busy() && missed(seen) != Missed::Perhaps;
         taken.values().filter(idle).for_each(|seen| seen.call());
     }
@@ -84,6 +103,10 @@
     pub fn take(self: &Arc<Places>, number: u64) -> Place {
         let seen = Arc::new(Seen::default());
         self.taken.lock().insert(number, seen.clone());
-        Place { number, seen, places: self.clone() }
+        Place {
+            number,
+            seen,
+            places: self.clone(),
+        }
     }
 }
--- a/crates/mintlb-http/src/seen.rs
+++ b/crates/mintlb-http/src/seen.rs
@@ -86,7 +86,10 @@
         Err(_) => return Head::Unreadable,
     };
     let all = |name: &str| -> Vec<&[u8]> {
-        let named = request.headers.iter().filter(|h| h.name.eq_ignore_ascii_case(name));
+        let named = request
+            .headers
+            .iter()
+            .filter(|h| h.name.eq_ignore_ascii_case(name));
         named.map(|h| h.value).collect()
     };
     match (&all("transfer-encoding")[..], &all("content-length")[..]) {
@@ -95,7 +98,10 @@
         ([], []) => Head::Length(end, Some(0)),
         ([coding], []) if coding.eq_ignore_ascii_case(b"chunked") => Head::Length(end, None),
         ([_, ..], []) => Head::Fault("a Transfer-Encoding other than chunked"),
-        ([], [length]) => match std::str::from_utf8(length).ok().and_then(|l| l.parse().ok()) {
+        ([], [length]) => match std::str::from_utf8(length)
+            .ok()
+            .and_then(|l| l.parse().ok())
+        {
             Some(length) => Head::Length(end, Some(length)),
             None => Head::Unreadable,
         },
@@ -106,8 +112,18 @@
 impl Default for Seen {
     fn default() -> Seen {
         let (at, heard) = (At::Head(Vec::new()), Instant::now());
-        let state = State { at, phase: Phase::Coming(heard), fault: None, heard, pieces: 0, worked: false };
-        Seen { state: Mutex::new(state), called: Notify::new() }
+        let state = State {
+            at,
+            phase: Phase::Coming(heard),
+            fault: None,
+            heard,
+            pieces: 0,
+            worked: false,
+        };
+        Seen {
+            state: Mutex::new(state),
+            called: Notify::new(),
+        }
     }
 }
 
@@ -132,7 +148,11 @@
                         Head::Length(_, None) => state.at = At::Unframed,
                         Head::Length(end, Some(length)) => {
                             bytes = &bytes[end - before..];
-                            state.at = if length > 0 { At::Body(length) } else { At::Whole };
+                            state.at = if length > 0 {
+                                At::Body(length)
+                            } else {
+                                At::Whole
+                            };
                         }
                     }
                 }
@@ -178,7 +198,11 @@
     pub fn answered(&self) -> bool {
         let mut state = self.state.lock();
         let goes_on = state.phase == Phase::Open && matches!(state.at, At::Whole);
-        state.at = if goes_on { At::Head(Vec::new()) } else { At::Unframed };
+        state.at = if goes_on {
+            At::Head(Vec::new())
+        } else {
+            At::Unframed
+        };
         state.phase = Phase::Idle(Instant::now());
         goes_on
     }
@@ -216,7 +240,8 @@
     /// Whether it waits for a request of which nothing has come.
     pub fn is_idle(&self) -> bool {
         let state = self.state.lock();
-        matches!(state.phase, Phase::Idle(_)) || matches!(state.phase, Phase::Coming(_)) && state.pieces == 0
+        matches!(state.phase, Phase::Idle(_))
+            || matches!(state.phase, Phase::Coming(_)) && state.pieces == 0
     }
 
     /// The connection is to end.
--- a/crates/mintlb-http/src/socket.rs
+++ b/crates/mintlb-http/src/socket.rs
@@ -27,8 +27,15 @@
 }
 
 impl AsyncRead for Socket {
-    fn poll_read(self: Pin<&mut Self>, cx: &mut Context, buf: &mut ReadBuf) -> Poll<io::Result<()>> {
-        let read = attempt(|| self.0.poll_read_ready(cx), || self.0.try_read(buf.initialize_unfilled()));
+    fn poll_read(
+        self: Pin<&mut Self>,
+        cx: &mut Context,
+        buf: &mut ReadBuf,
+    ) -> Poll<io::Result<()>> {
+        let read = attempt(
+            || self.0.poll_read_ready(cx),
+            || self.0.try_read(buf.initialize_unfilled()),
+        );
         read.map_ok(|n| buf.advance(n))
     }
 }
@@ -51,6 +58,9 @@
         cx: &mut Context,
         bufs: &[IoSlice],
     ) -> Poll<io::Result<usize>> {
-        attempt(|| self.0.poll_write_ready(cx), || self.0.try_write_vectored(bufs))
+        attempt(
+            || self.0.poll_write_ready(cx),
+            || self.0.try_write_vectored(bufs),
+        )
     }
 }
--- a/crates/mintlb-http/src/worker.rs
+++ b/crates/mintlb-http/src/worker.rs
@@ -82,8 +82,12 @@
     fn head(&self, order: &Order) -> Option<Parts> {
         let id = format!("{}-{}", self.scheduler, order.alloc.0);
         let request = Request::post(format!("/{}", self.types.get(order.project_type)?));
-        let request = request.header("request-id", &id).header("idempotency-key", &id);
-        let customer = order.customer.and_then(|customer| self.customers.get(customer));
+        let request = request
+            .header("request-id", &id)
+            .header("idempotency-key", &id);
+        let customer = order
+            .customer
+            .and_then(|customer| self.customers.get(customer));
         let request = match customer {
             Some(customer) => request.header("tenant", customer),
             None => request,
@@ -107,7 +111,10 @@
 impl Reach for Way {
     fn send(&self, order: Order) -> Box<dyn Recall> {
         let (workers, at) = (self.workers.clone(), self.at);
-        Box::new(Out(tokio::spawn(async move { workers.allocate(&order, at).await }).abort_handle()))
+        Box::new(Out(tokio::spawn(async move {
+            workers.allocate(&order, at).await
+        })
+        .abort_handle()))
     }
     fn probe(&self, worker: u64) {
         let (workers, at) = (self.workers.clone(), self.at);
@@ -162,7 +169,14 @@
         let (dialling, keeping) = (client(0), client(limits.idle_per_worker));
         let (quickest, died) = Default::default();
         let free_slots = fields.contains(&"x0").then_some("x0");
-        let Limits { line, dial, probe, dear, sound, .. } = *limits;
+        let Limits {
+            line,
+            dial,
+            probe,
+            dear,
+            sound,
+            ..
+        } = *limits;
         let worded = Arc::new(worded);
         Workers {
             dialling,
@@ -186,7 +200,8 @@
     pub async fn allocate(&self, order: &Order, to: SocketAddr) {
         let end = self.clock.instant(order.until);
         let run = timeout_at(end, self.run(order, to)).await;
-        let (back, rest) = run.unwrap_or_else(|_| (Back::with(order.alloc, Outcome::TimedOut), None));
+        let (back, rest) =
+            run.unwrap_or_else(|_| (Back::with(order.alloc, Outcome::TimedOut), None));
         if back.outcome != Outcome::Completed {
             debug!(self.log, "an allocation came back undone"; "worker" => %to, "outcome" => ?back.outcome);
         }
@@ -200,14 +215,25 @@
     async fn run(&self, order: &Order, to: SocketAddr) -> (Back, Option<Lines>) {
         let mut back = Back::with(order.alloc, Outcome::Moot);
         let left = order.until - self.clock.now();
-        let wait = if order.payload.once { self.sound } else { Duration::ZERO };
+        let wait = if order.payload.once {
+            self.sound
+        } else {
+            Duration::ZERO
+        };
         let worded = match order.payload.own.downcast_ref::<Parts>() {
             Some(head) => Some(Cow::Borrowed(head)),
             None => self.worded.head(order).map(Cow::Owned),
         };
-        let Some(head) = worded else { return (back, None) };
-        let Ok(request) = onward(to, &head, &order.payload.body, left, wait) else { return (back, None) };
-        let gate = Gate { slip: order.slip.clone(), taken_back: order.taken_back.clone() };
+        let Some(head) = worded else {
+            return (back, None);
+        };
+        let Ok(request) = onward(to, &head, &order.payload.body, left, wait) else {
+            return (back, None);
+        };
+        let gate = Gate {
+            slip: order.slip.clone(),
+            taken_back: order.taken_back.clone(),
+        };
         let answer = match self.send(to, request, gate, order.payload.once).await {
             Ok(answer) => answer,
             Err(outcome) => return (Back { outcome, ..back }, None),
@@ -220,13 +246,19 @@
         if let Some(outcome) = refused {
             return (Back { outcome, ..back }, Some(lines));
         }
-        let id = head.headers.get("request-id").map(HeaderValue::as_bytes).unwrap_or_default();
+        let id = head
+            .headers
+            .get("request-id")
+            .map(HeaderValue::as_bytes)
+            .unwrap_or_default();
         // An end without a last word, a broken line, another's line: it may have run.
         while let Ok(Some(line)) = lines.next().await {
             if line.iter().all(u8::is_ascii_whitespace) {
                 continue;
             }
-            let Ok(said) = serde_json::from_slice::<Said>(&line) else { break };
+            let Ok(said) = serde_json::from_slice::<Said>(&line) else {
+                break;
+            };
             if said.id.as_bytes() != id {
                 break;
             }
@@ -241,11 +273,22 @@
                 "lost" => Outcome::Dropped,
                 _ => continue,
             };
-            back.report = said.load.map_or(back.report, |load| self.report(load.get().as_bytes()));
-            back.result = said.result.map(|raw| text_of(&line, raw)).unwrap_or_default();
+            back.report = said
+                .load
+                .map_or(back.report, |load| self.report(load.get().as_bytes()));
+            back.result = said
+                .result
+                .map(|raw| text_of(&line, raw))
+                .unwrap_or_default();
             return (back, Some(lines));
         }
-        (Back { outcome: Outcome::Dropped, ..back }, None)
+        (
+            Back {
+                outcome: Outcome::Dropped,
+                ..back
+            },
+            None,
+        )
     }
 
     /// Sends a request on a connection that is its alone meanwhile, up to the answer's head.
@@ -271,14 +314,17 @@
         let answer = poll_fn(|cx| {
             let polled = sending.as_mut().poll(cx);
             if on.is_none() {
-                on = captured.connection_metadata().as_ref().and_then(|connected| {
-                    let mut extras = axum::http::Extensions::new();
-                    connected.get_extras(&mut extras);
-                    let written: Written = extras.remove()?;
-                    let before = written.so_far();
-                    written.expect(length, gate.clone());
-                    Some((written, before))
-                });
+                on = captured
+                    .connection_metadata()
+                    .as_ref()
+                    .and_then(|connected| {
+                        let mut extras = axum::http::Extensions::new();
+                        connected.get_extras(&mut extras);
+                        let written: Written = extras.remove()?;
+                        let before = written.so_far();
+                        written.expect(length, gate.clone());
+                        Some((written, before))
+                    });
             }
             // Its gate keeps the rest from being written; what is whole is waited for.
             let whole = |(written, before): &(Written, u64)| written.so_far() - before >= length;
@@ -287,12 +333,18 @@
             }
             polled.map(Some)
         });
-        let Some(answer) = answer.await else { return Err(Outcome::Full) };
+        let Some(answer) = answer.await else {
+            return Err(Outcome::Full);
+        };
         let error = match answer {
             Ok(answer) => {
                 if on.is_some_and(|(_, before)| before == 0) {
                     let took = began.elapsed();
-                    self.quickest.lock().entry(to).and_modify(|q| *q = took.min(*q)).or_insert(took);
+                    self.quickest
+                        .lock()
+                        .entry(to)
+                        .and_modify(|q| *q = took.min(*q))
+                        .or_insert(took);
                 }
                 return Ok(answer);
             }
@@ -303,22 +355,36 @@
             return Err(Outcome::Moot);
         }
         // The gate may be heard of through the connection first: that is no fault of the connection or the worker.
-        let whole = on.as_ref().is_some_and(|(written, before)| written.so_far() - before >= length);
+        let whole = on
+            .as_ref()
+            .is_some_and(|(written, before)| written.so_far() - before >= length);
         if gate.taken_back.is_cancelled() && !whole {
             return Err(Outcome::Full);
         }
         if on.as_ref().is_some_and(|(_, before)| *before > 0) && !self.died.swap(true, Relaxed) {
             info!(self.log, "a kept connection died under an allocation: from now on each dials"; "worker" => %to);
         }
-        Err(if whole { Outcome::Dropped } else { Outcome::NoConnection })
+        Err(if whole {
+            Outcome::Dropped
+        } else {
+            Outcome::NoConnection
+        })
     }
 
     /// Asks a worker for its load report.
     pub async fn probe(&self, worker: u64, to: SocketAddr) {
         let asked = async {
-            let answer = self.keeping.get(format!("http://{to}/load").parse().ok()?).await.ok()?;
+            let answer = self
+                .keeping
+                .get(format!("http://{to}/load").parse().ok()?)
+                .await
+                .ok()?;
             let good = answer.status() == StatusCode::OK;
-            let body = Limited::new(answer.into_body(), self.line).collect().await.ok()?.to_bytes();
+            let body = Limited::new(answer.into_body(), self.line)
+                .collect()
+                .await
+                .ok()?
+                .to_bytes();
             good.then(|| self.report(&body))
         };
         if let Ok(Some(report)) = timeout(self.probe, asked).await {
@@ -327,7 +393,8 @@
     }
 
     fn report(&self, json: &[u8]) -> Report {
-        let fields: Option<serde_json::Map<String, serde_json::Value>> = serde_json::from_slice(json).ok();
+        let fields: Option<serde_json::Map<String, serde_json::Value>> =
+            serde_json::from_slice(json).ok();
         let free_slots = fields.and_then(|f| f.get(self.free_slots?)?.as_f64());
         Report { free_slots }
     }
@@ -335,8 +402,12 @@
 
 /// It was never sent, and not for any fault of the worker's.
 fn short(error: &(dyn Error + 'static)) -> bool {
-    let unpaid = error.downcast_ref::<io::Error>().and_then(io::Error::get_ref);
-    error.is::<NoRoom>() || unpaid.is_some_and(|e| e.is::<Unpaid>()) || error.source().is_some_and(short)
+    let unpaid = error
+        .downcast_ref::<io::Error>()
+        .and_then(io::Error::get_ref);
+    error.is::<NoRoom>()
+        || unpaid.is_some_and(|e| e.is::<Unpaid>())
+        || error.source().is_some_and(short)
 }
 
 /// The client's request as it goes on: all as it came, but for what belongs to the connection and the time.
@@ -348,7 +419,9 @@
     wait: Duration,
 ) -> Result<Request<LastByte>, axum::http::Error> {
     let path = head.uri.path_and_query().map_or("/", |p| p.as_str());
-    let mut request = Request::builder().method(&head.method).uri(format!("http://{to}{path}"));
+    let mut request = Request::builder()
+        .method(&head.method)
+        .uri(format!("http://{to}{path}"));
     if let Some(headers) = request.headers_mut() {
         headers.extend(head.headers.clone());
         for own in [&CONNECTION, &CONTENT_LENGTH, &HOST, &TRANSFER_ENCODING] {
@@ -358,27 +431,42 @@
             headers.remove(own);
         }
     }
-    let request = request.header(CONTENT_LENGTH, body.len()).header(HOST, to.to_string());
+    let request = request
+        .header(CONTENT_LENGTH, body.len())
+        .header(HOST, to.to_string());
     let mut request = request.body(LastByte::new(body.clone(), wait))?;
     let left = format!("{}u", (left.max(0.0) * 1e6) as u64);
-    request.headers_mut().insert("request-timeout", left.parse()?);
+    request
+        .headers_mut()
+        .insert("request-timeout", left.parse()?);
     Ok(request)
 }
 
 /// No less than this is written of a request once its last byte is.
 fn least_length(request: &Request<LastByte>) -> u64 {
-    let path = request.uri().path_and_query().map_or(1, |p| p.as_str().len());
+    let path = request
+        .uri()
+        .path_and_query()
+        .map_or(1, |p| p.as_str().len());
     let line = request.method().as_str().len() + path + "  HTTP/1.1\r\n\r\n".len();
-    let headers: usize = request.headers().iter().map(|(name, v)| name.as_str().len() + v.len() + 4).sum();
+    let headers: usize = request
+        .headers()
+        .iter()
+        .map(|(name, v)| name.as_str().len() + v.len() + 4)
+        .sum();
     (line + headers) as u64 + request.body().left()
 }
 
 /// What an answer without a stream means. Only a marked one proves that nothing ran.
 fn refusal(status: StatusCode, headers: &HeaderMap) -> Option<Outcome> {
-    let unstarted = headers.get("not-started").is_some_and(|v| v.as_bytes() == b"1");
+    let unstarted = headers
+        .get("not-started")
+        .is_some_and(|v| v.as_bytes() == b"1");
     match status {
         StatusCode::OK => None,
-        StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if unstarted => Some(Outcome::Full),
+        StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if unstarted => {
+            Some(Outcome::Full)
+        }
         _ => Some(Outcome::Error),
     }
 }
--- a/crates/mintlb-http/tests/closing.rs
+++ b/crates/mintlb-http/tests/closing.rs
@@ -41,10 +41,17 @@
     assert!(answer(&mut stream).await.ends_with("yes"));
     // In one step of this thread: nothing else can have looked at the sockets in between.
     behind.write_all(request(2).as_bytes()).unwrap();
-    served.standing.lock().hear(served.clock.now(), Word::Leave).unwrap();
+    served
+        .standing
+        .lock()
+        .hear(served.clock.now(), Word::Leave)
+        .unwrap();
     served.front.close_idle();
     let got = answer(&mut stream).await;
-    assert!(got.ends_with("yes") && got.contains("connection: close"), "{got:?}");
+    assert!(
+        got.ends_with("yes") && got.contains("connection: close"),
+        "{got:?}"
+    );
 }
 
 /// A request of which the system has told us, but that nobody has read when its idle connection is to close, is answered:
@@ -66,13 +73,20 @@
             if crowded {
                 assert!(served.front.make_room(), "it is the only one, and idle");
             } else {
-                served.standing.lock().hear(served.clock.now(), Word::Leave).unwrap();
+                served
+                    .standing
+                    .lock()
+                    .hear(served.clock.now(), Word::Leave)
+                    .unwrap();
                 served.front.close_idle();
             }
             yield_now().await;
             behind.write_all(&request(2).as_bytes()[part..]).unwrap();
             let got = answer(&mut stream).await;
-            assert!(got.ends_with("yes"), "{shown}, {part} bytes were there: {got:?}");
+            assert!(
+                got.ends_with("yes"),
+                "{shown}, {part} bytes were there: {got:?}"
+            );
         }
     }
 }
@@ -87,15 +101,31 @@
         ("succeeded", Some(Word::Stop { succeeded: true })),
     ] {
         let served = serve().await;
-        word.into_iter().for_each(|word| served.standing.lock().hear(served.clock.now(), word).unwrap());
+        word.into_iter().for_each(|word| {
+            served
+                .standing
+                .lock()
+                .hear(served.clock.now(), word)
+                .unwrap()
+        });
         let mut stream = TcpStream::connect(served.at).await.unwrap();
-        stream.write_all((request(1) + &request(2)).as_bytes()).await.unwrap();
+        stream
+            .write_all((request(1) + &request(2)).as_bytes())
+            .await
+            .unwrap();
         let got = answer(&mut stream).await;
-        assert!(got.starts_with("HTTP/1.1 400") && !got.contains("yes"), "{shown}: {got:?}");
+        assert!(
+            got.starts_with("HTTP/1.1 400") && !got.contains("yes"),
+            "{shown}: {got:?}"
+        );
         let mut usual = TcpStream::connect(served.at).await.unwrap();
         usual.write_all(request(3).as_bytes()).await.unwrap();
         let got = answer(&mut usual).await;
         assert!(got.ends_with("yes"), "{shown}: {got:?}");
-        assert_eq!(got.contains("connection: close"), word.is_some(), "{shown}: {got:?}");
+        assert_eq!(
+            got.contains("connection: close"),
+            word.is_some(),
+            "{shown}: {got:?}"
+        );
     }
 }
--- a/crates/mintlb-http/tests/leaving.rs
+++ b/crates/mintlb-http/tests/leaving.rs
@@ -14,11 +14,9 @@
 use tokio::time::timeout;
 
 const SIZED: &str = "POST /w HTTP/1.1\r\nhost: x\r\nrequest-id: ID\r\ncontent-length: 2\r\n\r\nhi";
-const CLOSING: &str =
-    "POST /w HTTP/1.1\r\nhost: x\r\nrequest-id: ID\r\nconnection: close\r\ncontent-length: 2\r\n\r\nhi";
+const CLOSING: &str = "POST /w HTTP/1.1\r\nhost: x\r\nrequest-id: ID\r\nconnection: close\r\ncontent-length: 2\r\n\r\nhi";
 const OLD: &str = "POST /w HTTP/1.0\r\nhost: x\r\nrequest-id: ID\r\ncontent-length: 2\r\n\r\nhi";
-const CHUNKED: &str =
-    "POST /w HTTP/1.1\r\nhost: x\r\nrequest-id: ID\r\ntransfer-encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\n";
+const CHUNKED: &str = "POST /w HTTP/1.1\r\nhost: x\r\nrequest-id: ID\r\ntransfer-encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\n";
 
 /// How a client leaves: by an end of its side alone, by closing, or by a reset.
 #[derive(Clone, Copy, Debug)]
@@ -35,7 +33,15 @@
             return Some(stream);
         }
         Leaves::Closes => {}
-        Leaves::Resets => setsockopt(&stream, Linger, &libc::linger { l_onoff: 1, l_linger: 0 }).unwrap(),
+        Leaves::Resets => setsockopt(
+            &stream,
+            Linger,
+            &libc::linger {
+                l_onoff: 1,
+                l_linger: 0,
+            },
+        )
+        .unwrap(),
     }
     None
 }
@@ -55,13 +61,48 @@
         ("a byte behind it", SIZED, String::new(), "x".into()),
         ("half a second request", SIZED, String::new(), half.into()),
         ("a second request", SIZED, String::new(), SIZED.into()),
-        ("a second request in chunks", CHUNKED, String::new(), CHUNKED.into()),
-        ("more than a buffer", SIZED, String::new(), "x".repeat(1 << 20)),
-        ("in chunks, a byte behind it", CHUNKED, "x".into(), String::new()),
-        ("in chunks, a second request", CHUNKED, CHUNKED.into(), String::new()),
-        ("in chunks, one and then another", CHUNKED, CHUNKED.into(), SIZED.into()),
-        ("in chunks, more than a buffer", CHUNKED, "x".repeat(60_000), "x".repeat(1 << 20)),
-        ("it was to close, and more came", CLOSING, String::new(), SIZED.into()),
+        (
+            "a second request in chunks",
+            CHUNKED,
+            String::new(),
+            CHUNKED.into(),
+        ),
+        (
+            "more than a buffer",
+            SIZED,
+            String::new(),
+            "x".repeat(1 << 20),
+        ),
+        (
+            "in chunks, a byte behind it",
+            CHUNKED,
+            "x".into(),
+            String::new(),
+        ),
+        (
+            "in chunks, a second request",
+            CHUNKED,
+            CHUNKED.into(),
+            String::new(),
+        ),
+        (
+            "in chunks, one and then another",
+            CHUNKED,
+            CHUNKED.into(),
+            SIZED.into(),
+        ),
+        (
+            "in chunks, more than a buffer",
+            CHUNKED,
+            "x".repeat(60_000),
+            "x".repeat(1 << 20),
+        ),
+        (
+            "it was to close, and more came",
+            CLOSING,
+            String::new(),
+            SIZED.into(),
+        ),
     ];
     let (served, mut events) = served().await;
     let mut id = 0;
@@ -71,7 +112,9 @@
             let mut stream = TcpStream::connect(served.at).await.unwrap();
             let request = request.replace("ID", &id.to_string()) + with;
             stream.write_all(request.as_bytes()).await.unwrap();
-            let Some(Event::Arrived(arrival)) = events.recv().await else { panic!("{shown}: not taken") };
+            let Some(Event::Arrived(arrival)) = events.recv().await else {
+                panic!("{shown}: not taken")
+            };
             stream.write_all(behind.as_bytes()).await.unwrap();
             let _open = leave(stream, how).await;
             match timeout(SOON, events.recv()).await {
@@ -97,12 +140,20 @@
         let (served, mut events) = served().await;
         let mut stream = TcpStream::connect(served.at).await.unwrap();
         stream.write_all(request.as_bytes()).await.unwrap();
-        let Some(Event::Arrived(arrival)) = events.recv().await else { panic!("{shown}: not taken") };
+        let Some(Event::Arrived(arrival)) = events.recv().await else {
+            panic!("{shown}: not taken")
+        };
         let written = timeout(bound, stream.write_all(behind.as_bytes())).await;
-        assert!(written.is_ok_and(|w| w.is_ok()), "{shown}: it is read to its end");
+        assert!(
+            written.is_ok_and(|w| w.is_ok()),
+            "{shown}: it is read to its end"
+        );
         arrival.answer.settle(Answer::Completed("yes".into()));
         let got = answer(&mut stream).await;
-        assert!(got.starts_with("HTTP/1.1 200") && got.ends_with("yes"), "{shown}: {got:?}");
+        assert!(
+            got.starts_with("HTTP/1.1 200") && got.ends_with("yes"),
+            "{shown}: {got:?}"
+        );
         assert!(got.contains("connection: close"), "{shown}: {got:?}");
     }
 }
@@ -114,8 +165,13 @@
     let (mut streams, mut waiting) = (Vec::new(), HashSet::new());
     for id in 0..60 {
         let mut stream = TcpStream::connect(served.at).await.unwrap();
-        stream.write_all(SIZED.replace("ID", &id.to_string()).as_bytes()).await.unwrap();
-        let Some(Event::Arrived(arrival)) = events.recv().await else { panic!("not taken") };
+        stream
+            .write_all(SIZED.replace("ID", &id.to_string()).as_bytes())
+            .await
+            .unwrap();
+        let Some(Event::Arrived(arrival)) = events.recv().await else {
+            panic!("not taken")
+        };
         waiting.insert(arrival.id);
         // Kept, as whose answer is dropped is answered.
         streams.push((stream, arrival));
--- a/crates/mintlb-http/tests/machine/mod.rs
+++ b/crates/mintlb-http/tests/machine/mod.rs
@@ -58,27 +58,58 @@
 pub async fn served() -> (Served, UnboundedReceiver<Event>) {
     let (tell, events) = unbounded_channel();
     let clock = Clock::start();
-    let standing = Arc::new(Mutex::new(Standing::new(Notice { leave: 0.0, stop: 0.0 })));
+    let standing = Arc::new(Mutex::new(Standing::new(Notice {
+        leave: 0.0,
+        stop: 0.0,
+    })));
     standing.lock().hear(clock.now(), Word::Ready).unwrap();
-    let shared = (Numbers::default(), Room::new(64, 1 << 20), clock, standing.clone());
+    let shared = (
+        Numbers::default(),
+        Room::new(64, 1 << 20),
+        clock,
+        standing.clone(),
+    );
     let front = Front::new(Vec::new(), limits(), shared, tell, quiet());
     let (credit, late_credit, promised_turnaround, stretch, hard_limit) = (1.0, 0.0, 1.0, 0.0, 3.0);
     let (effect, kind) = (Effect::Rerunnable, None);
-    let project_type =
-        ProjectType { credit, late_credit, promised_turnaround, stretch, hard_limit, effect, kind };
-    front.take_types(&[Named { name: "w".into(), number: 0, project_type }], &Figures::default());
+    let project_type = ProjectType {
+        credit,
+        late_credit,
+        promised_turnaround,
+        stretch,
+        hard_limit,
+        effect,
+        kind,
+    };
+    front.take_types(
+        &[Named {
+            name: "w".into(),
+            number: 0,
+            project_type,
+        }],
+        &Figures::default(),
+    );
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let at = listener.local_addr().unwrap();
     tokio::spawn(front.clone().listen(listener));
-    (Served { front, standing, clock, at }, events)
+    (
+        Served {
+            front,
+            standing,
+            clock,
+            at,
+        },
+        events,
+    )
 }
 
 /// All that comes until an answer is whole, or the connection ends.
 pub async fn answer(stream: &mut TcpStream) -> String {
     let (mut got, mut piece) = (String::new(), [0; 1024]);
     while !got.ends_with("yes") {
-        let read =
-            timeout(Duration::from_secs(4), stream.read(&mut piece)).await.expect("an answer or an end");
+        let read = timeout(Duration::from_secs(4), stream.read(&mut piece))
+            .await
+            .expect("an answer or an end");
         match read {
             Ok(0) | Err(_) => break,
             Ok(n) => got += &String::from_utf8_lossy(&piece[..n]),
--- a/crates/mintlb-http/tests/outcomes.rs
+++ b/crates/mintlb-http/tests/outcomes.rs
@@ -23,9 +23,16 @@
 use tokio_util::sync::CancellationToken;
 
 fn order(n: u16, body: usize, until: f64) -> Order {
-    let head = axum::http::Request::post("/charge/7?x=1").header("request-id", "a1").body(()).unwrap();
+    let head = axum::http::Request::post("/charge/7?x=1")
+        .header("request-id", "a1")
+        .body(())
+        .unwrap();
     let own = Arc::new(head.into_parts().0);
-    let payload = Payload { body: vec![b'x'; body].into(), once: true, own };
+    let payload = Payload {
+        body: vec![b'x'; body].into(),
+        once: true,
+        own,
+    };
     Order {
         alloc: (1, n),
         project_type: 0,
@@ -44,7 +51,10 @@
     loop {
         let text = String::from_utf8_lossy(&got).to_lowercase();
         if let Some((head, body)) = text.split_once("\r\n\r\n") {
-            let length = head.split("content-length: ").nth(1).and_then(|l| l.lines().next());
+            let length = head
+                .split("content-length: ")
+                .nth(1)
+                .and_then(|l| l.lines().next());
             if body.len() >= length.map_or(0, |l| l.parse().unwrap()) {
                 return Some(text);
             }
@@ -67,7 +77,9 @@
             std::thread::spawn(move || {
                 while let Some(request) = read_request(&mut stream) {
                     tell.send(request).ok();
-                    stream.write_all(answer.trim_end_matches(['|', '+']).as_bytes()).ok();
+                    stream
+                        .write_all(answer.trim_end_matches(['|', '+']).as_bytes())
+                        .ok();
                     if answer.ends_with('|') {
                         stream.read_exact(&mut [0; 1]).ok();
                     }
@@ -89,11 +101,24 @@
 }
 
 /// Of work that may run once, or again.
-async fn play_as(once: &[bool], at: SocketAddr, limits: &Limits, body: usize, left: f64) -> Vec<String> {
+async fn play_as(
+    once: &[bool],
+    at: SocketAddr,
+    limits: &Limits,
+    body: usize,
+    left: f64,
+) -> Vec<String> {
     let clock = Clock::start();
     let (tell, mut told) = unbounded_channel();
-    let workers =
-        Workers::new(limits, clock, tell, &["util", "x0"], Worded::default(), Arc::default(), quiet());
+    let workers = Workers::new(
+        limits,
+        clock,
+        tell,
+        &["util", "x0"],
+        Worded::default(),
+        Arc::default(),
+        quiet(),
+    );
     for (n, once) in once.iter().enumerate() {
         let mut order = order(n as u16, body, clock.now() + left);
         order.payload.once = *once;
@@ -104,10 +129,16 @@
     while let Some(event) = told.recv().await {
         said.push(match event {
             Event::Started(_) => "started".into(),
-            Event::Back(Back { outcome: Outcome::Completed, result, .. }) => {
+            Event::Back(Back {
+                outcome: Outcome::Completed,
+                result,
+                ..
+            }) => {
                 format!("done {}", String::from_utf8_lossy(&result))
             }
-            Event::Back(Back { outcome, report, .. }) => match report.free_slots {
+            Event::Back(Back {
+                outcome, report, ..
+            }) => match report.free_slots {
                 Some(slots) => format!("{outcome:?} with {slots} free"),
                 None => format!("{outcome:?}"),
             },
@@ -122,7 +153,9 @@
 
 /// These lines as a stream of chunks, up to its proper end.
 fn stream(lines: &[&str]) -> String {
-    let chunks = lines.iter().map(|line| format!("{:x}\r\n{line}\n\r\n", line.len() + 1));
+    let chunks = lines
+        .iter()
+        .map(|line| format!("{:x}\r\n{line}\n\r\n", line.len() + 1));
     let chunks: String = chunks.collect();
     format!("HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n{chunks}0\r\n\r\n")
 }
@@ -133,7 +166,11 @@
     let cut = |lines| stream(lines).replace("0\r\n\r\n", "");
     let cases = [
         ("done", stream(&[DONE]), "done yes"),
-        ("with escapes", stream(&[r#"{"id":"a1","state":"done","result":"\"q\""}"#]), "done \"q\""),
+        (
+            "with escapes",
+            stream(&[r#"{"id":"a1","state":"done","result":"\"q\""}"#]),
+            "done \"q\"",
+        ),
         (
             "a result that is no text",
             stream(&[r#"{"id":"a1","state":"done","result":{"a":1}}"#]),
@@ -141,22 +178,51 @@
         ),
         (
             "a start, progress, the end",
-            stream(&[STARTED, r#"{"id":"a1","state":"running","share":0.4}"#, "", DONE]),
+            stream(&[
+                STARTED,
+                r#"{"id":"a1","state":"running","share":0.4}"#,
+                "",
+                DONE,
+            ]),
             "started, done yes",
         ),
-        ("failed", stream(&[r#"{"id":"a1","state":"failed"}"#]), "Error"),
+        (
+            "failed",
+            stream(&[r#"{"id":"a1","state":"failed"}"#]),
+            "Error",
+        ),
         (
             "handed back, with a report",
             stream(&[r#"{"id":"a1","state":"returned","load":{"x0":2}}"#]),
             "Full with 2 free",
         ),
-        ("killed", stream(&[r#"{"id":"a1","state":"lost"}"#]), "Dropped"),
-        ("ended after the start", stream(&[STARTED]), "started, Dropped"),
-        ("broken off after the start", cut(&[STARTED]), "started, Dropped"),
+        (
+            "killed",
+            stream(&[r#"{"id":"a1","state":"lost"}"#]),
+            "Dropped",
+        ),
+        (
+            "ended after the start",
+            stream(&[STARTED]),
+            "started, Dropped",
+        ),
+        (
+            "broken off after the start",
+            cut(&[STARTED]),
+            "started, Dropped",
+        ),
         ("half a line", cut(&[DONE]).replace("\"yes", ""), "Dropped"),
         ("no JSON", stream(&["no!"]), "Dropped"),
-        ("another's line", stream(&[r#"{"id":"b2","state":"done","result":"yes"}"#]), "Dropped"),
-        ("a line without end", stream(&[&"x".repeat(140_000)]), "Dropped"),
+        (
+            "another's line",
+            stream(&[r#"{"id":"b2","state":"done","result":"yes"}"#]),
+            "Dropped",
+        ),
+        (
+            "a line without end",
+            stream(&[&"x".repeat(140_000)]),
+            "Dropped",
+        ),
         ("closed without a word", plain(""), "Dropped"),
         (
             "turned away",
@@ -165,10 +231,22 @@
             ),
             "Full with 0 free",
         ),
-        ("unavailable, unmarked", plain("HTTP/1.1 503 No\r\ncontent-length: 0\r\n\r\n"), "Error"),
-        ("an error", plain("HTTP/1.1 500 No\r\ncontent-length: 0\r\n\r\n"), "Error"),
+        (
+            "unavailable, unmarked",
+            plain("HTTP/1.1 503 No\r\ncontent-length: 0\r\n\r\n"),
+            "Error",
+        ),
+        (
+            "an error",
+            plain("HTTP/1.1 500 No\r\ncontent-length: 0\r\n\r\n"),
+            "Error",
+        ),
         ("silence", plain("|"), "TimedOut"),
-        ("silence after the start", cut(&[STARTED]) + "|", "started, TimedOut"),
+        (
+            "silence after the start",
+            cut(&[STARTED]) + "|",
+            "started, TimedOut",
+        ),
     ];
     for (shown, answer, outcome) in cases {
         let (at, told) = worker(answer);
@@ -183,15 +261,19 @@
 /// So none is kept but where a new one is dear, and none once one has died; and a library that sends again by itself would make a second copy.
 #[tokio::test]
 async fn a_connection_is_kept_only_where_a_new_one_is_dear() {
-    for (dear, connections) in [(Duration::from_secs(1), &[1, 1, 1, 1, 1][..]), (Duration::ZERO, &[3, 1, 1])]
-    {
+    for (dear, connections) in [
+        (Duration::from_secs(1), &[1, 1, 1, 1, 1][..]),
+        (Duration::ZERO, &[3, 1, 1]),
+    ] {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let at = listener.local_addr().unwrap();
         let seen = std::thread::spawn(move || {
             let (mut seen, mut total) = (Vec::new(), 0);
             while total < 5 {
                 let (mut stream, _) = listener.accept().unwrap();
-                stream.set_read_timeout(Some(Duration::from_millis(200))).unwrap();
+                stream
+                    .set_read_timeout(Some(Duration::from_millis(200)))
+                    .unwrap();
                 let before = total;
                 while read_request(&mut stream).is_some() {
                     total += 1;
@@ -205,13 +287,26 @@
             }
             listener.set_nonblocking(true).unwrap();
             std::thread::sleep(Duration::from_millis(200));
-            assert!(listener.accept().is_err_and(|e| e.kind() == ErrorKind::WouldBlock), "sent again");
+            assert!(
+                listener
+                    .accept()
+                    .is_err_and(|e| e.kind() == ErrorKind::WouldBlock),
+                "sent again"
+            );
             seen
         });
         let limits = Limits { dear, ..limits() };
         let said = play_as(&[false; 5], at, &limits, 10, 1.0).await;
-        assert_eq!(said, ["done yes", "done yes", "Dropped", "done yes", "done yes"], "{dear:?}");
-        assert_eq!(seen.join().unwrap(), connections, "requests on each connection, {dear:?}");
+        assert_eq!(
+            said,
+            ["done yes", "done yes", "Dropped", "done yes", "done yes"],
+            "{dear:?}"
+        );
+        assert_eq!(
+            seen.join().unwrap(),
+            connections,
+            "requests on each connection, {dear:?}"
+        );
     }
 }
 
@@ -233,13 +328,22 @@
                 std::thread::spawn(move || {
                     let mut answers = [stream_of_done(), LATE.to_string()].into_iter();
                     while read_request(&mut stream).is_some() {
-                        stream.write_all(answers.next().unwrap_or_default().as_bytes()).ok();
+                        stream
+                            .write_all(answers.next().unwrap_or_default().as_bytes())
+                            .ok();
                     }
                 });
             }
         });
-        let limits = Limits { dear: Duration::ZERO, ..limits() };
-        assert_eq!(play_as(&once, at, &limits, 10, 1.0).await, outcomes, "{shown}");
+        let limits = Limits {
+            dear: Duration::ZERO,
+            ..limits()
+        };
+        assert_eq!(
+            play_as(&once, at, &limits, 10, 1.0).await,
+            outcomes,
+            "{shown}"
+        );
     }
 }
 
@@ -251,13 +355,27 @@
 #[tokio::test]
 async fn idle_connections_are_left_before_their_worker_closes_them() {
     let ours = limits();
-    assert!(ours.idle < Duration::from_secs(5), "the settings' keepalive");
+    assert!(
+        ours.idle < Duration::from_secs(5),
+        "the settings' keepalive"
+    );
     for (idle, closed) in [(Duration::from_millis(50), true), (ours.idle, false)] {
         let (at, told) = worker(stream(&[DONE]) + "+");
-        let limits = Limits { idle, dear: Duration::ZERO, ..limits() };
+        let limits = Limits {
+            idle,
+            dear: Duration::ZERO,
+            ..limits()
+        };
         let (tell, _kept) = unbounded_channel();
-        let workers =
-            Workers::new(&limits, Clock::start(), tell, &[], Worded::default(), Arc::default(), quiet());
+        let workers = Workers::new(
+            &limits,
+            Clock::start(),
+            tell,
+            &[],
+            Worded::default(),
+            Arc::default(),
+            quiet(),
+        );
         for n in 0..2 {
             let mut order = order(n, 0, Clock::start().now() + 1.0);
             order.payload.once = false;
@@ -288,23 +406,51 @@
     socket.bind("127.0.0.1:0".parse().unwrap()).unwrap();
     let never_up = socket.local_addr().unwrap();
     let _full = socket.listen(0).unwrap();
-    let _queued: Vec<_> =
-        (0..4).map(|_| TcpStream::connect_timeout(&never_up, Duration::from_millis(50))).collect();
-    let short = Limits { links: 0, ..limits() };
-    let hasty = Limits { sound: Duration::ZERO, ..limits() };
+    let _queued: Vec<_> = (0..4)
+        .map(|_| TcpStream::connect_timeout(&never_up, Duration::from_millis(50)))
+        .collect();
+    let short = Limits {
+        links: 0,
+        ..limits()
+    };
+    let hasty = Limits {
+        sound: Duration::ZERO,
+        ..limits()
+    };
     let cases = [
         ("refused", refused, 10, limits(), "NoConnection"),
         ("never up", never_up, 10, limits(), "NoConnection"),
         ("no descriptor to spare", breaks, 10, short, "Moot"),
-        ("broken off before the last byte was written", breaks, 32 << 20, limits(), "NoConnection"),
-        ("reset under it, while its last byte waits", breaks, 10, limits(), "NoConnection"),
+        (
+            "broken off before the last byte was written",
+            breaks,
+            32 << 20,
+            limits(),
+            "NoConnection",
+        ),
+        (
+            "reset under it, while its last byte waits",
+            breaks,
+            10,
+            limits(),
+            "NoConnection",
+        ),
         ("broken off after it", breaks, 10, hasty, "Dropped"),
-        ("broken off after it, without a body", breaks, 0, limits(), "Dropped"),
+        (
+            "broken off after it, without a body",
+            breaks,
+            0,
+            limits(),
+            "Dropped",
+        ),
     ];
     for (shown, at, body, limits, outcome) in cases {
         let began = Instant::now();
         assert_eq!(play(at, &limits, body, 1, 5.0).await, [outcome], "{shown}");
-        assert!(began.elapsed() < Duration::from_secs(2), "{shown}: a bounded wait");
+        assert!(
+            began.elapsed() < Duration::from_secs(2),
+            "{shown}: a bounded wait"
+        );
     }
 }
 
@@ -323,18 +469,48 @@
         queued.push(stream);
     }
     let seconds = Duration::from_secs;
-    let patient = Limits { dial: seconds(4), sound: seconds(4), ..limits() };
-    let whole = Limits { sound: Duration::ZERO, ..patient.clone() };
+    let patient = Limits {
+        dial: seconds(4),
+        sound: seconds(4),
+        ..limits()
+    };
+    let whole = Limits {
+        sound: Duration::ZERO,
+        ..patient.clone()
+    };
     for (shown, limits, dials, outcome) in [
         ("dialling", patient.clone(), true, "Full"),
-        ("waiting for a link", Limits { links: 0, ..patient.clone() }, true, "Full"),
+        (
+            "waiting for a link",
+            Limits {
+                links: 0,
+                ..patient.clone()
+            },
+            true,
+            "Full",
+        ),
         ("its last byte waits", patient.clone(), false, "Full"),
         ("whole", whole, false, "Completed"),
     ] {
         let at = TcpListener::bind("127.0.0.1:0").unwrap();
-        let (to, clock) = (if dials { late } else { at.local_addr().unwrap() }, Clock::start());
+        let (to, clock) = (
+            if dials {
+                late
+            } else {
+                at.local_addr().unwrap()
+            },
+            Clock::start(),
+        );
         let (tell, mut told) = unbounded_channel();
-        let workers = Workers::new(&limits, clock, tell, &[], Worded::default(), Arc::default(), quiet());
+        let workers = Workers::new(
+            &limits,
+            clock,
+            tell,
+            &[],
+            Worded::default(),
+            Arc::default(),
+            quiet(),
+        );
         let order = order(0, 2, clock.now() + 20.0);
         let taken_back = order.taken_back.clone();
         let task = tokio::spawn(async move { workers.allocate(&order, to).await });
@@ -343,8 +519,14 @@
         if !dials {
             stream = Some(tokio::task::spawn_blocking(move || {
                 let (mut stream, _) = at.accept().unwrap();
-                let (mut got, wanted) =
-                    (Vec::new(), if outcome == "Full" { "\r\n\r\nx" } else { "\r\n\r\nxx" });
+                let (mut got, wanted) = (
+                    Vec::new(),
+                    if outcome == "Full" {
+                        "\r\n\r\nx"
+                    } else {
+                        "\r\n\r\nxx"
+                    },
+                );
                 while !String::from_utf8_lossy(&got).ends_with(wanted) {
                     let mut byte = [0];
                     stream.read_exact(&mut byte).unwrap();
@@ -361,7 +543,11 @@
         };
         taken_back.cancel();
         if outcome == "Completed" {
-            stream.as_ref().unwrap().write_all(self::stream(&[DONE]).as_bytes()).unwrap();
+            stream
+                .as_ref()
+                .unwrap()
+                .write_all(self::stream(&[DONE]).as_bytes())
+                .unwrap();
         }
         let began = Instant::now();
         let Ok(Some(Event::Back(back))) = timeout(limits.dial / 2, told.recv()).await else {
@@ -383,8 +569,13 @@
     while Instant::now() < until {
         if let Ok((mut stream, _)) = listener.accept() {
             stream.set_nonblocking(false).unwrap();
-            stream.set_read_timeout(Some(Duration::from_millis(100))).unwrap();
-            assert!(!matches!(stream.read(&mut [0]), Ok(n) if n > 0), "a byte came after all");
+            stream
+                .set_read_timeout(Some(Duration::from_millis(100)))
+                .unwrap();
+            assert!(
+                !matches!(stream.read(&mut [0]), Ok(n) if n > 0),
+                "a byte came after all"
+            );
         }
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
@@ -392,11 +583,22 @@
 
 #[tokio::test]
 async fn giving_up_closes_the_connection() {
-    for (shown, answer) in [("before an answer", "|"), ("after its head", "HTTP/1.1 200 OK\r\n\r\n|")] {
+    for (shown, answer) in [
+        ("before an answer", "|"),
+        ("after its head", "HTTP/1.1 200 OK\r\n\r\n|"),
+    ] {
         let (at, told) = worker(answer.into());
         let clock = Clock::start();
         let (tell, _kept) = unbounded_channel();
-        let workers = Workers::new(&limits(), clock, tell, &[], Worded::default(), Arc::default(), quiet());
+        let workers = Workers::new(
+            &limits(),
+            clock,
+            tell,
+            &[],
+            Worded::default(),
+            Arc::default(),
+            quiet(),
+        );
         let task = tokio::spawn(async move {
             workers.allocate(&order(0, 0, clock.now() + 9.0), at).await;
         });
@@ -422,50 +624,149 @@
 async fn a_watch_ends_in_bounded_time() {
     const LINE: &str = r#"{"version":1,"full":true,"servers":[]}"#;
     let cut = |lines: &[&str]| stream(lines).replace("0\r\n\r\n", "");
-    let plain = |body: &str| format!("HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n{body}", body.len());
+    let plain = |body: &str| {
+        format!(
+            "HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n{body}",
+            body.len()
+        )
+    };
     let (after, whole) = (Some(7), None);
     let cases = [
         ("silent from the start", after, "|".to_string(), 0, "silent"),
-        ("silent after a line", after, cut(&[LINE]) + "|", 1, "silent"),
-        ("half a line, then silence", after, cut(&[LINE]) + "9\r\n{\"version|", 1, "silent"),
+        (
+            "silent after a line",
+            after,
+            cut(&[LINE]) + "|",
+            1,
+            "silent",
+        ),
+        (
+            "half a line, then silence",
+            after,
+            cut(&[LINE]) + "9\r\n{\"version|",
+            1,
+            "silent",
+        ),
         ("ended", after, stream(&["", LINE, "", LINE]), 2, "it ended"),
         ("broken off", after, cut(&[LINE]), 1, "broken off"),
         ("no list", after, stream(&["[]"]), 0, "a bad line"),
         (
             "indented, within lines, and empty ones",
             after,
-            stream(&["", "{\"version\":1,", "", " \"full\":true,", " \"servers\":[", " ]", "}", ""]),
+            stream(&[
+                "",
+                "{\"version\":1,",
+                "",
+                " \"full\":true,",
+                " \"servers\":[",
+                " ]",
+                "}",
+                "",
+            ]),
             1,
             "it ended",
         ),
-        ("indented, ended within", after, stream(&["{", "\"version\":1,"]), 0, "ended within"),
-        ("indented, silent within", after, cut(&["{", "\"version\":1,"]) + "|", 0, "silent"),
+        (
+            "indented, ended within",
+            after,
+            stream(&["{", "\"version\":1,"]),
+            0,
+            "ended within",
+        ),
+        (
+            "indented, silent within",
+            after,
+            cut(&["{", "\"version\":1,"]) + "|",
+            0,
+            "silent",
+        ),
         (
             "indented, with no end",
             after,
-            stream(&["{\"version\":1,"; 1].iter().chain([""; 600].iter()).copied().collect::<Vec<_>>()),
+            stream(
+                &["{\"version\":1,"; 1]
+                    .iter()
+                    .chain([""; 600].iter())
+                    .copied()
+                    .collect::<Vec<_>>(),
+            ),
+            0,
+            "a bad line",
+        ),
+        (
+            "two in a row that are none",
+            after,
+            stream(&["{", "}"]),
             0,
             "a bad line",
         ),
-        ("two in a row that are none", after, stream(&["{", "}"]), 0, "a bad line"),
-        ("too long a line", after, stream(&[&" ".repeat(1000)]), 0, "a line of over 500 bytes"),
-        ("busy", after, "HTTP/1.1 503 No\r\ncontent-length: 0\r\n\r\n".into(), 0, "answered 503"),
+        (
+            "too long a line",
+            after,
+            stream(&[&" ".repeat(1000)]),
+            0,
+            "a line of over 500 bytes",
+        ),
+        (
+            "busy",
+            after,
+            "HTTP/1.1 503 No\r\ncontent-length: 0\r\n\r\n".into(),
+            0,
+            "answered 503",
+        ),
         // The whole list comes first, by a call of its own; the watch is answered with the same here.
         ("whole, then watched", whole, plain(LINE), 2, "it ended"),
         ("whole, silent", whole, "|".to_string(), 0, "silent"),
-        ("whole, silent half way", whole, plain(LINE)[..60].to_string() + "|", 0, "silent"),
-        ("whole, broken off", whole, plain(LINE)[..60].to_string(), 0, "no whole list"),
-        ("whole, too long", whole, plain(&" ".repeat(1000)), 0, "no whole list"),
+        (
+            "whole, silent half way",
+            whole,
+            plain(LINE)[..60].to_string() + "|",
+            0,
+            "silent",
+        ),
+        (
+            "whole, broken off",
+            whole,
+            plain(LINE)[..60].to_string(),
+            0,
+            "no whole list",
+        ),
+        (
+            "whole, too long",
+            whole,
+            plain(&" ".repeat(1000)),
+            0,
+            "no whole list",
+        ),
         ("whole, no list", whole, plain("[]"), 0, "a bad list"),
-        ("whole, a part", whole, plain(&LINE.replace("true", "false")), 0, "not the whole"),
-        ("whole, busy", whole, "HTTP/1.1 503 No\r\ncontent-length: 0\r\n\r\n".into(), 0, "answered 503"),
+        (
+            "whole, a part",
+            whole,
+            plain(&LINE.replace("true", "false")),
+            0,
+            "not the whole",
+        ),
+        (
+            "whole, busy",
+            whole,
+            "HTTP/1.1 503 No\r\ncontent-length: 0\r\n\r\n".into(),
+            0,
+            "answered 503",
+        ),
     ];
     for (shown, after, answer, lists, why) in cases {
         let (at, _told) = worker(answer);
         let soon = Duration::from_millis(200);
-        let limits = Limits { list_silence: soon, list_call: soon, list_line: 500, ..limits() };
+        let limits = Limits {
+            list_silence: soon,
+            list_call: soon,
+            list_line: 500,
+            ..limits()
+        };
         let heard = Cell::new(0);
-        let said = List::new(&limits, at).watch(after, |_| heard.set(heard.get() + 1)).await;
+        let said = List::new(&limits, at)
+            .watch(after, |_| heard.set(heard.get() + 1))
+            .await;
         assert!(said.contains(why), "{shown}: {said}");
         assert_eq!(heard.get(), lists, "{shown}");
     }
@@ -475,12 +776,27 @@
 #[tokio::test]
 async fn cells_are_told_apart() {
     let (tell, _) = unbounded_channel();
-    let workers =
-        Workers::new(&limits(), Clock::start(), tell, &[], Worded::default(), Arc::default(), quiet());
-    let reading = Reading { zones: Vec::new(), kinds: Vec::new(), runs: Runs::default(), workers };
-    let lines =
-        [0, 1, 1 << 16, 1 << 32, u64::MAX].map(|cell| format!(r#"{{"id":"s-{cell}","cell":{cell}}}"#));
-    let list = format!(r#"{{"version":1,"full":true,"servers":[{}]}}"#, lines.join(","));
+    let workers = Workers::new(
+        &limits(),
+        Clock::start(),
+        tell,
+        &[],
+        Worded::default(),
+        Arc::default(),
+        quiet(),
+    );
+    let reading = Reading {
+        zones: Vec::new(),
+        kinds: Vec::new(),
+        runs: Runs::default(),
+        workers,
+    };
+    let lines = [0, 1, 1 << 16, 1 << 32, u64::MAX]
+        .map(|cell| format!(r#"{{"id":"s-{cell}","cell":{cell}}}"#));
+    let list = format!(
+        r#"{{"version":1,"full":true,"servers":[{}]}}"#,
+        lines.join(",")
+    );
     let told = reading.told(&serde_json::from_str(&list).unwrap());
     let mut cells: Vec<u64> = told.members.iter().map(|member| member.line.cell).collect();
     cells.dedup();
@@ -490,13 +806,35 @@
 #[tokio::test]
 async fn what_goes_on_is_what_came() {
     let (at, told) = worker(stream(&[DONE]) + "+");
-    assert_eq!(play(at, &limits(), 5, 2, 1.0).await, ["done yes", "done yes"]);
+    assert_eq!(
+        play(at, &limits(), 5, 2, 1.0).await,
+        ["done yes", "done yes"]
+    );
     let request = told.recv().unwrap();
-    assert!(request.starts_with("post /charge/7?x=1 http/1.1\r\n"), "{request}");
-    assert!(request.ends_with("\r\n\r\nxxxxx") && request.contains("request-id: a1\r\n"), "{request}");
-    let left = request.split("request-timeout: ").nth(1).unwrap().split('u').next().unwrap();
-    assert!((800_000..=1_000_000).contains(&left.parse::<u32>().unwrap()), "{request}");
-    assert_eq!(told.iter().find(|t| t != "closed").unwrap().len(), request.len(), "the second");
+    assert!(
+        request.starts_with("post /charge/7?x=1 http/1.1\r\n"),
+        "{request}"
+    );
+    assert!(
+        request.ends_with("\r\n\r\nxxxxx") && request.contains("request-id: a1\r\n"),
+        "{request}"
+    );
+    let left = request
+        .split("request-timeout: ")
+        .nth(1)
+        .unwrap()
+        .split('u')
+        .next()
+        .unwrap();
+    assert!(
+        (800_000..=1_000_000).contains(&left.parse::<u32>().unwrap()),
+        "{request}"
+    );
+    assert_eq!(
+        told.iter().find(|t| t != "closed").unwrap().len(),
+        request.len(),
+        "the second"
+    );
 }
 
 /// Lets pay or not, and counts what was paid and not taken back.
@@ -523,9 +861,13 @@
             let clock = Clock::start();
             let (tell, mut told) = unbounded_channel();
             let worded = Worded::default();
-            let workers = Workers::new(&limits(), clock, tell, &[], worded, Arc::default(), quiet());
+            let workers =
+                Workers::new(&limits(), clock, tell, &[], worded, Arc::default(), quiet());
             let slip = Arc::new(Counted(pays, AtomicI32::new(0)));
-            let order = Order { slip: Some(slip.clone()), ..order(0, body, clock.now() + 2.0) };
+            let order = Order {
+                slip: Some(slip.clone()),
+                ..order(0, body, clock.now() + 2.0)
+            };
             workers.allocate(&order, at).await;
             drop(workers);
             let mut outcome = None;
@@ -534,9 +876,19 @@
                     outcome = Some(back.outcome);
                 }
             }
-            let expected = if pays { Outcome::Completed } else { Outcome::Moot };
-            assert_eq!((outcome, slip.1.load(Relaxed)), (Some(expected), i32::from(pays)), "{body} {pays}");
-            let whole = seen.recv_timeout(Duration::from_secs(2)).is_ok_and(|said| said != "closed");
+            let expected = if pays {
+                Outcome::Completed
+            } else {
+                Outcome::Moot
+            };
+            assert_eq!(
+                (outcome, slip.1.load(Relaxed)),
+                (Some(expected), i32::from(pays)),
+                "{body} {pays}"
+            );
+            let whole = seen
+                .recv_timeout(Duration::from_secs(2))
+                .is_ok_and(|said| said != "closed");
             assert_eq!(whole, pays, "{body} {pays}");
         }
     }
--- a/crates/mintlb-http/tests/seen.rs
+++ b/crates/mintlb-http/tests/seen.rs
@@ -12,11 +12,26 @@
     let cases = [
         ("no body", format!("{HEAD}\r\n"), None, true),
         ("a body", format!("{HEAD}{long}hello"), None, true),
-        ("an empty line first", format!("\r\n{HEAD}{long}hello"), None, true),
+        (
+            "an empty line first",
+            format!("\r\n{HEAD}{long}hello"),
+            None,
+            true,
+        ),
         ("part of a body", format!("{HEAD}{long}hel"), None, false),
         ("part of a head", HEAD.to_string(), None, false),
-        ("a chunked body", format!("{HEAD}transfer-encoding: chunked\r\n\r\n0\r\n\r\n"), None, false),
-        ("both", format!("{HEAD}transfer-encoding: chunked\r\n{long}0\r\n\r\n"), Some("both"), false),
+        (
+            "a chunked body",
+            format!("{HEAD}transfer-encoding: chunked\r\n\r\n0\r\n\r\n"),
+            None,
+            false,
+        ),
+        (
+            "both",
+            format!("{HEAD}transfer-encoding: chunked\r\n{long}0\r\n\r\n"),
+            Some("both"),
+            false,
+        ),
         (
             "both, turned round",
             format!("{HEAD}Content-Length: 5\r\nTransfer-Encoding: x\r\n\r\n"),
@@ -29,19 +44,49 @@
             Some("other than"),
             false,
         ),
-        ("two lengths", format!("{HEAD}content-length: 5\r\n{long}hello"), Some("more than one"), false),
-        ("more than the body", format!("{HEAD}{long}hello!"), Some("more than the body"), false),
-        ("a second request at once", format!("{HEAD}\r\n{HEAD}\r\n"), Some("before the answer"), false),
-        ("a negative length", format!("{HEAD}content-length: -5\r\n\r\nhello"), None, false),
+        (
+            "two lengths",
+            format!("{HEAD}content-length: 5\r\n{long}hello"),
+            Some("more than one"),
+            false,
+        ),
+        (
+            "more than the body",
+            format!("{HEAD}{long}hello!"),
+            Some("more than the body"),
+            false,
+        ),
+        (
+            "a second request at once",
+            format!("{HEAD}\r\n{HEAD}\r\n"),
+            Some("before the answer"),
+            false,
+        ),
+        (
+            "a negative length",
+            format!("{HEAD}content-length: -5\r\n\r\nhello"),
+            None,
+            false,
+        ),
         ("no HTTP", "hello\r\n\r\n".to_string(), None, false),
     ];
     for (shown, bytes, fault, goes_on) in cases {
         for piece in [1, 7, bytes.len()] {
             let seen = Seen::default();
-            bytes.as_bytes().chunks(piece).for_each(|bytes| seen.look(bytes));
+            bytes
+                .as_bytes()
+                .chunks(piece)
+                .for_each(|bytes| seen.look(bytes));
             let told = seen.fault();
-            assert_eq!(told.is_some(), fault.is_some(), "{shown}, {piece} at a time: {told:?}");
-            assert!(told.is_none_or(|told| told.contains(fault.unwrap())), "{shown}: {told:?}");
+            assert_eq!(
+                told.is_some(),
+                fault.is_some(),
+                "{shown}, {piece} at a time: {told:?}"
+            );
+            assert!(
+                told.is_none_or(|told| told.contains(fault.unwrap())),
+                "{shown}: {told:?}"
+            );
             seen.taken();
             assert_eq!(seen.answered(), goes_on, "{shown}, {piece} at a time");
         }
@@ -55,19 +100,39 @@
     let missed = |seen: &Seen| seen.missed(takes).map(|(missed, _)| missed);
     let request = format!("{HEAD}\r\n");
     let seen = Seen::default();
-    assert_eq!(missed(&seen), Some(Missed::Perhaps), "its request may be on its way");
+    assert_eq!(
+        missed(&seen),
+        Some(Missed::Perhaps),
+        "its request may be on its way"
+    );
     std::thread::sleep(takes);
     assert_eq!(missed(&seen), Some(Missed::Late), "silent");
     seen.look(request.as_bytes());
     seen.taken();
-    assert_eq!((missed(&seen), seen.phase()), (None, Phase::Open), "waits for an answer");
+    assert_eq!(
+        (missed(&seen), seen.phase()),
+        (None, Phase::Open),
+        "waits for an answer"
+    );
     assert!(seen.answered());
-    assert_eq!(missed(&seen), Some(Missed::Much), "idle, but has had work done");
+    assert_eq!(
+        missed(&seen),
+        Some(Missed::Much),
+        "idle, but has had work done"
+    );
     seen.look(&request.as_bytes()[..9]);
-    assert_eq!(missed(&seen), Some(Missed::Perhaps), "its next request comes");
+    assert_eq!(
+        missed(&seen),
+        Some(Missed::Perhaps),
+        "its next request comes"
+    );
     let idle = Seen::default();
     idle.look(request.as_bytes());
     assert!(!idle.answered(), "what was not taken ends its connection");
     assert_eq!(missed(&idle), Some(Missed::Idle), "idle without any work");
-    assert!(Missed::Late < Missed::Idle && Missed::Idle < Missed::Perhaps && Missed::Perhaps < Missed::Much);
+    assert!(
+        Missed::Late < Missed::Idle
+            && Missed::Idle < Missed::Perhaps
+            && Missed::Perhaps < Missed::Much
+    );
 }
--- a/crates/mintlb-http/tests/short.rs
+++ b/crates/mintlb-http/tests/short.rs
@@ -15,7 +15,10 @@
 async fn the_list_is_called_when_all_descriptors_are_taken() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let soon = Duration::from_millis(200);
-    let limits = Limits { list_call: soon, ..limits() };
+    let limits = Limits {
+        list_call: soon,
+        ..limits()
+    };
     let list = List::new(&limits, listener.local_addr().unwrap());
     let (_, most) = getrlimit(Resource::RLIMIT_NOFILE).unwrap();
     setrlimit(Resource::RLIMIT_NOFILE, 64, most).unwrap();
--- a/crates/mintlb-rate-limit/benches/look.rs
+++ b/crates/mintlb-rate-limit/benches/look.rs
@@ -15,7 +15,10 @@
         budgets.join(", ")
     );
     let plan = Plan::new(toml::from_str::<Table>(&text).unwrap(), "a").unwrap();
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .unwrap();
     let log = slog::Logger::root(slog::Discard, slog::o!());
     let fleet = runtime.block_on(Fleet::start(plan, 1, log)).unwrap();
     std::thread::sleep(std::time::Duration::from_millis(500));
--- a/crates/mintlb-rate-limit/src/demand.rs
+++ b/crates/mintlb-rate-limit/src/demand.rs
@@ -18,7 +18,11 @@
     /// What is wanted now, of a whole of so many thousandths, by counts that only grow.
     pub fn look(&mut self, now: f64, round: f64, (spent, refused): (u64, u64), whole: u32) -> u32 {
         let passed = now - self.at;
-        let rate = if passed > 0.0 { (spent - self.spent) as f64 / passed * 1e3 } else { 0.0 };
+        let rate = if passed > 0.0 {
+            (spent - self.spent) as f64 / passed * 1e3
+        } else {
+            0.0
+        };
         // A refusal counts for this once: what it asked for must not be kept from others for rounds after.
         let hungry = refused > self.refused;
         self.rate = rate.max(self.rate * FADES.powf(passed / round));
--- a/crates/mintlb-rate-limit/src/fleet.rs
+++ b/crates/mintlb-rate-limit/src/fleet.rs
@@ -27,13 +27,17 @@
 /// to have lapsed. Where it can't be read, all has lapsed.
 fn now() -> f64 {
     let time = ClockId::CLOCK_BOOTTIME.now();
-    time.map_or(f64::INFINITY, |time| time.tv_sec() as f64 + time.tv_nsec() as f64 / 1e9)
+    time.map_or(f64::INFINITY, |time| {
+        time.tv_sec() as f64 + time.tv_nsec() as f64 / 1e9
+    })
 }
 
 /// Microseconds of Unix time, so that a later life has a greater number, and some chance, so that no two are alike also
 /// if the clock was set back.
 fn life(seed: u64) -> u64 {
-    let unix = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
+    let unix = SystemTime::now()
+        .duration_since(SystemTime::UNIX_EPOCH)
+        .unwrap_or_default();
     (unix.as_micros() as u64) << 12 | seed & 0xfff
 }
 
@@ -74,14 +78,28 @@
 /// goes on.
 fn budgets(plan: &Plan, wholes: &[Whole], before: &[Arc<Budget>]) -> Vec<Arc<Budget>> {
     let budget = |whole: &Whole| {
-        let (name, key) = (whole.name.clone(), id(&format!("{}/{:?}", whole.name, whole.limits)));
-        let amount = ledger::Budget { key, whole: Node::whole(whole.rate, whole.burst) };
+        let (name, key) = (
+            whole.name.clone(),
+            id(&format!("{}/{:?}", whole.name, whole.limits)),
+        );
+        let amount = ledger::Budget {
+            key,
+            whole: Node::whole(whole.rate, whole.burst),
+        };
         let known = before.iter().find(|known| known.key == key);
         let purse = known.map(|known| known.purse.clone());
         let purse = purse.unwrap_or_else(|| Arc::new(Mutex::new(Purse::new(plan.table.drift))));
         let demand = known.map_or_else(Arc::default, |known| known.demand.clone());
         let unmoved = plan.unmoved(whole);
-        Arc::new(Budget { name, key, limits: whole.limits, whole: amount, unmoved, purse, demand })
+        Arc::new(Budget {
+            name,
+            key,
+            limits: whole.limits,
+            whole: amount,
+            unmoved,
+            purse,
+            demand,
+        })
     };
     wholes.iter().map(budget).collect()
 }
@@ -123,7 +141,17 @@
         let budgets = Mutex::new(Arc::new(budgets(&plan, &plan.table.budgets, &[])));
         let (name, me, at) = (id(&plan.table.name), id(&plan.name), plan.at);
         let (life, bound, hungry) = (life(seed), OnceLock::new(), Notify::new());
-        let fleet = Fleet(Arc::new(Shared { plan, seed, name, me, life, budgets, bound, hungry, log }));
+        let fleet = Fleet(Arc::new(Shared {
+            plan,
+            seed,
+            name,
+            me,
+            life,
+            budgets,
+            bound,
+            hungry,
+            log,
+        }));
         match UdpSocket::bind(at).await {
             Ok(socket) => fleet.join(socket),
             Err(e) if e.kind() == ErrorKind::AddrInUse => {
@@ -146,7 +174,10 @@
     }
 
     fn lease(&self) -> Lease {
-        Lease { seconds: self.0.plan.table.lease, drift: self.0.plan.table.drift }
+        Lease {
+            seconds: self.0.plan.table.lease,
+            drift: self.0.plan.table.drift,
+        }
     }
 
     fn budgets(&self) -> Arc<Vec<Arc<Budget>>> {
@@ -173,7 +204,9 @@
             }
         });
         *self.0.budgets.lock() = Arc::new(new);
-        let Some(bound) = self.0.bound.get() else { return };
+        let Some(bound) = self.0.bound.get() else {
+            return;
+        };
         self.hold_unmoved(now);
         if let Some(mut talk) = bound.talk.as_ref().map(Mutex::lock) {
             let wholes = self.budgets().iter().map(|budget| budget.whole).collect();
@@ -186,11 +219,23 @@
 
     /// The address is bound. A keeper counts from now, as until now another may have voted under its name.
     fn join(&self, socket: UdpSocket) {
-        let Shared { plan, me, name, life, seed, log, .. } = &*self.0;
+        let Shared {
+            plan,
+            me,
+            name,
+            life,
+            seed,
+            log,
+            ..
+        } = &*self.0;
         let (now, table, budgets) = (now(), &plan.table, self.budgets());
         self.hold_unmoved(now);
         let talk = (table.division == Division::Leases).then(|| {
-            let members: BTreeMap<Id, _> = table.members.iter().map(|(name, at)| (id(name), *at)).collect();
+            let members: BTreeMap<Id, _> = table
+                .members
+                .iter()
+                .map(|(name, at)| (id(name), *at))
+                .collect();
             let keepers = table.keepers.iter().map(|name| id(name)).collect();
             let wholes = budgets.iter().map(|budget| budget.whole).collect();
             let all = members.keys().copied().collect();
@@ -213,7 +258,13 @@
 
     /// Has words with the others for as long as the program runs.
     async fn talk(self) {
-        let Some(Bound { socket, talk: Some(talk) }) = self.0.bound.get() else { return };
+        let Some(Bound {
+            socket,
+            talk: Some(talk),
+        }) = self.0.bound.get()
+        else {
+            return;
+        };
         let mut bytes = [0; LONGEST + 1];
         loop {
             let wait = Duration::from_secs_f64((talk.lock().node.due() - now()).clamp(0.0, 60.0));
@@ -232,7 +283,8 @@
                 Some(Ok((n, from))) => match talk.members.read(now(), from, &bytes[..n]) {
                     Ok(letter) => {
                         talk.heard += 1;
-                        talk.node.hear(now(), (letter.from, letter.life), letter.word, &mut out);
+                        talk.node
+                            .hear(now(), (letter.from, letter.life), letter.word, &mut out);
                     }
                     Err(why) => *talk.dropped.entry(why).or_default() += 1,
                 },
@@ -261,7 +313,10 @@
         let want = |budget: &Arc<Budget>| {
             let mut purse = budget.purse.lock();
             let (counts, whole) = ((purse.spent, purse.refused), budget.whole.whole.flow);
-            let want = budget.demand.lock().look(now, self.lease().round(), counts, whole);
+            let want = budget
+                .demand
+                .lock()
+                .look(now, self.lease().round(), counts, whole);
             purse.looked();
             (budget.key, want)
         };
@@ -270,7 +325,13 @@
 
     fn post(&self, socket: &UdpSocket, talk: &mut Talk, out: Out) {
         for (to, word) in out {
-            let letter = Letter { fleet: self.0.name, from: self.0.me, life: self.0.life, to, word };
+            let letter = Letter {
+                fleet: self.0.name,
+                from: self.0.me,
+                life: self.0.life,
+                to,
+                word,
+            };
             let sent = letter.write().zip(talk.members.at(to)).map(|(bytes, at)| {
                 // A full buffer loses the word, as the way may.
                 socket.try_send_to(&bytes, at).is_ok()
@@ -286,7 +347,11 @@
         for budget in self.budgets().iter() {
             let amount = of(parts, budget.key);
             let value = |thousandths: u32| f64::from(thousandths) / f64::from(ONE);
-            let part = Part { rate: value(amount.flow), burst: value(amount.stock), until };
+            let part = Part {
+                rate: value(amount.flow),
+                burst: value(amount.stock),
+                until,
+            };
             let mut purse = budget.purse.lock();
             if purse.part() != part {
                 purse.take(now, part);
@@ -310,14 +375,17 @@
 impl Door for Fleet {
     fn has(&self, spend: Spend) -> bool {
         let (now, budgets) = (now(), self.budgets());
-        budgets.iter().filter(|budget| budget.limits(spend)).all(|budget| {
-            let mut purse = budget.purse.lock();
-            let has = purse.has(now);
-            if !has && purse.is_news() {
-                self.0.hungry.notify_one();
-            }
-            has
-        })
+        budgets
+            .iter()
+            .filter(|budget| budget.limits(spend))
+            .all(|budget| {
+                let mut purse = budget.purse.lock();
+                let has = purse.has(now);
+                if !has && purse.is_news() {
+                    self.0.hungry.notify_one();
+                }
+                has
+            })
     }
 
     fn slip(&self, spend: Spend) -> Option<Arc<dyn Slip>> {
@@ -364,13 +432,21 @@
 impl std::fmt::Debug for Aside {
     fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
         let of = self.0.lock();
-        f.debug_list().entries(of.iter().map(|(budget, paid)| (&budget.name, paid))).finish()
+        f.debug_list()
+            .entries(of.iter().map(|(budget, paid)| (&budget.name, paid)))
+            .finish()
     }
 }
 
 impl Subsystem for Fleet {
     fn end(&self) {
-        let Some(Bound { socket, talk: Some(talk) }) = self.0.bound.get() else { return };
+        let Some(Bound {
+            socket,
+            talk: Some(talk),
+        }) = self.0.bound.get()
+        else {
+            return;
+        };
         let (mut talk, mut out) = (talk.lock(), Out::new());
         talk.node.leave(now(), &mut out);
         self.post(socket, &mut talk, out);
@@ -379,7 +455,8 @@
 
     fn figures(&self) -> String {
         let mut page = String::new();
-        let mut line = |name: &str, value: f64| page += &format!("edge_router.fleet.{name}={value}\n");
+        let mut line =
+            |name: &str, value: f64| page += &format!("edge_router.fleet.{name}={value}\n");
         for budget in self.budgets().iter() {
             let mut purse = budget.purse.lock();
             purse.look(now());
@@ -393,7 +470,13 @@
                 line(&format!("{}.{figure}", budget.name), value);
             }
         }
-        if let Some(talk) = self.0.bound.get().and_then(|bound| bound.talk.as_ref()).map(Mutex::lock) {
+        if let Some(talk) = self
+            .0
+            .bound
+            .get()
+            .and_then(|bound| bound.talk.as_ref())
+            .map(Mutex::lock)
+        {
             let now = now();
             line("alone_s", talk.alone.map_or(0.0, |since| now - since));
             line("divides", f64::from(u8::from(talk.node.divides(now))));
--- a/crates/mintlb-rate-limit/src/holder.rs
+++ b/crates/mintlb-rate-limit/src/holder.rs
@@ -64,25 +64,46 @@
             self.asked.pop_front();
         }
         // A part of a budget that is not asked for any more would be told of to nobody: it is given up.
-        self.parts.retain(|(key, _)| wants.iter().any(|(wanted, _)| wanted == key));
+        self.parts
+            .retain(|(key, _)| wants.iter().any(|(wanted, _)| wanted == key));
         self.keys = wants.iter().map(|(key, _)| *key).collect();
         let parts: Amounts = self.parts(now).to_vec();
-        let wanted =
-            wants.iter().map(|(key, want)| Wanted { key: *key, holds: of(&parts, *key), want: *want });
+        let wanted = wants.iter().map(|(key, want)| Wanted {
+            key: *key,
+            holds: of(&parts, *key),
+            want: *want,
+        });
         let of = wanted.collect();
-        Word::Want { term: self.term, number: self.number, accepted: self.accepted, of }
+        Word::Want {
+            term: self.term,
+            number: self.number,
+            accepted: self.accepted,
+            of,
+        }
     }
 
     /// An answer: from then on it holds that, counted from when it asked. Whether that is less of something than before.
     pub fn take(&mut self, now: f64, term: Term, number: u64, mut amounts: Amounts) -> bool {
         amounts.retain(|(key, _)| self.keys.contains(key));
-        let Some((_, asked)) = self.asked.iter().find(|(known, _)| *known == number).copied() else {
+        let Some((_, asked)) = self
+            .asked
+            .iter()
+            .find(|(known, _)| *known == number)
+            .copied()
+        else {
             return false;
         };
-        let from = if crate::slip!(FromReceipt) { now } else { asked };
+        let from = if crate::slip!(FromReceipt) {
+            now
+        } else {
+            asked
+        };
         if crate::slip!(Doubled) && term == self.term && number == self.accepted {
             let held = |key| of(&self.parts, key);
-            self.parts = amounts.iter().map(|(key, more)| (*key, held(*key).plus(*more))).collect();
+            self.parts = amounts
+                .iter()
+                .map(|(key, more)| (*key, held(*key).plus(*more)))
+                .collect();
             return false;
         }
         if term != self.term || number <= self.accepted || now >= from + self.lease.seconds {
@@ -92,7 +113,8 @@
         let less = held.any(|(key, held)| !held.within(of(&amounts, *key)));
         (self.accepted, self.parts, self.until) = (number, amounts, from + self.lease.seconds);
         self.answered = now;
-        self.asked.retain(|(known, _)| *known > number || crate::slip!(Doubled));
+        self.asked
+            .retain(|(known, _)| *known > number || crate::slip!(Doubled));
         less
     }
 
--- a/crates/mintlb-rate-limit/src/lease.rs
+++ b/crates/mintlb-rate-limit/src/lease.rs
@@ -22,7 +22,10 @@
 
     /// For how long a keeper's vote holds: short enough that a lost divider has a successor before parts lapse.
     pub fn of_office(&self) -> Lease {
-        Lease { seconds: self.seconds / 4.0, ..*self }
+        Lease {
+            seconds: self.seconds / 4.0,
+            ..*self
+        }
     }
 
     /// Between two questions of a member.
--- a/crates/mintlb-rate-limit/src/ledger.rs
+++ b/crates/mintlb-rate-limit/src/ledger.rs
@@ -74,10 +74,25 @@
 impl Ledger {
     /// Of a divider that takes office now.
     pub fn new(now: f64, term: Term, lease: Lease, budgets: Vec<Budget>) -> Ledger {
-        let wait = if crate::slip!(Unwaiting) { 0.0 } else { lease.outlasted() };
+        let wait = if crate::slip!(Unwaiting) {
+            0.0
+        } else {
+            lease.outlasted()
+        };
         let (brought, late, joined, entries, targets) = Default::default();
         let (opens, worked_out) = (now + wait, f64::NEG_INFINITY);
-        Ledger { term, lease, budgets, brought, opens, late, joined, entries, targets, worked_out }
+        Ledger {
+            term,
+            lease,
+            budgets,
+            brought,
+            opens,
+            late,
+            joined,
+            entries,
+            targets,
+            worked_out,
+        }
     }
 
     /// Surely nobody else has divided in the last so many seconds, this divider's own time apart.
@@ -88,7 +103,10 @@
     /// From now on these are the wholes. What is held beyond a smaller one is given back as it is asked for again, and
     /// nobody gets more meanwhile. Of a budget that is new here somebody may hold a part by an earlier file.
     pub fn retune(&mut self, now: f64, budgets: Vec<Budget>) {
-        for new in budgets.iter().filter(|new| self.budgets.iter().all(|old| old.key != new.key)) {
+        for new in budgets
+            .iter()
+            .filter(|new| self.budgets.iter().all(|old| old.key != new.key))
+        {
             self.late.insert(new.key, now + self.lease.outlasted());
         }
         (self.budgets, self.worked_out) = (budgets, f64::NEG_INFINITY);
@@ -101,7 +119,10 @@
 
     /// Whether a life of this member's has come.
     pub fn has_joined(&self, who: Id) -> bool {
-        self.joined.range((who, 0)..=(who, u64::MAX)).next().is_some()
+        self.joined
+            .range((who, 0)..=(who, u64::MAX))
+            .next()
+            .is_some()
     }
 
     /// What may be given altogether now.
@@ -111,7 +132,12 @@
         }
         match now >= self.opens {
             true => budget.whole,
-            false => self.brought.get(&budget.key).copied().unwrap_or_default().min(budget.whole),
+            false => self
+                .brought
+                .get(&budget.key)
+                .copied()
+                .unwrap_or_default()
+                .min(budget.whole),
         }
     }
 
@@ -130,7 +156,9 @@
             return None;
         }
         entry.number = number;
-        entry.given.retain(|(number, until, _)| *number > accepted && now < *until);
+        entry
+            .given
+            .retain(|(number, until, _)| *number > accepted && now < *until);
         // One that asks faster than any member does is answered again when its answers are over.
         if entry.given.len() >= ANSWERS {
             return None;
@@ -155,22 +183,32 @@
         let mut gives = Amounts::new();
         for budget in &self.budgets {
             let others = self.entries.iter().filter(|(other, _)| **other != who);
-            let others = others.fold(Amount::NONE, |sum, (_, entry)| sum.plus(entry.counted(budget.key)));
+            let others = others.fold(Amount::NONE, |sum, (_, entry)| {
+                sum.plus(entry.counted(budget.key))
+            });
             let give = of(&targets, budget.key).min(self.pool(now, budget).less(others));
             // Less than one at once can't be spent.
-            gives.push((budget.key, if give.stock < ONE { Amount::NONE } else { give }));
+            gives.push((
+                budget.key,
+                if give.stock < ONE { Amount::NONE } else { give },
+            ));
         }
         let entry = self.entries.get_mut(&who)?;
         for (key, give) in &gives {
             let had = of(&entry.holds, *key) != Amount::NONE;
-            let turn = entry.turns.entry(*key).or_insert((f64::NEG_INFINITY, f64::NEG_INFINITY));
+            let turn = entry
+                .turns
+                .entry(*key)
+                .or_insert((f64::NEG_INFINITY, f64::NEG_INFINITY));
             match *give != Amount::NONE {
                 true if !had => turn.0 = now,
                 false if had => turn.1 = now,
                 _ => {}
             }
         }
-        entry.given.push_back((number, now + self.lease.outlasted(), gives.clone()));
+        entry
+            .given
+            .push_back((number, now + self.lease.outlasted(), gives.clone()));
         Some(gives)
     }
 
@@ -185,14 +223,24 @@
     /// Fair parts of what is wanted, and of what is left an equal part for each.
     fn work_out(&mut self, now: f64) {
         self.worked_out = now;
-        self.targets = self.entries.keys().map(|who| (*who, Amounts::new())).collect();
+        self.targets = self
+            .entries
+            .keys()
+            .map(|who| (*who, Amounts::new()))
+            .collect();
         for budget in &self.budgets {
             let shares = self.shares(now, budget);
             for (who, share) in shares {
                 // A third of three is one, whatever fractions leave.
                 let part = |whole: u32| (f64::from(whole) * share + 1e-6) as u32;
-                let amount = Amount { flow: part(budget.whole.flow), stock: part(budget.whole.stock) };
-                self.targets.entry(who).or_default().push((budget.key, amount));
+                let amount = Amount {
+                    flow: part(budget.whole.flow),
+                    stock: part(budget.whole.stock),
+                };
+                self.targets
+                    .entry(who)
+                    .or_default()
+                    .push((budget.key, amount));
             }
         }
     }
@@ -203,12 +251,23 @@
         let places = (budget.whole.stock / ONE).max(1) as usize;
         let whole = f64::from(budget.whole.flow.max(1));
         let hears = |entry: &Entry| entry.deaf_since().is_none_or(|n| entry.number < n + DEAF);
-        let heard: Vec<_> = self.entries.iter().filter(|(_, entry)| hears(entry)).collect();
+        let heard: Vec<_> = self
+            .entries
+            .iter()
+            .filter(|(_, entry)| hears(entry))
+            .collect();
         let want = |entry: &Entry| {
-            let want = entry.wants.iter().find(|(key, _)| *key == budget.key).map_or(0, |(_, want)| *want);
+            let want = entry
+                .wants
+                .iter()
+                .find(|(key, _)| *key == budget.key)
+                .map_or(0, |(_, want)| *want);
             (f64::from(want) / whole).min(1.0)
         };
-        let mut wanting: Vec<_> = heard.iter().filter(|(_, entry)| want(entry) > 0.0).collect();
+        let mut wanting: Vec<_> = heard
+            .iter()
+            .filter(|(_, entry)| want(entry) > 0.0)
+            .collect();
         // Where not all can have one at once, who has one keeps it for its turn, then who went longest without.
         let turn = TURN * self.lease.round()
             + FILLED * f64::from(budget.whole.stock.min(ONE)) / f64::from(budget.whole.flow.max(1));
@@ -223,7 +282,10 @@
                     (!keeps, has && !keeps, ended)
                 };
                 let ((a0, a1, a2), (b0, b1, b2)) = (rank(x), rank(y));
-                (a0, a1).cmp(&(b0, b1)).then(a2.total_cmp(&b2)).then(a.cmp(b))
+                (a0, a1)
+                    .cmp(&(b0, b1))
+                    .then(a2.total_cmp(&b2))
+                    .then(a.cmp(b))
             });
             wanting.truncate(places);
         }
--- a/crates/mintlb-rate-limit/src/members.rs
+++ b/crates/mintlb-rate-limit/src/members.rs
@@ -31,7 +31,13 @@
 
 impl Members {
     pub fn new(fleet: u64, me: Id, at: BTreeMap<Id, SocketAddr>, lease: f64) -> Members {
-        Members { fleet, me, at, silence: SILENCE * lease, lives: BTreeMap::new() }
+        Members {
+            fleet,
+            me,
+            at,
+            silence: SILENCE * lease,
+            lives: BTreeMap::new(),
+        }
     }
 
     pub fn at(&self, id: Id) -> Option<SocketAddr> {
--- a/crates/mintlb-rate-limit/src/node.rs
+++ b/crates/mintlb-rate-limit/src/node.rs
@@ -51,7 +51,8 @@
         keepers.sort_unstable();
         let keeper = keepers.contains(&me).then(|| Keeper::new(now, lease));
         // Members whose seeds are close, or the same, must not stand together again and again.
-        let mut chance = Chance::new(seed ^ (life ^ me.rotate_left(32)).wrapping_mul(0x9e37_79b9_7f4a_7c15));
+        let mut chance =
+            Chance::new(seed ^ (life ^ me.rotate_left(32)).wrapping_mul(0x9e37_79b9_7f4a_7c15));
         (0..4).for_each(|_| _ = chance.draw());
         let turn = (chance.draw() * keepers.len() as f64) as usize;
         // Those who start together do not ask together.
@@ -97,7 +98,11 @@
 
     /// When `tick` is to be called next at the latest.
     pub fn due(&self) -> f64 {
-        if self.left { f64::INFINITY } else { self.asks.min(self.renews) }
+        if self.left {
+            f64::INFINITY
+        } else {
+            self.asks.min(self.renews)
+        }
     }
 
     /// Whether the next tick asks for parts, so that what is wanted is to be known.
@@ -107,13 +112,17 @@
 
     /// From now on these are the wholes, should it divide.
     pub fn retune(&mut self, now: f64, budgets: Vec<Budget>) {
-        self.ledger.iter_mut().for_each(|ledger| ledger.retune(now, budgets.clone()));
+        self.ledger
+            .iter_mut()
+            .for_each(|ledger| ledger.retune(now, budgets.clone()));
         self.budgets = budgets;
     }
 
     /// Something has changed that the divider is to hear of soon, but not with every change.
     pub fn hurry(&mut self, now: f64) {
-        self.asks = self.asks.min((self.asked + self.lease.round() / 4.0).max(now));
+        self.asks = self
+            .asks
+            .min((self.asked + self.lease.round() / 4.0).max(now));
     }
 
     /// What time brings. `wants` tells of each budget how much would be spent.
@@ -156,13 +165,34 @@
         self.renews = now + self.lease.of_office().seconds / 4.0;
         let divides = self.ledger.is_some();
         // Until all that was given before is over, whoever has not come yet is called: what it brings need not lapse.
-        let missing = self.ledger.as_ref().filter(|ledger| !ledger.is_open(now)).map(|ledger| {
-            let missing = self.members.iter().filter(|id| **id != self.me && !ledger.has_joined(**id));
-            missing.copied().collect::<Vec<Id>>()
-        });
-        out.extend(missing.into_iter().flatten().map(|id| (id, Word::Lead { term })));
+        let missing = self
+            .ledger
+            .as_ref()
+            .filter(|ledger| !ledger.is_open(now))
+            .map(|ledger| {
+                let missing = self
+                    .members
+                    .iter()
+                    .filter(|id| **id != self.me && !ledger.has_joined(**id));
+                missing.copied().collect::<Vec<Id>>()
+            });
+        out.extend(
+            missing
+                .into_iter()
+                .flatten()
+                .map(|id| (id, Word::Lead { term })),
+        );
         for keeper in self.keepers.clone() {
-            self.send(now, keeper, Word::Ask { term, number, divides }, out);
+            self.send(
+                now,
+                keeper,
+                Word::Ask {
+                    term,
+                    number,
+                    divides,
+                },
+                out,
+            );
         }
     }
 
@@ -175,7 +205,11 @@
             return;
         }
         let number = keeper.top.max(self.holder.term).number.saturating_add(1);
-        self.office.stand(Term { number, who: self.me, life: self.life });
+        self.office.stand(Term {
+            number,
+            who: self.me,
+            life: self.life,
+        });
         self.ask_votes(now, out);
     }
 
@@ -214,30 +248,53 @@
             self.resign(now, out);
         }
         match word {
-            Word::Ask { term, number, divides } => {
+            Word::Ask {
+                term,
+                number,
+                divides,
+            } => {
                 let own = (term.who, term.life) == (from, life);
                 let dividing = self.ledger.is_some() && from != self.me;
-                let Some(keeper) = self.keeper.as_mut().filter(|_| own) else { return };
+                let Some(keeper) = self.keeper.as_mut().filter(|_| own) else {
+                    return;
+                };
                 let vote = keeper.ask(now, (term, number), divides, dividing);
                 self.send(now, from, vote, out);
             }
-            Word::Vote { term, number, granted, idle, top } => {
+            Word::Vote {
+                term,
+                number,
+                granted,
+                idle,
+                top,
+            } => {
                 if let Some(keeper) = &mut self.keeper {
                     keeper.top = keeper.top.max(top);
                 }
                 if !self.keepers.contains(&from) {
                     return;
                 }
-                self.office.hear(from, &self.lease, (term, number), granted, idle);
+                self.office
+                    .hear(from, &self.lease, (term, number), granted, idle);
                 self.take_office(now, out);
             }
             Word::Free { number } => {
-                self.keeper.iter_mut().for_each(|keeper| keeper.free(from, life, number));
-            }
-            Word::Want { term, number, accepted, of } => {
-                self.wanted(now, (from, life), term, (number, accepted), &of, out)
+                self.keeper
+                    .iter_mut()
+                    .for_each(|keeper| keeper.free(from, life, number));
             }
-            Word::Give { term, life, number, of } => {
+            Word::Want {
+                term,
+                number,
+                accepted,
+                of,
+            } => self.wanted(now, (from, life), term, (number, accepted), &of, out),
+            Word::Give {
+                term,
+                life,
+                number,
+                of,
+            } => {
                 // What an earlier life was given is not this one's, whose numbers are the same ones.
                 if term.who == from && (life == self.life || crate::slip!(AnyLife)) {
                     // Who is told to hold less says that it does at once: others wait for that.
@@ -253,7 +310,10 @@
                     self.holder.answered = now;
                 }
             }
-            Word::Bye => self.ledger.iter_mut().for_each(|ledger| ledger.bye((from, life))),
+            Word::Bye => self
+                .ledger
+                .iter_mut()
+                .for_each(|ledger| ledger.bye((from, life))),
         }
     }
 
@@ -271,7 +331,9 @@
             self.asks = now;
         }
         let idle = self.office.idle(keepers);
-        self.ledger.iter_mut().for_each(|ledger| ledger.has_been_idle(now, idle));
+        self.ledger
+            .iter_mut()
+            .for_each(|ledger| ledger.has_been_idle(now, idle));
         if !self.told {
             // The keepers are to know whom to send members to.
             self.told = true;
@@ -297,7 +359,17 @@
             Some(ledger) if ledger.term == term => {
                 let gives = ledger.want(now, who, number, accepted, of);
                 if let Some(of) = gives {
-                    self.send(now, who.0, Word::Give { term, life: who.1, number, of }, out);
+                    self.send(
+                        now,
+                        who.0,
+                        Word::Give {
+                            term,
+                            life: who.1,
+                            number,
+                            of,
+                        },
+                        out,
+                    );
                 }
             }
             // It knows of a later term than mine: mine must be later still, or it would never hear me.
@@ -320,7 +392,9 @@
         self.holder.leave();
         let divider = self.holder.term.who;
         if self.divides(now) {
-            self.ledger.iter_mut().for_each(|ledger| ledger.bye((self.me, self.life)));
+            self.ledger
+                .iter_mut()
+                .for_each(|ledger| ledger.bye((self.me, self.life)));
         } else if divider != 0 {
             out.push((divider, Word::Bye));
         }
@@ -333,6 +407,9 @@
     /// The amounts that the file gives, as they are counted.
     pub fn whole(rate: f64, burst: f64) -> Amount {
         let thousandths = |value: f64| (value * f64::from(crate::word::ONE)) as u32;
-        Amount { flow: thousandths(rate), stock: thousandths(burst) }
+        Amount {
+            flow: thousandths(rate),
+            stock: thousandths(burst),
+        }
     }
 }
--- a/crates/mintlb-rate-limit/src/purse.rs
+++ b/crates/mintlb-rate-limit/src/purse.rs
@@ -42,7 +42,11 @@
     /// From now on it holds this part. What it has beyond the new burst is lost, and nothing comes anew.
     pub fn take(&mut self, now: f64, part: Part) {
         self.count(now);
-        self.tokens = if crate::slip!(BurstAnew) { part.burst } else { self.tokens.min(part.burst) };
+        self.tokens = if crate::slip!(BurstAnew) {
+            part.burst
+        } else {
+            self.tokens.min(part.burst)
+        };
         (self.part, self.at) = (part, now);
     }
 
--- a/crates/mintlb-rate-limit/src/table.rs
+++ b/crates/mintlb-rate-limit/src/table.rs
@@ -95,49 +95,93 @@
         let mut addresses = BTreeSet::new();
         for (name, at) in &table.members {
             if !addresses.insert(at) {
-                return Err(format!("fleet.members.{name}: {at} is another member's, too"));
+                return Err(format!(
+                    "fleet.members.{name}: {at} is another member's, too"
+                ));
             }
         }
         if !(0.0..0.5).contains(&table.drift) {
-            return Err(format!("fleet.drift: {} is none, from 0 up to 0.5 is needed", table.drift));
+            return Err(format!(
+                "fleet.drift: {} is none, from 0 up to 0.5 is needed",
+                table.drift
+            ));
         }
         let leases = table.division == Division::Leases;
         for (i, keeper) in table.keepers.iter().enumerate() {
             if !table.members.contains_key(keeper) || table.keepers[..i].contains(keeper) {
-                return Err(format!("fleet.keepers[{i}]: {keeper:?} is no member, or named before"));
+                return Err(format!(
+                    "fleet.keepers[{i}]: {keeper:?} is no member, or named before"
+                ));
             }
         }
         if leases && !matches!(table.keepers.len(), 1 | 3 | 5 | 7) {
             let n = table.keepers.len();
-            return Err(format!("fleet.keepers: {n} of them; three are needed, five for larger fleets"));
+            return Err(format!(
+                "fleet.keepers: {n} of them; three are needed, five for larger fleets"
+            ));
         }
         if !(LEASES.0..=LEASES.1).contains(&table.lease) {
             let (least, most) = LEASES;
-            return Err(format!("fleet.lease: {} s is none, {least} to {most} is needed", table.lease));
+            return Err(format!(
+                "fleet.lease: {} s is none, {least} to {most} is needed",
+                table.lease
+            ));
         }
         if table.budgets.len() > MOST {
-            return Err(format!("fleet.budgets: {} of them, {MOST} at most", table.budgets.len()));
+            return Err(format!(
+                "fleet.budgets: {} of them, {MOST} at most",
+                table.budgets.len()
+            ));
         }
         for (i, whole) in table.budgets.iter().enumerate() {
-            let wrong = |field: &str, what: String| Err(format!("fleet.budgets[{i}].{field}: {what}"));
-            if table.budgets[..i].iter().any(|other| other.name == whole.name) {
-                return wrong("name", format!("{:?} names another budget, too", whole.name));
+            let wrong =
+                |field: &str, what: String| Err(format!("fleet.budgets[{i}].{field}: {what}"));
+            if table.budgets[..i]
+                .iter()
+                .any(|other| other.name == whole.name)
+            {
+                return wrong(
+                    "name",
+                    format!("{:?} names another budget, too", whole.name),
+                );
             }
-            if whole.name.is_empty() || !whole.name.chars().all(|c| c.is_ascii_alphanumeric() || c == '-') {
-                return wrong("name", format!("{:?} is none: letters, digits and - make one", whole.name));
+            if whole.name.is_empty()
+                || !whole
+                    .name
+                    .chars()
+                    .all(|c| c.is_ascii_alphanumeric() || c == '-')
+            {
+                return wrong(
+                    "name",
+                    format!("{:?} is none: letters, digits and - make one", whole.name),
+                );
             }
             if !(RATES.0..=RATES.1).contains(&whole.rate) {
                 let (least, most) = RATES;
-                return wrong("rate", format!("{} is none, {least} to {most} is needed", whole.rate));
+                return wrong(
+                    "rate",
+                    format!("{} is none, {least} to {most} is needed", whole.rate),
+                );
             }
             // Less than one at once can never be spent.
-            let least = if leases { 1.0 } else { table.members.len() as f64 };
+            let least = if leases {
+                1.0
+            } else {
+                table.members.len() as f64
+            };
             if !(least..=RATES.1).contains(&whole.burst) {
-                let why = format!("{} is none, {least} at least is needed: one for each part", whole.burst);
+                let why = format!(
+                    "{} is none, {least} at least is needed: one for each part",
+                    whole.burst
+                );
                 return wrong("burst", why);
             }
         }
-        Ok(Plan { name: name.to_string(), at, table })
+        Ok(Plan {
+            name: name.to_string(),
+            at,
+            table,
+        })
     }
 
     /// The part of a budget that is held without a word.
@@ -151,20 +195,43 @@
 
 impl Display for Plan {
     fn fmt(&self, f: &mut Formatter) -> std::fmt::Result {
-        let Table { name, members, keepers, lease, division, .. } = &self.table;
-        writeln!(f, "fleet {name}: {} binds {}, one of {} members", self.name, self.at, members.len())?;
+        let Table {
+            name,
+            members,
+            keepers,
+            lease,
+            division,
+            ..
+        } = &self.table;
+        writeln!(
+            f,
+            "fleet {name}: {} binds {}, one of {} members",
+            self.name,
+            self.at,
+            members.len()
+        )?;
         match division {
             Division::Equal => writeln!(f, "equal parts, which never move")?,
-            Division::Leases => writeln!(f, "parts for {lease} s, by one of {}", keepers.join(", "))?,
+            Division::Leases => {
+                writeln!(f, "parts for {lease} s, by one of {}", keepers.join(", "))?
+            }
         }
         self.table.budgets.iter().try_for_each(|whole| {
-            let Whole { name, limits, rate, burst } = whole;
+            let Whole {
+                name,
+                limits,
+                rate,
+                burst,
+            } = whole;
             let part = self.unmoved(whole);
             let own = match division {
                 Division::Equal => format!("; here {} and {}", part.rate, part.burst),
                 Division::Leases => String::new(),
             };
-            writeln!(f, "budget {name} ({limits:?}): {rate} a second, {burst} at once{own}")
+            writeln!(
+                f,
+                "budget {name} ({limits:?}): {rate} a second, {burst} at once{own}"
+            )
         })
     }
 }
