--- a/crates/mintlb-rate-limit/src/vote.rs
+++ b/crates/mintlb-rate-limit/src/vote.rs
@@ -33,7 +33,13 @@
 impl Keeper {
     pub fn new(now: f64, lease: Lease) -> Keeper {
         let lease = lease.of_office();
-        Keeper { lease, began: now, vote: None, top: Term::default(), divided: now }
+        Keeper {
+            lease,
+            began: now,
+            vote: None,
+            top: Term::default(),
+            divided: now,
+        }
     }
 
     /// Whether it may vote at all.
@@ -48,28 +54,55 @@
 
     /// Who divides by its vote. A mere candidate is not made known: members would wait for it in vain.
     pub fn knows(&self, now: f64) -> Option<Term> {
-        self.vote.filter(|vote| now < vote.until && vote.divides).map(|vote| vote.term)
+        self.vote
+            .filter(|vote| now < vote.until && vote.divides)
+            .map(|vote| vote.term)
     }
 
     /// `dividing` if the voter itself does.
-    pub fn ask(&mut self, now: f64, (term, number): (Term, u64), divides: bool, dividing: bool) -> Word {
+    pub fn ask(
+        &mut self,
+        now: f64,
+        (term, number): (Term, u64),
+        divides: bool,
+        dividing: bool,
+    ) -> Word {
         let of = |vote: &Given| (vote.term.who, vote.term.life) == (term.who, term.life);
         let vote = self.vote.filter(|vote| now < vote.until);
         // Who has it may keep it, whatever others have tried meanwhile.
         let granted = self.votes(now) && vote.as_ref().map_or(term >= self.top, of);
         if granted {
             self.top = self.top.max(term);
-            let number = self.vote.filter(of).map_or(number, |vote| vote.number.max(number));
-            self.vote = Some(Given { term, number, until: now + self.lease.outlasted(), divides });
+            let number = self
+                .vote
+                .filter(of)
+                .map_or(number, |vote| vote.number.max(number));
+            self.vote = Some(Given {
+                term,
+                number,
+                until: now + self.lease.outlasted(),
+                divides,
+            });
         }
-        let idle = if dividing { 0.0 } else { (now - self.divided).max(0.0) };
+        let idle = if dividing {
+            0.0
+        } else {
+            (now - self.divided).max(0.0)
+        };
         let idle = (idle * 1e3).min(f64::from(u32::MAX)) as u32;
-        Word::Vote { term, number, granted, idle, top: self.top }
+        Word::Vote {
+            term,
+            number,
+            granted,
+            idle,
+            top: self.top,
+        }
     }
 
     /// The vote is given back, unless a later ask has it.
     pub fn free(&mut self, who: Id, life: u64, number: u64) {
-        let frees = |vote: &Given| (vote.term.who, vote.term.life) == (who, life) && vote.number <= number;
+        let frees =
+            |vote: &Given| (vote.term.who, vote.term.life) == (who, life) && vote.number <= number;
         if self.vote.as_ref().is_some_and(frees) {
             self.vote = None;
         }
@@ -111,13 +144,23 @@
     }
 
     /// A vote in this term. One that an earlier life was given is none of this one's.
-    pub fn hear(&mut self, keeper: Id, lease: &Lease, (term, number): (Term, u64), granted: bool, idle: u32) {
+    pub fn hear(
+        &mut self,
+        keeper: Id,
+        lease: &Lease,
+        (term, number): (Term, u64),
+        granted: bool,
+        idle: u32,
+    ) {
         if term != self.term && !crate::slip!(AnyLife) {
             return;
         }
-        let Some((_, asked)) = self.asked.iter().find(|(known, _)| *known == number) else { return };
+        let Some((_, asked)) = self.asked.iter().find(|(known, _)| *known == number) else {
+            return;
+        };
         if number == self.number {
-            self.idle.insert(keeper, lease.surely(f64::from(idle) / 1e3));
+            self.idle
+                .insert(keeper, lease.surely(f64::from(idle) / 1e3));
         }
         if granted {
             let until = asked + lease.of_office().seconds;
@@ -139,7 +182,11 @@
     /// For how long surely nobody has divided, where all keepers have answered the last ask.
     pub fn idle(&self, keepers: usize) -> f64 {
         let all = self.idle.len() >= keepers;
-        if all { self.idle.values().copied().fold(f64::INFINITY, f64::min) } else { 0.0 }
+        if all {
+            self.idle.values().copied().fold(f64::INFINITY, f64::min)
+        } else {
+            0.0
+        }
     }
 
     /// Gives up: the number up to which its asks are void.
--- a/crates/mintlb-rate-limit/src/word.rs
+++ b/crates/mintlb-rate-limit/src/word.rs
@@ -7,12 +7,15 @@
 
 /// The id of a name, and the key of a budget: FNV-1a, so that each process comes to the same without a word.
 pub fn id(name: &str) -> Id {
-    name.bytes()
-        .fold(0xcbf2_9ce4_8422_2325, |hash, byte| (hash ^ u64::from(byte)).wrapping_mul(0x100_0000_01b3))
+    name.bytes().fold(0xcbf2_9ce4_8422_2325, |hash, byte| {
+        (hash ^ u64::from(byte)).wrapping_mul(0x100_0000_01b3)
+    })
 }
 
 /// A divider's time in office. A later one is greater; two are never alike, as no two lives of a process are.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+#[derive(
+    Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
+)]
 pub struct Term {
     pub number: u64,
     pub who: Id,
@@ -33,7 +36,10 @@
     pub const NONE: Amount = Amount { flow: 0, stock: 0 };
 
     fn each(self, other: Amount, of: impl Fn(u32, u32) -> u32) -> Amount {
-        Amount { flow: of(self.flow, other.flow), stock: of(self.stock, other.stock) }
+        Amount {
+            flow: of(self.flow, other.flow),
+            stock: of(self.stock, other.stock),
+        }
     }
     pub fn max(self, other: Amount) -> Amount {
         self.each(other, u32::max)
@@ -57,7 +63,10 @@
 pub type Amounts = Vec<(u64, Amount)>;
 
 pub fn of(amounts: &[(u64, Amount)], key: u64) -> Amount {
-    amounts.iter().find(|(known, _)| *known == key).map_or(Amount::NONE, |(_, amount)| *amount)
+    amounts
+        .iter()
+        .find(|(known, _)| *known == key)
+        .map_or(Amount::NONE, |(_, amount)| *amount)
 }
 
 /// What a member holds of a budget, and how much it would spend: thousandths a second, all that there is if it was
@@ -72,16 +81,36 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Word {
     /// A keeper would divide, or divides and would go on, in this term.
-    Ask { term: Term, number: u64, divides: bool },
+    Ask {
+        term: Term,
+        number: u64,
+        divides: bool,
+    },
     /// To that ask in that term, so of that life: whether it has the vote; for how many milliseconds the voter has surely not divided; the latest term
     /// that it knows.
-    Vote { term: Term, number: u64, granted: bool, idle: u32, top: Term },
+    Vote {
+        term: Term,
+        number: u64,
+        granted: bool,
+        idle: u32,
+        top: Term,
+    },
     /// The votes for asks up to this one are not needed.
     Free { number: u64 },
     /// What a member holds and wants. Of this term's answers it has taken those up to `accepted`, and takes no earlier.
-    Want { term: Term, number: u64, accepted: u64, of: Vec<Wanted> },
+    Want {
+        term: Term,
+        number: u64,
+        accepted: u64,
+        of: Vec<Wanted>,
+    },
     /// What this life of the member may hold from then on, from when it asked that.
-    Give { term: Term, life: u64, number: u64, of: Amounts },
+    Give {
+        term: Term,
+        life: u64,
+        number: u64,
+        of: Amounts,
+    },
     /// Who is believed to divide.
     Lead { term: Term },
     /// This life holds nothing any more, and takes nothing.
--- a/crates/mintlb-rate-limit/tests/address.rs
+++ b/crates/mintlb-rate-limit/tests/address.rs
@@ -16,20 +16,26 @@
 }
 
 async fn start(plan: Plan) -> Fleet {
-    Fleet::start(plan, 1, slog::Logger::root(slog::Discard, slog::o!())).await.unwrap()
+    Fleet::start(plan, 1, slog::Logger::root(slog::Discard, slog::o!()))
+        .await
+        .unwrap()
 }
 
 /// A new version starts beside the old one, holds nothing while that lives, and its part once that has ended.
 #[tokio::test]
 async fn one_at_a_time() {
     let again = Spend { again: true };
-    for (more, at) in
-        [("division = \"equal\"", "127.93.0.1:7"), ("keepers = [\"a\"]\nlease = 0.4", "127.93.0.1:8")]
-    {
+    for (more, at) in [
+        ("division = \"equal\"", "127.93.0.1:7"),
+        ("keepers = [\"a\"]\nlease = 0.4", "127.93.0.1:8"),
+    ] {
         let old = UdpSocket::bind(at).await.unwrap();
         let new = start(plan(at, more, 100.0)).await;
         sleep(Duration::from_millis(700)).await;
-        assert!(!new.has(again) && new.slip(again).is_none(), "{at}: the old one has the address");
+        assert!(
+            !new.has(again) && new.slip(again).is_none(),
+            "{at}: the old one has the address"
+        );
         // The file that is taken meanwhile is the one that holds then.
         new.change(&plan(at, more, 50.0));
         drop(old);
@@ -39,13 +45,24 @@
             waited += 20;
             assert!(waited < 4000, "{at}: it has the address, and no part");
         }
-        assert!(new.figures().contains("edge_router.fleet.x.part=50\n"), "{at}: {}", new.figures());
+        assert!(
+            new.figures().contains("edge_router.fleet.x.part=50\n"),
+            "{at}: {}",
+            new.figures()
+        );
         // Set aside, paid and not taken: as good as never paid.
         let slip = new.slip(again).unwrap();
         assert!(slip.pay());
         slip.back();
-        assert!(slip.pay() && slip.pay(), "{at}: paid once, however often it is asked for");
-        assert!(new.figures().contains("edge_router.fleet.x.spent=1\n"), "{at}: {}", new.figures());
+        assert!(
+            slip.pay() && slip.pay(),
+            "{at}: paid once, however often it is asked for"
+        );
+        assert!(
+            new.figures().contains("edge_router.fleet.x.spent=1\n"),
+            "{at}: {}",
+            new.figures()
+        );
         new.end();
     }
 }
--- a/crates/mintlb-rate-limit/tests/model.rs
+++ b/crates/mintlb-rate-limit/tests/model.rs
@@ -18,7 +18,11 @@
 
 #[derive(Clone, Debug)]
 enum What {
-    Word { to: usize, from: (Id, u64), word: Word },
+    Word {
+        to: usize,
+        from: (Id, u64),
+        word: Word,
+    },
     Tick(usize),
 }
 
@@ -118,7 +122,10 @@
             now: 0.0,
             chance: Chance::new(seed),
             weather,
-            lease: Lease { seconds: LEASE, drift: 0.01 },
+            lease: Lease {
+                seconds: LEASE,
+                drift: 0.01,
+            },
             whole,
             files: vec![whole; n],
             past: Vec::new(),
@@ -144,9 +151,20 @@
         let clock = (1000.0 * self.chance.draw(), rate);
         let keepers = (0..self.keepers).map(id).collect();
         let members = (0..self.members.len()).map(id).collect();
-        let budgets = vec![Budget { key: KEY, whole: self.files[i] }];
+        let budgets = vec![Budget {
+            key: KEY,
+            whole: self.files[i],
+        }];
         let now = clock.0 + clock.1 * self.now;
-        let node = Node::new(now, (id(i), life), self.lease, budgets, members, keepers, life);
+        let node = Node::new(
+            now,
+            (id(i), life),
+            self.lease,
+            budgets,
+            members,
+            keepers,
+            life,
+        );
         self.members[i] = Some(Member {
             node,
             life,
@@ -177,19 +195,34 @@
             }
             let copies = 1 + usize::from(self.chance.draw() < w.doubled);
             for _ in 0..copies {
-                let late = if self.chance.draw() < w.old { LEASE * 4.0 * self.chance.draw() } else { 0.0 };
+                let late = if self.chance.draw() < w.old {
+                    LEASE * 4.0 * self.chance.draw()
+                } else {
+                    0.0
+                };
                 let wait = late - w.way * (1.0 - self.chance.draw()).ln();
-                self.add(wait, What::Word { to, from: (id(i), life), word: word.clone() });
+                self.add(
+                    wait,
+                    What::Word {
+                        to,
+                        from: (id(i), life),
+                        word: word.clone(),
+                    },
+                );
             }
         }
     }
 
     /// Has a member hear and tick, by its own clock.
     fn run(&mut self, i: usize, words: Vec<((Id, u64), Word)>) {
-        let Some(member) = self.members[i].as_mut() else { return };
+        let Some(member) = self.members[i].as_mut() else {
+            return;
+        };
         let now = member.clock.0 + member.clock.1 * self.now;
         let mut out = Vec::new();
-        words.into_iter().for_each(|(from, word)| member.node.hear(now, from, word, &mut out));
+        words
+            .into_iter()
+            .for_each(|(from, word)| member.node.hear(now, from, word, &mut out));
         let wants = [(KEY, member.want)];
         if now >= member.node.due() {
             member.node.tick(now, &wants, &mut out);
@@ -201,7 +234,9 @@
 
     /// One tick is to come, when it is due.
     fn arm(&mut self, i: usize) {
-        let Some(member) = self.members[i].as_mut() else { return };
+        let Some(member) = self.members[i].as_mut() else {
+            return;
+        };
         let now = member.clock.0 + member.clock.1 * self.now;
         let wait = (member.node.due() - now).max(0.0) / member.clock.1 + 1e-6;
         self.add(wait, What::Tick(i));
@@ -210,12 +245,18 @@
     }
 
     fn step(&mut self, until: f64) -> bool {
-        let next = self.due.peek().map(|Reverse(Due(at, ..))| *at as f64 / 1e9).filter(|at| *at < until);
+        let next = self
+            .due
+            .peek()
+            .map(|Reverse(Due(at, ..))| *at as f64 / 1e9)
+            .filter(|at| *at < until);
         let at = next.unwrap_or(until);
         // What was held in between, for the use; the parts change at events only, but for lapses.
         self.held.0 += f64::from(self.sum().flow) * (at - self.now).max(0.0);
         self.now = self.now.max(at);
-        let Some(Reverse(Due(_, count, what))) = next.and_then(|_| self.due.pop()) else { return false };
+        let Some(Reverse(Due(_, count, what))) = next.and_then(|_| self.due.pop()) else {
+            return false;
+        };
         match what {
             What::Word { to, from, word } => match &mut self.members[to] {
                 Some(member) if member.stopped => member.inbox.push((from, word)),
@@ -223,7 +264,10 @@
                 None => {}
             },
             What::Tick(i) => {
-                if self.members[i].as_ref().is_some_and(|m| !m.stopped && m.armed == count) {
+                if self.members[i]
+                    .as_ref()
+                    .is_some_and(|m| !m.stopped && m.armed == count)
+                {
                     self.run(i, Vec::new());
                 }
             }
@@ -242,17 +286,26 @@
     fn look(&mut self) {
         let (sum, settles) = (self.sum(), self.lease.outlasted() * 1.01);
         self.past.retain(|(until, _)| self.now < until + settles);
-        let whole = self.files.iter().chain(self.past.iter().map(|(_, whole)| whole));
+        let whole = self
+            .files
+            .iter()
+            .chain(self.past.iter().map(|(_, whole)| whole));
         let whole = whole.fold(Amount::NONE, |most, whole| most.max(*whole));
         let part = |held: u32, whole: u32| f64::from(held) / f64::from(whole);
-        self.worst = self.worst.max(part(sum.flow, whole.flow)).max(part(sum.stock, whole.stock));
+        self.worst = self
+            .worst
+            .max(part(sum.flow, whole.flow))
+            .max(part(sum.stock, whole.stock));
     }
 
     /// A member's file gives another whole, of which it hears at once if it runs.
     fn retune(&mut self, i: usize) {
         let share = [1.0, 0.6, 0.3][(self.chance.draw() * 3.0) as usize];
         let part = |of: u32| (f64::from(of) * share) as u32;
-        let whole = Amount { flow: part(self.whole.flow), stock: part(self.whole.stock) };
+        let whole = Amount {
+            flow: part(self.whole.flow),
+            stock: part(self.whole.stock),
+        };
         let old = std::mem::replace(&mut self.files[i], whole);
         self.past.push((self.now, old));
         if let Some(member) = self.members[i].as_mut().filter(|m| !m.stopped) {
@@ -300,7 +353,11 @@
         let until = self.now + seconds;
         let rate = self.weather.kills + self.weather.stops + self.weather.cuts + self.weather.files;
         loop {
-            let wait = if rate > 0.0 { -(1.0 - self.chance.draw()).ln() / rate } else { f64::INFINITY };
+            let wait = if rate > 0.0 {
+                -(1.0 - self.chance.draw()).ln() / rate
+            } else {
+                f64::INFINITY
+            };
             let next = (self.now + wait).min(until);
             while self.step(next) {}
             if next >= until {
@@ -311,7 +368,8 @@
             self.trouble(i);
             if self.chance.draw() < 0.5 {
                 let i = (self.chance.draw() * self.members.len() as f64) as usize;
-                let want = [0, self.whole.flow / 10, self.whole.flow][(self.chance.draw() * 3.0) as usize];
+                let want =
+                    [0, self.whole.flow / 10, self.whole.flow][(self.chance.draw() * 3.0) as usize];
                 self.members[i].iter_mut().for_each(|m| m.want = want);
             }
             self.look();
@@ -331,7 +389,10 @@
     let mut draw = |least: f64, most: f64| least + (most - least) * chance.draw();
     let n = draw(3.0, 12.0) as usize;
     let keepers = if n >= 5 && draw(0.0, 1.0) < 0.4 { 5 } else { 3 };
-    let whole = Amount { flow: draw(500.0, 50_000.0) as u32, stock: draw(1_000.0, 30_000.0) as u32 };
+    let whole = Amount {
+        flow: draw(500.0, 50_000.0) as u32,
+        stock: draw(1_000.0, 30_000.0) as u32,
+    };
     let weather = Weather {
         loss: draw(0.0, 0.4),
         doubled: draw(0.0, 0.3),
@@ -340,14 +401,21 @@
         kills: draw(0.0, 0.8),
         stops: draw(0.0, 0.8),
         cuts: draw(0.0, 0.4),
-        files: if seed.is_multiple_of(2) { 0.0 } else { draw(0.0, 0.5) },
+        files: if seed.is_multiple_of(2) {
+            0.0
+        } else {
+            draw(0.0, 0.5)
+        },
         drift: 0.01,
     };
     World::new(seed, n, keepers, whole, weather)
 }
 
 fn seeds() -> u64 {
-    std::env::var("MINTLB_SEEDS").ok().and_then(|n| n.parse().ok()).unwrap_or(100)
+    std::env::var("MINTLB_SEEDS")
+        .ok()
+        .and_then(|n| n.parse().ok())
+        .unwrap_or(100)
 }
 
 /// Whatever happens, all together never believe to hold more than the whole.
@@ -357,11 +425,18 @@
     for seed in 0..seeds() {
         let mut world = storm(seed);
         held += world.used(40.0);
-        assert!(world.worst <= 1.0, "seed {seed}: {} of the whole", world.worst);
+        assert!(
+            world.worst <= 1.0,
+            "seed {seed}: {} of the whole",
+            world.worst
+        );
         worst = worst.max(world.worst);
     }
     let mean = held / seeds() as f64;
-    println!("{} histories, the most held {worst:.4}, on average {mean:.3}", seeds());
+    println!(
+        "{} histories, the most held {worst:.4}, on average {mean:.3}",
+        seeds()
+    );
     // It is no proof if nothing is ever held.
     assert!(worst > 0.99 && mean > 0.1, "{worst} {mean}");
 }
@@ -369,9 +444,21 @@
 /// Two members that are killed and started again all the time beside keepers that are not, and words that are late by as
 /// long as they live.
 fn flapping(seed: u64) -> World {
-    let whole = Amount { flow: 10_000, stock: 10_000 };
-    let weather = Weather { loss: 0.1, old: 0.3, kills: 1.5, way: 0.02, ..QUIET };
-    World { spared: 3, ..World::new(seed, 5, 3, whole, weather) }
+    let whole = Amount {
+        flow: 10_000,
+        stock: 10_000,
+    };
+    let weather = Weather {
+        loss: 0.1,
+        old: 0.3,
+        kills: 1.5,
+        way: 0.02,
+        ..QUIET
+    };
+    World {
+        spared: 3,
+        ..World::new(seed, 5, 3, whole, weather)
+    }
 }
 
 /// The model finds each slip that is planted, and nothing where none is.
@@ -394,14 +481,20 @@
         let found = (0..1000).find(breaches);
         PLANTED.set(None);
         println!("{slip:?}: found by seed {found:?}");
-        assert!(found.is_some_and(|seed| !breaches(&seed)), "{slip:?}: {found:?}");
+        assert!(
+            found.is_some_and(|seed| !breaches(&seed)),
+            "{slip:?}: {found:?}"
+        );
     }
 }
 
 /// In quiet, and after each kind of trouble, what is wanted is held.
 #[test]
 fn what_is_wanted_is_held() {
-    let whole = Amount { flow: 100_000, stock: 50_000 };
+    let whole = Amount {
+        flow: 100_000,
+        stock: 50_000,
+    };
     for n in [3, 12, 40] {
         let mut world = World::new(5, n, 3, whole, QUIET);
         world.play(3.0);
@@ -409,7 +502,8 @@
         // A divider that is killed, and is not back.
         let divider = |world: &World| {
             let divides = |m: &&Option<Member>| {
-                m.as_ref().is_some_and(|m| m.node.divides(m.clock.0 + m.clock.1 * world.now))
+                m.as_ref()
+                    .is_some_and(|m| m.node.divides(m.clock.0 + m.clock.1 * world.now))
             };
             world.members.iter().position(|m| divides(&m)).unwrap()
         };
@@ -417,7 +511,10 @@
         world.members[at] = None;
         let (first, then) = (world.used(3.0), world.used(2.0));
         println!("{n}: {first:.3} in the 3 s after the divider's death, then {then:.3}");
-        assert!(first > 0.6 && then > 0.98, "{n} after a divider's death: {first} {then}");
+        assert!(
+            first > 0.6 && then > 0.98,
+            "{n} after a divider's death: {first} {then}"
+        );
         // All demand at one.
         world.members.iter_mut().flatten().for_each(|m| m.want = 0);
         let at = divider(&world);
@@ -435,7 +532,10 @@
 #[test]
 fn each_in_turn() {
     for (n, places) in [(5, 1), (40, 3)] {
-        let whole = Amount { flow: 3_000, stock: places * 1_000 };
+        let whole = Amount {
+            flow: 3_000,
+            stock: places * 1_000,
+        };
         let mut world = World::new(3, n, 3, whole, QUIET);
         let mut had = vec![0.0; n];
         for _ in 0..n * 40 {
@@ -446,7 +546,9 @@
                 had[i] += f64::from(of(parts, KEY).stock) / 1e3;
             }
         }
-        let (least, most) = had.iter().fold((f64::MAX, 0.0f64), |(a, b), x| (a.min(*x), b.max(*x)));
+        let (least, most) = had
+            .iter()
+            .fold((f64::MAX, 0.0f64), |(a, b), x| (a.min(*x), b.max(*x)));
         println!("{n} members, {places} places: {least:.0} to {most:.0}");
         assert!(least > 0.0 && most < 4.0 * least, "{n} members: {had:?}");
         assert!(world.worst <= 1.0);
@@ -456,9 +558,18 @@
 /// A vote that comes after the majority was lost does not let the term go on: another may have divided in between.
 #[test]
 fn a_late_vote_saves_no_term() {
-    let lease = Lease { seconds: LEASE, drift: 0.01 };
+    let lease = Lease {
+        seconds: LEASE,
+        drift: 0.01,
+    };
     for (late, divides) in [(0.45, true), (0.55, false)] {
-        let budgets = vec![Budget { key: KEY, whole: Amount { flow: 1000, stock: 1000 } }];
+        let budgets = vec![Budget {
+            key: KEY,
+            whole: Amount {
+                flow: 1000,
+                stock: 1000,
+            },
+        }];
         let keepers: Vec<Id> = (0..3).map(id).collect();
         let mut node = Node::new(0.0, (id(0), 9), lease, budgets, keepers.clone(), keepers, 1);
         let (mut out, mut now) = (Vec::new(), 0.0);
@@ -474,8 +585,13 @@
             node.tick(now, &[(KEY, 0)], &mut out);
             assert!(now < 5.0, "it does not stand");
         }
-        let vote =
-            |(term, number): (Term, u64)| Word::Vote { term, number, granted: true, idle: 0, top: term };
+        let vote = |(term, number): (Term, u64)| Word::Vote {
+            term,
+            number,
+            granted: true,
+            idle: 0,
+            top: term,
+        };
         node.hear(now + 0.1, (id(1), 5), vote(asks(&out)[0]), &mut out);
         assert!(node.divides(now + 0.1) && asks(&out).len() == 2);
         // Its office was asked for at `now`, and once more at `now + 0.1`: that answer comes late.
--- a/crates/mintlb-register/src/acceptor.rs
+++ b/crates/mintlb-register/src/acceptor.rs
@@ -66,14 +66,20 @@
     /// Handles a request.
     pub fn handle(&mut self, request: Request) -> Answered {
         if request.target != self.id {
-            return Answered { sync: Sync::Nothing, reply: Reply::Stranger { id: self.id } };
+            return Answered {
+                sync: Sync::Nothing,
+                reply: Reply::Stranger { id: self.id },
+            };
         }
         match request.ask {
             Ask::Prepare { ballot, known } => self.prepare(ballot, known),
             Ask::Accept { proposed } => self.accept(proposed),
             Ask::Read { known } => {
                 let (report, promised) = (self.report(known), self.vote.promised);
-                Answered { sync: Sync::Nothing, reply: Reply::Read { report, promised } }
+                Answered {
+                    sync: Sync::Nothing,
+                    reply: Reply::Read { report, promised },
+                }
             }
         }
     }
@@ -81,21 +87,39 @@
     /// Takes in a value that is known to be chosen, also where a higher ballot was promised meanwhile: whoever holds that
     /// promise hears of the value from a majority, so that one more holder changes nothing for it.
     pub fn learn(&mut self, chosen: &Accepted) -> Sync {
-        if self.vote.accepted.as_ref().is_some_and(|held| held.ballot >= chosen.ballot) {
+        if self
+            .vote
+            .accepted
+            .as_ref()
+            .is_some_and(|held| held.ballot >= chosen.ballot)
+        {
             return Sync::Nothing;
         }
         self.vote.promised = self.vote.promised.max(chosen.ballot);
         self.vote.accepted = Some(chosen.clone());
-        Sync::Learned { promised: self.vote.promised, chosen: chosen.clone() }
+        Sync::Learned {
+            promised: self.vote.promised,
+            chosen: chosen.clone(),
+        }
     }
 
     fn prepare(&mut self, ballot: Ballot, known: Option<Ballot>) -> Answered {
         if ballot < self.vote.promised {
             return self.refuse(ballot);
         }
-        let sync = if ballot == self.vote.promised { Sync::Nothing } else { Sync::Promise(ballot) };
+        let sync = if ballot == self.vote.promised {
+            Sync::Nothing
+        } else {
+            Sync::Promise(ballot)
+        };
         self.vote.promised = ballot;
-        Answered { sync, reply: Reply::Promised { ballot, report: self.report(known) } }
+        Answered {
+            sync,
+            reply: Reply::Promised {
+                ballot,
+                report: self.report(known),
+            },
+        }
     }
 
     fn accept(&mut self, proposed: Accepted) -> Answered {
@@ -103,15 +127,32 @@
         if ballot < self.vote.promised {
             return self.refuse(ballot);
         }
-        let repeated = self.vote.accepted.as_ref().is_some_and(|accepted| accepted.ballot == ballot);
+        let repeated = self
+            .vote
+            .accepted
+            .as_ref()
+            .is_some_and(|accepted| accepted.ballot == ballot);
         self.vote.promised = ballot;
-        let sync = if repeated { Sync::Nothing } else { Sync::Value(proposed.clone()) };
+        let sync = if repeated {
+            Sync::Nothing
+        } else {
+            Sync::Value(proposed.clone())
+        };
         self.vote.accepted = Some(proposed);
-        Answered { sync, reply: Reply::Accepted { ballot } }
+        Answered {
+            sync,
+            reply: Reply::Accepted { ballot },
+        }
     }
 
     fn refuse(&self, ballot: Ballot) -> Answered {
-        Answered { sync: Sync::Nothing, reply: Reply::Refused { ballot, promised: self.vote.promised } }
+        Answered {
+            sync: Sync::Nothing,
+            reply: Reply::Refused {
+                ballot,
+                promised: self.vote.promised,
+            },
+        }
     }
 
     fn report(&self, known: Option<Ballot>) -> Report {
--- a/crates/mintlb-register/src/ballot.rs
+++ b/crates/mintlb-register/src/ballot.rs
@@ -17,6 +17,9 @@
 impl Ballot {
     /// The first ballot of a proposer that is above this one.
     pub fn next(self, proposer: u64) -> Ballot {
-        Ballot { counter: self.counter + 1, proposer }
+        Ballot {
+            counter: self.counter + 1,
+            proposer,
+        }
     }
 }
--- a/crates/mintlb-register/src/change.rs
+++ b/crates/mintlb-register/src/change.rs
@@ -76,7 +76,11 @@
     /// since a member of its `previous` side that is lost for good may leave that side without a majority.
     pub(crate) fn first(&self, state: &ControlState) -> Option<ControlState> {
         let waits = !matches!(self, Change::Confirm | Change::Settle);
-        let mut settled = if waits { settle(state).ok()? } else { return None };
+        let mut settled = if waits {
+            settle(state).ok()?
+        } else {
+            return None;
+        };
         settled.revision = state.revision + 1;
         Some(settled)
     }
@@ -85,12 +89,22 @@
     pub(crate) fn apply(&self, state: &ControlState) -> Verdict {
         let next = match self {
             Change::Confirm => Err(Answer::Done),
-            Change::Configuration { base, version, body, tolerance, at_least_kept } => {
+            Change::Configuration {
+                base,
+                version,
+                body,
+                tolerance,
+                at_least_kept,
+            } => {
                 let set = &state.replicas;
                 let enough = set.survives(*tolerance) || (*at_least_kept && set.keeps(*tolerance));
                 configure(state, *base, *version, body, enough)
             }
-            Change::Join { replica, silent, most } => join(state, replica, silent, *most),
+            Change::Join {
+                replica,
+                silent,
+                most,
+            } => join(state, replica, silent, *most),
             Change::Leave { id, fewest } => leave(state, *id, *fewest),
             Change::Settle => settle(state),
             Change::Placement(placement) => place(state, placement),
@@ -140,14 +154,25 @@
     if members.contains(replica) {
         return Err(Answer::AlreadyDone);
     }
-    let same = members.iter().position(|old| old.id == replica.id || old.address == replica.address);
+    let same = members
+        .iter()
+        .position(|old| old.id == replica.id || old.address == replica.address);
     let silent = || members.iter().position(|old| silent.contains(&old.id));
-    match same.or_else(|| if members.len() >= most { silent() } else { None }) {
+    match same.or_else(|| {
+        if members.len() >= most {
+            silent()
+        } else {
+            None
+        }
+    }) {
         Some(place) => members[place] = replica.clone(),
         None if members.len() >= most => return Err(Answer::SetFull),
         None => members.push(replica.clone()),
     }
-    Ok(ControlState { replicas: state.replicas.changed_to(members), ..state.clone() })
+    Ok(ControlState {
+        replicas: state.replicas.changed_to(members),
+        ..state.clone()
+    })
 }
 
 fn leave(state: &ControlState, id: ReplicaId, fewest: usize) -> Result<ControlState, Answer> {
@@ -157,15 +182,27 @@
     if state.replicas.current.len() <= fewest {
         return Err(Answer::TooFewReplicas);
     }
-    let members = state.replicas.current.iter().filter(|replica| replica.id != id).cloned().collect();
-    Ok(ControlState { replicas: state.replicas.changed_to(members), ..state.clone() })
+    let members = state
+        .replicas
+        .current
+        .iter()
+        .filter(|replica| replica.id != id)
+        .cloned()
+        .collect();
+    Ok(ControlState {
+        replicas: state.replicas.changed_to(members),
+        ..state.clone()
+    })
 }
 
 fn settle(state: &ControlState) -> Result<ControlState, Answer> {
     if !state.replicas.is_joint() {
         return Err(Answer::AlreadyDone);
     }
-    Ok(ControlState { replicas: state.replicas.settled(), ..state.clone() })
+    Ok(ControlState {
+        replicas: state.replicas.settled(),
+        ..state.clone()
+    })
 }
 
 fn place(state: &ControlState, placement: &Placement) -> Result<ControlState, Answer> {
@@ -175,5 +212,8 @@
     if placement.epoch != state.placement.epoch + 1 {
         return Err(Answer::StaleBase);
     }
-    Ok(ControlState { placement: placement.clone(), ..state.clone() })
+    Ok(ControlState {
+        placement: placement.clone(),
+        ..state.clone()
+    })
 }
--- a/crates/mintlb-register/src/founding.rs
+++ b/crates/mintlb-register/src/founding.rs
@@ -48,14 +48,23 @@
 impl Founding<'_> {
     /// Decides from the answers so far.
     pub fn step(&self) -> Step {
-        let sets = self.answers.iter().flatten().filter_map(|answer| answer.set.as_ref());
+        let sets = self
+            .answers
+            .iter()
+            .flatten()
+            .filter_map(|answer| answer.set.as_ref());
         if let Some(newest) = sets.max_by_key(|set| set.epoch) {
             return Step::Join(newest.clone());
         }
         if !self.first_start || !self.has_disk {
             return Step::Wait;
         }
-        let others = || self.answers.iter().enumerate().filter(|(place, _)| Some(*place) != self.own_place);
+        let others = || {
+            self.answers
+                .iter()
+                .enumerate()
+                .filter(|(place, _)| Some(*place) != self.own_place)
+        };
         if !others().all(|(_, answer)| answer.is_some()) {
             return Step::Wait;
         }
--- a/crates/mintlb-register/src/proposal.rs
+++ b/crates/mintlb-register/src/proposal.rs
@@ -65,8 +65,16 @@
 
 #[derive(Clone, Debug)]
 enum Phase {
-    Preparing { reported: BTreeMap<ReplicaId, Option<Ballot>>, newest: Option<Accepted> },
-    Accepting { read: ReplicaSet, written: Accepted, answer: Option<Answer>, accepted: BTreeSet<ReplicaId> },
+    Preparing {
+        reported: BTreeMap<ReplicaId, Option<Ballot>>,
+        newest: Option<Accepted>,
+    },
+    Accepting {
+        read: ReplicaSet,
+        written: Accepted,
+        answer: Option<Answer>,
+        accepted: BTreeSet<ReplicaId>,
+    },
     Pausing,
     Ended,
 }
@@ -119,10 +127,16 @@
             Input::Reply(from, Reply::Promised { ballot, report }) if ballot == self.ballot => {
                 self.promised(from, report)
             }
-            Input::Reply(from, Reply::Accepted { ballot }) if ballot == self.ballot => self.accepted(from),
+            Input::Reply(from, Reply::Accepted { ballot }) if ballot == self.ballot => {
+                self.accepted(from)
+            }
             Input::Reply(from, Reply::Refused { ballot, promised }) => {
                 self.highest_seen = self.highest_seen.max(promised);
-                if ballot == self.ballot { self.fail(from) } else { Effects::default() }
+                if ballot == self.ballot {
+                    self.fail(from)
+                } else {
+                    Effects::default()
+                }
             }
             Input::Reply(from, Reply::Stranger { .. }) => self.fail(from),
             Input::Reply(..) => Effects::default(),
@@ -134,29 +148,45 @@
         self.attempts += 1;
         self.ballot = self.highest_seen.next(self.proposer);
         self.highest_seen = self.ballot;
-        self.phase = Phase::Preparing { reported: BTreeMap::new(), newest: None };
+        self.phase = Phase::Preparing {
+            reported: BTreeMap::new(),
+            newest: None,
+        };
         self.failed.clear();
         self.asked.clear();
         let send = self.ask_members();
-        Effects { send, timer: Some(ROUND), outcome: None }
+        Effects {
+            send,
+            timer: Some(ROUND),
+            outcome: None,
+        }
     }
 
     /// The prepare messages for members of the rule that have none yet.
     fn ask_members(&mut self) -> Vec<(Replica, Request)> {
         let known = self.known.as_ref().map(|known| known.ballot);
         let ballot = self.ballot;
-        let new: Vec<Replica> =
-            self.rule.members().filter(|replica| !self.asked.contains(&replica.id)).cloned().collect();
+        let new: Vec<Replica> = self
+            .rule
+            .members()
+            .filter(|replica| !self.asked.contains(&replica.id))
+            .cloned()
+            .collect();
         self.asked.extend(new.iter().map(|replica| replica.id));
         let ask = |replica: Replica| {
-            let request = Request { target: replica.id, ask: Ask::Prepare { ballot, known } };
+            let request = Request {
+                target: replica.id,
+                ask: Ask::Prepare { ballot, known },
+            };
             (replica, request)
         };
         new.into_iter().map(ask).collect()
     }
 
     fn promised(&mut self, from: ReplicaId, report: Report) -> Effects {
-        let Phase::Preparing { reported, newest } = &mut self.phase else { return Effects::default() };
+        let Phase::Preparing { reported, newest } = &mut self.phase else {
+            return Effects::default();
+        };
         reported.insert(from, report.ballot());
         let value = match report {
             Report::Value(accepted) => Some(accepted),
@@ -176,13 +206,19 @@
 
     /// Once a quorum has promised: the change applied to a chosen value, or a value that may not be chosen written again.
     fn prepared(&mut self) -> Effects {
-        let Phase::Preparing { reported, newest: Some(newest) } = &self.phase else {
+        let Phase::Preparing {
+            reported,
+            newest: Some(newest),
+        } = &self.phase
+        else {
             return self.pause_if_hopeless();
         };
         if !self.rule.is_quorum(|id| reported.contains_key(&id)) {
             return self.pause_if_hopeless();
         }
-        let chosen = self.rule.is_quorum(|id| reported.get(&id) == Some(&Some(newest.ballot)));
+        let chosen = self
+            .rule
+            .is_quorum(|id| reported.get(&id) == Some(&Some(newest.ballot)));
         let newest = newest.clone();
         match chosen {
             true => self.apply(newest),
@@ -203,28 +239,58 @@
 
     /// Begins round two. Without an answer, the value is one that was read.
     fn accept(&mut self, state: Arc<ControlState>, answer: Option<Answer>) -> Effects {
-        let written = Accepted { ballot: self.ballot, state };
+        let written = Accepted {
+            ballot: self.ballot,
+            state,
+        };
         let read = self.rule.clone();
-        let leaving = read
-            .members()
-            .filter(|replica| !written.state.replicas.members().any(|member| member.id == replica.id));
+        let leaving = read.members().filter(|replica| {
+            !written
+                .state
+                .replicas
+                .members()
+                .any(|member| member.id == replica.id)
+        });
         let send: Vec<_> = written
             .state
             .replicas
             .members()
             .chain(leaving)
             .map(|replica| {
-                let ask = Ask::Accept { proposed: written.clone() };
-                (replica.clone(), Request { target: replica.id, ask })
+                let ask = Ask::Accept {
+                    proposed: written.clone(),
+                };
+                (
+                    replica.clone(),
+                    Request {
+                        target: replica.id,
+                        ask,
+                    },
+                )
             })
             .collect();
         self.failed.clear();
-        self.phase = Phase::Accepting { read, written, answer, accepted: BTreeSet::new() };
-        Effects { send, timer: Some(ROUND), outcome: None }
+        self.phase = Phase::Accepting {
+            read,
+            written,
+            answer,
+            accepted: BTreeSet::new(),
+        };
+        Effects {
+            send,
+            timer: Some(ROUND),
+            outcome: None,
+        }
     }
 
     fn accepted(&mut self, from: ReplicaId) -> Effects {
-        let Phase::Accepting { read, written, answer, accepted } = &mut self.phase else {
+        let Phase::Accepting {
+            read,
+            written,
+            answer,
+            accepted,
+        } = &mut self.phase
+        else {
             return Effects::default();
         };
         accepted.insert(from);
@@ -244,7 +310,10 @@
 
     fn end(&mut self, answer: Answer, chosen: Accepted) -> Effects {
         self.phase = Phase::Ended;
-        Effects { outcome: Some(Outcome { answer, chosen }), ..Effects::default() }
+        Effects {
+            outcome: Some(Outcome { answer, chosen }),
+            ..Effects::default()
+        }
     }
 
     fn fail(&mut self, from: ReplicaId) -> Effects {
@@ -258,27 +327,44 @@
         let hopeless = match &self.phase {
             Phase::Preparing { reported, newest } => {
                 // Until all have answered, one may know a newer value with another set.
-                let open =
-                    self.asked.iter().any(|id| !reported.contains_key(id) && !self.failed.contains(id));
-                let nothing = newest.is_none() && self.rule.is_quorum(|id| reported.contains_key(&id));
+                let open = self
+                    .asked
+                    .iter()
+                    .any(|id| !reported.contains_key(id) && !self.failed.contains(id));
+                let nothing =
+                    newest.is_none() && self.rule.is_quorum(|id| reported.contains_key(&id));
                 !open && (nothing || !hopes(&self.rule))
             }
-            Phase::Accepting { read, written, answer, .. } => {
-                !hopes(&written.state.replicas) || (answer.is_some() && !hopes(read))
-            }
+            Phase::Accepting {
+                read,
+                written,
+                answer,
+                ..
+            } => !hopes(&written.state.replicas) || (answer.is_some() && !hopes(read)),
             Phase::Pausing | Phase::Ended => false,
         };
-        if hopeless { self.pause() } else { Effects::default() }
+        if hopeless {
+            self.pause()
+        } else {
+            Effects::default()
+        }
     }
 
     fn pause(&mut self) -> Effects {
-        if let Phase::Preparing { newest: Some(newest), .. } = &self.phase {
+        if let Phase::Preparing {
+            newest: Some(newest),
+            ..
+        } = &self.phase
+        {
             self.known = Some(newest.clone());
         }
         self.phase = Phase::Pausing;
         let doubled = FIRST_PAUSE * (1 << self.attempts.min(8));
         let longest = doubled.min(LONGEST_PAUSE);
-        Effects { timer: Some(longest / 2 + longest.mul_f64(self.roll() / 2.0)), ..Effects::default() }
+        Effects {
+            timer: Some(longest / 2 + longest.mul_f64(self.roll() / 2.0)),
+            ..Effects::default()
+        }
     }
 
     /// A number from 0 to 1 (xorshift).
--- a/crates/mintlb-register/src/reading.rs
+++ b/crates/mintlb-register/src/reading.rs
@@ -81,15 +81,22 @@
             }
         }
         let known = self.known.as_ref().map(|known| known.ballot);
-        let new: Vec<Replica> =
-            self.rule.members().filter(|replica| !self.asked.contains(&replica.id)).cloned().collect();
+        let new: Vec<Replica> = self
+            .rule
+            .members()
+            .filter(|replica| !self.asked.contains(&replica.id))
+            .cloned()
+            .collect();
         self.asked.extend(new.iter().map(|replica| replica.id));
         self.open += new.len();
         if self.open == 0 {
             return Progress::Unclear;
         }
         let ask = |replica: Replica| {
-            let request = Request { target: replica.id, ask: Ask::Read { known } };
+            let request = Request {
+                target: replica.id,
+                ask: Ask::Read { known },
+            };
             (replica, request)
         };
         Progress::Ask(new.into_iter().map(ask).collect())
--- a/crates/mintlb-register/src/state.rs
+++ b/crates/mintlb-register/src/state.rs
@@ -42,18 +42,26 @@
 impl ReplicaSet {
     /// The set of one replica with which a register begins.
     pub fn founded_by(replica: Replica) -> ReplicaSet {
-        ReplicaSet { epoch: 1, previous: Vec::new(), current: vec![replica] }
+        ReplicaSet {
+            epoch: 1,
+            previous: Vec::new(),
+            current: vec![replica],
+        }
     }
 
     /// Each replica with a vote, once.
     pub fn members(&self) -> impl Iterator<Item = &Replica> {
-        let leaving = self.previous.iter().filter(|replica| !contains(&self.current, replica.id));
+        let leaving = self
+            .previous
+            .iter()
+            .filter(|replica| !contains(&self.current, replica.id));
         self.current.iter().chain(leaving)
     }
 
     /// Whether the replicas for which `has` holds are a majority of both sides.
     pub fn is_quorum(&self, has: impl Fn(ReplicaId) -> bool) -> bool {
-        is_majority(&self.current, &has) && (self.previous.is_empty() || is_majority(&self.previous, &has))
+        is_majority(&self.current, &has)
+            && (self.previous.is_empty() || is_majority(&self.previous, &has))
     }
 
     /// Whether a change of the set is under way.
@@ -82,12 +90,20 @@
 
     /// The joint set that leads to `members`.
     pub(crate) fn changed_to(&self, members: Vec<Replica>) -> ReplicaSet {
-        ReplicaSet { epoch: self.epoch + 1, previous: self.current.clone(), current: members }
+        ReplicaSet {
+            epoch: self.epoch + 1,
+            previous: self.current.clone(),
+            current: members,
+        }
     }
 
     /// The set with its change ended.
     pub(crate) fn settled(&self) -> ReplicaSet {
-        ReplicaSet { epoch: self.epoch + 1, previous: Vec::new(), current: self.current.clone() }
+        ReplicaSet {
+            epoch: self.epoch + 1,
+            previous: Vec::new(),
+            current: self.current.clone(),
+        }
     }
 }
 
@@ -144,18 +160,18 @@
             Ordering::Greater => Remembered::NotTaken,
             Ordering::Equal if text == self.configuration => Remembered::Taken,
             Ordering::Equal => Remembered::NotTaken,
-            Ordering::Less => {
-                self.superseded.as_ref().map_or(Remembered::Forgotten, |taken| taken.look_up(version, text))
-            }
+            Ordering::Less => self
+                .superseded
+                .as_ref()
+                .map_or(Remembered::Forgotten, |taken| taken.look_up(version, text)),
         }
     }
 
     /// The value with another configuration.
     pub(crate) fn with_configuration(&self, version: u64, text: &[u8]) -> ControlState {
-        let mut superseded = self
-            .superseded
-            .clone()
-            .unwrap_or_else(|| TakenHistory::beginning_after(self.configuration_version.saturating_sub(1)));
+        let mut superseded = self.superseded.clone().unwrap_or_else(|| {
+            TakenHistory::beginning_after(self.configuration_version.saturating_sub(1))
+        });
         if self.configuration_version > 0 {
             superseded.push(self.configuration_version, &self.configuration);
         }
@@ -172,7 +188,11 @@
     use minicbor::encode::{Error as EncodeError, Write};
     use minicbor::{Decoder, Encoder};
 
-    pub fn encode<C, W: Write>((): &(), e: &mut Encoder<W>, _: &mut C) -> Result<(), EncodeError<W::Error>> {
+    pub fn encode<C, W: Write>(
+        (): &(),
+        e: &mut Encoder<W>,
+        _: &mut C,
+    ) -> Result<(), EncodeError<W::Error>> {
         e.array(0).map(|_| ())
     }
 
--- a/crates/mintlb-register/src/taken.rs
+++ b/crates/mintlb-register/src/taken.rs
@@ -47,7 +47,10 @@
 impl TakenHistory {
     /// A history that begins after this version.
     pub fn beginning_after(forgotten: u64) -> TakenHistory {
-        TakenHistory { forgotten, entries: Vec::new() }
+        TakenHistory {
+            forgotten,
+            entries: Vec::new(),
+        }
     }
 
     /// What is remembered of this text under this version.
@@ -59,16 +62,27 @@
         for entry in self.iter() {
             if entry.version == version {
                 let same = entry.digest == digest(text);
-                return if same { Remembered::Taken } else { Remembered::NotTaken };
+                return if same {
+                    Remembered::Taken
+                } else {
+                    Remembered::NotTaken
+                };
             }
             read = entry.end;
         }
-        if read == self.entries.len() { Remembered::NotTaken } else { Remembered::Forgotten }
+        if read == self.entries.len() {
+            Remembered::NotTaken
+        } else {
+            Remembered::Forgotten
+        }
     }
 
     /// Adds a configuration that is no longer current. Its version is above all others.
     pub fn push(&mut self, version: u64, text: &[u8]) {
-        let before = self.iter().last().map_or(self.forgotten, |entry| entry.version);
+        let before = self
+            .iter()
+            .last()
+            .map_or(self.forgotten, |entry| entry.version);
         push_number(&mut self.entries, version.saturating_sub(before));
         self.entries.extend_from_slice(&digest(text));
         if self.len() > MOST_KEPT {
@@ -100,7 +114,11 @@
             let (distance, digest_at) = read_number(&self.entries, at)?;
             version = version.checked_add(distance)?;
             at = digest_at.checked_add(DIGEST_BYTES)?;
-            Some(Entry { version, digest: self.entries.get(digest_at..at)?, end: at })
+            Some(Entry {
+                version,
+                digest: self.entries.get(digest_at..at)?,
+                end: at,
+            })
         })
     }
 }
--- a/crates/mintlb-register/tests/change.rs
+++ b/crates/mintlb-register/tests/change.rs
@@ -15,41 +15,90 @@
 #[test]
 fn a_configuration_is_taken_on_the_current_version_alone() {
     let mut replicas = Replicas::settled(3);
-    assert_eq!(replicas.answer(configuration(0, 4, "a")), Some(Answer::Done));
-    assert_eq!(replicas.answer(configuration(0, 5, "b")), Some(Answer::StaleBase));
-    assert_eq!(replicas.answer(configuration(4, 4, "b")), Some(Answer::VersionNotAbove));
-    assert_eq!(replicas.answer(configuration(4, 7, "b")), Some(Answer::Done));
+    assert_eq!(
+        replicas.answer(configuration(0, 4, "a")),
+        Some(Answer::Done)
+    );
+    assert_eq!(
+        replicas.answer(configuration(0, 5, "b")),
+        Some(Answer::StaleBase)
+    );
+    assert_eq!(
+        replicas.answer(configuration(4, 4, "b")),
+        Some(Answer::VersionNotAbove)
+    );
+    assert_eq!(
+        replicas.answer(configuration(4, 7, "b")),
+        Some(Answer::Done)
+    );
     let newest = replicas.change(Change::Confirm).unwrap().chosen.state;
-    assert_eq!((newest.configuration_version, &*newest.configuration), (7, b"b".as_slice()));
+    assert_eq!(
+        (newest.configuration_version, &*newest.configuration),
+        (7, b"b".as_slice())
+    );
 }
 
 #[test]
 fn a_repeated_call_is_answered_and_not_taken_again() {
     let mut replicas = Replicas::settled(3);
     replicas.answer(configuration(0, 4, "a"));
-    assert_eq!(replicas.answer(configuration(0, 4, "a")), Some(Answer::AlreadyDone));
+    assert_eq!(
+        replicas.answer(configuration(0, 4, "a")),
+        Some(Answer::AlreadyDone)
+    );
     replicas.answer(configuration(4, 7, "b"));
     let late = replicas.change(configuration(0, 4, "a")).unwrap();
-    assert_eq!((late.answer, late.chosen.state.configuration_version), (Answer::AlreadyDone, 7));
-    assert_eq!(replicas.answer(configuration(0, 4, "another")), Some(Answer::StaleBase));
+    assert_eq!(
+        (late.answer, late.chosen.state.configuration_version),
+        (Answer::AlreadyDone, 7)
+    );
+    assert_eq!(
+        replicas.answer(configuration(0, 4, "another")),
+        Some(Answer::StaleBase)
+    );
 }
 
 #[test]
 fn a_configuration_waits_for_enough_replicas() {
-    for (size, answer) in [(1, Answer::TooFewReplicas), (2, Answer::TooFewReplicas), (3, Answer::Done)] {
+    for (size, answer) in [
+        (1, Answer::TooFewReplicas),
+        (2, Answer::TooFewReplicas),
+        (3, Answer::Done),
+    ] {
         let mut replicas = Replicas::settled(size);
-        assert_eq!(replicas.answer(configuration(0, 1, "a")), Some(answer), "{size} replicas");
+        assert_eq!(
+            replicas.answer(configuration(0, 1, "a")),
+            Some(answer),
+            "{size} replicas"
+        );
     }
 }
 
 #[test]
 fn where_there_will_never_be_enough_it_is_at_least_kept() {
-    for (size, answer) in [(1, Answer::TooFewReplicas), (2, Answer::Done), (3, Answer::Done)] {
+    for (size, answer) in [
+        (1, Answer::TooFewReplicas),
+        (2, Answer::Done),
+        (3, Answer::Done),
+    ] {
         let mut replicas = Replicas::settled(size);
-        let Change::Configuration { base, version, body, tolerance, .. } = configuration(0, 1, "a") else {
+        let Change::Configuration {
+            base,
+            version,
+            body,
+            tolerance,
+            ..
+        } = configuration(0, 1, "a")
+        else {
             unreachable!()
         };
-        let change = Change::Configuration { base, version, body, tolerance, at_least_kept: true };
+        let change = Change::Configuration {
+            base,
+            version,
+            body,
+            tolerance,
+            at_least_kept: true,
+        };
         assert_eq!(replicas.answer(change), Some(answer), "{size} replicas");
     }
 }
@@ -58,50 +107,102 @@
 fn a_majority_is_needed() {
     let mut replicas = Replicas::settled(3);
     replicas.silent = vec![2];
-    assert_eq!(replicas.answer(configuration(0, 1, "a")), Some(Answer::Done));
+    assert_eq!(
+        replicas.answer(configuration(0, 1, "a")),
+        Some(Answer::Done)
+    );
     replicas.silent = vec![2, 3];
     assert_eq!(replicas.answer(configuration(1, 2, "b")), None);
     replicas.silent = vec![1];
     let newest = replicas.change(Change::Confirm).unwrap().chosen.state;
-    assert_eq!(newest.configuration_version, 1, "replica 2 has lain still, replica 3 knows");
+    assert_eq!(
+        newest.configuration_version, 1,
+        "replica 2 has lain still, replica 3 knows"
+    );
 }
 
 #[test]
 fn a_value_that_one_replica_accepted_is_finished_by_the_next_proposal() {
     let mut replicas = Replicas::settled(3);
-    let ballot = Ballot { counter: 5, proposer: 50 };
-    let mut state = replicas.acceptors[0].vote().accepted.clone().unwrap().state.as_ref().clone();
-    (state.revision, state.configuration_version, state.configuration) = (2, 3, b"unclear".to_vec());
-    let vote = Vote { promised: ballot, accepted: Some(Accepted { ballot, state: Arc::new(state) }) };
+    let ballot = Ballot {
+        counter: 5,
+        proposer: 50,
+    };
+    let mut state = replicas.acceptors[0]
+        .vote()
+        .accepted
+        .clone()
+        .unwrap()
+        .state
+        .as_ref()
+        .clone();
+    (
+        state.revision,
+        state.configuration_version,
+        state.configuration,
+    ) = (2, 3, b"unclear".to_vec());
+    let vote = Vote {
+        promised: ballot,
+        accepted: Some(Accepted {
+            ballot,
+            state: Arc::new(state),
+        }),
+    };
     replicas.acceptors[0] = Acceptor::new(1, vote);
     replicas.silent = vec![3];
     let outcome = replicas.change(configuration(0, 9, "late")).unwrap();
     assert_eq!(outcome.answer, Answer::StaleBase);
     assert_eq!(outcome.chosen.state.configuration_version, 3);
     replicas.silent = vec![1];
-    assert_eq!(replicas.change(Change::Confirm).unwrap().chosen.state.configuration_version, 3);
+    assert_eq!(
+        replicas
+            .change(Change::Confirm)
+            .unwrap()
+            .chosen
+            .state
+            .configuration_version,
+        3
+    );
 }
 
 #[test]
 fn a_replica_joins_in_two_steps_and_counts_from_the_first() {
     let mut replicas = Replicas::settled(3);
-    let join = Change::Join { replica: replica(4), silent: Vec::new(), most: 9 };
+    let join = Change::Join {
+        replica: replica(4),
+        silent: Vec::new(),
+        most: 9,
+    };
     let joint = replicas.change(join.clone()).unwrap().chosen.state;
     assert!(joint.replicas.is_joint());
-    assert_eq!((joint.replicas.previous.len(), joint.replicas.current.len()), (3, 4));
+    assert_eq!(
+        (joint.replicas.previous.len(), joint.replicas.current.len()),
+        (3, 4)
+    );
     assert_eq!(replicas.answer(Change::Settle), Some(Answer::Done));
     assert_eq!(replicas.answer(Change::Settle), Some(Answer::AlreadyDone));
     assert_eq!(replicas.answer(join), Some(Answer::AlreadyDone));
     replicas.silent = vec![1, 2];
-    assert_eq!(replicas.answer(Change::Confirm), None, "two of four are no majority");
+    assert_eq!(
+        replicas.answer(Change::Confirm),
+        None,
+        "two of four are no majority"
+    );
 }
 
 #[test]
 fn a_new_disk_takes_the_place_of_the_one_at_its_address() {
     let mut replicas = Replicas::settled(3);
     replicas.silent = vec![2];
-    let replacement = Replica { id: 5, ..replica(2) };
-    let join = Change::Join { replica: replacement.clone(), silent: Vec::new(), most: 9 };
+    let replacement = Replica {
+        id: 5,
+        ..replica(2)
+    };
+    let join = Change::Join {
+        replica: replacement.clone(),
+        silent: Vec::new(),
+        most: 9,
+    };
     assert_eq!(replicas.answer(join), Some(Answer::Done));
     assert_eq!(replicas.answer(Change::Settle), Some(Answer::Done));
     let set = replicas.rule();
@@ -111,11 +212,20 @@
 #[test]
 fn a_full_set_takes_a_newcomer_for_a_silent_replica_alone() {
     let mut replicas = Replicas::settled(3);
-    let join = |silent| Change::Join { replica: replica(6), silent, most: 3 };
+    let join = |silent| Change::Join {
+        replica: replica(6),
+        silent,
+        most: 3,
+    };
     assert_eq!(replicas.answer(join(Vec::new())), Some(Answer::SetFull));
     replicas.silent = vec![3];
     assert_eq!(replicas.answer(join(vec![3])), Some(Answer::Done));
-    let members: Vec<u64> = replicas.rule().current.iter().map(|replica| replica.id).collect();
+    let members: Vec<u64> = replicas
+        .rule()
+        .current
+        .iter()
+        .map(|replica| replica.id)
+        .collect();
     assert_eq!(members, [1, 2, 6]);
 }
 
@@ -123,7 +233,11 @@
 fn a_set_with_room_grows_though_a_replica_is_silent() {
     let mut replicas = Replicas::settled(3);
     replicas.silent = vec![3];
-    let join = Change::Join { replica: replica(6), silent: vec![3], most: 9 };
+    let join = Change::Join {
+        replica: replica(6),
+        silent: vec![3],
+        most: 9,
+    };
     assert_eq!(replicas.answer(join), Some(Answer::Done));
     assert_eq!(replicas.rule().current.len(), 4);
 }
@@ -146,7 +260,11 @@
     for id in [5, 6] {
         let at = id - 4;
         let newcomer = Replica { id, ..replica(at) };
-        replicas.answer(Change::Join { replica: newcomer, silent: Vec::new(), most: 9 });
+        replicas.answer(Change::Join {
+            replica: newcomer,
+            silent: Vec::new(),
+            most: 9,
+        });
         replicas.answer(Change::Settle);
         replicas.silent.push(at);
     }
@@ -160,8 +278,13 @@
                 progress = Progress::Unclear;
                 for (to, request) in messages {
                     let silent = replicas.silent.contains(&to.id);
-                    let acceptor = replicas.acceptors.iter_mut().find(|acceptor| acceptor.id() == to.id);
-                    let reply = acceptor.filter(|_| !silent).map(|acceptor| acceptor.handle(request).reply);
+                    let acceptor = replicas
+                        .acceptors
+                        .iter_mut()
+                        .find(|acceptor| acceptor.id() == to.id);
+                    let reply = acceptor
+                        .filter(|_| !silent)
+                        .map(|acceptor| acceptor.handle(request).reply);
                     progress = reading.reply(to.id, reply);
                     if matches!(&progress, Progress::Ask(more) if !more.is_empty())
                         || matches!(progress, Progress::Chosen(_))
@@ -178,7 +301,12 @@
 #[test]
 fn a_placement_follows_the_one_before_it() {
     let mut replicas = Replicas::settled(3);
-    let placement = |epoch| Change::Placement(Placement { epoch, ..Placement::default() });
+    let placement = |epoch| {
+        Change::Placement(Placement {
+            epoch,
+            ..Placement::default()
+        })
+    };
     assert_eq!(replicas.answer(placement(1)), Some(Answer::Done));
     assert_eq!(replicas.answer(placement(1)), Some(Answer::AlreadyDone));
     assert_eq!(replicas.answer(placement(3)), Some(Answer::StaleBase));
@@ -190,5 +318,8 @@
     let mut acceptor = Acceptor::new(7, Vote::default());
     let ask = mintlb_register::message::Ask::Read { known: None };
     let answered = acceptor.handle(mintlb_register::message::Request { target: 2, ask });
-    assert_eq!((answered.sync, answered.reply), (Sync::Nothing, Reply::Stranger { id: 7 }));
+    assert_eq!(
+        (answered.sync, answered.reply),
+        (Sync::Nothing, Reply::Stranger { id: 7 })
+    );
 }
--- a/crates/mintlb-register/tests/cluster/mod.rs
+++ b/crates/mintlb-register/tests/cluster/mod.rs
@@ -15,7 +15,12 @@
 /// A replica at the machine with this number.
 pub fn replica(id: ReplicaId, machine: u64) -> Replica {
     let address = format!("10.0.0.{machine}:7661");
-    Replica { id, address, node_name: format!("edge-{machine}"), zone: String::new() }
+    Replica {
+        id,
+        address,
+        node_name: format!("edge-{machine}"),
+        zone: String::new(),
+    }
 }
 
 /// Each choice of `count` of them.
@@ -49,7 +54,11 @@
     /// Replicas 1 to `size` with configuration 1, held by all.
     pub fn settled(size: u64) -> Cluster {
         let current: Vec<Replica> = (1..=size).map(|id| replica(id, id)).collect();
-        let replicas = ReplicaSet { epoch: 1, previous: Vec::new(), current: current.clone() };
+        let replicas = ReplicaSet {
+            epoch: 1,
+            previous: Vec::new(),
+            current: current.clone(),
+        };
         let state = ControlState {
             revision: 2,
             replicas,
@@ -57,11 +66,25 @@
             configuration: b"1".to_vec(),
             ..ControlState::default()
         };
-        let ballot = Ballot { counter: 1, proposer: 1 };
-        let vote = Vote { promised: ballot, accepted: Some(Accepted { ballot, state: Arc::new(state) }) };
+        let ballot = Ballot {
+            counter: 1,
+            proposer: 1,
+        };
+        let vote = Vote {
+            promised: ballot,
+            accepted: Some(Accepted {
+                ballot,
+                state: Arc::new(state),
+            }),
+        };
         Cluster {
-            acceptors: (1..=size).map(|id| (id, Acceptor::new(id, vote.clone()))).collect(),
-            addresses: current.into_iter().map(|replica| (replica.id, replica.address)).collect(),
+            acceptors: (1..=size)
+                .map(|id| (id, Acceptor::new(id, vote.clone())))
+                .collect(),
+            addresses: current
+                .into_iter()
+                .map(|replica| (replica.id, replica.address))
+                .collect(),
             unreachable: BTreeSet::new(),
             proposer: 100,
             messages: 0,
@@ -83,7 +106,11 @@
     /// The machine of a replica.
     pub fn address_of(&self, id: ReplicaId) -> u64 {
         let address = &self.addresses[&id];
-        address.trim_start_matches("10.0.0.").trim_end_matches(":7661").parse().unwrap()
+        address
+            .trim_start_matches("10.0.0.")
+            .trim_end_matches(":7661")
+            .parse()
+            .unwrap()
     }
 
     /// Runs a change; `None` if it is stuck.
@@ -97,9 +124,17 @@
     }
 
     fn rule(&self) -> ReplicaSet {
-        let reachable = self.acceptors.iter().filter(|(id, _)| !self.unreachable.contains(id));
+        let reachable = self
+            .acceptors
+            .iter()
+            .filter(|(id, _)| !self.unreachable.contains(id));
         let votes = reachable.filter_map(|(_, acceptor)| acceptor.vote().accepted.as_ref());
-        votes.max_by_key(|accepted| accepted.ballot).unwrap().state.replicas.clone()
+        votes
+            .max_by_key(|accepted| accepted.ballot)
+            .unwrap()
+            .state
+            .replicas
+            .clone()
     }
 
     fn run(&mut self, change: Change, sparing: Option<u64>) -> Option<Outcome> {
@@ -116,7 +151,11 @@
                     continue;
                 }
                 let fresh = || Acceptor::new(to.id, Vote::default());
-                let answered = self.acceptors.entry(to.id).or_insert_with(fresh).handle(request);
+                let answered = self
+                    .acceptors
+                    .entry(to.id)
+                    .or_insert_with(fresh)
+                    .handle(request);
                 self.messages += 2;
                 self.syncs += usize::from(answered.sync != Sync::Nothing);
                 inputs.push(Input::Reply(to.id, answered.reply));
@@ -141,10 +180,13 @@
     fn spared(&self, effects: &Effects, sparing: Option<u64>) -> Option<BTreeSet<ReplicaId>> {
         let mut spared = BTreeSet::new();
         let first = sparing?;
-        let accepts = effects.send.iter().find_map(|(_, request)| match &request.ask {
-            Ask::Accept { proposed } => Some(proposed.state.replicas.clone()),
-            _ => None,
-        });
+        let accepts = effects
+            .send
+            .iter()
+            .find_map(|(_, request)| match &request.ask {
+                Ask::Accept { proposed } => Some(proposed.state.replicas.clone()),
+                _ => None,
+            });
         let set = accepts?;
         let mut members: Vec<ReplicaId> = effects.send.iter().map(|(to, _)| to.id).collect();
         let turn = first as usize % members.len();
--- a/crates/mintlb-register/tests/days/machine.rs
+++ b/crates/mintlb-register/tests/days/machine.rs
@@ -63,15 +63,28 @@
 }
 
 pub fn replica(id: ReplicaId, address: &str) -> Replica {
-    Replica { id, address: address.to_string(), node_name: address.to_string(), zone: String::new() }
+    Replica {
+        id,
+        address: address.to_string(),
+        node_name: address.to_string(),
+        zone: String::new(),
+    }
 }
 
 impl Machine {
     /// One that has been up for long.
     pub fn holding(at: usize, value: Accepted) -> Machine {
-        let vote = Vote { promised: value.ballot, accepted: Some(value.clone()) };
+        let vote = Vote {
+            promised: value.ballot,
+            accepted: Some(value.clone()),
+        };
         let acceptor = Acceptor::new(at as u64 + 1, vote.clone());
-        Machine { durable: vote, acceptor, known: Some(value), ..Machine::empty(address(at), 0) }
+        Machine {
+            durable: vote,
+            acceptor,
+            known: Some(value),
+            ..Machine::empty(address(at), 0)
+        }
     }
 
     /// One with an empty disk, not up yet.
@@ -104,7 +117,11 @@
 
     pub fn learn(&mut self, chosen: &Accepted) {
         self.hint = None;
-        if self.known.as_ref().is_none_or(|known| known.ballot < chosen.ballot) {
+        if self
+            .known
+            .as_ref()
+            .is_none_or(|known| known.ballot < chosen.ballot)
+        {
             self.known = Some(chosen.clone());
         }
     }
@@ -114,10 +131,16 @@
             Sync::Nothing => (),
             Sync::Promise(ballot) => self.durable.promised = ballot,
             Sync::Learned { promised, chosen } => {
-                self.durable = Vote { promised, accepted: Some(chosen) };
+                self.durable = Vote {
+                    promised,
+                    accepted: Some(chosen),
+                };
             }
             Sync::Value(accepted) => {
-                self.durable = Vote { promised: accepted.ballot, accepted: Some(accepted) };
+                self.durable = Vote {
+                    promised: accepted.ballot,
+                    accepted: Some(accepted),
+                };
             }
         }
     }
@@ -138,7 +161,11 @@
         self.unsynced.clear();
         self.actors.clear();
         self.known = None;
-        self.hint = self.durable.accepted.as_ref().map(|accepted| accepted.state.replicas.clone());
+        self.hint = self
+            .durable
+            .accepted
+            .as_ref()
+            .map(|accepted| accepted.state.replicas.clone());
         self.acceptor = Acceptor::new(self.acceptor.id(), self.durable.clone());
     }
 
--- a/crates/mintlb-register/tests/days/mod.rs
+++ b/crates/mintlb-register/tests/days/mod.rs
@@ -44,19 +44,52 @@
 }
 
 pub enum Event {
-    Request { to: String, from: usize, actor: u64, request: Request },
-    Reply { to: usize, actor: u64, from: ReplicaId, reply: Reply },
-    Synced { machine: usize, life: u64 },
-    Timer { machine: usize, actor: u64, armed: u64 },
-    Deadline { machine: usize, actor: u64 },
-    Look { machine: usize, life: u64 },
+    Request {
+        to: String,
+        from: usize,
+        actor: u64,
+        request: Request,
+    },
+    Reply {
+        to: usize,
+        actor: u64,
+        from: ReplicaId,
+        reply: Reply,
+    },
+    Synced {
+        machine: usize,
+        life: u64,
+    },
+    Timer {
+        machine: usize,
+        actor: u64,
+        armed: u64,
+    },
+    Deadline {
+        machine: usize,
+        actor: u64,
+    },
+    Look {
+        machine: usize,
+        life: u64,
+    },
     Order,
     Trouble,
-    Start { machine: usize },
-    Thaw { machine: usize },
-    Join { machine: usize },
-    Stop { machine: usize },
-    End { machine: usize },
+    Start {
+        machine: usize,
+    },
+    Thaw {
+        machine: usize,
+    },
+    Join {
+        machine: usize,
+    },
+    Stop {
+        machine: usize,
+    },
+    End {
+        machine: usize,
+    },
 }
 
 /// The world.
@@ -87,18 +120,40 @@
 impl Day {
     /// A settled register on so many machines.
     pub fn new(seed: u64, tolerance: usize, size: usize, planted: Planted) -> Day {
-        let current: Vec<_> = (0..size).map(|at| replica(at as u64 + 1, &machine::address(at))).collect();
-        let replicas = ReplicaSet { epoch: 1, previous: Vec::new(), current };
-        let state = Arc::new(ControlState { revision: 1, replicas, ..ControlState::default() });
-        let newest = Accepted { ballot: Ballot { counter: 1, proposer: 1 }, state: state.clone() };
+        let current: Vec<_> = (0..size)
+            .map(|at| replica(at as u64 + 1, &machine::address(at)))
+            .collect();
+        let replicas = ReplicaSet {
+            epoch: 1,
+            previous: Vec::new(),
+            current,
+        };
+        let state = Arc::new(ControlState {
+            revision: 1,
+            replicas,
+            ..ControlState::default()
+        });
+        let newest = Accepted {
+            ballot: Ballot {
+                counter: 1,
+                proposer: 1,
+            },
+            state: state.clone(),
+        };
         let mut day = Day {
             now: 0,
             tolerance,
             planted,
-            machines: (0..size).map(|at| Machine::holding(at, newest.clone())).collect(),
+            machines: (0..size)
+                .map(|at| Machine::holding(at, newest.clone()))
+                .collect(),
             calm: false,
             orders: true,
-            dropped: if tolerance == 1 && seed.is_multiple_of(3) { 5 } else { 2 },
+            dropped: if tolerance == 1 && seed.is_multiple_of(3) {
+                5
+            } else {
+                2
+            },
             events: BTreeMap::new(),
             number: 1000,
             dice: seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) | 1,
@@ -145,7 +200,9 @@
     /// Runs until this time, or until something is broken.
     pub fn run_until(&mut self, until: u64) {
         while self.broken.is_none() {
-            let Some(next) = self.events.first_entry() else { return };
+            let Some(next) = self.events.first_entry() else {
+                return;
+            };
             if next.key().0 > until {
                 break;
             }
@@ -158,11 +215,28 @@
 
     fn handle(&mut self, event: Event) {
         match event {
-            Event::Request { to, from, actor, request } => self.request(to, from, actor, request),
-            Event::Reply { to, actor, from, reply } => self.give(to, actor, Input::Reply(from, reply)),
+            Event::Request {
+                to,
+                from,
+                actor,
+                request,
+            } => self.request(to, from, actor, request),
+            Event::Reply {
+                to,
+                actor,
+                from,
+                reply,
+            } => self.give(to, actor, Input::Reply(from, reply)),
             Event::Synced { machine, life } => self.synced(machine, life),
-            Event::Timer { machine, actor, armed } => {
-                let current = self.machines[machine].actors.get(&actor).is_some_and(|a| a.armed == armed);
+            Event::Timer {
+                machine,
+                actor,
+                armed,
+            } => {
+                let current = self.machines[machine]
+                    .actors
+                    .get(&actor)
+                    .is_some_and(|a| a.armed == armed);
                 if current {
                     self.give(machine, actor, Input::Timer);
                 }
@@ -196,30 +270,56 @@
             _ => 1,
         };
         for _ in 0..if cut { 0 } else { times } {
-            let delay = if self.roll(50) == 0 { self.roll(600) } else { 1 + self.roll(12) };
+            let delay = if self.roll(50) == 0 {
+                self.roll(600)
+            } else {
+                1 + self.roll(12)
+            };
             self.after(delay, event());
         }
     }
 
     fn request(&mut self, to: String, from: usize, actor: u64, request: Request) {
-        let Some(at) = self.machines.iter().position(|machine| machine.is_up && machine.address == to) else {
+        let Some(at) = self
+            .machines
+            .iter()
+            .position(|machine| machine.is_up && machine.address == to)
+        else {
             return;
         };
         if self.machines[at].frozen_until > self.now {
             let left = self.machines[at].frozen_until - self.now;
-            return self.after(left, Event::Request { to, from, actor, request });
+            return self.after(
+                left,
+                Event::Request {
+                    to,
+                    from,
+                    actor,
+                    request,
+                },
+            );
         }
         let answered = self.machines[at].acceptor.handle(request);
         let early = self.planted == Planted::AnswersBeforeSync;
         let id = self.machines[at].acceptor.id();
         let reply = answered.reply.clone();
         if early || (answered.sync == Sync::Nothing && self.machines[at].unsynced.is_empty()) {
-            self.send(at, Some(from), || Event::Reply { to: from, actor, from: id, reply: reply.clone() });
+            self.send(at, Some(from), || Event::Reply {
+                to: from,
+                actor,
+                from: id,
+                reply: reply.clone(),
+            });
         }
         if answered.sync != Sync::Nothing || !self.machines[at].unsynced.is_empty() {
-            self.machines[at].unsynced.push_back((answered.sync, answered.reply, from, actor));
+            self.machines[at]
+                .unsynced
+                .push_back((answered.sync, answered.reply, from, actor));
             let slow = self.roll(12) == 0;
-            let (life, took) = (self.machines[at].life, 1 + self.roll(if slow { 600 } else { 15 }));
+            let (life, took) = (
+                self.machines[at].life,
+                1 + self.roll(if slow { 600 } else { 15 }),
+            );
             self.after(took, Event::Synced { machine: at, life });
         }
     }
@@ -228,12 +328,19 @@
         if self.machines[at].life != life {
             return;
         }
-        let Some((sync, reply, to, actor)) = self.machines[at].unsynced.pop_front() else { return };
+        let Some((sync, reply, to, actor)) = self.machines[at].unsynced.pop_front() else {
+            return;
+        };
         let voted = sync != Sync::Nothing;
         self.machines[at].write(sync);
         let from = self.machines[at].acceptor.id();
         if self.planted != Planted::AnswersBeforeSync {
-            self.send(at, Some(to), || Event::Reply { to, actor, from, reply: reply.clone() });
+            self.send(at, Some(to), || Event::Reply {
+                to,
+                actor,
+                from,
+                reply: reply.clone(),
+            });
         }
         if voted && !self.calm && self.roll(400) == 0 && self.may_lose(at) {
             self.wipe(at);
@@ -263,25 +370,42 @@
             return;
         }
         let others = self.machines.iter().filter(|other| other.is_reachable());
-        let newest = others.filter_map(|other| other.set()).max_by_key(|set| set.epoch).cloned();
+        let newest = others
+            .filter_map(|other| other.set())
+            .max_by_key(|set| set.epoch)
+            .cloned();
         self.machines[at].hint = newest;
     }
 
     fn begin_reading(&mut self, at: usize) {
         let machine = &self.machines[at];
-        let Some(set) = machine.set().cloned() else { return };
+        let Some(set) = machine.set().cloned() else {
+            return;
+        };
         let (reading, progress) = Reading::start(set, machine.known.clone());
-        let actor = self.enter(at, Work::Reading(Box::new(reading)), Purpose::Look, READ_WITHIN);
+        let actor = self.enter(
+            at,
+            Work::Reading(Box::new(reading)),
+            Purpose::Look,
+            READ_WITHIN,
+        );
         self.read_on(at, actor, progress);
     }
 
     pub fn begin_change(&mut self, at: usize, change: Change, purpose: Purpose) {
         let machine = &self.machines[at];
-        let Some(set) = machine.set().cloned() else { return };
+        let Some(set) = machine.set().cloned() else {
+            return;
+        };
         let proposer = self.number + 7;
         let (proposal, effects) =
             Proposal::start(proposer, machine.floor, set, machine.known.clone(), change);
-        let actor = self.enter(at, Work::Proposal(Box::new(proposal)), purpose, CHANGE_WITHIN);
+        let actor = self.enter(
+            at,
+            Work::Proposal(Box::new(proposal)),
+            purpose,
+            CHANGE_WITHIN,
+        );
         self.carry_out(at, actor, effects);
     }
 
@@ -289,7 +413,12 @@
         // Proposers are numbered apart from each other.
         self.number += 10;
         let actor = self.number;
-        let entered = Actor { work, purpose, floor: self.acknowledged, armed: 0 };
+        let entered = Actor {
+            work,
+            purpose,
+            floor: self.acknowledged,
+            armed: 0,
+        };
         self.machines[at].actors.insert(actor, entered);
         self.after(within, Event::Deadline { machine: at, actor });
         actor
@@ -299,7 +428,9 @@
         if self.machines[at].frozen_until > self.now {
             return;
         }
-        let Some(actor) = self.machines[at].actors.get_mut(&number) else { return };
+        let Some(actor) = self.machines[at].actors.get_mut(&number) else {
+            return;
+        };
         match &mut actor.work {
             Work::Proposal(proposal) => {
                 let effects = proposal.handle(input);
@@ -314,9 +445,17 @@
         }
     }
 
-    fn post(&mut self, at: usize, actor: u64, requests: Vec<(mintlb_register::state::Replica, Request)>) {
+    fn post(
+        &mut self,
+        at: usize,
+        actor: u64,
+        requests: Vec<(mintlb_register::state::Replica, Request)>,
+    ) {
         for (replica, request) in requests {
-            let to = self.machines.iter().position(|m| m.is_up && m.address == replica.address);
+            let to = self
+                .machines
+                .iter()
+                .position(|m| m.is_up && m.address == replica.address);
             let address = replica.address;
             self.send(at, to, || Event::Request {
                 to: address.clone(),
@@ -330,13 +469,26 @@
     fn carry_out(&mut self, at: usize, number: u64, effects: Effects) {
         self.post(at, number, effects.send);
         let armed = self.fresh();
-        let Some(actor) = self.machines[at].actors.get_mut(&number) else { return };
+        let Some(actor) = self.machines[at].actors.get_mut(&number) else {
+            return;
+        };
         if let Some(timer) = effects.timer {
             actor.armed = armed;
-            self.after(timer.as_millis() as u64, Event::Timer { machine: at, actor: number, armed });
+            self.after(
+                timer.as_millis() as u64,
+                Event::Timer {
+                    machine: at,
+                    actor: number,
+                    armed,
+                },
+            );
         }
-        let Some(outcome) = effects.outcome else { return };
-        let Some(actor) = self.machines[at].actors.remove(&number) else { return };
+        let Some(outcome) = effects.outcome else {
+            return;
+        };
+        let Some(actor) = self.machines[at].actors.remove(&number) else {
+            return;
+        };
         if let Work::Proposal(proposal) = &actor.work {
             self.machines[at].floor = self.machines[at].floor.max(proposal.highest_seen());
         }
@@ -353,7 +505,9 @@
                 self.begin_change(at, Change::Confirm, Purpose::Look);
             }
             Progress::Chosen(chosen) => {
-                let Some(actor) = self.machines[at].actors.remove(&number) else { return };
+                let Some(actor) = self.machines[at].actors.remove(&number) else {
+                    return;
+                };
                 self.check(&chosen, actor.floor);
                 self.machines[at].learn(&chosen);
                 self.keep_place(at);
@@ -382,9 +536,14 @@
             (Purpose::Order { base, version }, Some(outcome)) if outcome.answer == Answer::Done => {
                 self.taken += 1;
                 self.trouble_after_an_answer();
-                let other = self.bases.insert(base, version).filter(|other| *other != version);
+                let other = self
+                    .bases
+                    .insert(base, version)
+                    .filter(|other| *other != version);
                 if let Some(other) = other {
-                    self.breaks(format!("{other} and {version} were both acknowledged on {base}"));
+                    self.breaks(format!(
+                        "{other} and {version} were both acknowledged on {base}"
+                    ));
                 }
             }
             (Purpose::Order { .. }, _) => (),
@@ -392,7 +551,9 @@
     }
 
     fn keep_place(&mut self, at: usize) {
-        let Some(chosen) = self.machines[at].known.clone() else { return self.look_after(at, 60) };
+        let Some(chosen) = self.machines[at].known.clone() else {
+            return self.look_after(at, 60);
+        };
         let set = &chosen.state.replicas;
         let id = self.machines[at].acceptor.id();
         self.catch_up(at, &chosen);
@@ -401,14 +562,22 @@
                 return self.look_after(at, 1000);
             }
             let replica = replica(id, &self.machines[at].address);
-            let change = Change::Join { replica, silent: Vec::new(), most: 9 };
+            let change = Change::Join {
+                replica,
+                silent: Vec::new(),
+                most: 9,
+            };
             return self.begin_change(at, change, Purpose::SetBegun);
         }
         if set.is_joint() && self.planted != Planted::NobodySettles {
             return self.begin_change(at, Change::Settle, Purpose::Set);
         }
         let fewest = 2 * self.tolerance + 1;
-        let silent = set.current.iter().map(|replica| replica.id).find(|id| self.is_silent(*id));
+        let silent = set
+            .current
+            .iter()
+            .map(|replica| replica.id)
+            .find(|id| self.is_silent(*id));
         if let Some(id) = silent.filter(|_| !set.is_joint() && set.current.len() > fewest)
             && self.has_duties(at, set)
         {
@@ -423,7 +592,12 @@
         }
         let machine = &mut self.machines[at];
         let id = machine.acceptor.id();
-        if !chosen.state.replicas.members().any(|member| member.id == id) {
+        if !chosen
+            .state
+            .replicas
+            .members()
+            .any(|member| member.id == id)
+        {
             return;
         }
         let sync = machine.acceptor.learn(chosen);
@@ -437,31 +611,49 @@
     }
 
     fn is_silent(&self, id: ReplicaId) -> bool {
-        let holder = self.machines.iter().find(|machine| machine.acceptor.id() == id && machine.is_up);
-        holder.is_none_or(|machine| !machine.is_reachable() && self.now >= machine.troubled_at + SILENT)
-            && self.now
-                >= self
-                    .machines
-                    .iter()
-                    .filter(|m| m.acceptor.id() == id)
-                    .map(|m| m.troubled_at)
-                    .max()
-                    .unwrap_or(0)
-                    + SILENT
+        let holder = self
+            .machines
+            .iter()
+            .find(|machine| machine.acceptor.id() == id && machine.is_up);
+        holder.is_none_or(|machine| {
+            !machine.is_reachable() && self.now >= machine.troubled_at + SILENT
+        }) && self.now
+            >= self
+                .machines
+                .iter()
+                .filter(|m| m.acceptor.id() == id)
+                .map(|m| m.troubled_at)
+                .max()
+                .unwrap_or(0)
+                + SILENT
     }
 
     fn has_duties(&self, at: usize, set: &ReplicaSet) -> bool {
-        let live = |id| self.machines.iter().any(|m| m.acceptor.id() == id && m.is_reachable() && m.is_up);
-        let first =
-            set.current.iter().filter(|replica| live(replica.id)).map(|replica| &replica.address).min();
+        let live = |id| {
+            self.machines
+                .iter()
+                .any(|m| m.acceptor.id() == id && m.is_reachable() && m.is_up)
+        };
+        let first = set
+            .current
+            .iter()
+            .filter(|replica| live(replica.id))
+            .map(|replica| &replica.address)
+            .min();
         first == Some(&self.machines[at].address)
     }
 
     /// The operator's next change, at any machine.
     fn order(&mut self) {
-        let pause = if self.roll(4) == 0 { 2500 } else { 100 + self.roll(700) };
+        let pause = if self.roll(4) == 0 {
+            2500
+        } else {
+            100 + self.roll(700)
+        };
         self.after(pause, Event::Order);
-        let up: Vec<usize> = (0..self.machines.len()).filter(|at| self.machines[*at].is_up).collect();
+        let up: Vec<usize> = (0..self.machines.len())
+            .filter(|at| self.machines[*at].is_up)
+            .collect();
         if up.is_empty() || !self.orders {
             return;
         }
@@ -470,7 +662,13 @@
         let version = self.fresh();
         let body = version.to_be_bytes().to_vec();
         let tolerance = self.tolerance;
-        let change = Change::Configuration { base, version, body, tolerance, at_least_kept: false };
+        let change = Change::Configuration {
+            base,
+            version,
+            body,
+            tolerance,
+            at_least_kept: false,
+        };
         self.begin_change(at, change, Purpose::Order { base, version });
     }
 }
--- a/crates/mintlb-register/tests/days/troubles.rs
+++ b/crates/mintlb-register/tests/days/troubles.rs
@@ -8,7 +8,10 @@
 impl Day {
     /// Machines that count as lost now, or will before this trouble is over.
     fn lost(&self) -> usize {
-        self.machines.iter().filter(|machine| self.now < machine.lost_until).count()
+        self.machines
+            .iter()
+            .filter(|machine| self.now < machine.lost_until)
+            .count()
     }
 
     pub fn may_lose(&self, at: usize) -> bool {
@@ -21,13 +24,19 @@
         if self.calm {
             return;
         }
-        let pause = if self.roll(3) == 0 { 50 } else { 200 + self.roll(3000) };
+        let pause = if self.roll(3) == 0 {
+            50
+        } else {
+            200 + self.roll(3000)
+        };
         self.after(pause, Event::Trouble);
         let kind = self.roll(20);
         if kind == 0 {
             return self.lose_all_power();
         }
-        let may: Vec<usize> = (0..self.machines.len()).filter(|at| self.may_lose(*at)).collect();
+        let may: Vec<usize> = (0..self.machines.len())
+            .filter(|at| self.may_lose(*at))
+            .collect();
         if may.is_empty() {
             return;
         }
@@ -84,7 +93,12 @@
     }
 
     fn lose_all_power(&mut self) {
-        if self.lost() > 0 || self.machines.iter().any(|machine| machine.stopping && machine.is_up) {
+        if self.lost() > 0
+            || self
+                .machines
+                .iter()
+                .any(|machine| machine.stopping && machine.is_up)
+        {
             return;
         }
         // At some losses of power nothing remains that was not synced.
@@ -130,10 +144,16 @@
 
     /// Another machine, at an address that was never used or, now and then, at one of a machine that is gone.
     fn add(&mut self) -> usize {
-        let in_use = |address: &str| self.machines.iter().any(|m| !m.is_gone && m.address == address);
+        let in_use = |address: &str| {
+            self.machines
+                .iter()
+                .any(|m| !m.is_gone && m.address == address)
+        };
         let is_free = |m: &Machine| m.is_gone && self.now > m.lost_until && !in_use(&m.address);
         let gone = self.machines.iter().position(is_free);
-        let reused = gone.filter(|_| self.roll(2) == 0).map(|at| self.machines[at].address.clone());
+        let reused = gone
+            .filter(|_| self.roll(2) == 0)
+            .map(|at| self.machines[at].address.clone());
         let address = reused.unwrap_or_else(|| address(self.machines.len()));
         let id = self.fresh();
         self.machines.push(Machine::empty(address, id));
@@ -147,7 +167,9 @@
         self.machines[at].remove();
         let after = self.roll(3000);
         let new = self.add();
-        self.note(format!("machine {at} with {old} is gone, machine {new} comes"));
+        self.note(format!(
+            "machine {at} with {old} is gone, machine {new} comes"
+        ));
         self.check_majority();
         self.machines[at].troubled_at = self.now;
         // One loss: it counts until its successor has had its time.
--- a/crates/mintlb-register/tests/exhaustion.rs
+++ b/crates/mintlb-register/tests/exhaustion.rs
@@ -48,18 +48,37 @@
 
 fn replica(id: ReplicaId) -> Replica {
     let address = format!("10.0.0.{}:7661", if id == NEW { OLD } else { id });
-    Replica { id, address, node_name: String::new(), zone: String::new() }
+    Replica {
+        id,
+        address,
+        node_name: String::new(),
+        zone: String::new(),
+    }
 }
 
 fn set() -> ReplicaSet {
-    ReplicaSet { epoch: 1, previous: Vec::new(), current: (1..=3).map(replica).collect() }
+    ReplicaSet {
+        epoch: 1,
+        previous: Vec::new(),
+        current: (1..=3).map(replica).collect(),
+    }
 }
 
 impl Search {
     fn begin() -> Search {
-        let ballot = Ballot { counter: 1, proposer: 1 };
-        let state = Arc::new(ControlState { revision: 1, replicas: set(), ..ControlState::default() });
-        let vote = Vote { promised: ballot, accepted: Some(Accepted { ballot, state }) };
+        let ballot = Ballot {
+            counter: 1,
+            proposer: 1,
+        };
+        let state = Arc::new(ControlState {
+            revision: 1,
+            replicas: set(),
+            ..ControlState::default()
+        });
+        let vote = Vote {
+            promised: ballot,
+            accepted: Some(Accepted { ballot, state }),
+        };
         let mut search = Search {
             acceptors: (1..=3).map(|id| Acceptor::new(id, vote.clone())).collect(),
             proposals: Vec::new(),
@@ -82,7 +101,8 @@
 
     fn propose(&mut self, change: Change) {
         let number = self.proposals.len();
-        let (proposal, effects) = Proposal::start(10 + number as u64, Ballot::default(), set(), None, change);
+        let (proposal, effects) =
+            Proposal::start(10 + number as u64, Ballot::default(), set(), None, change);
         self.proposals.push(proposal);
         self.retries.push(1);
         self.carry_out(number, effects);
@@ -92,13 +112,22 @@
         for (_, request) in effects.send {
             self.messages.push(Message::Request(number, request));
         }
-        let Some(outcome) = effects.outcome else { return };
+        let Some(outcome) = effects.outcome else {
+            return;
+        };
         if number == 0 && outcome.answer == Answer::Done {
             self.acknowledged = Some(5);
         }
         let state = outcome.chosen.state;
-        let other = self.chosen.iter().find(|known| known.revision == state.revision);
-        assert!(other.is_none_or(|other| *other == state), "two values have revision {}", state.revision);
+        let other = self
+            .chosen
+            .iter()
+            .find(|known| known.revision == state.revision);
+        assert!(
+            other.is_none_or(|other| *other == state),
+            "two values have revision {}",
+            state.revision
+        );
         self.chosen.push(state);
     }
 
@@ -107,14 +136,21 @@
         self.is_lost = true;
         let id = if keeps_identity { OLD } else { NEW };
         self.acceptors[OLD as usize - 1] = Acceptor::new(id, Vote::default());
-        self.propose(Change::Join { replica: replica(id), silent: Vec::new(), most: 9 });
+        self.propose(Change::Join {
+            replica: replica(id),
+            silent: Vec::new(),
+            most: 9,
+        });
     }
 
     fn deliver(&mut self, place: usize) {
         match self.messages.remove(place) {
             Message::Request(number, request) => {
                 let target = request.target;
-                let Some(acceptor) = self.acceptors.iter_mut().find(|acceptor| acceptor.id() == target)
+                let Some(acceptor) = self
+                    .acceptors
+                    .iter_mut()
+                    .find(|acceptor| acceptor.id() == target)
                 else {
                     return;
                 };
@@ -181,7 +217,11 @@
 
     /// Messages under way are a set: their order is no part of the state.
     fn key(&self) -> u64 {
-        let mut messages: Vec<String> = self.messages.iter().map(|message| format!("{message:?}")).collect();
+        let mut messages: Vec<String> = self
+            .messages
+            .iter()
+            .map(|message| format!("{message:?}"))
+            .collect();
         messages.sort();
         let mut hasher = DefaultHasher::new();
         (messages, self.is_lost, self.acknowledged, &self.retries).hash(&mut hasher);
@@ -192,13 +232,23 @@
     /// What a reader finds from here on, by the replicas alone that are named.
     fn found(&self, by: &[ReplicaId]) -> Option<u64> {
         let mut acceptors = self.acceptors.clone();
-        let (mut proposal, mut effects) =
-            Proposal::start(99, Ballot { counter: 50, proposer: 0 }, set(), None, Change::Confirm);
+        let (mut proposal, mut effects) = Proposal::start(
+            99,
+            Ballot {
+                counter: 50,
+                proposer: 0,
+            },
+            set(),
+            None,
+            Change::Confirm,
+        );
         for _ in 0..8 {
             let mut next = Effects::default();
             for (to, request) in effects.send {
                 let acceptor = acceptors.iter_mut().find(|acceptor| acceptor.id() == to.id);
-                let Some(acceptor) = acceptor.filter(|_| by.contains(&to.id)) else { continue };
+                let Some(acceptor) = acceptor.filter(|_| by.contains(&to.id)) else {
+                    continue;
+                };
                 let more = proposal.handle(Input::Reply(to.id, acceptor.handle(request).reply));
                 next.send.extend(more.send);
                 next.outcome = next.outcome.or(more.outcome);
--- a/crates/mintlb-register/tests/founding.rs
+++ b/crates/mintlb-register/tests/founding.rs
@@ -6,35 +6,83 @@
 
 fn set() -> ReplicaSet {
     let address = "10.0.0.1:7661".to_string();
-    ReplicaSet::founded_by(Replica { id: 1, address, node_name: "edge-1".to_string(), zone: "z".to_string() })
+    ReplicaSet::founded_by(Replica {
+        id: 1,
+        address,
+        node_name: "edge-1".to_string(),
+        zone: "z".to_string(),
+    })
 }
 
-fn step(first_start: bool, has_disk: bool, own: Option<usize>, answers: &[Option<SeedAnswer>]) -> Step {
-    Founding { first_start, has_disk, own_place: own, answers }.step()
+fn step(
+    first_start: bool,
+    has_disk: bool,
+    own: Option<usize>,
+    answers: &[Option<SeedAnswer>],
+) -> Step {
+    Founding {
+        first_start,
+        has_disk,
+        own_place: own,
+        answers,
+    }
+    .step()
 }
 
 fn answer(has_disk: bool) -> Option<SeedAnswer> {
-    Some(SeedAnswer { has_disk, set: None })
+    Some(SeedAnswer {
+        has_disk,
+        set: None,
+    })
 }
 
 #[test]
 fn the_first_seed_with_a_disk_founds() {
-    assert_eq!(step(true, true, Some(0), &[None, answer(true), answer(true)]), Step::Found);
-    assert_eq!(step(true, true, Some(1), &[answer(true), None, answer(true)]), Step::Wait);
-    assert_eq!(step(true, true, Some(1), &[answer(false), None, answer(true)]), Step::Found);
-    assert_eq!(step(true, false, Some(0), &[None, answer(true), answer(true)]), Step::Wait);
+    assert_eq!(
+        step(true, true, Some(0), &[None, answer(true), answer(true)]),
+        Step::Found
+    );
+    assert_eq!(
+        step(true, true, Some(1), &[answer(true), None, answer(true)]),
+        Step::Wait
+    );
+    assert_eq!(
+        step(true, true, Some(1), &[answer(false), None, answer(true)]),
+        Step::Found
+    );
+    assert_eq!(
+        step(true, false, Some(0), &[None, answer(true), answer(true)]),
+        Step::Wait
+    );
 }
 
 #[test]
 fn nobody_founds_before_every_seed_has_answered() {
-    assert_eq!(step(true, true, Some(0), &[None, None, answer(true)]), Step::Wait);
-    assert_eq!(step(true, true, Some(0), &[None, answer(true), None]), Step::Wait);
+    assert_eq!(
+        step(true, true, Some(0), &[None, None, answer(true)]),
+        Step::Wait
+    );
+    assert_eq!(
+        step(true, true, Some(0), &[None, answer(true), None]),
+        Step::Wait
+    );
 }
 
 #[test]
 fn nobody_founds_later_than_the_first_start_or_outside_the_seeds() {
-    assert_eq!(step(false, true, Some(0), &[None, answer(true), answer(true)]), Step::Wait);
-    assert_eq!(step(true, true, None, &[answer(false), answer(true), answer(false)]), Step::Wait);
+    assert_eq!(
+        step(false, true, Some(0), &[None, answer(true), answer(true)]),
+        Step::Wait
+    );
+    assert_eq!(
+        step(
+            true,
+            true,
+            None,
+            &[answer(false), answer(true), answer(false)]
+        ),
+        Step::Wait
+    );
 }
 
 #[test]
@@ -43,7 +91,10 @@
     assert_eq!(step(true, true, None, &none), Step::Campaign);
     assert_eq!(step(true, false, None, &none), Step::Wait);
     assert_eq!(step(false, true, None, &none), Step::Wait);
-    assert_eq!(step(true, true, None, &[answer(false), None, answer(false)]), Step::Wait);
+    assert_eq!(
+        step(true, true, None, &[answer(false), None, answer(false)]),
+        Step::Wait
+    );
     assert_eq!(step(true, true, None, &[]), Step::Wait);
 }
 
@@ -74,14 +125,25 @@
 
 #[test]
 fn a_founder_that_has_lost_its_disk_joins_what_the_others_know() {
-    let knows = Some(SeedAnswer { has_disk: true, set: Some(set()) });
-    assert_eq!(step(true, true, Some(0), &[None, knows, None]), Step::Join(set()));
+    let knows = Some(SeedAnswer {
+        has_disk: true,
+        set: Some(set()),
+    });
+    assert_eq!(
+        step(true, true, Some(0), &[None, knows, None]),
+        Step::Join(set())
+    );
 }
 
 #[test]
 fn the_newest_set_is_joined() {
     let newer = ReplicaSet { epoch: 9, ..set() };
-    let knows = |set| Some(SeedAnswer { has_disk: true, set: Some(set) });
+    let knows = |set| {
+        Some(SeedAnswer {
+            has_disk: true,
+            set: Some(set),
+        })
+    };
     let answers = [knows(set()), knows(newer.clone()), None];
     assert_eq!(step(false, false, None, &answers), Step::Join(newer));
 }
@@ -90,13 +152,18 @@
 fn at_most_one_seed_founds_whatever_answers_arrive() {
     arbtest(|u| {
         let count = u.int_in_range(1..=3)?;
-        let disks: Vec<bool> = (0..count).map(|_| u.arbitrary()).collect::<Result<_, _>>()?;
+        let disks: Vec<bool> = (0..count)
+            .map(|_| u.arbitrary())
+            .collect::<Result<_, _>>()?;
         let mut founders = 0;
         for own in 0..count {
             let mut answers: Vec<Option<SeedAnswer>> = Vec::new();
             for (place, disk) in disks.iter().enumerate() {
                 let heard = place != own && u.ratio(4, 5)?;
-                answers.push(heard.then_some(SeedAnswer { has_disk: *disk, set: None }));
+                answers.push(heard.then_some(SeedAnswer {
+                    has_disk: *disk,
+                    set: None,
+                }));
             }
             if step(true, disks[own], Some(own), &answers) == Step::Found {
                 founders += 1;
--- a/crates/mintlb-register/tests/model.rs
+++ b/crates/mintlb-register/tests/model.rs
@@ -58,9 +58,13 @@
     .size_min(8_000)
     .size_max(20_000)
     .budget_ms(500);
-    let seen = format!("{plays} plays: {taken} configurations, {disks} disks, {reads} reads, {sets} sets");
+    let seen =
+        format!("{plays} plays: {taken} configurations, {disks} disks, {reads} reads, {sets} sets");
     println!("{seen}");
-    assert!(taken > plays / 2 && 2 * disks > plays && reads > plays / 2 && sets > 2 * plays, "{seen}");
+    assert!(
+        taken > plays / 2 && 2 * disks > plays && reads > plays / 2 && sets > 2 * plays,
+        "{seen}"
+    );
 }
 
 /// What schedules show of a planted fault.
@@ -115,11 +119,20 @@
     let messages = assembled().run_mutated(change(), None);
     assert!(messages >= 10, "{messages} messages");
     for at in 0..messages {
-        for mutation in [Mutation::Drop, Mutation::Double, Mutation::Delay, Mutation::Swap] {
+        for mutation in [
+            Mutation::Drop,
+            Mutation::Double,
+            Mutation::Delay,
+            Mutation::Swap,
+        ] {
             let mut world = assembled();
             world.run_mutated(change(), Some((at, mutation)));
             assert_eq!(world.broken, None, "message {at}, {mutation:?}");
-            assert_eq!(world.newest().configuration_version, 3, "message {at}, {mutation:?}");
+            assert_eq!(
+                world.newest().configuration_version,
+                3,
+                "message {at}, {mutation:?}"
+            );
         }
     }
 }
--- a/crates/mintlb-register/tests/orders.rs
+++ b/crates/mintlb-register/tests/orders.rs
@@ -16,7 +16,13 @@
 const COLLIDING: (&str, &str) = ("7mohtcOFVz", "c1E51sSEyx");
 
 fn newest(replicas: &mut Replicas) -> ControlState {
-    replicas.change(Change::Confirm).unwrap().chosen.state.as_ref().clone()
+    replicas
+        .change(Change::Confirm)
+        .unwrap()
+        .chosen
+        .state
+        .as_ref()
+        .clone()
 }
 
 /// Takes the versions 1 to `last`, each on the one before.
@@ -36,9 +42,17 @@
 fn each_of_hundreds_of_orders_is_acknowledged_again() {
     let mut replicas = after_changes(500);
     for version in 1..=500 {
-        assert_eq!(replicas.answer(order(version)), Some(Answer::AlreadyDone), "version {version}");
+        assert_eq!(
+            replicas.answer(order(version)),
+            Some(Answer::AlreadyDone),
+            "version {version}"
+        );
         let another = configuration(version - 1, version, "another text");
-        assert_eq!(replicas.answer(another), Some(Answer::StaleBase), "version {version}");
+        assert_eq!(
+            replicas.answer(another),
+            Some(Answer::StaleBase),
+            "version {version}"
+        );
     }
     assert_eq!(newest(&mut replicas).configuration_version, 500);
 }
@@ -48,18 +62,33 @@
     let last = MOST_KEPT as u64 + 5;
     let mut replicas = after_changes(last);
     let state = newest(&mut replicas);
-    assert_eq!(state.superseded.as_ref().map(TakenHistory::len), Some(MOST_KEPT));
+    assert_eq!(
+        state.superseded.as_ref().map(TakenHistory::len),
+        Some(MOST_KEPT)
+    );
     for version in 1..=4 {
-        assert_eq!(replicas.answer(order(version)), Some(Answer::Forgotten), "version {version}");
+        assert_eq!(
+            replicas.answer(order(version)),
+            Some(Answer::Forgotten),
+            "version {version}"
+        );
     }
     for version in [5, 6, 77, last - 1, last] {
-        assert_eq!(replicas.answer(order(version)), Some(Answer::AlreadyDone), "version {version}");
+        assert_eq!(
+            replicas.answer(order(version)),
+            Some(Answer::AlreadyDone),
+            "version {version}"
+        );
     }
 }
 
 #[test]
 fn what_is_remembered_costs_few_bytes_a_change() {
-    let size = |changes| minicbor::to_vec(newest(&mut after_changes(changes))).unwrap().len();
+    let size = |changes| {
+        minicbor::to_vec(newest(&mut after_changes(changes)))
+            .unwrap()
+            .len()
+    };
     let sizes: Vec<usize> = [10, 100, 500].map(size).to_vec();
     println!("the value after 10, 100, 500 changes: {sizes:?} bytes");
     assert!(sizes[2] - sizes[0] <= 490 * 18, "{sizes:?}");
@@ -76,8 +105,20 @@
     encoder.u64(9).unwrap().bytes(b"text 9").unwrap();
     encoder.encode(Placement::default()).unwrap();
     encoder.array(2).unwrap();
-    encoder.array(2).unwrap().u64(8).unwrap().u64(0x1234_5678_9abc_def0).unwrap();
-    encoder.array(2).unwrap().u64(9).unwrap().u64(0xfedc_ba98_7654_3210).unwrap();
+    encoder
+        .array(2)
+        .unwrap()
+        .u64(8)
+        .unwrap()
+        .u64(0x1234_5678_9abc_def0)
+        .unwrap();
+    encoder
+        .array(2)
+        .unwrap()
+        .u64(9)
+        .unwrap()
+        .u64(0xfedc_ba98_7654_3210)
+        .unwrap();
     let state: ControlState = minicbor::decode(&bytes).unwrap();
     assert_eq!((state.revision, state.configuration_version), (40, 9));
     assert_eq!(state.remembers(9, b"text 9"), Remembered::Taken);
@@ -88,7 +129,10 @@
     assert_eq!(replicas.answer(order(10)), Some(Answer::Done));
     assert_eq!(replicas.answer(order(8)), Some(Answer::Forgotten));
     assert_eq!(replicas.answer(order(9)), Some(Answer::AlreadyDone));
-    assert_eq!(replicas.answer(configuration(8, 9, "another")), Some(Answer::StaleBase));
+    assert_eq!(
+        replicas.answer(configuration(8, 9, "another")),
+        Some(Answer::StaleBase)
+    );
     let state = newest(&mut replicas);
     let again: ControlState = minicbor::decode(&minicbor::to_vec(&state).unwrap()).unwrap();
     assert_eq!(again, state);
@@ -115,13 +159,23 @@
 fn a_program_before_reads_the_value_and_what_it_writes_is_read_again() {
     let state = newest(&mut after_changes(30));
     let mut former: FormerState = minicbor::decode(&minicbor::to_vec(&state).unwrap()).unwrap();
-    assert_eq!((former.revision, former.configuration_version), (state.revision, 30));
-    assert_eq!((former.configuration.as_slice(), former.taken.len()), (b"text 30".as_slice(), 0));
+    assert_eq!(
+        (former.revision, former.configuration_version),
+        (state.revision, 30)
+    );
+    assert_eq!(
+        (former.configuration.as_slice(), former.taken.len()),
+        (b"text 30".as_slice(), 0)
+    );
     (former.revision, former.configuration_version) = (state.revision + 1, 31);
     (former.configuration, former.taken) = (b"text 31".to_vec(), vec![(31, 99)]);
     let written: ControlState = minicbor::decode(&minicbor::to_vec(&former).unwrap()).unwrap();
     assert_eq!(written.remembers(31, b"text 31"), Remembered::Taken);
-    assert_eq!(written.remembers(30, b"text 30"), Remembered::Forgotten, "it has lost the history");
+    assert_eq!(
+        written.remembers(30, b"text 30"),
+        Remembered::Forgotten,
+        "it has lost the history"
+    );
 }
 
 #[test]
@@ -134,11 +188,23 @@
     };
     assert_eq!(sum(one), sum(other));
     let mut replicas = Replicas::settled(3);
-    assert_eq!(replicas.answer(configuration(0, 4, one)), Some(Answer::Done));
-    assert_eq!(replicas.answer(configuration(0, 4, other)), Some(Answer::StaleBase));
+    assert_eq!(
+        replicas.answer(configuration(0, 4, one)),
+        Some(Answer::Done)
+    );
+    assert_eq!(
+        replicas.answer(configuration(0, 4, other)),
+        Some(Answer::StaleBase)
+    );
     replicas.answer(configuration(4, 5, "next"));
-    assert_eq!(replicas.answer(configuration(0, 4, other)), Some(Answer::StaleBase));
-    assert_eq!(replicas.answer(configuration(0, 4, one)), Some(Answer::AlreadyDone));
+    assert_eq!(
+        replicas.answer(configuration(0, 4, other)),
+        Some(Answer::StaleBase)
+    );
+    assert_eq!(
+        replicas.answer(configuration(0, 4, one)),
+        Some(Answer::AlreadyDone)
+    );
 }
 
 #[test]
@@ -146,9 +212,16 @@
     let mut replicas = after_changes(7);
     for base in [4, 5, 7] {
         let back = configuration(base, 4, "text 4");
-        assert_eq!(replicas.answer(back), Some(Answer::VersionNotAbove), "on {base}");
+        assert_eq!(
+            replicas.answer(back),
+            Some(Answer::VersionNotAbove),
+            "on {base}"
+        );
     }
-    assert_eq!(replicas.answer(configuration(7, 7, "text 7")), Some(Answer::VersionNotAbove));
+    assert_eq!(
+        replicas.answer(configuration(7, 7, "text 7")),
+        Some(Answer::VersionNotAbove)
+    );
     assert_eq!(newest(&mut replicas).configuration_version, 7);
 }
 
@@ -158,7 +231,10 @@
         let mut replicas = Replicas::settled(3);
         replicas.lost_answers = lost;
         let answer = replicas.answer(order(1));
-        assert!(matches!(answer, Some(Answer::Done | Answer::AlreadyDone)), "{lost} lost: {answer:?}");
+        assert!(
+            matches!(answer, Some(Answer::Done | Answer::AlreadyDone)),
+            "{lost} lost: {answer:?}"
+        );
         assert_eq!(newest(&mut replicas).configuration_version, 1);
         assert_eq!(replicas.answer(order(1)), Some(Answer::AlreadyDone));
     }
@@ -170,7 +246,11 @@
         for reader in [[2, 3], [1, 3], [1, 2]] {
             let mut replicas = Replicas::settled(3);
             replicas.without_round_two = (1..=3).filter(|id| *id != reached).collect();
-            assert_eq!(replicas.answer(configuration(0, 4, "unclear")), None, "one replica has it");
+            assert_eq!(
+                replicas.answer(configuration(0, 4, "unclear")),
+                None,
+                "one replica has it"
+            );
             replicas.without_round_two = Vec::new();
             replicas.silent = (1..=3).filter(|id| !reader.contains(id)).collect();
             let rival = replicas.answer(configuration(0, 4, "rival"));
@@ -193,7 +273,10 @@
     assert_eq!(replicas.answer(order(1)), None);
     replicas.without_round_two = Vec::new();
     let second = replicas.answer(order(1));
-    assert!(matches!(second, Some(Answer::Done | Answer::AlreadyDone)), "{second:?}");
+    assert!(
+        matches!(second, Some(Answer::Done | Answer::AlreadyDone)),
+        "{second:?}"
+    );
     assert_eq!(replicas.answer(order(1)), Some(Answer::AlreadyDone));
 }
 
@@ -210,7 +293,11 @@
             let (base, version, text) = match again {
                 true => u.choose(&sent)?.clone(),
                 false => {
-                    let base: u64 = if u.ratio(3, 4)? { current } else { u.int_in_range(0..=current)? };
+                    let base: u64 = if u.ratio(3, 4)? {
+                        current
+                    } else {
+                        u.int_in_range(0..=current)?
+                    };
                     let version = u.int_in_range(base.saturating_sub(1)..=base + 3)?;
                     (base, version, format!("text {}", u.int_in_range(0..=2)?))
                 }
@@ -218,16 +305,24 @@
             let this = (base, version, text.clone());
             sent.push(this.clone());
             let was_taken = version > base && taken.get(&version) == Some(&text);
-            match replicas.answer(configuration(base, version, &text)).unwrap() {
+            match replicas
+                .answer(configuration(base, version, &text))
+                .unwrap()
+            {
                 Answer::Done => {
-                    assert!(base == current && version > base && !was_taken && !refused.contains(&this));
+                    assert!(
+                        base == current && version > base && !was_taken && !refused.contains(&this)
+                    );
                     taken.insert(version, text);
                     current = version;
                 }
                 // Also to an order that was refused, if another one has brought this very configuration since.
                 Answer::AlreadyDone => assert!(was_taken, "{this:?} was never taken"),
                 answer => {
-                    assert!(matches!(answer, Answer::StaleBase | Answer::VersionNotAbove));
+                    assert!(matches!(
+                        answer,
+                        Answer::StaleBase | Answer::VersionNotAbove
+                    ));
                     assert!(!was_taken, "{this:?} was taken and is refused: {answer:?}");
                     refused.insert(this);
                 }
@@ -242,10 +337,17 @@
 const PAIRS: [[u64; 2]; 3] = [[1, 2], [1, 3], [2, 3]];
 
 /// Sends an order that reaches these two replicas; round two is lost on its way to those not named in `with_round_two`.
-fn send_partly(replicas: &mut Replicas, pair: [u64; 2], with_round_two: usize, text: &str) -> Option<Answer> {
+fn send_partly(
+    replicas: &mut Replicas,
+    pair: [u64; 2],
+    with_round_two: usize,
+    text: &str,
+) -> Option<Answer> {
     replicas.silent = (1..=3).filter(|id| !pair.contains(id)).collect();
-    replicas.without_round_two =
-        (0..2).filter(|at| with_round_two >> at & 1 == 0).map(|at| pair[at as usize]).collect();
+    replicas.without_round_two = (0..2)
+        .filter(|at| with_round_two >> at & 1 == 0)
+        .map(|at| pair[at as usize])
+        .collect();
     let answer = replicas.answer(configuration(0, 4, text));
     (replicas.silent, replicas.without_round_two) = (Vec::new(), Vec::new());
     answer
@@ -259,9 +361,22 @@
         let readers = [course / 144 % 3, course / 432 % 3, course / 1296].map(|pair| PAIRS[pair]);
         let mut replicas = Replicas::settled(3);
         let done = |answer| matches!(answer, Some(Answer::Done | Answer::AlreadyDone));
-        let is_first = done(send_partly(&mut replicas, PAIRS[first % 3], first / 3, "first"));
-        let is_second = done(send_partly(&mut replicas, PAIRS[second % 3], second / 3, "second"));
-        assert!(!(is_first && is_second), "both are confirmed, course {course}");
+        let is_first = done(send_partly(
+            &mut replicas,
+            PAIRS[first % 3],
+            first / 3,
+            "first",
+        ));
+        let is_second = done(send_partly(
+            &mut replicas,
+            PAIRS[second % 3],
+            second / 3,
+            "second",
+        ));
+        assert!(
+            !(is_first && is_second),
+            "both are confirmed, course {course}"
+        );
         let mut seen: Vec<Vec<u8>> = Vec::new();
         for pair in readers {
             replicas.silent = (1..=3).filter(|id| !pair.contains(id)).collect();
@@ -272,7 +387,10 @@
         let shown: BTreeSet<&[u8]> = shown.map(Vec::as_slice).collect();
         assert!(shown.len() <= 1, "course {course}: {seen:?}");
         for (is_taken, text) in [(is_first, b"first".as_slice()), (is_second, b"second")] {
-            assert!(!is_taken || seen.iter().all(|seen| seen == text), "course {course}: {seen:?}");
+            assert!(
+                !is_taken || seen.iter().all(|seen| seen == text),
+                "course {course}: {seen:?}"
+            );
         }
         plays += 1;
         unclear += usize::from(!is_first && !is_second);
--- a/crates/mintlb-register/tests/promise.rs
+++ b/crates/mintlb-register/tests/promise.rs
@@ -28,8 +28,14 @@
             (taken, disks, sets) = (taken + day.taken, disks + day.disks, sets + day.sets);
         }
     }
-    println!("{} days: {taken} configurations, {disks} disks lost, {sets} changes of the set", 2 * SEEDS);
-    assert!(taken > 2000 && disks > 200 && sets > 500, "{taken} {disks} {sets}");
+    println!(
+        "{} days: {taken} configurations, {disks} disks lost, {sets} changes of the set",
+        2 * SEEDS
+    );
+    assert!(
+        taken > 2000 && disks > 200 && sets > 500,
+        "{taken} {disks} {sets}"
+    );
 }
 
 /// The first day that shows a planted fault.
--- a/crates/mintlb-register/tests/replicas/mod.rs
+++ b/crates/mintlb-register/tests/replicas/mod.rs
@@ -23,23 +23,45 @@
 /// A replica of this identity.
 pub fn replica(id: u64) -> Replica {
     let address = format!("10.0.0.{id}:7661");
-    Replica { id, address, node_name: format!("edge-{id}"), zone: format!("z{id}") }
+    Replica {
+        id,
+        address,
+        node_name: format!("edge-{id}"),
+        zone: format!("z{id}"),
+    }
 }
 
 impl Replicas {
     /// Replicas 1 to `size` of a settled set.
     pub fn settled(size: u64) -> Replicas {
-        let set = ReplicaSet { epoch: 1, previous: Vec::new(), current: (1..=size).map(replica).collect() };
-        Replicas::holding(ControlState { revision: 1, replicas: set, ..ControlState::default() })
+        let set = ReplicaSet {
+            epoch: 1,
+            previous: Vec::new(),
+            current: (1..=size).map(replica).collect(),
+        };
+        Replicas::holding(ControlState {
+            revision: 1,
+            replicas: set,
+            ..ControlState::default()
+        })
     }
 
     /// The replicas of the set of this value, which all hold it.
     pub fn holding(state: ControlState) -> Replicas {
         let size = state.replicas.current.len() as u64;
-        let ballot = Ballot { counter: 1, proposer: 1 };
-        let accepted = Some(Accepted { ballot, state: Arc::new(state) });
+        let ballot = Ballot {
+            counter: 1,
+            proposer: 1,
+        };
+        let accepted = Some(Accepted {
+            ballot,
+            state: Arc::new(state),
+        });
         let vote = |id| match id <= size {
-            true => Vote { promised: ballot, accepted: accepted.clone() },
+            true => Vote {
+                promised: ballot,
+                accepted: accepted.clone(),
+            },
             false => Vote::default(),
         };
         let acceptors = (1..=9).map(|id| Acceptor::new(id, vote(id))).collect();
@@ -54,8 +76,16 @@
 
     /// The newest set.
     pub fn rule(&self) -> ReplicaSet {
-        let votes = self.acceptors.iter().filter_map(|acceptor| acceptor.vote().accepted.as_ref());
-        votes.max_by_key(|accepted| accepted.ballot).unwrap().state.replicas.clone()
+        let votes = self
+            .acceptors
+            .iter()
+            .filter_map(|acceptor| acceptor.vote().accepted.as_ref());
+        votes
+            .max_by_key(|accepted| accepted.ballot)
+            .unwrap()
+            .state
+            .replicas
+            .clone()
     }
 
     /// What comes of a message.
@@ -64,7 +94,11 @@
         if self.silent.contains(&to) || (is_round_two && self.without_round_two.contains(&to)) {
             return None;
         }
-        let at = self.acceptors.iter_mut().find(|acceptor| acceptor.id() == to).unwrap();
+        let at = self
+            .acceptors
+            .iter_mut()
+            .find(|acceptor| acceptor.id() == to)
+            .unwrap();
         let reply = at.handle(request).reply;
         if is_round_two && self.lost_answers > 0 {
             self.lost_answers -= 1;
@@ -108,5 +142,11 @@
 
 /// An order of the operator.
 pub fn configuration(base: u64, version: u64, text: &str) -> Change {
-    Change::Configuration { base, version, body: text.into(), tolerance: 1, at_least_kept: false }
+    Change::Configuration {
+        base,
+        version,
+        body: text.into(),
+        tolerance: 1,
+        at_least_kept: false,
+    }
 }
--- a/crates/mintlb-register/tests/set_changes.rs
+++ b/crates/mintlb-register/tests/set_changes.rs
@@ -11,7 +11,11 @@
 const MOST: usize = 9;
 
 fn join(id: ReplicaId, address: u64) -> Change {
-    Change::Join { replica: replica(id, address), silent: Vec::new(), most: MOST }
+    Change::Join {
+        replica: replica(id, address),
+        silent: Vec::new(),
+        most: MOST,
+    }
 }
 
 /// The steps of one change of the set; the last member of the set of `size` is the one that is changed.
@@ -38,12 +42,27 @@
 
 fn steps(operation: Operation, tolerance: usize, size: usize) -> Vec<Step> {
     let (old, new) = (size as u64, 100);
-    let leave = || Change::Leave { id: old, fewest: 2 * tolerance + 1 };
-    let step = |change, further| Step { change: Some(change), ends: None, further };
-    let lost = |further| Step { change: None, ends: Some(old), further };
+    let leave = || Change::Leave {
+        id: old,
+        fewest: 2 * tolerance + 1,
+    };
+    let step = |change, further| Step {
+        change: Some(change),
+        ends: None,
+        further,
+    };
+    let lost = |further| Step {
+        change: None,
+        ends: Some(old),
+        further,
+    };
     let (one_less, all) = (tolerance - 1, tolerance);
     match operation {
-        Operation::Wipe => vec![lost(one_less), step(join(new, old), one_less), step(Change::Settle, all)],
+        Operation::Wipe => vec![
+            lost(one_less),
+            step(join(new, old), one_less),
+            step(Change::Settle, all),
+        ],
         Operation::Replace => vec![
             lost(one_less),
             step(join(new, 50), one_less),
@@ -58,7 +77,11 @@
             step(Change::Settle, all),
             lost(all),
         ],
-        Operation::Leave => vec![lost(one_less), step(leave(), one_less), step(Change::Settle, one_less)],
+        Operation::Leave => vec![
+            lost(one_less),
+            step(leave(), one_less),
+            step(Change::Settle, one_less),
+        ],
         Operation::Cut => vec![lost(one_less)],
     }
 }
@@ -84,26 +107,46 @@
             cluster.silence(ends);
         }
         if let Some(change) = &step.change {
-            cluster.change_sparing(change.clone(), spared).ok_or("the step itself is not taken")?;
+            cluster
+                .change_sparing(change.clone(), spared)
+                .ok_or("the step itself is not taken")?;
         }
     }
     lost.iter().for_each(|id| cluster.lose(*id));
-    let newest = cluster.change(Change::Confirm).ok_or("no majority is left")?.chosen.state;
+    let newest = cluster
+        .change(Change::Confirm)
+        .ok_or("no majority is left")?
+        .chosen
+        .state;
     if newest.configuration_version != 1 {
-        return Err(format!("the configuration is {}", newest.configuration_version));
+        return Err(format!(
+            "the configuration is {}",
+            newest.configuration_version
+        ));
     }
     for (place, id) in lost.iter().enumerate() {
         let address = cluster.address_of(*id);
         let change = join(200 + place as u64, address);
-        cluster.change(change).ok_or("a lost disk's successor does not join")?;
+        cluster
+            .change(change)
+            .ok_or("a lost disk's successor does not join")?;
     }
     cluster.change(Change::Settle).ok_or("it does not settle")?;
-    let change =
-        Change::Configuration { base: 1, version: 2, body: b"2".to_vec(), tolerance, at_least_kept: false };
+    let change = Change::Configuration {
+        base: 1,
+        version: 2,
+        body: b"2".to_vec(),
+        tolerance,
+        at_least_kept: false,
+    };
     let after = cluster.change(change).ok_or("no change is taken")?;
     let set = &after.chosen.state.replicas;
     if after.answer != Answer::Done || set.is_joint() || set.current.len() < 2 * tolerance + 1 {
-        return Err(format!("{:?} by {} replicas", after.answer, set.current.len()));
+        return Err(format!(
+            "{:?} by {} replicas",
+            after.answer,
+            set.current.len()
+        ));
     }
     Ok(())
 }
@@ -154,8 +197,16 @@
     for tolerance in 1..=2 {
         let size = 2 * tolerance + 1;
         let joined = [
-            Step { change: Some(join(100, 50)), ends: None, further: 0 },
-            Step { change: Some(Change::Settle), ends: Some(size as u64), further: 0 },
+            Step {
+                change: Some(join(100, 50)),
+                ends: None,
+                further: 0,
+            },
+            Step {
+                change: Some(Change::Settle),
+                ends: Some(size as u64),
+                further: 0,
+            },
         ];
         let lost: Vec<u64> = (1..=tolerance as u64).collect();
         let result = outcome(Cluster::settled(size as u64), &joined, &lost, 0, tolerance);
@@ -178,14 +229,27 @@
     ];
     for change in after {
         let mut cluster = Cluster::settled(3);
-        let joint = cluster.change(join(100, 50)).unwrap().chosen.state.replicas.clone();
+        let joint = cluster
+            .change(join(100, 50))
+            .unwrap()
+            .chosen
+            .state
+            .replicas
+            .clone();
         assert!(joint.is_joint());
         let outcome = cluster.change(change.clone()).unwrap();
         assert_eq!(outcome.answer, Answer::Done, "{change:?}");
         let set = &outcome.chosen.state.replicas;
         // 1 joint, 2 settled; a further change of the set begins from there.
-        assert_eq!((set.epoch >= 3, outcome.chosen.state.revision), (true, 5), "{change:?}: {set:?}");
-        assert!(!set.is_joint() || set.previous == joint.current, "{change:?}: {set:?}");
+        assert_eq!(
+            (set.epoch >= 3, outcome.chosen.state.revision),
+            (true, 5),
+            "{change:?}: {set:?}"
+        );
+        assert!(
+            !set.is_joint() || set.previous == joint.current,
+            "{change:?}: {set:?}"
+        );
     }
 }
 
@@ -197,7 +261,13 @@
         cluster.change(join(100, size as u64)).unwrap();
         cluster.lose(100);
         cluster.change(join(101, size as u64)).unwrap();
-        let settled = cluster.change(Change::Settle).unwrap().chosen.state.replicas.clone();
+        let settled = cluster
+            .change(Change::Settle)
+            .unwrap()
+            .chosen
+            .state
+            .replicas
+            .clone();
         assert_eq!((settled.current.len(), settled.is_joint()), (size, false));
         assert!(settled.current_replica(101).is_some() && settled.current_replica(100).is_none());
     }
@@ -218,10 +288,21 @@
                 tolerance: 1,
                 at_least_kept: false,
             };
-            assert_eq!(cluster.change(change).map(|outcome| outcome.answer), Some(Answer::Done));
+            assert_eq!(
+                cluster.change(change).map(|outcome| outcome.answer),
+                Some(Answer::Done)
+            );
             counted.push((cluster.messages - before.0, cluster.syncs - before.1));
         }
-        println!("set of {size}: {:?} messages and syncs a change", counted[499]);
-        assert!(counted.iter().all(|count| *count == (4 * size as usize, 2 * size as usize)), "{counted:?}");
+        println!(
+            "set of {size}: {:?} messages and syncs a change",
+            counted[499]
+        );
+        assert!(
+            counted
+                .iter()
+                .all(|count| *count == (4 * size as usize, 2 * size as usize)),
+            "{counted:?}"
+        );
     }
 }
--- a/crates/mintlb-register/tests/world/mod.rs
+++ b/crates/mintlb-register/tests/world/mod.rs
@@ -39,7 +39,11 @@
 }
 
 enum Work {
-    Proposal { proposal: Box<Proposal>, timer: bool, change: Change },
+    Proposal {
+        proposal: Box<Proposal>,
+        timer: bool,
+        change: Change,
+    },
     Reading(Box<Reading>),
 }
 
@@ -51,8 +55,15 @@
 
 #[derive(Clone)]
 enum Message {
-    Request { actor: u64, request: Request },
-    Reply { actor: u64, from: ReplicaId, reply: Reply },
+    Request {
+        actor: u64,
+        request: Request,
+    },
+    Reply {
+        actor: u64,
+        from: ReplicaId,
+        reply: Reply,
+    },
 }
 
 /// What is done to one message.
@@ -116,8 +127,14 @@
             })
             .collect();
         let founder = replica(1, &machines[0].address);
-        let ballot = Ballot { counter: 1, proposer: 1 };
-        let newest = Accepted { ballot, state: Arc::new(ControlState::founded_by(founder)) };
+        let ballot = Ballot {
+            counter: 1,
+            proposer: 1,
+        };
+        let newest = Accepted {
+            ballot,
+            state: Arc::new(ControlState::founded_by(founder)),
+        };
         let mut world = World {
             machines,
             actors: BTreeMap::new(),
@@ -133,7 +150,10 @@
             counts: Counts::default(),
             broken: None,
         };
-        let vote = Vote { promised: ballot, accepted: Some(newest) };
+        let vote = Vote {
+            promised: ballot,
+            accepted: Some(newest),
+        };
         world.machines[0].durable = vote.clone();
         world.machines[0].acceptor = Acceptor::new(1, vote);
         world
@@ -186,7 +206,9 @@
                 return handed_over;
             }
             if let Some(message) = self.messages.pop_front() {
-                let mutation = mutation.filter(|(at, _)| *at == handed_over).map(|(_, mutation)| mutation);
+                let mutation = mutation
+                    .filter(|(at, _)| *at == handed_over)
+                    .map(|(_, mutation)| mutation);
                 handed_over += 1;
                 match mutation {
                     None => self.hand_over(message),
@@ -199,15 +221,20 @@
                     Some(Mutation::Swap) => {
                         let after = self.messages.pop_front();
                         self.messages.push_front(message);
-                        after.into_iter().for_each(|after| self.messages.push_front(after));
+                        after
+                            .into_iter()
+                            .for_each(|after| self.messages.push_front(after));
                     }
                 }
-            } else if let Some(i) = (0..self.machines.len()).find(|i| !self.machines[*i].unsynced.is_empty())
+            } else if let Some(i) =
+                (0..self.machines.len()).find(|i| !self.machines[*i].unsynced.is_empty())
             {
                 self.finish_sync(i, usize::MAX);
             } else {
                 let actors: Vec<u64> = self.actors.keys().copied().collect();
-                actors.iter().for_each(|actor| self.give(*actor, Input::Timer));
+                actors
+                    .iter()
+                    .for_each(|actor| self.give(*actor, Input::Timer));
             }
         }
         let votes: Vec<String> = self
@@ -215,7 +242,8 @@
             .iter()
             .map(|machine| {
                 let accepted = machine.acceptor.vote().accepted.as_ref();
-                let set = accepted.map(|accepted| (accepted.ballot, described(&accepted.state.replicas)));
+                let set =
+                    accepted.map(|accepted| (accepted.ballot, described(&accepted.state.replicas)));
                 format!("{}: {set:?}", machine.acceptor.id())
             })
             .collect();
@@ -237,7 +265,11 @@
             return Ok(());
         }
         // Mostly in order; now and then any message.
-        let place = if u.ratio(3, 4)? { 0 } else { u.choose_index(self.messages.len())? };
+        let place = if u.ratio(3, 4)? {
+            0
+        } else {
+            u.choose_index(self.messages.len())?
+        };
         if let Some(message) = self.messages.remove(place) {
             self.hand_over(message);
         }
@@ -249,15 +281,25 @@
             return Ok(());
         }
         let place = u.choose_index(self.messages.len())?;
-        let Some(message) = self.messages.remove(place) else { return Ok(()) };
+        let Some(message) = self.messages.remove(place) else {
+            return Ok(());
+        };
         match (u.ratio(1, 3)?, message) {
             (true, Message::Request { actor, request }) => {
-                self.messages.push_front(Message::Request { actor, request: request.clone() });
+                self.messages.push_front(Message::Request {
+                    actor,
+                    request: request.clone(),
+                });
                 self.messages.push_back(Message::Request { actor, request });
             }
             (true, Message::Reply { actor, from, reply }) => {
-                self.messages.push_front(Message::Reply { actor, from, reply: reply.clone() });
-                self.messages.push_back(Message::Reply { actor, from, reply });
+                self.messages.push_front(Message::Reply {
+                    actor,
+                    from,
+                    reply: reply.clone(),
+                });
+                self.messages
+                    .push_back(Message::Reply { actor, from, reply });
             }
             (false, Message::Request { actor, request }) => self.tell_lost(actor, &request, u)?,
             (false, Message::Reply { .. }) => (),
@@ -310,8 +352,12 @@
                 self.join_of(i)
             }
             9 => {
-                let ids: Vec<ReplicaId> = self.newest.state.replicas.members().map(|r| r.id).collect();
-                Change::Leave { id: *u.choose(&ids)?, fewest: 2 * TOLERANCE + 1 }
+                let ids: Vec<ReplicaId> =
+                    self.newest.state.replicas.members().map(|r| r.id).collect();
+                Change::Leave {
+                    id: *u.choose(&ids)?,
+                    fewest: 2 * TOLERANCE + 1,
+                }
             }
             10 => Change::Settle,
             11 => Change::Confirm,
@@ -327,17 +373,31 @@
     /// A new configuration, on the newest version or on one that is no longer current.
     fn draw_configuration(&mut self, u: &mut Unstructured) -> Drawn<Change> {
         let current = self.newest.state.configuration_version;
-        let base = if u.ratio(7, 8)? { current } else { current.saturating_sub(u.int_in_range(1..=3)?) };
+        let base = if u.ratio(7, 8)? {
+            current
+        } else {
+            current.saturating_sub(u.int_in_range(1..=3)?)
+        };
         self.next_version += u.int_in_range(1..=3)?;
         let version = self.next_version;
         let body = version.to_be_bytes().to_vec();
-        Ok(Change::Configuration { base, version, body, tolerance: TOLERANCE, at_least_kept: false })
+        Ok(Change::Configuration {
+            base,
+            version,
+            body,
+            tolerance: TOLERANCE,
+            at_least_kept: false,
+        })
     }
 
     fn join_of(&self, i: usize) -> Change {
         let machine = &self.machines[i];
         let replica = replica(machine.acceptor.id(), &machine.address);
-        Change::Join { replica, silent: Vec::new(), most: 9 }
+        Change::Join {
+            replica,
+            silent: Vec::new(),
+            most: 9,
+        }
     }
 
     fn lose_power(&mut self, u: &mut Unstructured) -> Drawn<()> {
@@ -351,11 +411,13 @@
     /// A disk is lost, while the set can bear it: as many members as agreed have disks, and no other loss is unmended.
     fn lose_disk(&mut self, u: &mut Unstructured) -> Drawn<()> {
         let set = &self.newest.state.replicas;
-        let unmended = set.members().filter(|replica| self.lost.contains(&replica.id)).count();
-        let returning = self
-            .machines
-            .iter()
-            .filter(|machine| machine.has_lost_disk && set.current_replica(machine.acceptor.id()).is_none());
+        let unmended = set
+            .members()
+            .filter(|replica| self.lost.contains(&replica.id))
+            .count();
+        let returning = self.machines.iter().filter(|machine| {
+            machine.has_lost_disk && set.current_replica(machine.acceptor.id()).is_none()
+        });
         if !set.survives(TOLERANCE) || unmended.max(returning.count()) >= TOLERANCE {
             return Ok(());
         }
@@ -404,16 +466,35 @@
 
     fn draw_actor(&self, u: &mut Unstructured) -> Drawn<Option<u64>> {
         let actors: Vec<u64> = self.actors.keys().copied().collect();
-        if actors.is_empty() { Ok(None) } else { u.choose(&actors).copied().map(Some) }
+        if actors.is_empty() {
+            Ok(None)
+        } else {
+            u.choose(&actors).copied().map(Some)
+        }
     }
 
     fn begin_proposal(&mut self, change: Change, rule: ReplicaSet) {
         self.next_number += 1;
         let actor = self.next_number;
-        let (proposal, effects) =
-            Proposal::start(actor, Ballot::default(), rule, self.known(actor), change.clone());
-        let work = Work::Proposal { proposal: Box::new(proposal), timer: false, change };
-        self.actors.insert(actor, Actor { work, floor: self.acknowledged });
+        let (proposal, effects) = Proposal::start(
+            actor,
+            Ballot::default(),
+            rule,
+            self.known(actor),
+            change.clone(),
+        );
+        let work = Work::Proposal {
+            proposal: Box::new(proposal),
+            timer: false,
+            change,
+        };
+        self.actors.insert(
+            actor,
+            Actor {
+                work,
+                floor: self.acknowledged,
+            },
+        );
         self.carry_out(actor, effects);
     }
 
@@ -422,20 +503,35 @@
         let actor = self.next_number;
         let (reading, progress) = Reading::start(self.hint(), self.known(actor));
         let work = Work::Reading(Box::new(reading));
-        self.actors.insert(actor, Actor { work, floor: self.acknowledged });
+        self.actors.insert(
+            actor,
+            Actor {
+                work,
+                floor: self.acknowledged,
+            },
+        );
         self.carry_on(actor, progress);
     }
 
     /// Every other proposer goes by an old set; the way from there to the newest one has to be found.
     fn hint(&self) -> ReplicaSet {
         let age = (self.next_number % 3) * 2;
-        let old = self.chosen.range(..=self.newest.state.revision.saturating_sub(age)).next_back();
-        let old = old.map(|(_, state)| &state.replicas).filter(|set| self.is_reachable(set));
+        let old = self
+            .chosen
+            .range(..=self.newest.state.revision.saturating_sub(age))
+            .next_back();
+        let old = old
+            .map(|(_, state)| &state.replicas)
+            .filter(|set| self.is_reachable(set));
         old.unwrap_or(&self.newest.state.replicas).clone()
     }
 
     fn is_reachable(&self, set: &ReplicaSet) -> bool {
-        set.is_quorum(|id| self.machines.iter().any(|machine| machine.acceptor.id() == id))
+        set.is_quorum(|id| {
+            self.machines
+                .iter()
+                .any(|machine| machine.acceptor.id() == id)
+        })
     }
 
     fn known(&self, actor: u64) -> Option<Accepted> {
@@ -448,38 +544,62 @@
             Message::Request { actor, request } => {
                 let target = request.target;
                 // A request goes to an address; an emptied disk at that address is another replica.
-                let here = self.machines.iter().position(|machine| machine.acceptor.id() == target);
-                let Some(i) = here else { return self.refuse_stranger(actor, target) };
+                let here = self
+                    .machines
+                    .iter()
+                    .position(|machine| machine.acceptor.id() == target);
+                let Some(i) = here else {
+                    return self.refuse_stranger(actor, target);
+                };
                 let machine = &mut self.machines[i];
                 let answered = machine.acceptor.handle(request);
-                machine.unsynced.push_back((answered.sync, answered.reply, actor));
+                machine
+                    .unsynced
+                    .push_back((answered.sync, answered.reply, actor));
                 let at_once = machine.unsynced.len() == 1 && machine.unsynced[0].0 == Sync::Nothing;
                 if at_once {
                     self.finish_sync(i, 1);
                 } else if self.planted == Planted::AnswersBeforeSync {
-                    let (reply, from) = (machine.unsynced.back().map(|(_, reply, _)| reply.clone()), target);
-                    reply.into_iter().for_each(|reply| self.send(Message::Reply { actor, from, reply }));
+                    let (reply, from) = (
+                        machine.unsynced.back().map(|(_, reply, _)| reply.clone()),
+                        target,
+                    );
+                    reply
+                        .into_iter()
+                        .for_each(|reply| self.send(Message::Reply { actor, from, reply }));
                 }
             }
         }
     }
 
     fn refuse_stranger(&mut self, actor: u64, target: ReplicaId) {
-        self.send(Message::Reply { actor, from: target, reply: Reply::Stranger { id: 0 } });
+        self.send(Message::Reply {
+            actor,
+            from: target,
+            reply: Reply::Stranger { id: 0 },
+        });
     }
 
     fn finish_sync(&mut self, i: usize, most: usize) {
         for _ in 0..most {
             let machine = &mut self.machines[i];
-            let Some((sync, reply, actor)) = machine.unsynced.pop_front() else { return };
+            let Some((sync, reply, actor)) = machine.unsynced.pop_front() else {
+                return;
+            };
             match sync {
                 Sync::Nothing => (),
                 Sync::Promise(ballot) => machine.durable.promised = ballot,
                 Sync::Learned { promised, chosen } => {
-                    machine.durable = Vote { promised, accepted: Some(chosen) };
+                    machine.durable = Vote {
+                        promised,
+                        accepted: Some(chosen),
+                    };
                 }
                 Sync::Value(accepted) => {
-                    machine.durable = Vote { promised: accepted.ballot, accepted: Some(accepted) };
+                    machine.durable = Vote {
+                        promised: accepted.ballot,
+                        accepted: Some(accepted),
+                    };
                 }
             }
             let from = machine.acceptor.id();
@@ -497,9 +617,13 @@
     }
 
     fn give(&mut self, actor: u64, input: Input) {
-        let Some(Actor { work, .. }) = self.actors.get_mut(&actor) else { return };
+        let Some(Actor { work, .. }) = self.actors.get_mut(&actor) else {
+            return;
+        };
         match work {
-            Work::Proposal { proposal, timer, .. } => {
+            Work::Proposal {
+                proposal, timer, ..
+            } => {
                 if matches!(input, Input::Timer) && !std::mem::take(timer) {
                     return;
                 }
@@ -521,20 +645,37 @@
         for (_, request) in effects.send {
             self.send(Message::Request { actor, request });
         }
-        let Some(Actor { work: Work::Proposal { timer, .. }, .. }) = self.actors.get_mut(&actor) else {
+        let Some(Actor {
+            work: Work::Proposal { timer, .. },
+            ..
+        }) = self.actors.get_mut(&actor)
+        else {
             return;
         };
         *timer |= effects.timer.is_some();
-        let Some(outcome) = effects.outcome else { return };
-        let Some(Actor { work: Work::Proposal { change, .. }, floor }) = self.actors.remove(&actor) else {
+        let Some(outcome) = effects.outcome else {
+            return;
+        };
+        let Some(Actor {
+            work: Work::Proposal { change, .. },
+            floor,
+        }) = self.actors.remove(&actor)
+        else {
             return;
         };
         self.check(outcome.chosen, floor);
-        if let (Change::Configuration { base, version, .. }, Answer::Done) = (change, outcome.answer) {
+        if let (Change::Configuration { base, version, .. }, Answer::Done) =
+            (change, outcome.answer)
+        {
             self.counts.taken += 1;
-            let other = self.bases.insert(base, version).filter(|other| *other != version);
+            let other = self
+                .bases
+                .insert(base, version)
+                .filter(|other| *other != version);
             if let Some(other) = other {
-                self.breaks(format!("{other} and {version} were both acknowledged on {base}"));
+                self.breaks(format!(
+                    "{other} and {version} were both acknowledged on {base}"
+                ));
             }
         }
     }
@@ -542,7 +683,9 @@
     fn carry_on(&mut self, actor: u64, progress: Progress) {
         match progress {
             Progress::Ask(messages) => {
-                messages.into_iter().for_each(|(_, request)| self.send(Message::Request { actor, request }));
+                messages
+                    .into_iter()
+                    .for_each(|(_, request)| self.send(Message::Request { actor, request }));
             }
             Progress::Unclear => {
                 self.actors.remove(&actor);
@@ -560,9 +703,14 @@
     fn check(&mut self, chosen: Accepted, floor: u64) {
         let revision = chosen.state.revision;
         if revision < floor {
-            self.breaks(format!("revision {revision} was read after {floor} had been acknowledged"));
+            self.breaks(format!(
+                "revision {revision} was read after {floor} had been acknowledged"
+            ));
         }
-        let known = self.chosen.entry(revision).or_insert_with(|| chosen.state.clone());
+        let known = self
+            .chosen
+            .entry(revision)
+            .or_insert_with(|| chosen.state.clone());
         if *known != chosen.state {
             self.breaks(format!("two values have revision {revision}"));
         }
@@ -570,7 +718,8 @@
             if revision < self.newest.state.revision {
                 self.breaks(format!("revision {revision} is above a newer one"));
             }
-            self.counts.sets += u64::from(chosen.state.replicas.epoch > self.newest.state.replicas.epoch);
+            self.counts.sets +=
+                u64::from(chosen.state.replicas.epoch > self.newest.state.replicas.epoch);
             self.newest = chosen;
         }
         self.acknowledged = self.acknowledged.max(revision);
@@ -582,10 +731,20 @@
 }
 
 fn replica(id: ReplicaId, address: &str) -> Replica {
-    Replica { id, address: address.to_string(), node_name: format!("edge-{address}"), zone: String::new() }
+    Replica {
+        id,
+        address: address.to_string(),
+        node_name: format!("edge-{address}"),
+        zone: String::new(),
+    }
 }
 
 fn described(set: &ReplicaSet) -> String {
     let ids = |side: &[Replica]| side.iter().map(|replica| replica.id).collect::<Vec<_>>();
-    format!("epoch {} {:?} {:?}", set.epoch, ids(&set.previous), ids(&set.current))
+    format!(
+        "epoch {} {:?} {:?}",
+        set.epoch,
+        ids(&set.previous),
+        ids(&set.current)
+    )
 }
--- a/crates/mintlb-scheduler/benches/decisions.rs
+++ b/crates/mintlb-scheduler/benches/decisions.rs
@@ -38,7 +38,16 @@
 
 fn line(id: u64, came_up: f64) -> Line {
     let (zone, cell, kind) = ((id % 3) as u16, 0, (id % 2) as u16);
-    Line { id, zone, cell, kind, listed: Listed::Ready, came_up, runs: Runs::default(), fetches: false }
+    Line {
+        id,
+        zone,
+        cell,
+        kind,
+        listed: Listed::Ready,
+        came_up,
+        runs: Runs::default(),
+        fetches: false,
+    }
 }
 
 impl Bench {
@@ -54,15 +63,40 @@
             effect,
             kind: None,
         });
-        let cold = ColdRule { from: 0.3, warm_after: 9.0, multiple: 3.0, span: 3.0, among: 1.0 };
-        let costs = Costs { crossing: 0.02, message: None };
+        let cold = ColdRule {
+            from: 0.3,
+            warm_after: 9.0,
+            multiple: 3.0,
+            span: 3.0,
+            among: 1.0,
+        };
+        let costs = Costs {
+            crossing: 0.02,
+            message: None,
+        };
         let fleet = Fleet::new(cold, 0, true, costs, &types);
-        let repeats = Repeats { parallel: true, may_recall: true, most_allocations: 3 };
-        let chain = (Shares::new(&[]), Buffers::new(types.to_vec(), 1.0, 2.0), repeats, fleet);
+        let repeats = Repeats {
+            parallel: true,
+            may_recall: true,
+            most_allocations: 3,
+        };
+        let chain = (
+            Shares::new(&[]),
+            Buffers::new(types.to_vec(), 1.0, 2.0),
+            repeats,
+            fleet,
+        );
         let scheduler = Scheduler::new(Chance::new(7), chain, Follow::default());
-        let mut bench = Bench { scheduler, door: Sent::default(), now: 100.0, next: 0 };
+        let mut bench = Bench {
+            scheduler,
+            door: Sent::default(),
+            now: 100.0,
+            next: 0,
+        };
         let lines: Vec<Line> = (0..workers).map(|id| line(id, 0.0)).collect();
-        bench.scheduler.news(&mut bench.door, bench.now, News::Full(&lines));
+        bench
+            .scheduler
+            .news(&mut bench.door, bench.now, News::Full(&lines));
         // Kept until all have some, so that no worker is sent a second.
         let out: Vec<_> = (0..workers).filter_map(|_| bench.send()).collect();
         for (wu, alloc) in out {
@@ -74,7 +108,14 @@
     fn send(&mut self) -> Option<(Rc<WorkUnit>, Rc<Allocation>)> {
         self.next += 1;
         self.now += 1e-5;
-        let wu = WorkUnit::new(self.next, (self.next % 2) as usize, None, 1.0, self.now, 3.0);
+        let wu = WorkUnit::new(
+            self.next,
+            (self.next % 2) as usize,
+            None,
+            1.0,
+            self.now,
+            3.0,
+        );
         self.door.0 = None;
         self.scheduler.arrived(&mut self.door, self.now, &wu);
         let alloc = self.door.0.and_then(|(_, number)| wu.allocation(number))?;
@@ -84,7 +125,8 @@
 
     fn done(&mut self, wu: &Rc<WorkUnit>, alloc: &Rc<Allocation>) {
         self.now += 1e-5;
-        self.scheduler.came_back(&mut self.door, self.now, alloc, Outcome::Completed, true);
+        self.scheduler
+            .came_back(&mut self.door, self.now, alloc, Outcome::Completed, true);
         self.scheduler.woke(&mut self.door, self.now);
         black_box(wu);
     }
@@ -95,22 +137,32 @@
     group.sample_size(20);
     for workers in [8, 500, 2000, 10_000] {
         let mut bench = Bench::new(workers);
-        group.bench_function(BenchmarkId::new("arrival, start and outcome", workers), |b| {
-            b.iter(|| {
-                if let Some((wu, alloc)) = bench.send() {
-                    bench.done(&wu, &alloc);
-                }
-            });
-        });
+        group.bench_function(
+            BenchmarkId::new("arrival, start and outcome", workers),
+            |b| {
+                b.iter(|| {
+                    if let Some((wu, alloc)) = bench.send() {
+                        bench.done(&wu, &alloc);
+                    }
+                });
+            },
+        );
         // One in a hundred has started anew.
         let mut came_up = 1.0;
         group.bench_function(BenchmarkId::new("list change of 1 %", workers), |b| {
             b.iter_batched(
                 || {
                     came_up += 1.0;
-                    (0..workers).step_by(100).map(|id| line(id, came_up)).collect::<Vec<_>>()
+                    (0..workers)
+                        .step_by(100)
+                        .map(|id| line(id, came_up))
+                        .collect::<Vec<_>>()
+                },
+                |lines| {
+                    bench
+                        .scheduler
+                        .news(&mut bench.door, bench.now, News::Changes(&lines))
                 },
-                |lines| bench.scheduler.news(&mut bench.door, bench.now, News::Changes(&lines)),
                 BatchSize::SmallInput,
             );
         });
--- a/crates/mintlb-scheduler/src/decide.rs
+++ b/crates/mintlb-scheduler/src/decide.rs
@@ -34,12 +34,20 @@
 impl Shares {
     pub fn new(quotas: &[f64]) -> Shares {
         let all = quotas.iter().sum::<f64>().max(f64::MIN_POSITIVE);
-        Shares { parts: quotas.iter().map(|q| q / all).collect(), left: vec![AHEAD; quotas.len()] }
+        Shares {
+            parts: quotas.iter().map(|q| q / all).collect(),
+            left: vec![AHEAD; quotas.len()],
+        }
     }
 
     fn pass(&mut self, wu: &WorkUnit) {
-        let Some(c) = wu.customer.filter(|&c| c < self.parts.len()) else { return };
-        self.left.iter_mut().zip(&self.parts).for_each(|(left, part)| *left = (*left + part).min(AHEAD));
+        let Some(c) = wu.customer.filter(|&c| c < self.parts.len()) else {
+            return;
+        };
+        self.left
+            .iter_mut()
+            .zip(&self.parts)
+            .for_each(|(left, part)| *left = (*left + part).min(AHEAD));
         wu.excess.set(self.left[c] < 1.0);
         self.left[c] -= if wu.excess.get() { 0.0 } else { 1.0 };
     }
@@ -60,9 +68,22 @@
 
 impl Buffers {
     pub fn new(types: Vec<ProjectType>, excess_credit: f64, most_come_back: f64) -> Buffers {
-        let queues = types.iter().flat_map(|_| [Buffer::default(), Buffer::default()]).collect();
-        let (running, served) = (types.iter().map(Buffers::unheard).collect(), vec![true; types.len()]);
-        Buffers { types, served, excess_credit, most_come_back, queues, running }
+        let queues = types
+            .iter()
+            .flat_map(|_| [Buffer::default(), Buffer::default()])
+            .collect();
+        let (running, served) = (
+            types.iter().map(Buffers::unheard).collect(),
+            vec![true; types.len()],
+        );
+        Buffers {
+            types,
+            served,
+            excess_credit,
+            most_come_back,
+            queues,
+            running,
+        }
     }
 
     fn unheard(t: &ProjectType) -> f64 {
@@ -73,7 +94,11 @@
     fn alpha(&self, queue: usize) -> f64 {
         let credit = self.types[queue / 2].credit;
         let credit = if credit > 0.0 { credit } else { 1.0 };
-        if queue % 2 == 1 { credit * self.excess_credit } else { credit }
+        if queue % 2 == 1 {
+            credit * self.excess_credit
+        } else {
+            credit
+        }
     }
 
     /// Past this moment waiting work is given up: its promise is over, or the time left is what it takes to
@@ -88,7 +113,8 @@
     /// that much more, and the part of the credit that is still earned late makes it less pressing.
     fn bearable(&self, project_type: usize) -> f64 {
         let t = &self.types[project_type];
-        let in_time = t.promised_turnaround + (t.stretch - 1.0).max(0.0) * self.running[project_type];
+        let in_time =
+            t.promised_turnaround + (t.stretch - 1.0).max(0.0) * self.running[project_type];
         in_time / (1.0 - t.late_credit).max(UNHEARD)
     }
 }
@@ -104,43 +130,70 @@
 impl Repeats {
     /// Whether an outcome, or none yet, leaves open that the work was done; one called off leaves it, too.
     fn may_have_run(outcome: Option<Outcome>) -> bool {
-        !matches!(outcome, Some(Outcome::Full | Outcome::NoConnection | Outcome::Moot))
+        !matches!(
+            outcome,
+            Some(Outcome::Full | Outcome::NoConnection | Outcome::Moot)
+        )
     }
 
     /// May this work unit go to this worker now?
     fn pass(&self, now: f64, effect: Effect, wu: &WorkUnit, worker: &Worker) -> bool {
         let allocs = wu.allocs.borrow();
         let out = |a: &&Rc<Allocation>| a.outcome.get().is_none();
-        let there = allocs.iter().filter(out).any(|a| std::ptr::eq(&*a.worker, worker));
+        let there = allocs
+            .iter()
+            .filter(out)
+            .any(|a| std::ptr::eq(&*a.worker, worker));
         let spent = wu.ended.get() || allocs.len() >= self.most_allocations.min(wu.most.get());
         if spent || there || !self.parallel && allocs.iter().any(|a| out(&a)) {
             return false;
         }
-        let Some(first) = allocs.iter().find(|a| Repeats::may_have_run(a.outcome.get())) else { return true };
+        let Some(first) = allocs
+            .iter()
+            .find(|a| Repeats::may_have_run(a.outcome.get()))
+        else {
+            return true;
+        };
         let (a, b) = (&first.worker.line, &worker.line);
         match effect {
             Effect::Rerunnable => true,
             Effect::Exclusive => false,
             Effect::Receipted { window, .. } if now >= first.sent + window => false,
-            Effect::Receipted { group: Group::All, .. } => true,
-            Effect::Receipted { group: Group::Zone, .. } => a.zone == b.zone,
-            Effect::Receipted { group: Group::Cell, .. } => a.zone == b.zone && a.cell == b.cell,
+            Effect::Receipted {
+                group: Group::All, ..
+            } => true,
+            Effect::Receipted {
+                group: Group::Zone, ..
+            } => a.zone == b.zone,
+            Effect::Receipted {
+                group: Group::Cell, ..
+            } => a.zone == b.zone && a.cell == b.cell,
         }
     }
 
     /// May it be deferred, that is, is a client's repeat harmless?
     fn harmless(&self, effect: Effect, wu: &WorkUnit) -> bool {
         match effect {
-            Effect::Rerunnable | Effect::Receipted { group: Group::All, .. } => true,
-            _ => !wu.allocs.borrow().iter().any(|a| Repeats::may_have_run(a.outcome.get())),
+            Effect::Rerunnable
+            | Effect::Receipted {
+                group: Group::All, ..
+            } => true,
+            _ => !wu
+                .allocs
+                .borrow()
+                .iter()
+                .any(|a| Repeats::may_have_run(a.outcome.get())),
         }
     }
 
     /// Calls off, where permitted, all allocations still out but `kept`.
     fn call_off(&self, door: &mut dyn Door, wu: &WorkUnit, kept: Option<&Rc<Allocation>>) {
         let allocs = wu.allocs.borrow();
-        let out = allocs.iter().filter(|a| self.may_recall && a.outcome.get().is_none());
-        out.filter(|a| kept.is_none_or(|k| !Rc::ptr_eq(a, k))).for_each(|a| door.recall(a));
+        let out = allocs
+            .iter()
+            .filter(|a| self.may_recall && a.outcome.get().is_none());
+        out.filter(|a| kept.is_none_or(|k| !Rc::ptr_eq(a, k)))
+            .for_each(|a| door.recall(a));
     }
 }
 
@@ -184,9 +237,23 @@
 const WINDOW: f64 = 8.0; // The window of unstarted work, at the most.
 
 impl Fleet {
-    pub fn new(cold: ColdRule, zone: u16, tells_start: bool, costs: Costs, types: &[ProjectType]) -> Fleet {
+    pub fn new(
+        cold: ColdRule,
+        zone: u16,
+        tells_start: bool,
+        costs: Costs,
+        types: &[ProjectType],
+    ) -> Fleet {
         let (lanes, window, doubts) = (LANES, WINDOW, vec![f64::MIN; types.len()]);
-        let mut fleet = Fleet { cold, zone, tells_start, doubts, lanes, window, ..Fleet::default() };
+        let mut fleet = Fleet {
+            cold,
+            zone,
+            tells_start,
+            doubts,
+            lanes,
+            window,
+            ..Fleet::default()
+        };
         fleet.cost(costs);
         fleet.measure(types, &vec![true; types.len()]);
         fleet
@@ -202,12 +269,22 @@
 
     /// The times that hang on the project types.
     fn measure(&mut self, types: &[ProjectType], served: &[bool]) {
-        let promises = types.iter().zip(served).filter(|(_, s)| **s).map(|(t, _)| t.promised_turnaround);
+        let promises = types
+            .iter()
+            .zip(served)
+            .filter(|(_, s)| **s)
+            .map(|(t, _)| t.promised_turnaround);
         self.promise = promises.fold(PROMISE[1], f64::min).max(PROMISE[0]);
         self.peers.longest = types.iter().map(|t| t.hard_limit).fold(0.0, f64::max);
         // A trial that fails must not often cost work that can't be repeated.
         let dear = |t: &ProjectType| t.effect == Effect::Exclusive;
-        let rests = types.iter().map(|t| if dear(t) { t.hard_limit } else { TRIAL * self.promise });
+        let rests = types.iter().map(|t| {
+            if dear(t) {
+                t.hard_limit
+            } else {
+                TRIAL * self.promise
+            }
+        });
         self.trials = rests.collect();
     }
 
@@ -224,8 +301,17 @@
         if line.listed != Listed::Gone {
             let allowance = self.workers.allowance().or(self.lanes, f64::MIN_POSITIVE);
             // What the one before this process may have saved up and sent is unknown, so it counts as sent.
-            let spent = if inherited { self.pace(now, line) * self.cold.span } else { 0.0 };
-            self.workers.add(Rc::new(Worker::new(line.clone(), allowance, types, (-debt - spent, now))));
+            let spent = if inherited {
+                self.pace(now, line) * self.cold.span
+            } else {
+                0.0
+            };
+            self.workers.add(Rc::new(Worker::new(
+                line.clone(),
+                allowance,
+                types,
+                (-debt - spent, now),
+            )));
         }
     }
 
@@ -238,8 +324,13 @@
         }
         let fades = |over: f64, since: f64| 1.0 / (1.0 + (now - since) / over);
         // The budgets keep a cold worker from being filled, so what is usual for the others is not for it.
-        let zone = self.zones.get(&w.line.zone).filter(|_| !self.cold.is_cold(now, &w.line));
-        let usual = zone.map_or(0.0, |z| z.usual.or(0.0, 0.0) * fades(MEMORY * mean_run, z.heard));
+        let zone = self
+            .zones
+            .get(&w.line.zone)
+            .filter(|_| !self.cold.is_cold(now, &w.line));
+        let usual = zone.map_or(0.0, |z| {
+            z.usual.or(0.0, 0.0) * fades(MEMORY * mean_run, z.heard)
+        });
         let (delay, at) = w.delay.get();
         usual + (delay - usual) * fades(mean_run, at)
     }
@@ -266,7 +357,11 @@
         if let Some(asks) = w.asks.get() {
             return asks.max(0) as f64;
         }
-        let most = if self.shares { self.lanes } else { w.allowance.get() };
+        let most = if self.shares {
+            self.lanes
+        } else {
+            w.allowance.get()
+        };
         match self.held(w, mean_run) {
             0.0 => most.max(1.0),
             held => (most - held).round(),
@@ -293,15 +388,21 @@
     /// the fleet what an allowance does for a worker. What is kept for long must not stop all else.
     fn open(&self, now: f64, buffers: &Buffers) -> bool {
         let bearable = |wu: Rc<WorkUnit>| buffers.bearable(wu.project_type);
-        let queued = |a: &&Rc<Allocation>| a.wu.upgrade().is_some_and(|wu| now - a.sent < bearable(wu));
+        let queued =
+            |a: &&Rc<Allocation>| a.wu.upgrade().is_some_and(|wu| now - a.sent < bearable(wu));
         let queued = self.unstarted.iter().filter(queued).count() as f64;
         !self.tells_start || queued < self.window
     }
 
     /// A late start closes the window by a quarter, one in time opens it by as much, where it is used.
     fn steer(&mut self, late: bool, cost: f64) {
-        let opens = if self.unstarted.len() as f64 + 1.0 > self.window / 2.0 { 1.25 } else { 1.0 };
-        self.window = (self.window * if late { 1.0 - cost / 4.0 } else { opens }).clamp(1.0, WINDOW);
+        let opens = if self.unstarted.len() as f64 + 1.0 > self.window / 2.0 {
+            1.25
+        } else {
+            1.0
+        };
+        self.window =
+            (self.window * if late { 1.0 - cost / 4.0 } else { opens }).clamp(1.0, WINDOW);
     }
 
     fn send(&mut self, now: f64, alloc: &Rc<Allocation>, wu: &WorkUnit, usual: f64) {
@@ -316,7 +417,10 @@
 
     /// A start later than this says that the worker's slots were taken.
     fn late(&self, w: &Worker) -> f64 {
-        self.zones.get(&w.line.zone).map_or(0.0, |z| z.quickest * 2.0) + LATE * self.promise
+        self.zones
+            .get(&w.line.zone)
+            .map_or(0.0, |z| z.quickest * 2.0)
+            + LATE * self.promise
     }
 
     /// Exclusive work that does not start in bearable time tells of a worker, or of a connection, that
@@ -337,7 +441,10 @@
         if delay > self.late(w) {
             w.halve();
         }
-        self.zones.entry(w.line.zone).or_insert(Starts::new(delay)).learn(now, delay, 1.0 - SLOWLY);
+        self.zones
+            .entry(w.line.zone)
+            .or_insert(Starts::new(delay))
+            .learn(now, delay, 1.0 - SLOWLY);
         self.unstarted.retain(|a| !std::ptr::eq(&**a, alloc));
         if w.asks.get().is_none() {
             self.saw(w, w.running.get());
@@ -356,11 +463,24 @@
     }
 
     /// Frees the slot, and learns: the rate from completed work, the allowance, the share of failures.
-    fn back(&mut self, door: &mut dyn Door, now: f64, alloc: &Allocation, wu: &WorkUnit, outcome: Outcome) {
+    fn back(
+        &mut self,
+        door: &mut dyn Door,
+        now: f64,
+        alloc: &Allocation,
+        wu: &WorkUnit,
+        outcome: Outcome,
+    ) {
         let w = &alloc.worker;
         alloc.free(wu.slots);
         self.peers.changed(&alloc.worker, self.shares);
-        if let (Report { free_slots: Some(free) }, _) = w.report.get() {
+        if let (
+            Report {
+                free_slots: Some(free),
+            },
+            _,
+        ) = w.report.get()
+        {
             self.told = true;
             self.saw(w, (free * CLEAR).round());
         }
@@ -374,7 +494,11 @@
             Outcome::TimedOut | Outcome::Recalled | Outcome::Moot => return,
         };
         if outcome == Outcome::Completed {
-            let ceiling = if self.tells_start { self.lanes } else { 4.0 * LANES };
+            let ceiling = if self.tells_start {
+                self.lanes
+            } else {
+                4.0 * LANES
+            };
             w.allowance.set((w.allowance.get() + 1.0).min(ceiling));
         }
         self.judge(door, now, w, wu.project_type, failed);
@@ -388,7 +512,11 @@
         let mut standing = w.standing.borrow()[i];
         standing.failures += (failed - standing.failures) * FAILED;
         w.standing.borrow_mut()[i] = standing;
-        let all = self.workers.ready().map(|w| w.standing.borrow()[i].failures).chain([standing.failures]);
+        let all = self
+            .workers
+            .ready()
+            .map(|w| w.standing.borrow()[i].failures)
+            .chain([standing.failures]);
         let fails = standing.failures > SUSPECT / 2.0;
         let over = standing.failures - if fails { median(all.collect()) } else { 0.0 };
         let was = standing.suspect;
@@ -423,9 +551,23 @@
 }
 
 impl Scheduler {
-    pub fn new(chance: Chance, chain: (Shares, Buffers, Repeats, Fleet), follow: Follow) -> Scheduler {
+    pub fn new(
+        chance: Chance,
+        chain: (Shares, Buffers, Repeats, Fleet),
+        follow: Follow,
+    ) -> Scheduler {
         let ((shares, buffers, repeats, fleet), agenda) = (chain, Agenda::default());
-        Scheduler { chance, agenda, shares, buffers, repeats, fleet, follow, looking: false, telling: false }
+        Scheduler {
+            chance,
+            agenda,
+            shares,
+            buffers,
+            repeats,
+            fleet,
+            follow,
+            looking: false,
+            telling: false,
+        }
     }
 
     pub fn power_on(&mut self, door: &mut dyn Door, now: f64) {
@@ -436,33 +578,57 @@
 
     /// One question at a time, however many failures are told.
     fn ask_later(&mut self, now: f64) {
-        let Some(asked) = self.follow.asked.take().filter(|_| self.follow.on_request) else { return };
+        let Some(asked) = self.follow.asked.take().filter(|_| self.follow.on_request) else {
+            return;
+        };
         // Who starts together would call together; but all that the list has to tell counts as told soon.
-        let many = (self.fleet.cold.among / MANY).max(1.0) * 2f64.powi(self.follow.failed.max(0)) / 8.0;
+        let many =
+            (self.fleet.cold.among / MANY).max(1.0) * 2f64.powi(self.follow.failed.max(0)) / 8.0;
         let within = self.follow.ask_within;
-        let most = if self.follow.failed < 0 { within / 6.0 } else { (asked + within - now).max(0.0) };
-        self.agenda.add(now + most.min(within * many) * self.chance.draw(), Due::Ask);
+        let most = if self.follow.failed < 0 {
+            within / 6.0
+        } else {
+            (asked + within - now).max(0.0)
+        };
+        self.agenda
+            .add(now + most.min(within * many) * self.chance.draw(), Due::Ask);
     }
 
     pub fn news(&mut self, door: &mut dyn Door, now: f64, news: News) {
         let Some((lines, full)) = news.lines() else {
-            (self.follow.failed == 1).then(|| door.log("the list is out of reach: the last one holds"));
+            (self.follow.failed == 1)
+                .then(|| door.log("the list is out of reach: the last one holds"));
             self.ask_later(now);
             self.follow.failed += 1;
             return self.settle(door, now);
         };
         let live = matches!(news, News::Full(_) | News::Changes(_)); // Only these are a sign of the list.
         self.follow.failed = if live { -1 } else { self.follow.failed };
-        let gone = if full { self.fleet.workers.missing(lines) } else { Vec::new() };
+        let gone = if full {
+            self.fleet.workers.missing(lines)
+        } else {
+            Vec::new()
+        };
         if !gone.is_empty() && gone.len() == self.fleet.workers.all().count() {
             self.fleet.forget();
         }
         for line in gone.iter().chain(lines) {
             let debt = self.chance.draw() * self.buffers.mean_run();
-            self.fleet.listed(now, line, self.buffers.types.len(), debt, matches!(news, News::Inherited(_)));
+            self.fleet.listed(
+                now,
+                line,
+                self.buffers.types.len(),
+                debt,
+                matches!(news, News::Inherited(_)),
+            );
         }
         // What was seen of the room of those that are gone may not hold for those that are left.
-        self.fleet.lanes = self.fleet.workers.all().map(|w| w.lanes.get()).fold(LANES, f64::max);
+        self.fleet.lanes = self
+            .fleet
+            .workers
+            .all()
+            .map(|w| w.lanes.get())
+            .fold(LANES, f64::max);
         self.fleet.told = self.fleet.workers.all().any(|w| w.report.get().1 > 0.0);
         if self.fleet.workers.ready().next().is_none() {
             door.log("the list has no ready worker: work is deferred once its patience is out");
@@ -475,7 +641,8 @@
         wu.most.set(self.repeats.most_allocations);
         self.buffers.of(wu).put(wu, false);
         self.agenda.add(wu.limit, Due::Limit(Rc::downgrade(wu)));
-        self.agenda.add(self.buffers.hope(wu), Due::Patience(Rc::downgrade(wu)));
+        self.agenda
+            .add(self.buffers.hope(wu), Due::Patience(Rc::downgrade(wu)));
         self.settle(door, now);
     }
 
@@ -487,12 +654,17 @@
             alloc.worker.standing.borrow_mut()[wu.project_type].started = now;
             self.fleet.started(now, alloc, wu.slots);
             let late = now - alloc.sent > self.buffers.bearable(wu.project_type);
-            self.fleet.steer(late, 1.0 - self.buffers.types[wu.project_type].late_credit);
+            self.fleet
+                .steer(late, 1.0 - self.buffers.types[wu.project_type].late_credit);
             self.buffers.of(&wu).take_out(&wu);
             let allocs = wu.allocs.borrow();
             // The other, if it runs: two that start in one batch must not call each other off.
             let runs = |a: &&Rc<Allocation>| a.outcome.get().is_none() && a.started.get().is_some();
-            let first = allocs.iter().filter(runs).find(|a| !Rc::ptr_eq(a, alloc)).unwrap_or(alloc);
+            let first = allocs
+                .iter()
+                .filter(runs)
+                .find(|a| !Rc::ptr_eq(a, alloc))
+                .unwrap_or(alloc);
             self.repeats.call_off(door, &wu, Some(first));
         }
         self.settle(door, now);
@@ -506,7 +678,9 @@
         outcome: Outcome,
         ended: bool,
     ) {
-        let Some(wu) = alloc.wu.upgrade().filter(|_| alloc.outcome.get().is_none()) else { return };
+        let Some(wu) = alloc.wu.upgrade().filter(|_| alloc.outcome.get().is_none()) else {
+            return;
+        };
         alloc.outcome.set(Some(outcome));
         self.fleet.back(door, now, alloc, &wu, outcome);
         if outcome == Outcome::Completed {
@@ -514,7 +688,11 @@
             let usual = &mut self.buffers.running[wu.project_type];
             *usual += (ran - *usual) * SLOWLY;
             alloc.worker.heard.borrow_mut()[wu.project_type].learn(ran, 1.0 - 1.0 / MEMORY);
-            alloc.worker.pace.borrow_mut().learn(ran / *usual, 1.0 - SLOWLY);
+            alloc
+                .worker
+                .pace
+                .borrow_mut()
+                .learn(ran / *usual, 1.0 - SLOWLY);
             alloc.worker.heard_at.set(now);
         }
         if ended {
@@ -530,7 +708,13 @@
     fn again(&mut self, door: &mut dyn Door, now: f64, wu: &Rc<WorkUnit>, outcome: Outcome) {
         let effect = self.buffers.types[wu.project_type].effect;
         let over = outcome == Outcome::Moot || now >= self.buffers.hope(wu);
-        if over || !self.fleet.workers.ready().any(|w| self.repeats.pass(now, effect, wu, w)) {
+        if over
+            || !self
+                .fleet
+                .workers
+                .ready()
+                .any(|w| self.repeats.pass(now, effect, wu, w))
+        {
             self.give_up(door, now, wu);
         } else {
             self.buffers.of(wu).put(wu, true);
@@ -539,7 +723,11 @@
 
     /// The final answer for work that waits or has come back, given at once.
     pub fn give_up(&mut self, door: &mut dyn Door, now: f64, wu: &Rc<WorkUnit>) {
-        if self.repeats.harmless(self.buffers.types[wu.project_type].effect, wu) && now < wu.limit {
+        if self
+            .repeats
+            .harmless(self.buffers.types[wu.project_type].effect, wu)
+            && now < wu.limit
+        {
             let promise = self.buffers.types[wu.project_type].promised_turnaround;
             door.defer(wu, (promise / 2.0).min(self.buffers.most_come_back));
         } else {
@@ -560,7 +748,9 @@
     pub fn told(&mut self, now: f64, from: usize, bytes: &[u8]) {
         let ours = self.fleet.shares && (from as f64) < self.fleet.cold.among;
         if let Some(word) = Word::read(now, bytes).filter(|_| ours) {
-            self.fleet.peers.hear(now, from, &word, &mut self.fleet.workers);
+            self.fleet
+                .peers
+                .hear(now, from, &word, &mut self.fleet.workers);
         }
     }
 
@@ -577,7 +767,10 @@
                     Some(wu) if !wu.ended.get() => self.give_up(door, now, &wu),
                     _ => {}
                 },
-                Due::Patience(wu) => wu.upgrade().iter().for_each(|wu| self.out_of_patience(door, now, wu)),
+                Due::Patience(wu) => wu
+                    .upgrade()
+                    .iter()
+                    .for_each(|wu| self.out_of_patience(door, now, wu)),
                 Due::Start(alloc) => self.unstarted(door, now, alloc),
                 Due::Ask => {
                     self.follow.asked = Some(now);
@@ -586,7 +779,11 @@
                 Due::Round => self.looking = false,
                 Due::Tell => {
                     self.telling = false;
-                    self.fleet.peers.word(now).iter().for_each(|word| door.tell(&word.write()));
+                    self.fleet
+                        .peers
+                        .word(now)
+                        .iter()
+                        .for_each(|word| door.tell(&word.write()));
                 }
             }
         }
@@ -596,15 +793,23 @@
     /// Waiting work is given up. Work that has not started while it can earn its credit leaves the workers'
     /// queues where a repeat is harmless: left by hundreds of schedulers it makes all behind it late, too.
     fn out_of_patience(&mut self, door: &mut dyn Door, now: f64, wu: &Rc<WorkUnit>) {
-        let (t, bears) = (&self.buffers.types[wu.project_type], self.buffers.bearable(wu.project_type));
+        let (t, bears) = (
+            &self.buffers.types[wu.project_type],
+            self.buffers.bearable(wu.project_type),
+        );
         if wu.waiting.get() && !wu.is_out() {
             return self.give_up(door, now, wu);
         }
         let goes = self.repeats.may_recall && self.fleet.tells_start && t.late_credit == 0.0;
-        let runs = wu.allocs.borrow().iter().any(|a| a.outcome.get().is_none() && a.started.get().is_some());
+        let runs = wu
+            .allocs
+            .borrow()
+            .iter()
+            .any(|a| a.outcome.get().is_none() && a.started.get().is_some());
         if goes && !runs && !wu.ended.get() {
             if now < wu.arrived + bears - HAIR {
-                self.agenda.add(wu.arrived + bears, Due::Patience(Rc::downgrade(wu)));
+                self.agenda
+                    .add(wu.arrived + bears, Due::Patience(Rc::downgrade(wu)));
             } else if self.repeats.harmless(t.effect, wu) {
                 return self.give_up(door, now, wu);
             }
@@ -615,8 +820,12 @@
     /// Work kept waiting at a worker that others have filled, or that has gone silent, is taken for lost if
     /// exclusive, else buffered for a second allocation, if the time left exceeds what that takes.
     fn unstarted(&mut self, door: &mut dyn Door, now: f64, alloc: Weak<Allocation>) {
-        let kept = alloc.upgrade().filter(|a| a.started.get().is_none() && a.outcome.get().is_none());
-        let Some((alloc, wu)) = kept.and_then(|a| Some((a.clone(), a.wu.upgrade()?))) else { return };
+        let kept = alloc
+            .upgrade()
+            .filter(|a| a.started.get().is_none() && a.outcome.get().is_none());
+        let Some((alloc, wu)) = kept.and_then(|a| Some((a.clone(), a.wu.upgrade()?))) else {
+            return;
+        };
         let (i, open) = (wu.project_type, !wu.ended.get() && !wu.waiting.get());
         if self.buffers.types[i].effect == Effect::Exclusive {
             self.fleet.lose(door, now, &alloc, &wu);
@@ -631,7 +840,11 @@
             self.press(door, now);
             if self.buffers.any() && !self.looking {
                 self.looking = true;
-                let soon = if self.fleet.shares { self.fleet.apart() } else { self.fleet.promise / 2.0 };
+                let soon = if self.fleet.shares {
+                    self.fleet.apart()
+                } else {
+                    self.fleet.promise / 2.0
+                };
                 self.agenda.add(now + soon, Due::Round);
             }
         }
@@ -647,7 +860,9 @@
     /// start and run there. Each gets one work unit at a time, from the runnable buffer of highest pressure.
     fn press(&mut self, door: &mut dyn Door, now: f64) {
         let mean_run = self.buffers.mean_run();
-        let workers = self.fleet.workers.drawn(&mut self.chance, |w| self.fleet.room(now, w, mean_run) > 0.0);
+        let workers = self.fleet.workers.drawn(&mut self.chance, |w| {
+            self.fleet.room(now, w, mean_run) > 0.0
+        });
         // What the fleet's queues say does not hold for a cold worker: all schedulers' budgets bound its own.
         let (mut ready, mut open) = (Vec::new(), self.fleet.open(now, &self.buffers));
         for (i, w) in workers.iter().enumerate() {
@@ -656,7 +871,11 @@
                 // All see the same: the emptiest and fastest worker would get the work of all.
                 room = room.min(1.0) * (1.0 + SPREAD * (2.0 * self.chance.draw() - 1.0));
             }
-            room *= if w.line.zone == self.fleet.zone { 1.0 } else { self.fleet.far };
+            room *= if w.line.zone == self.fleet.zone {
+                1.0
+            } else {
+                self.fleet.far
+            };
             if room > 0.0 && (open || self.fleet.cold.is_cold(now, &w.line)) {
                 let takes = w.pace.borrow().or(1.0, PRIOR) * mean_run;
                 let speed = room / (self.fleet.delay_at(now, w, mean_run) + takes);
@@ -666,7 +885,8 @@
         ready.sort_unstable_by(|a, b| b.cmp(a));
         for proven in [true, false] {
             ready.retain(|&(_, _, i)| {
-                let may = self.buffers.any() && (open || self.fleet.cold.is_cold(now, &workers[i].line));
+                let may =
+                    self.buffers.any() && (open || self.fleet.cold.is_cold(now, &workers[i].line));
                 let sent = may && self.offer(door, now, &workers[i], proven);
                 open &= !sent || self.fleet.open(now, &self.buffers);
                 !sent
@@ -675,7 +895,9 @@
     }
 
     fn offer(&mut self, door: &mut dyn Door, now: f64, w: &Rc<Worker>, proven: bool) -> bool {
-        let Some(wu) = self.pick(door, now, w, proven) else { return false };
+        let Some(wu) = self.pick(door, now, w, proven) else {
+            return false;
+        };
         self.buffers.of(&wu).take_out(&wu);
         let i = wu.project_type;
         let alloc = Allocation::new(&wu, w, now);
@@ -684,8 +906,13 @@
         // Work that may repeat is moved away, so only such that may not can hold up a worker for good.
         if self.repeats.parallel && self.repeats.may_recall && self.fleet.tells_start {
             let exclusive = self.buffers.types[i].effect == Effect::Exclusive;
-            let within = if exclusive { self.buffers.bearable(i) } else { self.fleet.late(w) };
-            self.agenda.add(now + within, Due::Start(Rc::downgrade(&alloc)));
+            let within = if exclusive {
+                self.buffers.bearable(i)
+            } else {
+                self.fleet.late(w)
+            };
+            self.agenda
+                .add(now + within, Due::Start(Rc::downgrade(&alloc)));
         }
         true
     }
@@ -693,17 +920,29 @@
     /// The work unit of the runnable buffer with the highest alpha x rate x length for this worker.
     fn pick(&self, door: &dyn Door, now: f64, w: &Worker, proven: bool) -> Option<Rc<WorkUnit>> {
         let mean_run = self.buffers.mean_run();
-        let free = if w.asks.get().is_some() { f64::MAX } else { self.fleet.room(now, w, mean_run).max(1.0) };
+        let free = if w.asks.get().is_some() {
+            f64::MAX
+        } else {
+            self.fleet.room(now, w, mean_run).max(1.0)
+        };
         let fits = |wu: &WorkUnit| self.fleet.held(w, mean_run) == 0.0 || wu.slots <= free;
         let may = |wu: &WorkUnit| door.permits(wu, w);
         let standing = w.standing.borrow();
         let delay = self.fleet.delay_at(now, w, mean_run);
         let mut best: Option<(f64, &Rc<WorkUnit>)> = None;
-        for (i, queue) in self.buffers.queues.iter().enumerate().filter(|(_, q)| q.len() > 0) {
+        for (i, queue) in self
+            .buffers
+            .queues
+            .iter()
+            .enumerate()
+            .filter(|(_, q)| q.len() > 0)
+        {
             let t = &self.buffers.types[i / 2];
             // The rate is the inverse of the smoothed running time, unheard at the mean.
             let usual = self.buffers.running[i / 2] * w.pace.borrow().or(1.0, PRIOR);
-            let takes = w.heard.borrow()[i / 2].or(usual, PRIOR).max(f64::MIN_POSITIVE);
+            let takes = w.heard.borrow()[i / 2]
+                .or(usual, PRIOR)
+                .max(f64::MIN_POSITIVE);
             let pressure = self.buffers.alpha(i) * queue.len() as f64 / takes;
             let unfit = !w.line.runs.has(i / 2) || t.kind.is_some_and(|k| k != w.line.kind);
             // No work goes where its start or the pace heard there, which fades, make it late.
@@ -711,7 +950,12 @@
             let bears = t.promised_turnaround + (t.stretch - 1.0).max(0.0) * run / 2.0;
             let fade = 1.0 + (now - w.heard_at.get()) / mean_run;
             let outlasts = delay + ((takes - run) / fade).max(0.0) > bears;
-            let Standing { suspect, next_trial, started, .. } = standing[i / 2];
+            let Standing {
+                suspect,
+                next_trial,
+                started,
+                ..
+            } = standing[i / 2];
             let exclusive = t.effect == Effect::Exclusive;
             // Exclusive work keeps from where others fail; after a loss it goes to where some has started.
             let served = |j: usize| j != i / 2 && self.buffers.served[j];
@@ -721,8 +965,13 @@
             let not_here = unfit || outlasts || spared || suspect && now < next_trial;
             let first = suspect || proven != unproven;
             if first && !not_here && best.is_none_or(|b| pressure > b.0) {
-                let runnable = |wu: &&Rc<WorkUnit>| fits(wu) && self.repeats.pass(now, t.effect, wu, w);
-                best = queue.first(LOOK, may).find(runnable).map(|wu| (pressure, wu)).or(best);
+                let runnable =
+                    |wu: &&Rc<WorkUnit>| fits(wu) && self.repeats.pass(now, t.effect, wu, w);
+                best = queue
+                    .first(LOOK, may)
+                    .find(runnable)
+                    .map(|wu| (pressure, wu))
+                    .or(best);
             }
         }
         best.map(|b| b.1.clone())
--- a/crates/mintlb-scheduler/src/decide/terms.rs
+++ b/crates/mintlb-scheduler/src/decide/terms.rs
@@ -16,13 +16,26 @@
 
     /// Over the project types that are served.
     pub(super) fn mean_run(&self) -> f64 {
-        let served = || self.running.iter().zip(&self.served).filter(|(_, served)| **served);
+        let served = || {
+            self.running
+                .iter()
+                .zip(&self.served)
+                .filter(|(_, served)| **served)
+        };
         served().map(|(running, _)| running).sum::<f64>() / served().count().max(1) as f64
     }
 
     /// No work is of the one that had this number before, if one had.
-    fn take(&mut self, Numbered { number, continues, project_type }: &Numbered) {
-        let running = continues.map_or_else(|| Buffers::unheard(project_type), |old| self.running[old]);
+    fn take(
+        &mut self,
+        Numbered {
+            number,
+            continues,
+            project_type,
+        }: &Numbered,
+    ) {
+        let running =
+            continues.map_or_else(|| Buffers::unheard(project_type), |old| self.running[old]);
         if *number == self.types.len() {
             self.types.push(project_type.clone());
             self.served.push(true);
@@ -35,11 +48,18 @@
 }
 
 impl Fleet {
-    fn take(&mut self, Numbered { number, continues, .. }: &Numbered) {
+    fn take(
+        &mut self,
+        Numbered {
+            number, continues, ..
+        }: &Numbered,
+    ) {
         let doubt = continues.map_or(f64::MIN, |old| self.doubts[old]);
         self.doubts.resize(self.doubts.len().max(number + 1), doubt);
         self.doubts[*number] = doubt;
-        self.workers.all().for_each(|w| w.take_type(*number, *continues));
+        self.workers
+            .all()
+            .for_each(|w| w.take_type(*number, *continues));
     }
 }
 
@@ -52,17 +72,27 @@
     pub fn cluster(&self) -> (usize, usize) {
         let serves = |(j, s): (usize, &Standing)| s.suspect && self.buffers.served[j];
         let avoided = |w: &&Rc<Worker>| (0..).zip(&*w.standing.borrow()).any(serves);
-        (self.fleet.workers.all().count(), self.fleet.workers.all().filter(avoided).count())
+        (
+            self.fleet.workers.all().count(),
+            self.fleet.workers.all().filter(avoided).count(),
+        )
     }
 
     /// New work is of these project types from now on, and of no others; what came before keeps its own.
-    pub fn retune(&mut self, types: &[Numbered], repeats: Repeats, credit: (f64, f64), costs: Costs) {
+    pub fn retune(
+        &mut self,
+        types: &[Numbered],
+        repeats: Repeats,
+        credit: (f64, f64),
+        costs: Costs,
+    ) {
         self.buffers.served.fill(false);
         for one in types {
             self.fleet.take(one);
             self.buffers.take(one);
         }
-        self.fleet.measure(&self.buffers.types, &self.buffers.served);
+        self.fleet
+            .measure(&self.buffers.types, &self.buffers.served);
         (self.buffers.excess_credit, self.buffers.most_come_back) = credit;
         self.fleet.cost(costs);
         self.repeats = repeats;
--- a/crates/mintlb-scheduler/src/lib.rs
+++ b/crates/mintlb-scheduler/src/lib.rs
@@ -94,7 +94,11 @@
     pub const NONE: Runs = Runs(0);
 
     pub fn has(self, project_type: usize) -> bool {
-        self.0 == u64::MAX || self.0.checked_shr(project_type as u32).is_some_and(|bits| bits & 1 == 1)
+        self.0 == u64::MAX
+            || self
+                .0
+                .checked_shr(project_type as u32)
+                .is_some_and(|bits| bits & 1 == 1)
     }
 
     pub fn without(self, other: Runs) -> Runs {
@@ -109,14 +113,22 @@
 /// The types by their numbers.
 impl std::fmt::Display for Runs {
     fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
-        let types: Vec<String> = (0..64).filter(|t| self.0 >> t & 1 == 1).map(|t| t.to_string()).collect();
+        let types: Vec<String> = (0..64)
+            .filter(|t| self.0 >> t & 1 == 1)
+            .map(|t| t.to_string())
+            .collect();
         f.write_str(&types.join("+"))
     }
 }
 
 impl FromIterator<usize> for Runs {
     fn from_iter<I: IntoIterator<Item = usize>>(types: I) -> Runs {
-        Runs(types.into_iter().filter(|t| *t < 64).fold(0, |bits, t| bits | 1 << t))
+        Runs(
+            types
+                .into_iter()
+                .filter(|t| *t < 64)
+                .fold(0, |bits, t| bits | 1 << t),
+        )
     }
 }
 
@@ -256,12 +268,19 @@
 impl Buffer {
     pub(crate) fn put(&mut self, wu: &Rc<WorkUnit>, first: bool) {
         wu.waiting.set(true);
-        if first { self.0.push_front(wu.clone()) } else { self.0.push_back(wu.clone()) }
+        if first {
+            self.0.push_front(wu.clone())
+        } else {
+            self.0.push_back(wu.clone())
+        }
     }
 
     pub(crate) fn take_out(&mut self, wu: &Rc<WorkUnit>) {
         if wu.waiting.replace(false) {
-            self.0.iter().position(|w| Rc::ptr_eq(w, wu)).map(|at| self.0.remove(at));
+            self.0
+                .iter()
+                .position(|w| Rc::ptr_eq(w, wu))
+                .map(|at| self.0.remove(at));
         }
     }
 
@@ -321,7 +340,11 @@
             id,
             project_type,
             customer,
-            slots: if slots.is_finite() { slots.max(1.0) } else { 1.0 },
+            slots: if slots.is_finite() {
+                slots.max(1.0)
+            } else {
+                1.0
+            },
             arrived,
             limit: arrived + time_budget,
             most: Cell::new(usize::MAX),
@@ -343,7 +366,10 @@
 
     /// Is an allocation of it out?
     pub(crate) fn is_out(&self) -> bool {
-        self.allocs.borrow().iter().any(|a| a.outcome.get().is_none())
+        self.allocs
+            .borrow()
+            .iter()
+            .any(|a| a.outcome.get().is_none())
     }
 
     /// Whether it has its final answer, or its client has left.
@@ -471,14 +497,19 @@
         let most = theirs.len().max(from + 1);
         theirs.resize(most, (0, now));
         theirs[from] = (slots, now);
-        self.others.set(theirs.iter().map(|(slots, _)| f64::from(*slots)).sum());
+        self.others
+            .set(theirs.iter().map(|(slots, _)| f64::from(*slots)).sum());
     }
 
     /// What was told before that moment holds no more.
     pub(crate) fn void(&self, before: f64) {
         let mut theirs = self.theirs.borrow_mut();
-        theirs.iter_mut().filter(|(_, at)| *at < before).for_each(|(slots, _)| *slots = 0);
-        self.others.set(theirs.iter().map(|(slots, _)| f64::from(*slots)).sum());
+        theirs
+            .iter_mut()
+            .filter(|(_, at)| *at < before)
+            .for_each(|(slots, _)| *slots = 0);
+        self.others
+            .set(theirs.iter().map(|(slots, _)| f64::from(*slots)).sum());
     }
 
     /// What the others are told that we hold there.
@@ -495,7 +526,11 @@
 
     /// For the log, that it is a suspect from now on, or was one.
     pub(crate) fn judged(&self, was: bool, project_type: usize, over: f64) -> String {
-        let now_is = if was { "trusted again" } else { "a suspect, sent single trials only" };
+        let now_is = if was {
+            "trusted again"
+        } else {
+            "a suspect, sent single trials only"
+        };
         let id = self.line.id;
         format!(
             "worker {id:012x} is {now_is}, project type {project_type}: {over:.2} over the fleet's median"
@@ -517,7 +552,9 @@
     /// One that fetches its work waits for so many work units. Of those it was sent it had heard of so many by
     /// then; the others are on their way, and take up as many.
     pub fn asked(&self, waiting: u64, orders: u64) {
-        self.asks.set(Some(waiting as i64 + orders as i64 - self.sends.get() as i64));
+        self.asks.set(Some(
+            waiting as i64 + orders as i64 - self.sends.get() as i64,
+        ));
     }
 
     pub(crate) fn began(&self, slots: f64) {
--- a/crates/mintlb-scheduler/src/peers.rs
+++ b/crates/mintlb-scheduler/src/peers.rs
@@ -46,7 +46,11 @@
     pub fn hear(&mut self, now: f64, from: usize, word: &Word, workers: &mut Roll) {
         let oldest = now - self.longest;
         // A clock that was set back is believed again once its old word is as old as that.
-        if self.heard.get(&from).is_some_and(|(sent, came)| word.sent <= *sent && *came >= oldest) {
+        if self
+            .heard
+            .get(&from)
+            .is_some_and(|(sent, came)| word.sent <= *sent && *came >= oldest)
+        {
             return;
         }
         self.heard.insert(from, (word.sent, now));
