--- a/crates/mintlb-scheduler/src/roll.rs
+++ b/crates/mintlb-scheduler/src/roll.rs
@@ -37,18 +37,28 @@
     pub fn missing(&self, lines: &[Line]) -> Vec<Line> {
         let named: BTreeSet<u64> = lines.iter().map(|l| l.id).collect();
         let missing = self.all().filter(|w| !named.contains(&w.line.id));
-        missing.map(|w| Line { listed: Listed::Gone, ..w.line.clone() }).collect()
+        missing
+            .map(|w| Line {
+                listed: Listed::Gone,
+                ..w.line.clone()
+            })
+            .collect()
     }
 
     /// The mean of those met.
     pub fn allowance(&self) -> Mean {
         let mut mean = Mean::default();
-        self.met.iter().for_each(|w| mean.learn(w.allowance.get(), 1.0));
+        self.met
+            .iter()
+            .for_each(|w| mean.learn(w.allowance.get(), 1.0));
         mean
     }
 
     pub fn add(&mut self, worker: Rc<Worker>) {
-        self.unmet.entry(worker.kin()).or_default().push(worker.clone());
+        self.unmet
+            .entry(worker.kin())
+            .or_default()
+            .push(worker.clone());
         self.keyed.insert(worker.line.key(), worker.clone());
         self.workers.insert(worker.line.id, worker);
     }
@@ -57,11 +67,17 @@
         worker.listed.set(Listed::Gone);
         self.workers.remove(&worker.line.id);
         // Two may share a key; the other's stays.
-        if self.keyed(worker.line.key()).is_some_and(|keyed| Rc::ptr_eq(keyed, worker)) {
+        if self
+            .keyed(worker.line.key())
+            .is_some_and(|keyed| Rc::ptr_eq(keyed, worker))
+        {
             self.keyed.remove(&worker.line.key());
         }
         self.met.retain(|met| !Rc::ptr_eq(met, worker));
-        self.unmet.entry(worker.kin()).or_default().retain(|unmet| !Rc::ptr_eq(unmet, worker));
+        self.unmet
+            .entry(worker.kin())
+            .or_default()
+            .retain(|unmet| !Rc::ptr_eq(unmet, worker));
     }
 
     /// It is sent something.
@@ -77,7 +93,11 @@
 
     /// Those met, and of the others one drawn by chance for each zone and kind, from those that have room: of
     /// hundreds that are cold a scheduler's budget is open for few, and one closed must not hide them.
-    pub fn drawn(&self, chance: &mut Chance, has_room: impl Fn(&Worker) -> bool) -> Vec<Rc<Worker>> {
+    pub fn drawn(
+        &self,
+        chance: &mut Chance,
+        has_room: impl Fn(&Worker) -> bool,
+    ) -> Vec<Rc<Worker>> {
         let mut workers = self.met.clone();
         for group in self.unmet.values().filter(|group| !group.is_empty()) {
             let mut draw = |of: usize| (chance.draw() * of as f64) as usize;
--- a/crates/mintlb-scheduler/src/settings.rs
+++ b/crates/mintlb-scheduler/src/settings.rs
@@ -36,32 +36,57 @@
 impl Text {
     pub fn new(lines: &str) -> Text {
         let pairs = lines.lines().filter_map(|line| line.split_once('='));
-        pairs.map(|(path, value)| (path.to_string(), value.to_string())).collect()
+        pairs
+            .map(|(path, value)| (path.to_string(), value.to_string()))
+            .collect()
     }
 
     pub fn get<T: FromStr>(&self, path: &str) -> Result<T, String> {
-        let value = self.0.get(path).ok_or_else(|| format!("the setting {path} is missing"))?;
-        value.trim().parse().map_err(|_| format!("the setting {path}={value} cannot be read"))
+        let value = self
+            .0
+            .get(path)
+            .ok_or_else(|| format!("the setting {path} is missing"))?;
+        value
+            .trim()
+            .parse()
+            .map_err(|_| format!("the setting {path}={value} cannot be read"))
     }
 
     pub fn seconds(&self, path: &str) -> Result<f64, String> {
         let ms: f64 = self.get(path)?;
-        if ms.is_finite() { Ok(ms / 1000.0) } else { Err(format!("the setting {path}={ms} is no time")) }
+        if ms.is_finite() {
+            Ok(ms / 1000.0)
+        } else {
+            Err(format!("the setting {path}={ms} is no time"))
+        }
     }
 
     fn or<T: FromStr>(&self, path: &str, absent: T) -> Result<T, String> {
-        if self.0.contains_key(path) { self.get(path) } else { Ok(absent) }
+        if self.0.contains_key(path) {
+            self.get(path)
+        } else {
+            Ok(absent)
+        }
     }
 
     pub fn list(&self, path: &str) -> Vec<&str> {
         let value = self.0.get(path).map_or("", String::as_str);
-        value.split(',').map(str::trim).filter(|v| !v.is_empty()).collect()
+        value
+            .split(',')
+            .map(str::trim)
+            .filter(|v| !v.is_empty())
+            .collect()
     }
 
     /// One of a list with an item for each project type.
     fn item<T: FromStr>(&self, path: &str, i: usize) -> Result<Option<T>, String> {
-        let Some(value) = self.list(path).get(i).copied() else { return Ok(None) };
-        value.parse().map(Some).map_err(|_| format!("the setting {path}: {value} cannot be read"))
+        let Some(value) = self.list(path).get(i).copied() else {
+            return Ok(None);
+        };
+        value
+            .parse()
+            .map(Some)
+            .map_err(|_| format!("the setting {path}: {value} cannot be read"))
     }
 
     pub fn project_types(&self) -> Result<Vec<ProjectType>, String> {
@@ -73,13 +98,17 @@
     pub fn named_types(&self) -> Result<Vec<(String, ProjectType)>, String> {
         let types = self.project_types()?.into_iter().enumerate();
         let name = |i: usize| self.get::<String>(&format!("project_types.{i}.name"));
-        let named = types.map(|(i, t)| Ok((name(i)?, t))).collect::<Result<Vec<_>, String>>()?;
+        let named = types
+            .map(|(i, t)| Ok((name(i)?, t)))
+            .collect::<Result<Vec<_>, String>>()?;
         for (i, (name, _)) in named.iter().enumerate() {
             if name.is_empty() {
                 return Err(format!("the setting project_types.{i}.name is empty"));
             }
             if named[..i].iter().any(|(other, _)| other == name) {
-                return Err(format!("the setting project_types.{i}.name={name} is there twice"));
+                return Err(format!(
+                    "the setting project_types.{i}.name={name} is there twice"
+                ));
             }
         }
         Ok(named)
@@ -89,14 +118,17 @@
     fn amount(&self, path: &str) -> Result<f64, String> {
         let value: f64 = self.get(path)?;
         let good = value.is_finite() && value >= 0.0;
-        good.then_some(value).ok_or_else(|| format!("the setting {path}={value} is no amount"))
+        good.then_some(value)
+            .ok_or_else(|| format!("the setting {path}={value} is no amount"))
     }
 
     /// What may change while a scheduler serves.
     pub fn terms(&self) -> Result<Terms, String> {
         let most_allocations = self.get("permissions.most_allocations")?;
         if most_allocations == 0 {
-            return Err("the setting permissions.most_allocations=0 lets no work go anywhere".to_string());
+            return Err(
+                "the setting permissions.most_allocations=0 lets no work go anywhere".to_string(),
+            );
         }
         Ok(Terms {
             repeats: Repeats {
@@ -125,11 +157,24 @@
                     "all" => Group::All,
                     "zone" => Group::Zone,
                     "cell" => Group::Cell,
-                    _ => return Err(format!("the setting {}={group} cannot be read", at("group"))),
+                    _ => {
+                        return Err(format!(
+                            "the setting {}={group} cannot be read",
+                            at("group")
+                        ));
+                    }
                 };
-                Effect::Receipted { group, window: self.seconds(&at("window"))? }
+                Effect::Receipted {
+                    group,
+                    window: self.seconds(&at("window"))?,
+                }
+            }
+            _ => {
+                return Err(format!(
+                    "the setting {}={effect} cannot be read",
+                    at("effect")
+                ));
             }
-            _ => return Err(format!("the setting {}={effect} cannot be read", at("effect"))),
         };
         let hard_limit = self.seconds(&at("hard_limit"))?;
         if hard_limit <= 0.0 {
@@ -156,13 +201,20 @@
     }
 
     fn quotas(&self) -> Result<Vec<f64>, String> {
-        (0..self.customers()?).map(|i| self.get(&format!("tenants.{i}.quota_per_s"))).collect()
+        (0..self.customers()?)
+            .map(|i| self.get(&format!("tenants.{i}.quota_per_s")))
+            .collect()
     }
 
     /// Where they are not told, crossing costs what it did where this was first tried, and nobody tells anything.
     fn costs(&self) -> Result<Costs, String> {
-        let or =
-            |path: &str, absent: f64| if self.0.contains_key(path) { self.amount(path) } else { Ok(absent) };
+        let or = |path: &str, absent: f64| {
+            if self.0.contains_key(path) {
+                self.amount(path)
+            } else {
+                Ok(absent)
+            }
+        };
         let message = or("prices.peer", 0.0)?;
         Ok(Costs {
             crossing: or("prices.cross_zone", CROSSING)?,
@@ -180,7 +232,12 @@
             among: schedulers as f64,
         };
         let discovery: String = self.get("discovery")?;
-        let Terms { repeats, excess_credit, come_back, costs } = self.terms()?;
+        let Terms {
+            repeats,
+            excess_credit,
+            come_back,
+            costs,
+        } = self.terms()?;
         let types = self.project_types()?;
         let tells_start = self.or("family_info.tells_start", false)?;
         let fleet = Fleet::new(cold, self.get("zone")?, tells_start, costs, &types);
@@ -190,6 +247,10 @@
             ask_within: self.seconds("rules.ask_within")?.min(TOLD / 2.0),
             ..Follow::default()
         };
-        Ok(Scheduler::new(Chance::new(seed), (Shares::new(&self.quotas()?), buffers, repeats, fleet), follow))
+        Ok(Scheduler::new(
+            Chance::new(seed),
+            (Shares::new(&self.quotas()?), buffers, repeats, fleet),
+            follow,
+        ))
     }
 }
--- a/crates/mintlb-scheduler/src/tools.rs
+++ b/crates/mintlb-scheduler/src/tools.rs
@@ -46,7 +46,11 @@
 
 impl Starts {
     pub fn new(quickest: f64) -> Starts {
-        Starts { quickest, usual: Mean::default(), heard: 0.0 }
+        Starts {
+            quickest,
+            usual: Mean::default(),
+            heard: 0.0,
+        }
     }
 
     pub fn learn(&mut self, now: f64, delay: f64, keep: f64) {
@@ -58,7 +62,11 @@
 /// The lower one of the two in the middle, if they are even in number.
 pub fn median(mut values: Vec<f64>) -> f64 {
     let middle = values.len().saturating_sub(1) / 2;
-    if values.is_empty() { 0.0 } else { *values.select_nth_unstable_by(middle, f64::total_cmp).1 }
+    if values.is_empty() {
+        0.0
+    } else {
+        *values.select_nth_unstable_by(middle, f64::total_cmp).1
+    }
 }
 
 /// A timer may ring a rounding error early; without this grace it would pass for one still to ring, no other
@@ -74,7 +82,11 @@
 
 impl<T> Default for Agenda<T> {
     fn default() -> Agenda<T> {
-        Agenda { due: BTreeMap::new(), added: 0, armed: 0.0 }
+        Agenda {
+            due: BTreeMap::new(),
+            added: 0,
+            armed: 0.0,
+        }
     }
 }
 
@@ -92,10 +104,16 @@
 
     /// Asks for the timer. What has ended meanwhile needs none: most work ends long before its limit.
     pub fn arm(&mut self, door: &mut dyn Door, now: f64, is_void: impl Fn(&T) -> bool) {
-        while self.due.first_entry().is_some_and(|first| is_void(first.get())) {
+        while self
+            .due
+            .first_entry()
+            .is_some_and(|first| is_void(first.get()))
+        {
             self.due.pop_first();
         }
-        let Some((&(at, _), _)) = self.due.first_key_value() else { return };
+        let Some((&(at, _), _)) = self.due.first_key_value() else {
+            return;
+        };
         let at = f64::from_bits(at);
         if self.armed <= now + HAIR || at < self.armed {
             self.armed = at;
--- a/crates/mintlb-scheduler/src/word.rs
+++ b/crates/mintlb-scheduler/src/word.rs
@@ -37,8 +37,13 @@
         }
         // Two bytes of time go round in a minute: it was, or will be, the nearest moment that has them.
         let age = ms(now).wrapping_sub(u16::from_be_bytes([head[1], head[2]])) as i16;
-        let holds = entries.chunks_exact(ENTRY).map(|e| (u16::from_be_bytes([e[0], e[1]]), e[2]));
-        Some(Word { sent: now - f64::from(age) / 1000.0, holds: holds.collect() })
+        let holds = entries
+            .chunks_exact(ENTRY)
+            .map(|e| (u16::from_be_bytes([e[0], e[1]]), e[2]));
+        Some(Word {
+            sent: now - f64::from(age) / 1000.0,
+            holds: holds.collect(),
+        })
     }
 }
 
--- a/crates/mintlb-scheduler/tests/many.rs
+++ b/crates/mintlb-scheduler/tests/many.rs
@@ -5,8 +5,8 @@
 use mintlb_scheduler::tools::{Chance, median};
 use mintlb_scheduler::word::Word;
 use mintlb_scheduler::{
-    Allocation, ColdRule, Costs, Door, Effect, Line, Listed, News, Outcome, ProjectType, Runs, WorkUnit,
-    Worker,
+    Allocation, ColdRule, Costs, Door, Effect, Line, Listed, News, Outcome, ProjectType, Runs,
+    WorkUnit, Worker,
 };
 use std::collections::{BTreeMap, VecDeque};
 use std::rc::Rc;
@@ -18,7 +18,10 @@
 const RUN: f64 = 0.5;
 const PROMISE: f64 = 0.2;
 const LIMIT: f64 = 5.0;
-const COSTS: Costs = Costs { crossing: 0.02, message: None };
+const COSTS: Costs = Costs {
+    crossing: 0.02,
+    message: None,
+};
 
 #[derive(Default)]
 struct Asked {
@@ -33,7 +36,8 @@
 
 impl Door for Asked {
     fn allocate(&mut self, a: &Allocation) {
-        self.sent.extend(a.wu.upgrade().and_then(|wu| wu.allocation(a.number)));
+        self.sent
+            .extend(a.wu.upgrade().and_then(|wu| wu.allocation(a.number)));
     }
     fn recall(&mut self, a: &Allocation) {
         self.recalled.push((a.wu.upgrade().unwrap().id, a.number));
@@ -95,7 +99,11 @@
 impl Machine {
     fn speed(&self, now: f64) -> f64 {
         // Before its new start it is the old one, warm.
-        let age = if self.came_up > now { 1.0 } else { ((now - self.came_up) / WARM_AFTER).min(1.0) };
+        let age = if self.came_up > now {
+            1.0
+        } else {
+            ((now - self.came_up) / WARM_AFTER).min(1.0)
+        };
         self.cold_from + (1.0 - self.cold_from) * age
     }
 }
@@ -132,7 +140,16 @@
 
 fn line(id: u64, listed: Listed, came_up: f64) -> Line {
     let (zone, cell) = ((id / 100) as u16, id / 10);
-    Line { id, zone, cell, kind: 0, listed, came_up, runs: Runs::default(), fetches: false }
+    Line {
+        id,
+        zone,
+        cell,
+        kind: 0,
+        listed,
+        came_up,
+        runs: Runs::default(),
+        fetches: false,
+    }
 }
 
 /// The one with this number, of so many.
@@ -140,7 +157,13 @@
     scheduler_at(COSTS, number, among, effect, follow)
 }
 
-fn scheduler_at(costs: Costs, number: usize, among: usize, effect: Effect, follow: Follow) -> Scheduler {
+fn scheduler_at(
+    costs: Costs,
+    number: usize,
+    among: usize,
+    effect: Effect,
+    follow: Follow,
+) -> Scheduler {
     let types = vec![ProjectType {
         credit: 1.0,
         late_credit: 0.0,
@@ -151,10 +174,25 @@
         kind: None,
     }];
     let among = among as f64;
-    let cold = ColdRule { from: 0.3, warm_after: WARM_AFTER, multiple: 3.0, span: SPAN, among };
+    let cold = ColdRule {
+        from: 0.3,
+        warm_after: WARM_AFTER,
+        multiple: 3.0,
+        span: SPAN,
+        among,
+    };
     let fleet = Fleet::new(cold, (number % 2) as u16, true, costs, &types);
-    let repeats = Repeats { parallel: true, may_recall: true, most_allocations: 3 };
-    let chain = (Shares::new(&[]), Buffers::new(types, 1.0, 2.0), repeats, fleet);
+    let repeats = Repeats {
+        parallel: true,
+        may_recall: true,
+        most_allocations: 3,
+    };
+    let chain = (
+        Shares::new(&[]),
+        Buffers::new(types, 1.0, 2.0),
+        repeats,
+        fleet,
+    );
     // Seeds near each other begin alike.
     let seed = (number as u64 + 17).wrapping_mul(0x9e37_79b9_7f4a_7c15);
     Scheduler::new(Chance::new(seed), chain, follow)
@@ -173,14 +211,27 @@
         until: f64,
         effect: Effect,
     ) -> World {
-        let lines: Vec<Line> = workers.iter().map(|w| line(*w, Listed::Ready, 0.0)).collect();
+        let lines: Vec<Line> = workers
+            .iter()
+            .map(|w| line(*w, Listed::Ready, 0.0))
+            .collect();
         let one = |i: usize| {
             let mut scheduler = scheduler_at(costs, i, schedulers, effect, Follow::default());
             scheduler.news(&mut Asked::default(), 100.0, News::Full(&lines));
             scheduler
         };
-        let machines =
-            workers.iter().map(|w| (*w, Machine { cold_from: 0.3, ..Machine::default() })).collect();
+        let machines = workers
+            .iter()
+            .map(|w| {
+                (
+                    *w,
+                    Machine {
+                        cold_from: 0.3,
+                        ..Machine::default()
+                    },
+                )
+            })
+            .collect();
         let mut world = World {
             now: 100.0,
             due: BTreeMap::new(),
@@ -201,15 +252,23 @@
 
     fn at(&mut self, after: f64, event: Event) {
         self.row += 1;
-        self.due.insert(((self.now + after).to_bits(), self.row), event);
+        self.due
+            .insert(((self.now + after).to_bits(), self.row), event);
     }
 
     /// These start anew, and the list tells it this much later.
     fn anew(&mut self, after: f64, workers: &[u64]) {
         let came_up = self.now + after;
-        let lines = workers.iter().map(|w| line(*w, Listed::Ready, came_up)).collect();
+        let lines = workers
+            .iter()
+            .map(|w| line(*w, Listed::Ready, came_up))
+            .collect();
         for id in workers {
-            let machine = Machine { came_up, cold_from: 0.3, ..Machine::default() };
+            let machine = Machine {
+                came_up,
+                cold_from: 0.3,
+                ..Machine::default()
+            };
             self.machines.insert(*id, machine);
         }
         self.at(after, Event::Told(lines));
@@ -222,11 +281,21 @@
 
     fn replaced(&mut self) {
         let came_up = |m: &Machine| if m.came_up > self.now { 0.0 } else { m.came_up };
-        let lines = self.machines.iter().map(|(id, m)| line(*id, Listed::Ready, came_up(m)));
+        let lines = self
+            .machines
+            .iter()
+            .map(|(id, m)| line(*id, Listed::Ready, came_up(m)));
         let (lines, old): (Vec<Line>, _) = (lines.collect(), self.schedulers.len());
         for number in old..old + self.taking {
-            self.schedulers.push(scheduler(number, self.taking, Effect::Rerunnable, Follow::default()));
-            self.call(number, |s, door, now| s.news(door, now, News::Inherited(&lines)));
+            self.schedulers.push(scheduler(
+                number,
+                self.taking,
+                Effect::Rerunnable,
+                Follow::default(),
+            ));
+            self.call(number, |s, door, now| {
+                s.news(door, now, News::Inherited(&lines))
+            });
         }
     }
 
@@ -239,13 +308,18 @@
             machine.running -= usize::from(job.running);
         }
         self.held.retain(|_, held| !is(held.0));
-        let lines: Vec<Line> =
-            self.machines.iter().map(|(id, m)| line(*id, Listed::Ready, m.came_up)).collect();
+        let lines: Vec<Line> = self
+            .machines
+            .iter()
+            .map(|(id, m)| line(*id, Listed::Ready, m.came_up))
+            .collect();
         let among = self.schedulers.len();
         for number in (0..among).filter(|number| is(*number)) {
             let follow = Follow::default();
             self.schedulers[number] = scheduler(number + among, among, Effect::Rerunnable, follow);
-            self.call(number, |s, door, now| s.news(door, now, News::Cached(&lines)));
+            self.call(number, |s, door, now| {
+                s.news(door, now, News::Cached(&lines))
+            });
         }
         let workers: Vec<u64> = self.machines.keys().copied().collect();
         workers.into_iter().for_each(|worker| self.starts(worker));
@@ -259,12 +333,16 @@
                 Event::Wakes(from) => self.call(from, |s, door, now| s.woke(door, now)),
                 Event::Ends(job) => self.ends_at(job),
                 Event::Told(lines) => {
-                    (0..self.schedulers.len())
-                        .for_each(|i| self.call(i, |s, door, now| s.news(door, now, News::Changes(&lines))));
+                    (0..self.schedulers.len()).for_each(|i| {
+                        self.call(i, |s, door, now| s.news(door, now, News::Changes(&lines)))
+                    });
                 }
                 Event::Silent(workers) => {
-                    workers.iter().for_each(|w| self.machines.get_mut(w).unwrap().silent = true);
-                    self.jobs.retain(|_, job| !workers.contains(&job.alloc.worker.line.id));
+                    workers
+                        .iter()
+                        .for_each(|w| self.machines.get_mut(w).unwrap().silent = true);
+                    self.jobs
+                        .retain(|_, job| !workers.contains(&job.alloc.worker.line.id));
                 }
                 Event::Replaced => self.replaced(),
                 Event::Killed => self.killed(),
@@ -294,10 +372,14 @@
     }
 
     fn back(&mut self, from: usize, id: u64, number: u16, outcome: Outcome) {
-        let Some(wu) = self.held.get(&id).map(|held| held.1.clone()) else { return };
+        let Some(wu) = self.held.get(&id).map(|held| held.1.clone()) else {
+            return;
+        };
         let alloc = wu.allocation(number).unwrap();
         let done = outcome == Outcome::Completed;
-        self.call(from, |s, door, now| s.came_back(door, now, &alloc, outcome, done));
+        self.call(from, |s, door, now| {
+            s.came_back(door, now, &alloc, outcome, done)
+        });
     }
 
     fn call(&mut self, from: usize, act: impl FnOnce(&mut Scheduler, &mut Asked, f64)) {
@@ -311,7 +393,12 @@
         }
         for (id, number) in asked.recalled {
             let mine = |job: &Job| job.wu.id == id && job.alloc.number == number;
-            if let Some(job) = self.jobs.iter().find(|(_, job)| mine(job)).map(|(job, _)| *job) {
+            if let Some(job) = self
+                .jobs
+                .iter()
+                .find(|(_, job)| mine(job))
+                .map(|(job, _)| *job)
+            {
                 self.frees(job);
             }
             self.back(from, id, number, Outcome::Recalled);
@@ -332,7 +419,15 @@
         machine.sent.push((self.now, run));
         self.row += 1;
         machine.queue.push_back(self.row);
-        self.jobs.insert(self.row, Job { from, alloc, wu, running: false });
+        self.jobs.insert(
+            self.row,
+            Job {
+                from,
+                alloc,
+                wu,
+                running: false,
+            },
+        );
         self.starts(worker);
     }
 
@@ -342,14 +437,19 @@
             if machine.running >= SLOTS {
                 return;
             }
-            let Some(number) = machine.queue.pop_front() else { return };
+            let Some(number) = machine.queue.pop_front() else {
+                return;
+            };
             machine.running += 1;
             let job = self.jobs.get_mut(&number).unwrap();
             job.running = true;
             let (from, alloc) = (job.from, job.alloc.clone());
             let fails = self.chance.draw() < machine.errors;
             let run = self.held[&job.wu.id].2 / machine.speed(self.now);
-            self.at(if fails { 0.01 } else { run }, Event::Ends(if fails { number | FAILS } else { number }));
+            self.at(
+                if fails { 0.01 } else { run },
+                Event::Ends(if fails { number | FAILS } else { number }),
+            );
             self.call(from, |s, door, now| s.started(door, now, &alloc));
         }
     }
@@ -367,7 +467,12 @@
 
     fn ends_at(&mut self, number: u64) {
         let (fails, number) = (number & FAILS > 0, number & !FAILS);
-        let Some(Job { from, wu, alloc, .. }) = self.frees(number) else { return };
+        let Some(Job {
+            from, wu, alloc, ..
+        }) = self.frees(number)
+        else {
+            return;
+        };
         if fails {
             self.ends.errors += 1;
             return self.back(from, wu.id, alloc.number, Outcome::Error);
@@ -383,10 +488,21 @@
     /// The most work that a cold worker was sent in a span, in what it could run in as long a time at its end.
     fn pressure(&self, worker: u64) -> f64 {
         let machine = &self.machines[&worker];
-        let within = |to: f64| machine.sent.iter().filter(move |s| s.0 > to - SPAN && s.0 <= to);
-        let cold = machine.sent.iter().filter(|s| (0.0..WARM_AFTER).contains(&(s.0 - machine.came_up)));
+        let within = |to: f64| {
+            machine
+                .sent
+                .iter()
+                .filter(move |s| s.0 > to - SPAN && s.0 <= to)
+        };
+        let cold = machine
+            .sent
+            .iter()
+            .filter(|s| (0.0..WARM_AFTER).contains(&(s.0 - machine.came_up)));
         let most = cold.map(|s| {
-            let work: f64 = within(s.0).filter(|s| s.0 >= machine.came_up).map(|s| s.1).sum();
+            let work: f64 = within(s.0)
+                .filter(|s| s.0 >= machine.came_up)
+                .map(|s| s.1)
+                .sum();
             work / (machine.speed(s.0) * SLOTS as f64 * SPAN)
         });
         most.fold(0.0, f64::max)
@@ -397,15 +513,25 @@
 /// N + 2 x root of N + 2 in a span, N being the work units of mean length that the rule allows it then.
 fn of_the_term(world: &World, worker: u64) -> (f64, f64) {
     let machine = &world.machines[&worker];
-    let cold = machine.sent.iter().filter(|s| (0.0..WARM_AFTER).contains(&(s.0 - machine.came_up)));
+    let cold = machine
+        .sent
+        .iter()
+        .filter(|s| (0.0..WARM_AFTER).contains(&(s.0 - machine.came_up)));
     let parts = cold.map(|(at, _)| {
-        let within = machine.sent.iter().filter(|s| s.0 > at - SPAN && s.0 <= *at && s.0 >= machine.came_up);
-        let (units, work) = within.fold((0.0, 0.0), |(units, work), s| (units + 1.0, work + s.1 / RUN));
+        let within = machine
+            .sent
+            .iter()
+            .filter(|s| s.0 > at - SPAN && s.0 <= *at && s.0 >= machine.came_up);
+        let (units, work) = within.fold((0.0, 0.0), |(units, work), s| {
+            (units + 1.0, work + s.1 / RUN)
+        });
         let n = 3.0 * machine.speed(*at) * SLOTS as f64 * SPAN / RUN;
         let most = n + 2.0 * n.sqrt() + 2.0;
         (units / most, work / most)
     });
-    parts.fold((0.0, 0.0), |(a, b), (units, work)| (f64::max(a, units), f64::max(b, work)))
+    parts.fold((0.0, 0.0), |(a, b), (units, work)| {
+        (f64::max(a, units), f64::max(b, work))
+    })
 }
 
 const FAILS: u64 = 1 << 62;
@@ -418,12 +544,25 @@
     let mut world = World::new(100, &workers, 120.0, 12.0, Effect::Rerunnable);
     world.anew(3.0, &anew);
     world.run();
-    let sent: usize =
-        anew.iter().map(|w| world.machines[w].sent.iter().filter(|s| s.0 < 109.0).count()).sum();
+    let sent: usize = anew
+        .iter()
+        .map(|w| {
+            world.machines[w]
+                .sent
+                .iter()
+                .filter(|s| s.0 < 109.0)
+                .count()
+        })
+        .sum();
     let most = anew.iter().map(|w| world.pressure(*w)).fold(0.0, f64::max);
-    let Ends { offered, in_time, .. } = world.ends;
+    let Ends {
+        offered, in_time, ..
+    } = world.ends;
     assert!(in_time * 4 > offered * 3, "{:?}", world.ends);
-    assert!(sent > 360 && most < 3.0, "{sent} sent in 6 s, at the most {most:.2} times what one could run");
+    assert!(
+        sent > 360 && most < 3.0,
+        "{sent} sent in 6 s, at the most {most:.2} times what one could run"
+    );
 }
 
 /// Where schedulers tell one another what they hold, no rule rests on it: here every word is lost.
@@ -431,14 +570,33 @@
 fn with_every_word_lost_the_rules_hold() {
     let workers: Vec<u64> = (1..=30).chain(101..=130).collect();
     let anew: Vec<u64> = workers.iter().copied().filter(|w| w % 5 < 3).collect();
-    let free = Costs { crossing: 0.02, message: Some(0.0) };
+    let free = Costs {
+        crossing: 0.02,
+        message: Some(0.0),
+    };
     for effect in [Effect::Rerunnable, Effect::Exclusive] {
         let mut world = World::at_cost(free, 100, &workers, 120.0, 12.0, effect);
         world.anew(3.0, &anew);
-        let Ends { offered, in_time, late, deferred, aborted, .. } = *world.run();
-        assert_eq!(in_time + late + deferred + aborted, offered, "{:?}", world.ends);
+        let Ends {
+            offered,
+            in_time,
+            late,
+            deferred,
+            aborted,
+            ..
+        } = *world.run();
+        assert_eq!(
+            in_time + late + deferred + aborted,
+            offered,
+            "{:?}",
+            world.ends
+        );
         let most = anew.iter().map(|w| world.pressure(*w)).fold(0.0, f64::max);
-        assert!(in_time * 2 > offered && most < 3.0, "{most:.2} times what one could run: {:?}", world.ends);
+        assert!(
+            in_time * 2 > offered && most < 3.0,
+            "{most:.2} times what one could run: {:?}",
+            world.ends
+        );
     }
 }
 
@@ -453,8 +611,13 @@
         world.at(2.0, Event::Killed);
         world.run();
         let most: Vec<(f64, f64)> = workers.iter().map(|w| of_the_term(&world, *w)).collect();
-        let most = most.iter().fold((0.0, 0.0), |(a, b), m| (f64::max(a, m.0), f64::max(b, m.1)));
-        assert!(most.0 <= 1.0 && most.1 <= 1.0, "{schedulers}: {most:?} of the term");
+        let most = most
+            .iter()
+            .fold((0.0, 0.0), |(a, b), m| (f64::max(a, m.0), f64::max(b, m.1)));
+        assert!(
+            most.0 <= 1.0 && most.1 <= 1.0,
+            "{schedulers}: {most:?} of the term"
+        );
         // Not bought by leaving the cold idle.
         let Ends { offered, sent, .. } = world.ends;
         assert!(sent * 4 > offered, "{schedulers}: {:?}", world.ends);
@@ -471,7 +634,10 @@
     assert_eq!(scheduler.cluster(), (1100, 0));
     let (mut met, mut held) = (BTreeMap::new(), Vec::new());
     for id in 1..=2200 {
-        let (now, wu) = (100.0 + id as f64 / 1e4, WorkUnit::new(id, 0, None, 1.0, 100.0, LIMIT));
+        let (now, wu) = (
+            100.0 + id as f64 / 1e4,
+            WorkUnit::new(id, 0, None, 1.0, 100.0, LIMIT),
+        );
         scheduler.arrived(&mut door, now, &wu);
         held.push(wu);
         for alloc in std::mem::take(&mut door.sent) {
@@ -479,7 +645,11 @@
             scheduler.started(&mut door, now, &alloc);
         }
     }
-    assert_eq!((met.len(), met.values().max()), (1100, Some(&2)), "two slots each");
+    assert_eq!(
+        (met.len(), met.values().max()),
+        (1100, Some(&2)),
+        "two slots each"
+    );
 }
 
 /// Two processes of one scheduler, the one that ends and its successor, send the cold no more than the one alone would: at
@@ -490,16 +660,27 @@
     let typical = |schedulers: usize, replaced: Option<f64>| {
         let mut world = World::new(schedulers, &workers, 120.0, 12.0, Effect::Rerunnable);
         world.anew(3.0, &workers);
-        replaced.into_iter().for_each(|after| world.at(3.0 + after, Event::Replaced));
+        replaced
+            .into_iter()
+            .for_each(|after| world.at(3.0 + after, Event::Replaced));
         world.run();
         median(workers.iter().map(|w| world.pressure(*w)).collect())
     };
     // The fewer they are, the larger each one's part.
     for schedulers in [2, 4] {
         let alone = typical(schedulers, None);
-        let with: f64 = [0.5, 1.0, 2.0].map(|after| typical(schedulers, Some(after)) / 3.0).iter().sum();
-        assert!(alone < 1.5, "{schedulers}: {alone:.2} times what one could run");
-        assert!(with < 1.15 * alone, "{schedulers}: {with:.2} and {alone:.2} times what one could run");
+        let with: f64 = [0.5, 1.0, 2.0]
+            .map(|after| typical(schedulers, Some(after)) / 3.0)
+            .iter()
+            .sum();
+        assert!(
+            alone < 1.5,
+            "{schedulers}: {alone:.2} times what one could run"
+        );
+        assert!(
+            with < 1.15 * alone,
+            "{schedulers}: {with:.2} and {alone:.2} times what one could run"
+        );
     }
 }
 
@@ -507,13 +688,23 @@
 #[test]
 fn of_what_was_told_some_has_ended() {
     for (slots, sent) in [(2, 1), (3, 0)] {
-        let costs = Costs { crossing: 0.02, message: Some(0.0) };
+        let costs = Costs {
+            crossing: 0.02,
+            message: Some(0.0),
+        };
         let mut scheduler = scheduler_at(costs, 0, 100, Effect::Rerunnable, Follow::default());
         let (worker, mut door) = (line(1, Listed::Ready, 0.0), Asked::default());
         scheduler.news(&mut door, 100.0, News::Full(std::slice::from_ref(&worker)));
-        let word = Word { sent: 100.0, holds: vec![(worker.key(), slots)] };
+        let word = Word {
+            sent: 100.0,
+            holds: vec![(worker.key(), slots)],
+        };
         scheduler.told(100.0, 1, &word.write());
-        scheduler.arrived(&mut door, 100.0, &WorkUnit::new(1, 0, None, 1.0, 100.0, LIMIT));
+        scheduler.arrived(
+            &mut door,
+            100.0,
+            &WorkUnit::new(1, 0, None, 1.0, 100.0, LIMIT),
+        );
         assert_eq!(door.sent.len(), sent, "{slots} slots told");
     }
 }
@@ -523,8 +714,17 @@
     // 80 seconds of work a second are asked for, and 60 can be run.
     let workers: Vec<u64> = (1..=15).chain(101..=115).collect();
     let mut world = World::new(100, &workers, 160.0, 12.0, Effect::Rerunnable);
-    let Ends { offered, in_time, late, .. } = *world.run();
-    assert!(in_time * 2 > offered && late * 4 < offered, "{:?}", world.ends);
+    let Ends {
+        offered,
+        in_time,
+        late,
+        ..
+    } = *world.run();
+    assert!(
+        in_time * 2 > offered && late * 4 < offered,
+        "{:?}",
+        world.ends
+    );
 }
 
 #[test]
@@ -534,8 +734,21 @@
     for effect in [Effect::Rerunnable, Effect::Exclusive] {
         let mut world = World::new(100, &workers, 160.0, 12.0, effect);
         world.silent(3.0, &lost);
-        let Ends { offered, in_time, late, deferred, aborted, not_up, .. } = *world.run();
-        assert_eq!(in_time + late + deferred + aborted, offered, "{:?}", world.ends);
+        let Ends {
+            offered,
+            in_time,
+            late,
+            deferred,
+            aborted,
+            not_up,
+            ..
+        } = *world.run();
+        assert_eq!(
+            in_time + late + deferred + aborted,
+            offered,
+            "{:?}",
+            world.ends
+        );
         assert!(not_up > 0, "{:?}", world.ends);
     }
 }
@@ -545,7 +758,11 @@
     // Of three seconds in which the list must be asked for; the service is slower the more there are.
     for (schedulers, most_wait, most_share) in [(4, 0.375, 1.0), (100, 3.0, 0.4), (350, 3.0, 0.4)] {
         let asks_after = |number: usize| {
-            let follow = Follow { on_request: true, ask_within: 3.0, ..Follow::default() };
+            let follow = Follow {
+                on_request: true,
+                ask_within: 3.0,
+                ..Follow::default()
+            };
             let mut door = Asked::default();
             let mut scheduler = scheduler(number, schedulers, Effect::Rerunnable, follow);
             scheduler.power_on(&mut door, 100.0);
@@ -556,9 +773,17 @@
         };
         let waits: Vec<f64> = (0..schedulers).map(asks_after).collect();
         let last = waits.iter().fold(0.0, |a: f64, b| a.max(*b));
-        let within = |from: f64| waits.iter().filter(|w| (from..from + 0.75).contains(*w)).count();
+        let within = |from: f64| {
+            waits
+                .iter()
+                .filter(|w| (from..from + 0.75).contains(*w))
+                .count()
+        };
         let crowd = waits.iter().map(|w| within(*w)).max().unwrap() as f64 / schedulers as f64;
-        assert!(last <= most_wait && crowd <= most_share, "{schedulers}: {last} {crowd}");
+        assert!(
+            last <= most_wait && crowd <= most_share,
+            "{schedulers}: {last} {crowd}"
+        );
     }
 }
 
@@ -566,7 +791,11 @@
 fn a_list_service_that_only_fails_is_asked_without_end_but_never_in_step() {
     let asks: Vec<Vec<f64>> = (0..100)
         .map(|number| {
-            let follow = Follow { on_request: true, ask_within: 3.0, ..Follow::default() };
+            let follow = Follow {
+                on_request: true,
+                ask_within: 3.0,
+                ..Follow::default()
+            };
             let mut scheduler = scheduler(number, 100, Effect::Rerunnable, follow);
             let mut now = 100.0;
             scheduler.power_on(&mut Asked::default(), now);
@@ -586,8 +815,16 @@
         })
         .collect();
     let gap = |a: &Vec<f64>| a.windows(2).map(|w| w[1] - w[0]).fold(0.0, f64::max);
-    assert!(asks.iter().all(|a| a.len() >= 18 && gap(a) <= 3.2), "{asks:?}");
-    let at = |second: usize| asks.iter().flatten().filter(|a| **a as usize == second).count();
+    assert!(
+        asks.iter().all(|a| a.len() >= 18 && gap(a) <= 3.2),
+        "{asks:?}"
+    );
+    let at = |second: usize| {
+        asks.iter()
+            .flatten()
+            .filter(|a| **a as usize == second)
+            .count()
+    };
     let most = (100..160).map(at).max().unwrap();
     // Each asks once in three seconds, as what the list has counts as told soon: a third of them on an average.
     assert!(most < 50, "{most} of a hundred ask in one second");
--- a/crates/mintlb-scheduler/tests/word.rs
+++ b/crates/mintlb-scheduler/tests/word.rs
@@ -14,12 +14,23 @@
         (vec![(7, 1)], 200.0, -3.0),
         (vec![(9, 2); MOST], 100.0, 0.0),
     ] {
-        let bytes = Word { sent, holds: holds.clone() }.write();
+        let bytes = Word {
+            sent,
+            holds: holds.clone(),
+        }
+        .write();
         assert!(bytes.len() <= LONGEST);
         let word = Word::read(sent + age, &bytes).unwrap();
-        assert!((word.sent - sent).abs() < 0.002 && word.holds == holds, "{sent} {age}: {word:?}");
+        assert!(
+            (word.sent - sent).abs() < 0.002 && word.holds == holds,
+            "{sent} {age}: {word:?}"
+        );
     }
-    let long = Word { sent: 1.0, holds: vec![(9, 2); MOST + 9] }.write();
+    let long = Word {
+        sent: 1.0,
+        holds: vec![(9, 2); MOST + 9],
+    }
+    .write();
     assert_eq!(Word::read(1.0, &long).unwrap().holds.len(), MOST);
 }
 
--- a/crates/mintlb-scheduler/tests/world/mod.rs
+++ b/crates/mintlb-scheduler/tests/world/mod.rs
@@ -4,7 +4,8 @@
 use mintlb_scheduler::tools::Chance;
 use mintlb_scheduler::word::Word;
 use mintlb_scheduler::{
-    Allocation, ColdRule, Costs, Door, Effect, Group, Line, Listed, News, Numbered, Outcome, ProjectType,
+    Allocation, ColdRule, Costs, Door, Effect, Group, Line, Listed, News, Numbered, Outcome,
+    ProjectType,
 };
 use mintlb_scheduler::{Report, Runs, WorkUnit, Worker};
 use std::collections::BTreeMap;
@@ -22,10 +23,18 @@
 
 impl Door for Acts {
     fn allocate(&mut self, a: &Allocation) {
-        self.said.push(format!("send {}>{}", a.wu.upgrade().unwrap().id, a.worker.line.id));
+        self.said.push(format!(
+            "send {}>{}",
+            a.wu.upgrade().unwrap().id,
+            a.worker.line.id
+        ));
     }
     fn recall(&mut self, a: &Allocation) {
-        self.said.push(format!("recall {}.{}", a.wu.upgrade().unwrap().id, a.number));
+        self.said.push(format!(
+            "recall {}.{}",
+            a.wu.upgrade().unwrap().id,
+            a.number
+        ));
     }
     fn defer(&mut self, wu: &WorkUnit, come_back: f64) {
         self.come_back.push(come_back);
@@ -42,7 +51,11 @@
     }
     fn tell(&mut self, bytes: &[u8]) {
         let word = Word::read(self.now, bytes).unwrap();
-        let held: Vec<String> = word.holds.iter().map(|(_, slots)| slots.to_string()).collect();
+        let held: Vec<String> = word
+            .holds
+            .iter()
+            .map(|(_, slots)| slots.to_string())
+            .collect();
         self.said.push(format!("tell {}", held.join(" ")));
     }
     fn wake_in(&mut self, seconds: f64) {
@@ -77,7 +90,14 @@
 /// Types: 0 rerunnable, 1 receipted in its cell, 2 exclusive, 3 receipted everywhere, 4 and 5 the same as
 /// 1 and 3 with a window that soon closes. Customer 0 has ample quota, customer 1 next to none.
 pub fn world(parallel: bool, on_request: bool) -> World {
-    world_at(parallel, on_request, Costs { crossing: 0.02, message: None })
+    world_at(
+        parallel,
+        on_request,
+        Costs {
+            crossing: 0.02,
+            message: None,
+        },
+    )
 }
 
 /// The same where it costs this to cross zones, and to tell the other three schedulers.
@@ -97,13 +117,41 @@
         (1.0, receipted(Group::All, 0.05)),
     ];
     let types = types.map(|(c, e)| project_type(c, e)).to_vec();
-    let cold = ColdRule { from: 0.2, warm_after: 20.0, multiple: 3.0, span: SPAN, among: 4.0 };
+    let cold = ColdRule {
+        from: 0.2,
+        warm_after: 20.0,
+        multiple: 3.0,
+        span: SPAN,
+        among: 4.0,
+    };
     let fleet = Fleet::new(cold, 0, true, costs, &types);
-    let repeats = Repeats { parallel, may_recall: true, most_allocations: 3 };
-    let chain = (Shares::new(&[1e6, 1e-6]), Buffers::new(types.clone(), 0.1, 2.0), repeats, fleet);
-    let scheduler =
-        Scheduler::new(Chance::new(seed), chain, Follow { on_request, ask_within: 3.0, ..Follow::default() });
-    World { scheduler, acts: Acts::default(), now: 100.0, held: BTreeMap::new(), types }
+    let repeats = Repeats {
+        parallel,
+        may_recall: true,
+        most_allocations: 3,
+    };
+    let chain = (
+        Shares::new(&[1e6, 1e-6]),
+        Buffers::new(types.clone(), 0.1, 2.0),
+        repeats,
+        fleet,
+    );
+    let scheduler = Scheduler::new(
+        Chance::new(seed),
+        chain,
+        Follow {
+            on_request,
+            ask_within: 3.0,
+            ..Follow::default()
+        },
+    );
+    World {
+        scheduler,
+        acts: Acts::default(),
+        now: 100.0,
+        held: BTreeMap::new(),
+        types,
+    }
 }
 
 pub fn line(id: u64, listed: Listed, came_up: f64) -> Line {
@@ -135,7 +183,9 @@
 
     fn alloc(&self, name: &str) -> Rc<Allocation> {
         let (id, n) = name.split_once('.').unwrap();
-        self.held[&id.parse().unwrap()].allocation(n.parse().unwrap()).unwrap()
+        self.held[&id.parse().unwrap()]
+            .allocation(n.parse().unwrap())
+            .unwrap()
     }
 
     fn step(&mut self, verb: &str, args: &[&str]) {
@@ -158,12 +208,27 @@
                         }
                     })
                     .collect();
-                s.news(acts, now, if verb == "list" { News::Full(&lines) } else { News::Changes(&lines) });
+                s.news(
+                    acts,
+                    now,
+                    if verb == "list" {
+                        News::Full(&lines)
+                    } else {
+                        News::Changes(&lines)
+                    },
+                );
             }
             "lost" => s.news(acts, now, News::Failed),
             "call" => {
                 let (id, customer) = (number(0, 0.0) as u64, number(2, 0.0) as usize);
-                let wu = WorkUnit::new(id, number(1, 0.0) as usize, Some(customer), number(3, 1.0), now, 3.2);
+                let wu = WorkUnit::new(
+                    id,
+                    number(1, 0.0) as usize,
+                    Some(customer),
+                    number(3, 1.0),
+                    now,
+                    3.2,
+                );
                 self.held.insert(id, wu.clone());
                 s.arrived(acts, now, &wu);
             }
@@ -185,26 +250,51 @@
                     other => panic!("no outcome {other}"),
                 };
                 let ended = args.get(2).is_some() || outcome == Outcome::Completed;
-                self.scheduler.came_back(&mut self.acts, now, &alloc, outcome, ended);
+                self.scheduler
+                    .came_back(&mut self.acts, now, &alloc, outcome, ended);
             }
             "left" => s.left(acts, now, &self.held[&(number(0, 0.0) as u64)]),
             "told" => {
-                let report = Report { free_slots: Some(number(1, 0.0)) };
+                let report = Report {
+                    free_slots: Some(number(1, 0.0)),
+                };
                 s.worker(number(0, 0.0) as u64).unwrap().told(now, report);
             }
             "hear" => {
                 let key = |id: &str| line(id.parse().unwrap(), Listed::Ready, 0.0).key();
-                let holds = args[2..].chunks(2).map(|c| (key(c[0]), c[1].parse().unwrap())).collect();
-                let word = Word { sent: now - number(1, 0.0), holds };
+                let holds = args[2..]
+                    .chunks(2)
+                    .map(|c| (key(c[0]), c[1].parse().unwrap()))
+                    .collect();
+                let word = Word {
+                    sent: now - number(1, 0.0),
+                    holds,
+                };
                 s.told(now, number(0, 0.0) as usize, &word.write());
             }
             "hush" => {
                 let types = self.types.iter().cloned().enumerate();
                 let types: Vec<Numbered> = types
-                    .map(|(number, project_type)| Numbered { number, continues: Some(number), project_type })
+                    .map(|(number, project_type)| Numbered {
+                        number,
+                        continues: Some(number),
+                        project_type,
+                    })
                     .collect();
-                let repeats = Repeats { parallel: false, may_recall: true, most_allocations: 3 };
-                s.retune(&types, repeats, (0.1, 2.0), Costs { crossing: 0.02, message: None });
+                let repeats = Repeats {
+                    parallel: false,
+                    may_recall: true,
+                    most_allocations: 3,
+                };
+                s.retune(
+                    &types,
+                    repeats,
+                    (0.1, 2.0),
+                    Costs {
+                        crossing: 0.02,
+                        message: None,
+                    },
+                );
             }
             "wake" => s.woke(acts, now),
             other => panic!("no step {other}"),
--- a/crates/mintlb-simulation/src/checks.rs
+++ b/crates/mintlb-simulation/src/checks.rs
@@ -27,7 +27,11 @@
 impl Order {
     /// The call.
     pub fn ask(&self) -> Ask {
-        Ask::Put { base: self.base, version: self.version, body: self.body.clone() }
+        Ask::Put {
+            base: self.base,
+            version: self.version,
+            body: self.body.clone(),
+        }
     }
 
     fn text(&self) -> String {
@@ -78,7 +82,15 @@
 impl Counts {
     /// Adds what happened in another history.
     pub fn add(&mut self, other: &Counts) {
-        let Counts { events, faults, acknowledged, repeated, refused, reads, .. } = other;
+        let Counts {
+            events,
+            faults,
+            acknowledged,
+            repeated,
+            refused,
+            reads,
+            ..
+        } = other;
         self.events += events;
         self.faults += faults;
         self.acknowledged += acknowledged;
@@ -136,7 +148,10 @@
 
     /// The newest version that was acknowledged by this time.
     pub fn acknowledged_before(&self, time: Time) -> Option<u64> {
-        let before = self.acknowledged_at.iter().take_while(|(at, _)| *at <= time);
+        let before = self
+            .acknowledged_at
+            .iter()
+            .take_while(|(at, _)| *at <= time);
         before.map(|(_, version)| *version).max()
     }
 
@@ -154,18 +169,29 @@
             }
             Some(other) if other.body == order.body => self.counts.repeated += 1,
             Some(other) => {
-                let what =
-                    format!("two under version {}: {:?}, {:?}", order.version, other.text(), order.text());
+                let what = format!(
+                    "two under version {}: {:?}, {:?}",
+                    order.version,
+                    other.text(),
+                    order.text()
+                );
                 self.violates("P2", now, what);
             }
         }
-        let other = self.bases.insert(order.base, order.version).filter(|other| *other != order.version);
+        let other = self
+            .bases
+            .insert(order.base, order.version)
+            .filter(|other| *other != order.version);
         if let Some(other) = other {
             let what = format!("versions {other} and {} on {}", order.version, order.base);
             self.violates("P2", now, what);
         }
         if !self.taken.contains(&order.body) {
-            self.violates("P3", now, format!("{:?} was acknowledged and never chosen", order.text()));
+            self.violates(
+                "P3",
+                now,
+                format!("{:?} was acknowledged and never chosen", order.text()),
+            );
         }
     }
 
@@ -173,7 +199,11 @@
     pub fn refused(&mut self, now: Time, order: &Order) {
         self.counts.refused += 1;
         if self.taken.contains(&order.body) && self.orders - order.number < REPEATS_WITHIN {
-            self.violates("P2", now, format!("{:?} was taken and is refused", order.text()));
+            self.violates(
+                "P2",
+                now,
+                format!("{:?} was taken and is refused", order.text()),
+            );
         }
         self.refused.insert(order.body.clone(), order.number);
     }
@@ -182,12 +212,19 @@
     pub fn read(&mut self, now: Time, floor: u64, version: u64, body: &[u8]) {
         self.counts.reads += 1;
         if version < floor {
-            self.violates("P1", now, format!("version {version} was read after {floor} was acknowledged"));
+            self.violates(
+                "P1",
+                now,
+                format!("version {version} was read after {floor} was acknowledged"),
+            );
         }
         if let Some(order) = self.acknowledged.get(&version)
             && order.body != body
         {
-            let what = format!("version {version} was acknowledged as {:?} and read otherwise", order.text());
+            let what = format!(
+                "version {version} was acknowledged as {:?} and read otherwise",
+                order.text()
+            );
             self.violates("P2", now, what);
         }
     }
@@ -197,19 +234,37 @@
         let state = &accepted.state;
         if let Some(known) = self.chosen.get(&state.revision) {
             if known != state {
-                self.violates("P3", now, format!("two values of revision {}", state.revision));
+                self.violates(
+                    "P3",
+                    now,
+                    format!("two values of revision {}", state.revision),
+                );
             }
             return;
         }
-        let before = self.chosen.range(..state.revision).next_back().map(|(_, before)| before.clone());
-        let after = self.chosen.range(state.revision..).next().map(|(_, after)| after.clone());
+        let before = self
+            .chosen
+            .range(..state.revision)
+            .next_back()
+            .map(|(_, before)| before.clone());
+        let after = self
+            .chosen
+            .range(state.revision..)
+            .next()
+            .map(|(_, after)| after.clone());
         let older = before.is_some_and(|before| !follows(&before, state));
         if older || after.is_some_and(|after| !follows(state, &after)) {
-            let what = format!("revision {} does not follow from those around it", state.revision);
+            let what = format!(
+                "revision {} does not follow from those around it",
+                state.revision
+            );
             self.violates("P3", now, what);
         }
         if let Some(number) = self.refused.get(&state.configuration) {
-            let what = format!("order {number} was refused, and is part of revision {}", state.revision);
+            let what = format!(
+                "order {number} was refused, and is part of revision {}",
+                state.revision
+            );
             self.violates("P2", now, what);
         }
         self.counts.sets = self.counts.sets.max(state.replicas.epoch);
@@ -220,9 +275,15 @@
 
     /// A record has come into force at a machine.
     pub fn in_force(&mut self, now: Time, machine: usize, life: u64, key: &str, version: u64) {
-        let before = self.in_force.insert((machine, life, key.to_string()), version);
+        let before = self
+            .in_force
+            .insert((machine, life, key.to_string()), version);
         if before.is_some_and(|before| before >= version) {
-            self.violates("P4", now, format!("machine {machine}: {key} goes from {before:?} to {version}"));
+            self.violates(
+                "P4",
+                now,
+                format!("machine {machine}: {key} goes from {before:?} to {version}"),
+            );
         }
     }
 
--- a/crates/mintlb-simulation/src/context.rs
+++ b/crates/mintlb-simulation/src/context.rs
@@ -96,13 +96,26 @@
 
     /// Sends a call.
     pub fn call(&mut self, to: SocketAddr, id: u64, call: Call) {
-        let body = Body::Call { id, life: self.life, call };
-        self.send(Packet { from: self.own, from_life: self.life, to, to_life: None, body });
+        let body = Body::Call {
+            id,
+            life: self.life,
+            call,
+        };
+        self.send(Packet {
+            from: self.own,
+            from_life: self.life,
+            to,
+            to_life: None,
+            body,
+        });
     }
 
     /// Answers a call.
     pub fn answer(&mut self, caller: &Caller, answer: Answer) {
-        let body = Body::Answer { id: caller.id, answer };
+        let body = Body::Answer {
+            id: caller.id,
+            answer,
+        };
         self.send(Packet {
             from: self.own,
             from_life: self.life,
--- a/crates/mintlb-simulation/src/controller/configuration.rs
+++ b/crates/mintlb-simulation/src/controller/configuration.rs
@@ -34,11 +34,20 @@
             Ask::Heartbeat(told) => self.heartbeat(context, id, told),
             Ask::Leave(worker) => self.leave(context, id, &worker),
             Ask::Lots(..) => (),
-            Ask::Put { base, version, body } => {
+            Ask::Put {
+                base,
+                version,
+                body,
+            } => {
                 self.puts.insert(id, context.now);
                 let at_least_kept = context.now.saturating_sub(self.started) >= ALL_JOINED;
-                let change =
-                    Change::Configuration { base, version, body, tolerance: TOLERANCE, at_least_kept };
+                let change = Change::Configuration {
+                    base,
+                    version,
+                    body,
+                    tolerance: TOLERANCE,
+                    at_least_kept,
+                };
                 self.change(context, change, REGISTER_WITHIN, Purpose::Put(id));
             }
         }
@@ -57,7 +66,9 @@
 
     /// An operator's change has ended.
     pub(super) fn put_completed(&mut self, context: &mut Context, ask: u64, ended: Ended) {
-        let Some(begun) = self.puts.remove(&ask) else { return };
+        let Some(begun) = self.puts.remove(&ask) else {
+            return;
+        };
         let Ended::Changed(outcome) = ended else {
             context.out.push(Out::Tell(ask, Told::Unavailable));
             return;
@@ -66,7 +77,9 @@
         let told = match outcome.answer {
             Answer::AlreadyDone if forgets => Told::Refused,
             Answer::Done | Answer::AlreadyDone => {
-                let left = ANSWER_WITHIN.saturating_sub(context.now - begun).min(CONFIRMED_WITHIN);
+                let left = ANSWER_WITHIN
+                    .saturating_sub(context.now - begun)
+                    .min(CONFIRMED_WITHIN);
                 return self.confirm_configuration(context, ask, &outcome.chosen.state, left);
             }
             Answer::StaleBase | Answer::VersionNotAbove => Told::Refused,
@@ -106,7 +119,11 @@
     /// Publishes what is newer than what is in force.
     pub(super) fn publish_state(&mut self, context: &mut Context, state: &ControlState) {
         for record in records(state) {
-            if self.gossip.get(&record.key).is_none_or(|known| known.version < record.version) {
+            if self
+                .gossip
+                .get(&record.key)
+                .is_none_or(|known| known.version < record.version)
+            {
                 let confirmed = self.gossip.publish_now(context, record);
                 self.confirmed(context, &confirmed);
             }
@@ -115,7 +132,10 @@
 }
 
 fn configuration_of(state: &ControlState) -> Told {
-    Told::Configuration { version: state.configuration_version, body: state.configuration.clone() }
+    Told::Configuration {
+        version: state.configuration_version,
+        body: state.configuration.clone(),
+    }
 }
 
 fn records(state: &ControlState) -> Vec<Record> {
@@ -135,5 +155,10 @@
 }
 
 fn kept(key: &str, version: u64, body: Vec<u8>) -> Record {
-    Record { key: key.to_string(), version, lifetime_s: 0, body: body.into() }
+    Record {
+        key: key.to_string(),
+        version,
+        lifetime_s: 0,
+        body: body.into(),
+    }
 }
--- a/crates/mintlb-simulation/src/controller/duties.rs
+++ b/crates/mintlb-simulation/src/controller/duties.rs
@@ -39,7 +39,12 @@
     /// Nothing is known yet.
     pub fn new(context: &mut Context, own: ReplicaId) -> Duties {
         Duties {
-            pings: PingState::new(context.instant, Some(own), context.own, context.random.number()),
+            pings: PingState::new(
+                context.instant,
+                Some(own),
+                context.own,
+                context.random.number(),
+            ),
             steps: 0,
             stores: StoreTable::new(Duration::ZERO),
             begun: context.now,
@@ -83,24 +88,37 @@
 impl Controller {
     /// Whether this process is in contact with a majority now.
     pub(super) fn is_in_contact(&mut self, context: &Context) -> bool {
-        if matches!(context.planted, Planted::ContactNotChecked | Planted::DrainInIsolation) {
+        if matches!(
+            context.planted,
+            Planted::ContactNotChecked | Planted::DrainInIsolation
+        ) {
             return true;
         }
-        let Some(set) = self.register.set() else { return false };
+        let Some(set) = self.register.set() else {
+            return false;
+        };
         let peers = &mut self.duties.pings.peers;
-        self.register.majority_at().into_iter().for_each(|at| peers.majority_reached(at));
+        self.register
+            .majority_at()
+            .into_iter()
+            .for_each(|at| peers.majority_reached(at));
         peers.is_in_contact(context.instant, set)
     }
 
     /// For how long it has been in contact without a pause.
     pub(super) fn in_contact_for(&self, context: &Context) -> Duration {
         let set = self.register.set();
-        set.map_or(Duration::ZERO, |set| self.duties.pings.peers.in_contact_for(context.instant, set))
+        set.map_or(Duration::ZERO, |set| {
+            self.duties.pings.peers.in_contact_for(context.instant, set)
+        })
     }
 
     /// Whether the duties fall to this process now.
     pub(super) fn has_duties(&self, context: &Context) -> bool {
-        self.register.set().and_then(|set| self.duties.pings.peers.held(context.instant, set)).is_some()
+        self.register
+            .set()
+            .and_then(|set| self.duties.pings.peers.held(context.instant, set))
+            .is_some()
     }
 
     /// Whether duties are to be begun; they are under way from now on then.
@@ -114,17 +132,24 @@
     pub(super) fn step(&mut self, context: &mut Context) {
         context.wake(STEP, Timer::Step);
         self.duties.steps += 1;
-        let Some(set) = self.register.set().cloned() else { return };
+        let Some(set) = self.register.set().cloned() else {
+            return;
+        };
         if self.duties.pings.votes(&set) || self.duties.steps.is_multiple_of(STEPS_WITHOUT_VOTE) {
             self.ping(context, &set);
         }
         let peers = &mut self.duties.pings.peers;
-        self.register.majority_at().into_iter().for_each(|at| peers.majority_reached(at));
+        self.register
+            .majority_at()
+            .into_iter()
+            .for_each(|at| peers.majority_reached(at));
         peers.step(context.instant, &set);
         let held = peers.held(context.instant, &set);
         if held != self.duties.held {
             self.duties.held = held;
-            context.out.push(Out::Note(format!("{} has duties {held:?}", self.name)));
+            context
+                .out
+                .push(Out::Note(format!("{} has duties {held:?}", self.name)));
         }
         self.do_duties(context);
     }
@@ -132,7 +157,9 @@
     fn ping(&mut self, context: &mut Context, set: &ReplicaSet) {
         for address in self.duties.pings.targets(context.instant, set) {
             let ping = self.duties.pings.ping(context.instant, address, set);
-            let id = self.register.await_call(Awaited::Ping(address, context.instant));
+            let id = self
+                .register
+                .await_call(Awaited::Ping(address, context.instant));
             context.call(address, id, Call::Ping(ping));
             context.wake(PING_WITHIN, Timer::CallLost(id));
         }
@@ -144,15 +171,24 @@
         if !self.has_duties(context) {
             return;
         }
-        let Some(chosen) = self.register.chosen() else { return };
+        let Some(chosen) = self.register.chosen() else {
+            return;
+        };
         let set = &chosen.state.replicas;
         let fewest = 2 * TOLERANCE + 1;
         if set.is_joint() || set.current.len() <= fewest {
             return;
         }
-        let Some(id) = self.duties.silent(context, set).first().copied() else { return };
+        let Some(id) = self.duties.silent(context, set).first().copied() else {
+            return;
+        };
         self.duties.busy = true;
-        self.change(context, Change::Leave { id, fewest }, CHANGE_WITHIN, Purpose::Remove);
+        self.change(
+            context,
+            Change::Leave { id, fewest },
+            CHANGE_WITHIN,
+            Purpose::Remove,
+        );
     }
 
     /// A read or change of the duties has ended.
@@ -166,7 +202,12 @@
         if let (Purpose::Remove, Ended::Changed(outcome)) = (purpose, ended)
             && outcome.answer == ChangeAnswer::Done
         {
-            return self.change(context, Change::Settle, SETTLE_WITHIN, Purpose::SettleRemoved);
+            return self.change(
+                context,
+                Change::Settle,
+                SETTLE_WITHIN,
+                Purpose::SettleRemoved,
+            );
         }
         self.duties.busy = false;
     }
--- a/crates/mintlb-simulation/src/controller/membership.rs
+++ b/crates/mintlb-simulation/src/controller/membership.rs
@@ -66,7 +66,12 @@
     }
 
     /// A seed's answer, or its loss.
-    pub(super) fn seed_answered(&mut self, context: &mut Context, place: usize, answer: Option<Answer>) {
+    pub(super) fn seed_answered(
+        &mut self,
+        context: &mut Context,
+        place: usize,
+        answer: Option<Answer>,
+    ) {
         if let Some(Answer::Status(answer)) = answer {
             self.membership.answers[place] = Some(answer);
         }
@@ -80,13 +85,20 @@
         let answers = std::mem::take(&mut self.membership.answers);
         if self.register.set().is_some() {
             self.hint_from_overlay();
-            let sets = answers.into_iter().flatten().filter_map(|answer| answer.set);
+            let sets = answers
+                .into_iter()
+                .flatten()
+                .filter_map(|answer| answer.set);
             sets.for_each(|set| self.register.hint(set));
             return self.pause(context, JOIN_PAUSE);
         }
         let own_place = self.seeds.iter().position(|seed| *seed == context.own);
-        let founding =
-            Founding { first_start: self.first_start, has_disk: true, own_place, answers: &answers };
+        let founding = Founding {
+            first_start: self.first_start,
+            has_disk: true,
+            own_place,
+            answers: &answers,
+        };
         match founding.step() {
             // The pause begins once it is synced.
             Step::Found => return self.found(context),
@@ -101,8 +113,15 @@
         let state = Arc::new(ControlState::founded_by(self.replica.identity().clone()));
         let proposed = Accepted { ballot, state };
         let target = self.replica.identity().id;
-        let request = Request { target, ask: Ask::Accept { proposed: proposed.clone() } };
-        let replies = self.replica.answer(context, request, ReplyTo::Found(proposed));
+        let request = Request {
+            target,
+            ask: Ask::Accept {
+                proposed: proposed.clone(),
+            },
+        };
+        let replies = self
+            .replica
+            .answer(context, request, ReplyTo::Found(proposed));
         self.hand_out(context, replies);
     }
 
@@ -114,14 +133,23 @@
     }
 
     fn hint_from_overlay(&mut self) -> bool {
-        let Some(record) = self.gossip.get(REPLICAS) else { return false };
-        let Ok(set) = minicbor::decode::<ReplicaSet>(&record.body) else { return false };
+        let Some(record) = self.gossip.get(REPLICAS) else {
+            return false;
+        };
+        let Ok(set) = minicbor::decode::<ReplicaSet>(&record.body) else {
+            return false;
+        };
         self.register.hint(set);
         true
     }
 
     /// A read or change of the membership has ended.
-    pub(super) fn member_completed(&mut self, context: &mut Context, purpose: Purpose, ended: Ended) {
+    pub(super) fn member_completed(
+        &mut self,
+        context: &mut Context,
+        purpose: Purpose,
+        ended: Ended,
+    ) {
         match (purpose, ended) {
             (Purpose::MemberRead, Ended::Failed) => self.read_failed(context),
             (Purpose::MemberRead, _) => {
@@ -131,12 +159,19 @@
             (Purpose::MemberConfirm, Ended::Failed) => self.ask_seeds(context),
             (Purpose::MemberConfirm, _) => self.keep_place(context),
             (Purpose::Join, Ended::Changed(outcome)) if is_done(outcome.answer) => {
-                self.change(context, Change::Settle, JOIN_WITHIN, Purpose::Settle { joined: true });
+                self.change(
+                    context,
+                    Change::Settle,
+                    JOIN_WITHIN,
+                    Purpose::Settle { joined: true },
+                );
             }
             (Purpose::Join, Ended::Changed(outcome)) if outcome.answer == ChangeAnswer::SetFull => {
                 self.pause(context, READ_EVERY);
             }
-            (Purpose::Settle { joined: true }, Ended::Changed(_)) => self.pause(context, Duration::ZERO),
+            (Purpose::Settle { joined: true }, Ended::Changed(_)) => {
+                self.pause(context, Duration::ZERO)
+            }
             (Purpose::Settle { joined: false }, _) => self.pause(context, READ_EVERY),
             _ => self.pause(context, JOIN_PAUSE),
         }
@@ -147,20 +182,35 @@
         if self.membership.unclear < UNCLEAR_READS && self.register.chosen().is_some() {
             return self.ask_seeds(context);
         }
-        self.change(context, Change::Confirm, READ_WITHIN, Purpose::MemberConfirm);
+        self.change(
+            context,
+            Change::Confirm,
+            READ_WITHIN,
+            Purpose::MemberConfirm,
+        );
     }
 
     fn keep_place(&mut self, context: &mut Context) {
-        let Some(chosen) = self.register.chosen() else { return self.pause(context, JOIN_PAUSE) };
+        let Some(chosen) = self.register.chosen() else {
+            return self.pause(context, JOIN_PAUSE);
+        };
         let set = &chosen.state.replicas;
         if !set.current.contains(self.replica.identity()) {
             let silent = self.duties.silent(context, set);
-            let change =
-                Change::Join { replica: self.replica.identity().clone(), silent, most: MOST_REPLICAS };
+            let change = Change::Join {
+                replica: self.replica.identity().clone(),
+                silent,
+                most: MOST_REPLICAS,
+            };
             return self.change(context, change, JOIN_WITHIN, Purpose::Join);
         }
         if set.is_joint() {
-            return self.change(context, Change::Settle, JOIN_WITHIN, Purpose::Settle { joined: false });
+            return self.change(
+                context,
+                Change::Settle,
+                JOIN_WITHIN,
+                Purpose::Settle { joined: false },
+            );
         }
         self.pause(context, READ_EVERY);
     }
--- a/crates/mintlb-simulation/src/controller/mod.rs
+++ b/crates/mintlb-simulation/src/controller/mod.rs
@@ -65,7 +65,9 @@
     /// Starts the process with what its disk holds.
     pub fn start(context: &mut Context, start: Start, disk: VoteDisk) -> Controller {
         let replica = LocalReplica::new(disk, context.own.to_string(), start.name.clone());
-        let hint = replica.accepted().map(|accepted| accepted.state.replicas.clone());
+        let hint = replica
+            .accepted()
+            .map(|accepted| accepted.state.replicas.clone());
         let mut controller = Controller {
             duties: Duties::new(context, replica.identity().id),
             gossip: Gossip::start(context, Role::Controller, &start.name, &start.seeds),
@@ -102,11 +104,17 @@
     pub fn packet(&mut self, context: &mut Context, packet: Packet) {
         match packet.body {
             Body::Overlay(body) => {
-                let confirmed = self.gossip.received(context, packet.from, packet.from_life, body);
+                let confirmed = self
+                    .gossip
+                    .received(context, packet.from, packet.from_life, body);
                 self.confirmed(context, &confirmed);
             }
             Body::Call { id, life, call } => {
-                let caller = Caller { address: packet.from, life, id };
+                let caller = Caller {
+                    address: packet.from,
+                    life,
+                    id,
+                };
                 self.call(context, caller, call);
             }
             Body::Answer { id, answer } => self.task_answer(context, id, Some(answer)),
@@ -123,13 +131,21 @@
     fn call(&mut self, context: &mut Context, caller: Caller, call: Call) {
         match call {
             Call::Vote(request) => {
-                let replies = self.replica.answer(context, request, ReplyTo::Remote(caller));
+                let replies = self
+                    .replica
+                    .answer(context, request, ReplyTo::Remote(caller));
                 self.hand_out(context, replies);
             }
             Call::Lots(..) => (),
             Call::Status => {
                 let set = self.register.set().cloned();
-                context.answer(&caller, Answer::Status(SeedAnswer { has_disk: true, set }));
+                context.answer(
+                    &caller,
+                    Answer::Status(SeedAnswer {
+                        has_disk: true,
+                        set,
+                    }),
+                );
             }
             Call::Ping(ping) => {
                 let set = self.register.set();
--- a/crates/mintlb-simulation/src/controller/placing.rs
+++ b/crates/mintlb-simulation/src/controller/placing.rs
@@ -30,8 +30,14 @@
         if !self.may_begin_duties(context) {
             return;
         }
-        let published = self.gossip.get(PLACEMENT).map_or(0, |record| record.version);
-        let known = self.register.chosen().map_or(0, |chosen| chosen.state.placement.epoch);
+        let published = self
+            .gossip
+            .get(PLACEMENT)
+            .map_or(0, |record| record.version);
+        let known = self
+            .register
+            .chosen()
+            .map_or(0, |chosen| chosen.state.placement.epoch);
         match published > known {
             true => self.read_once(context, KEEP_UP_WITHIN, Purpose::KeepUp),
             false => self.place_shards(context),
@@ -41,7 +47,9 @@
     /// Writes the next placement, if the planner has one.
     pub(super) fn place_shards(&mut self, context: &mut Context) {
         let chosen = self.register.chosen().filter(|_| self.has_duties(context));
-        let Some(chosen) = chosen else { return self.remove_silent_replica(context) };
+        let Some(chosen) = chosen else {
+            return self.remove_silent_replica(context);
+        };
         let placement = chosen.state.placement.clone();
         let view = self.duties.store_view(context, &placement);
         let Some(mut next) = plan(&placement, &view, TOLERANCE) else {
@@ -49,20 +57,38 @@
         };
         next.shards.truncate(SHARDS as usize);
         if context.planted == Planted::PreviousNotRead {
-            next.shards.iter_mut().for_each(|shard| shard.previous.clear());
+            next.shards
+                .iter_mut()
+                .for_each(|shard| shard.previous.clear());
         }
-        context.out.push(Out::Note(format!("{} places {}", self.name, described(&next))));
-        self.change(context, Change::Placement(next), CHANGE_WITHIN, Purpose::Place);
+        context.out.push(Out::Note(format!(
+            "{} places {}",
+            self.name,
+            described(&next)
+        )));
+        self.change(
+            context,
+            Change::Placement(next),
+            CHANGE_WITHIN,
+            Purpose::Place,
+        );
     }
 
     /// A call on a retirement.
     pub(super) fn retire(&mut self, context: &mut Context, ask: u64, node: String, begin: bool) {
         let own = self.replica.identity().id;
-        let hears = self.register.set().is_some_and(|set| set.current_replica(own).is_some());
+        let hears = self
+            .register
+            .set()
+            .is_some_and(|set| set.current_replica(own).is_some());
         if !hears || !self.is_in_contact(context) {
             return context.out.push(Out::Tell(ask, Told::Unavailable));
         }
-        self.read(context, RETIRE_READ_WITHIN, Purpose::Retire { ask, node, begin });
+        self.read(
+            context,
+            RETIRE_READ_WITHIN,
+            Purpose::Retire { ask, node, begin },
+        );
     }
 
     /// The newest placement for a call on a retirement was read.
@@ -72,7 +98,9 @@
         (ask, node, begin): (u64, String, bool),
         state: Option<&ControlState>,
     ) {
-        let Some(state) = state else { return context.out.push(Out::Tell(ask, Told::Unavailable)) };
+        let Some(state) = state else {
+            return context.out.push(Out::Tell(ask, Told::Unavailable));
+        };
         let placement = &state.placement;
         let view = self.duties.store_view(context, placement);
         let has_listened = self.in_contact_for(context) >= LISTENS_FIRST;
@@ -85,13 +113,20 @@
                 RetirementOrder::NotNow => Told::Unavailable,
                 RetirementOrder::Begin(next) => {
                     let change = Change::Placement(next);
-                    return self.change(context, change, RETIRE_CHANGE_WITHIN, Purpose::RetireOrder(ask));
+                    return self.change(
+                        context,
+                        change,
+                        RETIRE_CHANGE_WITHIN,
+                        Purpose::RetireOrder(ask),
+                    );
                 }
             },
             false => match progress(placement, &view, &node, TOLERANCE, has_listened) {
                 RetireAnswer::Completed => Told::Retiring { completed: true },
                 RetireAnswer::Unknown => Told::Refused,
-                _ if context.planted == Planted::LeavingNotWaitedFor => Told::Retiring { completed: true },
+                _ if context.planted == Planted::LeavingNotWaitedFor => {
+                    Told::Retiring { completed: true }
+                }
                 RetireAnswer::Running => Told::Retiring { completed: false },
                 _ => Told::Unavailable,
             },
@@ -102,14 +137,21 @@
     /// The order of a retirement has ended.
     pub(super) fn retire_ordered(&mut self, context: &mut Context, ask: u64, ended: Ended) {
         let ordered = matches!(ended, Ended::Changed(outcome) if is_done(outcome.answer));
-        let told = if ordered { Told::Retiring { completed: false } } else { Told::Unavailable };
+        let told = if ordered {
+            Told::Retiring { completed: false }
+        } else {
+            Told::Unavailable
+        };
         context.out.push(Out::Tell(ask, told));
     }
 }
 
 fn described(placement: &Placement) -> String {
     let shard = |shard: &mintlb_common::placement::ShardAssignment| {
-        format!("{}: {:?} from {:?}", shard.epoch, shard.replicas, shard.previous)
+        format!(
+            "{}: {:?} from {:?}",
+            shard.epoch, shard.replicas, shard.previous
+        )
     };
     let shards: Vec<String> = placement.shards.iter().map(shard).collect();
     format!("{} [{}]", placement.epoch, shards.join("; "))
--- a/crates/mintlb-simulation/src/controller/tasks.rs
+++ b/crates/mintlb-simulation/src/controller/tasks.rs
@@ -131,7 +131,10 @@
 impl Register {
     /// With the set that the disk holds.
     pub fn new(hint: Option<ReplicaSet>) -> Register {
-        Register { hint, ..Register::default() }
+        Register {
+            hint,
+            ..Register::default()
+        }
     }
 
     /// When the newest read or change began that a majority answered.
@@ -147,12 +150,19 @@
     /// The newest set known.
     pub fn set(&self) -> Option<&ReplicaSet> {
         let chosen = self.chosen.as_ref().map(|chosen| &chosen.state.replicas);
-        chosen.into_iter().chain(&self.hint).max_by_key(|set| set.epoch)
+        chosen
+            .into_iter()
+            .chain(&self.hint)
+            .max_by_key(|set| set.epoch)
     }
 
     /// Takes note of a set that another process knows.
     pub fn hint(&mut self, set: ReplicaSet) {
-        if self.hint.as_ref().is_none_or(|known| known.epoch < set.epoch) {
+        if self
+            .hint
+            .as_ref()
+            .is_none_or(|known| known.epoch < set.epoch)
+        {
             self.hint = Some(set);
         }
     }
@@ -186,7 +196,12 @@
     ) {
         let id = self.register.number();
         let (deadline, begun) = (context.now + within, context.instant);
-        let task = Task { purpose, deadline, begun, work: Work::Waiting(change) };
+        let task = Task {
+            purpose,
+            deadline,
+            begun,
+            work: Work::Waiting(change),
+        };
         self.register.tasks.insert(id, task);
         self.queue_change(context, id, within);
     }
@@ -200,20 +215,34 @@
     }
 
     fn begin_proposal(&mut self, context: &mut Context, id: u64) {
-        let Some(set) = self.register.set().cloned() else { return self.end(context, id, Ended::Failed) };
+        let Some(set) = self.register.set().cloned() else {
+            return self.end(context, id, Ended::Failed);
+        };
         let proposer = context.random.number();
         let (floor, known) = (self.register.floor, self.register.chosen.clone());
-        let Some(task) = self.register.tasks.get_mut(&id) else { return };
-        let Work::Waiting(change) = &task.work else { return };
+        let Some(task) = self.register.tasks.get_mut(&id) else {
+            return;
+        };
+        let Work::Waiting(change) = &task.work else {
+            return;
+        };
         let (proposal, effects) = Proposal::start(proposer, floor, set, known, change.clone());
-        task.work = Work::Proposal { proposal: Box::new(proposal), generation: 0 };
+        task.work = Work::Proposal {
+            proposal: Box::new(proposal),
+            generation: 0,
+        };
         self.carry_out(context, id, effects);
     }
 
     /// Begins a read: in one round within 120 ms, then by a proposal.
     pub(super) fn read(&mut self, context: &mut Context, within: Duration, purpose: Purpose) {
         let then_confirm_by = Some(context.now + within);
-        self.begin_reading(context, within.min(ONE_ROUND_READ), then_confirm_by, purpose);
+        self.begin_reading(
+            context,
+            within.min(ONE_ROUND_READ),
+            then_confirm_by,
+            purpose,
+        );
     }
 
     /// Begins a read in one round.
@@ -233,16 +262,29 @@
         };
         let (reading, progress) = Reading::start(set, self.register.chosen.clone());
         let id = self.register.number();
-        let work = Work::Reading { reading: Box::new(reading), then_confirm_by };
+        let work = Work::Reading {
+            reading: Box::new(reading),
+            then_confirm_by,
+        };
         let (deadline, begun) = (context.now + within, context.instant);
-        self.register.tasks.insert(id, Task { purpose, deadline, begun, work });
+        self.register.tasks.insert(
+            id,
+            Task {
+                purpose,
+                deadline,
+                begun,
+                work,
+            },
+        );
         context.wake(within, Timer::Deadline(id));
         self.progress(context, id, progress);
     }
 
     /// An answer to a call of this process, or its loss.
     pub(super) fn task_answer(&mut self, context: &mut Context, id: u64, answer: Option<Answer>) {
-        let Some(awaited) = self.register.calls.remove(&id) else { return };
+        let Some(awaited) = self.register.calls.remove(&id) else {
+            return;
+        };
         match awaited {
             Awaited::Seed(place) => self.seed_answered(context, place, answer),
             Awaited::Ping(address, sent_at) => {
@@ -268,7 +310,9 @@
         ballot: Ballot,
         reply: Option<Reply>,
     ) {
-        let Some(task) = self.register.tasks.get_mut(&id) else { return };
+        let Some(task) = self.register.tasks.get_mut(&id) else {
+            return;
+        };
         if let Work::Reading { reading, .. } = &mut task.work {
             let progress = reading.reply(from, reply);
             let promise = reading.highest_promise();
@@ -280,26 +324,35 @@
     }
 
     fn give(&mut self, context: &mut Context, id: u64, input: Input) {
-        let Some(task) = self.register.tasks.get_mut(&id) else { return };
+        let Some(task) = self.register.tasks.get_mut(&id) else {
+            return;
+        };
         if context.now >= task.deadline {
             return self.out_of_time(context, id);
         }
-        let Work::Proposal { proposal, .. } = &mut task.work else { return };
+        let Work::Proposal { proposal, .. } = &mut task.work else {
+            return;
+        };
         let effects = proposal.handle(input);
         self.carry_out(context, id, effects);
     }
 
     /// A proposal's timer ran out.
     pub(super) fn attempt_timer(&mut self, context: &mut Context, id: u64, generation: u64) {
-        let Some(task) = self.register.tasks.get(&id) else { return };
-        if matches!(&task.work, Work::Proposal { generation: newest, .. } if *newest == generation) {
+        let Some(task) = self.register.tasks.get(&id) else {
+            return;
+        };
+        if matches!(&task.work, Work::Proposal { generation: newest, .. } if *newest == generation)
+        {
             self.give(context, id, Input::Timer);
         }
     }
 
     /// A task's time is over.
     pub(super) fn out_of_time(&mut self, context: &mut Context, id: u64) {
-        let Some(task) = self.register.tasks.get(&id) else { return };
+        let Some(task) = self.register.tasks.get(&id) else {
+            return;
+        };
         if context.now < task.deadline {
             return;
         }
@@ -317,13 +370,29 @@
         for (replica, request) in effects.send {
             self.post(context, id, replica, request);
         }
-        let Some(task) = self.register.tasks.get_mut(&id) else { return };
-        let Work::Proposal { proposal, generation } = &mut task.work else { return };
+        let Some(task) = self.register.tasks.get_mut(&id) else {
+            return;
+        };
+        let Work::Proposal {
+            proposal,
+            generation,
+        } = &mut task.work
+        else {
+            return;
+        };
         if let Some(after) = effects.timer {
             *generation += 1;
-            context.wake(after, Timer::Attempt { task: id, generation: *generation });
+            context.wake(
+                after,
+                Timer::Attempt {
+                    task: id,
+                    generation: *generation,
+                },
+            );
         }
-        let Some(outcome) = effects.outcome else { return };
+        let Some(outcome) = effects.outcome else {
+            return;
+        };
         let seen = proposal.highest_seen();
         self.register.raise_floor(seen);
         self.learn(context, outcome.chosen.clone());
@@ -333,16 +402,27 @@
     fn progress(&mut self, context: &mut Context, id: u64, progress: Progress) {
         match progress {
             Progress::Ask(messages) => {
-                messages.into_iter().for_each(|(replica, request)| self.post(context, id, replica, request));
+                messages
+                    .into_iter()
+                    .for_each(|(replica, request)| self.post(context, id, replica, request));
             }
             Progress::Chosen(chosen) => {
                 self.learn(context, chosen.clone());
                 self.end(context, id, Ended::Read(chosen));
             }
             Progress::Unclear => {
-                let Some(task) = self.register.tasks.get_mut(&id) else { return };
-                let Work::Reading { then_confirm_by, .. } = &task.work else { return };
-                let Some(by) = *then_confirm_by else { return self.end(context, id, Ended::Failed) };
+                let Some(task) = self.register.tasks.get_mut(&id) else {
+                    return;
+                };
+                let Work::Reading {
+                    then_confirm_by, ..
+                } = &task.work
+                else {
+                    return;
+                };
+                let Some(by) = *then_confirm_by else {
+                    return self.end(context, id, Ended::Failed);
+                };
                 task.work = Work::Waiting(Change::Confirm);
                 task.deadline = by;
                 task.begun = context.instant;
@@ -352,7 +432,9 @@
     }
 
     fn end(&mut self, context: &mut Context, id: u64, ended: Ended) {
-        let Some(task) = self.register.tasks.remove(&id) else { return };
+        let Some(task) = self.register.tasks.remove(&id) else {
+            return;
+        };
         if !matches!(ended, Ended::Failed) {
             self.register.majority_at = self.register.majority_at.max(Some(task.begun));
         }
@@ -370,7 +452,11 @@
             Ask::Accept { proposed } => proposed.ballot,
             Ask::Read { .. } => Ballot::default(),
         };
-        let id = self.register.await_call(Awaited::Task { task, from: replica.id, ballot });
+        let id = self.register.await_call(Awaited::Task {
+            task,
+            from: replica.id,
+            ballot,
+        });
         if replica.id == self.replica.identity().id {
             let replies = self.replica.answer(context, request, ReplyTo::Local(id));
             return self.hand_out(context, replies);
@@ -387,7 +473,10 @@
         for (to, reply) in replies {
             match to {
                 ReplyTo::Remote(caller) => context.answer(&caller, Answer::Vote(reply)),
-                ReplyTo::Local(id) => self.register.replies.push_back((id, Some(Answer::Vote(reply)))),
+                ReplyTo::Local(id) => self
+                    .register
+                    .replies
+                    .push_back((id, Some(Answer::Vote(reply)))),
                 ReplyTo::Found(accepted) => self.founded(context, accepted),
                 ReplyTo::Nobody => (),
             }
@@ -404,7 +493,12 @@
     /// Takes note of a value that is chosen, and publishes what is news in it.
     pub(super) fn learn(&mut self, context: &mut Context, accepted: Accepted) {
         context.out.push(Out::Chosen(accepted.clone()));
-        if self.register.chosen.as_ref().is_some_and(|known| known.ballot >= accepted.ballot) {
+        if self
+            .register
+            .chosen
+            .as_ref()
+            .is_some_and(|known| known.ballot >= accepted.ballot)
+        {
             return;
         }
         let before = self.register.chosen.replace(accepted.clone());
@@ -412,7 +506,10 @@
         if before.is_none_or(|before| before.state.replicas.epoch != set.epoch) {
             let ids = |side: &[Replica]| side.iter().map(|replica| replica.id).collect::<Vec<_>>();
             let (previous, current) = (ids(&set.previous), ids(&set.current));
-            let note = format!("{} knows set {} {previous:?} {current:?}", self.name, set.epoch);
+            let note = format!(
+                "{} knows set {} {previous:?} {current:?}",
+                self.name, set.epoch
+            );
             context.out.push(Out::Note(note));
         }
         self.publish_state(context, &accepted.state);
@@ -422,12 +519,14 @@
 /// What a planted fault makes of a replica's reply.
 fn altered(planted: Planted, reply: Reply) -> Reply {
     match (planted, reply) {
-        (Planted::JointSetLeft, Reply::Promised { ballot, report }) => {
-            Reply::Promised { ballot, report: left_joint(report) }
-        }
-        (Planted::JointSetLeft, Reply::Read { report, promised }) => {
-            Reply::Read { report: left_joint(report), promised }
-        }
+        (Planted::JointSetLeft, Reply::Promised { ballot, report }) => Reply::Promised {
+            ballot,
+            report: left_joint(report),
+        },
+        (Planted::JointSetLeft, Reply::Read { report, promised }) => Reply::Read {
+            report: left_joint(report),
+            promised,
+        },
         (_, reply) => reply,
     }
 }
@@ -440,7 +539,10 @@
             state.revision += 1;
             state.replicas.epoch += 1;
             state.replicas.previous.clear();
-            Report::Value(Accepted { ballot: accepted.ballot, state: Arc::new(state) })
+            Report::Value(Accepted {
+                ballot: accepted.ballot,
+                state: Arc::new(state),
+            })
         }
         report => report,
     }
--- a/crates/mintlb-simulation/src/controller/vote.rs
+++ b/crates/mintlb-simulation/src/controller/vote.rs
@@ -24,10 +24,16 @@
             Sync::Nothing => (),
             Sync::Promise(ballot) => self.vote.promised = *ballot,
             Sync::Value(accepted) => {
-                self.vote = Vote { promised: accepted.ballot, accepted: Some(accepted.clone()) };
+                self.vote = Vote {
+                    promised: accepted.ballot,
+                    accepted: Some(accepted.clone()),
+                };
             }
             Sync::Learned { promised, chosen } => {
-                self.vote = Vote { promised: *promised, accepted: Some(chosen.clone()) };
+                self.vote = Vote {
+                    promised: *promised,
+                    accepted: Some(chosen.clone()),
+                };
             }
         }
     }
@@ -64,9 +70,20 @@
 impl LocalReplica {
     /// A replica with what its disk holds.
     pub fn new(disk: VoteDisk, address: String, node_name: String) -> LocalReplica {
-        let identity = Replica { id: disk.id, address, node_name, zone: "z".to_string() };
+        let identity = Replica {
+            id: disk.id,
+            address,
+            node_name,
+            zone: "z".to_string(),
+        };
         let acceptor = Acceptor::new(disk.id, disk.vote.clone());
-        LocalReplica { identity, acceptor, disk, jobs: VecDeque::new(), committing: 0 }
+        LocalReplica {
+            identity,
+            acceptor,
+            disk,
+            jobs: VecDeque::new(),
+            committing: 0,
+        }
     }
 
     /// What the set says of it.
@@ -80,7 +97,12 @@
     }
 
     /// Handles a request; returns the replies that can be given at once.
-    pub fn answer(&mut self, context: &mut Context, request: Request, to: ReplyTo) -> Vec<(ReplyTo, Reply)> {
+    pub fn answer(
+        &mut self,
+        context: &mut Context,
+        request: Request,
+        to: ReplyTo,
+    ) -> Vec<(ReplyTo, Reply)> {
         let answered = self.acceptor.handle(request);
         let at_once = match context.planted {
             Planted::AnswerBeforeSync => true,
@@ -92,13 +114,27 @@
                 Planted::PromiseNotSynced => Sync::Nothing,
                 _ => answered.sync,
             };
-            self.queue(context, Job { sync, reply: answered.reply.clone(), to: ReplyTo::Nobody });
+            self.queue(
+                context,
+                Job {
+                    sync,
+                    reply: answered.reply.clone(),
+                    to: ReplyTo::Nobody,
+                },
+            );
             return vec![(to, answered.reply)];
         }
         if answered.sync == Sync::Nothing && self.jobs.is_empty() {
             return vec![(to, answered.reply)];
         }
-        self.queue(context, Job { sync: answered.sync, reply: answered.reply, to });
+        self.queue(
+            context,
+            Job {
+                sync: answered.sync,
+                reply: answered.reply,
+                to,
+            },
+        );
         Vec::new()
     }
 
--- a/crates/mintlb-simulation/src/controller/workers.rs
+++ b/crates/mintlb-simulation/src/controller/workers.rs
@@ -26,7 +26,10 @@
             }
             return context.out.push(Out::Tell(ask, Told::Unavailable));
         }
-        match self.registry.heartbeat(context.instant, told, in_force.as_ref()) {
+        match self
+            .registry
+            .heartbeat(context.instant, told, in_force.as_ref())
+        {
             Heard::Nothing | Heard::Late => context.out.push(Out::Tell(ask, Told::Done)),
             Heard::TooMany => context.out.push(Out::Tell(ask, Told::Unavailable)),
             Heard::Publish(record) if record.state == WorkerState::InService => {
@@ -56,19 +59,32 @@
         let to_publish = record.to_record();
         self.draining.insert(ask, record);
         context.wake(CONFIRMED_WITHIN, Timer::Confirm(ask));
-        let confirmed = self.gossip.publish(context, to_publish, CONFIRMED_WITHIN, ask);
+        let confirmed = self
+            .gossip
+            .publish(context, to_publish, CONFIRMED_WITHIN, ask);
         self.confirmed(context, &confirmed);
     }
 
     /// A neighbour has confirmed the record behind this call, or none has in time. False if it is no worker's call.
-    pub(super) fn drain_confirmed(&mut self, context: &mut Context, ask: u64, confirmed: bool) -> bool {
-        let Some(record) = self.draining.remove(&ask) else { return false };
+    pub(super) fn drain_confirmed(
+        &mut self,
+        context: &mut Context,
+        ask: u64,
+        confirmed: bool,
+    ) -> bool {
+        let Some(record) = self.draining.remove(&ask) else {
+            return false;
+        };
         self.gossip.give_up(ask);
         let promised = confirmed && self.is_in_contact(context);
         if promised {
             self.registry.confirmed(&record);
         }
-        let told = if promised { Told::Done } else { Told::Unavailable };
+        let told = if promised {
+            Told::Done
+        } else {
+            Told::Unavailable
+        };
         context.out.push(Out::Tell(ask, told));
         true
     }
@@ -78,9 +94,15 @@
         context.wake(WORKERS_TICK, Timer::Workers);
         let in_contact = self.is_in_contact(context);
         let gossip = &self.gossip;
-        let version = |id: &str| gossip.get(&format!("{WORKER_PREFIX}{id}")).map(|record| record.version);
+        let version = |id: &str| {
+            gossip
+                .get(&format!("{WORKER_PREFIX}{id}"))
+                .map(|record| record.version)
+        };
         let silent = self.registry.tick(context.instant, in_contact, version);
-        silent.iter().for_each(|record| self.publish_worker(context, record));
+        silent
+            .iter()
+            .for_each(|record| self.publish_worker(context, record));
     }
 
     fn publish_worker(&mut self, context: &mut Context, record: &WorkerRecord) {
--- a/crates/mintlb-simulation/src/dispatcher.rs
+++ b/crates/mintlb-simulation/src/dispatcher.rs
@@ -40,7 +40,12 @@
     /// Starts the process.
     pub fn start(context: &mut Context, name: &str, seeds: &[SocketAddr]) -> Dispatcher {
         let gossip = Gossip::start(context, Role::Dispatcher, name, seeds);
-        Dispatcher { gossip, calls: BTreeMap::new(), tries: BTreeMap::new(), next_try: 0 }
+        Dispatcher {
+            gossip,
+            calls: BTreeMap::new(),
+            tries: BTreeMap::new(),
+            next_try: 0,
+        }
     }
 
     /// What it knows.
@@ -51,7 +56,11 @@
     /// A message came.
     pub fn packet(&mut self, context: &mut Context, packet: Packet) {
         match packet.body {
-            Body::Overlay(body) => _ = self.gossip.received(context, packet.from, packet.from_life, body),
+            Body::Overlay(body) => {
+                _ = self
+                    .gossip
+                    .received(context, packet.from, packet.from_life, body)
+            }
             Body::Answer { id, answer } => self.answered(context, id, Some(answer)),
             _ => (),
         }
@@ -80,13 +89,22 @@
     /// A call from outside the tier.
     pub fn ask(&mut self, context: &mut Context, id: u64, ask: Ask) {
         if let Ask::Lots(call, raw) = ask {
-            self.calls.insert(id, LotCall { call, raw, until: context.now + ALL_TRIES });
+            self.calls.insert(
+                id,
+                LotCall {
+                    call,
+                    raw,
+                    until: context.now + ALL_TRIES,
+                },
+            );
             self.try_once(context, id);
         }
     }
 
     fn try_once(&mut self, context: &mut Context, ask: u64) {
-        let Some(lot_call) = self.calls.get(&ask) else { return };
+        let Some(lot_call) = self.calls.get(&ask) else {
+            return;
+        };
         if context.now >= lot_call.until {
             self.calls.remove(&ask);
             context.out.push(Out::Tell(ask, Told::Unavailable));
@@ -107,9 +125,12 @@
     }
 
     fn answered(&mut self, context: &mut Context, id: u64, answer: Option<Answer>) {
-        let Some(ask) = self.tries.remove(&id) else { return };
+        let Some(ask) = self.tries.remove(&id) else {
+            return;
+        };
         match answer {
-            Some(Answer::Lots(messages::Answer::NotInCharge | messages::Answer::Unsure, _)) | None => {
+            Some(Answer::Lots(messages::Answer::NotInCharge | messages::Answer::Unsure, _))
+            | None => {
                 context.wake(PAUSE, Timer::Retry(ask));
             }
             Some(Answer::Lots(answer, raw)) => {
--- a/crates/mintlb-simulation/src/gossip.rs
+++ b/crates/mintlb-simulation/src/gossip.rs
@@ -46,10 +46,21 @@
             node_name: name.to_string(),
             zone: "z".to_string(),
         };
-        let node = Node::new(context.instant, member.clone(), seeds, context.random.number());
+        let node = Node::new(
+            context.instant,
+            member.clone(),
+            seeds,
+            context.random.number(),
+        );
         let seeds = seeds.to_vec();
-        let mut gossip =
-            Gossip { member, seeds, node, waiters: Vec::new(), wake_at: None, lives: BTreeMap::new() };
+        let mut gossip = Gossip {
+            member,
+            seeds,
+            node,
+            waiters: Vec::new(),
+            wake_at: None,
+            lives: BTreeMap::new(),
+        };
         gossip.handle(context, Input::Tick);
         gossip
     }
@@ -61,14 +72,26 @@
 
     /// A message came. As in the transport, one of another life is told of before it, and one of a former life is
     /// refused.
-    pub fn received(&mut self, context: &mut Context, from: SocketAddr, life: u64, body: Bytes) -> Vec<u64> {
+    pub fn received(
+        &mut self,
+        context: &mut Context,
+        from: SocketAddr,
+        life: u64,
+        body: Bytes,
+    ) -> Vec<u64> {
         let known = self.lives.insert(from, life);
         if known.is_some_and(|known| known > life) {
             self.lives.extend(known.map(|known| (from, known)));
             return Vec::new();
         }
         if known.is_some_and(|known| known < life) {
-            self.handle(context, Input::Restarted { peer: from, incarnation: incarnation(life) });
+            self.handle(
+                context,
+                Input::Restarted {
+                    peer: from,
+                    incarnation: incarnation(life),
+                },
+            );
         }
         self.handle(context, Input::Received { from, body })
     }
@@ -93,14 +116,36 @@
 
     /// Publishes a record.
     pub fn publish_now(&mut self, context: &mut Context, record: Record) -> Vec<u64> {
-        self.handle(context, Input::Publish { record, confirm_until: None })
+        self.handle(
+            context,
+            Input::Publish {
+                record,
+                confirm_until: None,
+            },
+        )
     }
 
     /// Publishes a record; the token comes back once a neighbour has confirmed it.
-    pub fn publish(&mut self, context: &mut Context, record: Record, wait: Duration, token: u64) -> Vec<u64> {
-        self.waiters.push(Waiter { id: record_id(&record.key), version: record.version, token });
+    pub fn publish(
+        &mut self,
+        context: &mut Context,
+        record: Record,
+        wait: Duration,
+        token: u64,
+    ) -> Vec<u64> {
+        self.waiters.push(Waiter {
+            id: record_id(&record.key),
+            version: record.version,
+            token,
+        });
         let confirm_until = Some(context.instant + wait);
-        self.handle(context, Input::Publish { record, confirm_until })
+        self.handle(
+            context,
+            Input::Publish {
+                record,
+                confirm_until,
+            },
+        )
     }
 
     /// Nobody waits for this confirmation any more.
@@ -127,7 +172,12 @@
                 Effect::InForce(record) => context.out.push(Out::InForce(record)),
                 Effect::Confirmed { id, version } => {
                     let is_done = |waiter: &Waiter| waiter.id == id && waiter.version <= version;
-                    confirmed.extend(self.waiters.iter().filter(|w| is_done(w)).map(|waiter| waiter.token));
+                    confirmed.extend(
+                        self.waiters
+                            .iter()
+                            .filter(|w| is_done(w))
+                            .map(|waiter| waiter.token),
+                    );
                     self.waiters.retain(|waiter| !is_done(waiter));
                 }
             }
@@ -135,7 +185,10 @@
         let deadline = self.node.deadline();
         if self.wake_at.is_none_or(|at| deadline < at) {
             self.wake_at = Some(deadline);
-            context.wake(deadline.saturating_duration_since(context.instant), Timer::Overlay);
+            context.wake(
+                deadline.saturating_duration_since(context.instant),
+                Timer::Overlay,
+            );
         }
         confirmed
     }
--- a/crates/mintlb-simulation/src/history.rs
+++ b/crates/mintlb-simulation/src/history.rs
@@ -140,7 +140,13 @@
         faults.sort_by_key(|timed| timed.at);
         let calm_from = faults.iter().map(Timed::end).max().unwrap_or(last);
         let commit_ms = [2, 8, 30, 80][random.below(4)];
-        History { seed, tier, commit_ms, faults, calm_from }
+        History {
+            seed,
+            tier,
+            commit_ms,
+            faults,
+            calm_from,
+        }
     }
 
     /// A history of power losses of single machines whose disks stay, any number at any time: nothing that was synced
@@ -162,7 +168,13 @@
         }
         let commit_ms = [2, 8, 30, 80][random.below(4)];
         let calm_from = faults.iter().map(Timed::end).max().unwrap_or(at);
-        History { seed, tier, commit_ms, faults, calm_from }
+        History {
+            seed,
+            tier,
+            commit_ms,
+            faults,
+            calm_from,
+        }
     }
 
     /// The history without one of its faults.
@@ -211,11 +223,18 @@
         let fault = draw_loss(random, tier);
         let timed = Timed { at, fault };
         // Often right after the promise allows it.
-        let pause = if random.chance(60) { random.time(0, 300) } else { random.time(0, 5000) };
+        let pause = if random.chance(60) {
+            random.time(0, 300)
+        } else {
+            random.time(0, 5000)
+        };
         let from = timed.at;
         at = timed.end() + CATCH_UP + pause;
         // While the network is bad every machine counts as slowed, and so as lost: nothing is caught up with.
-        for bad in others.iter().filter(|other| matches!(other.fault, Fault::Weather(..))) {
+        for bad in others
+            .iter()
+            .filter(|other| matches!(other.fault, Fault::Weather(..)))
+        {
             if bad.at < at && bad.end() > from {
                 at += bad.fault.lasts();
             }
@@ -227,26 +246,48 @@
 
 fn draw_loss(random: &mut Random, tier: Tier) -> Fault {
     let machine = random.below(tier.counted());
-    let short = if random.chance(40) { random.time(3, 60) } else { random.time(50, 1500) };
-    let long = if random.chance(60) { random.time(300, 6000) } else { random.time(6000, 20_000) };
+    let short = if random.chance(40) {
+        random.time(3, 60)
+    } else {
+        random.time(50, 1500)
+    };
+    let long = if random.chance(60) {
+        random.time(300, 6000)
+    } else {
+        random.time(6000, 20_000)
+    };
     match random.below(100) {
         0..=8 => Fault::Kill(machine, short),
         9..=17 => Fault::PowerLoss(machine, short),
         18..=33 => Fault::Wipe(machine, short),
         34..=49 => {
             let (wiped, all) = (random.chance(60), random.chance(50));
-            Fault::Strike { one: Some(machine), wiped, all, time: short }
+            Fault::Strike {
+                one: Some(machine),
+                wiped,
+                all,
+                time: short,
+            }
         }
         50..=54 => Fault::Stall(machine, random.time(200, 4000)),
         55..=60 => Fault::Freeze(machine, long),
-        61..=62 => Fault::Island(machine, tier.counted() + random.below(tier.dispatchers), long),
+        61..=62 => Fault::Island(
+            machine,
+            tier.counted() + random.below(tier.dispatchers),
+            long,
+        ),
         63..=66 => Fault::CutOff(machine, long),
         67..=69 => Fault::Deaf(machine, long),
         70..=72 => Fault::Mute(machine, long),
         73..=75 => Fault::Partial(machine, random.number(), long),
         76 => Fault::Apart(machine, random.below(tier.machines()), long),
         77..=88 => Fault::Replace(machine, random.time(50, 4000)),
-        _ => Fault::Strike { one: None, wiped: false, all: true, time: short },
+        _ => Fault::Strike {
+            one: None,
+            wiped: false,
+            all: true,
+            time: short,
+        },
     }
 }
 
@@ -263,7 +304,10 @@
             2 if tier.dispatchers > 0 => Fault::Freeze(dispatcher, long),
             3 if tier.dispatchers > 0 => Fault::CutOff(dispatcher, long),
             4 if tier.dispatchers > 0 => Fault::Partial(dispatcher, random.number(), long),
-            5..=6 => Fault::ClockBack(random.below(tier.machines()), 1000 * (1 + random.below(600) as u64)),
+            5..=6 => Fault::ClockBack(
+                random.below(tier.machines()),
+                1000 * (1 + random.below(600) as u64),
+            ),
             _ => Fault::Weather(draw_weather(random), random.time(500, 4000)),
         };
         faults.push(Timed { at, fault });
@@ -271,7 +315,10 @@
     // More stores than are needed at least: one may go.
     if tier.stores > LEAST_STORES && random.chance(60) {
         let store = tier.controllers + random.below(tier.stores);
-        faults.push(Timed { at: FIRST + random.time(0, span), fault: Fault::Retire(store) });
+        faults.push(Timed {
+            at: FIRST + random.time(0, span),
+            fault: Fault::Retire(store),
+        });
     }
     faults
 }
--- a/crates/mintlb-simulation/src/lot_client.rs
+++ b/crates/mintlb-simulation/src/lot_client.rs
@@ -33,7 +33,10 @@
     /// The lot.
     pub fn lot(&self) -> &str {
         match self {
-            LotAct::Submit(lot) | LotAct::Record(lot, ..) | LotAct::Read(lot) | LotAct::End(lot) => lot,
+            LotAct::Submit(lot)
+            | LotAct::Record(lot, ..)
+            | LotAct::Read(lot)
+            | LotAct::End(lot) => lot,
         }
     }
 
@@ -41,15 +44,27 @@
     pub fn ask(&self, told: &LotsTold) -> Ask {
         let lot = told.lots.get(self.lot());
         let host = lot.map(|lot| lot.host.clone()).unwrap_or_default();
-        let name = LotName { host, id: self.lot().to_string() };
+        let name = LotName {
+            host,
+            id: self.lot().to_string(),
+        };
         match self {
             LotAct::Submit(_) => submit(name, lot.map_or(0, |lot| lot.items)),
             LotAct::Record(_, item, text) => {
-                let record = Record { lot: name, item: *item, state: ItemState::Completed };
+                let record = Record {
+                    lot: name,
+                    item: *item,
+                    state: ItemState::Completed,
+                };
                 Ask::Lots(Call::Record(record), Bytes::from(text.clone()))
             }
             LotAct::Read(_) => {
-                let read = Read { lot: name, start_after: 0, wait_ms: 0, most_bytes: u64::MAX };
+                let read = Read {
+                    lot: name,
+                    start_after: 0,
+                    wait_ms: 0,
+                    most_bytes: u64::MAX,
+                };
                 Ask::Lots(Call::Read(read), Bytes::new())
             }
             LotAct::End(_) => Ask::Lots(Call::End(name), Bytes::new()),
@@ -59,10 +74,16 @@
 
 fn submit(name: LotName, items: u32) -> Ask {
     let payload = |item: u32| format!("payload of {}", item_id(&name.id, item));
-    let head =
-        |item: u32| ItemHead { id: item_id(&name.id, item), tokens: 30, length: payload(item).len() as u64 };
+    let head = |item: u32| ItemHead {
+        id: item_id(&name.id, item),
+        tokens: 30,
+        length: payload(item).len() as u64,
+    };
     let raw: String = (0..items).map(payload).collect();
-    let terms = LotTerms { retention_ms: 1_000_000_000, ..LotTerms::default() };
+    let terms = LotTerms {
+        retention_ms: 1_000_000_000,
+        ..LotTerms::default()
+    };
     let lot = LotHead {
         host: name.host.clone(),
         id: name.id.clone(),
@@ -70,7 +91,15 @@
         terms,
         items: (0..items).map(head).collect(),
     };
-    Ask::Lots(Call::Submit(Submit { epoch: 0, holder: 1, max_queued_tokens: 0, lot }), raw.into())
+    Ask::Lots(
+        Call::Submit(Submit {
+            epoch: 0,
+            holder: 1,
+            max_queued_tokens: 0,
+            lot,
+        }),
+        raw.into(),
+    )
 }
 
 /// One caller.
@@ -113,12 +142,21 @@
         if matches!(told, Told::Lots(answer, _) if *answer != Answer::Conflict) {
             self.act = None;
         }
-        if random.chance(60) { random.time(1, 60) } else { random.time(60, 900) }
+        if random.chance(60) {
+            random.time(1, 60)
+        } else {
+            random.time(60, 900)
+        }
     }
 }
 
 fn draw(random: &mut Random, told: &mut LotsTold) -> LotAct {
-    let accepted: Vec<&String> = told.lots.iter().filter(|(_, lot)| lot.accepted).map(|(id, _)| id).collect();
+    let accepted: Vec<&String> = told
+        .lots
+        .iter()
+        .filter(|(_, lot)| lot.accepted)
+        .map(|(id, _)| id)
+        .collect();
     let kind = random.below(100);
     if accepted.is_empty() || kind < 25 {
         let id = format!("lot{:04}", told.lots.len());
@@ -129,7 +167,9 @@
     // The newest ones are of most interest.
     let back = random.below(accepted.len().min(6));
     let id = accepted[accepted.len() - 1 - back].clone();
-    let Some(lot) = told.lots.get_mut(&id) else { return LotAct::Read(id) };
+    let Some(lot) = told.lots.get_mut(&id) else {
+        return LotAct::Read(id);
+    };
     match kind {
         25..=29 => LotAct::Submit(id),
         30..=64 => {
@@ -149,5 +189,8 @@
 /// A host whose lots lie in this shard.
 fn host_of_shard(shard: u32) -> String {
     let hosts = (0..).map(|number: u32| format!("host{number}"));
-    hosts.into_iter().find(|host| Placement::shard_of(host) == shard).unwrap_or_default()
+    hosts
+        .into_iter()
+        .find(|host| Placement::shard_of(host) == shard)
+        .unwrap_or_default()
 }
--- a/crates/mintlb-simulation/src/lots_told.rs
+++ b/crates/mintlb-simulation/src/lots_told.rs
@@ -57,7 +57,10 @@
     /// A result is sent.
     pub fn result_sent(&mut self, id: &str, item: u32, text: &str) {
         if let Some(lot) = self.lots.get_mut(id) {
-            lot.sent.entry(item_id(id, item)).or_default().insert(text.to_string());
+            lot.sent
+                .entry(item_id(id, item))
+                .or_default()
+                .insert(text.to_string());
         }
     }
 
@@ -82,7 +85,9 @@
         raw: &Bytes,
     ) -> Result<(), Broken> {
         match answer {
-            Answer::Unknown if accepted => Err(("P3", format!("lot {id} was accepted and is unknown"))),
+            Answer::Unknown if accepted => {
+                Err(("P3", format!("lot {id} was accepted and is unknown")))
+            }
             Answer::Page(page) => self.page(id, page, raw, last),
             _ => Ok(()),
         }
@@ -90,30 +95,54 @@
 
     fn page(&mut self, id: &str, page: &Page, raw: &Bytes, last: bool) -> Result<(), Broken> {
         self.pages += 1;
-        let Some(lot) = self.lots.get_mut(id) else { return Ok(()) };
+        let Some(lot) = self.lots.get_mut(id) else {
+            return Ok(());
+        };
         if page.total != u64::from(lot.items) {
-            return Err(("P5", format!("lot {id} has {} items in place of {}", page.total, lot.items)));
+            return Err((
+                "P5",
+                format!(
+                    "lot {id} has {} items in place of {}",
+                    page.total, lot.items
+                ),
+            ));
         }
         let results = texts(page, raw);
         let items: BTreeSet<&String> = results.iter().map(|(item, _)| item).collect();
         if items.len() != results.len() {
             return Err(("P5", format!("lot {id} lists an item twice: {results:?}")));
         }
-        let unsent =
-            results.iter().find(|(item, text)| !lot.sent.get(item).is_some_and(|s| s.contains(text)));
+        let unsent = results
+            .iter()
+            .find(|(item, text)| !lot.sent.get(item).is_some_and(|s| s.contains(text)));
         if let Some((item, text)) = unsent {
-            return Err(("P5", format!("lot {id} lists {text:?} for {item}, which nobody sent")));
+            return Err((
+                "P5",
+                format!("lot {id} lists {text:?} for {item}, which nobody sent"),
+            ));
         }
         let common = results.len().min(lot.results.len());
         if results[..common] != lot.results[..common] {
-            return Err(("P5", format!("lot {id}: a position changed: {:?}, {results:?}", lot.results)));
+            return Err((
+                "P5",
+                format!(
+                    "lot {id}: a position changed: {:?}, {results:?}",
+                    lot.results
+                ),
+            ));
         }
         if last && results.len() < lot.results.len() {
             return Err(("P3", format!("lot {id} has lost results that were read")));
         }
-        let missing = lot.recorded.iter().find(|item| !items.contains(&item_id(id, **item)));
+        let missing = lot
+            .recorded
+            .iter()
+            .find(|item| !items.contains(&item_id(id, **item)));
         if let (true, Some(item)) = (last, missing) {
-            return Err(("P3", format!("lot {id}: the result of {item} was acknowledged and is not listed")));
+            return Err((
+                "P3",
+                format!("lot {id}: the result of {item} was acknowledged and is not listed"),
+            ));
         }
         if results.len() > lot.results.len() {
             lot.results = results;
@@ -133,5 +162,8 @@
         let part = raw.split_to((length as usize).min(raw.len()));
         String::from_utf8_lossy(&part).into_owned()
     };
-    page.results.iter().map(|result| (result.item.clone(), text(result.length, &mut raw))).collect()
+    page.results
+        .iter()
+        .map(|result| (result.item.clone(), text(result.length, &mut raw)))
+        .collect()
 }
--- a/crates/mintlb-simulation/src/operator.rs
+++ b/crates/mintlb-simulation/src/operator.rs
@@ -42,7 +42,13 @@
 impl Operator {
     /// One that knows of no configuration.
     pub fn new(number: usize) -> Operator {
-        Operator { number, known: 0, doing: Doing::Pausing, turn: 0, taken: Vec::new() }
+        Operator {
+            number,
+            known: 0,
+            doing: Doing::Pausing,
+            turn: 0,
+            taken: Vec::new(),
+        }
     }
 
     /// What it waits for.
@@ -81,10 +87,19 @@
         if random.chance(20) && !self.taken.is_empty() {
             return self.taken[random.below(self.taken.len())].clone();
         }
-        let base = if random.chance(95) { self.known } else { self.known.saturating_sub(1) };
+        let base = if random.chance(95) {
+            self.known
+        } else {
+            self.known.saturating_sub(1)
+        };
         let version = self.known + 1 + u64::from(random.chance(20));
         let body = format!("{version} by {} as {number}", self.number).into_bytes();
-        Order { number, base, version, body }
+        Order {
+            number,
+            base,
+            version,
+            body,
+        }
     }
 
     /// An answer to what it waits for.
@@ -111,6 +126,10 @@
             }
             _ => self.doing = Doing::Pausing,
         }
-        Next::Wait(if random.chance(40) { random.time(1, 100) } else { random.time(100, 1500) })
+        Next::Wait(if random.chance(40) {
+            random.time(1, 100)
+        } else {
+            random.time(100, 1500)
+        })
     }
 }
--- a/crates/mintlb-simulation/src/shrink.rs
+++ b/crates/mintlb-simulation/src/shrink.rs
@@ -11,8 +11,14 @@
 /// A history that fails, with fewer faults if possible, of the same point.
 pub fn shrink(history: &History, planted: Planted) -> History {
     let mut shrunk = history.clone();
-    let point = |history: &History| play(history, planted, false).violation.map(|violation| violation.point);
-    let Some(failed) = point(&shrunk) else { return shrunk };
+    let point = |history: &History| {
+        play(history, planted, false)
+            .violation
+            .map(|violation| violation.point)
+    };
+    let Some(failed) = point(&shrunk) else {
+        return shrunk;
+    };
     let mut plays = 0;
     loop {
         let before = shrunk.faults.len();
@@ -39,7 +45,12 @@
         writeln!(text, "  {at:?} {line}").ok();
     }
     if let Some(violation) = &report.violation {
-        writeln!(text, "{} at {:?}: {}", violation.point, violation.at, violation.what).ok();
+        writeln!(
+            text,
+            "{} at {:?}: {}",
+            violation.point, violation.at, violation.what
+        )
+        .ok();
     }
     text
 }
--- a/crates/mintlb-simulation/src/store/calls.rs
+++ b/crates/mintlb-simulation/src/store/calls.rs
@@ -32,7 +32,13 @@
 
 impl Store {
     /// A dispatcher's call.
-    pub(super) fn call(&mut self, context: &mut Context, caller: Caller, call: messages::Call, raw: Bytes) {
+    pub(super) fn call(
+        &mut self,
+        context: &mut Context,
+        caller: Caller,
+        call: messages::Call,
+        raw: Bytes,
+    ) {
         let now = context.now;
         let host = match &call {
             messages::Call::Submit(submit) => &submit.lot.host,
@@ -48,15 +54,24 @@
         let replica = &mut self.replicas[shard as usize];
         let (proposal, submitted) = match call {
             messages::Call::Submit(submit) => {
-                let messages::Submit { epoch, holder, max_queued_tokens, lot } = submit;
-                let submitted = Submitted { head: lot.clone(), raw: raw.clone() };
+                let messages::Submit {
+                    epoch,
+                    holder,
+                    max_queued_tokens,
+                    lot,
+                } = submit;
+                let submitted = Submitted {
+                    head: lot.clone(),
+                    raw: raw.clone(),
+                };
                 let proposal = replica.submit(epoch, lot, &raw, holder, max_queued_tokens, now);
                 (proposal, Some(submitted))
             }
             messages::Call::End(lot) => (replica.end(&lot, now), None),
-            messages::Call::Record(record) => {
-                (replica.record(&record.lot, record.item, record.state, &raw, now), None)
-            }
+            messages::Call::Record(record) => (
+                replica.record(&record.lot, record.item, record.state, &raw, now),
+                None,
+            ),
             messages::Call::Read(read) => return self.page(context, caller, shard, &read),
             _ => return,
         };
@@ -75,7 +90,9 @@
         let committed = self.replicas[shard as usize].committed();
         match proposal {
             Proposal::Pending(index, _) | Proposal::Compare(index, _) if index > committed => {
-                self.waiting[shard as usize].commits.push((index, caller, proposal, submitted));
+                self.waiting[shard as usize]
+                    .commits
+                    .push((index, caller, proposal, submitted));
             }
             proposal => self.finish(context, shard, caller, proposal, submitted),
         }
@@ -90,18 +107,29 @@
         submitted: Option<Submitted>,
     ) {
         match proposal {
-            Proposal::Done(Answer::Unknown) => self.confirm(context, shard, caller, Answer::Unknown),
-            Proposal::Done(answer) | Proposal::Pending(_, answer) => reply(context, &caller, answer),
+            Proposal::Done(Answer::Unknown) => {
+                self.confirm(context, shard, caller, Answer::Unknown)
+            }
+            Proposal::Done(answer) | Proposal::Pending(_, answer) => {
+                reply(context, &caller, answer)
+            }
             Proposal::Compare(index, answer) => {
                 let stored = self.read(shard, &[index]);
-                let entry = stored.first().and_then(|(_, bytes)| framing::decode::<Entry>(bytes));
+                let entry = stored
+                    .first()
+                    .and_then(|(_, bytes)| framing::decode::<Entry>(bytes));
                 let same = match (entry, submitted) {
                     (Some((Entry::Accepted(head), stored)), Some(new)) => {
-                        Replica::same_items(&head, &new.head) && (stored.is_empty() || stored == new.raw)
+                        Replica::same_items(&head, &new.head)
+                            && (stored.is_empty() || stored == new.raw)
                     }
                     _ => return reply(context, &caller, Answer::Unsure),
                 };
-                reply(context, &caller, if same { answer } else { Answer::Conflict });
+                reply(
+                    context,
+                    &caller,
+                    if same { answer } else { Answer::Conflict },
+                );
             }
         }
     }
@@ -122,20 +150,30 @@
     fn texts(&self, context: &mut Context, caller: &Caller, shard: u32, plan: PagePlan) {
         let mut page = plan.page;
         let stored = self.read(shard, &plan.entries);
-        let texts: Vec<Bytes> =
-            stored.iter().filter_map(|(_, bytes)| Some(framing::decode::<Entry>(bytes)?.1)).collect();
+        let texts: Vec<Bytes> = stored
+            .iter()
+            .filter_map(|(_, bytes)| Some(framing::decode::<Entry>(bytes)?.1))
+            .collect();
         if texts.len() != page.results.len() {
             return reply(context, caller, Answer::Unsure);
         }
-        page.results.iter_mut().zip(&texts).for_each(|(result, text)| result.length = text.len() as u64);
+        page.results
+            .iter_mut()
+            .zip(&texts)
+            .for_each(|(result, text)| result.length = text.len() as u64);
         let raw: Vec<u8> = texts.iter().flat_map(|text| text.to_vec()).collect();
-        context.answer(caller, message::Answer::Lots(Answer::Page(page), raw.into()));
+        context.answer(
+            caller,
+            message::Answer::Lots(Answer::Page(page), raw.into()),
+        );
     }
 
     /// Answers once this is confirmed to be the primary in charge still.
     fn confirm(&mut self, context: &mut Context, shard: u32, caller: Caller, answer: Answer) {
         let until = context.now + CONFIRM;
-        self.waiting[shard as usize].confirmations.push((until, caller, answer));
+        self.waiting[shard as usize]
+            .confirmations
+            .push((until, caller, answer));
         self.on_confirmed(context, shard);
     }
 
@@ -151,7 +189,11 @@
             return;
         }
         for (_, caller, answer) in waiting.confirmations.drain(..) {
-            reply(context, &caller, if serving { answer } else { Answer::Unsure });
+            reply(
+                context,
+                &caller,
+                if serving { answer } else { Answer::Unsure },
+            );
         }
     }
 
@@ -162,7 +204,9 @@
             match index <= through {
                 true => self.finish(context, shard, caller, proposal, submitted),
                 false => {
-                    self.waiting[shard as usize].commits.push((index, caller, proposal, submitted));
+                    self.waiting[shard as usize]
+                        .commits
+                        .push((index, caller, proposal, submitted));
                 }
             }
         }
@@ -172,8 +216,13 @@
     pub(super) fn on_stepped_down(&mut self, context: &mut Context, shard: u32) {
         let waiting = std::mem::take(&mut self.waiting[shard as usize]);
         let callers = waiting.commits.into_iter().map(|(_, caller, ..)| caller);
-        let others = waiting.confirmations.into_iter().map(|(_, caller, _)| caller);
-        callers.chain(others).for_each(|caller| reply(context, &caller, Answer::Unsure));
+        let others = waiting
+            .confirmations
+            .into_iter()
+            .map(|(_, caller, _)| caller);
+        callers
+            .chain(others)
+            .for_each(|caller| reply(context, &caller, Answer::Unsure));
     }
 
     /// Those that have waited too long for a confirmation.
@@ -187,7 +236,9 @@
                 .map(|(_, caller, _)| caller.clone())
                 .collect();
             waiting.confirmations.retain(|w| !late(w));
-            callers.iter().for_each(|caller| reply(context, caller, Answer::Unsure));
+            callers
+                .iter()
+                .for_each(|caller| reply(context, caller, Answer::Unsure));
         }
     }
 }
--- a/crates/mintlb-simulation/src/store/disk.rs
+++ b/crates/mintlb-simulation/src/store/disk.rs
@@ -33,7 +33,9 @@
         match write {
             DiskWrite::Put(index, bytes) => _ = self.entries.insert(index, bytes),
             DiskWrite::Truncate(last) => self.entries.retain(|index, _| *index <= last),
-            DiskWrite::Remove(indexes) => indexes.iter().for_each(|index| _ = self.entries.remove(index)),
+            DiskWrite::Remove(indexes) => indexes
+                .iter()
+                .for_each(|index| _ = self.entries.remove(index)),
             DiskWrite::Strip(indexes) => indexes.iter().for_each(|index| self.strip(*index)),
             DiskWrite::Clear => self.entries.clear(),
             DiskWrite::Meta(meta) => self.meta = meta,
@@ -52,7 +54,12 @@
     pub fn load(&self) -> impl Iterator<Item = (u64, Entry, u64, u64)> {
         self.entries.iter().filter_map(|(index, bytes)| {
             let (entry, end) = framing::decode_head::<Entry>(bytes)?;
-            Some((*index, entry, bytes.len() as u64, (bytes.len() - end) as u64))
+            Some((
+                *index,
+                entry,
+                bytes.len() as u64,
+                (bytes.len() - end) as u64,
+            ))
         })
     }
 }
@@ -73,7 +80,11 @@
 impl Writer {
     /// The disk of a process that starts.
     pub fn new(disk: StoreDisk) -> Writer {
-        Writer { disk, jobs: VecDeque::new(), committing: 0 }
+        Writer {
+            disk,
+            jobs: VecDeque::new(),
+            committing: 0,
+        }
     }
 
     /// What is on disk.
@@ -90,12 +101,19 @@
         after: Vec<AfterSync>,
     ) -> Vec<AfterSync> {
         if writes.is_empty() {
-            let Some(last) = self.jobs.back_mut() else { return after };
-            last.after.extend(after.into_iter().map(|after| (shard, after)));
+            let Some(last) = self.jobs.back_mut() else {
+                return after;
+            };
+            last.after
+                .extend(after.into_iter().map(|after| (shard, after)));
             return Vec::new();
         }
         let after = after.into_iter().map(|after| (shard, after)).collect();
-        self.jobs.push_back(Job { shard, writes, after });
+        self.jobs.push_back(Job {
+            shard,
+            writes,
+            after,
+        });
         self.begin(context);
         Vec::new()
     }
--- a/crates/mintlb-simulation/src/store/mod.rs
+++ b/crates/mintlb-simulation/src/store/mod.rs
@@ -45,9 +45,17 @@
 
 impl Store {
     /// Starts the process with what its disk holds.
-    pub fn start(context: &mut Context, name: &str, seeds: &[SocketAddr], disk: StoreDisk) -> Store {
-        let settings =
-            ReplicaSettings { own: disk.id, tolerance: crate::controller::TOLERANCE, status: STATUS };
+    pub fn start(
+        context: &mut Context,
+        name: &str,
+        seeds: &[SocketAddr],
+        disk: StoreDisk,
+    ) -> Store {
+        let settings = ReplicaSettings {
+            own: disk.id,
+            tolerance: crate::controller::TOLERANCE,
+            status: STATUS,
+        };
         let replicas = (0..SHARDS).map(|shard| {
             let held = disk.shards.get(&shard).cloned().unwrap_or_default();
             Replica::load(shard, settings, held.meta.clone(), held.load(), context.now)
@@ -81,12 +89,21 @@
     pub fn packet(&mut self, context: &mut Context, packet: Packet) {
         match packet.body {
             Body::Overlay(body) => {
-                self.gossip.received(context, packet.from, packet.from_life, body);
+                self.gossip
+                    .received(context, packet.from, packet.from_life, body);
                 self.follow_placement(context);
             }
             Body::Lots(envelope, raw) => self.message(context, envelope, raw),
-            Body::Call { id, life, call: Call::Lots(call, raw) } => {
-                let caller = crate::context::Caller { address: packet.from, life, id };
+            Body::Call {
+                id,
+                life,
+                call: Call::Lots(call, raw),
+            } => {
+                let caller = crate::context::Caller {
+                    address: packet.from,
+                    life,
+                    id,
+                };
                 self.call(context, caller, call, raw);
             }
             _ => (),
@@ -130,7 +147,9 @@
         if context.planted == Planted::EpochNotCompared {
             let promised = self.replicas[shard as usize].promised();
             match envelope.message {
-                PeerMessage::Append(_) | PeerMessage::Appended { .. } | PeerMessage::Diverged { .. } => {
+                PeerMessage::Append(_)
+                | PeerMessage::Appended { .. }
+                | PeerMessage::Diverged { .. } => {
                     envelope.epoch = promised;
                 }
                 _ => (),
@@ -142,13 +161,19 @@
 
     /// Goes by the newest placement that the overlay has brought.
     fn follow_placement(&mut self, context: &mut Context) {
-        let Some(record) = self.gossip.get(PLACEMENT) else { return };
+        let Some(record) = self.gossip.get(PLACEMENT) else {
+            return;
+        };
         if record.version <= self.placement.epoch {
             return;
         }
-        let Ok(placement) = minicbor::decode::<Placement>(&record.body) else { return };
-        let addresses =
-            placement.stores.iter().filter_map(|store| Some((store.id, store.address.parse().ok()?)));
+        let Ok(placement) = minicbor::decode::<Placement>(&record.body) else {
+            return;
+        };
+        let addresses = placement
+            .stores
+            .iter()
+            .filter_map(|store| Some((store.id, store.address.parse().ok()?)));
         self.addresses = addresses.collect();
         for (shard, assignment) in (0..SHARDS).zip(&placement.shards) {
             self.replicas[shard as usize].set_assignment(assignment, context.now);
@@ -177,7 +202,9 @@
                     Effect::Write(write) => writes.push(write),
                     Effect::AfterSync(next) => after.push(next),
                     Effect::Send(envelope) => self.send(context, envelope, Bytes::new()),
-                    Effect::SendEntries(envelope, indexes) => self.send_entries(context, envelope, &indexes),
+                    Effect::SendEntries(envelope, indexes) => {
+                        self.send_entries(context, envelope, &indexes)
+                    }
                     Effect::Committed(through) => self.on_committed(context, shard, through),
                     Effect::Confirmed => self.on_confirmed(context, shard),
                     Effect::SteppedDown => self.on_stepped_down(context, shard),
@@ -195,12 +222,16 @@
                 }
                 _ => self.writer.write(context, shard, writes, after),
             };
-            at_once.into_iter().for_each(|after| self.replicas[shard as usize].synced(after, context.now));
+            at_once
+                .into_iter()
+                .for_each(|after| self.replicas[shard as usize].synced(after, context.now));
         }
     }
 
     fn send(&self, context: &mut Context, envelope: Envelope, raw: Bytes) {
-        let Some(to) = self.addresses.get(&envelope.to).copied() else { return };
+        let Some(to) = self.addresses.get(&envelope.to).copied() else {
+            return;
+        };
         let packet = Packet {
             from: context.own,
             from_life: context.life,
@@ -213,20 +244,31 @@
 
     fn send_entries(&self, context: &mut Context, mut envelope: Envelope, indexes: &[u64]) {
         let entries = self.read(envelope.shard, indexes);
-        let (PeerMessage::Append(append) | PeerMessage::Fetched(append)) = &mut envelope.message else {
+        let (PeerMessage::Append(append) | PeerMessage::Fetched(append)) = &mut envelope.message
+        else {
             return;
         };
-        let length =
-            |(index, bytes): &(u64, Bytes)| EntryLength { index: *index, length: bytes.len() as u64 };
+        let length = |(index, bytes): &(u64, Bytes)| EntryLength {
+            index: *index,
+            length: bytes.len() as u64,
+        };
         append.entries = entries.iter().map(length).collect();
-        let raw: Vec<u8> = entries.iter().flat_map(|(_, bytes)| bytes.to_vec()).collect();
+        let raw: Vec<u8> = entries
+            .iter()
+            .flat_map(|(_, bytes)| bytes.to_vec())
+            .collect();
         self.send(context, envelope, raw.into());
     }
 
     /// Entries that are on disk.
     fn read(&self, shard: u32, indexes: &[u64]) -> Vec<(u64, Bytes)> {
-        let Some(held) = self.writer.disk().shards.get(&shard) else { return Vec::new() };
-        indexes.iter().filter_map(|index| Some((*index, held.entries.get(index)?.clone()))).collect()
+        let Some(held) = self.writer.disk().shards.get(&shard) else {
+            return Vec::new();
+        };
+        indexes
+            .iter()
+            .filter_map(|index| Some((*index, held.entries.get(index)?.clone())))
+            .collect()
     }
 
     /// Tells the controllers soon.
@@ -256,7 +298,13 @@
         for replica in set.iter().flat_map(ReplicaSet::members) {
             if let Ok(to) = replica.address.parse() {
                 let body = Body::Heartbeat(heartbeat.clone());
-                context.send(Packet { from: context.own, from_life: context.life, to, to_life: None, body });
+                context.send(Packet {
+                    from: context.own,
+                    from_life: context.life,
+                    to,
+                    to_life: None,
+                    body,
+                });
             }
         }
     }
--- a/crates/mintlb-simulation/src/worker.rs
+++ b/crates/mintlb-simulation/src/worker.rs
@@ -98,8 +98,11 @@
         };
         let changes = next != self.state;
         self.state = next;
-        let pause =
-            if changes { random.time(1, 100) } else { random.time(HEARTBEAT_MS - 50, HEARTBEAT_MS + 50) };
+        let pause = if changes {
+            random.time(1, 100)
+        } else {
+            random.time(HEARTBEAT_MS - 50, HEARTBEAT_MS + 50)
+        };
         (false, pause)
     }
 }
--- a/crates/mintlb-simulation/src/world/ending.rs
+++ b/crates/mintlb-simulation/src/world/ending.rs
@@ -16,7 +16,10 @@
     pub(super) fn watch(&mut self) {
         self.schedule(WATCHED_EVERY, Event::Watch);
         self.watch_drains();
-        let Some(version) = self.checks.acknowledged_before(self.now.saturating_sub(CONFIG_APPLY)) else {
+        let Some(version) = self
+            .checks
+            .acknowledged_before(self.now.saturating_sub(CONFIG_APPLY))
+        else {
             return;
         };
         for number in self.in_touch() {
@@ -42,11 +45,15 @@
             one == other || !self.network.is_cut(one, other) && !self.network.is_cut(other, one)
         };
         let is_connected = |number: &usize| {
-            let reached = core.iter().filter(|other| runs(other) && reaches(*number, **other)).count();
+            let reached = core
+                .iter()
+                .filter(|other| runs(other) && reaches(*number, **other))
+                .count();
             runs(number) && 2 * reached > core.len()
         };
         let connected: Vec<usize> = core.iter().copied().filter(is_connected).collect();
-        let stable = 2 * connected.len() > core.len() && calm(self.core_touched) && calm(self.fair_since);
+        let stable =
+            2 * connected.len() > core.len() && calm(self.core_touched) && calm(self.fair_since);
         let is_in_touch = |number: &usize| {
             runs(number)
                 && calm(self.machines[*number].touched)
@@ -60,25 +67,38 @@
 
     fn version_at(&self, number: usize, key: &str) -> u64 {
         let process = self.machines[number].process.as_ref();
-        process.and_then(|process| process.gossip().get(key)).map_or(0, |record| record.version)
+        process
+            .and_then(|process| process.gossip().get(key))
+            .map_or(0, |record| record.version)
     }
 
     /// After the calm: changes were taken, reads answered, and all have the newest.
     pub(super) fn check_end(&mut self) {
         let now = self.now;
         if self.last_acknowledged < self.calm_from {
-            let what = format!("no configuration was acknowledged since {:?}", self.calm_from);
+            let what = format!(
+                "no configuration was acknowledged since {:?}",
+                self.calm_from
+            );
             return self.checks.violates("P3", now, what);
         }
         if self.last_reads_open > 0 {
-            return self.checks.violates("P3", now, format!("{} reads unanswered", self.last_reads_open));
+            return self.checks.violates(
+                "P3",
+                now,
+                format!("{} reads unanswered", self.last_reads_open),
+            );
         }
         if self.last_lots_open > 0 {
             let what = format!("{} lots can't be read", self.last_lots_open);
             return self.checks.violates("P3", now, what);
         }
         let newest = self.checks.newest();
-        if self.last_versions.iter().any(|version| *version < newest || *version != self.last_versions[0]) {
+        if self
+            .last_versions
+            .iter()
+            .any(|version| *version < newest || *version != self.last_versions[0])
+        {
             let what = format!("read {:?}, acknowledged {newest}", self.last_versions);
             return self.checks.violates("P3", now, what);
         }
@@ -87,7 +107,9 @@
     }
 
     fn check_set(&mut self) {
-        let Some(state) = self.checks.newest_chosen().cloned() else { return };
+        let Some(state) = self.checks.newest_chosen().cloned() else {
+            return;
+        };
         let set = &state.replicas;
         let identities: Vec<u64> = set.members().map(|replica| replica.id).collect();
         if set.is_joint() || identities.len() != self.tier.controllers {
@@ -97,10 +119,15 @@
     }
 
     fn check_records(&mut self) {
-        let Some(state) = self.checks.newest_chosen().cloned() else { return };
+        let Some(state) = self.checks.newest_chosen().cloned() else {
+            return;
+        };
         let placement = (PLACEMENT, state.placement.epoch);
-        let newest =
-            [placement, (CONFIGURATION, state.configuration_version), (REPLICAS, state.replicas.epoch)];
+        let newest = [
+            placement,
+            (CONFIGURATION, state.configuration_version),
+            (REPLICAS, state.replicas.epoch),
+        ];
         let stay = (0..self.machines.len()).filter(|number| !self.machines[*number].gone);
         for number in stay.collect::<Vec<_>>() {
             for (key, version) in newest {
--- a/crates/mintlb-simulation/src/world/faults.rs
+++ b/crates/mintlb-simulation/src/world/faults.rs
@@ -29,7 +29,9 @@
         self.checks.counts.faults += 1;
         self.note(|| format!("fault: {fault:?}"));
         match fault {
-            Fault::Kill(machine, time) | Fault::PowerLoss(machine, time) => self.restart(machine, time),
+            Fault::Kill(machine, time) | Fault::PowerLoss(machine, time) => {
+                self.restart(machine, time)
+            }
             Fault::Wipe(machine, time) => {
                 self.restart(machine, time);
                 self.wipe(machine);
@@ -59,8 +61,9 @@
             Fault::Island(machine, dispatcher, time) => {
                 let mut ways = self.ways(machine, true, true);
                 ways.extend(self.ways(dispatcher, true, true));
-                let is_within =
-                    |way: &(usize, usize)| *way == (machine, dispatcher) || *way == (dispatcher, machine);
+                let is_within = |way: &(usize, usize)| {
+                    *way == (machine, dispatcher) || *way == (dispatcher, machine)
+                };
                 ways.retain(|way| !is_within(way));
                 self.cut(ways, time);
             }
@@ -89,7 +92,8 @@
                 self.machines[machine].frozen = false;
                 self.touch(machine);
                 let held = std::mem::take(&mut self.machines[machine].held);
-                held.into_iter().for_each(|event| self.schedule(Duration::ZERO, event));
+                held.into_iter()
+                    .for_each(|event| self.schedule(Duration::ZERO, event));
             }
             Ending::Join(ways) => {
                 for (from, to) in ways {
@@ -125,7 +129,15 @@
 
     /// The loss that was waiting comes about.
     pub(super) fn strike(&mut self) {
-        let Some(Fault::Strike { one, wiped, all, time }) = self.armed.take() else { return };
+        let Some(Fault::Strike {
+            one,
+            wiped,
+            all,
+            time,
+        }) = self.armed.take()
+        else {
+            return;
+        };
         self.note(|| format!("the strike falls: {one:?}, wiped: {wiped}, all: {all}"));
         if all {
             self.forget_drains();
@@ -149,7 +161,9 @@
 
     /// The process ends.
     fn stop(&mut self, machine: usize) {
-        let Some(process) = self.machines[machine].process.take() else { return };
+        let Some(process) = self.machines[machine].process.take() else {
+            return;
+        };
         self.machines[machine].disk = process.crash(&mut self.random);
         self.touch(machine);
     }
@@ -170,7 +184,11 @@
         if in_core(from) && in_core(to) {
             self.core_touched = self.now;
         }
-        for machine in [from, to].into_iter().filter(|machine| !in_core(*machine)).collect::<Vec<_>>() {
+        for machine in [from, to]
+            .into_iter()
+            .filter(|machine| !in_core(*machine))
+            .collect::<Vec<_>>()
+        {
             self.machines[machine].touched = self.now;
         }
     }
@@ -181,9 +199,17 @@
         match &mut self.machines[machine].disk {
             Disk::Vote(disk) => {
                 let id = if keeps { disk.id } else { new_id };
-                *disk = VoteDisk { id, ..VoteDisk::default() };
+                *disk = VoteDisk {
+                    id,
+                    ..VoteDisk::default()
+                };
+            }
+            Disk::Lots(disk) => {
+                *disk = StoreDisk {
+                    id: new_id,
+                    ..StoreDisk::default()
+                }
             }
-            Disk::Lots(disk) => *disk = StoreDisk { id: new_id, ..StoreDisk::default() },
             Disk::None => (),
         }
     }
@@ -224,8 +250,14 @@
     /// An empty disk.
     pub(super) fn new_disk(&mut self, role: Role) -> Disk {
         match role {
-            Role::Controller => Disk::Vote(VoteDisk { id: self.draw_identity(), ..VoteDisk::default() }),
-            Role::Store => Disk::Lots(StoreDisk { id: self.draw_identity(), ..StoreDisk::default() }),
+            Role::Controller => Disk::Vote(VoteDisk {
+                id: self.draw_identity(),
+                ..VoteDisk::default()
+            }),
+            Role::Store => Disk::Lots(StoreDisk {
+                id: self.draw_identity(),
+                ..StoreDisk::default()
+            }),
             Role::Dispatcher => Disk::None,
         }
     }
--- a/crates/mintlb-simulation/src/world/lots.rs
+++ b/crates/mintlb-simulation/src/world/lots.rs
@@ -63,7 +63,11 @@
                 }
             }
             (LotAct::Submit(_), Answer::Conflict) => {
-                self.checks.violates("P5", self.now, format!("lot {id} came again and is a conflict"));
+                self.checks.violates(
+                    "P5",
+                    self.now,
+                    format!("lot {id} came again and is a conflict"),
+                );
             }
             (LotAct::Record(_, item, _), Answer::Recorded) => self.lots.result_kept(id, *item),
             (LotAct::End(_), Answer::Ended) => {
@@ -104,22 +108,37 @@
 
     /// The operator orders a retirement.
     pub(super) fn retire(&mut self, machine: usize) {
-        self.retiring = Some(Retiring { machine, ordered: false });
+        self.retiring = Some(Retiring {
+            machine,
+            ordered: false,
+        });
         self.schedule(Duration::ZERO, Event::Retirement);
     }
 
     /// He orders again, or asks how far it is.
     pub(super) fn go_on_retiring(&mut self) {
-        let Some(Retiring { machine, ordered }) = self.retiring else { return };
+        let Some(Retiring { machine, ordered }) = self.retiring else {
+            return;
+        };
         self.schedule(ASK_AGAIN, Event::Retirement);
         let node = self.machines[machine].name.clone();
         let controller = self.draw_controller();
-        self.ask(controller, Ask::Retire { node, begin: !ordered }, Caller::Retirer, None);
+        self.ask(
+            controller,
+            Ask::Retire {
+                node,
+                begin: !ordered,
+            },
+            Caller::Retirer,
+            None,
+        );
     }
 
     /// He was answered.
     pub(super) fn retirer_told(&mut self, told: &Told) {
-        let Some(retiring) = &mut self.retiring else { return };
+        let Some(retiring) = &mut self.retiring else {
+            return;
+        };
         match told {
             Told::Retiring { completed: true } if retiring.ordered => {
                 let machine = retiring.machine;
--- a/crates/mintlb-simulation/src/world/mod.rs
+++ b/crates/mintlb-simulation/src/world/mod.rs
@@ -196,7 +196,11 @@
     world.run(history.calm_from + CALM);
     let mut counts = world.checks.counts;
     (counts.lots, counts.results) = (world.lots.accepted(), world.lots.recorded);
-    Report { violation: world.checks.violation, counts, trace: world.trace.unwrap_or_default() }
+    Report {
+        violation: world.checks.violation,
+        counts,
+        trace: world.trace.unwrap_or_default(),
+    }
 }
 
 impl World {
@@ -252,11 +256,21 @@
                 _ => Role::Dispatcher,
             };
             let (disk, address) = (self.new_disk(role), self.draw_address());
-            self.machines.push(Machine::new(role, format!("{role:?}{number}"), address, disk));
+            self.machines.push(Machine::new(
+                role,
+                format!("{role:?}{number}"),
+                address,
+                disk,
+            ));
             let delay = self.random.time(0, STARTS_WITHIN_MS);
             self.schedule(delay, Event::Ending(Ending::Start(number)));
         }
-        self.seeds = self.machines.iter().take(self.tier.controllers).map(|m| m.address).collect();
+        self.seeds = self
+            .machines
+            .iter()
+            .take(self.tier.controllers)
+            .map(|m| m.address)
+            .collect();
         for timed in &history.faults {
             self.schedule(timed.at, Event::Fault(timed.fault.clone()));
         }
@@ -271,11 +285,21 @@
         }
         for number in 0..WORKERS {
             let delay = self.random.time(1000, 2000);
-            self.schedule(delay, Event::Worker { number, turn: 0, again: false });
+            self.schedule(
+                delay,
+                Event::Worker {
+                    number,
+                    turn: 0,
+                    again: false,
+                },
+            );
         }
         self.schedule(STARTED, Event::Watch);
         self.schedule(history.calm_from + CALM - LAST_LOTS, Event::LastLots);
-        self.schedule(history.calm_from + CALM - PATIENCE_OF_READERS, Event::LastReads);
+        self.schedule(
+            history.calm_from + CALM - PATIENCE_OF_READERS,
+            Event::LastReads,
+        );
     }
 
     fn run(&mut self, end: Time) {
@@ -286,7 +310,9 @@
             self.now = at;
             self.checks.counts.events += 1;
             if self.checks.counts.events > MOST_EVENTS {
-                return self.checks.violates("model", at, "too many events".to_string());
+                return self
+                    .checks
+                    .violates("model", at, "too many events".to_string());
             }
             self.happen(event);
         }
@@ -299,12 +325,28 @@
     fn happen(&mut self, event: Event) {
         match event {
             Event::Packet { from, packet } => self.deliver(from, packet),
-            Event::Timer { machine, life, timer } => self.timer(machine, life, timer),
-            Event::Unreachable { machine, life, peer } => {
-                if !self.hold(machine, Event::Unreachable { machine, life, peer })
-                    && self.machines[machine].runs(life)
+            Event::Timer {
+                machine,
+                life,
+                timer,
+            } => self.timer(machine, life, timer),
+            Event::Unreachable {
+                machine,
+                life,
+                peer,
+            } => {
+                if !self.hold(
+                    machine,
+                    Event::Unreachable {
+                        machine,
+                        life,
+                        peer,
+                    },
+                ) && self.machines[machine].runs(life)
                 {
-                    self.with(machine, |process, context| process.unreachable(context, peer));
+                    self.with(machine, |process, context| {
+                        process.unreachable(context, peer)
+                    });
                 }
             }
             Event::CallLost { machine, life, id } => {
@@ -318,7 +360,11 @@
             Event::Told { id, told } => self.told(id, &told),
             Event::Operator { number, turn } => self.operator_wakes(number, turn),
             Event::LotClient { number, turn } => self.lot_client_wakes(number, turn),
-            Event::Worker { number, turn, again } => self.worker_wakes(number, turn, again),
+            Event::Worker {
+                number,
+                turn,
+                again,
+            } => self.worker_wakes(number, turn, again),
             Event::Retirement => self.go_on_retiring(),
             Event::Watch => self.watch(),
             Event::Fault(fault) => self.begin_fault(fault),
@@ -339,7 +385,11 @@
     }
 
     fn timer(&mut self, number: usize, life: u64, timer: Timer) {
-        let event = Event::Timer { machine: number, life, timer };
+        let event = Event::Timer {
+            machine: number,
+            life,
+            timer,
+        };
         if self.hold(number, event.clone()) || !self.machines[number].runs(life) {
             return;
         }
@@ -371,14 +421,25 @@
         let mut context = self.context(number);
         let process = match disk {
             Disk::Vote(disk) => {
-                let start = Start { name, seeds, first_start };
+                let start = Start {
+                    name,
+                    seeds,
+                    first_start,
+                };
                 Process::Controller(Box::new(Controller::start(&mut context, start, disk)))
             }
-            Disk::Lots(disk) => Process::Store(Box::new(Store::start(&mut context, &name, &seeds, disk))),
-            Disk::None => Process::Dispatcher(Box::new(Dispatcher::start(&mut context, &name, &seeds))),
+            Disk::Lots(disk) => {
+                Process::Store(Box::new(Store::start(&mut context, &name, &seeds, disk)))
+            }
+            Disk::None => {
+                Process::Dispatcher(Box::new(Dispatcher::start(&mut context, &name, &seeds)))
+            }
         };
         let out = context.out;
-        debug_assert_eq!(role == Role::Controller, matches!(process, Process::Controller(_)));
+        debug_assert_eq!(
+            role == Role::Controller,
+            matches!(process, Process::Controller(_))
+        );
         self.machines[number].process = Some(process);
         self.carry_out(number, out);
     }
@@ -387,13 +448,20 @@
     fn seeds(&self) -> Vec<SocketAddr> {
         match self.now < Duration::from_secs(1) {
             true => self.seeds.clone(),
-            false => self.machines.iter().take(self.tier.controllers).map(|m| m.address).collect(),
+            false => self
+                .machines
+                .iter()
+                .take(self.tier.controllers)
+                .map(|m| m.address)
+                .collect(),
         }
     }
 
     /// Lets a process handle something, and carries out what it wants done.
     fn with(&mut self, number: usize, handle: impl FnOnce(&mut Process, &mut Context)) {
-        let Some(mut process) = self.machines[number].process.take() else { return };
+        let Some(mut process) = self.machines[number].process.take() else {
+            return;
+        };
         let mut context = self.context(number);
         handle(&mut process, &mut context);
         let out = context.out;
@@ -423,12 +491,20 @@
             match out {
                 Out::Send(packet) => self.send(number, *packet),
                 Out::Wake(after, timer) => {
-                    self.schedule(after, Event::Timer { machine: number, life, timer });
+                    self.schedule(
+                        after,
+                        Event::Timer {
+                            machine: number,
+                            life,
+                            timer,
+                        },
+                    );
                 }
                 Out::Tell(id, told) => self.tell(id, told),
                 Out::Chosen(accepted) => self.checks.chosen(now, &accepted),
                 Out::InForce(record) => {
-                    self.checks.in_force(now, number, life, &record.key, record.version);
+                    self.checks
+                        .in_force(now, number, life, &record.key, record.version);
                 }
                 Out::Note(line) => self.note(|| line),
             }
--- a/crates/mintlb-simulation/src/world/network.rs
+++ b/crates/mintlb-simulation/src/world/network.rs
@@ -19,7 +19,10 @@
 impl Network {
     /// A network without faults.
     pub fn new(machines: usize) -> Network {
-        Network { cuts: vec![vec![0; machines]; machines], weather: Weather::default() }
+        Network {
+            cuts: vec![vec![0; machines]; machines],
+            weather: Weather::default(),
+        }
     }
 
     /// Cuts a way.
@@ -41,8 +44,13 @@
 impl World {
     /// Puts a message on its way.
     pub(super) fn send(&mut self, from: usize, mut packet: Packet) {
-        let there = self.machines.iter().find(|machine| machine.address == packet.to);
-        let life = there.filter(|machine| machine.process.is_some()).map(|machine| machine.life);
+        let there = self
+            .machines
+            .iter()
+            .find(|machine| machine.address == packet.to);
+        let life = there
+            .filter(|machine| machine.process.is_some())
+            .map(|machine| machine.life);
         packet.to_life = packet.to_life.or(life);
         let weather = self.network.weather;
         if self.random.chance(weather.dropped) {
@@ -50,7 +58,13 @@
         }
         if self.random.chance(weather.doubled) && !matches!(packet.body, Body::Answer { .. }) {
             let late = self.random.time(1, 200);
-            self.schedule(late, Event::Packet { from, packet: packet.clone() });
+            self.schedule(
+                late,
+                Event::Packet {
+                    from,
+                    packet: packet.clone(),
+                },
+            );
         }
         let delay = match self.random.below(100) {
             0 => self.random.time(5, 40),
@@ -62,7 +76,11 @@
 
     /// Hands a message over, if there is somebody.
     pub(super) fn deliver(&mut self, from: usize, packet: Packet) {
-        let Some(to) = self.machines.iter().position(|machine| machine.address == packet.to) else {
+        let Some(to) = self
+            .machines
+            .iter()
+            .position(|machine| machine.address == packet.to)
+        else {
             // Nobody has this address any more.
             return self.breaks(from, &packet, PATIENCE);
         };
@@ -88,7 +106,14 @@
     fn breaks(&mut self, from: usize, packet: &Packet, after: Duration) {
         if let Body::Overlay(_) = packet.body {
             let (life, peer) = (self.machines[from].life, packet.to);
-            self.schedule(after, Event::Unreachable { machine: from, life, peer });
+            self.schedule(
+                after,
+                Event::Unreachable {
+                    machine: from,
+                    life,
+                    peer,
+                },
+            );
         }
     }
 
@@ -99,10 +124,24 @@
         match packet.body {
             Body::Overlay(_) => {
                 let peer = packet.to;
-                self.schedule(after, Event::Unreachable { machine: from, life, peer });
+                self.schedule(
+                    after,
+                    Event::Unreachable {
+                        machine: from,
+                        life,
+                        peer,
+                    },
+                );
             }
             Body::Call { id, life, .. } => {
-                self.schedule(after, Event::CallLost { machine: from, life, id });
+                self.schedule(
+                    after,
+                    Event::CallLost {
+                        machine: from,
+                        life,
+                        id,
+                    },
+                );
             }
             Body::Answer { .. } | Body::Lots(..) | Body::Heartbeat(_) => (),
         }
--- a/crates/mintlb-simulation/src/world/outside.rs
+++ b/crates/mintlb-simulation/src/world/outside.rs
@@ -59,7 +59,10 @@
         }
         let next_order = self.checks.orders() + 1;
         let next = self.operators[number].wake(&mut self.random, next_order);
-        if self.operators[number].order().is_some_and(|order| order.number == next_order) {
+        if self.operators[number]
+            .order()
+            .is_some_and(|order| order.number == next_order)
+        {
             self.checks.ordered();
         }
         self.operator_does(number, next);
@@ -87,7 +90,11 @@
     }
 
     pub(super) fn ask_about(&mut self, machine: usize, caller: Caller, act: LotAct) {
-        let accepted = self.lots.lots.get(act.lot()).is_some_and(|lot| lot.accepted);
+        let accepted = self
+            .lots
+            .lots
+            .get(act.lot())
+            .is_some_and(|lot| lot.accepted);
         let ask = act.ask(&self.lots);
         self.ask(machine, ask, caller, None);
         if let Some(open) = self.open.get_mut(&self.next_ask) {
@@ -100,7 +107,16 @@
         self.next_ask += 1;
         let id = self.next_ask;
         let until = self.now + PATIENCE;
-        self.open.insert(id, Open { caller, order, act: None, floor: self.checks.newest(), until });
+        self.open.insert(
+            id,
+            Open {
+                caller,
+                order,
+                act: None,
+                floor: self.checks.newest(),
+                until,
+            },
+        );
         let delay = self.random.time(0, 5);
         self.schedule(delay, Event::Ask { machine, id, ask });
     }
@@ -108,11 +124,19 @@
     /// A call comes to a machine.
     pub(super) fn asked(&mut self, machine: usize, id: u64, ask: Ask) {
         if self.machines[machine].frozen {
-            return self.machines[machine].held.push(Event::Ask { machine, id, ask });
+            return self.machines[machine]
+                .held
+                .push(Event::Ask { machine, id, ask });
         }
         if self.machines[machine].process.is_none() {
             // Refused at once: the caller goes on to another one.
-            return self.schedule(Duration::from_millis(1), Event::Told { id, told: Told::Unavailable });
+            return self.schedule(
+                Duration::from_millis(1),
+                Event::Told {
+                    id,
+                    told: Told::Unavailable,
+                },
+            );
         }
         self.with(machine, |process, context| process.ask(context, id, ask));
     }
@@ -122,7 +146,10 @@
         let is_promise = match &told {
             Told::Done => true,
             Told::Lots(answer, _) => {
-                matches!(answer, Answer::Accepted { .. } | Answer::Recorded | Answer::Ended)
+                matches!(
+                    answer,
+                    Answer::Accepted { .. } | Answer::Recorded | Answer::Ended
+                )
             }
             _ => false,
         };
@@ -142,7 +169,9 @@
 
     /// An answer has come to its caller, who may have gone on.
     pub(super) fn told(&mut self, id: u64, told: &Told) {
-        let Some(open) = self.open.remove(&id) else { return };
+        let Some(open) = self.open.remove(&id) else {
+            return;
+        };
         if self.now > open.until {
             return;
         }
@@ -156,7 +185,11 @@
             Caller::LastReader => self.last_read(told),
             Caller::LotClient { number, turn } => self.lot_client_told(number, turn, told),
             Caller::LastLot => self.last_lot_read(told),
-            Caller::Worker { number, turn, controller } => {
+            Caller::Worker {
+                number,
+                turn,
+                controller,
+            } => {
                 self.worker_told(number, turn, controller, told);
             }
             Caller::Retirer => self.retirer_told(told),
@@ -187,7 +220,8 @@
 
     /// At the end the configuration is read at every controller.
     pub(super) fn ask_last_readers(&mut self) {
-        let controllers = (0..self.machines.len()).filter(|i| self.machines[*i].role == Role::Controller);
+        let controllers =
+            (0..self.machines.len()).filter(|i| self.machines[*i].role == Role::Controller);
         for machine in controllers.collect::<Vec<_>>() {
             self.last_reads_open += 1;
             self.ask(machine, Ask::Get, Caller::LastReader, None);
--- a/crates/mintlb-simulation/src/world/workers.rs
+++ b/crates/mintlb-simulation/src/world/workers.rs
@@ -30,8 +30,24 @@
         let ask = self.workers[number].call(&mut self.random, self.tier.controllers, again);
         let turn = self.workers[number].turn();
         let controller = self.workers[number].controller();
-        self.ask(controller, ask, Caller::Worker { number, turn, controller }, None);
-        self.schedule(PATIENCE, Event::Worker { number, turn, again: true });
+        self.ask(
+            controller,
+            ask,
+            Caller::Worker {
+                number,
+                turn,
+                controller,
+            },
+            None,
+        );
+        self.schedule(
+            PATIENCE,
+            Event::Worker {
+                number,
+                turn,
+                again: true,
+            },
+        );
     }
 
     /// It was answered.
@@ -45,18 +61,32 @@
         }
         let (again, pause) = self.workers[number].told(&mut self.random, told);
         let turn = self.workers[number].turn();
-        self.schedule(pause, Event::Worker { number, turn, again });
+        self.schedule(
+            pause,
+            Event::Worker {
+                number,
+                turn,
+                again,
+            },
+        );
     }
 
     /// Counts unless the machine lost contact so lately that its lease still holds: it is not in touch then.
     fn drain_acknowledged(&mut self, controller: usize, record: &WorkerRecord) {
         let machine = &self.machines[controller];
-        let was_cut = machine.cut_at.is_some_and(|at| at + LEASE + PATIENCE > self.now);
+        let was_cut = machine
+            .cut_at
+            .is_some_and(|at| at + LEASE + PATIENCE > self.now);
         self.checks.counts.drains += 1;
         if was_cut {
             return;
         }
-        self.note(|| format!("{} is {:?}, says machine {controller}", record.instance_id, record.state));
+        self.note(|| {
+            format!(
+                "{} is {:?}, says machine {controller}",
+                record.instance_id, record.state
+            )
+        });
         let key = format!("{WORKER_PREFIX}{}", record.instance_id);
         self.drained.push(Drained { at: self.now, key });
     }
@@ -77,8 +107,12 @@
     pub(super) fn watch_drains(&mut self) {
         let now = self.now;
         self.drained.retain(|drained| drained.at + KEPT > now);
-        let due: Vec<Drained> =
-            self.drained.iter().filter(|drained| drained.at + DRAIN <= now).cloned().collect();
+        let due: Vec<Drained> = self
+            .drained
+            .iter()
+            .filter(|drained| drained.at + DRAIN <= now)
+            .cloned()
+            .collect();
         for number in self.in_touch() {
             for drained in &due {
                 let serves = |record: &WorkerRecord| record.state == WorkerState::InService;
--- a/crates/mintlb-simulation/tests/common/mod.rs
+++ b/crates/mintlb-simulation/tests/common/mod.rs
@@ -6,9 +6,17 @@
 use std::env;
 
 /// Controllers and dispatchers.
-pub const CONTROL: Tier = Tier { controllers: 3, stores: 0, dispatchers: 2 };
+pub const CONTROL: Tier = Tier {
+    controllers: 3,
+    stores: 0,
+    dispatchers: 2,
+};
 /// The same with stores, one more than the shards need.
-pub const ALL: Tier = Tier { controllers: 3, stores: 4, dispatchers: 2 };
+pub const ALL: Tier = Tier {
+    controllers: 3,
+    stores: 4,
+    dispatchers: 2,
+};
 
 /// A number that the environment gives.
 pub fn number(variable: &str) -> Option<u64> {
--- a/crates/mintlb-simulation/tests/histories.rs
+++ b/crates/mintlb-simulation/tests/histories.rs
@@ -40,7 +40,9 @@
 
 #[test]
 fn control_holds_what_it_acknowledges() {
-    let Some((histories, sum)) = play_many(|seed| History::draw(seed, CONTROL), 1200) else { return };
+    let Some((histories, sum)) = play_many(|seed| History::draw(seed, CONTROL), 1200) else {
+        return;
+    };
     assert!(sum.faults > 2 * histories && sum.acknowledged > 10 * histories);
     assert!(sum.repeated > histories && sum.refused > histories);
     assert!(sum.reads > histories && sum.sets > 6 * histories);
@@ -48,7 +50,9 @@
 
 #[test]
 fn control_and_stores_hold_what_they_acknowledge() {
-    let Some((histories, sum)) = play_many(|seed| History::draw(seed, ALL), 250) else { return };
+    let Some((histories, sum)) = play_many(|seed| History::draw(seed, ALL), 250) else {
+        return;
+    };
     assert!(sum.faults > 2 * histories && sum.acknowledged > 10 * histories);
     assert!(sum.lots > 10 * histories && sum.results > 10 * histories);
     assert!(sum.placements > 5 * histories && 4 * sum.retired > histories);
@@ -56,6 +60,9 @@
 
 #[test]
 fn what_is_synced_outlasts_power_losses_without_number() {
-    let Some((histories, sum)) = play_many(|seed| History::draw_restless(seed, CONTROL), 200) else { return };
+    let Some((histories, sum)) = play_many(|seed| History::draw_restless(seed, CONTROL), 200)
+    else {
+        return;
+    };
     assert!(sum.faults > 20 * histories && sum.acknowledged > 5 * histories);
 }
--- a/crates/mintlb-simulation/tests/planted.rs
+++ b/crates/mintlb-simulation/tests/planted.rs
@@ -31,7 +31,9 @@
 }
 
 fn must_find_in(planted: Planted, draw: impl Fn(u64) -> History, most: u64) {
-    let Some((seed, text)) = found(planted, draw, most) else { panic!("{planted:?} is not found") };
+    let Some((seed, text)) = found(planted, draw, most) else {
+        panic!("{planted:?} is not found")
+    };
     let last = text.lines().last().unwrap_or_default();
     println!("{planted:?}, history {seed}: {last}");
     if env::var(SHOW).is_ok() {
@@ -41,7 +43,11 @@
 
 #[test]
 fn a_promise_that_is_not_synced_is_found() {
-    must_find_in(Planted::PromiseNotSynced, |seed| History::draw_restless(seed, CONTROL), 3000);
+    must_find_in(
+        Planted::PromiseNotSynced,
+        |seed| History::draw_restless(seed, CONTROL),
+        3000,
+    );
 }
 
 #[test]
--- a/crates/mintlb-testbed/src/audit.rs
+++ b/crates/mintlb-testbed/src/audit.rs
@@ -74,34 +74,63 @@
 impl Whole {
     fn new(scenario: &Scenario, seen: &Seen, budget: usize) -> Whole {
         let settles = scenario.settles();
-        let first = (scenario.budgets[budget].rate, scenario.budgets[budget].burst);
+        let first = (
+            scenario.budgets[budget].rate,
+            scenario.budgets[budget].burst,
+        );
         // What each process's file gave, from when to when.
         let mut files: Vec<(f64, f64, (f64, f64))> = Vec::new();
         for process in 0..scenario.processes {
             let (mut from, mut whole) = (f64::NEG_INFINITY, first);
-            for (at, _, _, rate, burst) in seen.wholes.iter().filter(|w| (w.1, w.2) == (process, budget)) {
+            for (at, _, _, rate, burst) in seen
+                .wholes
+                .iter()
+                .filter(|w| (w.1, w.2) == (process, budget))
+            {
                 files.push((from, at + settles, whole));
                 (from, whole) = (*at, (*rate, *burst));
             }
             files.push((from, f64::INFINITY, whole));
         }
-        let mut steps: Vec<f64> = files.iter().flat_map(|(from, to, _)| [*from, *to]).collect();
+        let mut steps: Vec<f64> = files
+            .iter()
+            .flat_map(|(from, to, _)| [*from, *to])
+            .collect();
         steps.retain(|at| *at < f64::INFINITY);
         steps.sort_by(f64::total_cmp);
         steps.dedup();
         let most = |at: f64| {
             let hold = files.iter().filter(|(from, to, _)| *from <= at && at < *to);
-            hold.fold((0.0f64, 0.0f64), |most, (_, _, w)| (most.0.max(w.0), most.1.max(w.1)))
+            hold.fold((0.0f64, 0.0f64), |most, (_, _, w)| {
+                (most.0.max(w.0), most.1.max(w.1))
+            })
         };
-        Whole(steps.into_iter().map(|at| (at, most(at).0, most(at).1)).collect())
+        Whole(
+            steps
+                .into_iter()
+                .map(|at| (at, most(at).0, most(at).1))
+                .collect(),
+        )
     }
 
     /// What may come in that time, and the greatest burst in it.
     fn between(&self, from: f64, to: f64) -> (f64, f64) {
-        let ends = self.0.iter().skip(1).map(|step| step.0).chain([f64::INFINITY]);
-        let parts = self.0.iter().zip(ends).filter(|((at, ..), end)| *at <= to && from <= *end);
+        let ends = self
+            .0
+            .iter()
+            .skip(1)
+            .map(|step| step.0)
+            .chain([f64::INFINITY]);
+        let parts = self
+            .0
+            .iter()
+            .zip(ends)
+            .filter(|((at, ..), end)| *at <= to && from <= *end);
         parts.fold((0.0, 0.0f64), |(sum, most), ((at, rate, burst), end)| {
-            (sum + rate * (end.min(to) - at.max(from)).max(0.0), most.max(*burst))
+            (
+                sum + rate * (end.min(to) - at.max(from)).max(0.0),
+                most.max(*burst),
+            )
         })
     }
 
@@ -139,7 +168,12 @@
         for from in (0..=to).rev() {
             let (begins, ends) = (moments[from].0, moments[to].1);
             let seconds = (ends - begins).max(SHORTEST);
-            let window = Window { from, to, seconds, most: whole.most(begins, begins + seconds) };
+            let window = Window {
+                from,
+                to,
+                seconds,
+                most: whole.most(begins, begins + seconds),
+            };
             breaches |= window.spent() as f64 > window.most + 1e-9;
             if worst.is_none_or(|worst| window.part() > worst.part()) {
                 worst = Some(window);
@@ -193,7 +227,10 @@
             tell(story, budget, seen, &spent[worst.from..=worst.to], worst);
         }
         for [from, to] in &budget.wanted {
-            used += spent.iter().filter(|s| (*from..*to).contains(&s.by)).count() as f64;
+            used += spent
+                .iter()
+                .filter(|s| (*from..*to).contains(&s.by))
+                .count() as f64;
             whole += holds.between(*from, *to).0;
         }
     }
@@ -215,7 +252,9 @@
     )
     .ok();
     let mut by: HashMap<usize, usize> = HashMap::new();
-    spent.iter().for_each(|s| *by.entry(s.process).or_default() += 1);
+    spent
+        .iter()
+        .for_each(|s| *by.entry(s.process).or_default() += 1);
     let mut by: Vec<(usize, usize)> = by.into_iter().collect();
     by.sort_unstable();
     for (process, n) in by {
@@ -226,7 +265,12 @@
         writeln!(story, "  {:.4} {}", mark.at, mark.what).ok();
     }
     for s in spent.iter().take(LINES) {
-        writeln!(story, "  {:.4} n{} to worker {}, work unit {:016x}", s.by, s.process, s.worker, s.id).ok();
+        writeln!(
+            story,
+            "  {:.4} n{} to worker {}, work unit {:016x}",
+            s.by, s.process, s.worker, s.id
+        )
+        .ok();
     }
     if spent.len() > LINES {
         writeln!(story, "  and {} more", spent.len() - LINES).ok();
@@ -239,7 +283,9 @@
         let limit = scenario.types[asked.of].hard_limit;
         let due = asked.at + limit;
         let serves = |s: &&crate::seen::Stretch| {
-            s.process == asked.process && s.from <= asked.at && s.to.is_none_or(|to| to > due + SLACK)
+            s.process == asked.process
+                && s.from <= asked.at
+                && s.to.is_none_or(|to| to > due + SLACK)
         };
         let serves = seen.stretches.iter().any(|s| serves(&s));
         verdict.taken += 1;
@@ -258,9 +304,19 @@
             }
             None => {}
         }
-        if serves && asked.answers.first().is_some_and(|(at, _)| *at > due + SLACK) {
+        if serves
+            && asked
+                .answers
+                .first()
+                .is_some_and(|(at, _)| *at > due + SLACK)
+        {
             verdict.late += 1;
-            writeln!(story, "late by {:.3} s: {asked:?}", asked.answers[0].0 - due).ok();
+            writeln!(
+                story,
+                "late by {:.3} s: {asked:?}",
+                asked.answers[0].0 - due
+            )
+            .ok();
         }
     }
 }
@@ -270,12 +326,18 @@
 fn effects(scenario: &Scenario, seen: &Seen, verdict: &mut Verdict, story: &mut String) {
     let asked: HashMap<u64, &Asked> = seen.asked.iter().map(|a| (a.id, a)).collect();
     let mut by: HashMap<u64, Vec<&Sent>> = HashMap::new();
-    seen.sent.iter().for_each(|s| by.entry(s.id).or_default().push(s));
+    seen.sent
+        .iter()
+        .for_each(|s| by.entry(s.id).or_default().push(s));
     let zones: Vec<usize> = scenario.workers().map(|(zone, _)| zone).collect();
     for (id, sent) in by {
-        let Some(asked) = asked.get(&id) else { continue };
+        let Some(asked) = asked.get(&id) else {
+            continue;
+        };
         let t = &scenario.types[asked.of];
-        let Some(ran) = sent.iter().position(|s| s.returned.is_none()) else { continue };
+        let Some(ran) = sent.iter().position(|s| s.returned.is_none()) else {
+            continue;
+        };
         let (first, later) = (sent[ran], &sent[ran + 1..]);
         let forbidden = |s: &&&Sent| match t.effect {
             Effect::Rerunnable => false,
@@ -286,7 +348,10 @@
         };
         let again = later.iter().filter(forbidden).count();
         let deferred = t.effect == Effect::Exclusive
-            && asked.answers.first().is_some_and(|(_, status)| matches!(status, 429 | 503));
+            && asked
+                .answers
+                .first()
+                .is_some_and(|(_, status)| matches!(status, 429 | 503));
         if again > 0 || deferred {
             verdict.doubled += 1;
             writeln!(story, "doubled: {asked:?}, {sent:?}").ok();
@@ -297,7 +362,10 @@
 /// Rule 3. Nothing new to a worker later than the grace after its process was told that it drains or is gone.
 fn drains(scenario: &Scenario, seen: &Seen, verdict: &mut Verdict, story: &mut String) {
     for sent in &seen.sent {
-        let mut told = seen.told.iter().filter(|t| t.process == sent.process && t.worker == sent.worker);
+        let mut told = seen
+            .told
+            .iter()
+            .filter(|t| t.process == sent.process && t.worker == sent.worker);
         let last = told.rfind(|t| t.at + scenario.rules.drain_grace + HEARD <= sent.first);
         // A later word that it serves again may have crossed this one.
         let again = seen.told.iter().any(|t| {
@@ -315,16 +383,22 @@
 /// can do meanwhile.
 fn colds(scenario: &Scenario, seen: &Seen, verdict: &mut Verdict, story: &mut String) {
     let rules = &scenario.rules;
-    let slots: Vec<usize> = scenario.workers().map(|(zone, _)| scenario.zones[zone].slots).collect();
+    let slots: Vec<usize> = scenario
+        .workers()
+        .map(|(zone, _)| scenario.zones[zone].slots)
+        .collect();
     for (worker, life, up) in &seen.cold {
         let to = |s: &&Sent| s.worker == *worker && s.life == *life && s.by < up + rules.warm_after;
         let sent: Vec<&Sent> = seen.sent.iter().filter(to).collect();
         for (i, first) in sent.iter().enumerate() {
-            let within = sent[i..].iter().take_while(|s| s.by - first.after <= rules.fall);
+            let within = sent[i..]
+                .iter()
+                .take_while(|s| s.by - first.after <= rules.fall);
             let work: f64 = within.map(|s| s.work).sum();
             // What it can do in that time, as it warms up evenly.
             let share = |at: f64| {
-                rules.cold_from + (1.0 - rules.cold_from) * ((at - up) / rules.warm_after).clamp(0.0, 1.0)
+                rules.cold_from
+                    + (1.0 - rules.cold_from) * ((at - up) / rules.warm_after).clamp(0.0, 1.0)
             };
             let middle = share(first.after + rules.fall / 2.0);
             let most = rules.fall_multiple * middle * slots[*worker] as f64 * rules.fall;
--- a/crates/mintlb-testbed/src/cli.rs
+++ b/crates/mintlb-testbed/src/cli.rs
@@ -48,28 +48,48 @@
 }
 
 fn run(verb: Verb) -> Result<bool, String> {
-    let Play { scenario, seed, report, program } = match verb {
+    let Play {
+        scenario,
+        seed,
+        report,
+        program,
+    } = match verb {
         Verb::Play(play) => play,
         Verb::Check(Check { scenarios }) => {
-            scenarios.iter().try_for_each(|path| Scenario::read(path).map(drop))?;
+            scenarios
+                .iter()
+                .try_for_each(|path| Scenario::read(path).map(drop))?;
             return Ok(true);
         }
     };
     let scenario = Scenario::read(&scenario)?;
     let seed = seed.unwrap_or(scenario.seed);
-    let beside = || std::env::current_exe().ok().map(|own| own.with_file_name("mintlb"));
-    let program = program.or_else(beside).ok_or("no program: give --program FILE")?;
+    let beside = || {
+        std::env::current_exe()
+            .ok()
+            .map(|own| own.with_file_name("mintlb"))
+    };
+    let program = program
+        .or_else(beside)
+        .ok_or("no program: give --program FILE")?;
     let kept = report.is_some();
-    let folder =
-        report.unwrap_or_else(|| std::env::temp_dir().join(format!("mintlb-testbed-{}", std::process::id())));
-    let played = play(&scenario, seed, &program, &folder, kept, |line| eprintln!("{line}"));
+    let folder = report.unwrap_or_else(|| {
+        std::env::temp_dir().join(format!("mintlb-testbed-{}", std::process::id()))
+    });
+    let played = play(&scenario, seed, &program, &folder, kept, |line| {
+        eprintln!("{line}")
+    });
     let played = match played {
         Ok(played) => played,
         Err(why) => return Err(format!("{}: {why}", scenario.title)),
     };
     if kept {
         let path = folder.join("story.txt");
-        let marks = played.seen.marks.iter().map(|m| format!("{:.3} {}\n", m.at, m.what));
+        let marks = played
+            .seen
+            .marks
+            .iter()
+            .map(|m| format!("{:.3} {}\n", m.at, m.what));
         let text: String = marks.chain([played.story.clone()]).collect();
         std::fs::write(&path, text).map_err(|e| format!("{}: {e}", path.display()))?;
         let path = folder.join("report.html");
@@ -82,12 +102,20 @@
                 .map(|s| format!("{},{:.4},n{}\n", budget.name, s.by, s.process))
                 .collect::<Vec<_>>()
         });
-        let text: String = ["budget,second,process\n".to_string()].into_iter().chain(spends).collect();
+        let text: String = ["budget,second,process\n".to_string()]
+            .into_iter()
+            .chain(spends)
+            .collect();
         std::fs::write(&path, text).map_err(|e| format!("{}: {e}", path.display()))?;
     } else {
         std::fs::remove_dir_all(&folder).ok();
     }
-    for (process, (words, bytes)) in played.words.iter().enumerate().filter(|(_, (words, _))| *words > 0.0) {
+    for (process, (words, bytes)) in played
+        .words
+        .iter()
+        .enumerate()
+        .filter(|(_, (words, _))| *words > 0.0)
+    {
         eprintln!("n{process} sent {words:.1} words and {bytes:.0} bytes a second");
     }
     eprint!("{}", played.story);
--- a/crates/mintlb-testbed/src/clients.rs
+++ b/crates/mintlb-testbed/src/clients.rs
@@ -29,18 +29,39 @@
 }
 
 impl Clients {
-    pub fn new(scenario: &Scenario, seed: u64, at: Vec<SocketAddr>, book: Book, began: f64) -> Arc<Clients> {
+    pub fn new(
+        scenario: &Scenario,
+        seed: u64,
+        at: Vec<SocketAddr>,
+        book: Book,
+        began: f64,
+    ) -> Arc<Clients> {
         let idle = at.iter().map(|_| Mutex::default()).collect();
         // Ids differ from seed to seed, as the running times go by them.
         let ids = AtomicU64::new((seed << 32) | 1);
-        Arc::new(Clients { types: scenario.types.clone(), at, book, idle, ids, began })
+        Arc::new(Clients {
+            types: scenario.types.clone(),
+            at,
+            book,
+            idle,
+            ids,
+            began,
+        })
     }
 
     /// Plays one line of the demand up to its end.
     pub async fn play(self: Arc<Clients>, demand: Demand, until: f64, mut chance: Chance) {
-        let of = self.types.iter().position(|t| t.name == demand.of).unwrap_or(0);
+        let of = self
+            .types
+            .iter()
+            .position(|t| t.name == demand.of)
+            .unwrap_or(0);
         let (until, n) = (demand.to.unwrap_or(until).min(until), self.at.len());
-        let weights = if demand.on.is_empty() { vec![1.0; n] } else { demand.on.clone() };
+        let weights = if demand.on.is_empty() {
+            vec![1.0; n]
+        } else {
+            demand.on.clone()
+        };
         let (mut at, all) = (demand.from, weights.iter().sum::<f64>());
         if demand.rate <= 0.0 || all <= 0.0 {
             return;
@@ -67,7 +88,9 @@
     }
 
     fn idle(&self, process: usize) -> MutexGuard<'_, Vec<Idle>> {
-        self.idle[process].lock().unwrap_or_else(PoisonError::into_inner)
+        self.idle[process]
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
     }
 
     async fn hand_in(self: Arc<Clients>, of: usize, process: usize) {
@@ -106,7 +129,14 @@
             let at = self.book.now();
             let place = *asked.get_or_insert_with(|| {
                 let mut seen = self.book.seen();
-                seen.asked.push(Asked { id, process, of, at, answers: Vec::new(), broken: None });
+                seen.asked.push(Asked {
+                    id,
+                    process,
+                    of,
+                    at,
+                    answers: Vec::new(),
+                    broken: None,
+                });
                 seen.asked.len() - 1
             });
             let answer = timeout_at(Instant::now() + limit + LATE, answer(&mut stream)).await;
@@ -150,8 +180,14 @@
     loop {
         if let Some(head) = got.windows(4).position(|end| end == b"\r\n\r\n") {
             let text = String::from_utf8_lossy(&got[..head]).to_lowercase();
-            let status = text.split(' ').nth(1).and_then(|s| s.parse().ok()).ok_or(false)?;
-            let length = text.lines().find_map(|l| l.strip_prefix("content-length:")?.trim().parse().ok());
+            let status = text
+                .split(' ')
+                .nth(1)
+                .and_then(|s| s.parse().ok())
+                .ok_or(false)?;
+            let length = text
+                .lines()
+                .find_map(|l| l.strip_prefix("content-length:")?.trim().parse().ok());
             let length: usize = length.unwrap_or(0);
             let whole = match text.contains("transfer-encoding: chunked") {
                 true => got.ends_with(b"0\r\n\r\n"),
--- a/crates/mintlb-testbed/src/list.rs
+++ b/crates/mintlb-testbed/src/list.rs
@@ -42,7 +42,12 @@
 
 impl List {
     pub fn new(scenario: &Scenario, at: Vec<Vec<SocketAddr>>, book: Book) -> List {
-        let entry = |(zone, _)| Entry { zone, state: State::Serving, started_ms: 0, version: 1 };
+        let entry = |(zone, _)| Entry {
+            zone,
+            state: State::Serving,
+            started_ms: 0,
+            version: 1,
+        };
         List(Arc::new(Inner {
             entries: Mutex::new((1, scenario.workers().map(entry).collect())),
             changed: Condvar::new(),
@@ -54,12 +59,25 @@
 
     /// From now on the zone's workers are listed so; those that come back have started now.
     pub fn change(&self, zone: &str, state: State, started_ms: Option<u64>) {
-        let mut entries = self.0.entries.lock().unwrap_or_else(PoisonError::into_inner);
+        let mut entries = self
+            .0
+            .entries
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
         entries.0 += 1;
         let version = entries.0;
-        for entry in entries.1.iter_mut().filter(|entry| self.0.zones[entry.zone] == zone) {
+        for entry in entries
+            .1
+            .iter_mut()
+            .filter(|entry| self.0.zones[entry.zone] == zone)
+        {
             let started_ms = started_ms.unwrap_or(entry.started_ms);
-            *entry = Entry { state, started_ms, version, ..*entry };
+            *entry = Entry {
+                state,
+                started_ms,
+                version,
+                ..*entry
+            };
         }
         self.0.changed.notify_all();
     }
@@ -84,8 +102,16 @@
     }
 
     /// What has changed since, or all, as it is written, with the version.
-    fn told(&self, process: usize, since: Option<u64>, (version, entries): &(u64, Vec<Entry>)) -> String {
-        let news = entries.iter().enumerate().filter(|(_, e)| since.is_none_or(|since| e.version > since));
+    fn told(
+        &self,
+        process: usize,
+        since: Option<u64>,
+        (version, entries): &(u64, Vec<Entry>),
+    ) -> String {
+        let news = entries
+            .iter()
+            .enumerate()
+            .filter(|(_, e)| since.is_none_or(|since| e.version > since));
         let now = self.0.book.now();
         let mut said = Vec::new();
         for (worker, entry) in news {
@@ -97,7 +123,9 @@
                 State::Draining => "DRAINING",
                 State::Deleted => "DELETED",
             };
-            let Entry { zone, started_ms, .. } = *entry;
+            let Entry {
+                zone, started_ms, ..
+            } = *entry;
             said.push(format!(
                 "{{\"id\":\"s-{:08x}\",\"addr\":\"{}\",\"zone\":\"{}\",\"kind\":\"m\",\"cell\":0,\"state\":\"{state}\",\
                  \"weight\":1.0,\"started_ms\":{started_ms}}}",
@@ -106,10 +134,18 @@
                 self.0.zones[zone]
             ));
             let ready = entry.state == State::Serving;
-            self.0.book.seen().told.push(Told { process, worker, at: now, ready });
+            self.0.book.seen().told.push(Told {
+                process,
+                worker,
+                at: now,
+                ready,
+            });
         }
         let full = since.is_none();
-        format!("{{\"version\":{version},\"full\":{full},\"servers\":[{}]}}", said.join(","))
+        format!(
+            "{{\"version\":{version},\"full\":{full},\"servers\":[{}]}}",
+            said.join(",")
+        )
     }
 
     fn serve(&self, process: usize, mut stream: TcpStream) -> std::io::Result<()> {
@@ -123,14 +159,25 @@
         }
         let asked = String::from_utf8_lossy(&asked).to_string();
         let line = asked.lines().next().unwrap_or_default();
-        let lock = || self.0.entries.lock().unwrap_or_else(PoisonError::into_inner);
+        let lock = || {
+            self.0
+                .entries
+                .lock()
+                .unwrap_or_else(PoisonError::into_inner)
+        };
         if !line.contains("watch=1") {
             let whole = self.told(process, None, &lock());
             let head = "HTTP/1.1 200 OK\r\nconnection: close\r\ncontent-length: ";
             return write!(stream, "{head}{}\r\n\r\n{whole}", whole.len());
         }
-        let after = line.split("after=").nth(1).and_then(|v| v.split([' ', '&']).next()?.parse().ok());
-        write!(stream, "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n")?;
+        let after = line
+            .split("after=")
+            .nth(1)
+            .and_then(|v| v.split([' ', '&']).next()?.parse().ok());
+        write!(
+            stream,
+            "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n"
+        )?;
         let (mut known, mut entries): (Option<u64>, _) = (after, lock());
         loop {
             let said = self.told(process, known, &entries);
