--- a/crates/mintlb-testbed/src/play.rs
+++ b/crates/mintlb-testbed/src/play.rs
@@ -48,18 +48,26 @@
     let at: Vec<Vec<SocketAddr>> = scenario
         .workers()
         .enumerate()
-        .map(|(worker, _)| (0..scenario.processes).map(|p| net.worker(worker, p)).collect())
+        .map(|(worker, _)| {
+            (0..scenario.processes)
+                .map(|p| net.worker(worker, p))
+                .collect()
+        })
         .collect();
     // Moments are counted from here, and in the end from when all serve.
     let book = Book::new(Instant::now());
     let list = List::new(scenario, at.clone(), book.clone());
     for process in 0..scenario.processes {
-        list.listen(process, net.list(process)).map_err(io("list"))?;
+        list.listen(process, net.list(process))
+            .map_err(io("list"))?;
     }
     let (tell, told) = channel();
     let workers = Workers::new(scenario, seed, at, book.clone()).map_err(io("workers"))?;
     let workers = std::thread::spawn(move || workers.play(told));
-    let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build();
+    let runtime = tokio::runtime::Builder::new_multi_thread()
+        .worker_threads(2)
+        .enable_all()
+        .build();
     let runtime = runtime.map_err(io("runtime"))?;
     let relays = Relays::start(scenario.processes, seed, scenario.words, &net);
     let relays = runtime.block_on(relays).map_err(io("relays"))?;
@@ -75,7 +83,11 @@
     let clients = Clients::new(scenario, seed, clients, book.clone(), began);
     for (i, demand) in scenario.demand.iter().enumerate() {
         let chance = Chance::new(seed.wrapping_mul(31) + i as u64);
-        runtime.spawn(clients.clone().play(demand.clone(), scenario.seconds, chance));
+        runtime.spawn(
+            clients
+                .clone()
+                .play(demand.clone(), scenario.seconds, chance),
+        );
     }
     let mut faults = scenario.faults.clone();
     faults.sort_by(|a, b| a.at.total_cmp(&b.at));
@@ -105,27 +117,51 @@
         if now >= said + 5.0 {
             said = now;
             let seen = book.seen();
-            progress(&format!("{now:.0} of {} s, {} work units", scenario.seconds, seen.asked.len()));
+            progress(&format!(
+                "{now:.0} of {} s, {} work units",
+                scenario.seconds,
+                seen.asked.len()
+            ));
         }
-        let next = faults.peek().map_or(scenario.seconds, |f| f.at).min(now + 0.02);
+        let next = faults
+            .peek()
+            .map_or(scenario.seconds, |f| f.at)
+            .min(now + 0.02);
         std::thread::sleep(Duration::from_secs_f64((next - now).max(0.001)));
     }
     // What was asked last is answered, or late.
-    let longest = scenario.types.iter().map(|t| t.hard_limit).fold(0.0, f64::max);
+    let longest = scenario
+        .types
+        .iter()
+        .map(|t| t.hard_limit)
+        .fold(0.0, f64::max);
     std::thread::sleep(Duration::from_secs_f64(longest + 0.3));
-    let samples = sampler.map(|sampler| sampler.end(began)).unwrap_or_default();
+    let samples = sampler
+        .map(|sampler| sampler.end(began))
+        .unwrap_or_default();
     let counts = relays.counts();
     let seconds = book.now() - began;
     let left = processes.end();
     drop(tell);
-    workers.join().map_err(|_| "the workers ended early")?.map_err(io("workers"))?;
+    workers
+        .join()
+        .map_err(|_| "the workers ended early")?
+        .map_err(io("workers"))?;
     runtime.shutdown_timeout(Duration::from_secs(1));
     let mut seen = book.seen().clone();
     seen.shift(began);
     let (mut verdict, story) = audit(scenario, seed, &seen);
     (verdict.processes_left, verdict.crashed) = (left, processes.crashed);
-    let words = counts.iter().map(|(words, bytes)| (*words as f64 / seconds, *bytes as f64 / seconds));
-    Ok(Played { verdict, story, seen, words: words.collect(), samples })
+    let words = counts
+        .iter()
+        .map(|(words, bytes)| (*words as f64 / seconds, *bytes as f64 / seconds));
+    Ok(Played {
+        verdict,
+        story,
+        seen,
+        words: words.collect(),
+        samples,
+    })
 }
 
 /// What of a fault is the processes' and the list's; the workers hear of all.
@@ -143,16 +179,28 @@
         Deed::Go { who } => Some((who, Signal::SIGCONT)),
         _ => None,
     };
-    signal.into_iter().for_each(|(who, signal)| who.iter().for_each(|p| processes.signal(*p, signal)));
+    signal
+        .into_iter()
+        .for_each(|(who, signal)| who.iter().for_each(|p| processes.signal(*p, signal)));
     match deed {
-        Deed::Whole { who, budget, rate, burst } => {
-            who.iter().try_for_each(|p| processes.retune(*p, budget, *rate, *burst))?;
+        Deed::Whole {
+            who,
+            budget,
+            rate,
+            burst,
+        } => {
+            who.iter()
+                .try_for_each(|p| processes.retune(*p, budget, *rate, *burst))?;
         }
         Deed::Start { who } => who.iter().try_for_each(|p| processes.start(*p))?,
         Deed::Down { zone } => listed.push((now + LIST, zone.clone(), State::Deleted)),
         Deed::Up { zone } => listed.push((now + LIST, zone.clone(), State::Serving)),
         Deed::Drain { zone, on } => {
-            list.change(zone, if *on { State::Draining } else { State::Serving }, None);
+            list.change(
+                zone,
+                if *on { State::Draining } else { State::Serving },
+                None,
+            );
         }
         _ => {}
     }
@@ -160,5 +208,7 @@
 }
 
 fn unix_ms() -> u64 {
-    SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |t| t.as_millis() as u64)
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .map_or(0, |t| t.as_millis() as u64)
 }
--- a/crates/mintlb-testbed/src/processes.rs
+++ b/crates/mintlb-testbed/src/processes.rs
@@ -107,7 +107,19 @@
         let whole = scenario.budgets.iter().map(|b| (b.rate, b.burst)).collect();
         let wholes = vec![whole; scenario.processes];
         let (starts, ending) = (vec![0; scenario.processes], vec![false; scenario.processes]);
-        Processes { scenario, seed, program, folder, net, book, children, starts, wholes, ending, crashed: 0 }
+        Processes {
+            scenario,
+            seed,
+            program,
+            folder,
+            net,
+            book,
+            children,
+            starts,
+            wholes,
+            ending,
+            crashed: 0,
+        }
     }
 
     fn configuration(&self, process: usize) -> String {
@@ -129,8 +141,8 @@
         });
         let types: Vec<serde_json::Value> = types.collect();
         let r = &s.rules;
-        let seed =
-            self.seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ (self.starts[process] << 8 | process as u64);
+        let seed = self.seed.wrapping_mul(0x9e37_79b9_7f4a_7c15)
+            ^ (self.starts[process] << 8 | process as u64);
         let zones: Vec<&str> = s.zones.iter().map(|z| z.name.as_str()).collect();
         json!({
             "name": name(process), "listen": self.net.process(process), "discovery": self.net.list(process),
@@ -168,20 +180,29 @@
         fleet.insert("members".into(), toml::Value::Table(members.collect()));
         fleet.insert(
             "division".into(),
-            if s.fleet.division == Division::Leases { "leases" } else { "equal" }.into(),
+            if s.fleet.division == Division::Leases {
+                "leases"
+            } else {
+                "equal"
+            }
+            .into(),
         );
         if s.fleet.division == Division::Leases {
             let keepers = (0..s.fleet.keepers.min(s.processes)).map(|p| toml::Value::from(name(p)));
             fleet.insert("keepers".into(), toml::Value::Array(keepers.collect()));
         }
-        let budgets = s.budgets.iter().zip(&self.wholes[process]).map(|(b, (rate, burst))| {
-            let mut table = toml::Table::new();
-            table.insert("name".into(), b.name.clone().into());
-            table.insert("limits".into(), Limits::word(b.limits).into());
-            table.insert("rate".into(), (*rate).into());
-            table.insert("burst".into(), (*burst).into());
-            toml::Value::Table(table)
-        });
+        let budgets = s
+            .budgets
+            .iter()
+            .zip(&self.wholes[process])
+            .map(|(b, (rate, burst))| {
+                let mut table = toml::Table::new();
+                table.insert("name".into(), b.name.clone().into());
+                table.insert("limits".into(), Limits::word(b.limits).into());
+                table.insert("rate".into(), (*rate).into());
+                table.insert("burst".into(), (*burst).into());
+                toml::Value::Table(table)
+            });
         fleet.insert("budgets".into(), toml::Value::Array(budgets.collect()));
         let mut file = toml::Table::new();
         file.insert("fleet".into(), toml::Value::Table(fleet));
@@ -198,13 +219,21 @@
         let (config, operator, log) = (file(".json"), file(".toml"), file(".log"));
         std::fs::write(&config, self.configuration(process)).map_err(|e| no(&config, e))?;
         std::fs::write(&operator, self.operator(process)).map_err(|e| no(&operator, e))?;
-        let log = File::options().create(true).append(true).open(&log).map_err(|e| no(&log, e))?;
+        let log = File::options()
+            .create(true)
+            .append(true)
+            .open(&log)
+            .map_err(|e| no(&log, e))?;
         let mut command = Command::new(&self.program);
         command.arg("serve").arg("--config").arg(&config);
         if !self.scenario.budgets.is_empty() {
             command.arg("--operator").arg(&operator);
         }
-        command.env_clear().stdin(Stdio::null()).stdout(Stdio::null()).stderr(log);
+        command
+            .env_clear()
+            .stdin(Stdio::null())
+            .stdout(Stdio::null())
+            .stderr(log);
         // SAFETY: between fork and exec this makes one system call, and touches no memory of ours.
         unsafe {
             // Killed outright, the rig still leaves none behind.
@@ -220,11 +249,22 @@
     }
 
     /// Gives its file another whole and has it read that.
-    pub fn retune(&mut self, process: usize, budget: &str, rate: f64, burst: f64) -> Result<(), String> {
-        let Some(at) = self.scenario.budgets.iter().position(|b| b.name == budget) else { return Ok(()) };
+    pub fn retune(
+        &mut self,
+        process: usize,
+        budget: &str,
+        rate: f64,
+        burst: f64,
+    ) -> Result<(), String> {
+        let Some(at) = self.scenario.budgets.iter().position(|b| b.name == budget) else {
+            return Ok(());
+        };
         self.wholes[process][at] = (rate, burst);
         let now = self.book.now();
-        self.book.seen().wholes.push((now, process, at, rate, burst));
+        self.book
+            .seen()
+            .wholes
+            .push((now, process, at, rate, burst));
         let path = self.folder.join(format!("{}.toml", name(process)));
         let fresh = path.with_extension("new");
         let no = |e: std::io::Error| format!("{}: {e}", path.display());
@@ -244,7 +284,11 @@
             while began.elapsed() < READY {
                 if is_ready(at) {
                     let from = book.now();
-                    book.seen().stretches.push(Stretch { process, from, to: None });
+                    book.seen().stretches.push(Stretch {
+                        process,
+                        from,
+                        to: None,
+                    });
                     return;
                 }
                 std::thread::sleep(Duration::from_millis(5));
@@ -257,7 +301,9 @@
         let began = Instant::now();
         loop {
             self.look();
-            let live: Vec<usize> = (0..self.children.len()).filter(|p| self.children[*p].is_some()).collect();
+            let live: Vec<usize> = (0..self.children.len())
+                .filter(|p| self.children[*p].is_some())
+                .collect();
             if self.crashed > 0 {
                 return Err(format!(
                     "a process ended as it started: its log is in {}",
@@ -265,12 +311,19 @@
                 ));
             }
             let seen = self.book.seen();
-            if live.iter().all(|p| seen.stretches.iter().any(|s| s.process == *p && s.to.is_none())) {
+            if live.iter().all(|p| {
+                seen.stretches
+                    .iter()
+                    .any(|s| s.process == *p && s.to.is_none())
+            }) {
                 return Ok(());
             }
             drop(seen);
             if began.elapsed() > READY {
-                return Err(format!("they do not serve: their logs are in {}", self.folder.display()));
+                return Err(format!(
+                    "they do not serve: their logs are in {}",
+                    self.folder.display()
+                ));
             }
             std::thread::sleep(Duration::from_millis(10));
         }
@@ -280,7 +333,10 @@
     fn ends_stretch(&self, process: usize) {
         let now = self.book.now();
         let mut seen = self.book.seen();
-        let open = seen.stretches.iter_mut().filter(|s| s.process == process && s.to.is_none());
+        let open = seen
+            .stretches
+            .iter_mut()
+            .filter(|s| s.process == process && s.to.is_none());
         open.for_each(|s| s.to = Some(now));
     }
 
@@ -288,7 +344,9 @@
         if signal != Signal::SIGCONT {
             self.ends_stretch(process);
         }
-        let Some(child) = &mut self.children[process] else { return };
+        let Some(child) = &mut self.children[process] else {
+            return;
+        };
         self.ending[process] |= matches!(signal, Signal::SIGTERM | Signal::SIGKILL);
         kill(Pid::from_raw(child.id() as i32), signal).ok();
         match signal {
@@ -304,7 +362,9 @@
     /// Whether one has ended by itself.
     pub fn look(&mut self) {
         for process in 0..self.children.len() {
-            let ended = self.children[process].as_mut().and_then(|child| child.try_wait().ok().flatten());
+            let ended = self.children[process]
+                .as_mut()
+                .and_then(|child| child.try_wait().ok().flatten());
             if let Some(status) = ended {
                 self.children[process] = None;
                 self.book.mark(format!("{} ended: {status}", name(process)));
@@ -331,7 +391,13 @@
 
     fn kill_all(&mut self) -> usize {
         let mut left = 0;
-        for child in self.children.iter_mut().filter_map(Option::take).collect::<Vec<_>>().iter_mut() {
+        for child in self
+            .children
+            .iter_mut()
+            .filter_map(Option::take)
+            .collect::<Vec<_>>()
+            .iter_mut()
+        {
             child.kill().ok();
             left += usize::from(child.wait().is_err());
         }
--- a/crates/mintlb-testbed/src/relay.rs
+++ b/crates/mintlb-testbed/src/relay.rs
@@ -27,7 +27,12 @@
 
 impl Relays {
     /// Binds all, and relays until the runtime ends.
-    pub async fn start(n: usize, seed: u64, words: Words, net: &Net) -> std::io::Result<Arc<Relays>> {
+    pub async fn start(
+        n: usize,
+        seed: u64,
+        words: Words,
+        net: &Net,
+    ) -> std::io::Result<Arc<Relays>> {
         let relays = Arc::new(Relays {
             ways: Mutex::new(vec![vec![words; n]; n]),
             chance: Mutex::new(Chance::new(seed ^ 0x3355)),
@@ -44,7 +49,13 @@
             // What comes from one goes on from the address by which the other knows it.
             if let (Some(comes), Some(goes)) = (&sockets[from][to], &sockets[to][from]) {
                 let (source, target) = (net.words(from), net.words(to));
-                let way = Way { from, to, source, target, goes: goes.clone() };
+                let way = Way {
+                    from,
+                    to,
+                    source,
+                    target,
+                    goes: goes.clone(),
+                };
                 tokio::spawn(relays.clone().relay(comes.clone(), way));
             }
         }
@@ -54,7 +65,9 @@
     async fn relay(self: Arc<Relays>, comes: Arc<UdpSocket>, way: Way) {
         let (mut piece, mut old) = ([0; 2048], VecDeque::<Vec<u8>>::new());
         loop {
-            let Ok((n, at)) = comes.recv_from(&mut piece).await else { continue };
+            let Ok((n, at)) = comes.recv_from(&mut piece).await else {
+                continue;
+            };
             if at != way.source {
                 continue;
             }
@@ -79,7 +92,11 @@
             let copies = 1 + usize::from(draw() < words.doubled);
             for _ in 0..copies {
                 // Each has a wait of its own, so that they pass one another.
-                let late = if draw() < words.late { words.late_by * draw() } else { 0.0 };
+                let late = if draw() < words.late {
+                    words.late_by * draw()
+                } else {
+                    0.0
+                };
                 let wait = words.delay + words.jitter * draw() + late;
                 tokio::spawn(way.clone().pass(piece[..n].to_vec(), wait));
             }
@@ -87,7 +104,15 @@
     }
 
     pub fn take(&self, deed: &Deed) {
-        let Deed::Words { from, to, back, words } = deed else { return };
+        let Deed::Words {
+            from,
+            to,
+            back,
+            words,
+        } = deed
+        else {
+            return;
+        };
         let mut ways = lock(&self.ways);
         let n = ways.len();
         let all: Vec<usize> = (0..n).collect();
--- a/crates/mintlb-testbed/src/sample.rs
+++ b/crates/mintlb-testbed/src/sample.rs
@@ -25,7 +25,11 @@
 
 impl Sample {
     pub fn figure(&self, name: &str) -> Option<f64> {
-        self.figures.as_ref()?.iter().find(|(known, _)| known == name).map(|(_, value)| *value)
+        self.figures
+            .as_ref()?
+            .iter()
+            .find(|(known, _)| known == name)
+            .map(|(_, value)| *value)
     }
 }
 
@@ -44,8 +48,15 @@
             while !ends.load(Relaxed) {
                 for (process, door) in doors.iter().enumerate() {
                     let (at, figures) = (book.now(), asked(*door).ok());
-                    let sample = Sample { at, process, figures };
-                    takes.lock().unwrap_or_else(PoisonError::into_inner).push(sample);
+                    let sample = Sample {
+                        at,
+                        process,
+                        figures,
+                    };
+                    takes
+                        .lock()
+                        .unwrap_or_else(PoisonError::into_inner)
+                        .push(sample);
                 }
                 std::thread::sleep(APART);
             }
@@ -57,7 +68,8 @@
     pub fn end(self, from: f64) -> Vec<Sample> {
         self.end.store(true, Relaxed);
         self.thread.join().ok();
-        let mut taken = std::mem::take(&mut *self.taken.lock().unwrap_or_else(PoisonError::into_inner));
+        let mut taken =
+            std::mem::take(&mut *self.taken.lock().unwrap_or_else(PoisonError::into_inner));
         taken.iter_mut().for_each(|sample| sample.at -= from);
         taken
     }
--- a/crates/mintlb-testbed/src/scenario.rs
+++ b/crates/mintlb-testbed/src/scenario.rs
@@ -55,7 +55,16 @@
 impl Default for Words {
     fn default() -> Words {
         let (jitter, loss, doubled, late, late_by, old) = Default::default();
-        Words { delay: 0.001, jitter, loss, doubled, late, late_by, old, cut: false }
+        Words {
+            delay: 0.001,
+            jitter,
+            loss,
+            doubled,
+            late,
+            late_by,
+            old,
+            cut: false,
+        }
     }
 }
 
@@ -99,7 +108,13 @@
 
 impl Default for Rules {
     fn default() -> Rules {
-        Rules { drain_grace: 0.5, cold_from: 0.3, warm_after: 9.0, fall_multiple: 3.0, fall: 3.0 }
+        Rules {
+            drain_grace: 0.5,
+            cold_from: 0.3,
+            warm_after: 9.0,
+            fall_multiple: 3.0,
+            fall: 3.0,
+        }
     }
 }
 
@@ -216,7 +231,9 @@
             Some(toml::Value::Integer(at)) => at as f64,
             _ => return Err("at: a number of seconds is needed".into()),
         };
-        let deed = table.try_into().map_err(|e: toml::de::Error| e.message().to_string())?;
+        let deed = table
+            .try_into()
+            .map_err(|e: toml::de::Error| e.message().to_string())?;
         Ok(Fault { at, deed })
     }
 }
@@ -313,7 +330,8 @@
 
 impl Scenario {
     pub fn read(path: &str) -> Result<Scenario, String> {
-        let text = std::fs::read_to_string(path).map_err(|e| format!("{path} cannot be read: {e}"))?;
+        let text =
+            std::fs::read_to_string(path).map_err(|e| format!("{path} cannot be read: {e}"))?;
         Scenario::parse(&text).map_err(|e| format!("{path}: {e}"))
     }
 
@@ -321,10 +339,12 @@
     pub fn parse(text: &str) -> Result<Scenario, String> {
         let line = |span: Option<Range<usize>>| {
             let before = span.and_then(|span| text.get(..span.start));
-            before.map_or_else(String::new, |before| format!("line {}: ", before.matches('\n').count() + 1))
+            before.map_or_else(String::new, |before| {
+                format!("line {}: ", before.matches('\n').count() + 1)
+            })
         };
-        let read =
-            toml::Deserializer::parse(text).map_err(|e| format!("{}{}", line(e.span()), e.message()))?;
+        let read = toml::Deserializer::parse(text)
+            .map_err(|e| format!("{}{}", line(e.span()), e.message()))?;
         let scenario: Scenario = serde_path_to_error::deserialize(read).map_err(|e| {
             let (path, inner) = (e.path().to_string(), e.into_inner());
             format!("{}{path}: {}", line(inner.span()), inner.message())
@@ -337,16 +357,28 @@
         let wrong = |field: String, what: String| Err(format!("{field}: {what}"));
         let positive = |value: f64| value.is_finite() && value > 0.0;
         if !(1..=MOST).contains(&self.processes) {
-            return wrong("processes".into(), format!("{}, 1 to {MOST} are played", self.processes));
+            return wrong(
+                "processes".into(),
+                format!("{}, 1 to {MOST} are played", self.processes),
+            );
         }
         if self.started.is_some_and(|started| started > self.processes) {
-            return wrong("started".into(), format!("more than the {} processes", self.processes));
+            return wrong(
+                "started".into(),
+                format!("more than the {} processes", self.processes),
+            );
         }
         if !(positive(self.seconds) && self.seconds <= LONGEST) {
-            return wrong("seconds".into(), format!("{}, up to {LONGEST} are played", self.seconds));
+            return wrong(
+                "seconds".into(),
+                format!("{}, up to {LONGEST} are played", self.seconds),
+            );
         }
         if self.zones.is_empty() || self.zones.iter().any(|z| z.workers == 0 || z.slots == 0) {
-            return wrong("zones".into(), "one zone and in each one worker with one slot at least".into());
+            return wrong(
+                "zones".into(),
+                "one zone and in each one worker with one slot at least".into(),
+            );
         }
         if self.zones.iter().map(|z| z.workers).sum::<usize>() > MOST_WORKERS {
             return wrong("zones".into(), format!("{MOST_WORKERS} workers at most"));
@@ -355,29 +387,54 @@
             if !positive(budget.rate) || !positive(budget.burst) {
                 return wrong(format!("budgets[{i}]"), "rate and burst are over 0".into());
             }
-            if budget.wanted.iter().any(|[from, to]| !(from < to && *to <= self.seconds)) {
-                return wrong(format!("budgets[{i}].wanted"), "[from, to] within the seconds".into());
+            if budget
+                .wanted
+                .iter()
+                .any(|[from, to]| !(from < to && *to <= self.seconds))
+            {
+                return wrong(
+                    format!("budgets[{i}].wanted"),
+                    "[from, to] within the seconds".into(),
+                );
             }
         }
         for (i, t) in self.types.iter().enumerate() {
-            if ![t.credit, t.promised_turnaround, t.hard_limit, t.runs, t.window].into_iter().all(positive) {
+            if ![
+                t.credit,
+                t.promised_turnaround,
+                t.hard_limit,
+                t.runs,
+                t.window,
+            ]
+            .into_iter()
+            .all(positive)
+            {
                 return wrong(format!("types[{i}]"), "credit and times are over 0".into());
             }
         }
         for (i, demand) in self.demand.iter().enumerate() {
             if !self.types.iter().any(|t| t.name == demand.of) {
-                return wrong(format!("demand[{i}].type"), format!("there is no type {:?}", demand.of));
+                return wrong(
+                    format!("demand[{i}].type"),
+                    format!("there is no type {:?}", demand.of),
+                );
             }
             if !(demand.rate.is_finite() && (0.0..=FASTEST).contains(&demand.rate)) {
                 return wrong(format!("demand[{i}].rate"), format!("0 to {FASTEST}"));
             }
             if !(demand.on.is_empty() || demand.on.len() == self.processes) {
-                return wrong(format!("demand[{i}].on"), "a weight for each process".into());
+                return wrong(
+                    format!("demand[{i}].on"),
+                    "a weight for each process".into(),
+                );
             }
             if demand.on.iter().any(|w| !(w.is_finite() && *w >= 0.0))
                 || demand.each.is_some_and(|e| e < 0.05)
             {
-                return wrong(format!("demand[{i}]"), "weights from 0 on, each from 0.05 s on".into());
+                return wrong(
+                    format!("demand[{i}]"),
+                    "weights from 0 on, each from 0.05 s on".into(),
+                );
             }
         }
         for (i, fault) in self.faults.iter().enumerate() {
@@ -388,13 +445,20 @@
                     format!("processes are 0 to {}", self.processes - 1),
                 );
             }
-            if matches!(&fault.deed, Deed::Words { to, .. } if to.iter().any(|p| *p >= self.processes)) {
+            if matches!(&fault.deed, Deed::Words { to, .. } if to.iter().any(|p| *p >= self.processes))
+            {
                 return wrong(
                     format!("faults[{i}].to"),
                     format!("processes are 0 to {}", self.processes - 1),
                 );
             }
-            if let Deed::Whole { budget, rate, burst, .. } = &fault.deed {
+            if let Deed::Whole {
+                budget,
+                rate,
+                burst,
+                ..
+            } = &fault.deed
+            {
                 let known = self.budgets.iter().any(|known| known.name == *budget);
                 if !known || !positive(*rate) || !positive(*burst) {
                     return wrong(
@@ -418,14 +482,20 @@
 
     /// How long after the last file has changed a whole may still be the one before.
     pub fn settles(&self) -> f64 {
-        let lease =
-            self.fleet.more.get("lease").and_then(|v| v.as_float().or(v.as_integer().map(|i| i as f64)));
+        let lease = self
+            .fleet
+            .more
+            .get("lease")
+            .and_then(|v| v.as_float().or(v.as_integer().map(|i| i as f64)));
         1.1 * lease.unwrap_or(2.0) + 0.3
     }
 
     /// The workers, as the number of their zone and of them in it.
     pub fn workers(&self) -> impl Iterator<Item = (usize, usize)> {
-        self.zones.iter().enumerate().flat_map(|(z, zone)| (0..zone.workers).map(move |w| (z, w)))
+        self.zones
+            .iter()
+            .enumerate()
+            .flat_map(|(z, zone)| (0..zone.workers).map(move |w| (z, w)))
     }
 }
 
--- a/crates/mintlb-testbed/src/seen.rs
+++ b/crates/mintlb-testbed/src/seen.rs
@@ -81,13 +81,29 @@
     /// Counts all moments from this one.
     pub fn shift(&mut self, from: f64) {
         for sent in &mut self.sent {
-            let Sent { after, by, first, began, returned, ended, .. } = sent;
+            let Sent {
+                after,
+                by,
+                first,
+                began,
+                returned,
+                ended,
+                ..
+            } = sent;
             let some = [began, returned, ended].into_iter().flatten();
-            [after, by, first].into_iter().chain(some).for_each(|at| *at -= from);
+            [after, by, first]
+                .into_iter()
+                .chain(some)
+                .for_each(|at| *at -= from);
         }
         for asked in &mut self.asked {
             asked.at -= from;
-            asked.answers.iter_mut().map(|(at, _)| at).chain(&mut asked.broken).for_each(|at| *at -= from);
+            asked
+                .answers
+                .iter_mut()
+                .map(|(at, _)| at)
+                .chain(&mut asked.broken)
+                .for_each(|at| *at -= from);
         }
         self.marks.iter_mut().for_each(|mark| mark.at -= from);
         for stretch in &mut self.stretches {
@@ -109,7 +125,10 @@
 
 impl Book {
     pub fn new(began: Instant) -> Book {
-        Book { began, seen: Arc::default() }
+        Book {
+            began,
+            seen: Arc::default(),
+        }
     }
 
     /// Seconds since it was opened.
--- a/crates/mintlb-testbed/src/workers.rs
+++ b/crates/mintlb-testbed/src/workers.rs
@@ -92,25 +92,50 @@
 }
 
 impl Workers {
-    pub fn new(scenario: &Scenario, seed: u64, at: Vec<Vec<SocketAddr>>, book: Book) -> io::Result<Workers> {
+    pub fn new(
+        scenario: &Scenario,
+        seed: u64,
+        at: Vec<Vec<SocketAddr>>,
+        book: Book,
+    ) -> io::Result<Workers> {
         let worker = |(zone, _): (usize, usize)| {
             let (slots, runs_on) = (scenario.zones[zone].slots, scenario.zones[zone].runs_on);
-            Worker { zone, life: 0, up: true, slots, runs_on, running: 0, waiting: VecDeque::new() }
+            Worker {
+                zone,
+                life: 0,
+                up: true,
+                slots,
+                runs_on,
+                running: 0,
+                waiting: VecDeque::new(),
+            }
+        };
+        let usual = Condition {
+            fail: 0.0,
+            slow: 1.0,
+            hang: false,
         };
-        let usual = Condition { fail: 0.0, slow: 1.0, hang: false };
         let mut workers = Workers {
             poll: Poll::new()?,
             book,
             chance: Chance::new(seed ^ 0x77),
             workers: scenario.workers().map(worker).collect(),
-            zones: scenario.zones.iter().map(|z| (z.name.clone(), usual)).collect(),
+            zones: scenario
+                .zones
+                .iter()
+                .map(|z| (z.name.clone(), usual))
+                .collect(),
             at,
             listeners: HashMap::new(),
             connections: HashMap::new(),
             jobs: Vec::new(),
             due: BinaryHeap::new(),
             cut: vec![vec![(false, false); scenario.zones.len()]; scenario.processes],
-            runs: scenario.types.iter().map(|t| (t.name.clone(), t.runs)).collect(),
+            runs: scenario
+                .types
+                .iter()
+                .map(|t| (t.name.clone(), t.runs))
+                .collect(),
             seed,
             tokens: 0,
             before: f64::NEG_INFINITY,
@@ -128,7 +153,9 @@
         for process in 0..self.at[worker].len() {
             let mut listener = TcpListener::bind(self.at[worker][process])?;
             let token = self.token();
-            self.poll.registry().register(&mut listener, token, Interest::READABLE)?;
+            self.poll
+                .registry()
+                .register(&mut listener, token, Interest::READABLE)?;
             self.listeners.insert(token, (listener, process, worker));
         }
         Ok(())
@@ -165,12 +192,17 @@
     }
 
     fn zone(&self, name: &str) -> usize {
-        self.zones.iter().position(|(known, _)| known == name).unwrap_or(0)
+        self.zones
+            .iter()
+            .position(|(known, _)| known == name)
+            .unwrap_or(0)
     }
 
     fn take(&mut self, deed: &Deed) -> io::Result<()> {
         let (who, zone) = deed.touches();
-        let Some(zone) = zone.map(|name| self.zone(name)) else { return Ok(()) };
+        let Some(zone) = zone.map(|name| self.zone(name)) else {
+            return Ok(());
+        };
         let condition = &mut self.zones[zone].1;
         match deed {
             Deed::Fail { share, .. } => condition.fail = *share,
@@ -205,7 +237,10 @@
                 who.iter().for_each(|p| self.cut[*p][zone] = (false, false));
                 let healed: Vec<Token> = self.connections.keys().copied().collect();
                 for token in healed {
-                    let kept = self.connections.get_mut(&token).map(|c| std::mem::take(&mut c.kept));
+                    let kept = self
+                        .connections
+                        .get_mut(&token)
+                        .map(|c| std::mem::take(&mut c.kept));
                     kept.into_iter().flatten().for_each(|job| self.hand(job));
                     self.write(token);
                 }
@@ -224,10 +259,15 @@
         (worker.up, worker.running) = (false, 0);
         worker.waiting.clear();
         self.listeners.retain(|_, (_, _, worker)| *worker != w);
-        self.connections.retain(|_, connection| connection.worker != w);
+        self.connections
+            .retain(|_, connection| connection.worker != w);
         let now = self.book.now();
         let mut seen = self.book.seen();
-        for job in self.jobs.iter_mut().filter(|job| job.worker == w && !job.over) {
+        for job in self
+            .jobs
+            .iter_mut()
+            .filter(|job| job.worker == w && !job.over)
+        {
             (job.over, job.connection) = (true, None);
             seen.sent[job.sent].ended = Some(now);
         }
@@ -237,14 +277,24 @@
         loop {
             let (listener, process, worker) = &self.listeners[&token];
             let (process, worker) = (*process, *worker);
-            let Ok((mut stream, _)) = listener.accept() else { return Ok(()) };
+            let Ok((mut stream, _)) = listener.accept() else {
+                return Ok(());
+            };
             stream.set_nodelay(true).ok();
             let token = self.token();
             let both = Interest::READABLE | Interest::WRITABLE;
             self.poll.registry().register(&mut stream, token, both)?;
             let (read, write, kept) = Default::default();
-            let connection =
-                Connection { stream, process, worker, read, first: None, write, job: None, kept };
+            let connection = Connection {
+                stream,
+                process,
+                worker,
+                read,
+                first: None,
+                write,
+                job: None,
+                kept,
+            };
             self.connections.insert(token, connection);
             // What came before it was registered is read now.
             self.read(token);
@@ -255,7 +305,9 @@
         let mut piece = [0; 16 << 10];
         loop {
             let before = self.before;
-            let Some(connection) = self.connections.get_mut(&token) else { return };
+            let Some(connection) = self.connections.get_mut(&token) else {
+                return;
+            };
             match connection.stream.read(&mut piece) {
                 Ok(0) => return self.closed(token),
                 Ok(n) => {
@@ -276,14 +328,18 @@
     /// Takes each request that is whole.
     fn parse(&mut self, token: Token) {
         while let Some(connection) = self.connections.get_mut(&token) {
-            let Some(request) = Request::of(&connection.read) else { return };
+            let Some(request) = Request::of(&connection.read) else {
+                return;
+            };
             connection.read.drain(..request.length);
             let first = connection.first.take().unwrap_or(self.before);
             if !connection.read.is_empty() {
                 connection.first = Some(self.before);
             }
             let Some(id) = request.id.filter(|_| request.post) else {
-                connection.write.extend(b"HTTP/1.1 404 Not Found\r\ncontent-length: 0\r\n\r\n");
+                connection
+                    .write
+                    .extend(b"HTTP/1.1 404 Not Found\r\ncontent-length: 0\r\n\r\n");
                 self.write(token);
                 continue;
             };
@@ -293,17 +349,40 @@
             let (after, by) = (self.before, self.book.now());
             let (began, returned, ended, done) = (None, None, None, false);
             let work = runs;
-            let sent =
-                Sent { id, process, worker, life, after, by, first, work, began, returned, ended, done };
+            let sent = Sent {
+                id,
+                process,
+                worker,
+                life,
+                after,
+                by,
+                first,
+                work,
+                began,
+                returned,
+                ended,
+                done,
+            };
             let mut seen = self.book.seen();
             seen.sent.push(sent);
             let sent = seen.sent.len() - 1;
             drop(seen);
-            let job = Job { connection: Some(token), sent, worker, life, id, runs, over: false };
+            let job = Job {
+                connection: Some(token),
+                sent,
+                worker,
+                life,
+                id,
+                runs,
+                over: false,
+            };
             self.jobs.push(job);
             let (job, zone) = (self.jobs.len() - 1, self.workers[worker].zone);
             if self.cut[process][zone].0 {
-                self.connections.get_mut(&token).into_iter().for_each(|c| c.kept.push(job));
+                self.connections
+                    .get_mut(&token)
+                    .into_iter()
+                    .for_each(|c| c.kept.push(job));
             } else {
                 self.hand(job);
             }
@@ -313,7 +392,9 @@
     /// The worker has it.
     fn hand(&mut self, job: usize) {
         let (worker, token) = (self.jobs[job].worker, self.jobs[job].connection);
-        let Some(connection) = token.and_then(|token| self.connections.get_mut(&token)) else { return };
+        let Some(connection) = token.and_then(|token| self.connections.get_mut(&token)) else {
+            return;
+        };
         connection.job = Some(job);
         self.workers[worker].waiting.push_back(job);
         self.start(worker);
@@ -323,7 +404,9 @@
     fn start(&mut self, w: usize) {
         let condition = self.zones[self.workers[w].zone].1;
         while !condition.hang && self.workers[w].running < self.workers[w].slots {
-            let Some(job) = self.workers[w].waiting.pop_front() else { return };
+            let Some(job) = self.workers[w].waiting.pop_front() else {
+                return;
+            };
             if self.jobs[job].over {
                 continue;
             }
@@ -332,15 +415,17 @@
             self.book.seen().sent[self.jobs[job].sent].began = Some(now);
             let ends = now + self.jobs[job].runs * condition.slow;
             self.due.push(Reverse(((ends.max(0.0) * 1e6) as u64, job)));
-            let head =
-                "HTTP/1.1 200 OK\r\ncontent-type: application/json\r\ntransfer-encoding: chunked\r\n\r\n";
+            let head = "HTTP/1.1 200 OK\r\ncontent-type: application/json\r\ntransfer-encoding: chunked\r\n\r\n";
             self.say(job, head);
             self.line(job, "started", "");
         }
     }
 
     fn line(&mut self, job: usize, state: &str, more: &str) {
-        let line = format!("{{\"id\":\"{:016x}\",\"state\":\"{state}\"{more}}}\n", self.jobs[job].id);
+        let line = format!(
+            "{{\"id\":\"{:016x}\",\"state\":\"{state}\"{more}}}\n",
+            self.jobs[job].id
+        );
         self.say(job, &format!("{:x}\r\n{line}\r\n", line.len()));
     }
 
@@ -356,7 +441,9 @@
     }
 
     fn write(&mut self, token: Token) {
-        let Some(connection) = self.connections.get_mut(&token) else { return };
+        let Some(connection) = self.connections.get_mut(&token) else {
+            return;
+        };
         if self.cut[connection.process][self.workers[connection.worker].zone].1 {
             return;
         }
@@ -372,7 +459,9 @@
 
     /// What waits for its slot is dropped; what runs stops there, or runs on where workers do not notice.
     fn closed(&mut self, token: Token) {
-        let Some(connection) = self.connections.remove(&token) else { return };
+        let Some(connection) = self.connections.remove(&token) else {
+            return;
+        };
         let w = connection.worker;
         for job in connection.job.into_iter().chain(connection.kept) {
             self.jobs[job].connection = None;
@@ -395,7 +484,12 @@
     /// Ends what is due.
     fn ends(&mut self) {
         let now = (self.book.now().max(0.0) * 1e6) as u64;
-        while let Some(Reverse((at, job))) = self.due.peek().copied().filter(|Reverse((at, _))| *at <= now) {
+        while let Some(Reverse((at, job))) = self
+            .due
+            .peek()
+            .copied()
+            .filter(|Reverse((at, _))| *at <= now)
+        {
             self.due.pop();
             let w = self.jobs[job].worker;
             if self.jobs[job].over || self.jobs[job].life != self.workers[w].life {
@@ -414,7 +508,9 @@
                 false => self.line(job, "done", ",\"result\":\"ok\""),
             }
             self.say(job, "0\r\n\r\n");
-            let connection = self.jobs[job].connection.and_then(|token| self.connections.get_mut(&token));
+            let connection = self.jobs[job]
+                .connection
+                .and_then(|token| self.connections.get_mut(&token));
             connection.into_iter().for_each(|c| c.job = None);
             self.start(w);
         }
@@ -448,7 +544,17 @@
             }
         }
         let length = head + 4 + body;
-        let of = path.trim_start_matches('/').split('/').next().unwrap_or_default().to_string();
-        (bytes.len() >= length).then_some(Request { post, of, id, length })
+        let of = path
+            .trim_start_matches('/')
+            .split('/')
+            .next()
+            .unwrap_or_default()
+            .to_string();
+        (bytes.len() >= length).then_some(Request {
+            post,
+            of,
+            id,
+            length,
+        })
     }
 }
--- a/crates/mintlb/src/change.rs
+++ b/crates/mintlb/src/change.rs
@@ -21,20 +21,42 @@
 
 impl From<Plan> for Change {
     fn from(plan: Plan) -> Change {
-        let Plan { placement, operator, types, terms, grants, plans, .. } = plan;
-        Change { placement, operator, types, terms, last_answer: grants.last_answer, plans }
+        let Plan {
+            placement,
+            operator,
+            types,
+            terms,
+            grants,
+            plans,
+            ..
+        } = plan;
+        Change {
+            placement,
+            operator,
+            types,
+            terms,
+            last_answer: grants.last_answer,
+            plans,
+        }
     }
 }
 
 impl Change {
     /// Why it can't be taken by a scheduler that goes by these, if it can't.
-    pub fn fault(&self, placement: &Placement, operator: &Operator, served: &[Named]) -> Option<String> {
+    pub fn fault(
+        &self,
+        placement: &Placement,
+        operator: &Operator,
+        served: &[Named],
+    ) -> Option<String> {
         if let Some(key) = placement.lost(&self.placement) {
             return Some(format!("{key} is missing"));
         }
         // Its tubes and workers go by the types' numbers.
-        let same =
-            served.iter().map(|n| (&n.name, &n.project_type)).eq(self.types.iter().map(|(n, t)| (n, t)));
+        let same = served
+            .iter()
+            .map(|n| (&n.name, &n.project_type))
+            .eq(self.types.iter().map(|(n, t)| (n, t)));
         let stuck = operator.beanstalkd.is_some() && !same;
         stuck.then(|| "project types can't change where beanstalkd is spoken".to_string())
     }
--- a/crates/mintlb/src/cli.rs
+++ b/crates/mintlb/src/cli.rs
@@ -106,12 +106,22 @@
 
 /// From the configuration and the operator's file, at these paths, with the socket that was passed on.
 fn plan(path: &str, operator: Option<&str>, passed: Option<TcpListener>) -> Result<Plan, String> {
-    let read = operator.map(Operator::read).transpose()?.unwrap_or_default();
-    let both = operator.map_or_else(|| path.to_string(), |operator| format!("{path} with {operator}"));
+    let read = operator
+        .map(Operator::read)
+        .transpose()?
+        .unwrap_or_default();
+    let both = operator.map_or_else(
+        || path.to_string(),
+        |operator| format!("{path} with {operator}"),
+    );
     let mut placement = Placement::read(path)?;
     // The environment is each process's own, while two of them may share one file.
     if let Ok(ops) = std::env::var("ROUTER_OPS") {
-        placement.ops = Some(ops.trim().parse().map_err(|e| format!("ROUTER_OPS: {ops:?}: {e}"))?);
+        placement.ops = Some(
+            ops.trim()
+                .parse()
+                .map_err(|e| format!("ROUTER_OPS: {ops:?}: {e}"))?,
+        );
     }
     placement.passed = passed;
     Plan::new(placement, read).map_err(|e| format!("{both}: {e}"))
@@ -119,7 +129,10 @@
 
 /// Turns signals into words to the scheduler. A SIGHUP that is not caught would end the program, and a bad
 /// configuration must not: the one that holds stays.
-fn follow_signals(path: String, operator: Option<String>) -> Result<UnboundedReceiver<Told>, String> {
+fn follow_signals(
+    path: String,
+    operator: Option<String>,
+) -> Result<UnboundedReceiver<Told>, String> {
     let on = |kind| signal(kind).map_err(|e| format!("no signals: {e}"));
     let (mut stop, mut interrupt) = (on(SignalKind::terminate())?, on(SignalKind::interrupt())?);
     let mut changed = on(SignalKind::hangup())?;
@@ -144,25 +157,39 @@
 
 fn run(verb: Verb) -> Result<(), String> {
     match verb {
-        Verb::Serve(Serve { config, operator, verbose }) => {
+        Verb::Serve(Serve {
+            config,
+            operator,
+            verbose,
+        }) => {
             let path = path(config)?;
             let passed = std::env::var(passed::VARIABLE).ok();
             let passed = passed.map(|value| passed::listener(&value)).transpose()?;
             let plan = plan(&path, operator.as_deref(), passed)?;
             let (log, last_lines) = log::to_stderr(plan.grants.log_lines, verbose);
             let wait = plan.grants.http.dial;
-            let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-            let served = runtime.map_err(|e| format!("no runtime: {e}"))?.block_on(async {
-                let told = follow_signals(path, operator)?;
-                serve(plan, log, told).await
-            });
+            let runtime = tokio::runtime::Builder::new_current_thread()
+                .enable_all()
+                .build();
+            let served = runtime
+                .map_err(|e| format!("no runtime: {e}"))?
+                .block_on(async {
+                    let told = follow_signals(path, operator)?;
+                    serve(plan, log, told).await
+                });
             log::finish(last_lines, wait);
             served
         }
         Verb::Dispatch(Dispatch { verbose }) => dispatch(verbose),
         Verb::Check(Check { config, operator }) => {
             let plan = plan(&path(config)?, operator.as_deref(), None)?;
-            let Placement { name, listen, discovery, known, .. } = &plan.placement;
+            let Placement {
+                name,
+                listen,
+                discovery,
+                known,
+                ..
+            } = &plan.placement;
             let workers = known.as_ref().map_or(0, |k| k.workers.len());
             let types: Vec<&str> = plan.types.iter().map(|(name, _)| name.as_str()).collect();
             let types = types.join(", ");
@@ -176,11 +203,14 @@
         Verb::Count(Count { logs }) => {
             let mut counts = Counts::default();
             for path in &logs {
-                let bytes = std::fs::read(path).map_err(|e| format!("{path} cannot be read: {e}"))?;
+                let bytes =
+                    std::fs::read(path).map_err(|e| format!("{path} cannot be read: {e}"))?;
                 counts.read(String::from_utf8_lossy(&bytes).lines());
             }
             if counts.is_empty() {
-                return Err("no allocation in these logs: serve writes them with --verbose".to_string());
+                return Err(
+                    "no allocation in these logs: serve writes them with --verbose".to_string(),
+                );
             }
             print(format_args!("{counts}"))
         }
@@ -208,7 +238,9 @@
 
 /// What a door answers within the time that it has for that.
 fn ask(at: &str, call: &str) -> std::io::Result<String> {
-    let at = at.parse().map_err(|e| std::io::Error::new(ErrorKind::InvalidInput, e))?;
+    let at = at
+        .parse()
+        .map_err(|e| std::io::Error::new(ErrorKind::InvalidInput, e))?;
     let mut door = TcpStream::connect_timeout(&at, PATIENCE)?;
     door.set_read_timeout(Some(PATIENCE))?;
     door.set_write_timeout(Some(PATIENCE))?;
--- a/crates/mintlb/src/count.rs
+++ b/crates/mintlb/src/count.rs
@@ -45,23 +45,33 @@
 
 /// The moment of a line, in seconds of its day, and its text: what stands before the moment is another's.
 fn parts(line: &str) -> Option<(f64, &str)> {
-    let (at, level) = [" INFO ", " DEBG ", " WARN "].iter().find_map(|l| Some((line.find(l)?, l)))?;
+    let (at, level) = [" INFO ", " DEBG ", " WARN "]
+        .iter()
+        .find_map(|l| Some((line.find(l)?, l)))?;
     let clock = line[..at].rsplit(' ').next()?;
     let mut fields = clock.split(':').map(|field| field.parse::<f64>().ok());
     let (hours, minutes, seconds) = (fields.next()??, fields.next()??, fields.next()??);
-    Some((hours * 3600.0 + minutes * 60.0 + seconds, &line[at + level.len()..]))
+    Some((
+        hours * 3600.0 + minutes * 60.0 + seconds,
+        &line[at + level.len()..],
+    ))
 }
 
 /// A work unit's number at its scheduler, and the allocation's among its own.
 type Id = (String, String);
 
 fn alloc(text: &str) -> Option<Id> {
-    Some((field(text, "wu")?.to_string(), field(text, "n")?.to_string()))
+    Some((
+        field(text, "wu")?.to_string(),
+        field(text, "n")?.to_string(),
+    ))
 }
 
 /// The value of a field in a line's text.
 fn field<'a>(text: &'a str, name: &str) -> Option<&'a str> {
-    let found = text.split(", ").find_map(|part| part.strip_prefix(name)?.strip_prefix(": "));
+    let found = text
+        .split(", ")
+        .find_map(|part| part.strip_prefix(name)?.strip_prefix(": "));
     found.map(str::trim_end)
 }
 
@@ -95,7 +105,11 @@
 
     fn leaves(&mut self, now: f64, started: bool) {
         let second = self.at(now);
-        *if started { &mut second.running } else { &mut second.waiting } -= 1;
+        *if started {
+            &mut second.running
+        } else {
+            &mut second.waiting
+        } -= 1;
     }
 
     fn line(&mut self, log: &mut Log, now: f64, text: &str) {
@@ -110,16 +124,26 @@
             }
         } else if text.starts_with("allocation sent") {
             let Some(id) = alloc(text) else { return };
-            while log.named.pop_front_if(|(since, _)| *since + NEW < now).is_some() {}
+            while log
+                .named
+                .pop_front_if(|(since, _)| *since + NEW < now)
+                .is_some()
+            {}
             let to = field(text, "worker").unwrap_or_default();
             let is_new = log.named.iter().any(|(_, address)| address == to);
             let second = self.at(now);
-            *if id.1 == "0" { &mut second.first } else { &mut second.again } += 1;
+            *if id.1 == "0" {
+                &mut second.first
+            } else {
+                &mut second.again
+            } += 1;
             second.to_new += usize::from(is_new);
             second.waiting += 1;
             log.out.insert(id, (now, false));
         } else if text.starts_with("allocation started") {
-            let Some((sent, started)) = alloc(text).and_then(|id| log.out.get_mut(&id)) else { return };
+            let Some((sent, started)) = alloc(text).and_then(|id| log.out.get_mut(&id)) else {
+                return;
+            };
             if !std::mem::replace(started, true) {
                 let delay = now - *sent;
                 let second = self.at(now);
@@ -141,7 +165,9 @@
 
     /// Whether any allocation was seen: without `--verbose` a log has none.
     pub fn is_empty(&self) -> bool {
-        self.seconds.values().all(|second| second.first + second.again == 0)
+        self.seconds
+            .values()
+            .all(|second| second.first + second.again == 0)
     }
 }
 
@@ -158,7 +184,12 @@
             waiting += second.waiting;
             let mut delays = second.delays.clone();
             delays.sort_unstable_by(f64::total_cmp);
-            let part = |tenths: usize| delays.get(delays.len() * tenths / 10).copied().unwrap_or_default();
+            let part = |tenths: usize| {
+                delays
+                    .get(delays.len() * tenths / 10)
+                    .copied()
+                    .unwrap_or_default()
+            };
             let ends: Vec<String> = second
                 .outcomes
                 .iter()
--- a/crates/mintlb/src/grants.rs
+++ b/crates/mintlb/src/grants.rs
@@ -52,12 +52,19 @@
 impl Grants {
     /// With `sessions` connections of beanstalkd's; `shared` with another process of the same name, which may be
     /// there at any time: together they must not take more than the machine has.
-    pub fn new(machine: &Machine, text: &Text, sessions: usize, shared: bool) -> Result<Grants, String> {
+    pub fn new(
+        machine: &Machine,
+        text: &Text,
+        sessions: usize,
+        shared: bool,
+    ) -> Result<Grants, String> {
         let Machine { memory_mb, sockets } = *machine;
         let (among, least) = if shared { (2, 3 * OWN) } else { (1, 2 * OWN) };
         for (field, value, least) in [("memory_mb", memory_mb, 8), ("sockets", sockets, least)] {
             if value < least {
-                return Err(format!("limits.{field}: {value} is too little, {least} at least"));
+                return Err(format!(
+                    "limits.{field}: {value} is too little, {least} at least"
+                ));
             }
         }
         let (memory_mb, sockets) = (memory_mb / among, sockets.min(MOST) / among);
@@ -70,17 +77,24 @@
         // Of the descriptors for clients and their share of the memory at least a quarter stays HTTP's.
         let most = (part(3)).min(memory(3) / 4 * 3 / SESSION);
         if sessions > most {
-            return Err(format!("{sessions} connections are too many here, {most} at most"));
+            return Err(format!(
+                "{sessions} connections are too many here, {most} at most"
+            ));
         }
         let clients = (part(4) - sessions).min((memory(3) - sessions * SESSION) / (2 * HEAD));
         let max_open: usize = text.get("permissions.max_open")?;
         let types = text.project_types()?;
         let hard = types.iter().map(|t| t.hard_limit).fold(0.0, f64::max);
-        let promise = types.iter().map(|t| t.promised_turnaround).fold(hard, f64::min);
+        let promise = types
+            .iter()
+            .map(|t| t.promised_turnaround)
+            .fold(hard, f64::min);
         // A quarter of what the platform grants beyond the longest wait is left for the answers' way.
         let last_answer = hard.min(STOP) + LATE_ARRIVALS * 0.75;
-        let (dial, keepalive) =
-            (text.seconds("permissions.dial_timeout")?, text.seconds("permissions.keepalive")?);
+        let (dial, keepalive) = (
+            text.seconds("permissions.dial_timeout")?,
+            text.seconds("permissions.keepalive")?,
+        );
         let http = Limits {
             body: BODY,
             head: HEAD,
@@ -116,8 +130,14 @@
             log_lines: LOG_LINES,
             tally: seconds(TALLY),
             late_arrivals: seconds(LATE_ARRIVALS),
-            notice: Notice { leave: LATE_ARRIVALS, stop: (last_answer / 2.0).max(LATE_ARRIVALS) },
-            door: Bounds { callers: ((own - OWN) / 4).max(1), wait: seconds(OWED / 3.0 * 2.0) },
+            notice: Notice {
+                leave: LATE_ARRIVALS,
+                stop: (last_answer / 2.0).max(LATE_ARRIVALS),
+            },
+            door: Bounds {
+                callers: ((own - OWN) / 4).max(1),
+                wait: seconds(OWED / 3.0 * 2.0),
+            },
             first_list: seconds(STOP),
             last_answer: seconds(last_answer),
         })
--- a/crates/mintlb/src/join.rs
+++ b/crates/mintlb/src/join.rs
@@ -38,15 +38,21 @@
         customers: &[String],
     ) -> Result<Plans, String> {
         let Operator { beanstalkd, fleet } = operator.clone();
-        let beanstalkd = beanstalkd.map(|table| BeanstalkdPlan::new(table, types, project_types, customers));
+        let beanstalkd =
+            beanstalkd.map(|table| BeanstalkdPlan::new(table, types, project_types, customers));
         let fleet = fleet.map(|table| FleetPlan::new(table, name));
-        Ok(Plans { beanstalkd: beanstalkd.transpose()?, fleet: fleet.transpose()? })
+        Ok(Plans {
+            beanstalkd: beanstalkd.transpose()?,
+            fleet: fleet.transpose()?,
+        })
     }
 }
 
 impl Display for Plans {
     fn fmt(&self, f: &mut Formatter) -> std::fmt::Result {
-        self.beanstalkd.iter().try_for_each(|plan| writeln!(f, "{plan:#?}"))?;
+        self.beanstalkd
+            .iter()
+            .try_for_each(|plan| writeln!(f, "{plan:#?}"))?;
         self.fleet.iter().try_for_each(|plan| write!(f, "{plan}"))
     }
 }
@@ -95,21 +101,51 @@
         subsystems.push(Box::new(fleet.clone()));
         joined = Some(fleet);
     }
-    Ok(Joined { subsystems: subsystems.into(), purse, fleet: joined })
+    Ok(Joined {
+        subsystems: subsystems.into(),
+        purse,
+        fleet: joined,
+    })
 }
 
-async fn beanstalkd(plan: BeanstalkdPlan, grants: &Grants, shared: &Shared<'_>) -> Result<Joint, String> {
+async fn beanstalkd(
+    plan: BeanstalkdPlan,
+    grants: &Grants,
+    shared: &Shared<'_>,
+) -> Result<Joint, String> {
     let listen = plan.table.listen;
     let no = |e| format!("beanstalkd.listen: {listen}: {e}");
     let listener = TcpListener::bind(listen).await.map_err(no)?;
     let listen = listener.local_addr().map_err(no)?;
-    let (name, numbers, room) = (shared.name.to_string(), shared.numbers.clone(), shared.room.clone());
-    let mut hub = Hub::new(plan, name, shared.clock.now(), grants.http.body, numbers, room);
+    let (name, numbers, room) = (
+        shared.name.to_string(),
+        shared.numbers.clone(),
+        shared.room.clone(),
+    );
+    let mut hub = Hub::new(
+        plan,
+        name,
+        shared.clock.now(),
+        grants.http.body,
+        numbers,
+        room,
+    );
     hub.sends = shared.sends.clone();
     let (connections, read, pause) = (grants.sessions, grants.http.read, grants.http.dial / 16);
-    let bounds = Bounds { connections, read, pause };
+    let bounds = Bounds {
+        connections,
+        read,
+        pause,
+    };
     let (tell, log) = (shared.tell.clone(), shared.log.clone());
-    let front = Joint(Beanstalkd::new(hub, shared.project_types, bounds, shared.clock, tell, log));
+    let front = Joint(Beanstalkd::new(
+        hub,
+        shared.project_types,
+        bounds,
+        shared.clock,
+        tell,
+        log,
+    ));
     // Before anybody can connect: jobs go by what is known of machines.
     shared.told.into_iter().for_each(|told| front.hear(told));
     tokio::spawn(front.0.clone().listen(listener));
--- a/crates/mintlb/src/kin.rs
+++ b/crates/mintlb/src/kin.rs
@@ -18,15 +18,24 @@
 
 impl Kin {
     pub fn new(folder: &Path, name: &str) -> Kin {
-        Kin { folder: folder.into(), prefix: format!("mintlb-{:012x}-", worker_id(name)), own: None }
+        Kin {
+            folder: folder.into(),
+            prefix: format!("mintlb-{:012x}-", worker_id(name)),
+            own: None,
+        }
     }
 
     /// From now on the others can see this one.
     pub fn enter(&mut self) -> io::Result<()> {
-        let began = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+        let began = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .unwrap_or_default();
         let name = format!("{}{}-{}", self.prefix, std::process::id(), began.as_nanos());
         // Locked before the others can find it: unlocked it would tell of nobody.
-        let (path, hidden) = (self.folder.join(&name), self.folder.join(format!(".{name}")));
+        let (path, hidden) = (
+            self.folder.join(&name),
+            self.folder.join(format!(".{name}")),
+        );
         let file = File::create_new(&hidden)?;
         file.lock()?;
         fs::rename(&hidden, &path)?;
@@ -46,13 +55,18 @@
         let own = self.own.as_ref().map(|(path, _)| path);
         let found = fs::read_dir(&self.folder).into_iter().flatten().flatten();
         let theirs = found.filter(|e| e.file_name().to_string_lossy().starts_with(&self.prefix));
-        theirs.map(|e| e.path()).filter(|path| own != Some(path) && is_locked(path)).count()
+        theirs
+            .map(|e| e.path())
+            .filter(|path| own != Some(path) && is_locked(path))
+            .count()
     }
 }
 
 /// Whether somebody holds it; if not, it goes.
 fn is_locked(path: &Path) -> bool {
-    let Ok(file) = File::open(path) else { return false };
+    let Ok(file) = File::open(path) else {
+        return false;
+    };
     let locked = matches!(file.try_lock_shared(), Err(TryLockError::WouldBlock));
     if !locked {
         fs::remove_file(path).ok();
@@ -80,7 +94,11 @@
         assert_eq!((one.others(), two.others()), (0, 0), "nobody has entered");
         other.enter().unwrap();
         one.enter().unwrap();
-        assert_eq!((one.others(), two.others(), other.others()), (0, 1, 0), "one is there");
+        assert_eq!(
+            (one.others(), two.others(), other.others()),
+            (0, 1, 0),
+            "one is there"
+        );
         two.enter().unwrap();
         assert_eq!((one.others(), two.others()), (1, 1), "both are");
         fs::write(folder.join(format!("{}77-1", one.prefix)), "torn").unwrap();
@@ -91,14 +109,26 @@
         assert!(path.exists());
         assert_eq!(one.others(), 0, "the second died");
         assert!(!path.exists(), "and what it left is gone");
-        assert_eq!(Kin::new(&folder.join("none"), "n1").others(), 0, "no such folder");
+        assert_eq!(
+            Kin::new(&folder.join("none"), "n1").others(),
+            0,
+            "no such folder"
+        );
         assert!(Kin::new(&folder.join("none"), "n1").enter().is_err());
         let mut three = kin("n1");
         three.enter().unwrap();
         one.leave();
-        assert_eq!((one.others(), three.others()), (1, 0), "who stops takes no clients");
+        assert_eq!(
+            (one.others(), three.others()),
+            (1, 0),
+            "who stops takes no clients"
+        );
         drop((one, three, other));
-        assert_eq!(fs::read_dir(&folder).unwrap().count(), 0, "who ends takes its file along");
+        assert_eq!(
+            fs::read_dir(&folder).unwrap().count(),
+            0,
+            "who ends takes its file along"
+        );
         fs::remove_dir_all(&folder).unwrap();
     }
 }
--- a/crates/mintlb/src/operator.rs
+++ b/crates/mintlb/src/operator.rs
@@ -16,12 +16,16 @@
     /// Without what may change while it serves.
     pub fn lasting(&self) -> Operator {
         let mut lasting = self.clone();
-        lasting.fleet.iter_mut().for_each(|fleet| fleet.budgets.clear());
+        lasting
+            .fleet
+            .iter_mut()
+            .for_each(|fleet| fleet.budgets.clear());
         lasting
     }
 
     pub fn read(path: &str) -> Result<Operator, String> {
-        let text = std::fs::read_to_string(path).map_err(|e| format!("{path} cannot be read: {e}"))?;
+        let text =
+            std::fs::read_to_string(path).map_err(|e| format!("{path} cannot be read: {e}"))?;
         Operator::parse(&text).map_err(|e| format!("{path}: {e}"))
     }
 
@@ -29,10 +33,12 @@
     pub fn parse(text: &str) -> Result<Operator, String> {
         let line = |span: Option<Range<usize>>| {
             let before = span.and_then(|span| text.get(..span.start));
-            before.map_or_else(String::new, |before| format!("line {}: ", before.matches('\n').count() + 1))
+            before.map_or_else(String::new, |before| {
+                format!("line {}: ", before.matches('\n').count() + 1)
+            })
         };
-        let read =
-            toml::Deserializer::parse(text).map_err(|e| format!("{}{}", line(e.span()), e.message()))?;
+        let read = toml::Deserializer::parse(text)
+            .map_err(|e| format!("{}{}", line(e.span()), e.message()))?;
         serde_path_to_error::deserialize(read).map_err(|e| {
             let (path, inner) = (e.path().to_string(), e.into_inner());
             format!("{}{path}: {}", line(inner.span()), inner.message())
--- a/crates/mintlb/src/passed.rs
+++ b/crates/mintlb/src/passed.rs
@@ -10,7 +10,10 @@
 /// The socket of the descriptor that the variable's value names. To be called once: the socket is owned from then on.
 pub fn listener(value: &str) -> Result<TcpListener, String> {
     let wrong = |why: &str| format!("{VARIABLE}: {value:?} {why}");
-    let number: RawFd = value.trim().parse().map_err(|_| wrong("is no descriptor's number"))?;
+    let number: RawFd = value
+        .trim()
+        .parse()
+        .map_err(|_| wrong("is no descriptor's number"))?;
     // 0 to 2 are the standard streams.
     if number < 3 {
         return Err(wrong("is no descriptor that a socket is passed as"));
@@ -24,7 +27,9 @@
     }
     // SAFETY: the platform passes it to this process, and nothing else here uses it.
     let listener = unsafe { TcpListener::from_raw_fd(number) };
-    listener.set_nonblocking(true).map_err(|e| wrong(&format!("can't be listened on: {e}")))?;
+    listener
+        .set_nonblocking(true)
+        .map_err(|e| wrong(&format!("can't be listened on: {e}")))?;
     match listener.local_addr() {
         Ok(SocketAddr::V4(_) | SocketAddr::V6(_)) => Ok(listener),
         Err(e) => Err(wrong(&format!("is no TCP socket: {e}"))),
--- a/crates/mintlb/src/placement.rs
+++ b/crates/mintlb/src/placement.rs
@@ -40,7 +40,12 @@
     /// them first would leave the others none.
     pub fn within_system(self) -> Machine {
         let limit = getrlimit(Resource::RLIMIT_NOFILE).map_or(u64::MAX, |(soft, _)| soft);
-        Machine { sockets: self.sockets.min(usize::try_from(limit).unwrap_or(usize::MAX)), ..self }
+        Machine {
+            sockets: self
+                .sockets
+                .min(usize::try_from(limit).unwrap_or(usize::MAX)),
+            ..self
+        }
     }
 }
 
@@ -50,14 +55,22 @@
     ("family_info", &["class_kind", "class_stretch"]),
     (
         "permissions",
-        &["most_allocations", "parallel_tries", "may_cancel", "retry_after", "max_retry_after", "peers"],
+        &[
+            "most_allocations",
+            "parallel_tries",
+            "may_cancel",
+            "retry_after",
+            "max_retry_after",
+            "peers",
+        ],
     ),
     ("prices", &["cross_zone", "peer"]),
 ];
 
 impl Placement {
     pub fn read(path: &str) -> Result<Placement, String> {
-        let json = std::fs::read_to_string(path).map_err(|e| format!("{path} cannot be read: {e}"))?;
+        let json =
+            std::fs::read_to_string(path).map_err(|e| format!("{path} cannot be read: {e}"))?;
         Placement::parse(&json).map_err(|e| format!("{path}: {e}"))
     }
 
@@ -76,7 +89,8 @@
     /// file without it is not whole. `known` is for a start only.
     pub fn lost<'a>(&'a self, new: &'a Placement) -> Option<&'a str> {
         let lost = self.keys.difference(&new.keys).map(String::as_str);
-        lost.filter(|key| *key != "known" && !key.starts_with("known.")).min_by_key(|key| key.len())
+        lost.filter(|key| *key != "known" && !key.starts_with("known."))
+            .min_by_key(|key| key.len())
     }
 
     /// From now on the list's address is the new one's, and its keys are what the next one is held to. Whether the
@@ -96,7 +110,10 @@
             ("ops", self.ops != new.ops),
             ("limits", self.limits != new.limits),
         ];
-        let fields = fields.into_iter().filter(|(_, differs)| *differs).map(|(field, _)| field.to_string());
+        let fields = fields
+            .into_iter()
+            .filter(|(_, differs)| *differs)
+            .map(|(field, _)| field.to_string());
         let (old, new) = (self.lasting(), new.lasting());
         let mut differing = Vec::new();
         differ("settings", &old, &new, &mut differing);
@@ -107,12 +124,19 @@
     fn lasting(&self) -> Value {
         let mut settings = self.settings.clone();
         for (table, fields) in CHANGING {
-            let of = if table.is_empty() { Some(&mut settings) } else { settings.get_mut(table) };
+            let of = if table.is_empty() {
+                Some(&mut settings)
+            } else {
+                settings.get_mut(table)
+            };
             if let Some(of) = of.and_then(Value::as_object_mut) {
                 fields.iter().for_each(|field| drop(of.remove(*field)));
             }
             // A table that has nothing else is as none.
-            if let Some(all) = settings.as_object_mut().filter(|all| all.get(table) == Some(&json!({}))) {
+            if let Some(all) = settings
+                .as_object_mut()
+                .filter(|all| all.get(table) == Some(&json!({})))
+            {
                 all.remove(table);
             }
         }
@@ -120,7 +144,8 @@
     }
 
     pub fn seed(&self) -> Result<u64, String> {
-        u64::from_str_radix(&self.seed, 16).map_err(|e| format!("seed: {:?} is no number: {e}", self.seed))
+        u64::from_str_radix(&self.seed, 16)
+            .map_err(|e| format!("seed: {:?} is no number: {e}", self.seed))
     }
 
     /// The settings by path, as the decisions read them. On sockets the list must always be asked for, and schedulers
@@ -130,15 +155,22 @@
         flatten("", &self.settings, &mut pairs);
         // What a list that is pushed has counts as told from the first moment and without a watch, so that the grace is
         // the time for asking.
-        let has = |path: &str, held: &str| pairs.iter().any(|(p, value)| p == path && value == held);
-        let grace =
-            pairs.iter().find(|(path, _)| path == "rules.drain_grace").map(|(_, value)| value.clone());
+        let has =
+            |path: &str, held: &str| pairs.iter().any(|(p, value)| p == path && value == held);
+        let grace = pairs
+            .iter()
+            .find(|(path, _)| path == "rules.drain_grace")
+            .map(|(_, value)| value.clone());
         if let Some(grace) = grace.filter(|_| has("discovery", "pushed")) {
             pairs.push(("rules.ask_within".into(), grace));
         }
         pairs.push(("discovery".into(), "on_request".into()));
-        let peers = pairs.iter_mut().find(|(path, value)| path == "permissions.peers" && value == "true");
-        peers.into_iter().for_each(|(_, value)| *value = "false".into());
+        let peers = pairs
+            .iter_mut()
+            .find(|(path, value)| path == "permissions.peers" && value == "true");
+        peers
+            .into_iter()
+            .for_each(|(_, value)| *value = "false".into());
         pairs.into_iter().collect()
     }
 }
@@ -151,7 +183,8 @@
             let of = |fields: &serde_json::Map<String, Value>, key: &String| {
                 fields.get(key).cloned().unwrap_or_default()
             };
-            all.iter().for_each(|key| differ(&format!("{path}.{key}"), &of(a, key), &of(b, key), found));
+            all.iter()
+                .for_each(|key| differ(&format!("{path}.{key}"), &of(a, key), &of(b, key), found));
         }
         _ if old != new => found.push(path.to_string()),
         _ => {}
@@ -161,7 +194,11 @@
 /// The keys of objects within objects; what lists hold has its own fields.
 fn keys(path: &str, value: &Value, found: &mut BTreeSet<String>) {
     for (key, value) in value.as_object().into_iter().flatten() {
-        let path = if path.is_empty() { key.clone() } else { format!("{path}.{key}") };
+        let path = if path.is_empty() {
+            key.clone()
+        } else {
+            format!("{path}.{key}")
+        };
         keys(&path, value, found);
         found.insert(path);
     }
@@ -169,12 +206,23 @@
 
 /// Nested values by path: plain lists joined with commas, lists of objects counted and numbered.
 fn flatten(path: &str, value: &Value, pairs: &mut Vec<(String, String)>) {
-    let below = |key: &str| if path.is_empty() { key.to_string() } else { format!("{path}.{key}") };
+    let below = |key: &str| {
+        if path.is_empty() {
+            key.to_string()
+        } else {
+            format!("{path}.{key}")
+        }
+    };
     match value {
-        Value::Object(fields) => fields.iter().for_each(|(key, v)| flatten(&below(key), v, pairs)),
+        Value::Object(fields) => fields
+            .iter()
+            .for_each(|(key, v)| flatten(&below(key), v, pairs)),
         Value::Array(items) if items.iter().any(Value::is_object) => {
             pairs.push((below("count"), items.len().to_string()));
-            items.iter().enumerate().for_each(|(i, v)| flatten(&below(&i.to_string()), v, pairs));
+            items
+                .iter()
+                .enumerate()
+                .for_each(|(i, v)| flatten(&below(&i.to_string()), v, pairs));
         }
         Value::Array(items) => {
             let items: Vec<String> = items.iter().map(plain).collect();
@@ -185,5 +233,7 @@
 }
 
 fn plain(value: &Value) -> String {
-    value.as_str().map_or_else(|| value.to_string(), str::to_string)
+    value
+        .as_str()
+        .map_or_else(|| value.to_string(), str::to_string)
 }
--- a/crates/mintlb/src/record.rs
+++ b/crates/mintlb/src/record.rs
@@ -35,7 +35,12 @@
 impl Record {
     pub fn new(folder: &Path, name: &str, at: SocketAddr) -> Record {
         let path = folder.join(format!("mintlb-list-{:012x}.json", worker_id(name)));
-        Record { path, name: name.to_string(), at, workers: BTreeMap::new() }
+        Record {
+            path,
+            name: name.to_string(),
+            at,
+            workers: BTreeMap::new(),
+        }
     }
 
     /// The list is heard there from now on.
@@ -46,7 +51,9 @@
 
     /// What was left, if it is newer than what is known otherwise.
     pub fn newer(&self, known: Option<Listing>) -> Option<Listing> {
-        let kept = fs::read(&self.path).ok().and_then(|json| serde_json::from_slice::<Kept>(&json).ok());
+        let kept = fs::read(&self.path)
+            .ok()
+            .and_then(|json| serde_json::from_slice::<Kept>(&json).ok());
         let kept = kept.filter(|kept| {
             kept.form == FORM
                 && kept.name == self.name
@@ -54,7 +61,9 @@
                 && kept.list.full
         });
         let version = known.as_ref().map_or(0, |known| known.version);
-        kept.map(|kept| kept.list).filter(|list| list.version > version).or(known)
+        kept.map(|kept| kept.list)
+            .filter(|list| list.version > version)
+            .or(known)
     }
 
     /// The list has said this; the whole as it is then is left.
@@ -69,9 +78,17 @@
             }
         }
         let workers = self.workers.values().cloned().collect();
-        let list = Listing { version: said.version, full: true, workers };
-        let json =
-            serde_json::to_vec(&Kept { form: FORM, name: self.name.clone(), at: Some(self.at), list })?;
+        let list = Listing {
+            version: said.version,
+            full: true,
+            workers,
+        };
+        let json = serde_json::to_vec(&Kept {
+            form: FORM,
+            name: self.name.clone(),
+            at: Some(self.at),
+            list,
+        })?;
         // Whole or not at all, whenever this process is killed; and two write beside each other.
         let fresh = self.path.with_extension(std::process::id().to_string());
         fs::write(&fresh, json)?;
@@ -89,7 +106,10 @@
             format!(r#"{{"id":"{id}","addr":"127.0.0.1:1","state":"{state}"}}"#)
         });
         let workers: Vec<String> = workers.collect();
-        let json = format!(r#"{{"version":{version},"full":{full},"servers":[{}]}}"#, workers.join(","));
+        let json = format!(
+            r#"{{"version":{version},"full":{full},"servers":[{}]}}"#,
+            workers.join(",")
+        );
         serde_json::from_str(&json).unwrap()
     }
 
@@ -99,16 +119,26 @@
         let folder = std::env::temp_dir().join(format!("mintlb-record-{}", std::process::id()));
         fs::create_dir_all(&folder).unwrap();
         let shown = |name: &str, known: u64| {
-            let read =
-                Record::new(&folder, name, at(1)).newer((known > 0).then(|| list(known, true, "k=SERVING")));
+            let read = Record::new(&folder, name, at(1))
+                .newer((known > 0).then(|| list(known, true, "k=SERVING")));
             let workers = read.iter().flat_map(|list| &list.workers);
-            workers.map(|worker| format!("{}={}", worker.id, worker.state)).collect::<Vec<_>>().join(" ")
+            workers
+                .map(|worker| format!("{}={}", worker.id, worker.state))
+                .collect::<Vec<_>>()
+                .join(" ")
         };
-        assert_eq!((shown("n1", 0).as_str(), shown("n1", 3).as_str()), ("", "k=SERVING"), "nothing was left");
+        assert_eq!(
+            (shown("n1", 0).as_str(), shown("n1", 3).as_str()),
+            ("", "k=SERVING"),
+            "nothing was left"
+        );
         let mut record = Record::new(&folder, "n1", at(1));
         for (said, left) in [
             (list(4, true, "a=SERVING b=SERVING"), "a=SERVING b=SERVING"),
-            (list(5, false, "b=DRAINING c=SERVING"), "a=SERVING b=DRAINING c=SERVING"),
+            (
+                list(5, false, "b=DRAINING c=SERVING"),
+                "a=SERVING b=DRAINING c=SERVING",
+            ),
             (list(6, false, "a=DELETED"), "b=DRAINING c=SERVING"),
             (list(7, true, "d=SERVING"), "d=SERVING"),
         ] {
@@ -119,7 +149,11 @@
         }
         record.moved(at(2));
         record.hear(&list(8, false, "e=SERVING")).unwrap();
-        assert_eq!(shown("n1", 3), "k=SERVING", "it was heard at another address since");
+        assert_eq!(
+            shown("n1", 3),
+            "k=SERVING",
+            "it was heard at another address since"
+        );
         record.moved(at(1));
         record.hear(&list(9, true, "f=SERVING")).unwrap();
         assert_eq!(shown("n1", 3), "f=SERVING");
@@ -128,7 +162,10 @@
             ("torn", whole[..whole.len() / 2].to_string()),
             ("empty", String::new()),
             ("of another form", whole.replace("\"form\":1", "\"form\":2")),
-            ("of another list service", whole.replace("127.0.0.1:1\",\"list", "127.0.0.1:2\",\"list")),
+            (
+                "of another list service",
+                whole.replace("127.0.0.1:1\",\"list", "127.0.0.1:2\",\"list"),
+            ),
             ("of another name", whole.replace("\"n1\"", "\"n3\"")),
         ] {
             fs::write(&record.path, text).unwrap();
@@ -137,7 +174,11 @@
         let old = whole.replace("\"at\":\"127.0.0.1:1\",", "");
         assert_ne!(old, whole);
         fs::write(&record.path, old).unwrap();
-        assert_eq!(shown("n1", 3), "f=SERVING", "left by a version that wrote no address");
+        assert_eq!(
+            shown("n1", 3),
+            "f=SERVING",
+            "left by a version that wrote no address"
+        );
         fs::remove_dir_all(&folder).unwrap();
     }
 }
--- a/crates/mintlb/src/serve.rs
+++ b/crates/mintlb/src/serve.rs
@@ -53,15 +53,34 @@
     pub fn new(placement: Placement, operator: Operator) -> Result<Plan, String> {
         let text = placement.text();
         let scheduler = text.scheduler(placement.seed()?)?;
-        let sessions = operator.beanstalkd.as_ref().map_or(0, |table| table.connections);
+        let sessions = operator
+            .beanstalkd
+            .as_ref()
+            .map_or(0, |table| table.connections);
         let machine = placement.limits.within_system();
         let grants = Grants::new(&machine, &text, sessions, placement.passed.is_some())?;
         let (types, terms) = (text.named_types()?, text.terms()?);
         let customers = (0..text.customers()?).map(|i| text.get(&format!("tenants.{i}.name")));
         let (names, project_types): (Vec<String>, Vec<ProjectType>) = types.iter().cloned().unzip();
         let customers: Vec<String> = customers.collect::<Result<_, _>>()?;
-        let plans = Plans::new(&operator, &placement.name, &names, &project_types, &customers)?;
-        Ok(Plan { placement, operator, grants, scheduler, terms, types, customers, plans, text })
+        let plans = Plans::new(
+            &operator,
+            &placement.name,
+            &names,
+            &project_types,
+            &customers,
+        )?;
+        Ok(Plan {
+            placement,
+            operator,
+            grants,
+            scheduler,
+            terms,
+            types,
+            customers,
+            plans,
+            text,
+        })
     }
 }
 
@@ -84,11 +103,19 @@
         Event::Left(wu) => hands.left(*wu),
         _ => {}
     }
-    reducer.reduce(now, event).into_iter().for_each(|act| hands.carry_out(act));
+    reducer
+        .reduce(now, event)
+        .into_iter()
+        .for_each(|act| hands.carry_out(act));
 }
 
 /// What an operator's call is answered, and what follows from it.
-fn operate(call: Call, standing: &Mutex<Standing>, now: f64, page: impl FnOnce() -> String) -> Reply {
+fn operate(
+    call: Call,
+    standing: &Mutex<Standing>,
+    now: f64,
+    page: impl FnOnce() -> String,
+) -> Reply {
     let mut standing = standing.lock();
     let word = match call {
         Call::Dump => return Reply::Figures(page()),
@@ -107,29 +134,53 @@
 
 /// The figures of all parts.
 fn page(figures: &Figures, subsystems: &[Box<dyn Subsystem>], now: Now) -> String {
-    subsystems.iter().fold(figures.page(now), |page, part| page + &part.figures())
+    subsystems
+        .iter()
+        .fold(figures.page(now), |page, part| page + &part.figures())
 }
 
 /// Serves until it is told to stop, and then until all that was taken is answered.
-pub async fn serve(plan: Plan, log: Logger, mut told: UnboundedReceiver<Told>) -> Result<(), String> {
-    let Plan { mut placement, operator, text, mut grants, scheduler, types, customers, plans, .. } = plan;
+pub async fn serve(
+    plan: Plan,
+    log: Logger,
+    mut told: UnboundedReceiver<Told>,
+) -> Result<(), String> {
+    let Plan {
+        mut placement,
+        operator,
+        text,
+        mut grants,
+        scheduler,
+        types,
+        customers,
+        plans,
+        ..
+    } = plan;
     let listen = placement.listen;
     // A socket that is passed on is one that others of this name may listen on, too.
-    let folder = std::env::var_os("TMPDIR").filter(|_| placement.passed.is_some()).map(PathBuf::from);
-    let mut kin = folder.as_ref().map(|folder| Kin::new(folder, &placement.name));
+    let folder = std::env::var_os("TMPDIR")
+        .filter(|_| placement.passed.is_some())
+        .map(PathBuf::from);
+    let mut kin = folder
+        .as_ref()
+        .map(|folder| Kin::new(folder, &placement.name));
     let listener = match placement.passed.take() {
         Some(passed) => TcpListener::from_std(passed),
         None => TcpListener::bind(listen).await,
     };
     let listener = listener.map_err(|e| format!("listen: {listen}: {e}"))?;
     // Port 0 is any free one, so the log tells which.
-    let listen = listener.local_addr().map_err(|e| format!("listen: {listen}: {e}"))?;
+    let listen = listener
+        .local_addr()
+        .map_err(|e| format!("listen: {listen}: {e}"))?;
     let mut listener = Some(listener);
     let clock = Clock::start();
     let (tell, mut events) = unbounded_channel();
     let (numbers, room) = (Numbers::default(), Room::new(grants.open, grants.bodies));
-    let (figures, standing) =
-        (Arc::new(Figures::default()), Arc::new(Mutex::new(Standing::new(grants.notice))));
+    let (figures, standing) = (
+        Arc::new(Figures::default()),
+        Arc::new(Mutex::new(Standing::new(grants.notice))),
+    );
     let (ask, mut asked) = unbounded_channel();
     if let Some(at) = placement.ops {
         let no = |e| format!("ops: {at}: {e}");
@@ -144,16 +195,37 @@
         customers: customers.clone(),
     };
     let fields = text.list("stats.fields");
-    let workers =
-        Workers::new(&grants.http, clock, tell.clone(), &fields, worded, figures.sends(), log.clone());
+    let workers = Workers::new(
+        &grants.http,
+        clock,
+        tell.clone(),
+        &fields,
+        worded,
+        figures.sends(),
+        log.clone(),
+    );
     let own = |path| text.list(path).into_iter().map(str::to_string).collect();
-    let only = plans.beanstalkd.as_ref().map_or(Runs::NONE, |plan| plan.only);
+    let only = plans
+        .beanstalkd
+        .as_ref()
+        .map_or(Runs::NONE, |plan| plan.only);
     let runs = Runs::default().without(only);
-    let reading = Reading { zones: own("zones"), kinds: own("machine_types"), runs, workers };
-    let mut record = folder.as_ref().map(|folder| Record::new(folder, &placement.name, placement.discovery));
+    let reading = Reading {
+        zones: own("zones"),
+        kinds: own("machine_types"),
+        runs,
+        workers,
+    };
+    let mut record = folder
+        .as_ref()
+        .map(|folder| Record::new(folder, &placement.name, placement.discovery));
     let known = placement.known.take();
-    let known = record.as_ref().map_or(known.clone(), |record| record.newer(known));
-    let told_first = known.as_ref().map(|known| (known.version, reading.told(known)));
+    let known = record
+        .as_ref()
+        .map_or(known.clone(), |record| record.newer(known));
+    let told_first = known
+        .as_ref()
+        .map(|known| (known.version, reading.told(known)));
     let project_types = text.project_types()?;
     let shared = Shared {
         name: &placement.name,
@@ -172,7 +244,10 @@
     if let Some((record, known)) = record.as_mut().zip(known.as_ref()) {
         record.hear(known).ok();
     }
-    let (record, besides) = (record.map(|record| Arc::new(Mutex::new(record))), subsystems.clone());
+    let (record, besides) = (
+        record.map(|record| Arc::new(Mutex::new(record))),
+        subsystems.clone(),
+    );
     let kept = record.clone();
     let unwritten = log.clone();
     let besides: Besides = Arc::new(move |listing, told| {
@@ -188,13 +263,18 @@
     let limits = grants.http.clone();
     let front = Front::new(customers, limits, shared, tell, log.clone());
     let mut reducer = Reducer::new(scheduler, Types::new(types), grants.out, grants.margin);
-    purse.into_iter().for_each(|purse| reducer.take_purse(purse));
+    purse
+        .into_iter()
+        .for_each(|purse| reducer.take_purse(purse));
     hands.take_types(reducer.types());
     front.take_types(reducer.types(), &figures);
 
     // Who takes over first hears what has changed: what the old one was told, it was told, too.
     let takes_over = kin.as_ref().is_some_and(|kin| kin.others() > 0);
-    reducer.start(clock.now(), told_first, takes_over).into_iter().for_each(|act| hands.carry_out(act));
+    reducer
+        .start(clock.now(), told_first, takes_over)
+        .into_iter()
+        .for_each(|act| hands.carry_out(act));
     let turned_down = |why: String| {
         figures.turned_down.fetch_add(1, Relaxed);
         warn!(log, "the new configuration is not taken, the old one holds"; "why" => why);
@@ -204,7 +284,9 @@
     let mut tally = interval(grants.tally);
     loop {
         if listener.is_some() && ready_by.is_none_or(|by| Instant::now() >= by) {
-            listening = listener.take().map(|l| tokio::spawn(front.clone().listen(l)).abort_handle());
+            listening = listener
+                .take()
+                .map(|l| tokio::spawn(front.clone().listen(l)).abort_handle());
             standing.lock().hear(clock.now(), Word::Ready).ok();
             if let Some(Err(e)) = kin.as_mut().map(Kin::enter) {
                 warn!(log, "another process of this name will not see this one"; "why" => %e);
--- a/crates/mintlb/tests/crossings.rs
+++ b/crates/mintlb/tests/crossings.rs
@@ -27,12 +27,19 @@
         ("it drains", "DRAINING", true),
         ("it is gone", "DELETED", true),
         ("its client leaves", "", true),
-        ("its client leaves, and nothing may be called off", "", false),
+        (
+            "its client leaves, and nothing may be called off",
+            "",
+            false,
+        ),
     ] {
         let late = late();
         let at = late.0.local_addr().unwrap();
         let slot = Arc::new(Mutex::new(listing(2, &[("s-1", at, "SERVING")])));
-        let (limit, list) = (("\"hard_limit\": 3000.0", "\"hard_limit\": 30000.0"), list_by(slot.clone()));
+        let (limit, list) = (
+            ("\"hard_limit\": 3000.0", "\"hard_limit\": 30000.0"),
+            list_by(slot.clone()),
+        );
         let mut changes = vec![SOON, PATIENT, ("127.0.0.1:8500", &list), limit];
         changes.extend(Some(MAY_NOT).filter(|_| !may_cancel));
         let mut program = start_at(at, "", &changes, None);
@@ -51,7 +58,11 @@
             }
         }
         let came = came_late(late, TRIED_AGAIN);
-        assert_eq!(came.starts_with("POST /charge"), state == "SERVING", "{shown}: {came:?}");
+        assert_eq!(
+            came.starts_with("POST /charge"),
+            state == "SERVING",
+            "{shown}: {came:?}"
+        );
     }
 }
 
@@ -70,12 +81,19 @@
             asked += &String::from_utf8_lossy(&piece[..n]);
         }
         tell.send(Instant::now()).ok();
-        stream.write_all((STREAM.to_string() + &chunk(&line)).as_bytes()).ok();
+        stream
+            .write_all((STREAM.to_string() + &chunk(&line)).as_bytes())
+            .ok();
         if first.swap(false, Relaxed) {
             match how {
                 "silent within a line" => stream.write_all(b"40\r\n{\"version\":").unwrap(),
                 "silent" => {}
-                "ended" => return stream.write_all(b"0\r\n\r\n").map_or("", |()| "ended").into(),
+                "ended" => {
+                    return stream
+                        .write_all(b"0\r\n\r\n")
+                        .map_or("", |()| "ended")
+                        .into();
+                }
                 _ => panic!("{how}"),
             }
             // Nothing more, until the other side leaves.
@@ -107,7 +125,10 @@
             let (list, asked) = breaking(how, listing(2, &[]));
             let changes = [
                 ("127.0.0.1:8500", &*list),
-                ("\"discovery\": \"on_request\"", &*format!("\"discovery\": \"{mode}\"")),
+                (
+                    "\"discovery\": \"on_request\"",
+                    &*format!("\"discovery\": \"{mode}\""),
+                ),
                 ("\"balancers\": 1", &*format!("\"balancers\": {many}")),
                 // By chance it waits for nine tenths of the longest pause.
                 ("8c1f30d27a5be964", "b16107f1be437c7b"),
@@ -117,10 +138,17 @@
             let bound = Duration::from_secs(12);
             let [first, second] = [0; 2].map(|_| asked.recv_timeout(bound).expect("it asks"));
             if mode == "pushed" {
-                assert!(first - began < Duration::from_millis(500), "{how}, {mode}: {:?}", first - began);
+                assert!(
+                    first - began < Duration::from_millis(500),
+                    "{how}, {mode}: {:?}",
+                    first - began
+                );
             }
             let took = (second - first).as_secs_f64();
-            assert!(took < within, "{how}, {mode}, {many}: asked for anew after {took} s");
+            assert!(
+                took < within,
+                "{how}, {mode}, {many}: asked for anew after {took} s"
+            );
             drop(program);
         })
     });
@@ -134,7 +162,11 @@
 fn out_of_reach(how: &'static str, line: String) -> (String, Receiver<Instant>) {
     let (tell, back) = channel();
     // Freed, it refuses; with its queue full, dials hang.
-    let (listener, queued) = if how == "hangs in the dial" { late() } else { (bound(None), Vec::new()) };
+    let (listener, queued) = if how == "hangs in the dial" {
+        late()
+    } else {
+        (bound(None), Vec::new())
+    };
     let at = listener.local_addr().unwrap();
     std::thread::spawn(move || {
         let listener = match how {
@@ -150,7 +182,11 @@
             _ => listener,
         };
         drop(queued);
-        let mut calls = if how.contains("dial") || how == "refuses" { 5 } else { 0 };
+        let mut calls = if how.contains("dial") || how == "refuses" {
+            5
+        } else {
+            0
+        };
         if calls == 5 {
             tell.send(Instant::now()).unwrap();
         }
@@ -161,7 +197,9 @@
             if calls > 5 {
                 std::thread::spawn(move || {
                     if stream.read(&mut [0; 4096]).is_ok_and(|n| n > 0) {
-                        stream.write_all((STREAM.to_string() + &chunk(&line)).as_bytes()).ok();
+                        stream
+                            .write_all((STREAM.to_string() + &chunk(&line)).as_bytes())
+                            .ok();
                         while stream.write_all(chunk("").as_bytes()).is_ok() {
                             std::thread::sleep(PAUSE);
                         }
@@ -171,12 +209,16 @@
             }
             assert!(stream.read(&mut [0; 4096]).is_ok_and(|n| n > 0));
             match how {
-                "resets" => socket2::SockRef::from(&stream).set_linger(Some(Duration::ZERO)).unwrap(),
-                "is busy" => stream.write_all(b"HTTP/1.1 503 No\r\ncontent-length: 0\r\n\r\n").unwrap(),
+                "resets" => socket2::SockRef::from(&stream)
+                    .set_linger(Some(Duration::ZERO))
+                    .unwrap(),
+                "is busy" => stream
+                    .write_all(b"HTTP/1.1 503 No\r\ncontent-length: 0\r\n\r\n")
+                    .unwrap(),
                 "hangs in the head" => stream.write_all(b"HTTP/1.1 200 OK\r\n").unwrap(),
-                "hangs in the body" => {
-                    stream.write_all((STREAM.to_string() + "40\r\n{\"version\":").as_bytes()).unwrap()
-                }
+                "hangs in the body" => stream
+                    .write_all((STREAM.to_string() + "40\r\n{\"version\":").as_bytes())
+                    .unwrap(),
                 "hangs" => {}
                 _ => panic!("{how}"),
             }
@@ -194,7 +236,9 @@
 fn bound(at: Option<SocketAddr>) -> TcpListener {
     let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
     socket.set_reuse_address(true).unwrap();
-    socket.bind(&at.unwrap_or(SocketAddr::from(([127, 0, 0, 1], 0))).into()).unwrap();
+    socket
+        .bind(&at.unwrap_or(SocketAddr::from(([127, 0, 0, 1], 0))).into())
+        .unwrap();
     socket.listen(64).unwrap();
     socket.into()
 }
@@ -218,14 +262,22 @@
             let (list, back) = out_of_reach(how, listing(9, &[("s-1", worker, "DRAINING")]));
             // By chance it waits for nine tenths of the longest pause at first.
             let (many, seed) = ("\"balancers\": 300", "b16107f1be437c7b");
-            let changes =
-                [("127.0.0.1:8500", &*list), ("\"balancers\": 1", many), ("8c1f30d27a5be964", seed)];
+            let changes = [
+                ("127.0.0.1:8500", &*list),
+                ("\"balancers\": 1", many),
+                ("8c1f30d27a5be964", seed),
+            ];
             let began = Instant::now();
             let mut program = start_at(worker, "", &changes, None);
             let ready = program.ask("GET /healthz HTTP/1.1\r\nhost: x\r\n\r\n");
             let took = began.elapsed().as_secs_f64();
-            assert!(ready.starts_with("HTTP/1.1 200") && took < 10.0, "{how}: ready after {took} s: {ready}");
-            let back = back.recv_timeout(Duration::from_secs(30)).expect("it is called five times");
+            assert!(
+                ready.starts_with("HTTP/1.1 200") && took < 10.0,
+                "{how}: ready after {took} s: {ready}"
+            );
+            let back = back
+                .recv_timeout(Duration::from_secs(30))
+                .expect("it is called five times");
             program.logged("the list has no ready worker");
             let took = back.elapsed().as_secs_f64();
             assert!(took < 6.0, "{how}: heard after {took} s");
@@ -256,7 +308,10 @@
                 assert!(answer(&mut stream).ends_with("yes"), "{shown}: {i}");
                 // What waits behind them in the system's queue is taken already, and its time runs.
                 let took = began.elapsed();
-                assert!(took < 5 * PAUSE, "{shown}: {i} waited {took:?} behind those who bring nothing");
+                assert!(
+                    took < 5 * PAUSE,
+                    "{shown}: {i} waited {took:?} behind those who bring nothing"
+                );
             }
             idle.push(stream);
         }
@@ -278,15 +333,25 @@
         let back = Instant::now();
         let mut said = String::new();
         while !said.ends_with("patience is out\n") {
-            assert!(program.log.read_line(&mut said).unwrap() > 0, "{shown}: it ended");
+            assert!(
+                program.log.read_line(&mut said).unwrap() > 0,
+                "{shown}: it ended"
+            );
         }
         let took = back.elapsed().as_secs_f64();
         heard.store(true, Relaxed);
         come.join().unwrap();
         assert!(took < 6.0, "{shown}: heard after {took} s");
-        let short = said.lines().find(|l| l.contains("could not be accepted") || l.contains("no descriptor"));
+        let short = said
+            .lines()
+            .find(|l| l.contains("could not be accepted") || l.contains("no descriptor"));
         assert_eq!(short, None, "{shown}: all of it is within the limit");
-        assert!(program.ask(&post("/charge", "")).starts_with("HTTP/1.1 503"), "{shown}: nothing new to it");
+        assert!(
+            program
+                .ask(&post("/charge", ""))
+                .starts_with("HTTP/1.1 503"),
+            "{shown}: nothing new to it"
+        );
     }
 }
 
@@ -294,7 +359,12 @@
 /// hundreds leave in one moment.
 #[test]
 fn who_has_gone_is_sent_nowhere() {
-    for (shown, many) in [("closed", 1), ("reset", 1), ("half-closed", 1), ("a burst", 300)] {
+    for (shown, many) in [
+        ("closed", 1),
+        ("reset", 1),
+        ("half-closed", 1),
+        ("a burst", 300),
+    ] {
         let seen = Arc::new(Mutex::new(String::new()));
         let heard = seen.clone();
         let (at, _) = stand_in(move |stream| {
@@ -306,12 +376,17 @@
         });
         let slot = Arc::new(Mutex::new(listing(2, &[("s-1", at, "DRAINING")])));
         let list = list_by(slot.clone());
-        let patient = ("\"promised_turnaround\": 400.0", "\"promised_turnaround\": 2900.0");
+        let patient = (
+            "\"promised_turnaround\": 400.0",
+            "\"promised_turnaround\": 2900.0",
+        );
         let mut program = start_at(at, "", &[SOON, ("127.0.0.1:8500", &list), patient], None);
         program.logged("the list has no ready worker");
         let clients = (0..many).map(|_| {
             let mut client = program.connect();
-            client.write_all(post("/charge/gone", "").as_bytes()).unwrap();
+            client
+                .write_all(post("/charge/gone", "").as_bytes())
+                .unwrap();
             client
         });
         let clients: Vec<TcpStream> = clients.collect();
@@ -320,7 +395,9 @@
         let mut half = Vec::new();
         for client in clients {
             match shown {
-                "reset" => socket2::SockRef::from(&client).set_linger(Some(Duration::ZERO)).unwrap(),
+                "reset" => socket2::SockRef::from(&client)
+                    .set_linger(Some(Duration::ZERO))
+                    .unwrap(),
                 "half-closed" => {
                     client.shutdown(std::net::Shutdown::Write).unwrap();
                     half.push(client);
@@ -332,10 +409,15 @@
         *slot.lock().unwrap() = listing(3, &[("s-1", at, "SERVING")]);
         // What stays is sent once the worker is ready: by then what has gone would have been sent before it.
         let mut stays = program.connect();
-        stays.write_all(post("/charge/stays", "").as_bytes()).unwrap();
+        stays
+            .write_all(post("/charge/stays", "").as_bytes())
+            .unwrap();
         program.logged("allocation sent");
         std::thread::sleep(3 * PAUSE);
         let seen = seen.lock().unwrap().clone();
-        assert!(seen.contains("/charge/stays") && !seen.contains("gone"), "{shown}: {seen}");
+        assert!(
+            seen.contains("/charge/stays") && !seen.contains("gone"),
+            "{shown}: {seen}"
+        );
     }
 }
--- a/crates/mintlb/tests/fleet.rs
+++ b/crates/mintlb/tests/fleet.rs
@@ -9,7 +9,8 @@
     let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("../..");
     let path = root.join("rig/scenarios").join(name).with_extension("toml");
     let scenario = Scenario::read(path.to_str().unwrap()).unwrap();
-    let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("{name}-{seed}-{}", std::process::id()));
+    let folder = Path::new(env!("CARGO_TARGET_TMPDIR"))
+        .join(format!("{name}-{seed}-{}", std::process::id()));
     let program = Path::new(env!("CARGO_BIN_EXE_mintlb"));
     let played = play(&scenario, seed, program, &folder, false, |_| {}).unwrap();
     std::fs::remove_dir_all(folder).ok();
@@ -35,7 +36,10 @@
         let (verdict, story) = play.join().unwrap();
         assert_eq!(verdict.holds(), holds, "{name}: {verdict:?}\n{story}");
         assert!(verdict.used >= Some(least_used), "{name}: {verdict:?}");
-        let over = Verdict { over_budget: 0, ..verdict.clone() };
+        let over = Verdict {
+            over_budget: 0,
+            ..verdict.clone()
+        };
         assert!(over.holds(), "{name}: {verdict:?}\n{story}");
         assert_eq!(story.contains("budget again"), !holds, "{name}: {story}");
     }
--- a/crates/mintlb/tests/harness/mod.rs
+++ b/crates/mintlb/tests/harness/mod.rs
@@ -57,12 +57,18 @@
         if !request.ends_with("\r\n\r\nhi") {
             continue;
         }
-        let id = request.split("request-id: ").nth(1).and_then(|r| r.lines().next()).unwrap_or_default();
+        let id = request
+            .split("request-id: ")
+            .nth(1)
+            .and_then(|r| r.lines().next())
+            .unwrap_or_default();
         if let Some((state, result)) = reply(&request, id) {
             stream
                 .write_all(
                     (STREAM.to_string()
-                        + &chunk(&format!(r#"{{"id":"{id}","state":"{state}","result":"{result}"}}"#))
+                        + &chunk(&format!(
+                            r#"{{"id":"{id}","state":"{state}","result":"{result}"}}"#
+                        ))
                         + "0\r\n\r\n")
                         .as_bytes(),
                 )
@@ -85,7 +91,10 @@
         format!(r#"{{"id":"{id}","addr":"{at}","zone":"north","kind":"small","state":"{state}"}}"#)
     };
     let workers: Vec<String> = workers.iter().map(worker).collect();
-    format!(r#"{{"version":{version},"full":true,"servers":[{}]}}"#, workers.join(","))
+    format!(
+        r#"{{"version":{version},"full":true,"servers":[{}]}}"#,
+        workers.join(",")
+    )
 }
 
 /// A list service that says what is in the slot, the whole of it or, to who watches, as it stands there and again when
@@ -100,9 +109,14 @@
             }
         }
         if !request.contains("watch=1") {
-            let whole = slot.lock().unwrap().replace("\"full\":false", "\"full\":true");
-            let head =
-                format!("HTTP/1.1 200 OK\r\ncontent-length: {}\r\nconnection: close\r\n\r\n", whole.len());
+            let whole = slot
+                .lock()
+                .unwrap()
+                .replace("\"full\":false", "\"full\":true");
+            let head = format!(
+                "HTTP/1.1 200 OK\r\ncontent-length: {}\r\nconnection: close\r\n\r\n",
+                whole.len()
+            );
             stream.write_all((head + &whole).as_bytes()).ok();
             return "told".into();
         }
@@ -114,8 +128,11 @@
             }
             if now != last {
                 // Where it is no whole list, nothing has changed.
-                let servers = now.find("\"servers\"").filter(|_| now.contains("\"full\":false"));
-                let said_now = servers.map_or(now.clone(), |at| format!("{}\"servers\":[]}}", &now[..at]));
+                let servers = now
+                    .find("\"servers\"")
+                    .filter(|_| now.contains("\"full\":false"));
+                let said_now =
+                    servers.map_or(now.clone(), |at| format!("{}\"servers\":[]}}", &now[..at]));
                 said = stream.write_all(chunk(&said_now).as_bytes());
                 last = now;
             }
@@ -137,9 +154,16 @@
 /// What the program complains of, when it is started so that it must fail.
 pub fn complaint(arguments: &[&str], variables: &[(&str, &str)]) -> String {
     let mut command = Command::new(env!("CARGO_BIN_EXE_mintlb"));
-    let run = command.args(arguments).envs(variables.iter().copied()).output().unwrap();
+    let run = command
+        .args(arguments)
+        .envs(variables.iter().copied())
+        .output()
+        .unwrap();
     let said = String::from_utf8(run.stderr).unwrap();
-    assert!(!run.status.success() && !said.contains("panic"), "{arguments:?}, {variables:?}: {said}");
+    assert!(
+        !run.status.success() && !said.contains("panic"),
+        "{arguments:?}, {variables:?}: {said}"
+    );
     said
 }
 
@@ -212,12 +236,19 @@
         env!("CARGO_BIN_EXE_mintlb"),
         path.display()
     );
-    let mut child = Command::new("sh").args(["-c", &command]).stderr(Stdio::piped()).spawn().unwrap();
+    let mut child = Command::new("sh")
+        .args(["-c", &command])
+        .stderr(Stdio::piped())
+        .spawn()
+        .unwrap();
     // A port that was free a moment ago may be another test's by now, so the program takes one and tells it.
     let mut log = BufReader::new(child.stderr.take().unwrap());
     let (mut line, mut jobs, mut ops) = (String::new(), None, None);
     let told = |line: &str, what: &str| -> SocketAddr {
-        let at = line.split(what).nth(1).and_then(|l| l.split([',', '\n']).next());
+        let at = line
+            .split(what)
+            .nth(1)
+            .and_then(|l| l.split([',', '\n']).next());
         at.unwrap().parse().unwrap()
     };
     while !line.contains("serving") {
@@ -230,14 +261,24 @@
             ops = Some(told(&line, "ops: "));
         }
     }
-    Program { at: told(&line, "listen: "), child, log, jobs, ops, workers: channel().1, path }
+    Program {
+        at: told(&line, "listen: "),
+        child,
+        log,
+        jobs,
+        ops,
+        workers: channel().1,
+        path,
+    }
 }
 
 /// A listener whose queue of connections is full: whoever dials it comes up only once these have been dropped and
 /// accepted.
 pub fn late() -> (TcpListener, Vec<TcpStream>) {
     let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
-    socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).unwrap();
+    socket
+        .bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into())
+        .unwrap();
     socket.listen(0).unwrap();
     let listener = TcpListener::from(socket);
     let (at, mut queued) = (listener.local_addr().unwrap(), Vec::new());
@@ -268,7 +309,9 @@
 
 /// All that comes back until the connection is closed or an answer of known length is whole.
 pub fn answer(stream: &mut TcpStream) -> String {
-    stream.set_read_timeout(Some(Duration::from_secs(5))).unwrap();
+    stream
+        .set_read_timeout(Some(Duration::from_secs(5)))
+        .unwrap();
     let (mut got, mut piece) = (String::new(), [0; 4096]);
     loop {
         if let Some((head, body)) = got.split_once("\r\n\r\n") {
@@ -295,7 +338,9 @@
 }
 
 pub fn post_as(id: u32, path: &str, more: &str) -> String {
-    format!("POST {path} HTTP/1.1\r\nhost: x\r\nrequest-id: {id}\r\ncontent-length: 2\r\n{more}\r\nhi")
+    format!(
+        "POST {path} HTTP/1.1\r\nhost: x\r\nrequest-id: {id}\r\ncontent-length: 2\r\n{more}\r\nhi"
+    )
 }
 
 impl Program {
@@ -310,7 +355,13 @@
     }
 
     pub fn signal(&self, name: &str) {
-        assert!(Command::new("kill").args([name, &self.child.id().to_string()]).status().unwrap().success());
+        assert!(
+            Command::new("kill")
+                .args([name, &self.child.id().to_string()])
+                .status()
+                .unwrap()
+                .success()
+        );
     }
 
     pub fn terminate(&self) {
@@ -332,7 +383,10 @@
         let mut line = String::new();
         loop {
             line.clear();
-            assert!(self.log.read_line(&mut line).unwrap() > 0, "it ended before it logged: {words}");
+            assert!(
+                self.log.read_line(&mut line).unwrap() > 0,
+                "it ended before it logged: {words}"
+            );
             if line.contains(words) {
                 return line;
             }
--- a/crates/mintlb/tests/histories.rs
+++ b/crates/mintlb/tests/histories.rs
@@ -48,7 +48,10 @@
             let answers = world.answers.get(id).map_or(0, Vec::len);
             verdict[0] += u64::from(answers < 1 + job.kicks && !job.withdrawn);
             verdict[1] += u64::from(answers > 1 + job.kicks);
-            verdict[2] += u64::from(job.ended.is_some_and(|at| at > job.taken + job.delay + HARD + STEP));
+            verdict[2] += u64::from(
+                job.ended
+                    .is_some_and(|at| at > job.taken + job.delay + HARD + STEP),
+            );
             let machines: BTreeSet<u8> = job.given.iter().map(|(_, machine)| *machine).collect();
             verdict[3] += match job.tube {
                 0 => 0,
@@ -87,8 +90,16 @@
         for _ in 0..pick(4).min(jobs - put) {
             let (tube, delay, ttr) = (pick(3), if pick(20) == 0 { 1 } else { 0 }, 1 + pick(4));
             put += 1;
-            let name = if pick(2) == 0 { "p".to_string() } else { format!("p{put}-1") };
-            let bytes = format!("use {}\r\nput {} {delay} {ttr} 1\r\nx\r\n", TUBES[tube], pick(2000));
+            let name = if pick(2) == 0 {
+                "p".to_string()
+            } else {
+                format!("p{put}-1")
+            };
+            let bytes = format!(
+                "use {}\r\nput {} {delay} {ttr} 1\r\nx\r\n",
+                TUBES[tube],
+                pick(2000)
+            );
             // Cut off in the middle of a put, it is not taken.
             if pick(15) == 0 {
                 let at = pick(bytes.len() - 1);
@@ -134,7 +145,13 @@
             let name = format!("w{named}-{machine}");
             world.send(&name, b"watch lookup\r\nwatch create\r\nwatch charge\r\n");
             world.heard(&name);
-            hands.insert(name, Hand { machine, ..Hand::default() });
+            hands.insert(
+                name,
+                Hand {
+                    machine,
+                    ..Hand::default()
+                },
+            );
         }
         let names: Vec<String> = hands.keys().cloned().collect();
         for name in names {
@@ -144,7 +161,8 @@
                 if word == "RESERVED" {
                     let id: u64 = said[n + 1].parse().unwrap();
                     audit.given(id, world.now, hand.machine);
-                    hand.holds.push((id, world.now + 0.3 * pick(100) as f64 / 100.0));
+                    hand.holds
+                        .push((id, world.now + 0.3 * pick(100) as f64 / 100.0));
                 }
                 if ["RESERVED", "TIMED_OUT", "DEADLINE_SOON"].contains(&&**word) {
                     hand.waits = false;
@@ -153,7 +171,10 @@
             if hand.silent {
                 continue;
             }
-            let due = hand.holds.iter().position(|(_, at)| *at <= world.now && !hand.waits);
+            let due = hand
+                .holds
+                .iter()
+                .position(|(_, at)| *at <= world.now && !hand.waits);
             if let Some((id, _)) = due.map(|at| hand.holds.swap_remove(at)) {
                 let does = match pick(36) {
                     0 => format!("release {id} 0 0\r\n"),
@@ -183,15 +204,23 @@
                     _ => format!("delete {id}\r\n"),
                 };
                 world.send(&name, does.as_bytes());
-            } else if !hand.waits && (hand.holds.is_empty() || hand.holds.len() < 3 && pick(8) == 0) {
+            } else if !hand.waits && (hand.holds.is_empty() || hand.holds.len() < 3 && pick(8) == 0)
+            {
                 hand.waits = true;
-                let reserve = if pick(3) == 0 { "reserve-with-timeout 1\r\n" } else { "reserve\r\n" };
+                let reserve = if pick(3) == 0 {
+                    "reserve-with-timeout 1\r\n"
+                } else {
+                    "reserve\r\n"
+                };
                 world.send(&name, reserve.as_bytes());
             }
         }
         // The silent leave at last, their connections still open until then.
         if pick(10) == 0
-            && let Some(name) = hands.iter().find(|(_, hand)| hand.silent).map(|(name, _)| name.clone())
+            && let Some(name) = hands
+                .iter()
+                .find(|(_, hand)| hand.silent)
+                .map(|(name, _)| name.clone())
         {
             world.cut(&name);
             hands.remove(&name);
@@ -216,15 +245,26 @@
         let (audit, world) = history(seed, 1500);
         let totals = world.totals();
         let verdict = audit.verdict(&world);
-        assert_eq!(verdict, [0, 0, 0, 0, 0], "seed {seed}: lost, twice, late, doubled, after a drain");
+        assert_eq!(
+            verdict,
+            [0, 0, 0, 0, 0],
+            "seed {seed}: lost, twice, late, doubled, after a drain"
+        );
         assert_eq!(
             totals.taken,
             totals.completed + totals.deferred + totals.aborted + totals.withdrawn,
             "seed {seed}"
         );
         taken += totals.taken;
-        ends = [ends[0] + totals.completed, ends[1] + totals.deferred, ends[2] + totals.aborted];
+        ends = [
+            ends[0] + totals.completed,
+            ends[1] + totals.deferred,
+            ends[2] + totals.aborted,
+        ];
     }
     // The faults did happen, and most work was done all the same.
-    assert!(taken >= 6000 && ends.iter().all(|n| *n > 200) && ends[0] > taken / 2, "{taken}: {ends:?}");
+    assert!(
+        taken >= 6000 && ends.iter().all(|n| *n > 200) && ends[0] > taken / 2,
+        "{taken}: {ends:?}"
+    );
 }
--- a/crates/mintlb/tests/jobs.rs
+++ b/crates/mintlb/tests/jobs.rs
@@ -18,10 +18,15 @@
 
 /// A connection that calls from a machine, as the standard library can't: by a socket that is bound first.
 fn call(at: SocketAddr, machine: u8) -> TcpStream {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .unwrap();
     let stream = runtime.block_on(async {
         let socket = tokio::net::TcpSocket::new_v4().unwrap();
-        socket.bind((Ipv4Addr::new(127, 0, 0, machine), 0).into()).unwrap();
+        socket
+            .bind((Ipv4Addr::new(127, 0, 0, machine), 0).into())
+            .unwrap();
         socket.connect(at).await.unwrap()
     });
     let stream = stream.into_std().unwrap();
@@ -36,14 +41,19 @@
 
 impl Peer {
     fn new(program: &Program, machine: u8) -> Peer {
-        Peer { reader: BufReader::new(call(program.jobs.unwrap(), machine)) }
+        Peer {
+            reader: BufReader::new(call(program.jobs.unwrap(), machine)),
+        }
     }
 
     /// That watches these tubes.
     fn worker(program: &Program, machine: u8, tubes: &[&str]) -> Peer {
         let mut peer = Peer::new(program, machine);
         for (n, tube) in tubes.iter().enumerate() {
-            assert_eq!(peer.ask(&format!("watch {tube}")), format!("WATCHING {}", n + 2));
+            assert_eq!(
+                peer.ask(&format!("watch {tube}")),
+                format!("WATCHING {}", n + 2)
+            );
         }
         peer
     }
@@ -55,11 +65,17 @@
     /// The next reply, with the body behind it if it has one; nothing if the connection has ended.
     fn next(&mut self) -> String {
         let mut line = String::new();
-        self.reader.read_line(&mut line).unwrap_or_else(|e| panic!("no reply: {e}"));
+        self.reader
+            .read_line(&mut line)
+            .unwrap_or_else(|e| panic!("no reply: {e}"));
         let line = line.trim_end().to_string();
         let words: Vec<&str> = line.split(' ').collect();
         let bodied = ["RESERVED", "FOUND", "OK"].contains(&words[0]);
-        if let Some(length) = words.last().and_then(|w| w.parse::<usize>().ok()).filter(|_| bodied) {
+        if let Some(length) = words
+            .last()
+            .and_then(|w| w.parse::<usize>().ok())
+            .filter(|_| bodied)
+        {
             let mut body = vec![0; length + 2];
             self.reader.read_exact(&mut body).unwrap();
             return format!("{line} {}", String::from_utf8_lossy(&body[..length]));
@@ -116,17 +132,32 @@
         (worker, id, Instant::now())
     };
     let cases = [reserve(2), reserve(3), reserve(4)];
-    let [(mut late, first, began), (silent, second, _), (closes, third, _)] = cases;
+    let [
+        (mut late, first, began),
+        (silent, second, _),
+        (closes, third, _),
+    ] = cases;
     drop(closes);
     assert_eq!(producer.end(third), "aborted", "it may have run");
     assert!(began.elapsed() < WAIT / 2, "known at once");
     std::thread::sleep(Duration::from_millis(1500).saturating_sub(began.elapsed()));
-    assert_eq!(late.ask(&format!("delete {first}")), "DELETED", "past its time-to-run, still its own");
+    assert_eq!(
+        late.ask(&format!("delete {first}")),
+        "DELETED",
+        "past its time-to-run, still its own"
+    );
     assert_eq!(producer.end(first), "completed");
     assert_eq!(producer.end(second), "aborted", "at its hard limit");
-    assert!(began.elapsed() < Duration::from_millis(3500), "which is 3 s");
+    assert!(
+        began.elapsed() < Duration::from_millis(3500),
+        "which is 3 s"
+    );
     let mut silent = silent;
-    assert_eq!(silent.ask(&format!("delete {second}")), "NOT_FOUND", "too late");
+    assert_eq!(
+        silent.ask(&format!("delete {second}")),
+        "NOT_FOUND",
+        "too late"
+    );
     assert_eq!(producer.end(second), "aborted", "and changes nothing");
 }
 
@@ -146,7 +177,10 @@
     let (mut next, began) = (Peer::worker(&program, 3, &["lookup"]), Instant::now());
     assert_eq!(next.ask("reserve"), format!("RESERVED {id} 1 x"));
     let after = began.elapsed();
-    assert!(after > Duration::from_millis(900) && after < Duration::from_millis(1300), "{after:?}");
+    assert!(
+        after > Duration::from_millis(900) && after < Duration::from_millis(1300),
+        "{after:?}"
+    );
     // Two answer for the same job: it is the second's now.
     assert_eq!(silent.ask(&format!("delete {id}")), "NOT_FOUND");
     assert_eq!(next.ask(&format!("delete {id}")), "DELETED");
@@ -165,15 +199,30 @@
         producer.send(&whole[..cut]);
         assert_eq!(producer.next(), "USING charge");
         drop(producer);
-        assert_eq!(worker.ask("reserve-with-timeout 0"), "TIMED_OUT", "cut at {cut}");
+        assert_eq!(
+            worker.ask("reserve-with-timeout 0"),
+            "TIMED_OUT",
+            "cut at {cut}"
+        );
     }
     let mut producer = Peer::new(&program, 1);
     producer.send(whole);
     drop(producer);
     let said = worker.ask("reserve-with-timeout 5");
-    let id: u64 = said.strip_prefix("RESERVED ").unwrap().split(' ').next().unwrap().parse().unwrap();
+    let id: u64 = said
+        .strip_prefix("RESERVED ")
+        .unwrap()
+        .split(' ')
+        .next()
+        .unwrap()
+        .parse()
+        .unwrap();
     assert_eq!(worker.ask(&format!("delete {id}")), "DELETED");
-    assert_eq!(other.end(id), "completed", "its end can be read by whoever knows its number");
+    assert_eq!(
+        other.end(id),
+        "completed",
+        "its end can be read by whoever knows its number"
+    );
 }
 
 /// All in one packet, byte by byte, and by the hundred.
@@ -189,12 +238,17 @@
         }
         let said: Vec<String> = (0..5).map(|_| peer.next()).collect();
         let id = said[1].strip_prefix("INSERTED ").unwrap().to_string();
-        assert_eq!(said[3..], [format!("RESERVED {id} 2 hi"), "USING lookup".into()]);
+        assert_eq!(
+            said[3..],
+            [format!("RESERVED {id} 2 hi"), "USING lookup".into()]
+        );
         assert_eq!(peer.ask(&format!("delete {id}")), "DELETED");
     }
     let mut peer = Peer::new(&program, 2);
     peer.send(&"use charge\r\nput 0 9 9 2\r\nhi\r\n".repeat(300));
-    let inserted = (0..600).filter(|_| peer.next().starts_with("INSERTED")).count();
+    let inserted = (0..600)
+        .filter(|_| peer.next().starts_with("INSERTED"))
+        .count();
     assert_eq!(inserted, 300);
     peer.send("quit\r\n");
     assert_eq!(peer.next(), "", "closed");
@@ -205,7 +259,10 @@
 fn a_producer_that_never_reads_holds_up_nobody() {
     let program = started();
     let mut deaf = Peer::new(&program, 1);
-    deaf.reader.get_mut().set_write_timeout(Some(PAUSE)).unwrap();
+    deaf.reader
+        .get_mut()
+        .set_write_timeout(Some(PAUSE))
+        .unwrap();
     let stats = "stats\r\n".repeat(1000);
     let mut written = 0;
     while deaf.reader.get_mut().write_all(stats.as_bytes()).is_ok() {
@@ -219,22 +276,37 @@
     assert!(worker.next().starts_with("RESERVED"));
     assert_eq!(worker.ask(&format!("delete {id}")), "DELETED");
     let status = std::fs::read_to_string(format!("/proc/{}/status", program.child.id())).unwrap();
-    let kb = status.split("VmRSS:").nth(1).unwrap().split_whitespace().next().unwrap();
+    let kb = status
+        .split("VmRSS:")
+        .nth(1)
+        .unwrap()
+        .split_whitespace()
+        .next()
+        .unwrap();
     assert!(kb.parse::<u64>().unwrap() < 64 << 10, "{kb} KB");
 }
 
 /// Work of HTTP's clients for beanstalkd's workers, and the reverse, as the operator's file has it.
 #[test]
 fn work_crosses_between_the_protocols() {
-    let crossed = table("cold = false")
-        .replace("project_type = \"lookup\"", "project_type = \"lookup\"\nworkers = \"http\"");
+    let crossed = table("cold = false").replace(
+        "project_type = \"lookup\"",
+        "project_type = \"lookup\"\nworkers = \"http\"",
+    );
     let program = start_with("", &[], Some(&crossed));
     let mut worker = Peer::worker(&program, 2, &["charge"]);
     worker.send("reserve\r\n");
     let mut client = program.connect();
     client.write_all(post("/charge/7", "").as_bytes()).unwrap();
     let said = worker.next();
-    let id: u64 = said.strip_prefix("RESERVED ").unwrap().split(' ').next().unwrap().parse().unwrap();
+    let id: u64 = said
+        .strip_prefix("RESERVED ")
+        .unwrap()
+        .split(' ')
+        .next()
+        .unwrap()
+        .parse()
+        .unwrap();
     assert!(said.ends_with(" 2 hi"), "{said}");
     assert_eq!(worker.ask(&format!("delete {id}")), "DELETED");
     assert!(answer(&mut client).starts_with("HTTP/1.1 200"));
@@ -243,7 +315,14 @@
     let mut client = program.connect();
     client.write_all(post("/charge/8", "").as_bytes()).unwrap();
     let said = worker.next();
-    let id: u64 = said.strip_prefix("RESERVED ").unwrap().split(' ').next().unwrap().parse().unwrap();
+    let id: u64 = said
+        .strip_prefix("RESERVED ")
+        .unwrap()
+        .split(' ')
+        .next()
+        .unwrap()
+        .parse()
+        .unwrap();
     drop(client);
     std::thread::sleep(PAUSE);
     assert_eq!(worker.ask(&format!("delete {id}")), "NOT_FOUND");
@@ -253,14 +332,21 @@
     // As the stand-in worker wants it: its requests end like this.
     let id = producer.put("lookup", 9, "hi");
     assert_eq!(producer.end(id), "completed");
-    assert!(ends.ask("reserve").ends_with(&format!("{id} completed\nyes")), "with the worker's result");
+    assert!(
+        ends.ask("reserve")
+            .ends_with(&format!("{id} completed\nyes")),
+        "with the worker's result"
+    );
 }
 
 /// The list's word on a machine holds for its connections: none of what is put after the drain was heard goes there.
 #[test]
 fn a_drain_on_the_list_reaches_the_machines_connections() {
     let machine = "127.0.0.2:1".parse().unwrap();
-    let (slot, mut version) = (Arc::new(Mutex::new(listing(1, &[("m-2", machine, "SERVING")]))), 1);
+    let (slot, mut version) = (
+        Arc::new(Mutex::new(listing(1, &[("m-2", machine, "SERVING")]))),
+        1,
+    );
     let mut say = |state| {
         version += 1;
         *slot.lock().unwrap() = listing(version, &[("m-2", machine, state)]);
@@ -269,20 +355,31 @@
     let program = start_with("", &changes, Some(&table("listed = true")));
     std::thread::sleep(2 * PAUSE);
     let mut producer = Peer::new(&program, 1);
-    let mut workers: Vec<Peer> = (0..20).map(|_| Peer::worker(&program, 2, &["charge"])).collect();
-    workers.iter_mut().for_each(|worker| worker.send("reserve\r\n"));
+    let mut workers: Vec<Peer> = (0..20)
+        .map(|_| Peer::worker(&program, 2, &["charge"]))
+        .collect();
+    workers
+        .iter_mut()
+        .for_each(|worker| worker.send("reserve\r\n"));
     let first = producer.put("charge", 9, "x");
     std::thread::sleep(PAUSE);
     say("DRAINING");
     std::thread::sleep(PAUSE);
     let ids: Vec<u64> = (0..20).map(|_| producer.put("charge", 9, "y")).collect();
-    assert!(ids.iter().all(|id| producer.end(*id) == "deferred"), "they never ran");
+    assert!(
+        ids.iter().all(|id| producer.end(*id) == "deferred"),
+        "they never ran"
+    );
     say("SERVING");
     std::thread::sleep(PAUSE);
     let last = producer.put("charge", 9, "z");
     let mut seen = Vec::new();
     for worker in &mut workers {
-        worker.reader.get_mut().set_read_timeout(Some(PAUSE / 10)).unwrap();
+        worker
+            .reader
+            .get_mut()
+            .set_read_timeout(Some(PAUSE / 10))
+            .unwrap();
         let mut line = String::new();
         if worker.reader.read_line(&mut line).is_ok() {
             seen.push(line.split(' ').nth(1).unwrap().parse::<u64>().unwrap());
@@ -318,10 +415,21 @@
         let body = said.split(' ').skip(3).collect::<Vec<_>>().join(" ");
         told.push(body);
     }
-    assert_eq!(told[0], format!("{} deferred 0.000", done + 1), "it was still to come");
+    assert_eq!(
+        told[0],
+        format!("{} deferred 0.000", done + 1),
+        "it was still to come"
+    );
     assert_eq!(told[1], format!("{done} completed"));
-    assert_eq!(told[2], format!("{out} aborted"), "at its hard limit, or the last call");
-    assert!(began.elapsed() < Duration::from_millis(3700), "SIGKILL comes after 3.7 s");
+    assert_eq!(
+        told[2],
+        format!("{out} aborted"),
+        "at its hard limit, or the last call"
+    );
+    assert!(
+        began.elapsed() < Duration::from_millis(3700),
+        "SIGKILL comes after 3.7 s"
+    );
     assert!(program.end().0);
 }
 
@@ -337,7 +445,9 @@
             let mut chance = Chance::new(n + 1);
             let mut pick = move |most: usize| (chance.draw() * most as f64) as usize;
             let fresh = || {
-                let mut peer = Peer { reader: BufReader::new(call(at, machine)) };
+                let mut peer = Peer {
+                    reader: BufReader::new(call(at, machine)),
+                };
                 peer.send("watch lookup\r\nwatch create\r\nwatch charge\r\n");
                 (0..3).for_each(|_| drop(peer.next()));
                 peer
@@ -349,7 +459,10 @@
                 if peer.reader.read_line(&mut line).is_err() || line.is_empty() {
                     return;
                 }
-                let Some(id) = line.strip_prefix("RESERVED ").and_then(|l| l.split(' ').next()) else {
+                let Some(id) = line
+                    .strip_prefix("RESERVED ")
+                    .and_then(|l| l.split(' ').next())
+                else {
                     continue;
                 };
                 let (id, mut body) = (id.to_string(), String::new());
@@ -383,14 +496,23 @@
     while ends.len() < JOBS {
         let said = reader.ask("reserve-with-timeout 5");
         let body = said.split(' ').skip(3).collect::<Vec<_>>();
-        assert!(body.len() >= 2, "{} of {JOBS} have ended: {said}", ends.len());
+        assert!(
+            body.len() >= 2,
+            "{} of {JOBS} have ended: {said}",
+            ends.len()
+        );
         *ends.entry(body[0].parse().unwrap()).or_default() += 1;
         *words.entry(body[1].to_string()).or_default() += 1;
         reader.ask(&format!("delete {}", said.split(' ').nth(1).unwrap()));
     }
-    assert_eq!(reader.ask("reserve-with-timeout 0"), "TIMED_OUT", "no end is told twice");
+    assert_eq!(
+        reader.ask("reserve-with-timeout 0"),
+        "TIMED_OUT",
+        "no end is told twice"
+    );
     let mut given: BTreeMap<u64, Vec<u8>> = BTreeMap::new();
-    told.try_iter().for_each(|(id, machine)| given.entry(id).or_default().push(machine));
+    told.try_iter()
+        .for_each(|(id, machine)| given.entry(id).or_default().push(machine));
     for (id, kind) in &taken {
         assert_eq!(ends.get(id), Some(&1), "job {id}");
         let machines = given.get(id).cloned().unwrap_or_default();
@@ -401,24 +523,36 @@
         };
         assert!(!doubled, "job {id} of {} ran at {machines:?}", tubes[*kind]);
     }
-    assert!(words["completed"] > JOBS / 2 && words["aborted"] > 10, "{words:?}");
+    assert!(
+        words["completed"] > JOBS / 2 && words["aborted"] > 10,
+        "{words:?}"
+    );
 }
 
 /// Many connections wait for next to nothing, and the last of them gets work as the first does.
 #[test]
 fn connections_beyond_their_number_are_told_so() {
-    let program =
-        start_with("", &[], Some(&table("cold = false").replace("connections = 256", "connections = 20")));
-    let mut workers: Vec<Peer> = (0..20).map(|_| Peer::worker(&program, 2, &["charge"])).collect();
+    let program = start_with(
+        "",
+        &[],
+        Some(&table("cold = false").replace("connections = 256", "connections = 20")),
+    );
+    let mut workers: Vec<Peer> = (0..20)
+        .map(|_| Peer::worker(&program, 2, &["charge"]))
+        .collect();
     let mut late = Peer::new(&program, 1);
     assert_eq!(late.next(), "OUT_OF_MEMORY");
     workers.pop();
     std::thread::sleep(PAUSE);
     let mut producer = Peer::new(&program, 1);
-    workers.iter_mut().for_each(|worker| worker.send("reserve\r\n"));
+    workers
+        .iter_mut()
+        .for_each(|worker| worker.send("reserve\r\n"));
     let ids: Vec<u64> = (0..19).map(|_| producer.put("charge", 9, "x")).collect();
-    let mut got: Vec<u64> =
-        workers.iter_mut().map(|w| w.next().split(' ').nth(1).unwrap().parse().unwrap()).collect();
+    let mut got: Vec<u64> = workers
+        .iter_mut()
+        .map(|w| w.next().split(' ').nth(1).unwrap().parse().unwrap())
+        .collect();
     got.sort_unstable();
     assert_eq!(got, ids, "each that waits gets one");
 }
@@ -428,10 +562,18 @@
 fn a_client_that_is_not_ours_is_served() {
     let program = started();
     let at = program.jobs.unwrap();
-    let connect = || beanstalkc::Beanstalkc::new().host("127.0.0.1").port(at.port()).connect().unwrap();
+    let connect = || {
+        beanstalkc::Beanstalkc::new()
+            .host("127.0.0.1")
+            .port(at.port())
+            .connect()
+            .unwrap()
+    };
     let (mut producer, mut worker) = (connect(), connect());
     producer.use_tube("lookup").unwrap();
-    let id = producer.put(b"hello", 1, Duration::ZERO, Duration::from_secs(5)).unwrap();
+    let id = producer
+        .put(b"hello", 1, Duration::ZERO, Duration::from_secs(5))
+        .unwrap();
     worker.watch("lookup").unwrap();
     assert_eq!(worker.watching().unwrap(), ["default", "lookup"]);
     let mut job = worker.reserve_with_timeout(WAIT).unwrap();
@@ -440,7 +582,9 @@
     job.touch().unwrap();
     job.delete().unwrap();
     assert_eq!(producer.stats_job(id).unwrap()["state"], "completed");
-    let id = producer.put(b"later", 1, Duration::from_secs(9), Duration::from_secs(5)).unwrap();
+    let id = producer
+        .put(b"later", 1, Duration::from_secs(9), Duration::from_secs(5))
+        .unwrap();
     assert_eq!(producer.peek_delayed().unwrap().id(), id);
     producer.kick_job(id).unwrap();
     let mut job = worker.reserve().unwrap();
@@ -453,7 +597,11 @@
     assert!(producer.tubes().unwrap().contains(&"lookup".to_string()));
     assert_eq!(producer.stats_tube("lookup").unwrap()["current-using"], "1");
     assert!(producer.stats().unwrap()["uptime"].parse::<u64>().unwrap() < 60);
-    assert!(producer.pause_tube("lookup", Duration::from_secs(1)).is_ok());
+    assert!(
+        producer
+            .pause_tube("lookup", Duration::from_secs(1))
+            .is_ok()
+    );
 }
 
 /// SIGHUP: a changed operator's file is checked, waits for the next start, and that is said.
@@ -472,22 +620,60 @@
     assert!(program.end().0);
     let mut log = String::new();
     program.log.read_to_string(&mut log).unwrap();
-    assert!(log.contains("waits for the next start, fields: the operator's file"), "{log}");
-    assert!(log.contains("not taken, the old one holds") && log.contains("line 4"), "{log}");
+    assert!(
+        log.contains("waits for the next start, fields: the operator's file"),
+        "{log}"
+    );
+    assert!(
+        log.contains("not taken, the old one holds") && log.contains("line 4"),
+        "{log}"
+    );
 }
 
 #[test]
 fn a_bad_operators_file_is_named() {
     let good = table("");
     let cases = [
-        ("connections = 256", "conections = 256", "line 3: beanstalkd.conections: unknown field"),
-        ("connections = 256", "connections = \"many\"", "line 3: beanstalkd.connections: invalid type"),
-        ("connections = 256", "connections = 0", "beanstalkd.connections: 0 is too little"),
-        ("connections = 256", "connections = 500", "500 connections are too many here, 384 at most"),
-        ("connections = 256", "", "beanstalkd: missing field `connections`"),
-        ("listen = \"127.0.0.1:0\"", "listen = \"here\"", "beanstalkd.listen: invalid socket address"),
-        ("tube = \"create\"", "tube = \"lookup\"", "beanstalkd.tubes[1].tube: \"lookup\" is there twice"),
-        ("tube = \"create\"", "tube = \"-x\"", "beanstalkd.tubes[1].tube: \"-x\" is no name of a tube"),
+        (
+            "connections = 256",
+            "conections = 256",
+            "line 3: beanstalkd.conections: unknown field",
+        ),
+        (
+            "connections = 256",
+            "connections = \"many\"",
+            "line 3: beanstalkd.connections: invalid type",
+        ),
+        (
+            "connections = 256",
+            "connections = 0",
+            "beanstalkd.connections: 0 is too little",
+        ),
+        (
+            "connections = 256",
+            "connections = 500",
+            "500 connections are too many here, 384 at most",
+        ),
+        (
+            "connections = 256",
+            "",
+            "beanstalkd: missing field `connections`",
+        ),
+        (
+            "listen = \"127.0.0.1:0\"",
+            "listen = \"here\"",
+            "beanstalkd.listen: invalid socket address",
+        ),
+        (
+            "tube = \"create\"",
+            "tube = \"lookup\"",
+            "beanstalkd.tubes[1].tube: \"lookup\" is there twice",
+        ),
+        (
+            "tube = \"create\"",
+            "tube = \"-x\"",
+            "beanstalkd.tubes[1].tube: \"-x\" is no name of a tube",
+        ),
         (
             "project_type = \"create\"",
             "project_type = \"creat\"",
@@ -508,14 +694,29 @@
             "project_type = \"create\"\nworkers = \"nobody\"",
             "beanstalkd.tubes[1].workers: unknown variant",
         ),
-        ("ends = \"ends\"", "ends = \"charge\"", "beanstalkd.tubes[0].ends: \"charge\" takes jobs"),
-        ("[beanstalkd]", "[beanstalkd]\nkeep_ends = -1.0", "beanstalkd.keep_ends: -1 s is no time"),
-        ("[beanstalkd]", "[beanstalk]", "line 1: beanstalk: unknown field"),
+        (
+            "ends = \"ends\"",
+            "ends = \"charge\"",
+            "beanstalkd.tubes[0].ends: \"charge\" takes jobs",
+        ),
+        (
+            "[beanstalkd]",
+            "[beanstalkd]\nkeep_ends = -1.0",
+            "beanstalkd.keep_ends: -1 s is no time",
+        ),
+        (
+            "[beanstalkd]",
+            "[beanstalk]",
+            "line 1: beanstalk: unknown field",
+        ),
         ("[beanstalkd]", "[beanstalkd", "line 1: "),
     ];
     for (n, (old, new, named)) in cases.iter().enumerate() {
         assert!(good.contains(old), "nothing to change: {old}");
-        let (config, file) = (harness::written(&[]), harness::written(&[]).with_extension("toml"));
+        let (config, file) = (
+            harness::written(&[]),
+            harness::written(&[]).with_extension("toml"),
+        );
         std::fs::write(&file, good.replacen(old, new, 1)).unwrap();
         let [config, file] = [config, file].map(|path| path.display().to_string());
         let said = harness::complaint(&["check", "--config", &config, "--operator", &file], &[]);
--- a/crates/mintlb/tests/operators.rs
+++ b/crates/mintlb/tests/operators.rs
@@ -21,7 +21,9 @@
     let mut stream = TcpStream::connect(program.ops.unwrap()).unwrap();
     stream.write_all(line.as_bytes()).unwrap();
     stream.write_all(b"\n").unwrap();
-    stream.set_read_timeout(Some(Duration::from_secs(5))).unwrap();
+    stream
+        .set_read_timeout(Some(Duration::from_secs(5)))
+        .unwrap();
     let mut got = String::new();
     stream.read_to_string(&mut got).unwrap();
     got
@@ -29,9 +31,16 @@
 
 fn figures(program: &Program) -> HashMap<String, u64> {
     let page = call(program, "DUMP");
-    let lines = page.strip_suffix("EOT\n").unwrap_or_else(|| panic!("{page}")).lines();
+    let lines = page
+        .strip_suffix("EOT\n")
+        .unwrap_or_else(|| panic!("{page}"))
+        .lines();
     let figure = |line: &str| {
-        let (name, value) = line.strip_prefix("edge_router.").unwrap().split_once('=').unwrap();
+        let (name, value) = line
+            .strip_prefix("edge_router.")
+            .unwrap()
+            .split_once('=')
+            .unwrap();
         (name.to_string(), value.parse().unwrap())
     };
     lines.map(figure).collect()
@@ -45,14 +54,22 @@
         ("JOIN", "SUCCESS ready", "SUCCESS ready", "200"),
         ("LEAVE", "SUCCESS leaving", "FAILURE leaving", "503"),
         ("LEAVE", "SUCCESS leaving", "FAILURE leaving", "503"),
-        ("STAY", "FAILURE there is no call \"STAY\"", "FAILURE leaving", "503"),
+        (
+            "STAY",
+            "FAILURE there is no call \"STAY\"",
+            "FAILURE leaving",
+            "503",
+        ),
         ("JOIN", "SUCCESS ready", "SUCCESS ready", "200"),
     ] {
         let got = call(&program, line);
         assert!(got.starts_with(says), "{line}: {got}");
         assert!(call(&program, "HEALTH").starts_with(health), "after {line}");
         let got = program.ask(HEALTHZ);
-        assert!(got.starts_with(&format!("HTTP/1.1 {healthz}")), "after {line}: {got}");
+        assert!(
+            got.starts_with(&format!("HTTP/1.1 {healthz}")),
+            "after {line}: {got}"
+        );
     }
     assert!(program.ask(&post("/charge/1", "")).ends_with("yes"));
 }
@@ -64,7 +81,10 @@
     let whole = post("/charge/1", "");
     let (first, rest) = whole.split_at(20);
     let keeps = |shown: &str, got: &str, keeps: bool| {
-        assert!(got.contains("200 OK") && got.ends_with("yes"), "{shown}: {got}");
+        assert!(
+            got.contains("200 OK") && got.ends_with("yes"),
+            "{shown}: {got}"
+        );
         assert_eq!(got.contains("connection: close"), !keeps, "{shown}: {got}");
     };
     let connect = |work: Option<&str>| {
@@ -75,27 +95,53 @@
         }
         stream
     };
-    let (mut idle, mut next, mut halfway, mut fresh) =
-        (connect(Some("/charge/1")), connect(Some("/charge/2")), connect(Some("/charge/3")), connect(None));
+    let (mut idle, mut next, mut halfway, mut fresh) = (
+        connect(Some("/charge/1")),
+        connect(Some("/charge/2")),
+        connect(Some("/charge/3")),
+        connect(None),
+    );
     let mut long = connect(None);
     long.write_all(post("/charge/slow", "").as_bytes()).unwrap();
     std::thread::sleep(PAUSE);
     let left = Instant::now();
     assert!(call(&program, "LEAVE").starts_with("SUCCESS"));
     next.write_all(post("/charge/4", "").as_bytes()).unwrap();
-    keeps("at once, as the front may not have noticed", &answer(&mut next), true);
+    keeps(
+        "at once, as the front may not have noticed",
+        &answer(&mut next),
+        true,
+    );
     keeps("long-running", &answer(&mut long), true);
     std::thread::sleep(Duration::from_millis(600).saturating_sub(left.elapsed()));
     halfway.write_all(first.as_bytes()).unwrap();
     std::thread::sleep(2 * PAUSE);
     halfway.write_all(rest.as_bytes()).unwrap();
-    keeps("half written as connections close", &answer(&mut halfway), false);
-    keeps("who comes all the same", &program.ask(&post("/charge/5", "")), false);
-    for (shown, stream) in [("idle", &mut idle), ("again idle", &mut next), ("without a word", &mut fresh)] {
-        stream.set_read_timeout(Some(Duration::from_secs(5))).unwrap();
+    keeps(
+        "half written as connections close",
+        &answer(&mut halfway),
+        false,
+    );
+    keeps(
+        "who comes all the same",
+        &program.ask(&post("/charge/5", "")),
+        false,
+    );
+    for (shown, stream) in [
+        ("idle", &mut idle),
+        ("again idle", &mut next),
+        ("without a word", &mut fresh),
+    ] {
+        stream
+            .set_read_timeout(Some(Duration::from_secs(5)))
+            .unwrap();
         let closed = stream.read(&mut [0; 1]);
         assert!(matches!(closed, Ok(0)), "{shown}: {closed:?}");
-        assert!(left.elapsed() < Duration::from_secs(2), "{shown}: {:?}", left.elapsed());
+        assert!(
+            left.elapsed() < Duration::from_secs(2),
+            "{shown}: {:?}",
+            left.elapsed()
+        );
     }
     assert!(call(&program, "JOIN").starts_with("SUCCESS"));
     let mut stream = program.connect();
@@ -121,7 +167,10 @@
         std::thread::sleep(3 * PAUSE);
         idle.write_all(post("/charge/2", "").as_bytes()).unwrap();
         let got = answer(&mut idle);
-        assert!(got.ends_with("yes") && !got.contains("connection: close"), "stops: {stops}: {got}");
+        assert!(
+            got.ends_with("yes") && !got.contains("connection: close"),
+            "stops: {stops}: {got}"
+        );
         program.terminate();
         assert!(program.end().0);
     }
@@ -135,7 +184,10 @@
     std::thread::sleep(PAUSE);
     assert!(call(&program, "JOIN").starts_with("FAILURE it is stopping"));
     assert!(call(&program, "HEALTH").starts_with("FAILURE stopping"));
-    assert!(program.ask(&post("/charge/1", "")).ends_with("yes"), "late arrivals are served");
+    assert!(
+        program.ask(&post("/charge/1", "")).ends_with("yes"),
+        "late arrivals are served"
+    );
     assert!(program.end().0);
 }
 
@@ -146,14 +198,22 @@
     let (worker, _) = stand_in(|stream| {
         work_by(stream, |request, _| {
             TAKEN.fetch_add(1, Relaxed);
-            let state = ["done", "failed", "returned", "lost"].into_iter().find(|s| request.contains(s));
+            let state = ["done", "failed", "returned", "lost"]
+                .into_iter()
+                .find(|s| request.contains(s));
             state.map(|state| (state, "yes".to_string()))
         })
     });
     let program = start_at(worker, "", &[OPS], None);
     let mut seen: HashMap<String, u64> = HashMap::new();
-    let paths =
-        ["/lookup/done", "/charge/done", "/charge/failed", "/charge/lost", "/lookup/hold", "/charge/hold"];
+    let paths = [
+        "/lookup/done",
+        "/charge/done",
+        "/charge/failed",
+        "/charge/lost",
+        "/lookup/hold",
+        "/charge/hold",
+    ];
     for round in 0..5 {
         for path in paths {
             let got = program.ask(&post(path, "request-timeout: 150m\r\n"));
@@ -163,7 +223,9 @@
                 _ => "errored",
             };
             let name = path.split('/').nth(1).unwrap();
-            *seen.entry(format!("transactions.{name}.{figure}")).or_default() += 1;
+            *seen
+                .entry(format!("transactions.{name}.{figure}"))
+                .or_default() += 1;
         }
         // What is no work of ours counts nowhere.
         program.ask(&post("/nothing", ""));
@@ -172,25 +234,45 @@
         let open: Vec<TcpStream> = (0..3)
             .map(|_| {
                 let mut stream = program.connect();
-                stream.write_all(post("/charge/hold", "").as_bytes()).unwrap();
+                stream
+                    .write_all(post("/charge/hold", "").as_bytes())
+                    .unwrap();
                 stream
             })
             .collect();
         std::thread::sleep(PAUSE);
         let now = figures(&program);
-        assert!(now["current"] > 0 && now["current"] <= 3, "round {round}: {now:?}");
+        assert!(
+            now["current"] > 0 && now["current"] <= 3,
+            "round {round}: {now:?}"
+        );
         drop(open);
         std::thread::sleep(PAUSE);
         let now = figures(&program);
-        assert_eq!(now["current"], 0, "round {round}: who has gone is not waited for");
-        assert_eq!(now["sends"], u64::from(TAKEN.load(Relaxed)), "round {round}");
+        assert_eq!(
+            now["current"], 0,
+            "round {round}: who has gone is not waited for"
+        );
+        assert_eq!(
+            now["sends"],
+            u64::from(TAKEN.load(Relaxed)),
+            "round {round}"
+        );
         assert_eq!(now["cluster_size"], 1, "round {round}");
         assert!(now["cluster_unhealthy"] <= 1, "round {round}");
         for (name, count) in &seen {
             assert_eq!(now[name], *count, "round {round}: {name} of {now:?}");
         }
-        let answers: u64 = now.iter().filter(|(n, _)| n.starts_with("transactions.")).map(|(_, v)| v).sum();
-        assert_eq!(answers, seen.values().sum::<u64>(), "round {round}: nothing else is counted");
+        let answers: u64 = now
+            .iter()
+            .filter(|(n, _)| n.starts_with("transactions."))
+            .map(|(_, v)| v)
+            .sum();
+        assert_eq!(
+            answers,
+            seen.values().sum::<u64>(),
+            "round {round}: nothing else is counted"
+        );
     }
     assert!(
         seen.keys().any(|k| k.ends_with("deferred")) && seen.keys().any(|k| k.ends_with("errored")),
@@ -209,16 +291,26 @@
             stream
         })
     };
-    let mut all: Vec<TcpStream> =
-        crowd(program.at, "").chain(crowd(program.at, "POST /charge HTTP/1.1\r\n")).collect();
+    let mut all: Vec<TcpStream> = crowd(program.at, "")
+        .chain(crowd(program.at, "POST /charge HTTP/1.1\r\n"))
+        .collect();
     for line in ["HEALTH", "DUMP", "LEAVE", "JOIN"] {
         let began = Instant::now();
         let got = call(&program, line);
-        assert!(got.starts_with("SUCCESS") || got.ends_with("EOT\n"), "{line}: {got}");
-        assert!(began.elapsed() < Duration::from_secs(1), "{line}: {:?}", began.elapsed());
+        assert!(
+            got.starts_with("SUCCESS") || got.ends_with("EOT\n"),
+            "{line}: {got}"
+        );
+        assert!(
+            began.elapsed() < Duration::from_secs(1),
+            "{line}: {:?}",
+            began.elapsed()
+        );
         all.extend(crowd(program.ops.unwrap(), ["", "HEAL"][all.len() % 2]).take(12));
     }
-    let files = std::fs::read_dir(format!("/proc/{}/fd", program.child.id())).unwrap().count();
+    let files = std::fs::read_dir(format!("/proc/{}/fd", program.child.id()))
+        .unwrap()
+        .count();
     assert!(files <= 128, "{files} descriptors");
     assert!(program.ask(&post("/charge/1", "")).ends_with("yes"));
 }
@@ -226,9 +318,16 @@
 /// A worker that fails is counted among those avoided, and a list's size is what the list says.
 #[test]
 fn the_cluster_is_as_the_list_and_the_decisions_have_it() {
-    let gone = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
+    let gone = TcpListener::bind("127.0.0.1:0")
+        .unwrap()
+        .local_addr()
+        .unwrap();
     let (alive, _) = stand_in(work);
-    let workers = [("s-1", alive, "SERVING"), ("s-2", alive, "SERVING"), ("s-3", gone, "SERVING")];
+    let workers = [
+        ("s-1", alive, "SERVING"),
+        ("s-2", alive, "SERVING"),
+        ("s-3", gone, "SERVING"),
+    ];
     let list = list_of(listing(9, &workers));
     let program = start("", &[OPS, ("127.0.0.1:8500", &list), SOON]);
     std::thread::sleep(5 * PAUSE);
@@ -237,7 +336,9 @@
         // As many at once as all three have room for.
         let connections = (0..12).map(|_| {
             let mut stream = program.connect();
-            stream.write_all(post("/lookup/slow", "").as_bytes()).unwrap();
+            stream
+                .write_all(post("/lookup/slow", "").as_bytes())
+                .unwrap();
             stream
         });
         let connections: Vec<TcpStream> = connections.collect();
@@ -261,18 +362,28 @@
             )
         };
         let lines: Vec<String> = (0..workers).map(line).collect();
-        let list = list_of(format!(r#"{{"version":9,"full":true,"servers":[{}]}}"#, lines.join(",")));
+        let list = list_of(format!(
+            r#"{{"version":9,"full":true,"servers":[{}]}}"#,
+            lines.join(",")
+        ));
         let many = ("\"balancers\": 1", "\"balancers\": 1100");
         let mut program = start("", &[OPS, ("127.0.0.1:8500", &list), many, SOON]);
         program.logged(&format!("s-{}", workers - 1));
         assert_eq!(figures(&program)["cluster_size"], workers);
         assert!(program.ask(&post("/charge/1", "")).ends_with("yes"));
-        let status = std::fs::read_to_string(format!("/proc/{}/status", program.child.id())).unwrap();
-        let peak = status.lines().find_map(|l| l.strip_prefix("VmHWM:")).unwrap();
+        let status =
+            std::fs::read_to_string(format!("/proc/{}/status", program.child.id())).unwrap();
+        let peak = status
+            .lines()
+            .find_map(|l| l.strip_prefix("VmHWM:"))
+            .unwrap();
         peak.trim().trim_end_matches(" kB").parse::<u64>().unwrap()
     };
     let (few, many) = (memory(11), memory(1100));
-    assert!(many < few + 16 * 1024, "{few} kB with eleven, {many} kB with 1,100");
+    assert!(
+        many < few + 16 * 1024,
+        "{few} kB with eleven, {many} kB with 1,100"
+    );
 }
 
 /// A class added is served under its own rules, one dropped as one that doesn't exist; what is broken changes nothing.
@@ -301,18 +412,35 @@
         std::thread::sleep(PAUSE);
         *(if good { &mut loaded } else { &mut invalid }) += 1;
         let now = figures(&program);
-        assert_eq!((now["conf_loaded"], now["conf_invalid"]), (loaded, invalid), "{shown}");
+        assert_eq!(
+            (now["conf_loaded"], now["conf_invalid"]),
+            (loaded, invalid),
+            "{shown}"
+        );
+    };
+    let status = |path: &str, more: &str| {
+        program
+            .ask(&post(path, more))
+            .split(' ')
+            .nth(1)
+            .unwrap()
+            .to_string()
     };
-    let status =
-        |path: &str, more: &str| program.ask(&post(path, more)).split(' ').nth(1).unwrap().to_string();
     assert_eq!(status("/refund", key), "404", "not there yet");
     change("added", &with, true);
     assert_eq!(
-        (status("/refund", key).as_str(), status("/refund", "").as_str()),
+        (
+            status("/refund", key).as_str(),
+            status("/refund", "").as_str()
+        ),
         ("200", "400"),
         "added, receipted"
     );
-    assert_eq!(status("/charge", ""), "200", "though its place in the order has changed");
+    assert_eq!(
+        status("/charge", ""),
+        "200",
+        "though its place in the order has changed"
+    );
     let cut = |part: usize| whole[..whole.len() * part / 16].to_string();
     let broken: Vec<(String, String)> = [
         ("empty", String::new()),
@@ -330,27 +458,46 @@
     .map(|(shown, text)| (shown.to_string(), text))
     .into_iter()
     .chain((1..16).map(|part| (format!("cut at {part} of 16"), cut(part))))
-    .chain(["0", "-1", "-5.5", "1e999", "\"soon\"", "null", "[]"].map(|limit| {
-        (
-            format!("a hard limit of {limit}"),
-            with.replacen("\"hard_limit\": 3000.0", &format!("\"hard_limit\": {limit}"), 1),
-        )
-    }))
+    .chain(
+        ["0", "-1", "-5.5", "1e999", "\"soon\"", "null", "[]"].map(|limit| {
+            (
+                format!("a hard limit of {limit}"),
+                with.replacen(
+                    "\"hard_limit\": 3000.0",
+                    &format!("\"hard_limit\": {limit}"),
+                    1,
+                ),
+            )
+        }),
+    )
     .chain(["0", "-1", "1.5", "\"three\"", "null"].map(|most| {
         (
             format!("{most} allocations"),
-            with.replace("\"most_allocations\": 3", &format!("\"most_allocations\": {most}")),
+            with.replace(
+                "\"most_allocations\": 3",
+                &format!("\"most_allocations\": {most}"),
+            ),
         )
     }))
-    .chain(["-1", "-0.02", "1e999", "\"dear\"", "null"].into_iter().flat_map(|price| {
-        ["cross_zone", "peer"].map(|of| {
-            let table = format!("\"prices\": {{\"{of}\": {price}}}, \"quantum\"");
-            (format!("a price {of} of {price}"), with.replace("\"quantum\"", &table))
-        })
-    }))
+    .chain(
+        ["-1", "-0.02", "1e999", "\"dear\"", "null"]
+            .into_iter()
+            .flat_map(|price| {
+                ["cross_zone", "peer"].map(|of| {
+                    let table = format!("\"prices\": {{\"{of}\": {price}}}, \"quantum\"");
+                    (
+                        format!("a price {of} of {price}"),
+                        with.replace("\"quantum\"", &table),
+                    )
+                })
+            }),
+    )
     .chain(["1", "\"often\"", "null"].map(|peers| {
         let permitted = format!("\"peers\": {peers}, \"retry_after\"");
-        (format!("messages {peers}"), with.replace("\"retry_after\"", &permitted))
+        (
+            format!("messages {peers}"),
+            with.replace("\"retry_after\"", &permitted),
+        )
     }))
     .collect();
     for (shown, text) in &broken {
@@ -359,13 +506,27 @@
         assert_eq!(status("/refund", key), "200", "{shown}: the old one holds");
     }
     change("dropped", &whole, true);
-    assert_eq!((status("/refund", key).as_str(), status("/charge", "").as_str()), ("404", "200"), "dropped");
-    assert!(answer(&mut held).ends_with("yes"), "what was held is answered");
+    assert_eq!(
+        (
+            status("/refund", key).as_str(),
+            status("/charge", "").as_str()
+        ),
+        ("404", "200"),
+        "dropped"
+    );
+    assert!(
+        answer(&mut held).ends_with("yes"),
+        "what was held is answered"
+    );
     // Good and bad in turn, faster than they can all be read: what holds in the end is the last good one.
     for n in 0..100 {
         std::fs::write(
             program.path.with_extension("new"),
-            if n % 2 == 0 { with.clone() } else { cut(n % 16) },
+            if n % 2 == 0 {
+                with.clone()
+            } else {
+                cut(n % 16)
+            },
         )
         .unwrap();
         std::fs::rename(program.path.with_extension("new"), &program.path).unwrap();
@@ -385,8 +546,10 @@
     let here = [("s-1", old, "SERVING"), ("s-2", old, "SERVING")];
     // Who watches this one is told that nothing has changed: only who asks for the whole list learns of its worker.
     let part = |text: String| text.replace("\"full\":true", "\"full\":false");
-    let (before, after) =
-        (list_of(listing(500, &here)), list_of(part(listing(7, &[("t-1", new, "SERVING")]))));
+    let (before, after) = (
+        list_of(listing(500, &here)),
+        list_of(part(listing(7, &[("t-1", new, "SERVING")]))),
+    );
     let program = start("", &[OPS, ("127.0.0.1:8500", &before), SOON]);
     std::thread::sleep(5 * PAUSE);
     assert!(program.ask(&post("/lookup/1", "")).ends_with("old"));
@@ -397,22 +560,38 @@
     for (to, price, by, size) in [(&after, "0.1", "new", 1), (&before, "0.02", "old", 2)] {
         let text = std::fs::read_to_string(&program.path).unwrap();
         let prices = format!("\"prices\": {{\"cross_zone\": {price}}},\n    \"quantum\"");
-        let text =
-            text.replace("\"prices\": {\"cross_zone\": 0.1},\n    ", "").replace("\"quantum\"", &prices);
+        let text = text
+            .replace("\"prices\": {\"cross_zone\": 0.1},\n    ", "")
+            .replace("\"quantum\"", &prices);
         std::fs::write(&program.path, text).unwrap();
         program.replace(from, to);
         std::thread::sleep(PAUSE / 2);
-        let answers: Vec<String> = (0..40).map(|n| program.ask(&post(&format!("/lookup/{n}"), ""))).collect();
-        let strayed = answers.iter().filter(|a| !(a.starts_with("HTTP/1.1 200") && a.ends_with(by))).count();
+        let answers: Vec<String> = (0..40)
+            .map(|n| program.ask(&post(&format!("/lookup/{n}"), "")))
+            .collect();
+        let strayed = answers
+            .iter()
+            .filter(|a| !(a.starts_with("HTTP/1.1 200") && a.ends_with(by)))
+            .count();
         assert_eq!(strayed, 0, "{by}: {answers:?}");
         loaded += 1;
         let now = figures(&program);
-        assert_eq!((now["cluster_size"], now["conf_loaded"]), (size, loaded), "{by}");
+        assert_eq!(
+            (now["cluster_size"], now["conf_loaded"]),
+            (size, loaded),
+            "{by}"
+        );
         from = to;
     }
-    assert!(answer(&mut held).ends_with("old"), "what an old worker has is answered");
-    let deferred: u64 =
-        figures(&program).iter().filter(|(f, _)| f.ends_with(".deferred")).map(|(_, n)| n).sum();
+    assert!(
+        answer(&mut held).ends_with("old"),
+        "what an old worker has is answered"
+    );
+    let deferred: u64 = figures(&program)
+        .iter()
+        .filter(|(f, _)| f.ends_with(".deferred"))
+        .map(|(_, n)| n)
+        .sum();
     assert_eq!(deferred, 0);
 }
 
@@ -430,16 +609,31 @@
     let cases = [
         ("ROUTER_OPS", at.as_str(), "ops: 127.0.0.1"),
         ("ROUTER_OPS", "here", "ROUTER_OPS: \"here\""),
-        ("ROUTER_PASSED_SOCKET", "five", "ROUTER_PASSED_SOCKET: \"five\" is no descriptor's number"),
+        (
+            "ROUTER_PASSED_SOCKET",
+            "five",
+            "ROUTER_PASSED_SOCKET: \"five\" is no descriptor's number",
+        ),
         ("ROUTER_PASSED_SOCKET", "-1", "ROUTER_PASSED_SOCKET: \"-1\""),
         ("ROUTER_PASSED_SOCKET", "1", "ROUTER_PASSED_SOCKET: \"1\""),
-        ("ROUTER_PASSED_SOCKET", "999", "ROUTER_PASSED_SOCKET: \"999\" is no listening socket"),
+        (
+            "ROUTER_PASSED_SOCKET",
+            "999",
+            "ROUTER_PASSED_SOCKET: \"999\" is no listening socket",
+        ),
         ("ROUTER_PASSED_SOCKET", &file, "is no listening socket"),
-        ("ROUTER_PASSED_SOCKET", &connected, "is a socket that does not listen"),
+        (
+            "ROUTER_PASSED_SOCKET",
+            &connected,
+            "is a socket that does not listen",
+        ),
     ];
     for (variable, value, named) in cases {
         let path = harness::written(&[("127.0.0.1:7070", "127.0.0.1:0")]);
-        let said = complaint(&["serve", "--config", path.to_str().unwrap()], &[(variable, value)]);
+        let said = complaint(
+            &["serve", "--config", path.to_str().unwrap()],
+            &[(variable, value)],
+        );
         assert!(said.contains(named), "{value}: {said}");
     }
 }
@@ -463,7 +657,9 @@
     let (mut connection, mut faults): (Option<TcpStream>, Vec<_>) = (None, Vec::new());
     while !over.load(Relaxed) {
         let id = ids.fetch_add(1, Relaxed);
-        let mut stream = connection.take().unwrap_or_else(|| TcpStream::connect(at).unwrap());
+        let mut stream = connection
+            .take()
+            .unwrap_or_else(|| TcpStream::connect(at).unwrap());
         let sent = stream.write_all(post_as(id, "/charge/1", "").as_bytes());
         let got = answer(&mut stream);
         if !(got.starts_with("HTTP/1.1 200") && got.ends_with("yes")) {
@@ -474,7 +670,8 @@
         stream.set_nonblocking(true).unwrap();
         let open = matches!(stream.peek(&mut [0]), Err(e) if e.kind() == ErrorKind::WouldBlock);
         stream.set_nonblocking(false).unwrap();
-        connection = (open && got.ends_with("yes") && !got.contains("connection: close")).then_some(stream);
+        connection =
+            (open && got.ends_with("yes") && !got.contains("connection: close")).then_some(stream);
     }
     faults
 }
@@ -491,7 +688,9 @@
         let ran = ran.clone();
         let serve = move |stream: &mut TcpStream| {
             work_by(stream, |_, id| {
-                ran.lock().unwrap().push((id.to_string(), name, Instant::now()));
+                ran.lock()
+                    .unwrap()
+                    .push((id.to_string(), name, Instant::now()));
                 std::thread::sleep(PAUSE / 5);
                 Some(("done", "yes".to_string()))
             })
@@ -505,16 +704,24 @@
     let socket = TcpListener::bind("127.0.0.1:0").unwrap();
     let at = socket.local_addr().unwrap();
     inherit(socket.as_raw_fd());
-    let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("takes-over-{}", std::process::id()));
+    let folder =
+        Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("takes-over-{}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
-    let passed = format!("export ROUTER_PASSED_SOCKET={} TMPDIR={};", socket.as_raw_fd(), folder.display());
+    let passed = format!(
+        "export ROUTER_PASSED_SOCKET={} TMPDIR={};",
+        socket.as_raw_fd(),
+        folder.display()
+    );
     // What each was told of the workers before its start is older than the drain.
     let known = (listing(1, &[("s-1", one, "SERVING")]), both(1, "SERVING"));
     let changes = [OPS, ("127.0.0.1:8500", &list), SOON, (&*known.0, &*known.1)];
     let start = || start_at(one, &passed, &changes, None);
     let mut serving = start();
 
-    let (over, ids) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicU32::new(50_000)));
+    let (over, ids) = (
+        Arc::new(AtomicBool::new(false)),
+        Arc::new(AtomicU32::new(50_000)),
+    );
     // Some ask without a pause, some seldom enough to be idle when connections close.
     let clients = (0..8).map(|n: u32| {
         let (ids, over) = (ids.clone(), over.clone());
@@ -526,8 +733,14 @@
     for swap in 0..4 {
         // The second starts while the first is still ending, so that there are three for a while.
         let next = start();
-        assert!(call(&next, "HEALTH").starts_with("SUCCESS"), "swap {swap}: it says so once it serves");
-        assert!(call(&serving, "HEALTH").starts_with("SUCCESS"), "swap {swap}: and so does the old one");
+        assert!(
+            call(&next, "HEALTH").starts_with("SUCCESS"),
+            "swap {swap}: it says so once it serves"
+        );
+        assert!(
+            call(&serving, "HEALTH").starts_with("SUCCESS"),
+            "swap {swap}: and so does the old one"
+        );
         serving.terminate();
         if let Some(mut old) = stopping.replace(serving) {
             assert!(old.end().0, "swap {swap}");
@@ -547,24 +760,46 @@
     next.child.wait().unwrap();
     std::thread::sleep(5 * PAUSE);
     over.store(true, Relaxed);
-    let faults: Vec<_> = clients.into_iter().flat_map(|client| client.join().unwrap()).collect();
+    let faults: Vec<_> = clients
+        .into_iter()
+        .flat_map(|client| client.join().unwrap())
+        .collect();
     let ran = std::mem::take(&mut *ran.lock().unwrap());
     let asked = ids.load(Relaxed) - 50_000;
     let mut times: HashMap<&str, u32> = HashMap::new();
-    ran.iter().for_each(|(id, _, _)| *times.entry(id).or_default() += 1);
+    ran.iter()
+        .for_each(|(id, _, _)| *times.entry(id).or_default() += 1);
     let doubled: Vec<_> = times.iter().filter(|(_, times)| **times != 1).collect();
     // Of the one that was killed each of the clients may have lost what it waited for, and no more than that.
     let (before, at_once): (Vec<_>, Vec<_>) = faults.iter().partition(|(when, _)| *when < killed);
-    assert!(asked > 80 && before.is_empty() && doubled.is_empty(), "of {asked}: {before:?}; {doubled:?}");
-    assert!(at_once.iter().all(|(when, _)| *when - killed < 3 * PAUSE), "{at_once:?}");
-    let last = |name| ran.iter().filter(|(_, at, _)| *at == name).map(|(_, _, when)| *when).max().unwrap();
+    assert!(
+        asked > 80 && before.is_empty() && doubled.is_empty(),
+        "of {asked}: {before:?}; {doubled:?}"
+    );
+    assert!(
+        at_once.iter().all(|(when, _)| *when - killed < 3 * PAUSE),
+        "{at_once:?}"
+    );
+    let last = |name| {
+        ran.iter()
+            .filter(|(_, at, _)| *at == name)
+            .map(|(_, _, when)| *when)
+            .max()
+            .unwrap()
+    };
     let spared = last("s-1") - last("s-2");
-    assert!(spared > 20 * PAUSE, "the draining worker was last sent work {spared:?} before the other");
+    assert!(
+        spared > 20 * PAUSE,
+        "the draining worker was last sent work {spared:?} before the other"
+    );
     serving.terminate();
     std::thread::sleep(PAUSE);
     let mut late = TcpStream::connect(at).unwrap();
     late.write_all(post("/charge/1", "").as_bytes()).unwrap();
-    assert!(answer(&mut late).ends_with("yes"), "without a successor late arrivals are still served");
+    assert!(
+        answer(&mut late).ends_with("yes"),
+        "without a successor late arrivals are still served"
+    );
     assert!(serving.end().0);
     std::fs::remove_dir_all(&folder).ok();
 }
--- a/crates/mintlb/tests/protocol.rs
+++ b/crates/mintlb/tests/protocol.rs
@@ -28,8 +28,10 @@
                 String::new()
             }
             "drain" | "back" | "gone" => {
-                let listed = [Draining, Ready, Gone]
-                    [["drain", "back", "gone"].iter().position(|w| *w == words[0]).unwrap()];
+                let listed = [Draining, Ready, Gone][["drain", "back", "gone"]
+                    .iter()
+                    .position(|w| *w == words[0])
+                    .unwrap()];
                 world.list(false, &[(digit(), listed, 0.0)]);
                 String::new()
             }
@@ -43,7 +45,12 @@
             }
             "end" => {
                 let answers = world.answers.get(&words[1].parse().unwrap());
-                let said = answers.map(|a| a.iter().map(|a| format!("{a:?}")).collect::<Vec<_>>().join(" "));
+                let said = answers.map(|a| {
+                    a.iter()
+                        .map(|a| format!("{a:?}"))
+                        .collect::<Vec<_>>()
+                        .join(" ")
+                });
                 said.unwrap_or_default()
             }
             "stop" => {
@@ -67,7 +74,9 @@
                 let said = world.heard(name);
                 // Of a body of YAML the lines that are asked for.
                 match said.starts_with("OK ") && expected.contains(": ") {
-                    true if expected.split(", ").all(|line| said.contains(line)) => expected.to_string(),
+                    true if expected.split(", ").all(|line| said.contains(line)) => {
+                        expected.to_string()
+                    }
                     _ => said,
                 }
             }
@@ -195,13 +204,18 @@
 /// What a worker does with its job, by the kind of work.
 #[test]
 fn what_may_have_run_is_read_from_what_a_worker_does() {
-    let charge =
-        with(TAKES, "p use charge -> USING charge; p put 0 0 1 hi -> INSERTED 1; w2 ? -> RESERVED 1 2 hi");
+    let charge = with(
+        TAKES,
+        "p use charge -> USING charge; p put 0 0 1 hi -> INSERTED 1; w2 ? -> RESERVED 1 2 hi",
+    );
     let two = |tube: &str| {
-        let workers =
-            ["w2", "w3"].map(|w| format!("{w} watch lookup -> WATCHING 2; {w} watch create -> WATCHING 3"));
+        let workers = ["w2", "w3"]
+            .map(|w| format!("{w} watch lookup -> WATCHING 2; {w} watch create -> WATCHING 3"));
         let put = format!("p use {tube} -> USING {tube}; p put 0 0 1 hi -> INSERTED 1");
-        format!("{}; {put}; w2 reserve -> RESERVED 1 2 hi; w3 reserve", workers.join("; "))
+        format!(
+            "{}; {put}; w2 reserve -> RESERVED 1 2 hi; w3 reserve",
+            workers.join("; ")
+        )
     };
     let cases: Vec<(&str, String)> = vec![
         ("exclusive: done", with(&charge, r#"w2 delete 1 -> DELETED; end 1 -> Completed(b"")"#)),
@@ -314,8 +328,10 @@
 #[test]
 fn a_release_never_ran_where_the_operator_says_so() {
     for (reading, end) in [("may-have-run", "Aborted"), ("never-ran", "")] {
-        let operator = world::table("cold = false")
-            .replace("ends = \"ends\"", &format!("ends = \"ends\"\nrelease = \"{reading}\""));
+        let operator = world::table("cold = false").replace(
+            "ends = \"ends\"",
+            &format!("ends = \"ends\"\nrelease = \"{reading}\""),
+        );
         let mut world = World::from(&operator);
         play(
             reading,
@@ -386,7 +402,10 @@
     play(
         "only who is listed",
         &mut world,
-        &with(drained, "w2 reserve; p put 0 0 1 hi -> INSERTED 1; w2 ?; back 2; w2 ? -> RESERVED 1 2 hi"),
+        &with(
+            drained,
+            "w2 reserve; p put 0 0 1 hi -> INSERTED 1; w2 ?; back 2; w2 ? -> RESERVED 1 2 hi",
+        ),
     );
 }
 
@@ -395,9 +414,17 @@
 fn a_machine_that_leaves_the_list_is_gone() {
     let mut world = World::new("cold = false", &[], 1000);
     world.list(true, &[(2, Ready, 0.0), (3, Ready, 0.0)]);
-    play("listed", &mut world, "w2 watch lookup -> WATCHING 2; w2 reserve");
+    play(
+        "listed",
+        &mut world,
+        "w2 watch lookup -> WATCHING 2; w2 reserve",
+    );
     world.list(true, &[(3, Ready, 0.0)]);
-    play("left out", &mut world, "p use lookup -> USING lookup; p put 0 0 1 hi -> INSERTED 1; w2 ?");
+    play(
+        "left out",
+        &mut world,
+        "p use lookup -> USING lookup; p put 0 0 1 hi -> INSERTED 1; w2 ?",
+    );
     world.list(true, &[(2, Ready, 0.0), (3, Ready, 0.0)]);
     play("and named again", &mut world, "w2 ? -> RESERVED 1 2 hi");
 }
@@ -416,11 +443,20 @@
             world.send(&name, b"watch lookup\r\nreserve\r\n");
         });
         (0..20).for_each(|_| world.send("p", b"put 0 0 9 1\r\nx\r\n"));
-        (0..20).filter(|n| world.heard(&format!("w{n}-2")).contains("RESERVED")).count()
+        (0..20)
+            .filter(|n| world.heard(&format!("w{n}-2")).contains("RESERVED"))
+            .count()
     };
-    assert_eq!(given("cold = false", None), 20, "it is warm, and asks for all");
+    assert_eq!(
+        given("cold = false", None),
+        20,
+        "it is warm, and asks for all"
+    );
     assert!(given("", None) <= 2, "first seen, it counts as cold");
-    assert!(given("cold = false", Some(0.1)) <= 2, "started a moment ago, as the list says");
+    assert!(
+        given("cold = false", Some(0.1)) <= 2,
+        "started a moment ago, as the list says"
+    );
     assert_eq!(given("", Some(100.0)), 20, "started long ago");
 }
 
@@ -468,7 +504,11 @@
                 NOT_FOUND; p stats-job 5 -> NOT_FOUND; p stats-job 6 -> state: deferred, come-back:
                 0.200",
     );
-    let large = format!("put 0 0 1 {}\r\n{}\r\nstats-job 1\r\n", (1 << 16) + 1, "x".repeat((1 << 16) + 1));
+    let large = format!(
+        "put 0 0 1 {}\r\n{}\r\nstats-job 1\r\n",
+        (1 << 16) + 1,
+        "x".repeat((1 << 16) + 1)
+    );
     world.send("p", large.as_bytes());
     assert_eq!(world.heard("p"), "JOB_TOO_BIG NOT_FOUND");
 }
@@ -486,7 +526,10 @@
         world.send("w2", b"release 1 0 0\r\n");
         world.pass(0.02);
     }
-    assert!((1..=3).contains(&given), "{given} times, and three allocations are the settings' most");
+    assert!(
+        (1..=3).contains(&given),
+        "{given} times, and three allocations are the settings' most"
+    );
     assert_eq!(world.answers[&1].len(), 1);
     assert_eq!(world.held(), 0);
 }
--- a/crates/mintlb/tests/reducer.rs
+++ b/crates/mintlb/tests/reducer.rs
@@ -35,14 +35,34 @@
     let plan = Plan::new(Placement::parse(config).unwrap(), Operator::default()).unwrap();
     let quiet = slog::Logger::root(slog::Discard, slog::o!());
     let (tell, _) = unbounded_channel();
-    let workers =
-        Workers::new(&plan.grants.http, Clock::start(), tell, &[], Worded::default(), Arc::default(), quiet);
+    let workers = Workers::new(
+        &plan.grants.http,
+        Clock::start(),
+        tell,
+        &[],
+        Worded::default(),
+        Arc::default(),
+        quiet,
+    );
     let (zones, kinds) = (vec!["north".into(), "south".into()], vec!["small".into()]);
-    let reading = Reading { zones, kinds, runs: Runs::default(), workers };
+    let reading = Reading {
+        zones,
+        kinds,
+        runs: Runs::default(),
+        workers,
+    };
     let types = plan.types.clone();
     let reducer = Reducer::new(plan.scheduler, Types::new(plan.types), most_out, 0.002);
     let (now, clients, orders, terms) = (1e9, Vec::new(), Vec::new(), plan.terms);
-    Bench { reducer, reading, now, clients, orders, types, terms }
+    Bench {
+        reducer,
+        reading,
+        now,
+        clients,
+        orders,
+        types,
+        terms,
+    }
 }
 
 fn listing(full: bool, version: u64, states: &[&str]) -> Listing {
@@ -55,7 +75,10 @@
         )
     });
     let servers: Vec<String> = servers.collect();
-    let json = format!(r#"{{"version":{version},"full":{full},"servers":[{}]}}"#, servers.join(","));
+    let json = format!(
+        r#"{{"version":{version},"full":{full},"servers":[{}]}}"#,
+        servers.join(",")
+    );
     serde_json::from_str(&json).unwrap()
 }
 
@@ -83,7 +106,11 @@
             "call" => {
                 // The client's id, where it is not the work unit's number.
                 let id = *words.get(3).unwrap_or(&words[1]);
-                let payload = Payload { body: Bytes::new(), once: true, own: Arc::new(()) };
+                let payload = Payload {
+                    body: Bytes::new(),
+                    once: true,
+                    own: Arc::new(()),
+                };
                 let (answer, receiver) = channel();
                 self.clients.push(receiver);
                 Event::Arrived(Arrival {
@@ -119,7 +146,10 @@
                     other => panic!("no outcome {other}"),
                 };
                 let result = Bytes::from_static(b"r");
-                Event::Back(Back { result, ..Back::with(alloc(words[1]), outcome) })
+                Event::Back(Back {
+                    result,
+                    ..Back::with(alloc(words[1]), outcome)
+                })
             }
             "list" => Event::Members(Some(8), self.reading.told(&listing(true, 8, &words[1..]))),
             "change" => Event::Members(Some(9), self.reading.told(&listing(false, 9, &words[1..]))),
@@ -137,15 +167,29 @@
         let (name, effect) = word.split_once('=').unwrap();
         let effect = match effect {
             "rerunnable" => Effect::Rerunnable,
-            "receipted" => Effect::Receipted { group: Group::Cell, window: 15.0 },
+            "receipted" => Effect::Receipted {
+                group: Group::Cell,
+                window: 15.0,
+            },
             "exclusive" => Effect::Exclusive,
             other => panic!("no effect {other}"),
         };
-        (name.to_string(), ProjectType { effect, ..self.types[0].1.clone() })
+        (
+            name.to_string(),
+            ProjectType {
+                effect,
+                ..self.types[0].1.clone()
+            },
+        )
     }
 
     fn number(&self, name: &str) -> usize {
-        self.reducer.types().iter().find(|named| named.name == name).unwrap().number
+        self.reducer
+            .types()
+            .iter()
+            .find(|named| named.name == name)
+            .unwrap()
+            .number
     }
 
     /// Timers and log lines are left out.
@@ -155,7 +199,10 @@
             match act {
                 Act::Send { to, order } => {
                     let (id, n) = order.alloc;
-                    said.push(format!("send {id}.{n} {}", to.to_string().split(':').next_back().unwrap()));
+                    said.push(format!(
+                        "send {id}.{n} {}",
+                        to.to_string().split(':').next_back().unwrap()
+                    ));
                     self.orders.push(order);
                 }
                 Act::Recall((id, n)) => said.push(format!("close {id}.{n}")),
@@ -174,13 +221,16 @@
 
     /// What each client has, in the order of the calls.
     fn answers(&mut self) -> String {
-        let said = self.clients.iter_mut().map(|client| match client.try_recv() {
-            Ok(Answer::Completed(result)) => String::from_utf8(result.to_vec()).unwrap(),
-            Ok(Answer::Deferred(_)) => "deferred".into(),
-            Ok(Answer::Aborted) => "aborted".into(),
-            Ok(Answer::Repeated) => "repeated".into(),
-            Err(_) => "-".into(),
-        });
+        let said = self
+            .clients
+            .iter_mut()
+            .map(|client| match client.try_recv() {
+                Ok(Answer::Completed(result)) => String::from_utf8(result.to_vec()).unwrap(),
+                Ok(Answer::Deferred(_)) => "deferred".into(),
+                Ok(Answer::Aborted) => "aborted".into(),
+                Ok(Answer::Repeated) => "repeated".into(),
+                Err(_) => "-".into(),
+            });
         said.collect::<Vec<_>>().join(" ")
     }
 }
@@ -190,9 +240,27 @@
 #[test]
 fn what_is_read_becomes_what_is_done() {
     let cases = [
-        ("work is sent", "known SERVING; call 1 0", "send 1.0 7001", "-", 1),
-        ("the result goes to the client", "known SERVING; call 1 2; back 1.0 done", "answer", "r", 0),
-        ("an outcome counts once", "known SERVING; call 1 2; back 1.0 done; back 1.0 dropped", "", "r", 0),
+        (
+            "work is sent",
+            "known SERVING; call 1 0",
+            "send 1.0 7001",
+            "-",
+            1,
+        ),
+        (
+            "the result goes to the client",
+            "known SERVING; call 1 2; back 1.0 done",
+            "answer",
+            "r",
+            0,
+        ),
+        (
+            "an outcome counts once",
+            "known SERVING; call 1 2; back 1.0 done; back 1.0 dropped",
+            "",
+            "r",
+            0,
+        ),
         (
             "exclusive work that may have run is aborted",
             "known SERVING; call 1 2; back 1.0 dropped",
@@ -200,7 +268,13 @@
             "aborted",
             0,
         ),
-        ("what never ran is sent again", "known SERVING; call 1 2; back 1.0 down", "send 1.1 7001", "-", 1),
+        (
+            "what never ran is sent again",
+            "known SERVING; call 1 2; back 1.0 down",
+            "send 1.1 7001",
+            "-",
+            1,
+        ),
         (
             "and deferred when that has been enough",
             "known SERVING; call 1 2; back 1.0 full; back 1.1 full; back 1.2 full",
@@ -208,8 +282,20 @@
             "deferred",
             0,
         ),
-        ("who has left gets nothing", "known SERVING; call 1 2; left 1", "close 1.0", "-", 0),
-        ("also if the result comes after all", "known SERVING; call 1 2; left 1; back 1.0 done", "", "-", 0),
+        (
+            "who has left gets nothing",
+            "known SERVING; call 1 2; left 1",
+            "close 1.0",
+            "-",
+            0,
+        ),
+        (
+            "also if the result comes after all",
+            "known SERVING; call 1 2; left 1; back 1.0 done",
+            "",
+            "-",
+            0,
+        ),
         (
             "the first to start is kept",
             "known SERVING SERVING; call 1 0; in 0.3; start 1.1",
@@ -224,7 +310,13 @@
             "-",
             1,
         ),
-        ("no start is believed of what is closed", "known SERVING; call 1 2; left 1; start 1.0", "", "-", 0),
+        (
+            "no start is believed of what is closed",
+            "known SERVING; call 1 2; left 1; start 1.0",
+            "",
+            "-",
+            0,
+        ),
         (
             "an answer is due at the limit",
             "known SERVING; call 1 2; in 3",
@@ -239,12 +331,48 @@
             "deferred",
             0,
         ),
-        ("a draining worker gets nothing new", "known SERVING; list DRAINING; call 1 0", "", "-", 1),
-        ("a deleted worker gets nothing new", "known SERVING; change DELETED; call 1 0", "", "-", 1),
-        ("a state we don't know is no invitation", "known RESTING; call 1 0", "", "-", 1),
-        ("a new list is followed", "known DRAINING; call 1 0; list SERVING", "send 1.0 7001", "-", 1),
-        ("the list is watched from where it was", "known SERVING; in 10", "watch 7", "", 0),
-        ("and again after a failure", "known SERVING; in 10; list SERVING; lost; in 10", "watch 8", "", 0),
+        (
+            "a draining worker gets nothing new",
+            "known SERVING; list DRAINING; call 1 0",
+            "",
+            "-",
+            1,
+        ),
+        (
+            "a deleted worker gets nothing new",
+            "known SERVING; change DELETED; call 1 0",
+            "",
+            "-",
+            1,
+        ),
+        (
+            "a state we don't know is no invitation",
+            "known RESTING; call 1 0",
+            "",
+            "-",
+            1,
+        ),
+        (
+            "a new list is followed",
+            "known DRAINING; call 1 0; list SERVING",
+            "send 1.0 7001",
+            "-",
+            1,
+        ),
+        (
+            "the list is watched from where it was",
+            "known SERVING; in 10",
+            "watch 7",
+            "",
+            0,
+        ),
+        (
+            "and again after a failure",
+            "known SERVING; in 10; list SERVING; lost; in 10",
+            "watch 8",
+            "",
+            0,
+        ),
         (
             "work for a worker without an address never left",
             "known NOWHERE; call 1 2",
@@ -297,7 +425,11 @@
     ];
     for (shown, script, acts, answers, held) in cases {
         let mut bench = bench(2);
-        let last = script.split(';').map(|step| bench.step(step)).last().unwrap();
+        let last = script
+            .split(';')
+            .map(|step| bench.step(step))
+            .last()
+            .unwrap();
         let mut last: Vec<&str> = last.split(", ").collect();
         let mut acts: Vec<&str> = acts.split(", ").collect();
         last.sort_unstable();
@@ -313,26 +445,96 @@
 fn an_order_is_taken_back() {
     for (shown, cancel, script, taken_back) in [
         ("out", true, "known SERVING; call 1 2", ""),
-        ("its worker drains", true, "known SERVING; call 1 2; change DRAINING", "1.0"),
-        ("its worker is gone", true, "known SERVING; call 1 2; change DELETED", "1.0"),
-        ("the whole list leaves it out", true, "known SERVING; call 1 2; list", "1.0"),
-        ("it drains no more", true, "known SERVING; call 1 2; change DRAINING; change SERVING", "1.0"),
-        ("it has started anew", true, "known SERVING; call 1 2; change FRESH", "1.0"),
-        ("another one came", true, "known SERVING; call 1 2; change SERVING FRESH", ""),
-        ("the list failed", true, "known SERVING; call 1 2; lost; moved", ""),
-        ("given after it", true, "known DRAINING; call 1 2; list SERVING", ""),
-        ("its client has left", false, "known SERVING; call 1 2; left 1", "1.0"),
-        ("its client has given up", false, "known SERVING; call 1 2; in 3", "1.0"),
-        ("another's client has left", false, "known SERVING SERVING; call 1 2; call 2 2; left 1", "1.0"),
-        ("the last call", false, "known SERVING; call 1 2; last", "1.0"),
-        ("it waits again", false, "known SERVING; call 1 0; back 1.0 down", ""),
+        (
+            "its worker drains",
+            true,
+            "known SERVING; call 1 2; change DRAINING",
+            "1.0",
+        ),
+        (
+            "its worker is gone",
+            true,
+            "known SERVING; call 1 2; change DELETED",
+            "1.0",
+        ),
+        (
+            "the whole list leaves it out",
+            true,
+            "known SERVING; call 1 2; list",
+            "1.0",
+        ),
+        (
+            "it drains no more",
+            true,
+            "known SERVING; call 1 2; change DRAINING; change SERVING",
+            "1.0",
+        ),
+        (
+            "it has started anew",
+            true,
+            "known SERVING; call 1 2; change FRESH",
+            "1.0",
+        ),
+        (
+            "another one came",
+            true,
+            "known SERVING; call 1 2; change SERVING FRESH",
+            "",
+        ),
+        (
+            "the list failed",
+            true,
+            "known SERVING; call 1 2; lost; moved",
+            "",
+        ),
+        (
+            "given after it",
+            true,
+            "known DRAINING; call 1 2; list SERVING",
+            "",
+        ),
+        (
+            "its client has left",
+            false,
+            "known SERVING; call 1 2; left 1",
+            "1.0",
+        ),
+        (
+            "its client has given up",
+            false,
+            "known SERVING; call 1 2; in 3",
+            "1.0",
+        ),
+        (
+            "another's client has left",
+            false,
+            "known SERVING SERVING; call 1 2; call 2 2; left 1",
+            "1.0",
+        ),
+        (
+            "the last call",
+            false,
+            "known SERVING; call 1 2; last",
+            "1.0",
+        ),
+        (
+            "it waits again",
+            false,
+            "known SERVING; call 1 0; back 1.0 down",
+            "",
+        ),
     ] {
         let config = include_str!("../../../examples/config.json");
         let config = config.replace("\"may_cancel\": true", &format!("\"may_cancel\": {cancel}"));
         let mut bench = bench_of(8, &config);
         script.split(';').for_each(|step| drop(bench.step(step)));
-        let orders = bench.orders.iter().filter(|order| order.taken_back.is_cancelled());
-        let said: Vec<String> = orders.map(|order| format!("{}.{}", order.alloc.0, order.alloc.1)).collect();
+        let orders = bench
+            .orders
+            .iter()
+            .filter(|order| order.taken_back.is_cancelled());
+        let said: Vec<String> = orders
+            .map(|order| format!("{}.{}", order.alloc.0, order.alloc.1))
+            .collect();
         assert_eq!(said.join(" "), taken_back, "{shown}");
     }
 }
@@ -365,26 +567,47 @@
 #[test]
 fn each_effect_becomes_each_other() {
     // What becomes of work whose one allocation may have run: it goes again, or is aborted.
-    let effects =
-        [("rerunnable", "send 1.1", "-"), ("receipted", "send 1.1", "-"), ("exclusive", "answer", "aborted")];
+    let effects = [
+        ("rerunnable", "send 1.1", "-"),
+        ("receipted", "send 1.1", "-"),
+        ("exclusive", "answer", "aborted"),
+    ];
     for (old, does, answers) in effects {
         for (new, does_then, answers_then) in effects {
             let shown = format!("{old} becomes {new}");
             let play = |script: &str, acts: &str, answers: &str| {
                 let mut bench = bench(8);
-                let last = script.split(';').map(|step| bench.step(step)).last().unwrap();
+                let last = script
+                    .split(';')
+                    .map(|step| bench.step(step))
+                    .last()
+                    .unwrap();
                 assert!(last.starts_with(acts), "{shown}: {script}: {last}");
                 assert_eq!(bench.answers(), answers, "{shown}: {script}");
             };
             let (was, is) = (format!("retune 3 w={old}"), format!("retune 3 w={new}"));
-            play(&format!("known SERVING; {was}; call 1 w; {is}; back 1.0 dropped"), does, answers);
-            play(&format!("known SERVING; {was}; {is}; call 1 w; back 1.0 dropped"), does_then, answers_then);
+            play(
+                &format!("known SERVING; {was}; call 1 w; {is}; back 1.0 dropped"),
+                does,
+                answers,
+            );
+            play(
+                &format!("known SERVING; {was}; {is}; call 1 w; back 1.0 dropped"),
+                does_then,
+                answers_then,
+            );
             // It waited while the terms changed, and was sent under its own.
-            let waits = format!("known DRAINING; {was}; call 1 w; {is}; list SERVING; back 1.0 dropped");
+            let waits =
+                format!("known DRAINING; {was}; call 1 w; {is}; list SERVING; back 1.0 dropped");
             play(&waits, does, answers);
-            play(&format!("known SERVING; {was}; call 1 w; {is}; back 1.0 done"), "answer", "r");
+            play(
+                &format!("known SERVING; {was}; call 1 w; {is}; back 1.0 done"),
+                "answer",
+                "r",
+            );
             // Dropped, and back under its name: held work knows neither.
-            let back = format!("known SERVING; {was}; call 1 w; retune 3 v={new}; {is}; back 1.0 dropped");
+            let back =
+                format!("known SERVING; {was}; call 1 w; retune 3 v={new}; {is}; back 1.0 dropped");
             play(&back, does, answers);
         }
     }
@@ -421,7 +644,11 @@
     for (shown, script, acts, answers) in cases {
         let mut bench = bench(8);
         bench.step("known SERVING SERVING");
-        let last = script.split(';').map(|step| bench.step(step)).last().unwrap();
+        let last = script
+            .split(';')
+            .map(|step| bench.step(step))
+            .last()
+            .unwrap();
         assert!(last.starts_with(acts), "{shown}: {last}");
         assert_eq!(bench.answers(), answers, "{shown}");
     }
@@ -434,20 +661,34 @@
     bench.step("known DRAINING");
     for n in 0..1000 {
         let effect = ["rerunnable", "exclusive"][n % 2];
-        assert_eq!(bench.step(&format!("retune 3 w={effect} v{n}=exclusive")), "", "nothing is held");
+        assert_eq!(
+            bench.step(&format!("retune 3 w={effect} v{n}=exclusive")),
+            "",
+            "nothing is held"
+        );
     }
     let number = bench.number("w");
     let refused = (0..1000).map(|n| {
         bench.step(&format!("call {} w", n + 1));
-        bench.step(&format!("retune 3 w={}", ["exclusive", "rerunnable"][n % 2]))
+        bench.step(&format!(
+            "retune 3 w={}",
+            ["exclusive", "rerunnable"][n % 2]
+        ))
     });
     let refused = refused.filter(|why| !why.is_empty()).count();
-    assert!(refused > 0 && number < 8, "{refused} refused, number {number}");
+    assert!(
+        refused > 0 && number < 8,
+        "{refused} refused, number {number}"
+    );
     let held = bench.number("w");
     assert!(held < 256, "{held}");
     bench.step("in 10");
     assert_eq!(bench.reducer.held(), 0);
-    assert_eq!(bench.step("retune 3 w=receipted u=exclusive"), "", "all is over");
+    assert_eq!(
+        bench.step("retune 3 w=receipted u=exclusive"),
+        "",
+        "all is over"
+    );
     bench.step("list SERVING");
     assert!(bench.step("call 2000 u").starts_with("send 2000.0"));
 }
