--- a/crates/mintlb/tests/world/mod.rs
+++ b/crates/mintlb/tests/world/mod.rs
@@ -39,7 +39,10 @@
 impl Reach for Way {
     fn send(&self, order: Order) -> Box<dyn Recall> {
         let out = Box::new(Out(order.alloc, self.3.clone()));
-        self.3.lock().unwrap().push_back(Word::Order(self.0, self.1, self.2, order));
+        self.3
+            .lock()
+            .unwrap()
+            .push_back(Word::Order(self.0, self.1, self.2, order));
         out
     }
     fn probe(&self, _: u64) {}
@@ -57,7 +60,10 @@
 
 impl Settle for JobEnd {
     fn settle(self: Box<Self>, answer: Answer) {
-        self.1.lock().unwrap().push_back(Word::Answer(self.0, answer));
+        self.1
+            .lock()
+            .unwrap()
+            .push_back(Word::Answer(self.0, answer));
     }
 }
 
@@ -94,7 +100,9 @@
 /// ends in the tube `ends`; `more` stands in the table itself.
 pub fn table(more: &str) -> String {
     let tube = |name| {
-        format!("[[beanstalkd.tubes]]\ntube = \"{name}\"\nproject_type = \"{name}\"\nends = \"ends\"\n")
+        format!(
+            "[[beanstalkd.tubes]]\ntube = \"{name}\"\nproject_type = \"{name}\"\nends = \"ends\"\n"
+        )
     };
     let tubes: String = ["lookup", "create", "charge"].map(tube).concat();
     format!("[beanstalkd]\nlisten = \"127.0.0.1:0\"\nconnections = 256\n{more}\n{tubes}")
@@ -119,12 +127,29 @@
         let plan = Plan::new(Placement::parse(base).unwrap(), operator).unwrap();
         let now = 1e9;
         let room = Room::new(jobs, 8 << 20);
-        let hub =
-            Hub::new(plan.plans.beanstalkd.unwrap(), "w".into(), now, 1 << 16, Numbers::default(), room);
+        let hub = Hub::new(
+            plan.plans.beanstalkd.unwrap(),
+            "w".into(),
+            now,
+            1 << 16,
+            Numbers::default(),
+            room,
+        );
         let mut reducer = Reducer::new(plan.scheduler, Types::new(plan.types), 1 << 20, 0.002);
         reducer.start(now, None, false);
         let (out, words, peers, active, names, answers) = Default::default();
-        World { hub, reducer, out, words, now, wake: f64::MAX, peers, active, names, answers }
+        World {
+            hub,
+            reducer,
+            out,
+            words,
+            now,
+            wake: f64::MAX,
+            peers,
+            active,
+            names,
+            answers,
+        }
     }
 
     fn reduce(&mut self, event: Event) {
@@ -134,7 +159,11 @@
         for act in self.reducer.reduce(self.now, event) {
             match act {
                 Act::Send { to, order } => drop(self.out.insert(order.alloc, to.send(order))),
-                Act::Recall(alloc) => self.out.remove(&alloc).into_iter().for_each(|out| out.recall()),
+                Act::Recall(alloc) => self
+                    .out
+                    .remove(&alloc)
+                    .into_iter()
+                    .for_each(|out| out.recall()),
                 Act::Answer { to, answer, .. } => to.settle(answer),
                 Act::WakeIn(after) => self.wake = self.now + after,
                 Act::Log(_) | Act::Probe { .. } | Act::Watch { .. } => {}
@@ -149,15 +178,37 @@
             for deed in self.hub.deeds(Vec::new()) {
                 moved = true;
                 match deed {
-                    Deed::Arrive { id, project_type, customer, arrived, time_budget, body } => {
+                    Deed::Arrive {
+                        id,
+                        project_type,
+                        customer,
+                        arrived,
+                        time_budget,
+                        body,
+                    } => {
                         assert!(customer.is_none() && arrived == self.now && time_budget == 3.0);
                         self.arrives(id, project_type, body);
                     }
                     Deed::Member(change) => {
-                        let way = Way(change.machine, change.runs, change.generation, self.words.clone());
-                        let (host, reach) = (Some(change.machine), Some(Arc::new(way) as Arc<dyn Reach>));
-                        let member = Member { name: change.name, line: change.line, host, reach };
-                        let told = Told { source: Source::Callers, full: false, members: vec![member] };
+                        let way = Way(
+                            change.machine,
+                            change.runs,
+                            change.generation,
+                            self.words.clone(),
+                        );
+                        let (host, reach) =
+                            (Some(change.machine), Some(Arc::new(way) as Arc<dyn Reach>));
+                        let member = Member {
+                            name: change.name,
+                            line: change.line,
+                            host,
+                            reach,
+                        };
+                        let told = Told {
+                            source: Source::Callers,
+                            full: false,
+                            members: vec![member],
+                        };
                         self.reduce(Event::Members(None, told));
                     }
                     Deed::Tell(event) => self.reduce(event),
@@ -192,15 +243,23 @@
 
     /// A session's turn: its commands, then what it is to be sent.
     fn serve(&mut self, name: &str) -> bool {
-        let Some(peer) = self.peers.get_mut(name).filter(|peer| peer.open) else { return false };
+        let Some(peer) = self.peers.get_mut(name).filter(|peer| peer.open) else {
+            return false;
+        };
         let (mut moved, mut room) = (false, None);
         while !self.hub.is_blocked(peer.id) && !self.hub.is_over(peer.id) {
-            let Some(item) = peer.reader.next(&mut peer.bytes) else { break };
+            let Some(item) = peer.reader.next(&mut peer.bytes) else {
+                break;
+            };
             moved = true;
             match item {
                 Item::Coming(bytes) => room = self.hub.body_room(bytes),
                 Item::Command(command) => {
-                    let room = if matches!(command, Command::Put(..)) { room.take() } else { None };
+                    let room = if matches!(command, Command::Put(..)) {
+                        room.take()
+                    } else {
+                        None
+                    };
                     self.hub.command(self.now, peer.id, command, room);
                 }
                 Item::Fault(fault) => {
@@ -232,14 +291,30 @@
 
     /// A machine is told by the digit at a name's end, or its first.
     pub fn connect(&mut self, name: &str) {
-        let digit = name.chars().last().and_then(|c| c.to_digit(10)).unwrap_or(1);
+        let digit = name
+            .chars()
+            .last()
+            .and_then(|c| c.to_digit(10))
+            .unwrap_or(1);
         self.connect_from(name, [127, 0, 0, digit as u8].into());
     }
 
     pub fn connect_from(&mut self, name: &str, machine: IpAddr) {
         let id = self.hub.connect(machine);
-        let (reader, bytes, got) = (Reader::new(self.hub.most_bytes()), BytesMut::new(), Vec::new());
-        let peer = Peer { id, reader, bytes, got, stuck: false, pending: 0, open: true };
+        let (reader, bytes, got) = (
+            Reader::new(self.hub.most_bytes()),
+            BytesMut::new(),
+            Vec::new(),
+        );
+        let peer = Peer {
+            id,
+            reader,
+            bytes,
+            got,
+            stuck: false,
+            pending: 0,
+            open: true,
+        };
         self.peers.insert(name.into(), peer);
         self.names.insert(id, name.into());
     }
@@ -254,7 +329,11 @@
         if !self.peers.contains_key(name) {
             self.connect(name);
         }
-        self.peers.get_mut(name).unwrap().bytes.extend_from_slice(bytes);
+        self.peers
+            .get_mut(name)
+            .unwrap()
+            .bytes
+            .extend_from_slice(bytes);
         self.active.insert(name.into());
         self.pump();
     }
@@ -292,7 +371,16 @@
     pub fn list(&mut self, full: bool, machines: &[(u8, Listed, f64)]) {
         let places = machines.iter().map(|&(digit, listed, came_up)| {
             let (zone, cell, kind) = (0, u64::from(digit), 0);
-            (IpAddr::from([127, 0, 0, digit]), Place { zone, cell, kind, listed, came_up })
+            (
+                IpAddr::from([127, 0, 0, digit]),
+                Place {
+                    zone,
+                    cell,
+                    kind,
+                    listed,
+                    came_up,
+                },
+            )
         });
         self.hub.hear(full, places.collect::<Vec<_>>().into_iter());
         self.pump();
@@ -317,7 +405,11 @@
             slots: 1.0,
             arrived: self.now,
             time_budget: 3.0,
-            payload: Payload { body, once: true, own: Arc::new(()) },
+            payload: Payload {
+                body,
+                once: true,
+                own: Arc::new(()),
+            },
             answer: Box::new(JobEnd(id, self.words.clone())),
         }));
     }
@@ -330,8 +422,15 @@
 
     /// What a peer was sent since it was last asked, its words in a row.
     pub fn heard(&mut self, name: &str) -> String {
-        let got = self.peers.get_mut(name).map(|peer| std::mem::take(&mut peer.got)).unwrap_or_default();
-        String::from_utf8_lossy(&got).split_ascii_whitespace().collect::<Vec<_>>().join(" ")
+        let got = self
+            .peers
+            .get_mut(name)
+            .map(|peer| std::mem::take(&mut peer.got))
+            .unwrap_or_default();
+        String::from_utf8_lossy(&got)
+            .split_ascii_whitespace()
+            .collect::<Vec<_>>()
+            .join(" ")
     }
 
     /// Its client has left.
--- a/examples/hold.rs
+++ b/examples/hold.rs
@@ -15,8 +15,13 @@
         return Err("an address and a command are needed: 127.0.0.1:7070 sh".to_string());
     };
     let listener = TcpListener::bind(&at).map_err(|e| format!("{at}: {e}"))?;
-    SockRef::from(&listener).set_cloexec(false).map_err(|e| format!("{at}: {e}"))?;
+    SockRef::from(&listener)
+        .set_cloexec(false)
+        .map_err(|e| format!("{at}: {e}"))?;
     let number = listener.as_raw_fd().to_string();
-    let why = Command::new(&command).args(words).env("ROUTER_PASSED_SOCKET", number).exec();
+    let why = Command::new(&command)
+        .args(words)
+        .env("ROUTER_PASSED_SOCKET", number)
+        .exec();
     Err(format!("{command}: {why}"))
 }
--- a/examples/measure.rs
+++ b/examples/measure.rs
@@ -29,16 +29,28 @@
 }
 
 impl Program {
-    async fn start(workers: &[SocketAddr], connections: usize, runs: &str) -> Result<Program, Fault> {
+    async fn start(
+        workers: &[SocketAddr],
+        connections: usize,
+        runs: &str,
+    ) -> Result<Program, Fault> {
         let listed = workers.iter().enumerate().map(|(i, at)| {
-            format!(r#"{{"id":"s-{i}","addr":"{at}","zone":"north","kind":"small","state":"SERVING"}}"#)
+            format!(
+                r#"{{"id":"s-{i}","addr":"{at}","zone":"north","kind":"small","state":"SERVING"}}"#
+            )
         });
         let listed: Vec<String> = listed.collect();
-        let known =
-            format!(r#""known":{{"version":1,"full":true,"servers":[{}]}},"limits""#, listed.join(","));
-        let config = CONFIG.replace("\"limits\"", &known).replace("127.0.0.1:7070", HTTP);
-        let config = config
-            .replace("\"memory_mb\": 192, \"sockets\": 1024", "\"memory_mb\": 4096, \"sockets\": 65536");
+        let known = format!(
+            r#""known":{{"version":1,"full":true,"servers":[{}]}},"limits""#,
+            listed.join(",")
+        );
+        let config = CONFIG
+            .replace("\"limits\"", &known)
+            .replace("127.0.0.1:7070", HTTP);
+        let config = config.replace(
+            "\"memory_mb\": 192, \"sockets\": 1024",
+            "\"memory_mb\": 4096, \"sockets\": 65536",
+        );
         let folder = std::env::temp_dir().join(format!("mintlb-measure-{}", std::process::id()));
         std::fs::create_dir_all(&folder)?;
         std::fs::write(folder.join("config.json"), config)?;
@@ -73,14 +85,22 @@
     /// Seconds of user and system time so far.
     fn cpu(&self) -> Result<f64, Fault> {
         let stat = std::fs::read_to_string(format!("/proc/{}/stat", self.0.id()))?;
-        let fields: Vec<&str> = stat.rsplit(')').next().unwrap_or("").split_whitespace().collect();
+        let fields: Vec<&str> = stat
+            .rsplit(')')
+            .next()
+            .unwrap_or("")
+            .split_whitespace()
+            .collect();
         // The system counts in hundredths of a second.
         Ok((fields[11].parse::<f64>()? + fields[12].parse::<f64>()?) / 100.0)
     }
 
     fn kilobytes(&self) -> Result<f64, Fault> {
         let status = std::fs::read_to_string(format!("/proc/{}/status", self.0.id()))?;
-        let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:")).unwrap_or("0");
+        let line = status
+            .lines()
+            .find_map(|line| line.strip_prefix("VmRSS:"))
+            .unwrap_or("0");
         Ok(line.trim().trim_end_matches(" kB").trim().parse()?)
     }
 
@@ -90,7 +110,10 @@
         let (cpu, units, began) = (self.cpu()?, done.load(Relaxed), Instant::now());
         sleep(SECONDS).await;
         let units = (done.load(Relaxed) - units) as f64;
-        Ok(((self.cpu()? - cpu) * 1e6 / units, units / began.elapsed().as_secs_f64()))
+        Ok((
+            (self.cpu()? - cpu) * 1e6 / units,
+            units / began.elapsed().as_secs_f64(),
+        ))
     }
 }
 
@@ -102,7 +125,11 @@
     Ok(BufReader::new(stream))
 }
 
-async fn ask(peer: &mut BufReader<TcpStream>, command: &[u8], line: &mut String) -> Result<(), Fault> {
+async fn ask(
+    peer: &mut BufReader<TcpStream>,
+    command: &[u8],
+    line: &mut String,
+) -> Result<(), Fault> {
     peer.write_all(command).await?;
     line.clear();
     peer.read_line(line).await?;
@@ -140,7 +167,11 @@
         peer.read_line(&mut body).await?;
         let id = line.split(' ').nth(1).unwrap_or("0");
         let both = format!("delete {id}\r\nreserve\r\n");
-        let (first, then) = if at_once { (&*both, "") } else { both.split_at(both.len() - 9) };
+        let (first, then) = if at_once {
+            (&*both, "")
+        } else {
+            both.split_at(both.len() - 9)
+        };
         let first = first.to_string();
         ask(&mut peer, first.as_bytes(), &mut line).await?;
         done.fetch_add(u64::from(line.starts_with("DELETED")), Relaxed);
@@ -162,8 +193,14 @@
                     continue;
                 }
                 let text = String::from_utf8_lossy(&got).to_lowercase();
-                let id = text.split("request-id: ").nth(1).and_then(|t| t.lines().next()).unwrap_or("");
-                let line = |state| format!("{{\"id\":\"{id}\",\"state\":\"{state}\",\"result\":\"ok\"}}\n");
+                let id = text
+                    .split("request-id: ")
+                    .nth(1)
+                    .and_then(|t| t.lines().next())
+                    .unwrap_or("");
+                let line = |state| {
+                    format!("{{\"id\":\"{id}\",\"state\":\"{state}\",\"result\":\"ok\"}}\n")
+                };
                 let lines = line("started") + &line("done");
                 let head = "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n";
                 let answer = format!("{head}{:x}\r\n{lines}\r\n0\r\n\r\n", lines.len());
@@ -179,8 +216,9 @@
     stream.set_nodelay(true)?;
     let mut stream = BufReader::new(stream);
     for id in 0_u64.. {
-        let head =
-            format!("POST /lookup HTTP/1.1\r\nhost: x\r\nrequest-id: {n}-{id}\r\ncontent-length: 8\r\n\r\n");
+        let head = format!(
+            "POST /lookup HTTP/1.1\r\nhost: x\r\nrequest-id: {n}-{id}\r\ncontent-length: 8\r\n\r\n"
+        );
         stream.write_all((head + "label-42").as_bytes()).await?;
         let (mut line, mut status, mut length) = (String::new(), String::new(), 0);
         while line != "\r\n" {
@@ -192,7 +230,9 @@
                 status = line.clone();
             }
             let lower = line.to_lowercase();
-            length = lower.strip_prefix("content-length: ").map_or(Ok(length), |l| l.trim().parse())?;
+            length = lower
+                .strip_prefix("content-length: ")
+                .map_or(Ok(length), |l| l.trim().parse())?;
         }
         stream.read_exact(&mut vec![0; length]).await?;
         done.fetch_add(u64::from(status.contains("200")), Relaxed);
@@ -210,7 +250,12 @@
             listed.push(listener.local_addr()?);
             tasks.push(tokio::spawn(http_worker(listener)));
         }
-        let program = Program::start(&listed, 4000, if kind == "http" { kind } else { "beanstalkd" }).await?;
+        let program = Program::start(
+            &listed,
+            4000,
+            if kind == "http" { kind } else { "beanstalkd" },
+        )
+        .await?;
         let done = Arc::new(AtomicU64::new(0));
         let depth = if kind == "pipelined" { 16 } else { 1 };
         for n in 0..clients {
@@ -222,7 +267,9 @@
         }
         for n in 0..if kind == "http" { 0 } else { workers } {
             let done = done.clone();
-            tasks.push(tokio::spawn(async move { drop(worker(2 + (n % 8) as u8, depth > 1, done).await) }));
+            tasks.push(tokio::spawn(async move {
+                drop(worker(2 + (n % 8) as u8, depth > 1, done).await)
+            }));
         }
         let (cost, rate) = program.cost(&done).await?;
         costs.push(cost);
@@ -232,7 +279,10 @@
     }
     costs.sort_unstable_by(f64::total_cmp);
     rates.sort_unstable_by(f64::total_cmp);
-    println!("{kind:<11} {clients:>7} {workers:>7} {:>12.1} {:>12.0}", costs[1], rates[1]);
+    println!(
+        "{kind:<11} {clients:>7} {workers:>7} {:>12.1} {:>12.0}",
+        costs[1], rates[1]
+    );
     Ok(())
 }
 
@@ -282,11 +332,20 @@
     if TcpStream::connect(HTTP).await.is_ok() {
         return Err(format!("something listens at {HTTP} already").into());
     }
-    println!("CPU of the scheduler, whole process; medians of 3 runs of {} s", SECONDS.as_secs());
-    println!("{:<11} {:>7} {:>7} {:>12} {:>12}", "protocol", "clients", "workers", "us a unit", "units a s");
+    println!(
+        "CPU of the scheduler, whole process; medians of 3 runs of {} s",
+        SECONDS.as_secs()
+    );
+    println!(
+        "{:<11} {:>7} {:>7} {:>12} {:>12}",
+        "protocol", "clients", "workers", "us a unit", "units a s"
+    );
     let clients_only: Option<usize> = std::env::args().nth(2).and_then(|n| n.parse().ok());
     let sizes = [(4, 8), (16, 32), (64, 128)];
-    for (clients, workers) in sizes.into_iter().filter(|(n, _)| clients_only.is_none_or(|only| only == *n)) {
+    for (clients, workers) in sizes
+        .into_iter()
+        .filter(|(n, _)| clients_only.is_none_or(|only| only == *n))
+    {
         for kind in ["http", "beanstalkd", "pipelined"] {
             if only.as_deref().is_none_or(|only| only == kind) {
                 median_cost(kind, clients, workers).await?;
--- a/examples/toy.rs
+++ b/examples/toy.rs
@@ -25,7 +25,10 @@
         )
     });
     let servers: Vec<String> = servers.collect();
-    let mut line = format!(r#"{{"version":1,"full":true,"servers":[{}]}}"#, servers.join(","));
+    let mut line = format!(
+        r#"{{"version":1,"full":true,"servers":[{}]}}"#,
+        servers.join(",")
+    );
     tokio::spawn(async move {
         while say(&mut out, std::mem::take(&mut line)).await {
             sleep(Duration::from_secs(2)).await;
@@ -37,13 +40,26 @@
 /// Tells of the start, works for 300 ms, and is done. It has more room than any real worker.
 async fn work(State(name): State<&'static str>, request: Request) -> Response {
     let (mut out, body) = Channel::new(1);
-    let id = request.headers().get("request-id").and_then(|v| v.to_str().ok()).unwrap_or("").to_string();
+    let id = request
+        .headers()
+        .get("request-id")
+        .and_then(|v| v.to_str().ok())
+        .unwrap_or("")
+        .to_string();
     let path = request.uri().path().to_string();
     tokio::spawn(async move {
-        say(&mut out, format!(r#"{{"id":"{id}","from":"{name}","state":"started"}}"#)).await;
+        say(
+            &mut out,
+            format!(r#"{{"id":"{id}","from":"{name}","state":"started"}}"#),
+        )
+        .await;
         sleep(Duration::from_millis(300)).await;
         let result = format!("{path} done by {name}\\n");
-        say(&mut out, format!(r#"{{"id":"{id}","from":"{name}","state":"done","result":"{result}"}}"#)).await;
+        say(
+            &mut out,
+            format!(r#"{{"id":"{id}","from":"{name}","state":"done","result":"{result}"}}"#),
+        )
+        .await;
     });
     Response::new(Body::new(body))
 }
@@ -56,5 +72,9 @@
         tokio::spawn(async move { axum::serve(listener, router).await });
     }
     println!("two workers and their list at {LIST}");
-    axum::serve(TcpListener::bind(LIST).await?, Router::new().fallback(watch)).await
+    axum::serve(
+        TcpListener::bind(LIST).await?,
+        Router::new().fallback(watch),
+    )
+    .await
 }
