--- a/crates/mintlb-batch/src/client/calls.rs
+++ b/crates/mintlb-batch/src/client/calls.rs
@@ -41,7 +41,11 @@
 }
 
 async fn call_once(client: &LotClient, to: SocketAddr, body: Bytes, within: Duration) -> Try {
-    match client.transport.call(to, Channel::Lots, body, within).await {
+    match client
+        .transport
+        .call(to, Channel::Batch, body, within)
+        .await
+    {
         Ok(bytes) => match framing::decode::<Answer>(&bytes) {
             Some((Answer::NotInCharge, _)) => Try::NotDone,
             Some((Answer::Unsure, _)) | None => Try::Unclear,
@@ -371,7 +375,7 @@
         .map(|((store, address), lots)| {
             let body = encode_call(&Call::Renew(Renew { holder, lots }), &[]);
             let transport = client.transport.clone();
-            let call = async move { transport.call(address, Channel::Lots, body, LEASE).await };
+            let call = async move { transport.call(address, Channel::Batch, body, LEASE).await };
             (store, tokio::spawn(call))
         })
         .collect();
@@ -403,7 +407,7 @@
     let calls: Vec<_> = stores
         .map(|(_, address)| {
             let (transport, body) = (client.transport.clone(), body.clone());
-            tokio::spawn(async move { transport.call(address, Channel::Lots, body, LEASE).await })
+            tokio::spawn(async move { transport.call(address, Channel::Batch, body, LEASE).await })
         })
         .collect();
     for call in calls {
--- a/crates/mintlb-batch/src/heartbeat.rs
+++ b/crates/mintlb-batch/src/heartbeat.rs
@@ -1,4 +1,4 @@
-//! What a store tells the controllers, as a notice on [`mintlb_common::transport::Channel::Duties`].
+//! What a store tells the controllers, as a notice on [`mintlb_common::transport::Channel::Control`].
 
 use minicbor::{Decode, Encode};
 use mintlb_common::placement::StoreId;
--- a/crates/mintlb-batch/src/messages.rs
+++ b/crates/mintlb-batch/src/messages.rs
@@ -1,4 +1,4 @@
-//! Calls of dispatchers to stores on [`mintlb_common::transport::Channel::Lots`], and their answers. Each is a
+//! Calls of dispatchers to stores on [`mintlb_common::transport::Channel::Batch`], and their answers. Each is a
 //! [`crate::framing`] head; what is raw behind it is said at the variant. Messages between replicas are
 //! notices on the same channel, see [`crate::peer`].
 
--- a/crates/mintlb-batch/src/peer.rs
+++ b/crates/mintlb-batch/src/peer.rs
@@ -1,4 +1,4 @@
-//! Messages between the replicas of a shard: notices on [`mintlb_common::transport::Channel::Lots`], each a
+//! Messages between the replicas of a shard: notices on [`mintlb_common::transport::Channel::Batch`], each a
 //! [`crate::framing`] head; entries are raw behind it. A lost one is made good by the sender's next one.
 
 use crate::log_index::{LogIndex, Place, Run};
--- a/crates/mintlb-batch/src/placement_planner.rs
+++ b/crates/mintlb-batch/src/placement_planner.rs
@@ -238,16 +238,16 @@
     }
 
     fn change(&mut self, shard: usize, assignment: &ShardAssignment, replicas: Vec<StoreId>) {
-        let (previous, settled) = match assignment.previous.is_empty() {
+        let (previous, last_active_epoch) = match assignment.previous.is_empty() {
             true => (assignment.replicas.clone(), Some(assignment.epoch)),
             // Nothing was told by the replicas of an epoch that was not reported in charge.
-            false => (assignment.previous.clone(), assignment.settled),
+            false => (assignment.previous.clone(), assignment.last_active_epoch),
         };
         self.next.shards[shard] = ShardAssignment {
             epoch: assignment.epoch + 1,
             replicas,
             previous,
-            settled,
+            last_active_epoch,
         };
     }
 
--- a/crates/mintlb-batch/src/replica/takeover.rs
+++ b/crates/mintlb-batch/src/replica/takeover.rs
@@ -100,11 +100,12 @@
     /// primary since. And it does if it is the one of that primary: nobody else appended in that epoch, an entry is
     /// on its disk before it is committed, and with its promise it commits nothing more.
     fn is_whole(&self, from: StoreId, log: &LogIndex) -> bool {
-        let Some(settled) = self.assignment.settled else {
+        let Some(last_active_epoch) = self.assignment.last_active_epoch else {
             return false;
         };
         let epoch = log.end().epoch;
-        epoch > settled || epoch == settled && self.assignment.previous.first() == Some(&from)
+        epoch > last_active_epoch
+            || epoch == last_active_epoch && self.assignment.previous.first() == Some(&from)
     }
 
     pub(super) fn on_collected(&mut self, from: StoreId, epoch: u64, log: LogIndex, now: Moment) {
--- a/crates/mintlb-batch/tests/client.rs
+++ b/crates/mintlb-batch/tests/client.rs
@@ -14,7 +14,7 @@
 struct Scripted(Mutex<Vec<Option<Answer>>>, Mutex<Vec<u64>>);
 
 impl Service for Scripted {
-    fn request(&self, _from: SocketAddr, body: bytes::Bytes) -> transport::Answer {
+    fn on_request(&self, _from: SocketAddr, body: bytes::Bytes) -> transport::ResponseFuture {
         let Some((Call::Submit(submit), _)) = framing::decode::<Call>(&body) else {
             panic!("no submission")
         };
@@ -40,7 +40,7 @@
     let any = "127.0.0.1:0".parse().unwrap();
     let store = Transport::start(any).await.unwrap();
     let script = Arc::new(Scripted(Mutex::new(answers.to_vec()), Mutex::default()));
-    store.serve(Channel::Lots, script.clone());
+    store.register_service(Channel::Batch, script.clone());
     let entry = StoreEntry {
         id: 1,
         address: store.own_address().to_string(),
--- a/crates/mintlb-batch/tests/dropped_lots.rs
+++ b/crates/mintlb-batch/tests/dropped_lots.rs
@@ -12,12 +12,12 @@
 const LONG: Duration = Duration::from_secs(100_011);
 
 fn place(model: &mut Model, epoch: u64, replicas: &[u64], previous: &[u64]) {
-    let settled = epoch.checked_sub(1);
+    let last_active_epoch = epoch.checked_sub(1);
     let shard = ShardAssignment {
         epoch,
         replicas: replicas.to_vec(),
         previous: previous.to_vec(),
-        settled,
+        last_active_epoch,
     };
     let version = model.placements.len() as u64;
     model.placements.push(Placement {
--- a/crates/mintlb-batch/tests/fleet/shards.rs
+++ b/crates/mintlb-batch/tests/fleet/shards.rs
@@ -124,7 +124,7 @@
         let up = |id: &&StoreId| self.is_store_up(**id);
         // The settled epoch's primary has all that was told, and so has who began a later epoch.
         let first = assignment.previous[0];
-        if self.is_store_up(first) && Some(log(&first).epoch) >= assignment.settled {
+        if self.is_store_up(first) && Some(log(&first).epoch) >= assignment.last_active_epoch {
             return Some(log(&first));
         }
         let answers = assignment.previous.iter().filter(up).map(log);
@@ -135,7 +135,7 @@
             .map(log)
             .chain(answers.clone());
         if let Some(whole) = whole
-            .filter(|log| Some(log.epoch) > assignment.settled)
+            .filter(|log| Some(log.epoch) > assignment.last_active_epoch)
             .max()
         {
             return Some(whole);
--- a/crates/mintlb-batch/tests/takeover.rs
+++ b/crates/mintlb-batch/tests/takeover.rs
@@ -25,13 +25,19 @@
 }
 
 /// The same after takeovers that were given up: the last epoch that was settled is an older one.
-fn place_after(model: &mut Model, epoch: u64, replicas: &[u64], previous: &[u64], settled: u64) {
+fn place_after(
+    model: &mut Model,
+    epoch: u64,
+    replicas: &[u64],
+    previous: &[u64],
+    last_active_epoch: u64,
+) {
     let (replicas, previous) = (replicas.to_vec(), previous.to_vec());
     let shard = ShardAssignment {
         epoch,
         replicas,
         previous,
-        settled: Some(settled),
+        last_active_epoch: Some(last_active_epoch),
     };
     let version = model.placements.len() as u64;
     model.placements.push(Placement {
--- a/crates/mintlb-common/src/configuration.rs
+++ b/crates/mintlb-common/src/configuration.rs
@@ -4,12 +4,12 @@
 //! paths of their fields (`schematic`). What a controller has taken is read with [`Configuration::parse`] alone, which
 //! costs a third of that: every dispatcher reads every configuration.
 
-mod faults;
+mod validation;
 
-use faults::{known_services, path_prefix, sides_with_weight, timeout, unique_places};
 use schematic::{Config, ConfigEnum};
 use serde::{Deserialize, Serialize};
 use std::collections::HashSet;
+use validation::{known_services, path_prefix, sides_with_weight, timeout, unique_places};
 
 /// The operator's configuration.
 #[derive(Clone, Config, Debug, Deserialize, PartialEq)]
@@ -72,7 +72,8 @@
     pub resumable: bool,
     /// Longest pause between events at which an answer is in time, in ms.
     #[serde(default)]
-    pub gap_aim_ms: Option<f64>,
+    #[serde(rename = "gap_aim_ms")]
+    pub max_event_gap_ms: Option<f64>,
     /// For batch routes: so long after a lot was first sent all results are due, in ms.
     #[serde(default)]
     pub completion_target_ms: Option<u64>,
@@ -178,10 +179,10 @@
         reason: String,
     },
     /// Several fields are wrong.
-    #[error("M203 {}", faults.join("; "))]
-    Faults {
+    #[error("M203 {}", violations.join("; "))]
+    InvalidFields {
         /// Each field's path and what is wrong with it.
-        faults: Vec<String>,
+        violations: Vec<String>,
     },
 }
 
@@ -197,7 +198,7 @@
     /// Reads and checks a configuration as the operator sends it; an error names every fault that is found. What is
     /// read here is read by [`Configuration::parse`] as well.
     pub fn parse_from_operator(json: &[u8]) -> Result<Configuration, ConfigurationError> {
-        faults::find(json)?;
+        validation::find(json)?;
         Configuration::parse(json)
     }
 
--- a/crates/mintlb-common/src/configuration/faults.rs
+++ b/crates/mintlb-common/src/configuration/validation.rs
@@ -14,8 +14,8 @@
         Ok(()) => Ok(()),
         Err(ConfigError::Validator { error, .. }) => {
             let named = |fault: &ValidateError| format!("{}: {}", fault.path, fault.message);
-            Err(ConfigurationError::Faults {
-                faults: error.errors.iter().map(named).collect(),
+            Err(ConfigurationError::InvalidFields {
+                violations: error.errors.iter().map(named).collect(),
             })
         }
         Err(error) => Err(ConfigurationError::Unreadable(error.to_string())),
--- a/crates/mintlb-common/src/incarnation.rs
+++ b/crates/mintlb-common/src/incarnation.rs
@@ -16,7 +16,7 @@
 impl Incarnation {
     /// A new one. Besides chance, the address, the process id and the time of day go in, so that a machine with little
     /// chance at its start draws another one, too.
-    pub fn draw(address: SocketAddr) -> Incarnation {
+    pub fn generate(address: SocketAddr) -> Incarnation {
         let drawn = RandomState::new().hash_one((address, std::process::id(), SystemTime::now()));
         Incarnation(drawn.max(1))
     }
--- a/crates/mintlb-common/src/placement.rs
+++ b/crates/mintlb-common/src/placement.rs
@@ -59,7 +59,7 @@
     /// While `previous` is not empty: the epoch of the last assignment that had none. Nothing was told to anybody in a
     /// later one, so a log that holds an entry of a later epoch holds all that was told. `None`: not known.
     #[n(3)]
-    pub settled: Option<u64>,
+    pub last_active_epoch: Option<u64>,
 }
 
 impl Placement {
--- a/crates/mintlb-common/src/record.rs
+++ b/crates/mintlb-common/src/record.rs
@@ -19,7 +19,7 @@
 pub const WORKER_PREFIX: &str = "worker/";
 
 /// The prefix of the keys of ended lots; the lot's id follows.
-pub const ENDED_LOT_PREFIX: &str = "ended/";
+pub const ENDED_JOB_PREFIX: &str = "ended/";
 
 /// One versioned record.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -29,7 +29,7 @@
     /// Of two records with one key the higher version is in force.
     pub version: u64,
     /// Seconds after which the record may be dropped, counted from its receipt; 0 keeps it for good.
-    pub lifetime_s: u32,
+    pub ttl_s: u32,
     /// The content, encoded by the record's owner.
     pub body: Bytes,
 }
@@ -60,7 +60,7 @@
     pub call_sequence: u64,
     /// Unix time in ms at which it is no longer cold; 0 if it is not cold.
     #[n(7)]
-    pub warm_at_ms: u64,
+    pub slow_start_until_ms: u64,
 }
 
 /// Whether a worker may be sent new requests.
@@ -75,10 +75,10 @@
     Draining,
     /// Its heartbeats have stopped.
     #[n(2)]
-    Silent,
+    Unresponsive,
     /// It has said that it ends.
     #[n(3)]
-    Gone,
+    Deregistered,
 }
 
 impl WorkerRecord {
@@ -87,22 +87,22 @@
         let rank = match self.state {
             WorkerState::InService => 0,
             WorkerState::Draining => 1,
-            WorkerState::Silent => 2,
-            WorkerState::Gone => return u64::MAX,
+            WorkerState::Unresponsive => 2,
+            WorkerState::Deregistered => return u64::MAX,
         };
         self.call_sequence.saturating_mul(4).saturating_add(rank)
     }
 
     /// The record that tells every process of this worker.
     pub fn to_record(&self) -> Record {
-        let lifetime_s = match self.state {
+        let ttl_s = match self.state {
             WorkerState::InService | WorkerState::Draining => 0,
-            WorkerState::Silent | WorkerState::Gone => 60,
+            WorkerState::Unresponsive | WorkerState::Deregistered => 60,
         };
         Record {
             key: format!("{WORKER_PREFIX}{}", self.instance_id),
             version: self.version(),
-            lifetime_s,
+            ttl_s,
             body: minicbor::to_vec(self).unwrap_or_default().into(),
         }
     }
--- a/crates/mintlb-common/src/settings.rs
+++ b/crates/mintlb-common/src/settings.rs
@@ -115,7 +115,8 @@
     /// Within which an ended lot's items stop.
     pub cancel_ms: u64,
     /// Within which an accepted lot is known at every scheduler.
-    pub settle_ms: u64,
+    #[serde(rename = "settle_ms")]
+    pub batch_visibility_ms: u64,
     /// By which part waiting tokens may exceed `max_queued_tokens`.
     pub quota_overage: f64,
     /// Within which a returned machine counts as back.
@@ -133,7 +134,7 @@
             pass_ms: 120,
             status_s: 120.0,
             cancel_ms: 3000,
-            settle_ms: 1000,
+            batch_visibility_ms: 1000,
             quota_overage: 0.1,
             catch_up_s: 5.0,
         }
@@ -223,7 +224,7 @@
     }
 
     /// A worker is taken for silent after so long without a heartbeat.
-    pub fn silence(&self) -> Duration {
+    pub fn heartbeat_timeout(&self) -> Duration {
         Duration::from_millis(self.heartbeat_ms * 3 + 500)
     }
 }
--- a/crates/mintlb-common/src/signals.rs
+++ b/crates/mintlb-common/src/signals.rs
@@ -22,7 +22,7 @@
     }
 
     /// Resolves when the process is told to stop.
-    pub async fn stop(&mut self) {
+    pub async fn shutdown_requested(&mut self) {
         tokio::select! { _ = self.terminate.recv() => (), _ = self.interrupt.recv() => () }
     }
 }
--- a/crates/mintlb-common/src/transport.rs
+++ b/crates/mintlb-common/src/transport.rs
@@ -2,7 +2,7 @@
 //!
 //! A process listens on one internal address and is known to the others by it. [`Transport::notify`] sends a message
 //! that gets no answer; [`Transport::call`] waits for one, within a time. A message that can't be sent is lost, and
-//! [`Service::unreachable`] tells of its receiver. Every queue is bounded: what does not fit is lost like any message.
+//! [`Service::on_peer_unreachable`] tells of its receiver. Every queue is bounded: what does not fit is lost like any message.
 //!
 //! Both sides of a connection begin with the identity of their life ([`Incarnation`]). The dialling side names the one
 //! that its messages are meant for, if it knows one; a process with another identity, restarted or on a reused address,
@@ -11,21 +11,21 @@
 
 mod frame;
 mod greeting;
+pub mod incarnations;
 mod link;
-pub mod lives;
-pub mod refusals;
+pub mod rejections;
 
-pub use frame::MOST_BYTES;
-pub use refusals::Refusal;
+pub use frame::MAX_MESSAGE_BYTES;
+pub use rejections::Rejection;
 
 use crate::incarnation::Incarnation;
 use bytes::{Bytes, BytesMut};
 use frame::{Frame, Frames, Kind, put};
 use greeting::{GREETING_BYTES, Greeting, Purpose, REPLY_BYTES, read_reply, reply_bytes};
+use incarnations::{DialCheck, IncarnationTable};
 use link::Link;
-use lives::{Claim, Lives};
 use parking_lot::Mutex;
-use refusals::Refusals;
+use rejections::RejectionCounts;
 use std::collections::HashMap;
 use std::future::Future;
 use std::net::{SocketAddr, SocketAddrV4};
@@ -53,22 +53,22 @@
 #[repr(u8)]
 pub enum Channel {
     /// Views, records, digests.
-    Overlay = 1,
+    Gossip = 1,
     /// The register's two rounds.
     Register = 2,
     /// Lots, between dispatchers and stores and between stores.
-    Lots = 3,
+    Batch = 3,
     /// Duties: heartbeats of stores, orders passed on between controllers.
-    Duties = 4,
+    Control = 4,
 }
 
 impl Channel {
     fn from_byte(byte: u8) -> Option<Channel> {
         [
-            Channel::Overlay,
+            Channel::Gossip,
             Channel::Register,
-            Channel::Lots,
-            Channel::Duties,
+            Channel::Batch,
+            Channel::Control,
         ]
         .into_iter()
         .find(|c| *c as u8 == byte)
@@ -76,20 +76,20 @@
 }
 
 /// The answer to a call, once it is there.
-pub type Answer = Pin<Box<dyn Future<Output = Bytes> + Send>>;
+pub type ResponseFuture = Pin<Box<dyn Future<Output = Bytes> + Send>>;
 
 /// What takes the messages of a channel.
 pub trait Service: Send + Sync {
     /// A message that gets no answer. `from` is the sender's internal address.
-    fn notice(&self, _from: SocketAddr, _body: Bytes) {}
+    fn on_notification(&self, _from: SocketAddr, _body: Bytes) {}
     /// A message that gets an answer; an empty one says that the call is not understood.
-    fn request(&self, _from: SocketAddr, _body: Bytes) -> Answer {
+    fn on_request(&self, _from: SocketAddr, _body: Bytes) -> ResponseFuture {
         Box::pin(async { Bytes::new() })
     }
     /// Messages to this process were lost, as it can't be reached or its connection broke.
-    fn unreachable(&self, _peer: SocketAddr) {}
+    fn on_peer_unreachable(&self, _peer: SocketAddr) {}
     /// Another life than the one known so far is at this address.
-    fn restarted(&self, _peer: SocketAddr, _incarnation: Incarnation) {}
+    fn on_peer_restarted(&self, _peer: SocketAddr, _incarnation: Incarnation) {}
 }
 
 /// Why a call has no answer. It may have been carried out, where nothing else is said.
@@ -126,8 +126,8 @@
     incarnation: Incarnation,
     services: Mutex<HashMap<Channel, Arc<dyn Service>>>,
     links: Mutex<HashMap<SocketAddr, Arc<Link>>>,
-    lives: Mutex<Lives>,
-    refusals: Mutex<Refusals>,
+    incarnations: Mutex<IncarnationTable>,
+    rejections: Mutex<RejectionCounts>,
     calls: AtomicU64,
     sent_bytes: AtomicU64,
 }
@@ -144,11 +144,11 @@
         };
         let transport = Arc::new(Transport {
             own,
-            incarnation: Incarnation::draw(own.into()),
+            incarnation: Incarnation::generate(own.into()),
             services: Mutex::default(),
             links: Mutex::default(),
-            lives: Mutex::default(),
-            refusals: Mutex::default(),
+            incarnations: Mutex::default(),
+            rejections: Mutex::default(),
             calls: AtomicU64::new(1),
             sent_bytes: AtomicU64::new(0),
         });
@@ -172,24 +172,24 @@
     }
 
     /// Counts what was not taken from a process, also by the service that it was for.
-    pub fn refuse(&self, refusal: Refusal, from: SocketAddr) {
-        if let Some(count) = self.refusals.lock().count(refusal, from) {
-            let level = if refusal.is_usual() {
+    pub fn record_rejection(&self, rejection: Rejection, from: SocketAddr) {
+        if let Some(count) = self.rejections.lock().count(rejection, from) {
+            let level = if rejection.is_expected_after_restart() {
                 log::Level::Info
             } else {
                 log::Level::Warn
             };
-            log::log!(level, "transport: {refusal}, from {from}, {count} so far");
+            log::log!(level, "transport: {rejection}, from {from}, {count} so far");
         }
     }
 
     /// How much of this kind was not taken from a process so far.
-    pub fn refused(&self, refusal: Refusal, from: SocketAddr) -> u64 {
-        self.refusals.lock().of(refusal, from)
+    pub fn rejection_count(&self, rejection: Rejection, from: SocketAddr) -> u64 {
+        self.rejections.lock().of(rejection, from)
     }
 
     /// Messages of this channel go to this service from now on.
-    pub fn serve(&self, channel: Channel, service: Arc<dyn Service>) {
+    pub fn register_service(&self, channel: Channel, service: Arc<dyn Service>) {
         self.services.lock().insert(channel, service);
     }
 
@@ -237,7 +237,7 @@
 
     /// The link to a process. A new one is meant for the life that is known there now.
     fn link(self: &Arc<Self>, to: SocketAddr) -> Arc<Link> {
-        let expected = self.lives.lock().at(to);
+        let expected = self.incarnations.lock().at(to);
         let mut links = self.links.lock();
         let link = links.entry(to).or_insert_with(|| {
             let (link, queue) = Link::new(expected);
@@ -265,7 +265,7 @@
         if end != End::Idle {
             self.services()
                 .iter()
-                .for_each(|service| service.unreachable(to));
+                .for_each(|service| service.on_peer_unreachable(to));
         }
     }
 
@@ -297,17 +297,17 @@
             return End::Broken;
         }
         let Some(there) = read_reply(&reply) else {
-            self.refuse(Refusal::Greeting, to);
+            self.record_rejection(Rejection::InvalidHandshake, to);
             return End::Broken;
         };
-        self.settle(to, there, Some(link));
+        self.confirm(to, there, Some(link));
         if link.expected.is_some_and(|expected| expected != there) {
             return End::Refused;
         }
         let mut frames = Frames::new(read);
         while let Some(frame) = self.next_of(&mut frames, to).await {
             if frame.kind != Kind::Answer {
-                self.refuse(Refusal::Misplaced, to);
+                self.record_rejection(Rejection::UnexpectedFrame, to);
                 return End::Broken;
             }
             link.answered(frame.call, frame.body);
@@ -327,8 +327,8 @@
 
     /// This life is at the address. If it is another than the one known so far, the connections to that one end, but for
     /// the one that told of it.
-    fn settle(&self, address: SocketAddr, incarnation: Incarnation, told_by: Option<&Arc<Link>>) {
-        if !self.lives.lock().settle(address, incarnation) {
+    fn confirm(&self, address: SocketAddr, incarnation: Incarnation, told_by: Option<&Arc<Link>>) {
+        if !self.incarnations.lock().confirm(address, incarnation) {
             return;
         }
         log::debug!("transport: another process is at {address}");
@@ -345,7 +345,7 @@
         former.iter().for_each(|link| link.replace());
         self.services()
             .iter()
-            .for_each(|service| service.restarted(address, incarnation));
+            .for_each(|service| service.on_peer_restarted(address, incarnation));
     }
 
     fn services(&self) -> Vec<Arc<dyn Service>> {
@@ -409,7 +409,8 @@
         };
         let Some(greeting) = greeting else {
             // Its port says nothing of who it is.
-            return self.refuse(Refusal::Greeting, SocketAddr::new(peer.ip(), 0));
+            return self
+                .record_rejection(Rejection::InvalidHandshake, SocketAddr::new(peer.ip(), 0));
         };
         let replied = stream
             .write_all(&reply_bytes(self.incarnation))
@@ -422,12 +423,12 @@
             .expected
             .is_some_and(|expected| expected != self.incarnation)
         {
-            self.refuse(Refusal::MeantForAnother, greeting.from());
+            self.record_rejection(Rejection::WrongIncarnation, greeting.from());
             return close(stream).await;
         }
         let (from, incarnation) = (greeting.from(), greeting.incarnation);
         if !self.admits(from, incarnation).await {
-            return self.refuse(Refusal::EndedLife, from);
+            return self.record_rejection(Rejection::StaleIncarnation, from);
         }
         let (read, write) = stream.into_split();
         let (answers, mut queue) = mpsc::channel(QUEUE);
@@ -438,12 +439,12 @@
 
     /// Whether a process that dials is the one at its address.
     async fn admits(&self, from: SocketAddr, incarnation: Incarnation) -> bool {
-        let claim = self.lives.lock().dialled_by(from, incarnation);
-        if claim == Claim::Known {
+        let claim = self.incarnations.lock().check_dialer(from, incarnation);
+        if claim == DialCheck::Known {
             return true;
         }
         let there = self.ask(from).await.unwrap_or(incarnation);
-        self.settle(from, there, None);
+        self.confirm(from, there, None);
         there == incarnation
     }
 
@@ -488,11 +489,11 @@
     ) {
         let mut frames = Frames::new(read);
         while let Some(frame) = self.next_of(&mut frames, from).await {
-            if !self.lives.lock().is_current(from, incarnation) {
-                return self.refuse(Refusal::EndedLife, from);
+            if !self.incarnations.lock().is_current(from, incarnation) {
+                return self.record_rejection(Rejection::StaleIncarnation, from);
             }
             if frame.kind == Kind::Answer {
-                return self.refuse(Refusal::Misplaced, from);
+                return self.record_rejection(Rejection::UnexpectedFrame, from);
             }
             self.take(frame, from, &answers);
         }
@@ -502,7 +503,7 @@
     async fn next_of(&self, frames: &mut Frames, from: SocketAddr) -> Option<Frame> {
         let frame = frames.next().await;
         if frame.is_err() {
-            self.refuse(Refusal::Unreadable, from);
+            self.record_rejection(Rejection::Malformed, from);
         }
         frame.ok().flatten()
     }
@@ -512,9 +513,9 @@
             Channel::from_byte(frame.channel).and_then(|c| self.services.lock().get(&c).cloned());
         let Some(service) = service else { return };
         if frame.kind == Kind::Notice {
-            return service.notice(from, frame.body);
+            return service.on_notification(from, frame.body);
         }
-        let (answers, answer) = (answers.clone(), service.request(from, frame.body));
+        let (answers, answer) = (answers.clone(), service.on_request(from, frame.body));
         tokio::spawn(async move {
             let body = answer.await;
             let answer = Frame {
--- a/crates/mintlb-common/src/transport/frame.rs
+++ b/crates/mintlb-common/src/transport/frame.rs
@@ -5,7 +5,7 @@
 use tokio::net::tcp::OwnedReadHalf;
 
 /// The longest message.
-pub const MOST_BYTES: usize = 24 << 20;
+pub const MAX_MESSAGE_BYTES: usize = 24 << 20;
 
 /// Length, channel, kind and call number of a frame.
 const HEAD: usize = 4 + 1 + 1 + 8;
@@ -89,7 +89,7 @@
         return Ok(None);
     }
     let length = u32::from_be_bytes([bytes[0], bytes[1], bytes[2], bytes[3]]) as usize;
-    if length > MOST_BYTES {
+    if length > MAX_MESSAGE_BYTES {
         return Err(NoFrame);
     }
     if bytes.len() < HEAD + length {
--- a/crates/mintlb-common/src/transport/lives.rs
+++ b/crates/mintlb-common/src/transport/incarnations.rs
@@ -10,11 +10,11 @@
 use std::net::SocketAddr;
 
 /// How many addresses are remembered at most; of further ones no life is expected.
-const MOST_ADDRESSES: usize = 4096;
+const MAX_ADDRESSES: usize = 4096;
 
 /// What to do about a process that dials.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Claim {
+pub enum DialCheck {
     /// It is the life that is known, or the first one heard of.
     Known,
     /// Another life is known at its address, which is to be asked who is there.
@@ -23,31 +23,31 @@
 
 /// The lives by address.
 #[derive(Debug, Default)]
-pub struct Lives {
+pub struct IncarnationTable {
     known: HashMap<SocketAddr, Incarnation>,
 }
 
-impl Lives {
+impl IncarnationTable {
     /// The life that messages to this address are meant for.
     pub fn at(&self, address: SocketAddr) -> Option<Incarnation> {
         self.known.get(&address).copied()
     }
 
     /// A process dials and says that it is at this address.
-    pub fn dialled_by(&mut self, address: SocketAddr, incarnation: Incarnation) -> Claim {
+    pub fn check_dialer(&mut self, address: SocketAddr, incarnation: Incarnation) -> DialCheck {
         match self.at(address) {
-            Some(known) if known != incarnation => Claim::Conflict,
-            Some(_) => Claim::Known,
+            Some(known) if known != incarnation => DialCheck::Conflict,
+            Some(_) => DialCheck::Known,
             None => {
-                self.settle(address, incarnation);
-                Claim::Known
+                self.confirm(address, incarnation);
+                DialCheck::Known
             }
         }
     }
 
     /// This life is at the address; whether another one was known there.
-    pub fn settle(&mut self, address: SocketAddr, incarnation: Incarnation) -> bool {
-        if !self.known.contains_key(&address) && self.known.len() >= MOST_ADDRESSES {
+    pub fn confirm(&mut self, address: SocketAddr, incarnation: Incarnation) -> bool {
+        if !self.known.contains_key(&address) && self.known.len() >= MAX_ADDRESSES {
             return false;
         }
         self.known
--- a/crates/mintlb-common/tests/configuration.rs
+++ b/crates/mintlb-common/tests/configuration.rs
@@ -21,7 +21,7 @@
 }
 
 /// Both ways to read refuse it; returns what the operator is told.
-fn refused(json: &str) -> String {
+fn rejected(json: &str) -> String {
     assert!(Configuration::parse(json.as_bytes()).is_err(), "{json}");
     let told = Configuration::parse_from_operator(json.as_bytes());
     told.expect_err("it was to be refused").to_string()
@@ -92,17 +92,17 @@
 
 #[test]
 fn a_comment_is_no_json() {
-    assert!(refused(&format!("{WIRE} // note")).starts_with("M201"));
+    assert!(rejected(&format!("{WIRE} // note")).starts_with("M201"));
 }
 
 #[test]
 fn a_route_to_an_unknown_service_is_refused() {
-    let single = refused(&with("route_list/0/target_service", json!("nowhere")));
+    let single = rejected(&with("route_list/0/target_service", json!("nowhere")));
     assert!(
         single.contains("service_list") && single.contains("nowhere"),
         "{single}"
     );
-    let split = refused(&with(
+    let split = rejected(&with(
         "route_list/1/traffic_split/1/target_service",
         json!("nowhere"),
     ));
@@ -113,20 +113,20 @@
 fn a_route_to_no_service_is_refused() {
     let none = with("route_list/0/target_service", Value::Null);
     assert!(
-        refused(&none).contains("route_list[0]"),
+        rejected(&none).contains("route_list[0]"),
         "{}",
-        refused(&none)
+        rejected(&none)
     );
 }
 
 #[test]
 fn two_routes_of_one_host_and_prefix_are_refused() {
-    let told = refused(&with("route_list/1/path_prefix", json!("/pufi791/")));
+    let told = rejected(&with("route_list/1/path_prefix", json!("/pufi791/")));
     assert!(told.contains("route_list[1].path_prefix"), "{told}");
     let mut whole: Value = serde_json::from_str(WIRE).unwrap();
     whole["route_list"][1]["path_prefix"] = json!("/pufi791/");
     whole["route_list"][1]["host_name"] = json!("FICU95.example");
-    refused(&whole.to_string());
+    rejected(&whole.to_string());
     whole["route_list"][1]["host_name"] = json!("other.example");
     assert!(Configuration::parse_from_operator(whole.to_string().as_bytes()).is_ok());
 }
@@ -137,13 +137,13 @@
     whole["route_list"][1]["traffic_split"][0]["weight"] = json!(0);
     assert!(Configuration::parse_from_operator(whole.to_string().as_bytes()).is_ok());
     whole["route_list"][1]["traffic_split"][1]["weight"] = json!(0);
-    let told = refused(&whole.to_string());
+    let told = rejected(&whole.to_string());
     assert!(told.contains("route_list[1].traffic_split"), "{told}");
 }
 
 #[test]
 fn a_weight_below_0_is_refused() {
-    let told = refused(&with("route_list/1/traffic_split/0/weight", json!(-1)));
+    let told = rejected(&with("route_list/1/traffic_split/0/weight", json!(-1)));
     assert!(
         told.contains("route_list[1].traffic_split[0].weight"),
         "{told}"
@@ -152,13 +152,13 @@
 
 #[test]
 fn a_timeout_of_0_is_refused() {
-    let told = refused(&with("route_list/0/timeout_ms", json!(0)));
+    let told = rejected(&with("route_list/0/timeout_ms", json!(0)));
     assert!(told.contains("route_list[0].timeout_ms"), "{told}");
 }
 
 #[test]
 fn a_prefix_without_slashes_is_refused() {
-    let told = refused(&with("route_list/0/path_prefix", json!("pufi791/")));
+    let told = rejected(&with("route_list/0/path_prefix", json!("pufi791/")));
     assert!(told.contains("route_list[0].path_prefix"), "{told}");
 }
 
@@ -167,7 +167,7 @@
     let mut whole: Value = serde_json::from_str(WIRE).unwrap();
     whole["route_list"][0]["timeout_ms"] = json!(0);
     whole["route_list"][1]["path_prefix"] = json!("/x");
-    let told = refused(&whole.to_string());
+    let told = rejected(&whole.to_string());
     assert!(
         told.contains("route_list[0].timeout_ms") && told.contains("route_list[1].path_prefix"),
         "{told}"
@@ -179,11 +179,11 @@
     for field in ["config_version", "route_list", "service_list"] {
         let mut whole: Value = serde_json::from_str(WIRE).unwrap();
         whole.as_object_mut().unwrap().remove(field);
-        refused(&whole.to_string());
+        rejected(&whole.to_string());
     }
-    refused(&with("route_list/0/route_type", json!("sometimes")));
-    refused(&with("config_version", json!("7")));
-    refused(&with("config_version", json!(-7)));
+    rejected(&with("route_list/0/route_type", json!("sometimes")));
+    rejected(&with("config_version", json!("7")));
+    rejected(&with("config_version", json!(-7)));
 }
 
 #[test]
--- a/crates/mintlb-common/tests/messages/mod.rs
+++ b/crates/mintlb-common/tests/messages/mod.rs
@@ -3,7 +3,7 @@
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
 use bytes::Bytes;
-use mintlb_common::transport::{Answer, Channel, Service, Transport};
+use mintlb_common::transport::{Channel, ResponseFuture, Service, Transport};
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::Duration;
@@ -30,10 +30,10 @@
 struct Echo(UnboundedSender<Seen>);
 
 impl Service for Echo {
-    fn notice(&self, from: SocketAddr, body: Bytes) {
+    fn on_notification(&self, from: SocketAddr, body: Bytes) {
         self.0.send(Seen::Notice(from, body)).unwrap();
     }
-    fn request(&self, _from: SocketAddr, body: Bytes) -> Answer {
+    fn on_request(&self, _from: SocketAddr, body: Bytes) -> ResponseFuture {
         Box::pin(async move {
             match &body[..] {
                 b"silence" => std::future::pending().await,
@@ -42,10 +42,14 @@
             }
         })
     }
-    fn unreachable(&self, peer: SocketAddr) {
+    fn on_peer_unreachable(&self, peer: SocketAddr) {
         self.0.send(Seen::Unreachable(peer)).unwrap();
     }
-    fn restarted(&self, peer: SocketAddr, incarnation: mintlb_common::incarnation::Incarnation) {
+    fn on_peer_restarted(
+        &self,
+        peer: SocketAddr,
+        incarnation: mintlb_common::incarnation::Incarnation,
+    ) {
         self.0
             .send(Seen::Restarted(peer, incarnation.number()))
             .unwrap();
@@ -58,7 +62,7 @@
         .await
         .unwrap();
     let (seen, sees) = unbounded_channel();
-    transport.serve(Channel::Lots, Arc::new(Echo(seen)));
+    transport.register_service(Channel::Batch, Arc::new(Echo(seen)));
     (transport, sees)
 }
 
@@ -138,7 +142,7 @@
 
     pub async fn write(&mut self, kind: u8, call: u64, body: &str) {
         let mut frame = (body.len() as u32).to_be_bytes().to_vec();
-        frame.extend([Channel::Lots as u8, kind]);
+        frame.extend([Channel::Batch as u8, kind]);
         frame.extend(call.to_be_bytes());
         frame.extend(body.as_bytes());
         self.0.write_all(&frame).await.unwrap();
--- a/crates/mintlb-common/tests/transport.rs
+++ b/crates/mintlb-common/tests/transport.rs
@@ -14,7 +14,7 @@
 async fn a_notice_comes_with_its_senders_address() {
     let (a, _) = process().await;
     let (b, mut sees) = process().await;
-    assert!(a.notify(b.own_address(), Channel::Lots, Bytes::from_static(b"word")));
+    assert!(a.notify(b.own_address(), Channel::Batch, Bytes::from_static(b"word")));
     let seen = timeout(WAIT, sees.recv()).await.unwrap().unwrap();
     assert_eq!(
         seen,
@@ -28,7 +28,7 @@
     let (b, _sees) = process().await;
     let call = |text: String| {
         let (a, to) = (a.clone(), b.own_address());
-        tokio::spawn(async move { a.call(to, Channel::Lots, text.into(), WAIT).await })
+        tokio::spawn(async move { a.call(to, Channel::Batch, text.into(), WAIT).await })
     };
     let calls: Vec<_> = (0..50).map(|i| (i, call(format!("{i},")))).collect();
     for (i, call) in calls {
@@ -45,7 +45,7 @@
     let (b, _sees) = process().await;
     let body = Bytes::from(vec![7_u8; 3 << 20]);
     let answer = a
-        .call(b.own_address(), Channel::Lots, body, WAIT)
+        .call(b.own_address(), Channel::Batch, body, WAIT)
         .await
         .unwrap();
     assert_eq!(answer.len(), 6 << 20);
@@ -57,15 +57,15 @@
     let (b, _sees) = process().await;
     let (to, soon) = (b.own_address(), Duration::from_millis(20));
     let silent = a
-        .call(to, Channel::Lots, Bytes::from_static(b"silence"), soon)
+        .call(to, Channel::Batch, Bytes::from_static(b"silence"), soon)
         .await;
     assert_eq!(silent, Err(CallError::TimedOut));
     let unknown = a
-        .call(to, Channel::Lots, Bytes::from_static(b"what"), WAIT)
+        .call(to, Channel::Batch, Bytes::from_static(b"what"), WAIT)
         .await;
     assert_eq!(unknown, Err(CallError::NotUnderstood));
     let next = a
-        .call(to, Channel::Lots, Bytes::from_static(b"x"), WAIT)
+        .call(to, Channel::Batch, Bytes::from_static(b"x"), WAIT)
         .await;
     assert_eq!(next.unwrap(), Bytes::from_static(b"xx"));
 }
@@ -77,7 +77,7 @@
     let nobody = listener.local_addr().unwrap();
     drop(listener);
     let call = a
-        .call(nobody, Channel::Lots, Bytes::from_static(b"x"), WAIT)
+        .call(nobody, Channel::Batch, Bytes::from_static(b"x"), WAIT)
         .await;
     assert_eq!(call, Err(CallError::Unreachable));
     assert_eq!(
@@ -91,14 +91,14 @@
     let (a, mut sees) = process().await;
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let there = listener.local_addr().unwrap();
-    a.notify(there, Channel::Lots, Bytes::from_static(b"x"));
+    a.notify(there, Channel::Batch, Bytes::from_static(b"x"));
     let (connection, _) = timeout(WAIT, listener.accept()).await.unwrap().unwrap();
     drop(connection);
     assert_eq!(
         timeout(WAIT, sees.recv()).await.unwrap().unwrap(),
         Seen::Unreachable(there)
     );
-    a.notify(there, Channel::Lots, Bytes::from_static(b"y"));
+    a.notify(there, Channel::Batch, Bytes::from_static(b"y"));
     assert!(timeout(WAIT, listener.accept()).await.unwrap().is_ok());
 }
 
@@ -121,7 +121,7 @@
     .ok();
     assert!(end.is_empty());
     let (a, _) = process().await;
-    a.notify(b.own_address(), Channel::Lots, Bytes::from_static(b"word"));
+    a.notify(b.own_address(), Channel::Batch, Bytes::from_static(b"word"));
     assert!(matches!(
         timeout(WAIT, sees.recv()).await.unwrap().unwrap(),
         Seen::Notice(..)
--- a/crates/mintlb-common/tests/transport_lives.rs
+++ b/crates/mintlb-common/tests/transport_incarnations.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use messages::{ANSWER, NOTICE, REQUEST, Seen, WAIT, Wire, listener, next, notice, process};
 use mintlb_common::incarnation::Incarnation;
-use mintlb_common::transport::lives::{Claim, Lives};
+use mintlb_common::transport::incarnations::{DialCheck, IncarnationTable};
 use mintlb_common::transport::{CallError, Channel, Transport};
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -20,7 +20,7 @@
 fn call(from: &Arc<Transport>, to: SocketAddr) -> JoinHandle<Result<Bytes, CallError>> {
     let from = from.clone();
     tokio::spawn(async move {
-        from.call(to, Channel::Lots, Bytes::from_static(b"call"), LONG)
+        from.call(to, Channel::Batch, Bytes::from_static(b"call"), LONG)
             .await
     })
 }
@@ -162,8 +162,9 @@
     let (b, _) = process().await;
     assert_ne!(a.incarnation(), b.incarnation());
     let own = a.own_address();
-    let drawn: std::collections::HashSet<_> =
-        (0..1000).map(|_| Incarnation::draw(own).number()).collect();
+    let drawn: std::collections::HashSet<_> = (0..1000)
+        .map(|_| Incarnation::generate(own).number())
+        .collect();
     assert_eq!(drawn.len(), 1000);
     assert!(!drawn.contains(&0));
 }
@@ -178,7 +179,7 @@
     let call = {
         let a = a.clone();
         tokio::spawn(async move {
-            a.call(there, Channel::Lots, Bytes::from_static(b"ping"), within)
+            a.call(there, Channel::Batch, Bytes::from_static(b"ping"), within)
                 .await
         })
     };
@@ -193,20 +194,29 @@
 fn lives_are_remembered_of_a_bounded_number_of_addresses() {
     let address = |number: u32| SocketAddr::from((std::net::Ipv4Addr::from_bits(number), 1));
     let life = |number| Incarnation::from_number(number).unwrap();
-    let mut lives = Lives::default();
+    let mut incarnations = IncarnationTable::default();
     for number in 1..=5000 {
-        assert_eq!(lives.dialled_by(address(number), life(1)), Claim::Known);
+        assert_eq!(
+            incarnations.check_dialer(address(number), life(1)),
+            DialCheck::Known
+        );
     }
     assert_eq!(
         (1..=5000)
-            .filter(|number| lives.at(address(*number)).is_some())
+            .filter(|number| incarnations.at(address(*number)).is_some())
             .count(),
         4096
     );
     // Of one that there was no room for anything is taken; of a known one the other life is asked for.
-    assert!(lives.is_current(address(5000), life(2)));
-    assert_eq!(lives.dialled_by(address(1), life(2)), Claim::Conflict);
-    assert!(lives.settle(address(1), life(2)));
-    assert!(!lives.is_current(address(1), life(1)) && lives.is_current(address(1), life(2)));
-    assert!(!lives.settle(address(1), life(2)), "nothing new");
+    assert!(incarnations.is_current(address(5000), life(2)));
+    assert_eq!(
+        incarnations.check_dialer(address(1), life(2)),
+        DialCheck::Conflict
+    );
+    assert!(incarnations.confirm(address(1), life(2)));
+    assert!(
+        !incarnations.is_current(address(1), life(1))
+            && incarnations.is_current(address(1), life(2))
+    );
+    assert!(!incarnations.confirm(address(1), life(2)), "nothing new");
 }
--- a/crates/mintlb-control/src/controller/duties.rs
+++ b/crates/mintlb-control/src/controller/duties.rs
@@ -219,7 +219,7 @@
         let (transport, body) = (controller.transport.clone(), body.clone());
         calls.spawn(async move {
             transport
-                .call(address, Channel::Duties, body, WORKERS_WITHIN)
+                .call(address, Channel::Control, body, WORKERS_WITHIN)
                 .await
         });
     }
--- a/crates/mintlb-control/src/controller/duty_service.rs
+++ b/crates/mintlb-control/src/controller/duty_service.rs
@@ -7,7 +7,7 @@
 use bytes::Bytes;
 use mintlb_batch::framing;
 use mintlb_batch::heartbeat::StoreHeartbeat;
-use mintlb_common::transport::{Answer, Channel, Service};
+use mintlb_common::transport::{Channel, ResponseFuture, Service};
 use std::net::SocketAddr;
 use std::sync::Arc;
 use tokio::time::Instant;
@@ -16,19 +16,19 @@
 pub fn serve(controller: &Arc<Controller>) {
     controller
         .transport
-        .serve(Channel::Duties, Arc::new(DutyService(controller.clone())));
+        .register_service(Channel::Control, Arc::new(DutyService(controller.clone())));
 }
 
 struct DutyService(Arc<Controller>);
 
 impl Service for DutyService {
-    fn notice(&self, _from: SocketAddr, body: Bytes) {
+    fn on_notification(&self, _from: SocketAddr, body: Bytes) {
         if let Some((heartbeat, _)) = framing::decode::<StoreHeartbeat>(&body) {
             self.0.duties.note_store(heartbeat);
         }
     }
 
-    fn request(&self, from: SocketAddr, body: Bytes) -> Answer {
+    fn on_request(&self, from: SocketAddr, body: Bytes) -> ResponseFuture {
         let controller = self.0.clone();
         Box::pin(async move {
             let Ok(call) = minicbor::decode(&body) else {
--- a/crates/mintlb-control/src/controller/instance_api.rs
+++ b/crates/mintlb-control/src/controller/instance_api.rs
@@ -67,7 +67,7 @@
                 InstanceState::Draining => WorkerState::Draining,
             },
             call_sequence: self.call_sequence,
-            warm_at_ms: if cold > 0 { unix_ms + cold } else { 0 },
+            slow_start_until_ms: if cold > 0 { unix_ms + cold } else { 0 },
         }
     }
 }
--- a/crates/mintlb-control/src/controller/mod.rs
+++ b/crates/mintlb-control/src/controller/mod.rs
@@ -98,7 +98,9 @@
 
     /// Puts other settings in force.
     pub fn replace_settings(&self, settings: NodeSettings) {
-        self.registry.lock().set_silence(settings.silence());
+        self.registry
+            .lock()
+            .set_silence(settings.heartbeat_timeout());
         *self.settings.lock() = Arc::new(settings);
     }
 
@@ -194,7 +196,7 @@
         stopping,
     );
     let server = tokio::spawn(server);
-    signals.stop().await;
+    signals.shutdown_requested().await;
     log::info!("controller: told to stop");
     stop.send_replace(true);
     let grace = Duration::from_secs_f64(
@@ -263,7 +265,7 @@
     let on_chosen = publisher.clone();
     register.listen(Box::new(move |chosen| on_chosen.publish(&chosen.state)));
     Ok(Arc::new(Controller {
-        registry: Mutex::new(Registry::new(Instant::now(), settings.silence())),
+        registry: Mutex::new(Registry::new(Instant::now(), settings.heartbeat_timeout())),
         settings: Mutex::new(Arc::new(settings)),
         started_at: Instant::now(),
         transport,
--- a/crates/mintlb-control/src/controller/orphans.rs
+++ b/crates/mintlb-control/src/controller/orphans.rs
@@ -41,7 +41,10 @@
             let Ok(worker) = minicbor::decode::<WorkerRecord>(&record.body) else {
                 continue;
             };
-            if matches!(worker.state, WorkerState::Silent | WorkerState::Gone) {
+            if matches!(
+                worker.state,
+                WorkerState::Unresponsive | WorkerState::Deregistered
+            ) {
                 continue;
             }
             let before = self
@@ -51,7 +54,7 @@
             let since = before.map_or(now, |(_, since)| *since);
             if now.saturating_duration_since(since) >= ORPHANED_AFTER {
                 orphans.push(WorkerRecord {
-                    state: WorkerState::Silent,
+                    state: WorkerState::Unresponsive,
                     ..worker
                 });
             }
--- a/crates/mintlb-control/src/controller/pings.rs
+++ b/crates/mintlb-control/src/controller/pings.rs
@@ -68,7 +68,7 @@
     let call = DutyCall::Ping(controller.duties.pings().ping(sent_at, to, set));
     let answer = controller
         .transport
-        .call(to, Channel::Duties, encoded(&call), PING_WITHIN)
+        .call(to, Channel::Control, encoded(&call), PING_WITHIN)
         .await;
     if let Some(DutyAnswer::Pong(pong)) = answer
         .ok()
--- a/crates/mintlb-control/src/controller/publisher.rs
+++ b/crates/mintlb-control/src/controller/publisher.rs
@@ -68,7 +68,7 @@
     (state.configuration_version > 0).then(|| Record {
         key: CONFIGURATION.to_string(),
         version: state.configuration_version,
-        lifetime_s: 0,
+        ttl_s: 0,
         body: state.configuration.clone().into(),
     })
 }
@@ -78,7 +78,7 @@
     Some(Record {
         key: key.to_string(),
         version,
-        lifetime_s: 0,
+        ttl_s: 0,
         body,
     })
 }
--- a/crates/mintlb-control/src/controller/register.rs
+++ b/crates/mintlb-control/src/controller/register.rs
@@ -101,7 +101,7 @@
             majority_at: Mutex::default(),
             listener: Mutex::default(),
         });
-        transport.serve(
+        transport.register_service(
             Channel::Register,
             Arc::new(RegisterService(register.clone())),
         );
@@ -368,7 +368,7 @@
 struct RegisterService(Arc<Register>);
 
 impl transport::Service for RegisterService {
-    fn request(&self, _from: SocketAddr, body: Bytes) -> transport::Answer {
+    fn on_request(&self, _from: SocketAddr, body: Bytes) -> transport::ResponseFuture {
         let register = self.0.clone();
         Box::pin(async move {
             match minicbor::decode(&body) {
--- a/crates/mintlb-control/src/controller/registry.rs
+++ b/crates/mintlb-control/src/controller/registry.rs
@@ -85,7 +85,7 @@
         in_force: Option<&WorkerRecord>,
     ) -> Heard {
         let sequence = told.call_sequence;
-        let gone = in_force.is_some_and(|known| known.state == WorkerState::Gone);
+        let gone = in_force.is_some_and(|known| known.state == WorkerState::Deregistered);
         let later = in_force.is_some_and(|known| known.call_sequence > sequence);
         let repeated = self
             .workers
@@ -148,7 +148,7 @@
         let kept = self.workers.remove(id).map(|kept| kept.published);
         let known = in_force.or(kept).unwrap_or_else(|| unknown(id));
         WorkerRecord {
-            state: WorkerState::Gone,
+            state: WorkerState::Deregistered,
             ..known
         }
     }
@@ -179,7 +179,7 @@
             }
             if in_force(id).is_none_or(|version| version <= kept.published.version()) {
                 silent.push(WorkerRecord {
-                    state: WorkerState::Silent,
+                    state: WorkerState::Unresponsive,
                     call_sequence: kept.call_sequence,
                     ..kept.published.clone()
                 });
@@ -204,7 +204,7 @@
         && a.service == b.service
         && a.zone == b.zone
         && a.capacity_slots == b.capacity_slots
-        && a.warm_at_ms.abs_diff(b.warm_at_ms) <= WARM_SLACK_MS
+        && a.slow_start_until_ms.abs_diff(b.slow_start_until_ms) <= WARM_SLACK_MS
 }
 
 fn unknown(id: &str) -> WorkerRecord {
@@ -214,8 +214,8 @@
         address: String::new(),
         zone: String::new(),
         capacity_slots: 0,
-        state: WorkerState::Gone,
+        state: WorkerState::Deregistered,
         call_sequence: 0,
-        warm_at_ms: 0,
+        slow_start_until_ms: 0,
     }
 }
--- a/crates/mintlb-control/src/controller/retire_api.rs
+++ b/crates/mintlb-control/src/controller/retire_api.rs
@@ -79,7 +79,7 @@
         let left = deadline.saturating_duration_since(Instant::now());
         let answer = controller
             .transport
-            .call(address, Channel::Duties, body.clone(), left / 2)
+            .call(address, Channel::Control, body.clone(), left / 2)
             .await;
         if let Some(DutyAnswer::Retire(answer)) = answer
             .ok()
--- a/crates/mintlb-control/src/store/calls.rs
+++ b/crates/mintlb-control/src/store/calls.rs
@@ -490,7 +490,7 @@
 pub struct StoreService(pub Arc<Store>);
 
 impl Service for StoreService {
-    fn notice(&self, _from: SocketAddr, body: Bytes) {
+    fn on_notification(&self, _from: SocketAddr, body: Bytes) {
         let Some((envelope, raw)) = framing::decode::<Envelope>(&body) else {
             return;
         };
@@ -498,7 +498,7 @@
         self.0.core.lock().message(envelope, raw, now);
     }
 
-    fn request(&self, _from: SocketAddr, body: Bytes) -> transport::Answer {
+    fn on_request(&self, _from: SocketAddr, body: Bytes) -> transport::ResponseFuture {
         let store = self.0.clone();
         Box::pin(async move {
             match framing::decode::<Call>(&body) {
--- a/crates/mintlb-control/src/store/core.rs
+++ b/crates/mintlb-control/src/store/core.rs
@@ -274,7 +274,7 @@
             return;
         };
         self.transport
-            .notify(*address, Channel::Lots, framing::encode(envelope, raw));
+            .notify(*address, Channel::Batch, framing::encode(envelope, raw));
     }
 
     fn send_entries(&self, mut envelope: Envelope, indexes: &[u64]) {
--- a/crates/mintlb-control/src/store/heartbeats.rs
+++ b/crates/mintlb-control/src/store/heartbeats.rs
@@ -44,7 +44,7 @@
         };
         let body = framing::encode(&heartbeat, &[]);
         for controller in controllers(&overlay) {
-            transport.notify(controller, Channel::Duties, body.clone());
+            transport.notify(controller, Channel::Control, body.clone());
         }
         timeout(HEARTBEAT, store.report_changed().notified())
             .await
--- a/crates/mintlb-control/src/store/mod.rs
+++ b/crates/mintlb-control/src/store/mod.rs
@@ -103,7 +103,7 @@
     let opening = driver::open_when_possible(directory.clone(), draw.max(1));
     let (disk, shards) = tokio::select! {
         opened = opening => opened?,
-        () = signals.stop() => return Ok(()),
+        () = signals.shutdown_requested() => return Ok(()),
     };
     let transport = bound(own).await?;
     log::info!(
@@ -138,14 +138,14 @@
         settings.bounds.grace_period_s.clamp(0.0, 60.0) / 2.0,
     ));
     let overlay = join_overlay(&settings, &transport, &store);
-    transport.serve(Channel::Lots, Arc::new(StoreService(store.clone())));
+    transport.register_service(Channel::Batch, Arc::new(StoreService(store.clone())));
     tokio::spawn(heartbeats::run(settings, store.clone(), transport, overlay));
 
     let mut driver = Driver::new(store.clone(), disk, commits);
     loop {
         tokio::select! {
             step = driver.step() => step?,
-            () = signals.stop() => break,
+            () = signals.shutdown_requested() => break,
         }
     }
     log::info!("store: told to stop");
--- a/crates/mintlb-control/tests/controller_fleet.rs
+++ b/crates/mintlb-control/tests/controller_fleet.rs
@@ -152,7 +152,7 @@
     let (status, _) = fleet.call(2, Method::DELETE, "/v1/instances/i-1", None, "");
     assert_eq!(
         (status, state(2)),
-        (StatusCode::OK, Some(WorkerState::Gone))
+        (StatusCode::OK, Some(WorkerState::Deregistered))
     );
     assert_eq!(put(0, "{}".to_string()), StatusCode::BAD_REQUEST);
 }
@@ -263,7 +263,7 @@
         Some(WorkerState::Draining),
         "what workers say is told all the same"
     );
-    assert_eq!(state("i-3"), Some(WorkerState::Gone));
+    assert_eq!(state("i-3"), Some(WorkerState::Deregistered));
     fleet.restart(0);
     until(StatusCode::OK, |number| {
         beat(&fleet, "i-2", "draining", 8 + number)
--- a/crates/mintlb-control/tests/controller_orphans.rs
+++ b/crates/mintlb-control/tests/controller_orphans.rs
@@ -16,7 +16,7 @@
         capacity_slots: 8,
         state,
         call_sequence: sequence,
-        warm_at_ms: 0,
+        slow_start_until_ms: 0,
     }
 }
 
@@ -55,7 +55,7 @@
     assert!(world.look(ORPHANED_AFTER / 2, &["b"]).is_empty());
     assert_eq!(
         world.look(ORPHANED_AFTER / 2, &["b"]),
-        [worker("a", 3, WorkerState::Silent)]
+        [worker("a", 3, WorkerState::Unresponsive)]
     );
 }
 
@@ -80,8 +80,8 @@
 #[test]
 fn what_has_ended_is_no_orphan() {
     let mut world = World::new();
-    world.publish(worker("a", 3, WorkerState::Silent));
-    world.publish(worker("b", 3, WorkerState::Gone));
+    world.publish(worker("a", 3, WorkerState::Unresponsive));
+    world.publish(worker("b", 3, WorkerState::Deregistered));
     world.look(Duration::ZERO, &[]);
     assert!(world.look(ORPHANED_AFTER, &[]).is_empty());
 }
--- a/crates/mintlb-control/tests/controller_registry.rs
+++ b/crates/mintlb-control/tests/controller_registry.rs
@@ -18,7 +18,7 @@
         capacity_slots: 8,
         state,
         call_sequence: sequence,
-        warm_at_ms: 0,
+        slow_start_until_ms: 0,
     }
 }
 
@@ -112,7 +112,7 @@
     let gone = registry.leave("i-1", Some(in_service(1)));
     assert_eq!(
         (gone.state, gone.service.as_str()),
-        (WorkerState::Gone, "s")
+        (WorkerState::Deregistered, "s")
     );
     assert_eq!(
         registry.heartbeat(now, in_service(9), Some(&gone)),
@@ -126,7 +126,7 @@
     let mut registry = Registry::new(now, SILENCE);
     let heard = registry.heartbeat(now, in_service(7), Some(&in_service(2)));
     assert_eq!(heard, Heard::Publish(in_service(7)));
-    let silent_at_the_other = call("i-1", 6, WorkerState::Silent);
+    let silent_at_the_other = call("i-1", 6, WorkerState::Unresponsive);
     assert!(in_service(7).version() > silent_at_the_other.version());
 }
 
@@ -139,7 +139,7 @@
     let version = Some(in_service(1).version());
     assert!(pass(&mut registry, now, SILENCE - TICK, version).is_empty());
     let silent = pass(&mut registry, now + SILENCE - TICK, TICK * 4, version);
-    assert_eq!(silent, [call("i-1", 4, WorkerState::Silent)]);
+    assert_eq!(silent, [call("i-1", 4, WorkerState::Unresponsive)]);
     assert!(registry.is_empty());
 }
 
@@ -179,8 +179,8 @@
 fn the_end_of_the_cold_time_is_no_news_when_it_hardly_moves() {
     let now = Instant::now();
     let mut registry = Registry::new(now, SILENCE);
-    let cold = |sequence, warm_at_ms| WorkerRecord {
-        warm_at_ms,
+    let cold = |sequence, slow_start_until_ms| WorkerRecord {
+        slow_start_until_ms,
         ..in_service(sequence)
     };
     registry.heartbeat(now, cold(1, 10_000), None);
@@ -310,7 +310,7 @@
     );
     assert_eq!(news(draining(3), Some(&in_service(2))), Some(draining(3)));
     assert_eq!(news(in_service(2), Some(&draining(3))), None, "late");
-    let silent = call("i-1", 2, WorkerState::Silent);
+    let silent = call("i-1", 2, WorkerState::Unresponsive);
     assert_eq!(
         news(in_service(2), Some(&silent)),
         None,
@@ -318,7 +318,10 @@
     );
     assert_eq!(news(in_service(3), Some(&silent)), Some(in_service(3)));
     assert_eq!(
-        news(in_service(9), Some(&call("i-1", 2, WorkerState::Gone))),
+        news(
+            in_service(9),
+            Some(&call("i-1", 2, WorkerState::Deregistered))
+        ),
         None,
         "it has ended"
     );
--- a/crates/mintlb-control/tests/controller_retirement.rs
+++ b/crates/mintlb-control/tests/controller_retirement.rs
@@ -24,7 +24,7 @@
         epoch: 4,
         replicas: vec![2, 3, 4],
         previous: Vec::new(),
-        settled: None,
+        last_active_epoch: None,
     };
     let stores = vec![
         entry(1, true),
--- a/crates/mintlb-control/tests/controller_worker_records.rs
+++ b/crates/mintlb-control/tests/controller_worker_records.rs
@@ -43,7 +43,7 @@
         capacity_slots: 8,
         state,
         call_sequence,
-        warm_at_ms: 0,
+        slow_start_until_ms: 0,
     }
 }
 
@@ -73,7 +73,9 @@
         }
         let state = controller.table.as_ref().map(|record| record.state);
         match controller.told {
-            Some(WorkerState::Gone) => assert_eq!(state, Some(WorkerState::Gone), "it is back"),
+            Some(WorkerState::Deregistered) => {
+                assert_eq!(state, Some(WorkerState::Deregistered), "it is back")
+            }
             Some(_) => assert_ne!(
                 state,
                 Some(WorkerState::InService),
@@ -88,7 +90,7 @@
         let in_force = controller.table.clone();
         let published = match call {
             Call::End => {
-                controller.told = Some(WorkerState::Gone);
+                controller.told = Some(WorkerState::Deregistered);
                 Some(controller.registry.leave(WORKER, in_force))
             }
             Call::Beat(sequence, state) => {
@@ -216,9 +218,9 @@
     for controller in &fleet.controllers {
         let known = controller.table.as_ref().map(|record| record.state);
         let expected = if ends {
-            WorkerState::Gone
+            WorkerState::Deregistered
         } else {
-            WorkerState::Silent
+            WorkerState::Unresponsive
         };
         assert_eq!(known, Some(expected), "after the worker's end");
     }
--- a/crates/mintlb-control/tests/stores/mod.rs
+++ b/crates/mintlb-control/tests/stores/mod.rs
@@ -59,7 +59,7 @@
             shards,
         };
         let store = Store::new(transport.clone(), opened, settings, 1 << 30, draw);
-        transport.serve(Channel::Lots, Arc::new(StoreService(store.clone())));
+        transport.register_service(Channel::Batch, Arc::new(StoreService(store.clone())));
         let mut driver = Driver::new(store.clone(), disk, commits);
         let task = tokio::spawn(async move { while driver.step().await.is_ok() {} });
         Node {
@@ -80,12 +80,12 @@
         zone: "z".to_string(),
         retiring: false,
     });
-    let settled = Some(epoch - 1);
+    let last_active_epoch = Some(epoch - 1);
     let shard = ShardAssignment {
         epoch,
         replicas: ids(order),
         previous: ids(previous),
-        settled,
+        last_active_epoch,
     };
     Placement {
         epoch,
--- a/crates/mintlb-dispatcher/src/batch/calls.rs
+++ b/crates/mintlb-dispatcher/src/batch/calls.rs
@@ -14,7 +14,7 @@
 use mintlb_batch::entry::LotTerms;
 use mintlb_batch::messages::DispatcherId;
 use mintlb_common::configuration::Route;
-use mintlb_common::record::{ENDED_LOT_PREFIX, Record};
+use mintlb_common::record::{ENDED_JOB_PREFIX, Record};
 use mintlb_gossip::Overlay;
 use std::future::Future;
 use std::pin::Pin;
@@ -197,9 +197,9 @@
                 EndOutcome::Ended => {
                     runner.lot_ended(&host, &lot_id);
                     overlay.publish_now(Record {
-                        key: format!("{ENDED_LOT_PREFIX}{lot_id}"),
+                        key: format!("{ENDED_JOB_PREFIX}{lot_id}"),
                         version: 1,
-                        lifetime_s: ENDED_LIFETIME_S,
+                        ttl_s: ENDED_LIFETIME_S,
                         body: host.into_bytes().into(),
                     });
                     StatusCode::OK.into_response()
--- a/crates/mintlb-dispatcher/src/batch/mod.rs
+++ b/crates/mintlb-dispatcher/src/batch/mod.rs
@@ -14,7 +14,7 @@
 use mintlb_batch::client::LotClient;
 use mintlb_batch::messages::DispatcherId;
 use mintlb_common::placement::Placement;
-use mintlb_common::record::{ENDED_LOT_PREFIX, PLACEMENT, Record};
+use mintlb_common::record::{ENDED_JOB_PREFIX, PLACEMENT, Record};
 use mintlb_common::transport::Transport;
 use mintlb_gossip::Overlay;
 use std::sync::Arc;
@@ -43,7 +43,7 @@
                     record.version
                 ),
             }
-        } else if let Some(lot_id) = record.key.strip_prefix(ENDED_LOT_PREFIX) {
+        } else if let Some(lot_id) = record.key.strip_prefix(ENDED_JOB_PREFIX) {
             listener.lot_ended(&String::from_utf8_lossy(&record.body), lot_id);
         }
     }));
--- a/crates/mintlb-dispatcher/src/routing.rs
+++ b/crates/mintlb-dispatcher/src/routing.rs
@@ -89,7 +89,7 @@
             max_attempts: route.max_attempts.max(1),
             timeout: route.timeout_ms.map_or(LONGEST_HELD, |ms| ms as f64 / 1e3),
             target: route.target_latency_ms as f64 / 1e3,
-            gap: route.gap_aim_ms.map(|ms| ms / 1e3),
+            gap: route.max_event_gap_ms.map(|ms| ms / 1e3),
             session_affinity: route.session_affinity,
         }
     }
--- a/crates/mintlb-dispatcher/src/run.rs
+++ b/crates/mintlb-dispatcher/src/run.rs
@@ -90,7 +90,7 @@
     );
     dispatcher
         .serve(frontend, readiness, async move {
-            signals.stop().await;
+            signals.shutdown_requested().await;
         })
         .await;
     Ok(())
--- a/crates/mintlb-dispatcher/src/workers.rs
+++ b/crates/mintlb-dispatcher/src/workers.rs
@@ -189,7 +189,7 @@
         // A controller that did not know the worker says no more of it than that it has ended.
         let address: Option<SocketAddr> = record.address.parse().ok();
         let id = worker_id(&record.instance_id);
-        let gone = record.state == WorkerState::Gone;
+        let gone = record.state == WorkerState::Deregistered;
         let mut entries = self.entries.lock();
         let entry = match entries.get(&id) {
             Some(entry) => entry.clone(),
@@ -215,7 +215,7 @@
         entry
             .in_service
             .store(record.state == WorkerState::InService, Relaxed);
-        let silent = record.state == WorkerState::Silent;
+        let silent = record.state == WorkerState::Unresponsive;
         let since = silent.then(|| entry.silent_since.lock().unwrap_or_else(Instant::now));
         *entry.silent_since.lock() = since;
         if gone {
@@ -225,8 +225,8 @@
         self.age.fetch_add(1, Relaxed);
         let listed = match record.state {
             WorkerState::InService => Listed::Ready,
-            WorkerState::Draining | WorkerState::Silent => Listed::Draining,
-            WorkerState::Gone => Listed::Gone,
+            WorkerState::Draining | WorkerState::Unresponsive => Listed::Draining,
+            WorkerState::Deregistered => Listed::Gone,
         };
         let (name, line) = (record.instance_id.clone(), entry.line(listed));
         Some(Member {
--- a/crates/mintlb-dispatcher/tests/machine/mod.rs
+++ b/crates/mintlb-dispatcher/tests/machine/mod.rs
@@ -142,7 +142,7 @@
         capacity_slots: 4,
         state,
         call_sequence: call,
-        warm_at_ms: 0,
+        slow_start_until_ms: 0,
     }
 }
 
--- a/crates/mintlb-dispatcher/tests/machine/raw.rs
+++ b/crates/mintlb-dispatcher/tests/machine/raw.rs
@@ -32,7 +32,7 @@
             capacity_slots: 4,
             state: WorkerState::InService,
             call_sequence: 1,
-            warm_at_ms: 0,
+            slow_start_until_ms: 0,
         };
         RawWorker {
             record,
--- a/crates/mintlb-dispatcher/tests/trouble.rs
+++ b/crates/mintlb-dispatcher/tests/trouble.rs
@@ -19,7 +19,7 @@
 fn a_worker_that_ended_is_sent_nothing_though_its_end_names_no_address() {
     on_one_thread(async {
         let (machine, mut worker) = with_worker().await;
-        let gone = worker_record(&worker, WorkerState::Gone, 0);
+        let gone = worker_record(&worker, WorkerState::Deregistered, 0);
         let (service, address, zone) = Default::default();
         machine
             .hear(WorkerRecord {
--- a/crates/mintlb-gossip/src/codec.rs
+++ b/crates/mintlb-gossip/src/codec.rs
@@ -68,7 +68,7 @@
     pub version: u64,
     /// The lifetime that the record was published with, in seconds; 0 keeps it for good.
     #[n(2)]
-    pub lifetime_s: u32,
+    pub ttl_s: u32,
     /// What is left of the lifetime at the sender, in ms. The receiver keeps the record no longer than this.
     #[n(3)]
     pub remaining_ms: u64,
@@ -81,14 +81,14 @@
 impl CarriedRecord {
     /// The record as its receiver keeps it; none if it breaks the bounds or its lifetime is over.
     pub fn into_record(self) -> Option<Record> {
-        let over = self.lifetime_s > 0 && self.remaining_ms == 0;
+        let over = self.ttl_s > 0 && self.remaining_ms == 0;
         if over || self.key.len() > MOST_KEY_BYTES {
             return None;
         }
         Some(Record {
             key: self.key,
             version: self.version,
-            lifetime_s: self.lifetime_s,
+            ttl_s: self.ttl_s,
             body: self.body,
         })
     }
--- a/crates/mintlb-gossip/src/driver.rs
+++ b/crates/mintlb-gossip/src/driver.rs
@@ -8,7 +8,7 @@
 use bytes::Bytes;
 use mintlb_common::incarnation::Incarnation;
 use mintlb_common::record::Record;
-use mintlb_common::transport::{Channel, Refusal, Service, Transport};
+use mintlb_common::transport::{Channel, Rejection, Service, Transport};
 use parking_lot::Mutex;
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -78,7 +78,9 @@
             joined: watch::Sender::new(false),
             sooner: Notify::new(),
         });
-        config.transport.serve(Channel::Overlay, overlay.clone());
+        config
+            .transport
+            .register_service(Channel::Gossip, overlay.clone());
         tokio::spawn(overlay.clone().run());
         overlay
     }
@@ -188,7 +190,9 @@
             for effect in effects {
                 match effect {
                     Effect::Send { to, body } => sends.push((to, body)),
-                    Effect::Unreadable(from) => self.transport.refuse(Refusal::Unreadable, from),
+                    Effect::Unreadable(from) => {
+                        self.transport.record_rejection(Rejection::Malformed, from)
+                    }
                     Effect::InForce(record) => self.deliveries.lock().add(record),
                     Effect::Confirmed { id, version } => state.confirm(id, version),
                 }
@@ -201,7 +205,7 @@
             }
         }
         for (to, body) in sends {
-            self.transport.notify(to, Channel::Overlay, body);
+            self.transport.notify(to, Channel::Gossip, body);
         }
         self.deliver();
     }
@@ -248,15 +252,15 @@
 }
 
 impl Service for Overlay {
-    fn notice(&self, from: SocketAddr, body: Bytes) {
+    fn on_notification(&self, from: SocketAddr, body: Bytes) {
         self.handle(Input::Received { from, body });
     }
 
-    fn unreachable(&self, peer: SocketAddr) {
+    fn on_peer_unreachable(&self, peer: SocketAddr) {
         self.handle(Input::Unreachable(peer));
     }
 
-    fn restarted(&self, peer: SocketAddr, incarnation: Incarnation) {
+    fn on_peer_restarted(&self, peer: SocketAddr, incarnation: Incarnation) {
         self.handle(Input::Restarted { peer, incarnation });
     }
 }
--- a/crates/mintlb-gossip/src/table.rs
+++ b/crates/mintlb-gossip/src/table.rs
@@ -172,13 +172,13 @@
 
     /// Takes over a record of the process's own.
     pub fn publish(&mut self, now: Instant, record: Record) -> Put {
-        let remaining = Duration::from_secs(record.lifetime_s.into());
+        let remaining = Duration::from_secs(record.ttl_s.into());
         self.put(now, record, remaining)
     }
 
     /// Takes over a record from another process; none if it is out of bounds.
     pub fn take(&mut self, now: Instant, carried: CarriedRecord) -> Option<Put> {
-        let lifetime = Duration::from_secs(carried.lifetime_s.into());
+        let lifetime = Duration::from_secs(carried.ttl_s.into());
         let remaining = Duration::from_millis(carried.remaining_ms).min(lifetime);
         carried
             .into_record()
@@ -193,8 +193,8 @@
             _ => (),
         }
         self.retired.remove(&id);
-        let ends = (record.lifetime_s > 0).then(|| now + remaining);
-        let quiet = Duration::from_secs(record.lifetime_s.into()) / 4;
+        let ends = (record.ttl_s > 0).then(|| now + remaining);
+        let quiet = Duration::from_secs(record.ttl_s.into()) / 4;
         let offered = ends.is_none() || remaining > quiet;
         if let Some(ends) = ends {
             self.due.push(Reverse((ends, id)));
@@ -248,7 +248,7 @@
             let record = known()?;
             Some(carried(
                 record,
-                Duration::from_secs(record.lifetime_s.into()) / 4,
+                Duration::from_secs(record.ttl_s.into()) / 4,
             ))
         })
     }
@@ -283,7 +283,7 @@
         };
         let Some(ends) = entry.ends else { return };
         let (offered, record) = (entry.offered, entry.record.clone());
-        let quiet = Duration::from_secs(record.lifetime_s.into()) / 4;
+        let quiet = Duration::from_secs(record.ttl_s.into()) / 4;
         if now + quiet < ends {
             return;
         }
@@ -309,7 +309,7 @@
     CarriedRecord {
         key: record.key.clone(),
         version: record.version,
-        lifetime_s: record.lifetime_s,
+        ttl_s: record.ttl_s,
         remaining_ms: remaining.as_millis() as u64,
         body: record.body.clone(),
     }
--- a/crates/mintlb-gossip/tests/common/mod.rs
+++ b/crates/mintlb-gossip/tests/common/mod.rs
@@ -39,7 +39,7 @@
     Record {
         key: key.into(),
         version,
-        lifetime_s: 0,
+        ttl_s: 0,
         body: Bytes::from(format!("{key} {version}")),
     }
 }
--- a/crates/mintlb-gossip/tests/driver.rs
+++ b/crates/mintlb-gossip/tests/driver.rs
@@ -44,7 +44,7 @@
     Record {
         key: key.into(),
         version,
-        lifetime_s: 0,
+        ttl_s: 0,
         body: Bytes::from(vec![7; 300_000]),
     }
 }
--- a/crates/mintlb-gossip/tests/faults.rs
+++ b/crates/mintlb-gossip/tests/faults.rs
@@ -356,7 +356,7 @@
         Record {
             key: "worker/x".into(),
             version: u64::MAX,
-            lifetime_s: 20,
+            ttl_s: 20,
             body,
         },
     );
@@ -486,7 +486,7 @@
             Record {
                 key: "worker/x".into(),
                 version: u64::MAX,
-                lifetime_s: 20,
+                ttl_s: 20,
                 body,
             },
         );
--- a/crates/mintlb-gossip/tests/repair.rs
+++ b/crates/mintlb-gossip/tests/repair.rs
@@ -74,7 +74,7 @@
                 Record {
                     key: key.clone(),
                     version,
-                    lifetime_s: 0,
+                    ttl_s: 0,
                     body,
                 },
             );
@@ -112,7 +112,7 @@
             Record {
                 key: format!("large {number}"),
                 version: 1,
-                lifetime_s: 0,
+                ttl_s: 0,
                 body,
             },
         );
--- a/crates/mintlb-gossip/tests/table.rs
+++ b/crates/mintlb-gossip/tests/table.rs
@@ -7,11 +7,11 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-fn record(key: &str, version: u64, lifetime_s: u32) -> Record {
+fn record(key: &str, version: u64, ttl_s: u32) -> Record {
     Record {
         key: key.into(),
         version,
-        lifetime_s,
+        ttl_s,
         body: Bytes::from_static(b"body"),
     }
 }
--- a/crates/mintlb-gossip/tests/traffic.rs
+++ b/crates/mintlb-gossip/tests/traffic.rs
@@ -15,7 +15,7 @@
         capacity_slots: 32,
         state: WorkerState::InService,
         call_sequence,
-        warm_at_ms: 0,
+        slow_start_until_ms: 0,
     };
     worker.to_record()
 }
--- a/crates/mintlb-simulation/src/controller/configuration.rs
+++ b/crates/mintlb-simulation/src/controller/configuration.rs
@@ -158,7 +158,7 @@
     Record {
         key: key.to_string(),
         version,
-        lifetime_s: 0,
+        ttl_s: 0,
         body: body.into(),
     }
 }
--- a/crates/mintlb-simulation/src/worker.rs
+++ b/crates/mintlb-simulation/src/worker.rs
@@ -60,7 +60,7 @@
             self.controller = random.below(controllers);
         }
         match self.state {
-            WorkerState::Gone => Ask::Leave(self.id()),
+            WorkerState::Deregistered => Ask::Leave(self.id()),
             _ => Ask::Heartbeat(self.record()),
         }
     }
@@ -75,7 +75,7 @@
             capacity_slots: 4,
             state: self.state,
             call_sequence: self.sequence,
-            warm_at_ms: 0,
+            slow_start_until_ms: 0,
         }
     }
 
@@ -88,8 +88,8 @@
         self.beats += 1;
         let next = match self.state {
             WorkerState::InService if self.beats > 3 && random.chance(20) => WorkerState::Draining,
-            WorkerState::Draining if random.chance(40) => WorkerState::Gone,
-            WorkerState::Gone => {
+            WorkerState::Draining if random.chance(40) => WorkerState::Deregistered,
+            WorkerState::Deregistered => {
                 self.generation += 1;
                 (self.beats, self.sequence) = (0, 0);
                 WorkerState::InService
