--- /dev/null
+++ b/crates/mintlb-control/tests/controller_wire_fixtures.rs
@@ -0,0 +1,252 @@
+//! The bytes that controllers send each other, and the register's file on disk. Controllers of different releases read
+//! them from each other and find them on their disks, so that no release may change them. The fixtures were taken from
+//! the program before its names were changed; the register's channel, whose types are private, is composed around the
+//! encoded requests and replies and was compared with what that program sends.
+
+#[path = "../../mintlb-tier/tests/fixture/mod.rs"]
+mod fixture;
+
+use bytes::Bytes;
+use fixture::{Fixtures, path};
+use mintlb_control::controller::duty_messages::{DutyAnswer, DutyCall, RetireAnswer, RetireCall, encoded};
+use mintlb_control::controller::ping_state::{Ping, Pong, Status};
+use mintlb_control::controller::register::Register;
+use mintlb_control::controller::replica::LocalReplica;
+use mintlb_control::controller::vote_store::{FILE, VoteStore};
+use mintlb_register::acceptor::Sync;
+use mintlb_register::ballot::Ballot;
+use mintlb_register::message::Accepted;
+use mintlb_register::state::{ControlState, Replica, ReplicaSet};
+use mintlb_register::taken::TakenHistory;
+use mintlb_tier::placement::{Placement, ShardAssignment, StoreEntry};
+use mintlb_tier::transport::{Answer, Channel, Service, Transport};
+use parking_lot::Mutex;
+use redb::{Database, ReadableDatabase, ReadableTable, TableDefinition, TableHandle};
+use std::collections::VecDeque;
+use std::net::SocketAddr;
+use std::path::Path;
+use std::sync::Arc;
+use std::time::Duration;
+use tokio::time::Instant;
+
+/// Any single step of a test is over by then.
+const WAIT: Duration = Duration::from_secs(10);
+/// The identity in the file.
+const ID: u64 = 41;
+
+fn ballot(counter: u64) -> Ballot {
+    Ballot { counter, proposer: 0x0123_4567_89ab_cdef }
+}
+
+fn replica(id: u64) -> Replica {
+    let address = format!("10.{id}.0.35:7661");
+    Replica { id, address, node_name: format!("edge-{id}"), zone: format!("zone-{id}") }
+}
+
+/// The value in the file.
+fn accepted() -> Accepted {
+    let mut taken = TakenHistory::beginning_after(3);
+    taken.push(4, b"four");
+    let store = StoreEntry {
+        id: 21,
+        node_name: "disk-21".to_string(),
+        address: "10.21.0.36:7662".to_string(),
+        zone: "zone-21".to_string(),
+        retiring: true,
+    };
+    let shard = ShardAssignment { epoch: 8, replicas: vec![21], previous: vec![21], settled: Some(7) };
+    let state = ControlState {
+        revision: 11,
+        replicas: ReplicaSet {
+            epoch: 5,
+            previous: vec![replica(ID)],
+            current: vec![replica(ID), replica(42)],
+        },
+        configuration_version: 9,
+        configuration: br#"{"config_version":9,"route_list":[],"service_list":[]}"#.to_vec(),
+        placement: Placement { epoch: 6, stores: vec![store], shards: vec![shard] },
+        former_taken: (),
+        superseded: Some(taken),
+    };
+    Accepted { ballot: ballot(6), state: Arc::new(state) }
+}
+
+/// A value that one replica has founded.
+fn founded() -> Accepted {
+    Accepted { ballot: ballot(6), state: Arc::new(ControlState::founded_by(replica(ID))) }
+}
+
+#[test]
+fn calls_of_the_duties() {
+    let mut fixtures = Fixtures::read("duty_calls.txt");
+    let full = Status { replica: Some(51), epoch: 52, first: Some(53) };
+    let least = Status { replica: None, epoch: 54, first: None };
+    let retire = |begin| DutyCall::Retire(RetireCall { node_name: "disk-21".to_string(), begin });
+    let calls = [
+        ("ping", DutyCall::Ping(Ping { status: full, echo: Some(55) })),
+        ("ping-least", DutyCall::Ping(Ping { status: least, echo: None })),
+        ("ping-first", DutyCall::Ping(Ping { status: Status { replica: None, ..full }, echo: Some(55) })),
+        ("workers", DutyCall::Workers { epoch: 56 }),
+        ("retire-begin", retire(true)),
+        ("retire-ask", retire(false)),
+    ];
+    for (name, call) in calls {
+        fixtures.check(name, &call);
+    }
+    fixtures.done();
+}
+
+#[test]
+fn answers_of_the_duties() {
+    let mut fixtures = Fixtures::read("duty_answers.txt");
+    let full = Status { replica: Some(51), epoch: 52, first: Some(53) };
+    let least = Status { replica: None, epoch: 54, first: None };
+    let answers = [
+        ("pong", DutyAnswer::Pong(Pong { status: full, stamp: 57 })),
+        ("pong-least", DutyAnswer::Pong(Pong { status: least, stamp: 57 })),
+        ("workers", DutyAnswer::Workers(vec![1, 70_000, u32::MAX])),
+        ("workers-none", DutyAnswer::Workers(Vec::new())),
+        ("stale", DutyAnswer::Stale { epoch: 58 }),
+        ("retire-ordered", DutyAnswer::Retire(RetireAnswer::Ordered)),
+        ("retire-running", DutyAnswer::Retire(RetireAnswer::Running)),
+        ("retire-completed", DutyAnswer::Retire(RetireAnswer::Completed)),
+        ("retire-unknown", DutyAnswer::Retire(RetireAnswer::Unknown)),
+        ("retire-too-few", DutyAnswer::Retire(RetireAnswer::TooFew)),
+        ("retire-unavailable", DutyAnswer::Retire(RetireAnswer::Unavailable)),
+    ];
+    for (name, answer) in answers {
+        let bytes = encoded(&answer);
+        assert_eq!(minicbor::to_vec(&answer).unwrap(), bytes);
+        fixtures.check(name, &answer);
+    }
+    fixtures.done();
+}
+
+/// Puts the register's file into a directory.
+fn place_file(directory: &Path) {
+    std::fs::copy(path("register.redb"), directory.join("register.redb")).unwrap();
+}
+
+/// All tables and what is in them.
+fn check_tables(file: &Path) {
+    let database = Database::open(file).unwrap();
+    let transaction = database.begin_read().unwrap();
+    let tables: Vec<String> =
+        transaction.list_tables().unwrap().map(|table| table.name().to_string()).collect();
+    assert_eq!(tables, ["vote"]);
+    assert_eq!(transaction.list_multimap_tables().unwrap().count(), 0);
+    let table = transaction.open_table(TableDefinition::<&str, &[u8]>::new("vote")).unwrap();
+    let mut fixtures = Fixtures::read("register_file.txt");
+    for entry in table.iter().unwrap() {
+        let (key, value) = entry.unwrap();
+        fixtures.same(key.value(), value.value());
+    }
+    fixtures.done();
+}
+
+#[test]
+fn the_registers_file_is_read_and_keeps_its_tables_and_keys() {
+    assert_eq!(FILE, "register.redb");
+    let folder = tempfile::tempdir().unwrap();
+    place_file(folder.path());
+    check_tables(&folder.path().join("register.redb"));
+    let opened = VoteStore::open(folder.path(), 99).unwrap();
+    assert_eq!(opened.id, ID);
+    assert_eq!(opened.vote.promised, ballot(8));
+    assert_eq!(opened.vote.accepted, Some(accepted()));
+    opened.store.sync(Sync::Learned { promised: ballot(8), chosen: accepted() }).blocking_recv().unwrap();
+    drop(opened.store);
+    check_tables(&folder.path().join("register.redb"));
+    let files: Vec<_> =
+        std::fs::read_dir(folder.path()).unwrap().map(|entry| entry.unwrap().file_name()).collect();
+    assert_eq!(files, ["register.redb"], "nothing was put aside");
+}
+
+/// Makes the register's file as a controller does.
+fn make_file(directory: &Path) {
+    let opened = VoteStore::open(directory, ID).unwrap();
+    for sync in [Sync::Promise(ballot(3)), Sync::Value(accepted()), Sync::Promise(ballot(8))] {
+        opened.store.sync(sync).blocking_recv().unwrap();
+    }
+}
+
+#[test]
+fn a_new_file_has_the_same_tables_and_keys() {
+    let folder = tempfile::tempdir().unwrap();
+    make_file(folder.path());
+    check_tables(&folder.path().join("register.redb"));
+}
+
+async fn transport() -> Arc<Transport> {
+    Transport::start("127.0.0.1:0".parse().unwrap()).await.unwrap()
+}
+
+#[tokio::test]
+async fn a_controller_answers_on_the_registers_channel() {
+    let mut fixtures = Fixtures::read("register_channel.txt");
+    let folder = tempfile::tempdir().unwrap();
+    place_file(folder.path());
+    let (with_disk, without, caller) = (transport().await, transport().await, transport().await);
+    let local = LocalReplica::new(VoteStore::open(folder.path(), 99).unwrap(), replica(ID));
+    let _registers = (
+        Register::start(with_disk.clone(), Some(Arc::new(local)), 1, true),
+        Register::start(without.clone(), None, 2, true),
+    );
+    let steps = [
+        ("read", "vote-read", with_disk.own_address()),
+        ("status", "status-disk", with_disk.own_address()),
+        ("grant", "grant-refused", with_disk.own_address()),
+        ("status", "status-none", without.own_address()),
+        ("grant", "grant-given", without.own_address()),
+    ];
+    for (call, answer, to) in steps {
+        let body = Bytes::from(Fixtures::read("register_channel.txt").take(&format!("call-{call}")));
+        let answered = caller.call(to, Channel::Register, body, WAIT).await.unwrap();
+        fixtures.same(&format!("answer-{answer}"), &answered);
+    }
+}
+
+/// Gives prepared answers and keeps what was asked.
+struct Prepared {
+    answers: Mutex<VecDeque<Vec<u8>>>,
+    asked: Mutex<Vec<Bytes>>,
+}
+
+impl Service for Prepared {
+    fn request(&self, _from: SocketAddr, body: Bytes) -> Answer {
+        self.asked.lock().push(body);
+        let answer = self.answers.lock().pop_front().unwrap();
+        Box::pin(async move { answer.into() })
+    }
+}
+
+#[tokio::test]
+async fn a_controller_asks_on_the_registers_channel() {
+    let mut fixtures = Fixtures::read("register_channel.txt");
+    let folder = tempfile::tempdir().unwrap();
+    place_file(folder.path());
+    let local = LocalReplica::new(VoteStore::open(folder.path(), 99).unwrap(), replica(ID));
+    let (own, reader, seed) = (transport().await, transport().await, transport().await);
+    let register = Register::start(own, Some(Arc::new(local)), 1, true);
+    let answers = ["status-set", "status-none", "grant-given", "grant-refused", "vote-founded"];
+    let answers = answers.map(|name| fixtures.take(&format!("answer-{name}")));
+    let prepared = Arc::new(Prepared { answers: Mutex::new(answers.into()), asked: Mutex::default() });
+    seed.serve(Channel::Register, prepared.clone());
+    let to = seed.own_address();
+    let status = register.status_of(to, WAIT).await.unwrap();
+    assert!(status.has_disk);
+    assert_eq!(status.set, Some(ReplicaSet::founded_by(replica(42))));
+    let status = register.status_of(to, WAIT).await.unwrap();
+    assert_eq!((status.has_disk, status.set), (false, None));
+    assert!(register.ask_grant(to, WAIT).await);
+    assert!(!register.ask_grant(to, WAIT).await);
+    let register = Register::start(reader, None, 2, false);
+    register.hint(ReplicaSet::founded_by(Replica { address: to.to_string(), ..replica(ID) }));
+    let chosen = register.read_once(Instant::now() + WAIT).await.unwrap();
+    assert_eq!(chosen, founded());
+    let asked = prepared.asked.lock().clone();
+    assert_eq!((&asked[0], &asked[2]), (&asked[1], &asked[3]));
+    fixtures.same("call-status", &asked[0]);
+    fixtures.same("call-grant", &asked[2]);
+    fixtures.same("call-read", &asked[4]);
+}
--- /dev/null
+++ b/crates/mintlb-register/tests/wire_fixtures.rs
@@ -0,0 +1,141 @@
+//! The bytes of the register's messages and of its value. They are sent between controllers of different releases and
+//! lie on their disks, so that no release may change them. The fixtures were written by the program as it was before
+//! its names were changed.
+
+#[path = "../../mintlb-tier/tests/fixture/mod.rs"]
+mod fixture;
+
+use fixture::Fixtures;
+use mintlb_register::ballot::Ballot;
+use mintlb_register::message::{Accepted, Ask, Reply, Report, Request};
+use mintlb_register::state::{ControlState, Replica, ReplicaSet};
+use mintlb_register::taken::{Remembered, TakenHistory};
+use mintlb_tier::placement::{Placement, ShardAssignment, StoreEntry};
+use std::sync::Arc;
+
+const CONFIGURATION: &[u8] = br#"{"config_version":9,"route_list":[],"service_list":[]}"#;
+
+fn ballot(counter: u64) -> Ballot {
+    Ballot { counter, proposer: 0x0123_4567_89ab_cdef }
+}
+
+fn replica(id: u64) -> Replica {
+    Replica {
+        id,
+        address: format!("10.{id}.0.35:7661"),
+        node_name: format!("edge-{id}"),
+        zone: format!("zone-{id}"),
+    }
+}
+
+fn joint_set() -> ReplicaSet {
+    let current = [2, 3, 4].map(replica).to_vec();
+    ReplicaSet { epoch: 5, previous: [1, 2, 3].map(replica).to_vec(), current }
+}
+
+fn taken() -> TakenHistory {
+    let mut taken = TakenHistory::beginning_after(3);
+    taken.push(4, b"four");
+    taken.push(300, b"three hundred");
+    taken
+}
+
+fn placement() -> Placement {
+    let store = |id: u64, retiring| StoreEntry {
+        id,
+        node_name: format!("disk-{id}"),
+        address: format!("10.{id}.0.36:7662"),
+        zone: format!("zone-{id}"),
+        retiring,
+    };
+    Placement {
+        epoch: 70_000,
+        stores: vec![store(21, false), store(22, true)],
+        shards: vec![
+            ShardAssignment { epoch: 8, replicas: vec![21, 22], previous: vec![22], settled: Some(7) },
+            ShardAssignment { epoch: 9, replicas: vec![22], previous: vec![], settled: None },
+        ],
+    }
+}
+
+fn whole_state() -> ControlState {
+    ControlState {
+        revision: 11,
+        replicas: joint_set(),
+        configuration_version: 9,
+        configuration: CONFIGURATION.to_vec(),
+        placement: placement(),
+        former_taken: (),
+        superseded: Some(taken()),
+    }
+}
+
+fn accepted() -> Accepted {
+    Accepted { ballot: ballot(6), state: Arc::new(ControlState::founded_by(replica(1))) }
+}
+
+#[test]
+fn ballots() {
+    let mut fixtures = Fixtures::read("ballots.txt");
+    fixtures.check("first", &Ballot::default());
+    fixtures.check("ballot", &ballot(6));
+    fixtures.check("highest", &Ballot { counter: u64::MAX, proposer: u64::MAX });
+    fixtures.done();
+}
+
+#[test]
+fn the_value() {
+    let mut fixtures = Fixtures::read("state.txt");
+    fixtures.check("replica", &replica(1));
+    fixtures.check("set-settled", &ReplicaSet::founded_by(replica(1)));
+    fixtures.check("set-joint", &joint_set());
+    fixtures.check("taken-none", &TakenHistory::default());
+    fixtures.check("taken", &taken());
+    fixtures.check("state-empty", &ControlState::default());
+    fixtures.check("state-founded", &ControlState::founded_by(replica(1)));
+    fixtures.check("state-without-history", &ControlState { superseded: None, ..whole_state() });
+    fixtures.check("state-whole", &whole_state());
+    fixtures.check("accepted", &Accepted { ballot: ballot(6), state: Arc::new(whole_state()) });
+    fixtures.done();
+}
+
+#[test]
+fn what_was_taken_is_looked_up_in_the_bytes() {
+    let taken: TakenHistory = minicbor::decode(&Fixtures::read("state.txt").take("taken")).unwrap();
+    assert_eq!(taken.look_up(3, b"three"), Remembered::Forgotten);
+    assert_eq!(taken.look_up(4, b"four"), Remembered::Taken);
+    assert_eq!(taken.look_up(300, b"three hundred"), Remembered::Taken);
+    assert_eq!(taken.look_up(300, b"other"), Remembered::NotTaken);
+}
+
+#[test]
+fn requests() {
+    let mut fixtures = Fixtures::read("requests.txt");
+    let mut check = |name: &str, ask: Ask| fixtures.check(name, &Request { target: 77, ask });
+    check("prepare", Ask::Prepare { ballot: ballot(6), known: None });
+    check("prepare-known", Ask::Prepare { ballot: ballot(6), known: Some(ballot(5)) });
+    check("accept", Ask::Accept { proposed: accepted() });
+    check("read", Ask::Read { known: None });
+    check("read-known", Ask::Read { known: Some(ballot(5)) });
+    fixtures.done();
+}
+
+#[test]
+fn replies() {
+    let mut fixtures = Fixtures::read("replies.txt");
+    let reports = [
+        ("nothing", Report::Nothing),
+        ("known", Report::Known(ballot(5))),
+        ("value", Report::Value(accepted())),
+    ];
+    for (name, report) in reports {
+        fixtures.check(&format!("report-{name}"), &report);
+        let promised = Reply::Promised { ballot: ballot(7), report: report.clone() };
+        fixtures.check(&format!("promised-{name}"), &promised);
+        fixtures.check(&format!("read-{name}"), &Reply::Read { report, promised: ballot(8) });
+    }
+    fixtures.check("accepted", &Reply::Accepted { ballot: ballot(7) });
+    fixtures.check("refused", &Reply::Refused { ballot: ballot(7), promised: ballot(8) });
+    fixtures.check("stranger", &Reply::Stranger { id: 78 });
+    fixtures.done();
+}
