--- a/crates/mintlb-control/src/controller/configuration_api.rs
+++ b/crates/mintlb-control/src/controller/configuration_api.rs
@@ -10,7 +10,7 @@
 use axum::response::IntoResponse;
 use axum::routing::get;
 use mintlb_common::configuration::Configuration;
-use mintlb_register::change::{Answer, Change};
+use mintlb_register::change::{Change, ChangeOutcome};
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::time::Instant;
@@ -78,23 +78,23 @@
         return out_of_contact();
     }
     let version = configuration.config_version;
-    let change = Change::Configuration {
+    let change = Change::SetConfiguration {
         base,
         version,
         body: body.to_vec(),
-        tolerance: controller.settings().fault_tolerance.machines,
-        at_least_kept: controller.started_at.elapsed() >= ALL_JOINED,
+        tolerated_failures: controller.settings().fault_tolerance.machines,
+        durability_suffices: controller.started_at.elapsed() >= ALL_JOINED,
     };
     match controller.register.change(change, REGISTER_WITHIN).await {
         Ok(outcome) => {
             log::info!(
                 "configuration: version {version} on {base}: {:?}",
-                outcome.answer
+                outcome.change
             );
             let left = ANSWER_WITHIN
                 .saturating_sub(begun.elapsed())
                 .min(CONFIRMED_WITHIN);
-            answer(&controller, outcome.answer, &outcome.chosen.state, left).await
+            answer(&controller, outcome.change, &outcome.chosen.state, left).await
         }
         Err(error) => {
             log::info!("configuration: version {version} on {base}: {error}");
@@ -105,33 +105,33 @@
 
 async fn answer(
     controller: &Controller,
-    answer: Answer,
+    answer: ChangeOutcome,
     state: &mintlb_register::state::ControlState,
     left: Duration,
 ) -> Answered {
     let current = state.configuration_version;
     match answer {
-        Answer::Done | Answer::AlreadyDone => {
+        ChangeOutcome::Applied | ChangeOutcome::AlreadyApplied => {
             controller
                 .publisher
                 .confirm_configuration(state, left)
                 .await;
             StatusCode::OK.into_response()
         }
-        Answer::StaleBase => {
+        ChangeOutcome::StaleBase => {
             let text = format!("M453 If-Match: the current version is {current}");
             refuse(StatusCode::PRECONDITION_FAILED, &text)
         }
-        Answer::VersionNotAbove => {
+        ChangeOutcome::VersionNotIncreased => {
             let text = format!(
                 "M404 config_version: is not above the version it builds on; current is {current}"
             );
             refuse(StatusCode::BAD_REQUEST, &text)
         }
-        Answer::Forgotten => unavailable(&format!(
+        ChangeOutcome::HistoryCompacted => unavailable(&format!(
             "M406 config_version: is so old that it can't be told whether it was taken; current is {current}"
         )),
-        Answer::TooFewReplicas | Answer::SetFull => {
+        ChangeOutcome::TooFewReplicas | ChangeOutcome::SetFull => {
             retry(RETRY_SOON, "M405 there are too few replicas yet")
         }
     }
--- a/crates/mintlb-control/src/controller/contact.rs
+++ b/crates/mintlb-control/src/controller/contact.rs
@@ -4,7 +4,7 @@
 //! at which the answer was read, and it is checked whenever it is relied on. So an answer that lay in a buffer while
 //! the process stood still proves nothing, nor does a message from a replica that does not hear this process.
 
-use mintlb_register::state::{ReplicaId, ReplicaSet};
+use mintlb_register::replica_set::{ReplicaId, ReplicaSet};
 use rustc_hash::FxHashMap;
 use std::time::Duration;
 use tokio::time::Instant;
--- a/crates/mintlb-control/src/controller/duties.rs
+++ b/crates/mintlb-control/src/controller/duties.rs
@@ -7,14 +7,13 @@
 use super::membership;
 use super::orphans::{Orphans, id_hash};
 use super::ping_state::{PingState, STEP};
-use super::register::is_done;
 use mintlb_batch::heartbeat::StoreHeartbeat;
 use mintlb_batch::placement_planner::{StoreTable, StoreView, plan};
 use mintlb_common::placement::Placement;
 use mintlb_common::record::PLACEMENT;
 use mintlb_common::transport::Channel;
-use mintlb_register::change::{Answer as ChangeAnswer, Change};
-use mintlb_register::state::{ReplicaId, ReplicaSet};
+use mintlb_register::change::{Change, ChangeOutcome};
+use mintlb_register::replica_set::{ReplicaId, ReplicaSet};
 use parking_lot::{Mutex, MutexGuard};
 use rustc_hash::FxHashSet;
 use std::net::SocketAddr;
@@ -178,11 +177,11 @@
     let epoch = next.epoch;
     match controller
         .register
-        .change(Change::Placement(next), CHANGE_WITHIN)
+        .change(Change::SetPlacement(next), CHANGE_WITHIN)
         .await
     {
-        Ok(outcome) if is_done(outcome.answer) => log::info!("duties: placement epoch {epoch}"),
-        Ok(outcome) => log::info!("duties: placement epoch {epoch}: {:?}", outcome.answer),
+        Ok(outcome) if outcome.change.is_applied() => log::info!("duties: placement epoch {epoch}"),
+        Ok(outcome) => log::info!("duties: placement epoch {epoch}: {:?}", outcome.change),
         Err(error) => log::info!("duties: placement epoch {epoch}: {error}"),
     }
 }
@@ -193,16 +192,16 @@
         return;
     };
     let set = &chosen.state.replicas;
-    let fewest = 2 * controller.settings().fault_tolerance.machines + 1;
-    if set.is_joint() || set.current.len() <= fewest {
+    let min_replicas = 2 * controller.settings().fault_tolerance.machines + 1;
+    if set.is_joint() || set.current.len() <= min_replicas {
         return;
     }
     let Some(id) = controller.duties.silent_replicas(set).first().copied() else {
         return;
     };
-    let change = Change::Leave { id, fewest };
+    let change = Change::RemoveReplica { id, min_replicas };
     if let Ok(outcome) = controller.register.change(change, CHANGE_WITHIN).await
-        && outcome.answer == ChangeAnswer::Done
+        && outcome.change == ChangeOutcome::Applied
     {
         log::info!("duties: a silent replica was taken out of the set");
         membership::settle(controller).await;
--- a/crates/mintlb-control/src/controller/knowledge.rs
+++ b/crates/mintlb-control/src/controller/knowledge.rs
@@ -1,14 +1,14 @@
 //! What a process knows of the register: the newest chosen value, and sets it has only heard of.
 
 use mintlb_register::ballot::Ballot;
-use mintlb_register::message::Accepted;
-use mintlb_register::state::ReplicaSet;
+use mintlb_register::message::AcceptedValue;
+use mintlb_register::replica_set::ReplicaSet;
 
 /// What the process knows of the register.
 #[derive(Debug, Default)]
 pub struct Knowledge {
     /// The newest value known to be chosen.
-    chosen: Option<Accepted>,
+    chosen: Option<AcceptedValue>,
     /// The newest set heard of from others, or the one that the replica's disk held: whom to ask until a chosen value is
     /// known. It may never have been chosen.
     hint: Option<ReplicaSet>,
@@ -18,7 +18,7 @@
 
 impl Knowledge {
     /// Nothing is known but what the replica here accepted last, which may not be chosen.
-    pub fn stored(accepted: Option<Accepted>) -> Knowledge {
+    pub fn stored(accepted: Option<AcceptedValue>) -> Knowledge {
         let hint = accepted.map(|accepted| accepted.state.replicas.clone());
         Knowledge {
             hint,
@@ -27,7 +27,7 @@
     }
 
     /// The newest value known to be chosen.
-    pub fn chosen(&self) -> Option<&Accepted> {
+    pub fn chosen(&self) -> Option<&AcceptedValue> {
         self.chosen.as_ref()
     }
 
@@ -50,7 +50,7 @@
 
     /// Takes note of a chosen value that a majority has told of just now; whether it is newer than the one known, and the
     /// epoch of the set known before. What was only heard of is forgotten, as it may never have been chosen.
-    pub fn learn(&mut self, accepted: &Accepted) -> Option<u64> {
+    pub fn learn(&mut self, accepted: &AcceptedValue) -> Option<u64> {
         self.hint = None;
         if self
             .chosen
--- a/crates/mintlb-control/src/controller/membership.rs
+++ b/crates/mintlb-control/src/controller/membership.rs
@@ -1,11 +1,10 @@
 //! Keeps this process in touch with the register: founds it, joins it, and reads it now and then.
 
 use super::Controller;
-use super::register::is_done;
 use mintlb_common::record::REPLICAS;
-use mintlb_register::change::{Answer, Change};
-use mintlb_register::founding::{Founding, SeedAnswer, Step};
-use mintlb_register::state::{ReplicaId, ReplicaSet};
+use mintlb_register::bootstrap::{Bootstrap, BootstrapStep, SeedStatus};
+use mintlb_register::change::{Change, ChangeOutcome};
+use mintlb_register::replica_set::{ReplicaId, ReplicaSet};
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::sync::atomic::Ordering::Relaxed;
@@ -57,15 +56,15 @@
     let seeds = settings.seed_addresses();
     let own = controller.transport.own_address();
     let answers = ask(controller, &seeds).await;
-    let founding = Founding {
+    let founding = Bootstrap {
         first_start: settings.first_start,
         has_disk: controller.register.replica().is_some(),
-        own_place: seeds.iter().position(|seed| *seed == own),
-        answers: &answers,
+        own_index: seeds.iter().position(|seed| *seed == own),
+        seed_statuses: &answers,
     };
     match founding.step() {
-        Step::Found => found(controller).await,
-        Step::Campaign => {
+        BootstrapStep::Initialize => found(controller).await,
+        BootstrapStep::RequestVotes => {
             for seed in seeds {
                 if !controller.register.ask_grant(seed, SEED_WITHIN).await {
                     return;
@@ -73,8 +72,8 @@
             }
             found(controller).await;
         }
-        Step::Join(set) => controller.register.hint(set),
-        Step::Wait => (),
+        BootstrapStep::Join(set) => controller.register.hint(set),
+        BootstrapStep::Wait => (),
     }
 }
 
@@ -89,7 +88,7 @@
     hint_from_overlay(controller);
     let seeds = controller.settings().seed_addresses();
     for answer in ask(controller, &seeds).await.into_iter().flatten() {
-        if let Some(set) = answer.set {
+        if let Some(set) = answer.replica_set {
             controller.register.hint(set);
         }
     }
@@ -108,7 +107,7 @@
 }
 
 /// The seeds' answers, each at its place.
-async fn ask(controller: &Controller, seeds: &[SocketAddr]) -> Vec<Option<SeedAnswer>> {
+async fn ask(controller: &Controller, seeds: &[SocketAddr]) -> Vec<Option<SeedStatus>> {
     let own = controller.transport.own_address();
     let mut answers = vec![None; seeds.len()];
     let mut calls = JoinSet::new();
@@ -145,7 +144,7 @@
     }
     controller
         .register
-        .change(Change::Confirm, READ_WITHIN)
+        .change(Change::Identity, READ_WITHIN)
         .await
         .is_ok()
 }
@@ -179,14 +178,14 @@
     let Some(replica) = controller.register.replica() else {
         return READ_EVERY;
     };
-    let change = Change::Join {
+    let change = Change::AddReplica {
         replica: replica.identity().clone(),
-        silent,
-        most: MOST_REPLICAS,
+        unresponsive: silent,
+        max_replicas: MOST_REPLICAS,
     };
     match controller.register.change(change, JOIN_WITHIN).await {
-        Ok(outcome) if is_done(outcome.answer) && settle(controller).await => Duration::ZERO,
-        Ok(outcome) if outcome.answer == Answer::SetFull => READ_EVERY,
+        Ok(outcome) if outcome.change.is_applied() && settle(controller).await => Duration::ZERO,
+        Ok(outcome) if outcome.change == ChangeOutcome::SetFull => READ_EVERY,
         Ok(_) | Err(_) => JOIN_PAUSE,
     }
 }
@@ -201,16 +200,16 @@
     let Ok(chosen) = controller.register.read(READ_WITHIN).await else {
         return;
     };
-    let fewest = 2 * controller.settings().fault_tolerance.machines + 1;
+    let min_replicas = 2 * controller.settings().fault_tolerance.machines + 1;
     let set = &chosen.state.replicas;
-    if set.current_replica(id).is_none() || set.current.len() <= fewest {
+    if set.current_replica(id).is_none() || set.current.len() <= min_replicas {
         return;
     }
     let left = controller
         .register
-        .change(Change::Leave { id, fewest }, JOIN_WITHIN)
+        .change(Change::RemoveReplica { id, min_replicas }, JOIN_WITHIN)
         .await;
-    if left.is_ok_and(|outcome| is_done(outcome.answer)) && settle(controller).await {
+    if left.is_ok_and(|outcome| outcome.change.is_applied()) && settle(controller).await {
         log::info!("register: this replica has left the set");
     }
 }
@@ -219,7 +218,7 @@
 pub async fn settle(controller: &Controller) -> bool {
     controller
         .register
-        .change(Change::Settle, JOIN_WITHIN)
+        .change(Change::LeaveJoint, JOIN_WITHIN)
         .await
         .is_ok()
 }
--- a/crates/mintlb-control/src/controller/mod.rs
+++ b/crates/mintlb-control/src/controller/mod.rs
@@ -44,10 +44,10 @@
 use mintlb_common::signals::Signals;
 use mintlb_common::transport::Transport;
 use mintlb_gossip::{Member, Overlay, OverlayConfig, Role};
-use mintlb_register::state::{Replica, ReplicaId};
+use mintlb_register::replica_set::{Replica, ReplicaId};
 use parking_lot::Mutex;
 use publisher::Publisher;
-use register::{Register, scramble};
+use register::{Register, mix64};
 use registry::Registry;
 use replica::LocalReplica;
 use std::hash::{BuildHasher, RandomState};
@@ -159,7 +159,7 @@
     /// A number from 0 to below `most`.
     pub fn roll_below(&self, most: u64) -> u64 {
         let step = self.dice.fetch_add(0x9e37_79b9_7f4a_7c15, Relaxed);
-        scramble(step) % most.max(1)
+        mix64(step) % most.max(1)
     }
 }
 
@@ -241,7 +241,7 @@
     };
     let replica = match &settings.data_directory {
         Some(directory) => {
-            let opened = VoteStore::open(directory, scramble(draw))?;
+            let opened = VoteStore::open(directory, mix64(draw))?;
             Some(Arc::new(LocalReplica::new(opened, identity)))
         }
         None => None,
@@ -271,7 +271,7 @@
         transport,
         overlay,
         publisher,
-        duties: Duties::new(replica_id, own, scramble(!draw)),
+        duties: Duties::new(replica_id, own, mix64(!draw)),
         register,
         stopping: AtomicBool::new(false),
         dice: AtomicU64::new(draw),
--- a/crates/mintlb-control/src/controller/peers.rs
+++ b/crates/mintlb-control/src/controller/peers.rs
@@ -10,7 +10,7 @@
 //! process has stood still.
 
 use super::contact::Contact;
-use mintlb_register::state::{Replica, ReplicaId, ReplicaSet};
+use mintlb_register::replica_set::{Replica, ReplicaId, ReplicaSet};
 use rustc_hash::FxHashMap;
 use std::net::SocketAddr;
 use std::time::Duration;
--- a/crates/mintlb-control/src/controller/ping_state.rs
+++ b/crates/mintlb-control/src/controller/ping_state.rs
@@ -3,7 +3,7 @@
 use super::peers::Peers;
 use super::stamps::Stamps;
 use minicbor::{Decode, Encode};
-use mintlb_register::state::{ReplicaId, ReplicaSet};
+use mintlb_register::replica_set::{ReplicaId, ReplicaSet};
 use rustc_hash::FxHashMap;
 use std::net::SocketAddr;
 use std::time::Duration;
--- a/crates/mintlb-control/src/controller/pings.rs
+++ b/crates/mintlb-control/src/controller/pings.rs
@@ -4,7 +4,7 @@
 use super::duty_messages::{DutyAnswer, DutyCall, encoded};
 use super::ping_state::STEP;
 use mintlb_common::transport::Channel;
-use mintlb_register::state::ReplicaSet;
+use mintlb_register::replica_set::ReplicaSet;
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::Duration;
--- a/crates/mintlb-control/src/controller/register.rs
+++ b/crates/mintlb-control/src/controller/register.rs
@@ -6,12 +6,12 @@
 use minicbor::{Decode, Encode};
 use mintlb_common::transport::{self, Channel, Transport};
 use mintlb_register::ballot::Ballot;
-use mintlb_register::change::{Answer, Change};
-use mintlb_register::founding::{Grant, SeedAnswer};
-use mintlb_register::message::{Accepted, Ask, Reply, Request};
-use mintlb_register::proposal::{Input, Outcome, Proposal, ROUND};
-use mintlb_register::reading::{Progress, Reading};
-use mintlb_register::state::{Replica, ReplicaId, ReplicaSet};
+use mintlb_register::bootstrap::{BootstrapVote, SeedStatus};
+use mintlb_register::change::Change;
+use mintlb_register::message::{AcceptedValue, Reply, Request, RequestBody};
+use mintlb_register::proposal::{Input, PHASE_TIMEOUT, Proposal, ProposalOutcome};
+use mintlb_register::quorum_read::{QuorumRead, ReadProgress};
+use mintlb_register::replica_set::{Replica, ReplicaId, ReplicaSet};
 use parking_lot::Mutex;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -61,7 +61,7 @@
 }
 
 /// What is told of each value that is newly known to be chosen.
-pub type Listener = Box<dyn Fn(&Accepted) + Send + std::marker::Sync>;
+pub type Listener = Box<dyn Fn(&AcceptedValue) + Send + std::marker::Sync>;
 
 /// The process's way to the register.
 pub struct Register {
@@ -72,7 +72,7 @@
     proposals: AtomicU64,
     draw: u64,
     first_start: bool,
-    grant: Mutex<Grant>,
+    grant: Mutex<BootstrapVote>,
     turn: tokio::sync::Mutex<()>,
     /// When the newest round began that a majority answered.
     majority_at: Mutex<Option<Instant>>,
@@ -119,7 +119,7 @@
     }
 
     /// The newest value known to be chosen.
-    pub fn chosen(&self) -> Option<Accepted> {
+    pub fn chosen(&self) -> Option<AcceptedValue> {
         self.knowledge.lock().chosen().cloned()
     }
 
@@ -160,7 +160,11 @@
     }
 
     /// Changes the value. Changes of one process wait for each other, within the same time.
-    pub async fn change(&self, change: Change, within: Duration) -> Result<Outcome, Unavailable> {
+    pub async fn change(
+        &self,
+        change: Change,
+        within: Duration,
+    ) -> Result<ProposalOutcome, Unavailable> {
         let begun_at = Instant::now();
         let deadline = begun_at + within;
         let _turn = timeout_at(deadline, self.turn.lock())
@@ -176,7 +180,7 @@
         loop {
             if let Some(outcome) = effects.outcome {
                 self.majority_answered(begun_at);
-                self.raise_floor(proposal.highest_seen());
+                self.raise_floor(proposal.highest_ballot());
                 self.learn(outcome.chosen.clone());
                 return Ok(outcome);
             }
@@ -192,7 +196,7 @@
                 () = sleep_until(timer.min(deadline)) => None,
             };
             if Instant::now() >= deadline {
-                self.raise_floor(proposal.highest_seen());
+                self.raise_floor(proposal.highest_ballot());
                 return Err(Unavailable);
             }
             effects = proposal.handle(input.unwrap_or(Input::Timer));
@@ -200,7 +204,7 @@
     }
 
     /// Reads the newest value: no older one than any that was acknowledged before the call.
-    pub async fn read(&self, within: Duration) -> Result<Accepted, Unavailable> {
+    pub async fn read(&self, within: Duration) -> Result<AcceptedValue, Unavailable> {
         let deadline = Instant::now() + within;
         match self
             .read_once(deadline.min(Instant::now() + ONE_ROUND_READ))
@@ -209,7 +213,7 @@
             Some(chosen) => Ok(chosen),
             None => {
                 let left = deadline.saturating_duration_since(Instant::now());
-                self.change(Change::Confirm, left)
+                self.change(Change::Identity, left)
                     .await
                     .map(|outcome| outcome.chosen)
             }
@@ -217,19 +221,19 @@
     }
 
     /// Reads in one round, if a quorum agrees.
-    pub async fn read_once(&self, deadline: Instant) -> Option<Accepted> {
+    pub async fn read_once(&self, deadline: Instant) -> Option<AcceptedValue> {
         let begun_at = Instant::now();
-        let (mut reading, mut progress) = Reading::start(self.set()?, self.chosen());
+        let (mut reading, mut progress) = QuorumRead::start(self.set()?, self.chosen());
         let (replies, mut inputs) = mpsc::channel(REPLIES);
         loop {
             match progress {
-                Progress::Chosen(accepted) => {
+                ReadProgress::Chosen(accepted) => {
                     self.majority_answered(begun_at);
                     self.learn(accepted.clone());
                     return Some(accepted);
                 }
-                Progress::Unclear => return None,
-                Progress::Ask(messages) => {
+                ReadProgress::Inconclusive => return None,
+                ReadProgress::Send(messages) => {
                     for (replica, request) in messages {
                         self.post(replica, request, replies.clone());
                     }
@@ -237,12 +241,12 @@
             }
             let received: Received = timeout_at(deadline, inputs.recv()).await.ok()??;
             progress = reading.reply(received.from, received.reply);
-            self.raise_floor(reading.highest_promise());
+            self.raise_floor(reading.highest_ballot());
         }
     }
 
     /// Asks another process what it knows of the register.
-    pub async fn status_of(&self, address: SocketAddr, within: Duration) -> Option<SeedAnswer> {
+    pub async fn status_of(&self, address: SocketAddr, within: Duration) -> Option<SeedStatus> {
         let body = encoded(&Call::Status);
         let answer = self
             .transport
@@ -250,7 +254,10 @@
             .await
             .ok()?;
         match minicbor::decode(&answer).ok()? {
-            CallAnswer::Status { has_disk, set } => Some(SeedAnswer { has_disk, set }),
+            CallAnswer::Status { has_disk, set } => Some(SeedStatus {
+                has_disk,
+                replica_set: set,
+            }),
             _ => None,
         }
     }
@@ -277,7 +284,7 @@
     }
 
     /// Takes note of a value that is chosen.
-    fn learn(&self, accepted: Accepted) {
+    fn learn(&self, accepted: AcceptedValue) {
         let Some(epoch) = self.knowledge.lock().learn(&accepted) else {
             return;
         };
@@ -298,7 +305,7 @@
     /// A number that no other proposal has.
     fn proposer(&self) -> u64 {
         let number = self.proposals.fetch_add(1, Relaxed) + 1;
-        scramble(
+        mix64(
             self.draw
                 .wrapping_add(number.wrapping_mul(0x9e37_79b9_7f4a_7c15)),
         )
@@ -306,10 +313,10 @@
 
     /// Sends a message to a replica, and its reply or its loss to `replies`.
     fn post(&self, replica: Replica, request: Request, replies: mpsc::Sender<Received>) {
-        let ballot = match &request.ask {
-            Ask::Prepare { ballot, .. } => *ballot,
-            Ask::Accept { proposed } => proposed.ballot,
-            Ask::Read { .. } => Ballot::default(),
+        let ballot = match &request.body {
+            RequestBody::Prepare { ballot, .. } => *ballot,
+            RequestBody::Accept { proposed } => proposed.ballot,
+            RequestBody::Read { .. } => Ballot::default(),
         };
         let local = self
             .replica
@@ -339,7 +346,7 @@
     let address = replica.address.parse().ok()?;
     let body = encoded(&Call::Vote(request));
     let answer = transport
-        .call(address, Channel::Register, body, ROUND)
+        .call(address, Channel::Register, body, PHASE_TIMEOUT)
         .await
         .ok()?;
     match minicbor::decode(&answer).ok()? {
@@ -394,7 +401,7 @@
                         && register
                             .grant
                             .lock()
-                            .ask(candidate, register.first_start, knows_set);
+                            .grant(candidate, register.first_start, knows_set);
                     encoded(&CallAnswer::Grant(granted))
                 }
                 Err(_) => Bytes::new(),
@@ -403,17 +410,12 @@
     }
 }
 
-/// Whether a change is part of the chosen value.
-pub fn is_done(answer: Answer) -> bool {
-    matches!(answer, Answer::Done | Answer::AlreadyDone)
-}
-
 fn encoded<T: Encode<()>>(value: &T) -> Bytes {
     minicbor::to_vec(value).unwrap_or_default().into()
 }
 
 /// Spreads the bits of a number (splitmix64).
-pub fn scramble(number: u64) -> u64 {
+pub fn mix64(number: u64) -> u64 {
     let mixed = (number ^ (number >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     let mixed = (mixed ^ (mixed >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
     mixed ^ (mixed >> 31)
--- a/crates/mintlb-control/src/controller/replica.rs
+++ b/crates/mintlb-control/src/controller/replica.rs
@@ -1,10 +1,11 @@
 //! This process's replica of the register: its vote in memory, the file behind it, and its answers.
 
 use super::vote_store::{Health, Opened, VoteStore};
-use mintlb_register::acceptor::{Acceptor, Sync};
-use mintlb_register::message::{Accepted, Reply, Request};
-use mintlb_register::state::{ControlState, Replica};
-use mintlb_register::{ballot::Ballot, message::Ask};
+use mintlb_register::acceptor::{Acceptor, DurableWrite};
+use mintlb_register::message::{AcceptedValue, Reply, Request};
+use mintlb_register::replica_set::Replica;
+use mintlb_register::state::ControlState;
+use mintlb_register::{ballot::Ballot, message::RequestBody};
 use parking_lot::Mutex;
 use std::sync::Arc;
 
@@ -32,8 +33,8 @@
     }
 
     /// The value that it accepted last, which may not be chosen.
-    pub fn accepted(&self) -> Option<Accepted> {
-        self.acceptor.lock().vote().accepted.clone()
+    pub fn accepted(&self) -> Option<AcceptedValue> {
+        self.acceptor.lock().state().accepted.clone()
     }
 
     /// Lets go of the file; nothing is answered any more that has to be synced.
@@ -45,14 +46,14 @@
     pub async fn answer(&self, request: Request) -> Option<Reply> {
         self.synced(|acceptor| {
             let answered = acceptor.handle(request);
-            (answered.sync, answered.reply)
+            (answered.durable_write, answered.reply)
         })
         .await
     }
 
     /// Takes in a chosen value that has not come here: then the disk here is as new as those of the majority. Nothing
     /// happens if it has it, or something newer, or is no member of the value's set.
-    pub async fn catch_up(&self, chosen: &Accepted) {
+    pub async fn catch_up(&self, chosen: &AcceptedValue) {
         let is_behind = self
             .accepted()
             .is_none_or(|accepted| accepted.ballot < chosen.ballot);
@@ -67,7 +68,7 @@
     }
 
     /// What came of the vote, once all that it has taken in is on disk.
-    async fn synced<T>(&self, vote: impl FnOnce(&mut Acceptor) -> (Sync, T)) -> Option<T> {
+    async fn synced<T>(&self, vote: impl FnOnce(&mut Acceptor) -> (DurableWrite, T)) -> Option<T> {
         let (result, synced) = {
             let mut acceptor = self.acceptor.lock();
             match self.store.take_health() {
@@ -79,7 +80,7 @@
                 return None;
             }
             let (sync, result) = vote(&mut acceptor);
-            if sync == Sync::Nothing && self.store.is_synced() {
+            if sync == DurableWrite::Nothing && self.store.is_synced() {
                 return Some(result);
             }
             (result, self.store.sync(sync))
@@ -88,12 +89,12 @@
     }
 
     /// Writes the first value of a register, with this replica as the only one; `None` if it could not be synced.
-    pub async fn found(&self, ballot: Ballot) -> Option<Accepted> {
-        let state = Arc::new(ControlState::founded_by(self.identity.clone()));
-        let proposed = Accepted { ballot, state };
+    pub async fn found(&self, ballot: Ballot) -> Option<AcceptedValue> {
+        let state = Arc::new(ControlState::bootstrap(self.identity.clone()));
+        let proposed = AcceptedValue { ballot, state };
         let request = Request {
             target: self.identity.id,
-            ask: Ask::Accept {
+            body: RequestBody::Accept {
                 proposed: proposed.clone(),
             },
         };
--- a/crates/mintlb-control/src/controller/retirement.rs
+++ b/crates/mintlb-control/src/controller/retirement.rs
@@ -2,7 +2,6 @@
 
 use super::Controller;
 use super::duty_messages::{RetireAnswer, RetireCall};
-use super::register::is_done;
 use mintlb_batch::placement_planner::{
     LIVE, Retirement, RetirementOrder, StoreView, order_retirement, retirement,
 };
@@ -49,10 +48,10 @@
         let left = deadline.saturating_duration_since(Instant::now());
         match controller
             .register
-            .change(Change::Placement(next), left)
+            .change(Change::SetPlacement(next), left)
             .await
         {
-            Ok(outcome) if is_done(outcome.answer) => return RetireAnswer::Ordered,
+            Ok(outcome) if outcome.change.is_applied() => return RetireAnswer::Ordered,
             // The placement has changed in between.
             Ok(_) => (),
             Err(_) => return RetireAnswer::Unavailable,
--- a/crates/mintlb-control/src/controller/vote_file.rs
+++ b/crates/mintlb-control/src/controller/vote_file.rs
@@ -2,10 +2,10 @@
 
 use super::ControllerError;
 use minicbor::{Decode, Encode};
-use mintlb_register::acceptor::Vote;
+use mintlb_register::acceptor::AcceptorState;
 use mintlb_register::ballot::Ballot;
-use mintlb_register::message::Accepted;
-use mintlb_register::state::ReplicaId;
+use mintlb_register::message::AcceptedValue;
+use mintlb_register::replica_set::ReplicaId;
 use redb::{Database, ReadableDatabase, TableDefinition};
 use std::path::Path;
 
@@ -27,7 +27,7 @@
     /// The replica's identity.
     pub id: ReplicaId,
     /// Its vote.
-    pub vote: Vote,
+    pub vote: AcceptorState,
 }
 
 /// How every database of a replica is opened.
@@ -57,7 +57,7 @@
             &database,
             &Contents {
                 id,
-                vote: Vote::default(),
+                vote: AcceptorState::default(),
             },
         )?;
     }
@@ -85,12 +85,12 @@
     let promised: Option<Ballot> = read(PROMISED)?
         .map(|bytes| decoded(bytes.value()))
         .transpose()?;
-    let accepted: Option<Accepted> = read(ACCEPTED)?
+    let accepted: Option<AcceptedValue> = read(ACCEPTED)?
         .map(|bytes| decoded(bytes.value()))
         .transpose()?;
     Ok(Contents {
         id,
-        vote: Vote {
+        vote: AcceptorState {
             promised: promised.unwrap_or_default(),
             accepted,
         },
@@ -107,7 +107,7 @@
 pub fn write_vote(
     database: &Database,
     promised: Ballot,
-    accepted: Option<&Accepted>,
+    accepted: Option<&AcceptedValue>,
 ) -> Result<(), ControllerError> {
     write(database, None, promised, accepted)
 }
@@ -116,7 +116,7 @@
     database: &Database,
     id: Option<ReplicaId>,
     promised: Ballot,
-    accepted: Option<&Accepted>,
+    accepted: Option<&AcceptedValue>,
 ) -> Result<(), ControllerError> {
     let transaction = database.begin_write().map_err(ControllerError::database)?;
     {
--- a/crates/mintlb-control/src/controller/vote_store.rs
+++ b/crates/mintlb-control/src/controller/vote_store.rs
@@ -7,8 +7,8 @@
 use super::ControllerError;
 pub use super::vote_file::FILE;
 use super::vote_file::{self, Contents};
-use mintlb_register::acceptor::{Sync, Vote};
-use mintlb_register::state::ReplicaId;
+use mintlb_register::acceptor::{AcceptorState, DurableWrite};
+use mintlb_register::replica_set::ReplicaId;
 use parking_lot::Mutex;
 use redb::Database;
 use std::path::Path;
@@ -33,7 +33,7 @@
 
 /// A sync that is asked for, and whom to tell of it.
 struct Job {
-    sync: Sync,
+    sync: DurableWrite,
     /// The life of the vote in memory to which it belongs.
     life: u64,
     done: oneshot::Sender<()>,
@@ -48,7 +48,7 @@
     /// A commit has failed: nothing may be answered.
     Failed,
     /// The disk takes bytes again: this vote takes the place of the one in memory.
-    Reloaded(Vote),
+    Reloaded(AcceptorState),
 }
 
 /// What the thread and its owner share.
@@ -91,7 +91,7 @@
     /// The replica's identity.
     pub id: ReplicaId,
     /// Its vote.
-    pub vote: Vote,
+    pub vote: AcceptorState,
 }
 
 impl VoteStore {
@@ -175,7 +175,7 @@
     }
 
     /// Asks for a sync after all those asked for before; the receiver fails if it did not come about.
-    pub fn sync(&self, sync: Sync) -> oneshot::Receiver<()> {
+    pub fn sync(&self, sync: DurableWrite) -> oneshot::Receiver<()> {
         let (done, receiver) = oneshot::channel();
         let mut health = self.shared.health.lock();
         if *health != Health::Good {
@@ -262,7 +262,7 @@
     }
 
     /// What was read is written once more: a commit that failed may have left it where no later sync would cover it.
-    fn reload(&self) -> Result<(Database, Vote), ControllerError> {
+    fn reload(&self) -> Result<(Database, AcceptorState), ControllerError> {
         let database = (self.opener)()?;
         let contents = vote_file::read(&database)?;
         if contents.id != self.id {
@@ -278,17 +278,17 @@
 /// Writes the last promise and the last value of the jobs. Later ones are never lower.
 fn commit(database: &Database, jobs: &[Job]) -> Result<(), ControllerError> {
     let promise = jobs.iter().rev().find_map(|job| match &job.sync {
-        Sync::Nothing => None,
-        Sync::Promise(ballot) => Some(*ballot),
-        Sync::Value(accepted) => Some(accepted.ballot),
-        Sync::Learned { promised, .. } => Some(*promised),
+        DurableWrite::Nothing => None,
+        DurableWrite::Promise(ballot) => Some(*ballot),
+        DurableWrite::Accepted(accepted) => Some(accepted.ballot),
+        DurableWrite::Learned { promised, .. } => Some(*promised),
     });
     let Some(promise) = promise else {
         return Ok(());
     };
     let value = jobs.iter().rev().find_map(|job| match &job.sync {
-        Sync::Value(accepted)
-        | Sync::Learned {
+        DurableWrite::Accepted(accepted)
+        | DurableWrite::Learned {
             chosen: accepted, ..
         } => Some(accepted),
         _ => None,
--- a/crates/mintlb-control/src/store/heartbeats.rs
+++ b/crates/mintlb-control/src/store/heartbeats.rs
@@ -7,7 +7,7 @@
 use mintlb_common::settings::{InternalPort, NodeSettings};
 use mintlb_common::transport::{Channel, Transport};
 use mintlb_gossip::Overlay;
-use mintlb_register::state::ReplicaSet;
+use mintlb_register::replica_set::ReplicaSet;
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::Duration;
--- a/crates/mintlb-control/tests/contact_world/mod.rs
+++ b/crates/mintlb-control/tests/contact_world/mod.rs
@@ -3,7 +3,7 @@
 
 use mintlb_control::controller::contact::LEASE;
 use mintlb_control::controller::ping_state::{Ping, PingState, Pong, STEP};
-use mintlb_register::state::{Replica, ReplicaSet};
+use mintlb_register::replica_set::{Replica, ReplicaSet};
 use std::net::SocketAddr;
 use std::time::Duration;
 use tokio::time::Instant;
--- a/crates/mintlb-control/tests/controller_catch_up.rs
+++ b/crates/mintlb-control/tests/controller_catch_up.rs
@@ -3,8 +3,9 @@
 use mintlb_control::controller::replica::LocalReplica;
 use mintlb_control::controller::vote_store::VoteStore;
 use mintlb_register::ballot::Ballot;
-use mintlb_register::message::{Accepted, Ask, Reply, Request};
-use mintlb_register::state::{ControlState, Replica, ReplicaId};
+use mintlb_register::message::{AcceptedValue, Reply, Request, RequestBody};
+use mintlb_register::replica_set::{Replica, ReplicaId};
+use mintlb_register::state::ControlState;
 use std::sync::Arc;
 
 fn wait<T>(future: impl Future<Output = T>) -> T {
@@ -25,12 +26,12 @@
     }
 }
 
-fn chosen(counter: u64, member: ReplicaId) -> Accepted {
+fn chosen(counter: u64, member: ReplicaId) -> AcceptedValue {
     let state = ControlState {
         revision: counter,
-        ..ControlState::founded_by(identity(member))
+        ..ControlState::bootstrap(identity(member))
     };
-    Accepted {
+    AcceptedValue {
         ballot: Ballot {
             counter,
             proposer: 3,
@@ -68,12 +69,12 @@
         counter: 9,
         proposer: 1,
     };
-    let ask = Ask::Prepare {
+    let body = RequestBody::Prepare {
         ballot: promised,
         known: None,
     };
-    let reply = wait(replica.answer(Request { target: 7, ask }));
-    assert!(matches!(reply, Some(Reply::Promised { .. })), "{reply:?}");
+    let reply = wait(replica.answer(Request { target: 7, body }));
+    assert!(matches!(reply, Some(Reply::Promise { .. })), "{reply:?}");
     wait(replica.catch_up(&chosen(8, 7)));
     assert_eq!(
         replica.accepted(),
--- a/crates/mintlb-control/tests/controller_contact.rs
+++ b/crates/mintlb-control/tests/controller_contact.rs
@@ -2,7 +2,7 @@
 
 use mintlb_control::controller::contact::{Contact, LEASE};
 use mintlb_control::controller::stamps::Stamps;
-use mintlb_register::state::{Replica, ReplicaSet};
+use mintlb_register::replica_set::{Replica, ReplicaSet};
 use std::time::Duration;
 use tokio::time::Instant;
 
--- a/crates/mintlb-control/tests/controller_disk_faults.rs
+++ b/crates/mintlb-control/tests/controller_disk_faults.rs
@@ -7,8 +7,9 @@
 use mintlb_control::controller::replica::LocalReplica;
 use mintlb_control::controller::vote_store::{QUEUE, VoteStore};
 use mintlb_register::ballot::Ballot;
-use mintlb_register::message::{Accepted, Ask, Reply, Report, Request};
-use mintlb_register::state::{ControlState, Replica};
+use mintlb_register::message::{AcceptedValue, Reply, ReportedValue, Request, RequestBody};
+use mintlb_register::replica_set::Replica;
+use mintlb_register::state::ControlState;
 use std::future::Future;
 use std::sync::Arc;
 use std::task::{Context, Poll, Waker};
@@ -35,14 +36,14 @@
     }
 }
 
-fn value(counter: u64, bytes: usize) -> Accepted {
+fn value(counter: u64, bytes: usize) -> AcceptedValue {
     let state = ControlState {
         revision: counter,
         configuration_version: counter,
         configuration: vec![counter as u8; bytes],
-        ..ControlState::founded_by(identity())
+        ..ControlState::bootstrap(identity())
     };
-    Accepted {
+    AcceptedValue {
         ballot: ballot(counter),
         state: Arc::new(state),
     }
@@ -51,7 +52,7 @@
 fn prepare(counter: u64) -> Request {
     Request {
         target: ID,
-        ask: Ask::Prepare {
+        body: RequestBody::Prepare {
             ballot: ballot(counter),
             known: None,
         },
@@ -61,7 +62,7 @@
 fn accept(counter: u64) -> Request {
     Request {
         target: ID,
-        ask: Ask::Accept {
+        body: RequestBody::Accept {
             proposed: value(counter, 100),
         },
     }
@@ -70,7 +71,7 @@
 fn read() -> Request {
     Request {
         target: ID,
-        ask: Ask::Read { known: None },
+        body: RequestBody::Read { known: None },
     }
 }
 
@@ -106,7 +107,9 @@
 /// What a reply tells of the value.
 fn told(reply: Reply) -> Option<Ballot> {
     match reply {
-        Reply::Promised { report, .. } | Reply::Read { report, .. } => report.ballot(),
+        Reply::Promise { last_accepted, .. } | Reply::Read { last_accepted, .. } => {
+            last_accepted.ballot()
+        }
         other => panic!("{other:?}"),
     }
 }
@@ -225,8 +228,8 @@
             .into_iter()
             .all(|call| runtime.block_on(call).is_some())
     );
-    let Some(Reply::Promised {
-        report: Report::Value(accepted),
+    let Some(Reply::Promise {
+        last_accepted: ReportedValue::Value(accepted),
         ..
     }) = answer(&replica, prepare(9001))
     else {
@@ -267,7 +270,7 @@
             &replica,
             Request {
                 target: ID,
-                ask: Ask::Accept { proposed },
+                body: RequestBody::Accept { proposed },
             },
         )
         .unwrap();
--- a/crates/mintlb-control/tests/controller_fleet.rs
+++ b/crates/mintlb-control/tests/controller_fleet.rs
@@ -7,7 +7,7 @@
 use mintlb_common::record::{CONFIGURATION, WorkerRecord, WorkerState};
 use mintlb_control::controller::contact::LEASE;
 use mintlb_control::controller::membership;
-use mintlb_register::state::{ReplicaId, ReplicaSet};
+use mintlb_register::replica_set::{ReplicaId, ReplicaSet};
 
 fn configuration(version: u64) -> String {
     format!(
--- a/crates/mintlb-control/tests/controller_knowledge.rs
+++ b/crates/mintlb-control/tests/controller_knowledge.rs
@@ -2,8 +2,9 @@
 
 use mintlb_control::controller::knowledge::Knowledge;
 use mintlb_register::ballot::Ballot;
-use mintlb_register::message::Accepted;
-use mintlb_register::state::{ControlState, Replica, ReplicaSet};
+use mintlb_register::message::AcceptedValue;
+use mintlb_register::replica_set::{Replica, ReplicaSet};
+use mintlb_register::state::ControlState;
 use std::sync::Arc;
 
 fn set(epoch: u64, ids: &[u64]) -> ReplicaSet {
@@ -23,13 +24,13 @@
     }
 }
 
-fn accepted(counter: u64, set: ReplicaSet) -> Accepted {
+fn accepted(counter: u64, set: ReplicaSet) -> AcceptedValue {
     let state = ControlState {
         revision: counter,
         replicas: set,
         ..ControlState::default()
     };
-    Accepted {
+    AcceptedValue {
         ballot: Ballot {
             counter,
             proposer: 1,
--- a/crates/mintlb-control/tests/controller_peers.rs
+++ b/crates/mintlb-control/tests/controller_peers.rs
@@ -2,7 +2,7 @@
 
 use mintlb_control::controller::contact::LEASE;
 use mintlb_control::controller::peers::{LIVE, Peers, SILENT, TAKE_AFTER};
-use mintlb_register::state::{Replica, ReplicaSet};
+use mintlb_register::replica_set::{Replica, ReplicaSet};
 use std::net::SocketAddr;
 use std::time::Duration;
 use tokio::time::Instant;
--- a/crates/mintlb-control/tests/controller_vote_store.rs
+++ b/crates/mintlb-control/tests/controller_vote_store.rs
@@ -1,10 +1,11 @@
 //! The file behind a replica: what it keeps, and what becomes of a torn one.
 
 use mintlb_control::controller::vote_store::{FILE, VoteStore};
-use mintlb_register::acceptor::Sync;
+use mintlb_register::acceptor::DurableWrite;
 use mintlb_register::ballot::Ballot;
-use mintlb_register::message::Accepted;
-use mintlb_register::state::{ControlState, Replica};
+use mintlb_register::message::AcceptedValue;
+use mintlb_register::replica_set::Replica;
+use mintlb_register::state::ControlState;
 use std::sync::Arc;
 
 fn ballot(counter: u64) -> Ballot {
@@ -14,7 +15,7 @@
     }
 }
 
-fn accepted(counter: u64) -> Accepted {
+fn accepted(counter: u64) -> AcceptedValue {
     let address = "10.0.0.1:7661".to_string();
     let replica = Replica {
         id: 1,
@@ -24,16 +25,16 @@
     };
     let state = ControlState {
         revision: counter,
-        ..ControlState::founded_by(replica)
+        ..ControlState::bootstrap(replica)
     };
-    Accepted {
+    AcceptedValue {
         ballot: ballot(counter),
         state: Arc::new(state),
     }
 }
 
 /// Waits for a sync on the calling thread.
-fn synced(store: &VoteStore, sync: Sync) {
+fn synced(store: &VoteStore, sync: DurableWrite) {
     store.sync(sync).blocking_recv().unwrap();
 }
 
@@ -42,10 +43,10 @@
     let folder = tempfile::tempdir().unwrap();
     let opened = VoteStore::open(folder.path(), 41).unwrap();
     assert_eq!((opened.id, opened.vote.accepted), (41, None));
-    synced(&opened.store, Sync::Promise(ballot(3)));
-    synced(&opened.store, Sync::Value(accepted(3)));
-    synced(&opened.store, Sync::Promise(ballot(5)));
-    synced(&opened.store, Sync::Nothing);
+    synced(&opened.store, DurableWrite::Promise(ballot(3)));
+    synced(&opened.store, DurableWrite::Accepted(accepted(3)));
+    synced(&opened.store, DurableWrite::Promise(ballot(5)));
+    synced(&opened.store, DurableWrite::Nothing);
     assert!(!opened.store.is_busy());
     drop(opened.store);
     let again = VoteStore::open(folder.path(), 99).unwrap();
@@ -64,7 +65,7 @@
     let folder = tempfile::tempdir().unwrap();
     let opened = VoteStore::open(folder.path(), 41).unwrap();
     assert!(VoteStore::open(folder.path(), 42).is_err());
-    synced(&opened.store, Sync::Promise(ballot(3)));
+    synced(&opened.store, DurableWrite::Promise(ballot(3)));
     drop(opened.store);
     assert_eq!(VoteStore::open(folder.path(), 43).unwrap().id, 41);
 }
@@ -75,8 +76,8 @@
     let opened = VoteStore::open(folder.path(), 41).unwrap();
     let waiting: Vec<_> = (1..=50)
         .map(|counter| match counter % 2 {
-            0 => opened.store.sync(Sync::Promise(ballot(counter))),
-            _ => opened.store.sync(Sync::Value(accepted(counter))),
+            0 => opened.store.sync(DurableWrite::Promise(ballot(counter))),
+            _ => opened.store.sync(DurableWrite::Accepted(accepted(counter))),
         })
         .collect();
     waiting
--- a/crates/mintlb-control/tests/controllers/mod.rs
+++ b/crates/mintlb-control/tests/controllers/mod.rs
@@ -8,7 +8,7 @@
 use mintlb_control::controller::vote_store::FILE;
 use mintlb_control::controller::{Controller, http, start};
 use mintlb_gossip::Overlay;
-use mintlb_register::state::ReplicaSet;
+use mintlb_register::replica_set::ReplicaSet;
 use std::path::Path;
 use std::sync::atomic::{AtomicU16, Ordering::SeqCst};
 use std::sync::{Arc, mpsc};
--- a/crates/mintlb-control/tests/faulty_disk/mod.rs
+++ b/crates/mintlb-control/tests/faulty_disk/mod.rs
@@ -3,7 +3,7 @@
 use mintlb_control::controller::ControllerError;
 use mintlb_control::controller::vote_file::{self, Contents};
 use mintlb_control::controller::vote_store::Opener;
-use mintlb_register::acceptor::Vote;
+use mintlb_register::acceptor::AcceptorState;
 use parking_lot::{Condvar, Mutex};
 use redb::StorageBackend;
 use std::io::{Error, ErrorKind};
@@ -61,7 +61,7 @@
             &database,
             &Contents {
                 id,
-                vote: Vote::default(),
+                vote: AcceptorState::default(),
             },
         )
         .unwrap();
--- a/crates/mintlb-register/src/acceptor.rs
+++ b/crates/mintlb-register/src/acceptor.rs
@@ -1,41 +1,41 @@
 //! One replica's vote: the highest ballot promised and the value accepted last.
 
 use crate::ballot::Ballot;
-use crate::message::{Accepted, Ask, Reply, Report, Request};
-use crate::state::ReplicaId;
+use crate::message::{AcceptedValue, Reply, ReportedValue, Request, RequestBody};
+use crate::replica_set::ReplicaId;
 
 /// What a replica has to remember for good.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Vote {
+pub struct AcceptorState {
     /// Lower ballots are refused.
     pub promised: Ballot,
     /// The value accepted last.
-    pub accepted: Option<Accepted>,
+    pub accepted: Option<AcceptedValue>,
 }
 
 /// What of the vote has to be synced before the reply may be sent.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Sync {
+pub enum DurableWrite {
     /// Nothing new; but what was to be synced before has to be.
     Nothing,
     /// The promise.
     Promise(Ballot),
     /// The promise and the value, both at the value's ballot.
-    Value(Accepted),
+    Accepted(AcceptedValue),
     /// A chosen value, and the promise, which may be higher.
     Learned {
         /// What is promised.
         promised: Ballot,
         /// The value.
-        chosen: Accepted,
+        chosen: AcceptedValue,
     },
 }
 
 /// An answer that may be given once `sync` is on disk.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Answered {
+pub struct AcceptorResponse {
     /// What to sync first.
-    pub sync: Sync,
+    pub durable_write: DurableWrite,
     /// The answer.
     pub reply: Reply,
 }
@@ -44,12 +44,12 @@
 #[derive(Clone, Debug)]
 pub struct Acceptor {
     id: ReplicaId,
-    vote: Vote,
+    vote: AcceptorState,
 }
 
 impl Acceptor {
     /// A replica with what its disk holds.
-    pub fn new(id: ReplicaId, vote: Vote) -> Acceptor {
+    pub fn new(id: ReplicaId, vote: AcceptorState) -> Acceptor {
         Acceptor { id, vote }
     }
 
@@ -59,26 +59,29 @@
     }
 
     /// What it has promised and accepted.
-    pub fn vote(&self) -> &Vote {
+    pub fn state(&self) -> &AcceptorState {
         &self.vote
     }
 
     /// Handles a request.
-    pub fn handle(&mut self, request: Request) -> Answered {
+    pub fn handle(&mut self, request: Request) -> AcceptorResponse {
         if request.target != self.id {
-            return Answered {
-                sync: Sync::Nothing,
-                reply: Reply::Stranger { id: self.id },
+            return AcceptorResponse {
+                durable_write: DurableWrite::Nothing,
+                reply: Reply::WrongReplica { id: self.id },
             };
         }
-        match request.ask {
-            Ask::Prepare { ballot, known } => self.prepare(ballot, known),
-            Ask::Accept { proposed } => self.accept(proposed),
-            Ask::Read { known } => {
-                let (report, promised) = (self.report(known), self.vote.promised);
-                Answered {
-                    sync: Sync::Nothing,
-                    reply: Reply::Read { report, promised },
+        match request.body {
+            RequestBody::Prepare { ballot, known } => self.prepare(ballot, known),
+            RequestBody::Accept { proposed } => self.accept(proposed),
+            RequestBody::Read { known } => {
+                let (last_accepted, promised) = (self.last_accepted(known), self.vote.promised);
+                AcceptorResponse {
+                    durable_write: DurableWrite::Nothing,
+                    reply: Reply::Read {
+                        last_accepted,
+                        promised,
+                    },
                 }
             }
         }
@@ -86,43 +89,43 @@
 
     /// Takes in a value that is known to be chosen, also where a higher ballot was promised meanwhile: whoever holds that
     /// promise hears of the value from a majority, so that one more holder changes nothing for it.
-    pub fn learn(&mut self, chosen: &Accepted) -> Sync {
+    pub fn learn(&mut self, chosen: &AcceptedValue) -> DurableWrite {
         if self
             .vote
             .accepted
             .as_ref()
             .is_some_and(|held| held.ballot >= chosen.ballot)
         {
-            return Sync::Nothing;
+            return DurableWrite::Nothing;
         }
         self.vote.promised = self.vote.promised.max(chosen.ballot);
         self.vote.accepted = Some(chosen.clone());
-        Sync::Learned {
+        DurableWrite::Learned {
             promised: self.vote.promised,
             chosen: chosen.clone(),
         }
     }
 
-    fn prepare(&mut self, ballot: Ballot, known: Option<Ballot>) -> Answered {
+    fn prepare(&mut self, ballot: Ballot, known: Option<Ballot>) -> AcceptorResponse {
         if ballot < self.vote.promised {
             return self.refuse(ballot);
         }
-        let sync = if ballot == self.vote.promised {
-            Sync::Nothing
+        let durable_write = if ballot == self.vote.promised {
+            DurableWrite::Nothing
         } else {
-            Sync::Promise(ballot)
+            DurableWrite::Promise(ballot)
         };
         self.vote.promised = ballot;
-        Answered {
-            sync,
-            reply: Reply::Promised {
+        AcceptorResponse {
+            durable_write,
+            reply: Reply::Promise {
                 ballot,
-                report: self.report(known),
+                last_accepted: self.last_accepted(known),
             },
         }
     }
 
-    fn accept(&mut self, proposed: Accepted) -> Answered {
+    fn accept(&mut self, proposed: AcceptedValue) -> AcceptorResponse {
         let ballot = proposed.ballot;
         if ballot < self.vote.promised {
             return self.refuse(ballot);
@@ -133,33 +136,35 @@
             .as_ref()
             .is_some_and(|accepted| accepted.ballot == ballot);
         self.vote.promised = ballot;
-        let sync = if repeated {
-            Sync::Nothing
+        let durable_write = if repeated {
+            DurableWrite::Nothing
         } else {
-            Sync::Value(proposed.clone())
+            DurableWrite::Accepted(proposed.clone())
         };
         self.vote.accepted = Some(proposed);
-        Answered {
-            sync,
+        AcceptorResponse {
+            durable_write,
             reply: Reply::Accepted { ballot },
         }
     }
 
-    fn refuse(&self, ballot: Ballot) -> Answered {
-        Answered {
-            sync: Sync::Nothing,
-            reply: Reply::Refused {
+    fn refuse(&self, ballot: Ballot) -> AcceptorResponse {
+        AcceptorResponse {
+            durable_write: DurableWrite::Nothing,
+            reply: Reply::Rejected {
                 ballot,
                 promised: self.vote.promised,
             },
         }
     }
 
-    fn report(&self, known: Option<Ballot>) -> Report {
+    fn last_accepted(&self, known: Option<Ballot>) -> ReportedValue {
         match &self.vote.accepted {
-            None => Report::Nothing,
-            Some(accepted) if known == Some(accepted.ballot) => Report::Known(accepted.ballot),
-            Some(accepted) => Report::Value(accepted.clone()),
+            None => ReportedValue::Nothing,
+            Some(accepted) if known == Some(accepted.ballot) => {
+                ReportedValue::Unchanged(accepted.ballot)
+            }
+            Some(accepted) => ReportedValue::Value(accepted.clone()),
         }
     }
 }
--- a/crates/mintlb-register/src/taken.rs
+++ b/crates/mintlb-register/src/applied_history.rs
@@ -1,5 +1,5 @@
 //! Which configurations were taken before the current one: an order that comes again is acknowledged by that, for the
-//! last [`MOST_KEPT`] of them. Of an older one nothing is claimed.
+//! last [`MAX_ENTRIES`] of them. Of an older one nothing is claimed.
 
 use minicbor::{Decode, Encode};
 use sha2::{Digest as _, Sha256};
@@ -7,7 +7,7 @@
 /// Configurations that are remembered, not counting the current one. Each takes [`DIGEST_BYTES`] and one to ten bytes
 /// for the distance of its version from the one before, so about 70 kB in all; the register's value is written and sent
 /// whole with each change.
-pub const MOST_KEPT: usize = 4096;
+pub const MAX_ENTRIES: usize = 4096;
 /// Bytes of a text's SHA-256 that are kept: no two texts that agree in them can be found.
 pub const DIGEST_BYTES: usize = 16;
 /// Low bits of one byte of an encoded number; the highest bit says that more follow.
@@ -15,18 +15,18 @@
 
 /// What is remembered of an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Remembered {
+pub enum HistoryLookup {
     /// This very configuration was taken.
-    Taken,
+    Applied,
     /// It was not.
-    NotTaken,
+    NotApplied,
     /// It may have been, too long ago to tell.
-    Forgotten,
+    Compacted,
 }
 
 /// The configurations that others have followed, by version and digest.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Encode, Decode)]
-pub struct TakenHistory {
+pub struct AppliedHistory {
     /// Of versions up to this one nothing is known.
     #[n(0)]
     forgotten: u64,
@@ -44,36 +44,36 @@
     end: usize,
 }
 
-impl TakenHistory {
+impl AppliedHistory {
     /// A history that begins after this version.
-    pub fn beginning_after(forgotten: u64) -> TakenHistory {
-        TakenHistory {
+    pub fn starting_after(forgotten: u64) -> AppliedHistory {
+        AppliedHistory {
             forgotten,
             entries: Vec::new(),
         }
     }
 
     /// What is remembered of this text under this version.
-    pub fn look_up(&self, version: u64, text: &[u8]) -> Remembered {
+    pub fn look_up(&self, version: u64, text: &[u8]) -> HistoryLookup {
         if version <= self.forgotten {
-            return Remembered::Forgotten;
+            return HistoryLookup::Compacted;
         }
         let mut read = 0;
         for entry in self.iter() {
             if entry.version == version {
                 let same = entry.digest == digest(text);
                 return if same {
-                    Remembered::Taken
+                    HistoryLookup::Applied
                 } else {
-                    Remembered::NotTaken
+                    HistoryLookup::NotApplied
                 };
             }
             read = entry.end;
         }
         if read == self.entries.len() {
-            Remembered::NotTaken
+            HistoryLookup::NotApplied
         } else {
-            Remembered::Forgotten
+            HistoryLookup::Compacted
         }
     }
 
@@ -85,7 +85,7 @@
             .map_or(self.forgotten, |entry| entry.version);
         push_number(&mut self.entries, version.saturating_sub(before));
         self.entries.extend_from_slice(&digest(text));
-        if self.len() > MOST_KEPT {
+        if self.len() > MAX_ENTRIES {
             self.forget_oldest();
         }
     }
--- a/crates/mintlb-register/src/change.rs
+++ b/crates/mintlb-register/src/change.rs
@@ -1,16 +1,17 @@
 //! The changes of the register's value, each with the condition under which it applies.
 
-use crate::state::{ControlState, Replica, ReplicaId};
-use crate::taken::Remembered;
+use crate::applied_history::HistoryLookup;
+use crate::replica_set::{Replica, ReplicaId};
+use crate::state::ControlState;
 use mintlb_common::placement::Placement;
 
 /// What is to be done to the value.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Change {
     /// Nothing: the newest value is made sure of and returned.
-    Confirm,
+    Identity,
     /// The operator's configuration is replaced.
-    Configuration {
+    SetConfiguration {
         /// The version it was built on; 0 for the first.
         base: u64,
         /// Its own version.
@@ -18,64 +19,71 @@
         /// Its text.
         body: Vec<u8>,
         /// How many disks may be lost at once; it is not taken before the replicas are enough for that.
-        tolerance: usize,
+        tolerated_failures: usize,
         /// There may never be enough replicas to go on after such a loss: it is taken if they are enough to keep it.
-        at_least_kept: bool,
+        durability_suffices: bool,
     },
     /// A replica gets a vote.
-    Join {
+    AddReplica {
         /// The new one. It takes the place of a replica with the same address.
         replica: Replica,
         /// Replicas that have long been silent; in a full set the first of them is replaced.
-        silent: Vec<ReplicaId>,
+        unresponsive: Vec<ReplicaId>,
         /// The largest set; a join beyond it needs a silent replica.
-        most: usize,
+        max_replicas: usize,
     },
     /// A silent replica loses its vote.
-    Leave {
+    RemoveReplica {
         /// Which one.
         id: ReplicaId,
         /// The set stays at least as large.
-        fewest: usize,
+        min_replicas: usize,
     },
     /// A change of the set is ended: the previous replicas lose their votes.
-    Settle,
+    LeaveJoint,
     /// The placement is replaced by the one that follows it: its epoch is one higher.
-    Placement(Placement),
+    SetPlacement(Placement),
 }
 
 /// What became of a change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Answer {
+pub enum ChangeOutcome {
     /// It is part of the value now.
-    Done,
+    Applied,
     /// It had been part of the value before.
-    AlreadyDone,
+    AlreadyApplied,
     /// It builds on another version than the current one.
     StaleBase,
     /// Its version is not above the one it builds on.
-    VersionNotAbove,
+    VersionNotIncreased,
     /// It may have been part of the value long ago; that can't be told any more.
-    Forgotten,
+    HistoryCompacted,
     /// There are too few replicas for it.
     TooFewReplicas,
     /// The set is as large as it may become, and none is silent.
     SetFull,
 }
 
+impl ChangeOutcome {
+    /// Whether the change is part of the chosen value.
+    pub fn is_applied(self) -> bool {
+        matches!(self, ChangeOutcome::Applied | ChangeOutcome::AlreadyApplied)
+    }
+}
+
 /// What a change makes of a value.
 pub(crate) enum Verdict {
     /// The value is to be replaced.
     Write(Box<ControlState>),
     /// The value stays; this is the answer.
-    Keep(Answer),
+    Keep(ChangeOutcome),
 }
 
 impl Change {
     /// The value that is to be chosen before this change is begun: a change of the set is ended first, whoever began it,
     /// since a member of its `previous` side that is lost for good may leave that side without a majority.
     pub(crate) fn first(&self, state: &ControlState) -> Option<ControlState> {
-        let waits = !matches!(self, Change::Confirm | Change::Settle);
+        let waits = !matches!(self, Change::Identity | Change::LeaveJoint);
         let mut settled = if waits {
             settle(state).ok()?
         } else {
@@ -88,26 +96,27 @@
     /// Applies the change to a chosen value.
     pub(crate) fn apply(&self, state: &ControlState) -> Verdict {
         let next = match self {
-            Change::Confirm => Err(Answer::Done),
-            Change::Configuration {
+            Change::Identity => Err(ChangeOutcome::Applied),
+            Change::SetConfiguration {
                 base,
                 version,
                 body,
-                tolerance,
-                at_least_kept,
+                tolerated_failures,
+                durability_suffices,
             } => {
                 let set = &state.replicas;
-                let enough = set.survives(*tolerance) || (*at_least_kept && set.keeps(*tolerance));
+                let enough = set.remains_available_after(*tolerated_failures)
+                    || (*durability_suffices && set.remains_durable_after(*tolerated_failures));
                 configure(state, *base, *version, body, enough)
             }
-            Change::Join {
+            Change::AddReplica {
                 replica,
-                silent,
-                most,
-            } => join(state, replica, silent, *most),
-            Change::Leave { id, fewest } => leave(state, *id, *fewest),
-            Change::Settle => settle(state),
-            Change::Placement(placement) => place(state, placement),
+                unresponsive,
+                max_replicas,
+            } => join(state, replica, unresponsive, *max_replicas),
+            Change::RemoveReplica { id, min_replicas } => leave(state, *id, *min_replicas),
+            Change::LeaveJoint => settle(state),
+            Change::SetPlacement(placement) => place(state, placement),
         };
         match next {
             Ok(mut next) => {
@@ -125,21 +134,21 @@
     version: u64,
     body: &[u8],
     enough_replicas: bool,
-) -> Result<ControlState, Answer> {
+) -> Result<ControlState, ChangeOutcome> {
     // Such an order was never taken, also if its text was, by an order that built on a lower version.
     if version <= base {
-        return Err(Answer::VersionNotAbove);
+        return Err(ChangeOutcome::VersionNotIncreased);
     }
-    match state.remembers(version, body) {
-        Remembered::Taken => return Err(Answer::AlreadyDone),
-        Remembered::Forgotten => return Err(Answer::Forgotten),
-        Remembered::NotTaken => (),
+    match state.lookup_configuration(version, body) {
+        HistoryLookup::Applied => return Err(ChangeOutcome::AlreadyApplied),
+        HistoryLookup::Compacted => return Err(ChangeOutcome::HistoryCompacted),
+        HistoryLookup::NotApplied => (),
     }
     if base != state.configuration_version {
-        return Err(Answer::StaleBase);
+        return Err(ChangeOutcome::StaleBase);
     }
     if !enough_replicas {
-        return Err(Answer::TooFewReplicas);
+        return Err(ChangeOutcome::TooFewReplicas);
     }
     Ok(state.with_configuration(version, body))
 }
@@ -147,40 +156,48 @@
 fn join(
     state: &ControlState,
     replica: &Replica,
-    silent: &[ReplicaId],
-    most: usize,
-) -> Result<ControlState, Answer> {
+    unresponsive: &[ReplicaId],
+    max_replicas: usize,
+) -> Result<ControlState, ChangeOutcome> {
     let mut members = state.replicas.current.clone();
     if members.contains(replica) {
-        return Err(Answer::AlreadyDone);
+        return Err(ChangeOutcome::AlreadyApplied);
     }
     let same = members
         .iter()
         .position(|old| old.id == replica.id || old.address == replica.address);
-    let silent = || members.iter().position(|old| silent.contains(&old.id));
+    let silent = || {
+        members
+            .iter()
+            .position(|old| unresponsive.contains(&old.id))
+    };
     match same.or_else(|| {
-        if members.len() >= most {
+        if members.len() >= max_replicas {
             silent()
         } else {
             None
         }
     }) {
         Some(place) => members[place] = replica.clone(),
-        None if members.len() >= most => return Err(Answer::SetFull),
+        None if members.len() >= max_replicas => return Err(ChangeOutcome::SetFull),
         None => members.push(replica.clone()),
     }
     Ok(ControlState {
-        replicas: state.replicas.changed_to(members),
+        replicas: state.replicas.enter_joint(members),
         ..state.clone()
     })
 }
 
-fn leave(state: &ControlState, id: ReplicaId, fewest: usize) -> Result<ControlState, Answer> {
+fn leave(
+    state: &ControlState,
+    id: ReplicaId,
+    min_replicas: usize,
+) -> Result<ControlState, ChangeOutcome> {
     if state.replicas.current_replica(id).is_none() {
-        return Err(Answer::AlreadyDone);
+        return Err(ChangeOutcome::AlreadyApplied);
     }
-    if state.replicas.current.len() <= fewest {
-        return Err(Answer::TooFewReplicas);
+    if state.replicas.current.len() <= min_replicas {
+        return Err(ChangeOutcome::TooFewReplicas);
     }
     let members = state
         .replicas
@@ -190,27 +207,27 @@
         .cloned()
         .collect();
     Ok(ControlState {
-        replicas: state.replicas.changed_to(members),
+        replicas: state.replicas.enter_joint(members),
         ..state.clone()
     })
 }
 
-fn settle(state: &ControlState) -> Result<ControlState, Answer> {
+fn settle(state: &ControlState) -> Result<ControlState, ChangeOutcome> {
     if !state.replicas.is_joint() {
-        return Err(Answer::AlreadyDone);
+        return Err(ChangeOutcome::AlreadyApplied);
     }
     Ok(ControlState {
-        replicas: state.replicas.settled(),
+        replicas: state.replicas.leave_joint(),
         ..state.clone()
     })
 }
 
-fn place(state: &ControlState, placement: &Placement) -> Result<ControlState, Answer> {
+fn place(state: &ControlState, placement: &Placement) -> Result<ControlState, ChangeOutcome> {
     if state.placement == *placement {
-        return Err(Answer::AlreadyDone);
+        return Err(ChangeOutcome::AlreadyApplied);
     }
     if placement.epoch != state.placement.epoch + 1 {
-        return Err(Answer::StaleBase);
+        return Err(ChangeOutcome::StaleBase);
     }
     Ok(ControlState {
         placement: placement.clone(),
--- a/crates/mintlb-register/src/lib.rs
+++ b/crates/mintlb-register/src/lib.rs
@@ -6,13 +6,13 @@
 //!
 //! - [`ballot`]: the order of attempts.
 //! - [`state`]: the value, the set of replicas, quorums.
-//! - [`taken`]: which configurations were taken before the current one.
+//! - [`applied_history`]: which configurations were taken before the current one.
 //! - [`change`]: the changes of the value, each with the condition under which it applies.
 //! - [`message`]: what proposers and acceptors say to each other.
 //! - [`acceptor`]: one replica's vote.
 //! - [`proposal`]: one change, from the first message to its outcome.
-//! - [`reading`]: a linearizable read in one round.
-//! - [`founding`]: who writes the first set of replicas.
+//! - [`quorum_read`]: a linearizable read in one round.
+//! - [`bootstrap`]: who writes the first set of replicas.
 //!
 //! # Why it is safe
 //!
@@ -22,11 +22,12 @@
 //! a chosen value and of anything else built on the same value meet.
 
 pub mod acceptor;
+pub mod applied_history;
 pub mod ballot;
+pub mod bootstrap;
 pub mod change;
-pub mod founding;
 pub mod message;
 pub mod proposal;
-pub mod reading;
+pub mod quorum_read;
+pub mod replica_set;
 pub mod state;
-pub mod taken;
--- a/crates/mintlb-register/src/message.rs
+++ b/crates/mintlb-register/src/message.rs
@@ -1,13 +1,14 @@
 //! What proposers and acceptors say to each other.
 
 use crate::ballot::Ballot;
-use crate::state::{ControlState, ReplicaId};
+use crate::replica_set::ReplicaId;
+use crate::state::ControlState;
 use minicbor::{Decode, Encode};
 use std::sync::Arc;
 
 /// A value with the ballot at which it was accepted. A ballot names one value, for good.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
-pub struct Accepted {
+pub struct AcceptedValue {
     /// Where.
     #[n(0)]
     pub ballot: Ballot,
@@ -24,12 +25,12 @@
     pub target: ReplicaId,
     /// What is asked.
     #[n(1)]
-    pub ask: Ask,
+    pub body: RequestBody,
 }
 
 /// What is asked of a replica.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
-pub enum Ask {
+pub enum RequestBody {
     /// Round one: promise to refuse lower ballots, and report what you have accepted.
     #[n(0)]
     Prepare {
@@ -45,7 +46,7 @@
     Accept {
         /// The attempt, with the value.
         #[n(0)]
-        proposed: Accepted,
+        proposed: AcceptedValue,
     },
     /// Report what you have accepted; nothing is promised.
     #[n(2)]
@@ -58,25 +59,25 @@
 
 /// What a replica has accepted.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
-pub enum Report {
+pub enum ReportedValue {
     /// Nothing.
     #[n(0)]
     Nothing,
     /// The value that the asker has.
     #[n(1)]
-    Known(#[n(0)] Ballot),
+    Unchanged(#[n(0)] Ballot),
     /// This value.
     #[n(2)]
-    Value(#[n(0)] Accepted),
+    Value(#[n(0)] AcceptedValue),
 }
 
-impl Report {
+impl ReportedValue {
     /// The ballot of what was accepted.
     pub fn ballot(&self) -> Option<Ballot> {
         match self {
-            Report::Nothing => None,
-            Report::Known(ballot) => Some(*ballot),
-            Report::Value(accepted) => Some(accepted.ballot),
+            ReportedValue::Nothing => None,
+            ReportedValue::Unchanged(ballot) => Some(*ballot),
+            ReportedValue::Value(accepted) => Some(accepted.ballot),
         }
     }
 }
@@ -86,13 +87,13 @@
 pub enum Reply {
     /// Promised, at this ballot.
     #[n(0)]
-    Promised {
+    Promise {
         /// The attempt.
         #[n(0)]
         ballot: Ballot,
         /// What was accepted before.
         #[n(1)]
-        report: Report,
+        last_accepted: ReportedValue,
     },
     /// Accepted, at this ballot.
     #[n(1)]
@@ -103,7 +104,7 @@
     },
     /// Refused, as this higher ballot has been promised.
     #[n(2)]
-    Refused {
+    Rejected {
         /// The attempt.
         #[n(0)]
         ballot: Ballot,
@@ -116,14 +117,14 @@
     Read {
         /// What has been accepted.
         #[n(0)]
-        report: Report,
+        last_accepted: ReportedValue,
         /// What has been promised.
         #[n(1)]
         promised: Ballot,
     },
     /// The replica that was asked for is not here; this one is.
     #[n(4)]
-    Stranger {
+    WrongReplica {
         /// Its identity.
         #[n(0)]
         id: ReplicaId,
--- a/crates/mintlb-register/src/proposal.rs
+++ b/crates/mintlb-register/src/proposal.rs
@@ -1,19 +1,20 @@
 //! One change of the register, from its first message to its outcome.
 
 use crate::ballot::Ballot;
-use crate::change::{Answer, Change, Verdict};
-use crate::message::{Accepted, Ask, Reply, Report, Request};
-use crate::state::{ControlState, Replica, ReplicaId, ReplicaSet};
+use crate::change::{Change, ChangeOutcome, Verdict};
+use crate::message::{AcceptedValue, Reply, ReportedValue, Request, RequestBody};
+use crate::replica_set::{Replica, ReplicaId, ReplicaSet};
+use crate::state::ControlState;
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 use std::time::Duration;
 
 /// How long a round may take before another attempt is made.
-pub const ROUND: Duration = Duration::from_millis(300);
+pub const PHASE_TIMEOUT: Duration = Duration::from_millis(300);
 /// The pause before the second attempt; it doubles with each further one, and half of it is drawn at random.
-pub const FIRST_PAUSE: Duration = Duration::from_millis(8);
+pub const INITIAL_BACKOFF: Duration = Duration::from_millis(8);
 /// The longest pause.
-pub const LONGEST_PAUSE: Duration = Duration::from_millis(128);
+pub const MAX_BACKOFF: Duration = Duration::from_millis(128);
 
 /// What happens to a proposal.
 #[derive(Clone, Debug)]
@@ -34,16 +35,16 @@
     /// Sets the timer anew.
     pub timer: Option<Duration>,
     /// The end, after which nothing more comes.
-    pub outcome: Option<Outcome>,
+    pub outcome: Option<ProposalOutcome>,
 }
 
 /// The end of a proposal.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Outcome {
+pub struct ProposalOutcome {
     /// What became of the change.
-    pub answer: Answer,
+    pub change: ChangeOutcome,
     /// The newest value, which is chosen.
-    pub chosen: Accepted,
+    pub chosen: AcceptedValue,
 }
 
 /// One change on its way. It goes on until it has an outcome; whoever drives it may give up, after which the change may
@@ -52,10 +53,10 @@
 pub struct Proposal {
     proposer: u64,
     change: Change,
-    known: Option<Accepted>,
+    known: Option<AcceptedValue>,
     rule: ReplicaSet,
     ballot: Ballot,
-    highest_seen: Ballot,
+    highest_ballot: Ballot,
     phase: Phase,
     failed: BTreeSet<ReplicaId>,
     asked: BTreeSet<ReplicaId>,
@@ -67,12 +68,12 @@
 enum Phase {
     Preparing {
         reported: BTreeMap<ReplicaId, Option<Ballot>>,
-        newest: Option<Accepted>,
+        newest: Option<AcceptedValue>,
     },
     Accepting {
         read: ReplicaSet,
-        written: Accepted,
-        answer: Option<Answer>,
+        written: AcceptedValue,
+        answer: Option<ChangeOutcome>,
         accepted: BTreeSet<ReplicaId>,
     },
     Pausing,
@@ -88,7 +89,7 @@
         proposer: u64,
         floor: Ballot,
         rule: ReplicaSet,
-        known: Option<Accepted>,
+        known: Option<AcceptedValue>,
         change: Change,
     ) -> (Proposal, Effects) {
         let known_ballot = known.as_ref().map(|known| known.ballot).unwrap_or_default();
@@ -98,7 +99,7 @@
             known,
             rule,
             ballot: floor,
-            highest_seen: floor.max(known_ballot),
+            highest_ballot: floor.max(known_ballot),
             phase: Phase::Pausing,
             failed: BTreeSet::new(),
             asked: BTreeSet::new(),
@@ -110,8 +111,8 @@
     }
 
     /// The highest ballot that the proposal has used or heard of.
-    pub fn highest_seen(&self) -> Ballot {
-        self.highest_seen
+    pub fn highest_ballot(&self) -> Ballot {
+        self.highest_ballot
     }
 
     /// Goes on.
@@ -124,21 +125,25 @@
             },
             Input::Lost(from, ballot) if ballot == self.ballot => self.fail(from),
             Input::Lost(..) => Effects::default(),
-            Input::Reply(from, Reply::Promised { ballot, report }) if ballot == self.ballot => {
-                self.promised(from, report)
-            }
+            Input::Reply(
+                from,
+                Reply::Promise {
+                    ballot,
+                    last_accepted,
+                },
+            ) if ballot == self.ballot => self.promised(from, last_accepted),
             Input::Reply(from, Reply::Accepted { ballot }) if ballot == self.ballot => {
                 self.accepted(from)
             }
-            Input::Reply(from, Reply::Refused { ballot, promised }) => {
-                self.highest_seen = self.highest_seen.max(promised);
+            Input::Reply(from, Reply::Rejected { ballot, promised }) => {
+                self.highest_ballot = self.highest_ballot.max(promised);
                 if ballot == self.ballot {
                     self.fail(from)
                 } else {
                     Effects::default()
                 }
             }
-            Input::Reply(from, Reply::Stranger { .. }) => self.fail(from),
+            Input::Reply(from, Reply::WrongReplica { .. }) => self.fail(from),
             Input::Reply(..) => Effects::default(),
         }
     }
@@ -146,8 +151,8 @@
     /// Begins an attempt.
     fn prepare(&mut self) -> Effects {
         self.attempts += 1;
-        self.ballot = self.highest_seen.next(self.proposer);
-        self.highest_seen = self.ballot;
+        self.ballot = self.highest_ballot.next(self.proposer);
+        self.highest_ballot = self.ballot;
         self.phase = Phase::Preparing {
             reported: BTreeMap::new(),
             newest: None,
@@ -157,7 +162,7 @@
         let send = self.ask_members();
         Effects {
             send,
-            timer: Some(ROUND),
+            timer: Some(PHASE_TIMEOUT),
             outcome: None,
         }
     }
@@ -176,22 +181,22 @@
         let ask = |replica: Replica| {
             let request = Request {
                 target: replica.id,
-                ask: Ask::Prepare { ballot, known },
+                body: RequestBody::Prepare { ballot, known },
             };
             (replica, request)
         };
         new.into_iter().map(ask).collect()
     }
 
-    fn promised(&mut self, from: ReplicaId, report: Report) -> Effects {
+    fn promised(&mut self, from: ReplicaId, last_accepted: ReportedValue) -> Effects {
         let Phase::Preparing { reported, newest } = &mut self.phase else {
             return Effects::default();
         };
-        reported.insert(from, report.ballot());
-        let value = match report {
-            Report::Value(accepted) => Some(accepted),
-            Report::Known(_) => self.known.clone(),
-            Report::Nothing => None,
+        reported.insert(from, last_accepted.ballot());
+        let value = match last_accepted {
+            ReportedValue::Value(accepted) => Some(accepted),
+            ReportedValue::Unchanged(_) => self.known.clone(),
+            ReportedValue::Nothing => None,
         };
         let before = newest.as_ref().map(|newest| newest.ballot);
         if let Some(value) = value.filter(|value| Some(value.ballot) > before) {
@@ -227,19 +232,19 @@
     }
 
     /// Applies the change to a value that is chosen.
-    fn apply(&mut self, chosen: Accepted) -> Effects {
+    fn apply(&mut self, chosen: AcceptedValue) -> Effects {
         if let Some(settled) = self.change.first(&chosen.state) {
             return self.accept(Arc::new(settled), None);
         }
         match self.change.apply(&chosen.state) {
             Verdict::Keep(answer) => self.end(answer, chosen),
-            Verdict::Write(next) => self.accept(Arc::new(*next), Some(Answer::Done)),
+            Verdict::Write(next) => self.accept(Arc::new(*next), Some(ChangeOutcome::Applied)),
         }
     }
 
     /// Begins round two. Without an answer, the value is one that was read.
-    fn accept(&mut self, state: Arc<ControlState>, answer: Option<Answer>) -> Effects {
-        let written = Accepted {
+    fn accept(&mut self, state: Arc<ControlState>, answer: Option<ChangeOutcome>) -> Effects {
+        let written = AcceptedValue {
             ballot: self.ballot,
             state,
         };
@@ -257,14 +262,14 @@
             .members()
             .chain(leaving)
             .map(|replica| {
-                let ask = Ask::Accept {
+                let body = RequestBody::Accept {
                     proposed: written.clone(),
                 };
                 (
                     replica.clone(),
                     Request {
                         target: replica.id,
-                        ask,
+                        body,
                     },
                 )
             })
@@ -278,7 +283,7 @@
         };
         Effects {
             send,
-            timer: Some(ROUND),
+            timer: Some(PHASE_TIMEOUT),
             outcome: None,
         }
     }
@@ -308,10 +313,13 @@
         }
     }
 
-    fn end(&mut self, answer: Answer, chosen: Accepted) -> Effects {
+    fn end(&mut self, answer: ChangeOutcome, chosen: AcceptedValue) -> Effects {
         self.phase = Phase::Ended;
         Effects {
-            outcome: Some(Outcome { answer, chosen }),
+            outcome: Some(ProposalOutcome {
+                change: answer,
+                chosen,
+            }),
             ..Effects::default()
         }
     }
@@ -359,8 +367,8 @@
             self.known = Some(newest.clone());
         }
         self.phase = Phase::Pausing;
-        let doubled = FIRST_PAUSE * (1 << self.attempts.min(8));
-        let longest = doubled.min(LONGEST_PAUSE);
+        let doubled = INITIAL_BACKOFF * (1 << self.attempts.min(8));
+        let longest = doubled.min(MAX_BACKOFF);
         Effects {
             timer: Some(longest / 2 + longest.mul_f64(self.roll() / 2.0)),
             ..Effects::default()
--- a/crates/mintlb-register/src/state.rs
+++ b/crates/mintlb-register/src/state.rs
@@ -1,120 +1,11 @@
 //! The value of the register: the set of replicas, the operator's configuration, the placement.
 
-use crate::taken::{Remembered, TakenHistory};
+use crate::applied_history::{AppliedHistory, HistoryLookup};
+use crate::replica_set::{Replica, ReplicaSet};
 use minicbor::{Decode, Encode};
 use mintlb_common::placement::Placement;
 use std::cmp::Ordering;
 
-/// Identifies a replica with its disk: an emptied disk is another replica.
-pub type ReplicaId = u64;
-
-/// A controller that holds a copy of the register.
-#[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
-pub struct Replica {
-    /// Its identity, drawn when its disk was first used.
-    #[n(0)]
-    pub id: ReplicaId,
-    /// Address of its transport, as IP:PORT.
-    #[n(1)]
-    pub address: String,
-    /// The machine's name.
-    #[n(2)]
-    pub node_name: String,
-    /// The machine's zone.
-    #[n(3)]
-    pub zone: String,
-}
-
-/// The replicas that have a vote.
-#[derive(Clone, Debug, Default, PartialEq, Eq, Encode, Decode)]
-pub struct ReplicaSet {
-    /// Rises with each change of the set.
-    #[n(0)]
-    pub epoch: u64,
-    /// During a change the replicas before it, otherwise empty.
-    #[n(1)]
-    pub previous: Vec<Replica>,
-    /// The replicas from now on.
-    #[n(2)]
-    pub current: Vec<Replica>,
-}
-
-impl ReplicaSet {
-    /// The set of one replica with which a register begins.
-    pub fn founded_by(replica: Replica) -> ReplicaSet {
-        ReplicaSet {
-            epoch: 1,
-            previous: Vec::new(),
-            current: vec![replica],
-        }
-    }
-
-    /// Each replica with a vote, once.
-    pub fn members(&self) -> impl Iterator<Item = &Replica> {
-        let leaving = self
-            .previous
-            .iter()
-            .filter(|replica| !contains(&self.current, replica.id));
-        self.current.iter().chain(leaving)
-    }
-
-    /// Whether the replicas for which `has` holds are a majority of both sides.
-    pub fn is_quorum(&self, has: impl Fn(ReplicaId) -> bool) -> bool {
-        is_majority(&self.current, &has)
-            && (self.previous.is_empty() || is_majority(&self.previous, &has))
-    }
-
-    /// Whether a change of the set is under way.
-    pub fn is_joint(&self) -> bool {
-        !self.previous.is_empty()
-    }
-
-    /// Whether what a quorum has accepted survives the loss of any `lost` disks, and whether enough replicas remain
-    /// then to form a quorum.
-    pub fn survives(&self, lost: usize) -> bool {
-        let enough = |side: &[Replica]| side.len() > 2 * lost;
-        enough(&self.current) && (self.previous.is_empty() || enough(&self.previous))
-    }
-
-    /// Whether what a quorum has accepted is still on a disk after the loss of any `lost` ones; there may be no quorum to
-    /// read it.
-    pub fn keeps(&self, lost: usize) -> bool {
-        let enough = |side: &[Replica]| side.len() / 2 + 1 > lost;
-        enough(&self.current) && (self.previous.is_empty() || enough(&self.previous))
-    }
-
-    /// The current replica with this identity.
-    pub fn current_replica(&self, id: ReplicaId) -> Option<&Replica> {
-        self.current.iter().find(|replica| replica.id == id)
-    }
-
-    /// The joint set that leads to `members`.
-    pub(crate) fn changed_to(&self, members: Vec<Replica>) -> ReplicaSet {
-        ReplicaSet {
-            epoch: self.epoch + 1,
-            previous: self.current.clone(),
-            current: members,
-        }
-    }
-
-    /// The set with its change ended.
-    pub(crate) fn settled(&self) -> ReplicaSet {
-        ReplicaSet {
-            epoch: self.epoch + 1,
-            previous: Vec::new(),
-            current: self.current.clone(),
-        }
-    }
-}
-
-fn contains(side: &[Replica], id: ReplicaId) -> bool {
-    side.iter().any(|replica| replica.id == id)
-}
-
-fn is_majority(side: &[Replica], has: &impl Fn(ReplicaId) -> bool) -> bool {
-    2 * side.iter().filter(|replica| has(replica.id)).count() > side.len()
-}
-
 /// The value of the register.
 #[derive(Clone, Debug, Default, PartialEq, Encode, Decode)]
 pub struct ControlState {
@@ -136,49 +27,51 @@
     /// Where programs of the first release keep the latest configurations, with a weaker digest: not read any more, and
     /// written empty, so that they can read the rest.
     #[cbor(n(5), with = "former_list")]
-    pub former_taken: (),
+    pub legacy_history: (),
     /// The configurations that were taken before the current one. None in a value that such a program has written.
     #[n(6)]
-    pub superseded: Option<TakenHistory>,
+    pub applied_history: Option<AppliedHistory>,
 }
 
 impl ControlState {
     /// The value with which a register begins.
-    pub fn founded_by(replica: Replica) -> ControlState {
-        let superseded = Some(TakenHistory::default());
+    pub fn bootstrap(replica: Replica) -> ControlState {
+        let applied_history = Some(AppliedHistory::default());
         ControlState {
             revision: 1,
-            replicas: ReplicaSet::founded_by(replica),
-            superseded,
+            replicas: ReplicaSet::bootstrap(replica),
+            applied_history,
             ..ControlState::default()
         }
     }
 
     /// Whether this very configuration is in force or was before.
-    pub fn remembers(&self, version: u64, text: &[u8]) -> Remembered {
+    pub fn lookup_configuration(&self, version: u64, text: &[u8]) -> HistoryLookup {
         match version.cmp(&self.configuration_version) {
-            Ordering::Greater => Remembered::NotTaken,
-            Ordering::Equal if text == self.configuration => Remembered::Taken,
-            Ordering::Equal => Remembered::NotTaken,
+            Ordering::Greater => HistoryLookup::NotApplied,
+            Ordering::Equal if text == self.configuration => HistoryLookup::Applied,
+            Ordering::Equal => HistoryLookup::NotApplied,
             Ordering::Less => self
-                .superseded
+                .applied_history
                 .as_ref()
-                .map_or(Remembered::Forgotten, |taken| taken.look_up(version, text)),
+                .map_or(HistoryLookup::Compacted, |taken| {
+                    taken.look_up(version, text)
+                }),
         }
     }
 
     /// The value with another configuration.
     pub(crate) fn with_configuration(&self, version: u64, text: &[u8]) -> ControlState {
-        let mut superseded = self.superseded.clone().unwrap_or_else(|| {
-            TakenHistory::beginning_after(self.configuration_version.saturating_sub(1))
+        let mut applied_history = self.applied_history.clone().unwrap_or_else(|| {
+            AppliedHistory::starting_after(self.configuration_version.saturating_sub(1))
         });
         if self.configuration_version > 0 {
-            superseded.push(self.configuration_version, &self.configuration);
+            applied_history.push(self.configuration_version, &self.configuration);
         }
         let mut next = self.clone();
         next.configuration_version = version;
         next.configuration = text.to_vec();
-        next.superseded = Some(superseded);
+        next.applied_history = Some(applied_history);
         next
     }
 }
--- a/crates/mintlb-register/tests/founding.rs
+++ b/crates/mintlb-register/tests/bootstrap.rs
@@ -1,12 +1,12 @@
 //! Who founds the register: exactly one of the seeds, in whatever order they come up and answer.
 
 use arbtest::arbtest;
-use mintlb_register::founding::{Founding, Grant, SeedAnswer, Step};
-use mintlb_register::state::{Replica, ReplicaSet};
+use mintlb_register::bootstrap::{Bootstrap, BootstrapStep, BootstrapVote, SeedStatus};
+use mintlb_register::replica_set::{Replica, ReplicaSet};
 
 fn set() -> ReplicaSet {
     let address = "10.0.0.1:7661".to_string();
-    ReplicaSet::founded_by(Replica {
+    ReplicaSet::bootstrap(Replica {
         id: 1,
         address,
         node_name: "edge-1".to_string(),
@@ -18,21 +18,21 @@
     first_start: bool,
     has_disk: bool,
     own: Option<usize>,
-    answers: &[Option<SeedAnswer>],
-) -> Step {
-    Founding {
+    seed_statuses: &[Option<SeedStatus>],
+) -> BootstrapStep {
+    Bootstrap {
         first_start,
         has_disk,
-        own_place: own,
-        answers,
+        own_index: own,
+        seed_statuses,
     }
     .step()
 }
 
-fn answer(has_disk: bool) -> Option<SeedAnswer> {
-    Some(SeedAnswer {
+fn answer(has_disk: bool) -> Option<SeedStatus> {
+    Some(SeedStatus {
         has_disk,
-        set: None,
+        replica_set: None,
     })
 }
 
@@ -40,19 +40,19 @@
 fn the_first_seed_with_a_disk_founds() {
     assert_eq!(
         step(true, true, Some(0), &[None, answer(true), answer(true)]),
-        Step::Found
+        BootstrapStep::Initialize
     );
     assert_eq!(
         step(true, true, Some(1), &[answer(true), None, answer(true)]),
-        Step::Wait
+        BootstrapStep::Wait
     );
     assert_eq!(
         step(true, true, Some(1), &[answer(false), None, answer(true)]),
-        Step::Found
+        BootstrapStep::Initialize
     );
     assert_eq!(
         step(true, false, Some(0), &[None, answer(true), answer(true)]),
-        Step::Wait
+        BootstrapStep::Wait
     );
 }
 
@@ -60,11 +60,11 @@
 fn nobody_founds_before_every_seed_has_answered() {
     assert_eq!(
         step(true, true, Some(0), &[None, None, answer(true)]),
-        Step::Wait
+        BootstrapStep::Wait
     );
     assert_eq!(
         step(true, true, Some(0), &[None, answer(true), None]),
-        Step::Wait
+        BootstrapStep::Wait
     );
 }
 
@@ -72,7 +72,7 @@
 fn nobody_founds_later_than_the_first_start_or_outside_the_seeds() {
     assert_eq!(
         step(false, true, Some(0), &[None, answer(true), answer(true)]),
-        Step::Wait
+        BootstrapStep::Wait
     );
     assert_eq!(
         step(
@@ -81,39 +81,45 @@
             None,
             &[answer(false), answer(true), answer(false)]
         ),
-        Step::Wait
+        BootstrapStep::Wait
     );
 }
 
 #[test]
 fn where_no_seed_has_a_disk_one_that_has_needs_the_grant_of_all() {
     let none = [answer(false), answer(false), answer(false)];
-    assert_eq!(step(true, true, None, &none), Step::Campaign);
-    assert_eq!(step(true, false, None, &none), Step::Wait);
-    assert_eq!(step(false, true, None, &none), Step::Wait);
+    assert_eq!(step(true, true, None, &none), BootstrapStep::RequestVotes);
+    assert_eq!(step(true, false, None, &none), BootstrapStep::Wait);
+    assert_eq!(step(false, true, None, &none), BootstrapStep::Wait);
     assert_eq!(
         step(true, true, None, &[answer(false), None, answer(false)]),
-        Step::Wait
+        BootstrapStep::Wait
     );
-    assert_eq!(step(true, true, None, &[]), Step::Wait);
+    assert_eq!(step(true, true, None, &[]), BootstrapStep::Wait);
 }
 
 #[test]
 fn a_seed_grants_it_to_one_process_for_good() {
-    let mut grant = Grant::default();
-    assert!(!grant.ask(5, false, false) && !grant.ask(5, true, true));
-    assert!(grant.ask(5, true, false) && !grant.ask(6, true, false) && grant.ask(5, true, false));
+    let mut grant = BootstrapVote::default();
+    assert!(!grant.grant(5, false, false) && !grant.grant(5, true, true));
+    assert!(
+        grant.grant(5, true, false) && !grant.grant(6, true, false) && grant.grant(5, true, false)
+    );
 }
 
 #[test]
 fn candidates_that_ask_in_the_seeds_order_get_one_founder() {
     arbtest(|u| {
-        let mut grants = [Grant::default(), Grant::default(), Grant::default()];
+        let mut grants = [
+            BootstrapVote::default(),
+            BootstrapVote::default(),
+            BootstrapVote::default(),
+        ];
         let mut got = [0_usize; 3];
         for _ in 0..u.int_in_range(1..=30)? {
             let candidate = u.int_in_range(0..=2)?;
             if let Some(grant) = grants.get_mut(got[candidate])
-                && grant.ask(candidate as u64, true, false)
+                && grant.grant(candidate as u64, true, false)
             {
                 got[candidate] += 1;
             }
@@ -125,13 +131,13 @@
 
 #[test]
 fn a_founder_that_has_lost_its_disk_joins_what_the_others_know() {
-    let knows = Some(SeedAnswer {
+    let knows = Some(SeedStatus {
         has_disk: true,
-        set: Some(set()),
+        replica_set: Some(set()),
     });
     assert_eq!(
         step(true, true, Some(0), &[None, knows, None]),
-        Step::Join(set())
+        BootstrapStep::Join(set())
     );
 }
 
@@ -139,13 +145,16 @@
 fn the_newest_set_is_joined() {
     let newer = ReplicaSet { epoch: 9, ..set() };
     let knows = |set| {
-        Some(SeedAnswer {
+        Some(SeedStatus {
             has_disk: true,
-            set: Some(set),
+            replica_set: Some(set),
         })
     };
     let answers = [knows(set()), knows(newer.clone()), None];
-    assert_eq!(step(false, false, None, &answers), Step::Join(newer));
+    assert_eq!(
+        step(false, false, None, &answers),
+        BootstrapStep::Join(newer)
+    );
 }
 
 #[test]
@@ -157,15 +166,15 @@
             .collect::<Result<_, _>>()?;
         let mut founders = 0;
         for own in 0..count {
-            let mut answers: Vec<Option<SeedAnswer>> = Vec::new();
+            let mut answers: Vec<Option<SeedStatus>> = Vec::new();
             for (place, disk) in disks.iter().enumerate() {
                 let heard = place != own && u.ratio(4, 5)?;
-                answers.push(heard.then_some(SeedAnswer {
+                answers.push(heard.then_some(SeedStatus {
                     has_disk: *disk,
-                    set: None,
+                    replica_set: None,
                 }));
             }
-            if step(true, disks[own], Some(own), &answers) == Step::Found {
+            if step(true, disks[own], Some(own), &answers) == BootstrapStep::Initialize {
                 founders += 1;
             }
         }
--- a/crates/mintlb-register/tests/change.rs
+++ b/crates/mintlb-register/tests/change.rs
@@ -3,12 +3,12 @@
 mod replicas;
 
 use mintlb_common::placement::Placement;
-use mintlb_register::acceptor::{Acceptor, Sync, Vote};
+use mintlb_register::acceptor::{Acceptor, AcceptorState, DurableWrite};
 use mintlb_register::ballot::Ballot;
-use mintlb_register::change::{Answer, Change};
-use mintlb_register::message::{Accepted, Reply};
-use mintlb_register::reading::{Progress, Reading};
-use mintlb_register::state::Replica;
+use mintlb_register::change::{Change, ChangeOutcome};
+use mintlb_register::message::{AcceptedValue, Reply};
+use mintlb_register::quorum_read::{QuorumRead, ReadProgress};
+use mintlb_register::replica_set::Replica;
 use replicas::{Replicas, configuration, replica};
 use std::sync::Arc;
 
@@ -17,21 +17,21 @@
     let mut replicas = Replicas::settled(3);
     assert_eq!(
         replicas.answer(configuration(0, 4, "a")),
-        Some(Answer::Done)
+        Some(ChangeOutcome::Applied)
     );
     assert_eq!(
         replicas.answer(configuration(0, 5, "b")),
-        Some(Answer::StaleBase)
+        Some(ChangeOutcome::StaleBase)
     );
     assert_eq!(
         replicas.answer(configuration(4, 4, "b")),
-        Some(Answer::VersionNotAbove)
+        Some(ChangeOutcome::VersionNotIncreased)
     );
     assert_eq!(
         replicas.answer(configuration(4, 7, "b")),
-        Some(Answer::Done)
+        Some(ChangeOutcome::Applied)
     );
-    let newest = replicas.change(Change::Confirm).unwrap().chosen.state;
+    let newest = replicas.change(Change::Identity).unwrap().chosen.state;
     assert_eq!(
         (newest.configuration_version, &*newest.configuration),
         (7, b"b".as_slice())
@@ -44,26 +44,26 @@
     replicas.answer(configuration(0, 4, "a"));
     assert_eq!(
         replicas.answer(configuration(0, 4, "a")),
-        Some(Answer::AlreadyDone)
+        Some(ChangeOutcome::AlreadyApplied)
     );
     replicas.answer(configuration(4, 7, "b"));
     let late = replicas.change(configuration(0, 4, "a")).unwrap();
     assert_eq!(
-        (late.answer, late.chosen.state.configuration_version),
-        (Answer::AlreadyDone, 7)
+        (late.change, late.chosen.state.configuration_version),
+        (ChangeOutcome::AlreadyApplied, 7)
     );
     assert_eq!(
         replicas.answer(configuration(0, 4, "another")),
-        Some(Answer::StaleBase)
+        Some(ChangeOutcome::StaleBase)
     );
 }
 
 #[test]
 fn a_configuration_waits_for_enough_replicas() {
     for (size, answer) in [
-        (1, Answer::TooFewReplicas),
-        (2, Answer::TooFewReplicas),
-        (3, Answer::Done),
+        (1, ChangeOutcome::TooFewReplicas),
+        (2, ChangeOutcome::TooFewReplicas),
+        (3, ChangeOutcome::Applied),
     ] {
         let mut replicas = Replicas::settled(size);
         assert_eq!(
@@ -77,27 +77,27 @@
 #[test]
 fn where_there_will_never_be_enough_it_is_at_least_kept() {
     for (size, answer) in [
-        (1, Answer::TooFewReplicas),
-        (2, Answer::Done),
-        (3, Answer::Done),
+        (1, ChangeOutcome::TooFewReplicas),
+        (2, ChangeOutcome::Applied),
+        (3, ChangeOutcome::Applied),
     ] {
         let mut replicas = Replicas::settled(size);
-        let Change::Configuration {
+        let Change::SetConfiguration {
             base,
             version,
             body,
-            tolerance,
+            tolerated_failures,
             ..
         } = configuration(0, 1, "a")
         else {
             unreachable!()
         };
-        let change = Change::Configuration {
+        let change = Change::SetConfiguration {
             base,
             version,
             body,
-            tolerance,
-            at_least_kept: true,
+            tolerated_failures,
+            durability_suffices: true,
         };
         assert_eq!(replicas.answer(change), Some(answer), "{size} replicas");
     }
@@ -109,12 +109,12 @@
     replicas.silent = vec![2];
     assert_eq!(
         replicas.answer(configuration(0, 1, "a")),
-        Some(Answer::Done)
+        Some(ChangeOutcome::Applied)
     );
     replicas.silent = vec![2, 3];
     assert_eq!(replicas.answer(configuration(1, 2, "b")), None);
     replicas.silent = vec![1];
-    let newest = replicas.change(Change::Confirm).unwrap().chosen.state;
+    let newest = replicas.change(Change::Identity).unwrap().chosen.state;
     assert_eq!(
         newest.configuration_version, 1,
         "replica 2 has lain still, replica 3 knows"
@@ -129,7 +129,7 @@
         proposer: 50,
     };
     let mut state = replicas.acceptors[0]
-        .vote()
+        .state()
         .accepted
         .clone()
         .unwrap()
@@ -141,9 +141,9 @@
         state.configuration_version,
         state.configuration,
     ) = (2, 3, b"unclear".to_vec());
-    let vote = Vote {
+    let vote = AcceptorState {
         promised: ballot,
-        accepted: Some(Accepted {
+        accepted: Some(AcceptedValue {
             ballot,
             state: Arc::new(state),
         }),
@@ -151,12 +151,12 @@
     replicas.acceptors[0] = Acceptor::new(1, vote);
     replicas.silent = vec![3];
     let outcome = replicas.change(configuration(0, 9, "late")).unwrap();
-    assert_eq!(outcome.answer, Answer::StaleBase);
+    assert_eq!(outcome.change, ChangeOutcome::StaleBase);
     assert_eq!(outcome.chosen.state.configuration_version, 3);
     replicas.silent = vec![1];
     assert_eq!(
         replicas
-            .change(Change::Confirm)
+            .change(Change::Identity)
             .unwrap()
             .chosen
             .state
@@ -168,10 +168,10 @@
 #[test]
 fn a_replica_joins_in_two_steps_and_counts_from_the_first() {
     let mut replicas = Replicas::settled(3);
-    let join = Change::Join {
+    let join = Change::AddReplica {
         replica: replica(4),
-        silent: Vec::new(),
-        most: 9,
+        unresponsive: Vec::new(),
+        max_replicas: 9,
     };
     let joint = replicas.change(join.clone()).unwrap().chosen.state;
     assert!(joint.replicas.is_joint());
@@ -179,12 +179,18 @@
         (joint.replicas.previous.len(), joint.replicas.current.len()),
         (3, 4)
     );
-    assert_eq!(replicas.answer(Change::Settle), Some(Answer::Done));
-    assert_eq!(replicas.answer(Change::Settle), Some(Answer::AlreadyDone));
-    assert_eq!(replicas.answer(join), Some(Answer::AlreadyDone));
+    assert_eq!(
+        replicas.answer(Change::LeaveJoint),
+        Some(ChangeOutcome::Applied)
+    );
+    assert_eq!(
+        replicas.answer(Change::LeaveJoint),
+        Some(ChangeOutcome::AlreadyApplied)
+    );
+    assert_eq!(replicas.answer(join), Some(ChangeOutcome::AlreadyApplied));
     replicas.silent = vec![1, 2];
     assert_eq!(
-        replicas.answer(Change::Confirm),
+        replicas.answer(Change::Identity),
         None,
         "two of four are no majority"
     );
@@ -198,13 +204,16 @@
         id: 5,
         ..replica(2)
     };
-    let join = Change::Join {
+    let join = Change::AddReplica {
         replica: replacement.clone(),
-        silent: Vec::new(),
-        most: 9,
+        unresponsive: Vec::new(),
+        max_replicas: 9,
     };
-    assert_eq!(replicas.answer(join), Some(Answer::Done));
-    assert_eq!(replicas.answer(Change::Settle), Some(Answer::Done));
+    assert_eq!(replicas.answer(join), Some(ChangeOutcome::Applied));
+    assert_eq!(
+        replicas.answer(Change::LeaveJoint),
+        Some(ChangeOutcome::Applied)
+    );
     let set = replicas.rule();
     assert_eq!(set.current, [replica(1), replacement, replica(3)]);
 }
@@ -212,14 +221,17 @@
 #[test]
 fn a_full_set_takes_a_newcomer_for_a_silent_replica_alone() {
     let mut replicas = Replicas::settled(3);
-    let join = |silent| Change::Join {
+    let join = |silent| Change::AddReplica {
         replica: replica(6),
-        silent,
-        most: 3,
+        unresponsive: silent,
+        max_replicas: 3,
     };
-    assert_eq!(replicas.answer(join(Vec::new())), Some(Answer::SetFull));
+    assert_eq!(
+        replicas.answer(join(Vec::new())),
+        Some(ChangeOutcome::SetFull)
+    );
     replicas.silent = vec![3];
-    assert_eq!(replicas.answer(join(vec![3])), Some(Answer::Done));
+    assert_eq!(replicas.answer(join(vec![3])), Some(ChangeOutcome::Applied));
     let members: Vec<u64> = replicas
         .rule()
         .current
@@ -233,12 +245,12 @@
 fn a_set_with_room_grows_though_a_replica_is_silent() {
     let mut replicas = Replicas::settled(3);
     replicas.silent = vec![3];
-    let join = Change::Join {
+    let join = Change::AddReplica {
         replica: replica(6),
-        silent: vec![3],
-        most: 9,
+        unresponsive: vec![3],
+        max_replicas: 9,
     };
-    assert_eq!(replicas.answer(join), Some(Answer::Done));
+    assert_eq!(replicas.answer(join), Some(ChangeOutcome::Applied));
     assert_eq!(replicas.rule().current.len(), 4);
 }
 
@@ -246,11 +258,23 @@
 fn a_silent_replica_leaves_only_a_set_that_is_larger_than_needed() {
     let mut replicas = Replicas::settled(4);
     replicas.silent = vec![4];
-    let leave = |id| Change::Leave { id, fewest: 3 };
-    assert_eq!(replicas.answer(leave(4)), Some(Answer::Done));
-    assert_eq!(replicas.answer(Change::Settle), Some(Answer::Done));
-    assert_eq!(replicas.answer(leave(4)), Some(Answer::AlreadyDone));
-    assert_eq!(replicas.answer(leave(3)), Some(Answer::TooFewReplicas));
+    let leave = |id| Change::RemoveReplica {
+        id,
+        min_replicas: 3,
+    };
+    assert_eq!(replicas.answer(leave(4)), Some(ChangeOutcome::Applied));
+    assert_eq!(
+        replicas.answer(Change::LeaveJoint),
+        Some(ChangeOutcome::Applied)
+    );
+    assert_eq!(
+        replicas.answer(leave(4)),
+        Some(ChangeOutcome::AlreadyApplied)
+    );
+    assert_eq!(
+        replicas.answer(leave(3)),
+        Some(ChangeOutcome::TooFewReplicas)
+    );
 }
 
 #[test]
@@ -260,22 +284,22 @@
     for id in [5, 6] {
         let at = id - 4;
         let newcomer = Replica { id, ..replica(at) };
-        replicas.answer(Change::Join {
+        replicas.answer(Change::AddReplica {
             replica: newcomer,
-            silent: Vec::new(),
-            most: 9,
+            unresponsive: Vec::new(),
+            max_replicas: 9,
         });
-        replicas.answer(Change::Settle);
+        replicas.answer(Change::LeaveJoint);
         replicas.silent.push(at);
     }
     replicas.answer(configuration(0, 2, "new"));
-    let (mut reading, mut progress) = Reading::start(old, None);
+    let (mut reading, mut progress) = QuorumRead::start(old, None);
     let chosen = loop {
         match progress {
-            Progress::Chosen(chosen) => break chosen,
-            Progress::Unclear => panic!("the read is unclear"),
-            Progress::Ask(messages) => {
-                progress = Progress::Unclear;
+            ReadProgress::Chosen(chosen) => break chosen,
+            ReadProgress::Inconclusive => panic!("the read is unclear"),
+            ReadProgress::Send(messages) => {
+                progress = ReadProgress::Inconclusive;
                 for (to, request) in messages {
                     let silent = replicas.silent.contains(&to.id);
                     let acceptor = replicas
@@ -286,8 +310,8 @@
                         .filter(|_| !silent)
                         .map(|acceptor| acceptor.handle(request).reply);
                     progress = reading.reply(to.id, reply);
-                    if matches!(&progress, Progress::Ask(more) if !more.is_empty())
-                        || matches!(progress, Progress::Chosen(_))
+                    if matches!(&progress, ReadProgress::Send(more) if !more.is_empty())
+                        || matches!(progress, ReadProgress::Chosen(_))
                     {
                         break;
                     }
@@ -302,24 +326,30 @@
 fn a_placement_follows_the_one_before_it() {
     let mut replicas = Replicas::settled(3);
     let placement = |epoch| {
-        Change::Placement(Placement {
+        Change::SetPlacement(Placement {
             epoch,
             ..Placement::default()
         })
     };
-    assert_eq!(replicas.answer(placement(1)), Some(Answer::Done));
-    assert_eq!(replicas.answer(placement(1)), Some(Answer::AlreadyDone));
-    assert_eq!(replicas.answer(placement(3)), Some(Answer::StaleBase));
-    assert_eq!(replicas.answer(placement(2)), Some(Answer::Done));
+    assert_eq!(replicas.answer(placement(1)), Some(ChangeOutcome::Applied));
+    assert_eq!(
+        replicas.answer(placement(1)),
+        Some(ChangeOutcome::AlreadyApplied)
+    );
+    assert_eq!(
+        replicas.answer(placement(3)),
+        Some(ChangeOutcome::StaleBase)
+    );
+    assert_eq!(replicas.answer(placement(2)), Some(ChangeOutcome::Applied));
 }
 
 #[test]
 fn a_replica_answers_for_its_own_identity_alone() {
-    let mut acceptor = Acceptor::new(7, Vote::default());
-    let ask = mintlb_register::message::Ask::Read { known: None };
-    let answered = acceptor.handle(mintlb_register::message::Request { target: 2, ask });
+    let mut acceptor = Acceptor::new(7, AcceptorState::default());
+    let body = mintlb_register::message::RequestBody::Read { known: None };
+    let answered = acceptor.handle(mintlb_register::message::Request { target: 2, body });
     assert_eq!(
-        (answered.sync, answered.reply),
-        (Sync::Nothing, Reply::Stranger { id: 7 })
+        (answered.durable_write, answered.reply),
+        (DurableWrite::Nothing, Reply::WrongReplica { id: 7 })
     );
 }
--- a/crates/mintlb-register/tests/cluster/mod.rs
+++ b/crates/mintlb-register/tests/cluster/mod.rs
@@ -1,11 +1,12 @@
 //! Replicas that answer at once, some of which are silent, lost, or spared a value.
 
-use mintlb_register::acceptor::{Acceptor, Sync, Vote};
+use mintlb_register::acceptor::{Acceptor, AcceptorState, DurableWrite};
 use mintlb_register::ballot::Ballot;
 use mintlb_register::change::Change;
-use mintlb_register::message::{Accepted, Ask};
-use mintlb_register::proposal::{Effects, Input, Outcome, Proposal};
-use mintlb_register::state::{ControlState, Replica, ReplicaId, ReplicaSet};
+use mintlb_register::message::{AcceptedValue, RequestBody};
+use mintlb_register::proposal::{Effects, Input, Proposal, ProposalOutcome};
+use mintlb_register::replica_set::{Replica, ReplicaId, ReplicaSet};
+use mintlb_register::state::ControlState;
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
@@ -70,9 +71,9 @@
             counter: 1,
             proposer: 1,
         };
-        let vote = Vote {
+        let vote = AcceptorState {
             promised: ballot,
-            accepted: Some(Accepted {
+            accepted: Some(AcceptedValue {
                 ballot,
                 state: Arc::new(state),
             }),
@@ -114,12 +115,12 @@
     }
 
     /// Runs a change; `None` if it is stuck.
-    pub fn change(&mut self, change: Change) -> Option<Outcome> {
+    pub fn change(&mut self, change: Change) -> Option<ProposalOutcome> {
         self.run(change, None)
     }
 
     /// The same, with the value at a least quorum alone: others are spared it, from the one at this place on.
-    pub fn change_sparing(&mut self, change: Change, place: u64) -> Option<Outcome> {
+    pub fn change_sparing(&mut self, change: Change, place: u64) -> Option<ProposalOutcome> {
         self.run(change, Some(place))
     }
 
@@ -128,7 +129,7 @@
             .acceptors
             .iter()
             .filter(|(id, _)| !self.unreachable.contains(id));
-        let votes = reachable.filter_map(|(_, acceptor)| acceptor.vote().accepted.as_ref());
+        let votes = reachable.filter_map(|(_, acceptor)| acceptor.state().accepted.as_ref());
         votes
             .max_by_key(|accepted| accepted.ballot)
             .unwrap()
@@ -137,7 +138,7 @@
             .clone()
     }
 
-    fn run(&mut self, change: Change, sparing: Option<u64>) -> Option<Outcome> {
+    fn run(&mut self, change: Change, sparing: Option<u64>) -> Option<ProposalOutcome> {
         self.proposer += 1;
         let (mut proposal, mut effects) =
             Proposal::start(self.proposer, Ballot::default(), self.rule(), None, change);
@@ -150,14 +151,14 @@
                 if self.unreachable.contains(&to.id) || spared.contains(&to.id) {
                     continue;
                 }
-                let fresh = || Acceptor::new(to.id, Vote::default());
+                let fresh = || Acceptor::new(to.id, AcceptorState::default());
                 let answered = self
                     .acceptors
                     .entry(to.id)
                     .or_insert_with(fresh)
                     .handle(request);
                 self.messages += 2;
-                self.syncs += usize::from(answered.sync != Sync::Nothing);
+                self.syncs += usize::from(answered.durable_write != DurableWrite::Nothing);
                 inputs.push(Input::Reply(to.id, answered.reply));
             }
             if inputs.is_empty() {
@@ -183,8 +184,8 @@
         let accepts = effects
             .send
             .iter()
-            .find_map(|(_, request)| match &request.ask {
-                Ask::Accept { proposed } => Some(proposed.state.replicas.clone()),
+            .find_map(|(_, request)| match &request.body {
+                RequestBody::Accept { proposed } => Some(proposed.state.replicas.clone()),
                 _ => None,
             });
         let set = accepts?;
--- a/crates/mintlb-register/tests/days/checks.rs
+++ b/crates/mintlb-register/tests/days/checks.rs
@@ -1,12 +1,12 @@
 //! What has to hold after each step, and at the end of a day.
 
 use super::Day;
-use mintlb_register::message::Accepted;
-use mintlb_register::state::{Replica, ReplicaId};
+use mintlb_register::message::AcceptedValue;
+use mintlb_register::replica_set::{Replica, ReplicaId};
 use std::collections::BTreeSet;
 
 impl Day {
-    pub fn check(&mut self, chosen: &Accepted, floor: u64) {
+    pub fn check(&mut self, chosen: &AcceptedValue, floor: u64) {
         let revision = chosen.state.revision;
         if revision < floor {
             self.breaks(format!(
@@ -76,7 +76,7 @@
         if self.taken == taken {
             self.breaks(format!("no change is taken after calm: {set:?}"));
         }
-        if set.is_joint() || set.current.len() < 2 * self.tolerance + 1 {
+        if set.is_joint() || set.current.len() < 2 * self.tolerated_failures + 1 {
             self.breaks(format!("the set after calm: {set:?}"));
         }
         self.orders = false;
@@ -104,7 +104,7 @@
             .map(|m| m.acceptor.id())
             .collect();
         if set.current.iter().any(|member| !ids.contains(&member.id))
-            && set.current.len() > 2 * self.tolerance + 1
+            && set.current.len() > 2 * self.tolerated_failures + 1
         {
             self.breaks(format!("one that is gone is still in the set: {set:?}"));
         }
--- a/crates/mintlb-register/tests/days/machine.rs
+++ b/crates/mintlb-register/tests/days/machine.rs
@@ -1,17 +1,17 @@
 //! A machine with its disk and its controller.
 
-use mintlb_register::acceptor::{Acceptor, Sync, Vote};
+use mintlb_register::acceptor::{Acceptor, AcceptorState, DurableWrite};
 use mintlb_register::ballot::Ballot;
-use mintlb_register::message::{Accepted, Reply};
+use mintlb_register::message::{AcceptedValue, Reply};
 use mintlb_register::proposal::Proposal;
-use mintlb_register::reading::Reading;
-use mintlb_register::state::{Replica, ReplicaId, ReplicaSet};
+use mintlb_register::quorum_read::QuorumRead;
+use mintlb_register::replica_set::{Replica, ReplicaId, ReplicaSet};
 use std::collections::{BTreeMap, VecDeque};
 
 /// What a controller is at.
 pub enum Work {
     Proposal(Box<Proposal>),
-    Reading(Box<Reading>),
+    Reading(Box<QuorumRead>),
 }
 
 /// What it is at it for.
@@ -40,10 +40,10 @@
 pub struct Machine {
     pub address: String,
     pub acceptor: Acceptor,
-    pub durable: Vote,
-    pub unsynced: VecDeque<(Sync, Reply, usize, u64)>,
+    pub durable: AcceptorState,
+    pub unsynced: VecDeque<(DurableWrite, Reply, usize, u64)>,
     pub actors: BTreeMap<u64, Actor>,
-    pub known: Option<Accepted>,
+    pub known: Option<AcceptedValue>,
     pub hint: Option<ReplicaSet>,
     pub floor: Ballot,
     pub life: u64,
@@ -73,8 +73,8 @@
 
 impl Machine {
     /// One that has been up for long.
-    pub fn holding(at: usize, value: Accepted) -> Machine {
-        let vote = Vote {
+    pub fn holding(at: usize, value: AcceptedValue) -> Machine {
+        let vote = AcceptorState {
             promised: value.ballot,
             accepted: Some(value.clone()),
         };
@@ -91,8 +91,8 @@
     pub fn empty(address: String, id: ReplicaId) -> Machine {
         Machine {
             address,
-            acceptor: Acceptor::new(id, Vote::default()),
-            durable: Vote::default(),
+            acceptor: Acceptor::new(id, AcceptorState::default()),
+            durable: AcceptorState::default(),
             unsynced: VecDeque::new(),
             actors: BTreeMap::new(),
             known: None,
@@ -115,7 +115,7 @@
         self.hint.iter().chain(known).max_by_key(|set| set.epoch)
     }
 
-    pub fn learn(&mut self, chosen: &Accepted) {
+    pub fn learn(&mut self, chosen: &AcceptedValue) {
         self.hint = None;
         if self
             .known
@@ -126,18 +126,18 @@
         }
     }
 
-    pub fn write(&mut self, sync: Sync) {
+    pub fn write(&mut self, sync: DurableWrite) {
         match sync {
-            Sync::Nothing => (),
-            Sync::Promise(ballot) => self.durable.promised = ballot,
-            Sync::Learned { promised, chosen } => {
-                self.durable = Vote {
+            DurableWrite::Nothing => (),
+            DurableWrite::Promise(ballot) => self.durable.promised = ballot,
+            DurableWrite::Learned { promised, chosen } => {
+                self.durable = AcceptorState {
                     promised,
                     accepted: Some(chosen),
                 };
             }
-            Sync::Value(accepted) => {
-                self.durable = Vote {
+            DurableWrite::Accepted(accepted) => {
+                self.durable = AcceptorState {
                     promised: accepted.ballot,
                     accepted: Some(accepted),
                 };
--- a/crates/mintlb-register/tests/days/mod.rs
+++ b/crates/mintlb-register/tests/days/mod.rs
@@ -6,13 +6,14 @@
 mod troubles;
 
 use machine::{Actor, Machine, Purpose, Work, replica};
-use mintlb_register::acceptor::Sync;
+use mintlb_register::acceptor::DurableWrite;
 use mintlb_register::ballot::Ballot;
-use mintlb_register::change::{Answer, Change};
-use mintlb_register::message::{Accepted, Reply, Request};
-use mintlb_register::proposal::{Effects, Input, Outcome, Proposal};
-use mintlb_register::reading::{Progress, Reading};
-use mintlb_register::state::{ControlState, ReplicaId, ReplicaSet};
+use mintlb_register::change::{Change, ChangeOutcome};
+use mintlb_register::message::{AcceptedValue, Reply, Request};
+use mintlb_register::proposal::{Effects, Input, Proposal, ProposalOutcome};
+use mintlb_register::quorum_read::{QuorumRead, ReadProgress};
+use mintlb_register::replica_set::{ReplicaId, ReplicaSet};
+use mintlb_register::state::ControlState;
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
@@ -95,7 +96,7 @@
 /// The world.
 pub struct Day {
     pub now: u64,
-    pub tolerance: usize,
+    pub tolerated_failures: usize,
     pub planted: Planted,
     pub machines: Vec<Machine>,
     pub calm: bool,
@@ -106,7 +107,7 @@
     number: u64,
     dice: u64,
     chosen: BTreeMap<u64, Arc<ControlState>>,
-    newest: Accepted,
+    newest: AcceptedValue,
     acknowledged: u64,
     bases: BTreeMap<u64, u64>,
     pub taken: u64,
@@ -119,7 +120,7 @@
 
 impl Day {
     /// A settled register on so many machines.
-    pub fn new(seed: u64, tolerance: usize, size: usize, planted: Planted) -> Day {
+    pub fn new(seed: u64, tolerated_failures: usize, size: usize, planted: Planted) -> Day {
         let current: Vec<_> = (0..size)
             .map(|at| replica(at as u64 + 1, &machine::address(at)))
             .collect();
@@ -133,7 +134,7 @@
             replicas,
             ..ControlState::default()
         });
-        let newest = Accepted {
+        let newest = AcceptedValue {
             ballot: Ballot {
                 counter: 1,
                 proposer: 1,
@@ -142,14 +143,14 @@
         };
         let mut day = Day {
             now: 0,
-            tolerance,
+            tolerated_failures,
             planted,
             machines: (0..size)
                 .map(|at| Machine::holding(at, newest.clone()))
                 .collect(),
             calm: false,
             orders: true,
-            dropped: if tolerance == 1 && seed.is_multiple_of(3) {
+            dropped: if tolerated_failures == 1 && seed.is_multiple_of(3) {
                 5
             } else {
                 2
@@ -303,7 +304,10 @@
         let early = self.planted == Planted::AnswersBeforeSync;
         let id = self.machines[at].acceptor.id();
         let reply = answered.reply.clone();
-        if early || (answered.sync == Sync::Nothing && self.machines[at].unsynced.is_empty()) {
+        if early
+            || (answered.durable_write == DurableWrite::Nothing
+                && self.machines[at].unsynced.is_empty())
+        {
             self.send(at, Some(from), || Event::Reply {
                 to: from,
                 actor,
@@ -311,10 +315,14 @@
                 reply: reply.clone(),
             });
         }
-        if answered.sync != Sync::Nothing || !self.machines[at].unsynced.is_empty() {
-            self.machines[at]
-                .unsynced
-                .push_back((answered.sync, answered.reply, from, actor));
+        if answered.durable_write != DurableWrite::Nothing || !self.machines[at].unsynced.is_empty()
+        {
+            self.machines[at].unsynced.push_back((
+                answered.durable_write,
+                answered.reply,
+                from,
+                actor,
+            ));
             let slow = self.roll(12) == 0;
             let (life, took) = (
                 self.machines[at].life,
@@ -331,7 +339,7 @@
         let Some((sync, reply, to, actor)) = self.machines[at].unsynced.pop_front() else {
             return;
         };
-        let voted = sync != Sync::Nothing;
+        let voted = sync != DurableWrite::Nothing;
         self.machines[at].write(sync);
         let from = self.machines[at].acceptor.id();
         if self.planted != Planted::AnswersBeforeSync {
@@ -382,7 +390,7 @@
         let Some(set) = machine.set().cloned() else {
             return;
         };
-        let (reading, progress) = Reading::start(set, machine.known.clone());
+        let (reading, progress) = QuorumRead::start(set, machine.known.clone());
         let actor = self.enter(
             at,
             Work::Reading(Box::new(reading)),
@@ -449,7 +457,7 @@
         &mut self,
         at: usize,
         actor: u64,
-        requests: Vec<(mintlb_register::state::Replica, Request)>,
+        requests: Vec<(mintlb_register::replica_set::Replica, Request)>,
     ) {
         for (replica, request) in requests {
             let to = self
@@ -490,21 +498,21 @@
             return;
         };
         if let Work::Proposal(proposal) = &actor.work {
-            self.machines[at].floor = self.machines[at].floor.max(proposal.highest_seen());
+            self.machines[at].floor = self.machines[at].floor.max(proposal.highest_ballot());
         }
         self.check(&outcome.chosen, actor.floor);
         self.machines[at].learn(&outcome.chosen);
         self.ended(at, actor.purpose, Some(outcome));
     }
 
-    fn read_on(&mut self, at: usize, number: u64, progress: Progress) {
+    fn read_on(&mut self, at: usize, number: u64, progress: ReadProgress) {
         match progress {
-            Progress::Ask(requests) => self.post(at, number, requests),
-            Progress::Unclear => {
+            ReadProgress::Send(requests) => self.post(at, number, requests),
+            ReadProgress::Inconclusive => {
                 self.machines[at].actors.remove(&number);
-                self.begin_change(at, Change::Confirm, Purpose::Look);
+                self.begin_change(at, Change::Identity, Purpose::Look);
             }
-            Progress::Chosen(chosen) => {
+            ReadProgress::Chosen(chosen) => {
                 let Some(actor) = self.machines[at].actors.remove(&number) else {
                     return;
                 };
@@ -516,24 +524,26 @@
     }
 
     /// What follows on the end of an actor; without an outcome its time was over.
-    fn ended(&mut self, at: usize, purpose: Purpose, outcome: Option<Outcome>) {
+    fn ended(&mut self, at: usize, purpose: Purpose, outcome: Option<ProposalOutcome>) {
         match (purpose, outcome) {
             (Purpose::Look, Some(_)) => self.keep_place(at),
             (Purpose::Look, None) => {
                 // As after an unclear read.
                 self.ask_others(at);
                 match self.machines[at].known.is_some() && self.roll(2) == 0 {
-                    true => self.begin_change(at, Change::Confirm, Purpose::Set),
+                    true => self.begin_change(at, Change::Identity, Purpose::Set),
                     false => self.look_after(at, 60),
                 }
             }
             (Purpose::SetBegun, Some(_)) if self.planted != Planted::NobodySettles => {
-                self.begin_change(at, Change::Settle, Purpose::Set);
+                self.begin_change(at, Change::LeaveJoint, Purpose::Set);
             }
             (Purpose::SetBegun | Purpose::Set, _) => self.look_after(at, 60),
-            (Purpose::Leaving, Some(_)) => self.begin_change(at, Change::Settle, Purpose::Left),
+            (Purpose::Leaving, Some(_)) => self.begin_change(at, Change::LeaveJoint, Purpose::Left),
             (Purpose::Leaving, None) | (Purpose::Left, _) => (),
-            (Purpose::Order { base, version }, Some(outcome)) if outcome.answer == Answer::Done => {
+            (Purpose::Order { base, version }, Some(outcome))
+                if outcome.change == ChangeOutcome::Applied =>
+            {
                 self.taken += 1;
                 self.trouble_after_an_answer();
                 let other = self
@@ -562,31 +572,35 @@
                 return self.look_after(at, 1000);
             }
             let replica = replica(id, &self.machines[at].address);
-            let change = Change::Join {
+            let change = Change::AddReplica {
                 replica,
-                silent: Vec::new(),
-                most: 9,
+                unresponsive: Vec::new(),
+                max_replicas: 9,
             };
             return self.begin_change(at, change, Purpose::SetBegun);
         }
         if set.is_joint() && self.planted != Planted::NobodySettles {
-            return self.begin_change(at, Change::Settle, Purpose::Set);
+            return self.begin_change(at, Change::LeaveJoint, Purpose::Set);
         }
-        let fewest = 2 * self.tolerance + 1;
+        let min_replicas = 2 * self.tolerated_failures + 1;
         let silent = set
             .current
             .iter()
             .map(|replica| replica.id)
             .find(|id| self.is_silent(*id));
-        if let Some(id) = silent.filter(|_| !set.is_joint() && set.current.len() > fewest)
+        if let Some(id) = silent.filter(|_| !set.is_joint() && set.current.len() > min_replicas)
             && self.has_duties(at, set)
         {
-            return self.begin_change(at, Change::Leave { id, fewest }, Purpose::SetBegun);
+            return self.begin_change(
+                at,
+                Change::RemoveReplica { id, min_replicas },
+                Purpose::SetBegun,
+            );
         }
         self.look_after(at, 1000);
     }
 
-    fn catch_up(&mut self, at: usize, chosen: &Accepted) {
+    fn catch_up(&mut self, at: usize, chosen: &AcceptedValue) {
         if self.planted == Planted::NeverCatchesUp {
             return;
         }
@@ -601,8 +615,8 @@
             return;
         }
         let sync = machine.acceptor.learn(chosen);
-        if sync != Sync::Nothing {
-            let nobody = Reply::Stranger { id };
+        if sync != DurableWrite::Nothing {
+            let nobody = Reply::WrongReplica { id };
             machine.unsynced.push_back((sync, nobody, at, 0));
             let life = machine.life;
             let took = 1 + self.roll(15);
@@ -661,13 +675,13 @@
         let base = self.newest.state.configuration_version;
         let version = self.fresh();
         let body = version.to_be_bytes().to_vec();
-        let tolerance = self.tolerance;
-        let change = Change::Configuration {
+        let tolerated_failures = self.tolerated_failures;
+        let change = Change::SetConfiguration {
             base,
             version,
             body,
-            tolerance,
-            at_least_kept: false,
+            tolerated_failures,
+            durability_suffices: false,
         };
         self.begin_change(at, change, Purpose::Order { base, version });
     }
--- a/crates/mintlb-register/tests/days/troubles.rs
+++ b/crates/mintlb-register/tests/days/troubles.rs
@@ -2,7 +2,7 @@
 
 use super::machine::{Machine, Purpose, address};
 use super::{CATCH_UP, Day, Event, Planted};
-use mintlb_register::acceptor::{Acceptor, Vote};
+use mintlb_register::acceptor::{Acceptor, AcceptorState};
 use mintlb_register::change::Change;
 
 impl Day {
@@ -17,7 +17,7 @@
     pub fn may_lose(&self, at: usize) -> bool {
         let machine = &self.machines[at];
         let counted = self.now < machine.lost_until;
-        machine.is_up && !machine.stopping && !counted && self.lost() < self.tolerance
+        machine.is_up && !machine.stopping && !counted && self.lost() < self.tolerated_failures
     }
 
     pub fn trouble(&mut self) {
@@ -84,10 +84,10 @@
             Planted::KeepsIdentityOnEmptyDisk => machine.acceptor.id(),
             _ => id,
         };
-        machine.durable = Vote::default();
+        machine.durable = AcceptorState::default();
         machine.hint = None;
         let old = machine.acceptor.id();
-        machine.acceptor = Acceptor::new(id, Vote::default());
+        machine.acceptor = Acceptor::new(id, AcceptorState::default());
         self.note(format!("machine {at} loses its disk, {old} is {id}"));
         self.check_majority();
     }
@@ -196,7 +196,7 @@
         // The operators do not stop one that is in trouble, nor more than is left.
         if !self.machines[at].is_up
             || self.now < self.machines[at].lost_until
-            || members <= 2 * self.tolerance + 1
+            || members <= 2 * self.tolerated_failures + 1
         {
             return;
         }
@@ -210,8 +210,12 @@
         }
         self.note(format!("machine {at} is told to stop"));
         let id = self.machines[at].acceptor.id();
-        let fewest = 2 * self.tolerance + 1;
-        self.begin_change(at, Change::Leave { id, fewest }, Purpose::Leaving);
+        let min_replicas = 2 * self.tolerated_failures + 1;
+        self.begin_change(
+            at,
+            Change::RemoveReplica { id, min_replicas },
+            Purpose::Leaving,
+        );
         self.after(3000, Event::End { machine: at });
     }
 }
--- a/crates/mintlb-register/tests/exhaustion.rs
+++ b/crates/mintlb-register/tests/exhaustion.rs
@@ -1,12 +1,13 @@
 //! The smallest case, the nearest states first up to a bound: three replicas, two proposers, one lost disk, one change of
 //! the set; every order of messages, and, as a message may stay under way for ever, every loss.
 
-use mintlb_register::acceptor::{Acceptor, Vote};
+use mintlb_register::acceptor::{Acceptor, AcceptorState};
 use mintlb_register::ballot::Ballot;
-use mintlb_register::change::{Answer, Change};
-use mintlb_register::message::{Accepted, Reply, Request};
+use mintlb_register::change::{Change, ChangeOutcome};
+use mintlb_register::message::{AcceptedValue, Reply, Request};
 use mintlb_register::proposal::{Effects, Input, Proposal};
-use mintlb_register::state::{ControlState, Replica, ReplicaId, ReplicaSet};
+use mintlb_register::replica_set::{Replica, ReplicaId, ReplicaSet};
+use mintlb_register::state::ControlState;
 use std::collections::HashSet;
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::sync::Arc;
@@ -75,9 +76,9 @@
             replicas: set(),
             ..ControlState::default()
         });
-        let vote = Vote {
+        let vote = AcceptorState {
             promised: ballot,
-            accepted: Some(Accepted { ballot, state }),
+            accepted: Some(AcceptedValue { ballot, state }),
         };
         let mut search = Search {
             acceptors: (1..=3).map(|id| Acceptor::new(id, vote.clone())).collect(),
@@ -88,12 +89,12 @@
             acknowledged: None,
             chosen: Vec::new(),
         };
-        let change = Change::Configuration {
+        let change = Change::SetConfiguration {
             base: 0,
             version: 5,
             body: b"a".to_vec(),
-            tolerance: 1,
-            at_least_kept: false,
+            tolerated_failures: 1,
+            durability_suffices: false,
         };
         search.propose(change);
         search
@@ -115,7 +116,7 @@
         let Some(outcome) = effects.outcome else {
             return;
         };
-        if number == 0 && outcome.answer == Answer::Done {
+        if number == 0 && outcome.change == ChangeOutcome::Applied {
             self.acknowledged = Some(5);
         }
         let state = outcome.chosen.state;
@@ -135,11 +136,11 @@
     fn lose_disk(&mut self, keeps_identity: bool) {
         self.is_lost = true;
         let id = if keeps_identity { OLD } else { NEW };
-        self.acceptors[OLD as usize - 1] = Acceptor::new(id, Vote::default());
-        self.propose(Change::Join {
+        self.acceptors[OLD as usize - 1] = Acceptor::new(id, AcceptorState::default());
+        self.propose(Change::AddReplica {
             replica: replica(id),
-            silent: Vec::new(),
-            most: 9,
+            unresponsive: Vec::new(),
+            max_replicas: 9,
         });
     }
 
@@ -240,7 +241,7 @@
             },
             set(),
             None,
-            Change::Confirm,
+            Change::Identity,
         );
         for _ in 0..8 {
             let mut next = Effects::default();
--- a/crates/mintlb-register/tests/model.rs
+++ b/crates/mintlb-register/tests/model.rs
@@ -104,12 +104,12 @@
 
 #[test]
 fn a_change_survives_the_mutation_of_any_one_message() {
-    let change = || Change::Configuration {
+    let change = || Change::SetConfiguration {
         base: 0,
         version: 3,
         body: b"a".to_vec(),
-        tolerance: 1,
-        at_least_kept: false,
+        tolerated_failures: 1,
+        durability_suffices: false,
     };
     let assembled = || {
         let mut world = World::new(3, Planted::None);
--- a/crates/mintlb-register/tests/orders.rs
+++ b/crates/mintlb-register/tests/orders.rs
@@ -5,10 +5,10 @@
 use arbtest::arbtest;
 use minicbor::{Decode, Encode, Encoder};
 use mintlb_common::placement::Placement;
-use mintlb_register::change::{Answer, Change};
+use mintlb_register::applied_history::{AppliedHistory, HistoryLookup, MAX_ENTRIES};
+use mintlb_register::change::{Change, ChangeOutcome};
+use mintlb_register::replica_set::ReplicaSet;
 use mintlb_register::state::ControlState;
-use mintlb_register::state::ReplicaSet;
-use mintlb_register::taken::{MOST_KEPT, Remembered, TakenHistory};
 use replicas::{Replicas, configuration};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -17,7 +17,7 @@
 
 fn newest(replicas: &mut Replicas) -> ControlState {
     replicas
-        .change(Change::Confirm)
+        .change(Change::Identity)
         .unwrap()
         .chosen
         .state
@@ -29,7 +29,10 @@
 fn after_changes(last: u64) -> Replicas {
     let mut replicas = Replicas::settled(3);
     for version in 1..=last {
-        assert_eq!(replicas.answer(order(version)), Some(Answer::Done));
+        assert_eq!(
+            replicas.answer(order(version)),
+            Some(ChangeOutcome::Applied)
+        );
     }
     replicas
 }
@@ -44,13 +47,13 @@
     for version in 1..=500 {
         assert_eq!(
             replicas.answer(order(version)),
-            Some(Answer::AlreadyDone),
+            Some(ChangeOutcome::AlreadyApplied),
             "version {version}"
         );
         let another = configuration(version - 1, version, "another text");
         assert_eq!(
             replicas.answer(another),
-            Some(Answer::StaleBase),
+            Some(ChangeOutcome::StaleBase),
             "version {version}"
         );
     }
@@ -59,24 +62,24 @@
 
 #[test]
 fn an_order_beyond_the_bound_is_neither_acknowledged_nor_refused() {
-    let last = MOST_KEPT as u64 + 5;
+    let last = MAX_ENTRIES as u64 + 5;
     let mut replicas = after_changes(last);
     let state = newest(&mut replicas);
     assert_eq!(
-        state.superseded.as_ref().map(TakenHistory::len),
-        Some(MOST_KEPT)
+        state.applied_history.as_ref().map(AppliedHistory::len),
+        Some(MAX_ENTRIES)
     );
     for version in 1..=4 {
         assert_eq!(
             replicas.answer(order(version)),
-            Some(Answer::Forgotten),
+            Some(ChangeOutcome::HistoryCompacted),
             "version {version}"
         );
     }
     for version in [5, 6, 77, last - 1, last] {
         assert_eq!(
             replicas.answer(order(version)),
-            Some(Answer::AlreadyDone),
+            Some(ChangeOutcome::AlreadyApplied),
             "version {version}"
         );
     }
@@ -92,7 +95,7 @@
     let sizes: Vec<usize> = [10, 100, 500].map(size).to_vec();
     println!("the value after 10, 100, 500 changes: {sizes:?} bytes");
     assert!(sizes[2] - sizes[0] <= 490 * 18, "{sizes:?}");
-    const { assert!(MOST_KEPT * 26 < 128 << 10) };
+    const { assert!(MAX_ENTRIES * 26 < 128 << 10) };
 }
 
 #[test]
@@ -121,17 +124,35 @@
         .unwrap();
     let state: ControlState = minicbor::decode(&bytes).unwrap();
     assert_eq!((state.revision, state.configuration_version), (40, 9));
-    assert_eq!(state.remembers(9, b"text 9"), Remembered::Taken);
-    assert_eq!(state.remembers(9, b"another"), Remembered::NotTaken);
-    assert_eq!(state.remembers(8, b"text 8"), Remembered::Forgotten);
+    assert_eq!(
+        state.lookup_configuration(9, b"text 9"),
+        HistoryLookup::Applied
+    );
+    assert_eq!(
+        state.lookup_configuration(9, b"another"),
+        HistoryLookup::NotApplied
+    );
+    assert_eq!(
+        state.lookup_configuration(8, b"text 8"),
+        HistoryLookup::Compacted
+    );
     let mut replicas = Replicas::holding(state);
-    assert_eq!(replicas.answer(order(8)), Some(Answer::Forgotten));
-    assert_eq!(replicas.answer(order(10)), Some(Answer::Done));
-    assert_eq!(replicas.answer(order(8)), Some(Answer::Forgotten));
-    assert_eq!(replicas.answer(order(9)), Some(Answer::AlreadyDone));
+    assert_eq!(
+        replicas.answer(order(8)),
+        Some(ChangeOutcome::HistoryCompacted)
+    );
+    assert_eq!(replicas.answer(order(10)), Some(ChangeOutcome::Applied));
+    assert_eq!(
+        replicas.answer(order(8)),
+        Some(ChangeOutcome::HistoryCompacted)
+    );
+    assert_eq!(
+        replicas.answer(order(9)),
+        Some(ChangeOutcome::AlreadyApplied)
+    );
     assert_eq!(
         replicas.answer(configuration(8, 9, "another")),
-        Some(Answer::StaleBase)
+        Some(ChangeOutcome::StaleBase)
     );
     let state = newest(&mut replicas);
     let again: ControlState = minicbor::decode(&minicbor::to_vec(&state).unwrap()).unwrap();
@@ -170,10 +191,13 @@
     (former.revision, former.configuration_version) = (state.revision + 1, 31);
     (former.configuration, former.taken) = (b"text 31".to_vec(), vec![(31, 99)]);
     let written: ControlState = minicbor::decode(&minicbor::to_vec(&former).unwrap()).unwrap();
-    assert_eq!(written.remembers(31, b"text 31"), Remembered::Taken);
     assert_eq!(
-        written.remembers(30, b"text 30"),
-        Remembered::Forgotten,
+        written.lookup_configuration(31, b"text 31"),
+        HistoryLookup::Applied
+    );
+    assert_eq!(
+        written.lookup_configuration(30, b"text 30"),
+        HistoryLookup::Compacted,
         "it has lost the history"
     );
 }
@@ -190,20 +214,20 @@
     let mut replicas = Replicas::settled(3);
     assert_eq!(
         replicas.answer(configuration(0, 4, one)),
-        Some(Answer::Done)
+        Some(ChangeOutcome::Applied)
     );
     assert_eq!(
         replicas.answer(configuration(0, 4, other)),
-        Some(Answer::StaleBase)
+        Some(ChangeOutcome::StaleBase)
     );
     replicas.answer(configuration(4, 5, "next"));
     assert_eq!(
         replicas.answer(configuration(0, 4, other)),
-        Some(Answer::StaleBase)
+        Some(ChangeOutcome::StaleBase)
     );
     assert_eq!(
         replicas.answer(configuration(0, 4, one)),
-        Some(Answer::AlreadyDone)
+        Some(ChangeOutcome::AlreadyApplied)
     );
 }
 
@@ -214,13 +238,13 @@
         let back = configuration(base, 4, "text 4");
         assert_eq!(
             replicas.answer(back),
-            Some(Answer::VersionNotAbove),
+            Some(ChangeOutcome::VersionNotIncreased),
             "on {base}"
         );
     }
     assert_eq!(
         replicas.answer(configuration(7, 7, "text 7")),
-        Some(Answer::VersionNotAbove)
+        Some(ChangeOutcome::VersionNotIncreased)
     );
     assert_eq!(newest(&mut replicas).configuration_version, 7);
 }
@@ -232,11 +256,17 @@
         replicas.lost_answers = lost;
         let answer = replicas.answer(order(1));
         assert!(
-            matches!(answer, Some(Answer::Done | Answer::AlreadyDone)),
+            matches!(
+                answer,
+                Some(ChangeOutcome::Applied | ChangeOutcome::AlreadyApplied)
+            ),
             "{lost} lost: {answer:?}"
         );
         assert_eq!(newest(&mut replicas).configuration_version, 1);
-        assert_eq!(replicas.answer(order(1)), Some(Answer::AlreadyDone));
+        assert_eq!(
+            replicas.answer(order(1)),
+            Some(ChangeOutcome::AlreadyApplied)
+        );
     }
 }
 
@@ -258,8 +288,11 @@
             let again = replicas.answer(configuration(0, 4, "unclear"));
             let seen = (rival, again);
             let expected = match reader.contains(&reached) {
-                true => (Some(Answer::StaleBase), Some(Answer::AlreadyDone)),
-                false => (Some(Answer::Done), Some(Answer::StaleBase)),
+                true => (
+                    Some(ChangeOutcome::StaleBase),
+                    Some(ChangeOutcome::AlreadyApplied),
+                ),
+                false => (Some(ChangeOutcome::Applied), Some(ChangeOutcome::StaleBase)),
             };
             assert_eq!(seen, expected, "at {reached}, read by {reader:?}");
         }
@@ -274,10 +307,16 @@
     replicas.without_round_two = Vec::new();
     let second = replicas.answer(order(1));
     assert!(
-        matches!(second, Some(Answer::Done | Answer::AlreadyDone)),
+        matches!(
+            second,
+            Some(ChangeOutcome::Applied | ChangeOutcome::AlreadyApplied)
+        ),
         "{second:?}"
     );
-    assert_eq!(replicas.answer(order(1)), Some(Answer::AlreadyDone));
+    assert_eq!(
+        replicas.answer(order(1)),
+        Some(ChangeOutcome::AlreadyApplied)
+    );
 }
 
 #[test]
@@ -309,7 +348,7 @@
                 .answer(configuration(base, version, &text))
                 .unwrap()
             {
-                Answer::Done => {
+                ChangeOutcome::Applied => {
                     assert!(
                         base == current && version > base && !was_taken && !refused.contains(&this)
                     );
@@ -317,11 +356,11 @@
                     current = version;
                 }
                 // Also to an order that was refused, if another one has brought this very configuration since.
-                Answer::AlreadyDone => assert!(was_taken, "{this:?} was never taken"),
+                ChangeOutcome::AlreadyApplied => assert!(was_taken, "{this:?} was never taken"),
                 answer => {
                     assert!(matches!(
                         answer,
-                        Answer::StaleBase | Answer::VersionNotAbove
+                        ChangeOutcome::StaleBase | ChangeOutcome::VersionNotIncreased
                     ));
                     assert!(!was_taken, "{this:?} was taken and is refused: {answer:?}");
                     refused.insert(this);
@@ -342,7 +381,7 @@
     pair: [u64; 2],
     with_round_two: usize,
     text: &str,
-) -> Option<Answer> {
+) -> Option<ChangeOutcome> {
     replicas.silent = (1..=3).filter(|id| !pair.contains(id)).collect();
     replicas.without_round_two = (0..2)
         .filter(|at| with_round_two >> at & 1 == 0)
@@ -360,7 +399,12 @@
         let (first, second) = (course % 12, course / 12 % 12);
         let readers = [course / 144 % 3, course / 432 % 3, course / 1296].map(|pair| PAIRS[pair]);
         let mut replicas = Replicas::settled(3);
-        let done = |answer| matches!(answer, Some(Answer::Done | Answer::AlreadyDone));
+        let done = |answer| {
+            matches!(
+                answer,
+                Some(ChangeOutcome::Applied | ChangeOutcome::AlreadyApplied)
+            )
+        };
         let is_first = done(send_partly(
             &mut replicas,
             PAIRS[first % 3],
--- a/crates/mintlb-register/tests/promise.rs
+++ b/crates/mintlb-register/tests/promise.rs
@@ -7,12 +7,12 @@
 
 /// The length of a day, in ms.
 const DAY: u64 = 60_000;
-/// Days for each tolerance.
+/// Days for each tolerated_failures.
 const SEEDS: u64 = 200;
 
-fn play(seed: u64, tolerance: usize, planted: Planted) -> Day {
-    let size = 2 * tolerance + 1 + (seed % 3) as usize;
-    let mut day = Day::new(seed, tolerance, size, planted);
+fn play(seed: u64, tolerated_failures: usize, planted: Planted) -> Day {
+    let size = 2 * tolerated_failures + 1 + (seed % 3) as usize;
+    let mut day = Day::new(seed, tolerated_failures, size, planted);
     day.run_until(DAY);
     day.end();
     day
@@ -22,9 +22,9 @@
 fn losses_within_the_promise_break_nothing() {
     let (mut taken, mut disks, mut sets) = (0, 0, 0);
     for seed in 1..=SEEDS {
-        for tolerance in 1..=2 {
-            let day = play(seed, tolerance, Planted::None);
-            assert_eq!(day.broken, None, "seed {seed}, f {tolerance}");
+        for tolerated_failures in 1..=2 {
+            let day = play(seed, tolerated_failures, Planted::None);
+            assert_eq!(day.broken, None, "seed {seed}, f {tolerated_failures}");
             (taken, disks, sets) = (taken + day.taken, disks + day.disks, sets + day.sets);
         }
     }
--- a/crates/mintlb-register/tests/replicas/mod.rs
+++ b/crates/mintlb-register/tests/replicas/mod.rs
@@ -1,11 +1,12 @@
 //! Replicas that answer at once, for one proposal after the other.
 
-use mintlb_register::acceptor::{Acceptor, Vote};
+use mintlb_register::acceptor::{Acceptor, AcceptorState};
 use mintlb_register::ballot::Ballot;
-use mintlb_register::change::{Answer, Change};
-use mintlb_register::message::{Accepted, Ask, Request};
-use mintlb_register::proposal::{Effects, Input, Outcome, Proposal};
-use mintlb_register::state::{ControlState, Replica, ReplicaSet};
+use mintlb_register::change::{Change, ChangeOutcome};
+use mintlb_register::message::{AcceptedValue, Request, RequestBody};
+use mintlb_register::proposal::{Effects, Input, Proposal, ProposalOutcome};
+use mintlb_register::replica_set::{Replica, ReplicaSet};
+use mintlb_register::state::ControlState;
 use std::sync::Arc;
 
 /// Replicas that answer at once.
@@ -53,16 +54,16 @@
             counter: 1,
             proposer: 1,
         };
-        let accepted = Some(Accepted {
+        let accepted = Some(AcceptedValue {
             ballot,
             state: Arc::new(state),
         });
         let vote = |id| match id <= size {
-            true => Vote {
+            true => AcceptorState {
                 promised: ballot,
                 accepted: accepted.clone(),
             },
-            false => Vote::default(),
+            false => AcceptorState::default(),
         };
         let acceptors = (1..=9).map(|id| Acceptor::new(id, vote(id))).collect();
         Replicas {
@@ -79,7 +80,7 @@
         let votes = self
             .acceptors
             .iter()
-            .filter_map(|acceptor| acceptor.vote().accepted.as_ref());
+            .filter_map(|acceptor| acceptor.state().accepted.as_ref());
         votes
             .max_by_key(|accepted| accepted.ballot)
             .unwrap()
@@ -90,7 +91,7 @@
 
     /// What comes of a message.
     fn send(&mut self, to: u64, request: Request) -> Option<Input> {
-        let is_round_two = matches!(request.ask, Ask::Accept { .. });
+        let is_round_two = matches!(request.body, RequestBody::Accept { .. });
         if self.silent.contains(&to) || (is_round_two && self.without_round_two.contains(&to)) {
             return None;
         }
@@ -108,7 +109,7 @@
     }
 
     /// The outcome of a change, or `None` if it has none after many attempts.
-    pub fn change(&mut self, change: Change) -> Option<Outcome> {
+    pub fn change(&mut self, change: Change) -> Option<ProposalOutcome> {
         self.proposer += 1;
         let (mut proposal, mut effects) =
             Proposal::start(self.proposer, Ballot::default(), self.rule(), None, change);
@@ -135,18 +136,18 @@
     }
 
     /// The answer to a change.
-    pub fn answer(&mut self, change: Change) -> Option<Answer> {
-        self.change(change).map(|outcome| outcome.answer)
+    pub fn answer(&mut self, change: Change) -> Option<ChangeOutcome> {
+        self.change(change).map(|outcome| outcome.change)
     }
 }
 
 /// An order of the operator.
 pub fn configuration(base: u64, version: u64, text: &str) -> Change {
-    Change::Configuration {
+    Change::SetConfiguration {
         base,
         version,
         body: text.into(),
-        tolerance: 1,
-        at_least_kept: false,
+        tolerated_failures: 1,
+        durability_suffices: false,
     }
 }
--- a/crates/mintlb-register/tests/set_changes.rs
+++ b/crates/mintlb-register/tests/set_changes.rs
@@ -4,17 +4,17 @@
 mod cluster;
 
 use cluster::{Cluster, choices, replica};
-use mintlb_register::change::{Answer, Change};
-use mintlb_register::state::ReplicaId;
+use mintlb_register::change::{Change, ChangeOutcome};
+use mintlb_register::replica_set::ReplicaId;
 
 /// The largest set.
 const MOST: usize = 9;
 
 fn join(id: ReplicaId, address: u64) -> Change {
-    Change::Join {
+    Change::AddReplica {
         replica: replica(id, address),
-        silent: Vec::new(),
-        most: MOST,
+        unresponsive: Vec::new(),
+        max_replicas: MOST,
     }
 }
 
@@ -40,11 +40,11 @@
     further: usize,
 }
 
-fn steps(operation: Operation, tolerance: usize, size: usize) -> Vec<Step> {
+fn steps(operation: Operation, tolerated_failures: usize, size: usize) -> Vec<Step> {
     let (old, new) = (size as u64, 100);
-    let leave = || Change::Leave {
+    let leave = || Change::RemoveReplica {
         id: old,
-        fewest: 2 * tolerance + 1,
+        min_replicas: 2 * tolerated_failures + 1,
     };
     let step = |change, further| Step {
         change: Some(change),
@@ -56,40 +56,40 @@
         ends: Some(old),
         further,
     };
-    let (one_less, all) = (tolerance - 1, tolerance);
+    let (one_less, all) = (tolerated_failures - 1, tolerated_failures);
     match operation {
         Operation::Wipe => vec![
             lost(one_less),
             step(join(new, old), one_less),
-            step(Change::Settle, all),
+            step(Change::LeaveJoint, all),
         ],
         Operation::Replace => vec![
             lost(one_less),
             step(join(new, 50), one_less),
-            step(Change::Settle, one_less),
+            step(Change::LeaveJoint, one_less),
             step(leave(), one_less),
-            step(Change::Settle, all),
+            step(Change::LeaveJoint, all),
         ],
         Operation::PlannedReplace => vec![
             step(join(new, 50), one_less),
-            step(Change::Settle, all),
+            step(Change::LeaveJoint, all),
             step(leave(), all),
-            step(Change::Settle, all),
+            step(Change::LeaveJoint, all),
             lost(all),
         ],
         Operation::Leave => vec![
             lost(one_less),
             step(leave(), one_less),
-            step(Change::Settle, one_less),
+            step(Change::LeaveJoint, one_less),
         ],
         Operation::Cut => vec![lost(one_less)],
     }
 }
 
-fn is_possible(operation: Operation, tolerance: usize, size: usize) -> bool {
+fn is_possible(operation: Operation, tolerated_failures: usize, size: usize) -> bool {
     match operation {
         Operation::Replace | Operation::PlannedReplace => size < MOST,
-        Operation::Leave => size > 2 * tolerance + 1,
+        Operation::Leave => size > 2 * tolerated_failures + 1,
         Operation::Wipe | Operation::Cut => true,
     }
 }
@@ -100,7 +100,7 @@
     steps: &[Step],
     lost: &[ReplicaId],
     spared: u64,
-    tolerance: usize,
+    tolerated_failures: usize,
 ) -> Result<(), String> {
     for step in steps {
         if let Some(ends) = step.ends {
@@ -114,7 +114,7 @@
     }
     lost.iter().for_each(|id| cluster.lose(*id));
     let newest = cluster
-        .change(Change::Confirm)
+        .change(Change::Identity)
         .ok_or("no majority is left")?
         .chosen
         .state;
@@ -131,20 +131,25 @@
             .change(change)
             .ok_or("a lost disk's successor does not join")?;
     }
-    cluster.change(Change::Settle).ok_or("it does not settle")?;
-    let change = Change::Configuration {
+    cluster
+        .change(Change::LeaveJoint)
+        .ok_or("it does not settle")?;
+    let change = Change::SetConfiguration {
         base: 1,
         version: 2,
         body: b"2".to_vec(),
-        tolerance,
-        at_least_kept: false,
+        tolerated_failures,
+        durability_suffices: false,
     };
     let after = cluster.change(change).ok_or("no change is taken")?;
     let set = &after.chosen.state.replicas;
-    if after.answer != Answer::Done || set.is_joint() || set.current.len() < 2 * tolerance + 1 {
+    if after.change != ChangeOutcome::Applied
+        || set.is_joint()
+        || set.current.len() < 2 * tolerated_failures + 1
+    {
         return Err(format!(
             "{:?} by {} replicas",
-            after.answer,
+            after.change,
             set.current.len()
         ));
     }
@@ -154,8 +159,8 @@
 #[test]
 fn every_second_loss_within_the_promise_is_borne_at_each_step() {
     let mut cases = 0;
-    for tolerance in 1..=2 {
-        for size in 2 * tolerance + 1..=MOST {
+    for tolerated_failures in 1..=2 {
+        for size in 2 * tolerated_failures + 1..=MOST {
             for operation in [
                 Operation::Wipe,
                 Operation::Replace,
@@ -163,10 +168,10 @@
                 Operation::Leave,
                 Operation::Cut,
             ] {
-                if !is_possible(operation, tolerance, size) {
+                if !is_possible(operation, tolerated_failures, size) {
                     continue;
                 }
-                let steps = steps(operation, tolerance, size);
+                let steps = steps(operation, tolerated_failures, size);
                 for last in 0..steps.len() {
                     let played = &steps[..=last];
                     let members: Vec<u64> = (1..=size as u64)
@@ -176,9 +181,10 @@
                         for spared in 0..size as u64 {
                             cases += 1;
                             let cluster = Cluster::settled(size as u64);
-                            let result = outcome(cluster, played, &lost, spared, tolerance);
+                            let result =
+                                outcome(cluster, played, &lost, spared, tolerated_failures);
                             let case = format!(
-                                "f {tolerance}, set of {size}, {operation:?}, step {last}, lost {lost:?}, spared {spared}"
+                                "f {tolerated_failures}, set of {size}, {operation:?}, step {last}, lost {lost:?}, spared {spared}"
                             );
                             assert_eq!(result, Ok(()), "{case}");
                         }
@@ -194,8 +200,8 @@
 #[test]
 fn a_member_that_ends_before_it_has_left_may_cost_the_majority() {
     // Why a controller that is told to stop leaves the set first.
-    for tolerance in 1..=2 {
-        let size = 2 * tolerance + 1;
+    for tolerated_failures in 1..=2 {
+        let size = 2 * tolerated_failures + 1;
         let joined = [
             Step {
                 change: Some(join(100, 50)),
@@ -203,13 +209,19 @@
                 further: 0,
             },
             Step {
-                change: Some(Change::Settle),
+                change: Some(Change::LeaveJoint),
                 ends: Some(size as u64),
                 further: 0,
             },
         ];
-        let lost: Vec<u64> = (1..=tolerance as u64).collect();
-        let result = outcome(Cluster::settled(size as u64), &joined, &lost, 0, tolerance);
+        let lost: Vec<u64> = (1..=tolerated_failures as u64).collect();
+        let result = outcome(
+            Cluster::settled(size as u64),
+            &joined,
+            &lost,
+            0,
+            tolerated_failures,
+        );
         assert_eq!(result, Err("no majority is left".to_string()));
     }
 }
@@ -217,15 +229,18 @@
 #[test]
 fn whatever_change_comes_first_ends_a_change_of_the_set() {
     let after = [
-        Change::Configuration {
+        Change::SetConfiguration {
             base: 1,
             version: 2,
             body: b"2".to_vec(),
-            tolerance: 1,
-            at_least_kept: false,
+            tolerated_failures: 1,
+            durability_suffices: false,
         },
         join(101, 51),
-        Change::Leave { id: 1, fewest: 3 },
+        Change::RemoveReplica {
+            id: 1,
+            min_replicas: 3,
+        },
     ];
     for change in after {
         let mut cluster = Cluster::settled(3);
@@ -238,7 +253,7 @@
             .clone();
         assert!(joint.is_joint());
         let outcome = cluster.change(change.clone()).unwrap();
-        assert_eq!(outcome.answer, Answer::Done, "{change:?}");
+        assert_eq!(outcome.change, ChangeOutcome::Applied, "{change:?}");
         let set = &outcome.chosen.state.replicas;
         // 1 joint, 2 settled; a further change of the set begins from there.
         assert_eq!(
@@ -262,7 +277,7 @@
         cluster.lose(100);
         cluster.change(join(101, size as u64)).unwrap();
         let settled = cluster
-            .change(Change::Settle)
+            .change(Change::LeaveJoint)
             .unwrap()
             .chosen
             .state
@@ -281,16 +296,16 @@
         for version in 2..=501 {
             let before = (cluster.messages, cluster.syncs);
             let body = version.to_string().into_bytes();
-            let change = Change::Configuration {
+            let change = Change::SetConfiguration {
                 base: version - 1,
                 version,
                 body,
-                tolerance: 1,
-                at_least_kept: false,
+                tolerated_failures: 1,
+                durability_suffices: false,
             };
             assert_eq!(
-                cluster.change(change).map(|outcome| outcome.answer),
-                Some(Answer::Done)
+                cluster.change(change).map(|outcome| outcome.change),
+                Some(ChangeOutcome::Applied)
             );
             counted.push((cluster.messages - before.0, cluster.syncs - before.1));
         }
--- a/crates/mintlb-register/tests/world/mod.rs
+++ b/crates/mintlb-register/tests/world/mod.rs
@@ -2,13 +2,14 @@
 //! disks, and every outcome is checked.
 
 use arbtest::arbitrary::{Result as Drawn, Unstructured};
-use mintlb_register::acceptor::{Acceptor, Sync, Vote};
+use mintlb_register::acceptor::{Acceptor, AcceptorState, DurableWrite};
 use mintlb_register::ballot::Ballot;
-use mintlb_register::change::{Answer, Change};
-use mintlb_register::message::{Accepted, Ask, Reply, Request};
+use mintlb_register::change::{Change, ChangeOutcome};
+use mintlb_register::message::{AcceptedValue, Reply, Request, RequestBody};
 use mintlb_register::proposal::{Effects, Input, Proposal};
-use mintlb_register::reading::{Progress, Reading};
-use mintlb_register::state::{ControlState, Replica, ReplicaId, ReplicaSet};
+use mintlb_register::quorum_read::{QuorumRead, ReadProgress};
+use mintlb_register::replica_set::{Replica, ReplicaId, ReplicaSet};
+use mintlb_register::state::ControlState;
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
 
@@ -33,8 +34,8 @@
 struct Machine {
     address: String,
     acceptor: Acceptor,
-    durable: Vote,
-    unsynced: VecDeque<(Sync, Reply, u64)>,
+    durable: AcceptorState,
+    unsynced: VecDeque<(DurableWrite, Reply, u64)>,
     has_lost_disk: bool,
 }
 
@@ -44,7 +45,7 @@
         timer: bool,
         change: Change,
     },
-    Reading(Box<Reading>),
+    Reading(Box<QuorumRead>),
 }
 
 struct Actor {
@@ -99,7 +100,7 @@
     messages: VecDeque<Message>,
     /// Every chosen value seen, by revision.
     chosen: BTreeMap<u64, Arc<ControlState>>,
-    newest: Accepted,
+    newest: AcceptedValue,
     acknowledged: u64,
     /// Versions acknowledged, by the version they were built on.
     bases: BTreeMap<u64, u64>,
@@ -120,8 +121,8 @@
         let machines: Vec<Machine> = (0..size)
             .map(|i| Machine {
                 address: format!("10.0.0.{i}:7661"),
-                acceptor: Acceptor::new(i as u64 + 1, Vote::default()),
-                durable: Vote::default(),
+                acceptor: Acceptor::new(i as u64 + 1, AcceptorState::default()),
+                durable: AcceptorState::default(),
                 unsynced: VecDeque::new(),
                 has_lost_disk: false,
             })
@@ -131,9 +132,9 @@
             counter: 1,
             proposer: 1,
         };
-        let newest = Accepted {
+        let newest = AcceptedValue {
             ballot,
-            state: Arc::new(ControlState::founded_by(founder)),
+            state: Arc::new(ControlState::bootstrap(founder)),
         };
         let mut world = World {
             machines,
@@ -150,7 +151,7 @@
             counts: Counts::default(),
             broken: None,
         };
-        let vote = Vote {
+        let vote = AcceptorState {
             promised: ballot,
             accepted: Some(newest),
         };
@@ -164,7 +165,7 @@
         for i in 1..self.machines.len() {
             let change = self.join_of(i);
             self.run_calmly(change);
-            self.run_calmly(Change::Settle);
+            self.run_calmly(Change::LeaveJoint);
         }
     }
 
@@ -190,7 +191,7 @@
             machine.unsynced.clear();
             machine.acceptor = Acceptor::new(machine.acceptor.id(), machine.durable.clone());
         }
-        self.run_calmly(Change::Confirm);
+        self.run_calmly(Change::Identity);
     }
 
     fn run_calmly(&mut self, change: Change) {
@@ -241,7 +242,7 @@
             .machines
             .iter()
             .map(|machine| {
-                let accepted = machine.acceptor.vote().accepted.as_ref();
+                let accepted = machine.acceptor.state().accepted.as_ref();
                 let set =
                     accepted.map(|accepted| (accepted.ballot, described(&accepted.state.replicas)));
                 format!("{}: {set:?}", machine.acceptor.id())
@@ -310,10 +311,10 @@
     /// A lost request may be known to be lost, or just be silent.
     fn tell_lost(&mut self, actor: u64, request: &Request, u: &mut Unstructured) -> Drawn<()> {
         if u.ratio(1, 2)? {
-            let ballot = match &request.ask {
-                Ask::Prepare { ballot, .. } => *ballot,
-                Ask::Accept { proposed } => proposed.ballot,
-                Ask::Read { .. } => Ballot::default(),
+            let ballot = match &request.body {
+                RequestBody::Prepare { ballot, .. } => *ballot,
+                RequestBody::Accept { proposed } => proposed.ballot,
+                RequestBody::Read { .. } => Ballot::default(),
             };
             self.give(actor, Input::Lost(request.target, ballot));
         }
@@ -354,13 +355,13 @@
             9 => {
                 let ids: Vec<ReplicaId> =
                     self.newest.state.replicas.members().map(|r| r.id).collect();
-                Change::Leave {
+                Change::RemoveReplica {
                     id: *u.choose(&ids)?,
-                    fewest: 2 * TOLERANCE + 1,
+                    min_replicas: 2 * TOLERANCE + 1,
                 }
             }
-            10 => Change::Settle,
-            11 => Change::Confirm,
+            10 => Change::LeaveJoint,
+            11 => Change::Identity,
             _ => {
                 self.begin_reading();
                 return Ok(());
@@ -381,22 +382,22 @@
         self.next_version += u.int_in_range(1..=3)?;
         let version = self.next_version;
         let body = version.to_be_bytes().to_vec();
-        Ok(Change::Configuration {
+        Ok(Change::SetConfiguration {
             base,
             version,
             body,
-            tolerance: TOLERANCE,
-            at_least_kept: false,
+            tolerated_failures: TOLERANCE,
+            durability_suffices: false,
         })
     }
 
     fn join_of(&self, i: usize) -> Change {
         let machine = &self.machines[i];
         let replica = replica(machine.acceptor.id(), &machine.address);
-        Change::Join {
+        Change::AddReplica {
             replica,
-            silent: Vec::new(),
-            most: 9,
+            unresponsive: Vec::new(),
+            max_replicas: 9,
         }
     }
 
@@ -418,7 +419,7 @@
         let returning = self.machines.iter().filter(|machine| {
             machine.has_lost_disk && set.current_replica(machine.acceptor.id()).is_none()
         });
-        if !set.survives(TOLERANCE) || unmended.max(returning.count()) >= TOLERANCE {
+        if !set.remains_available_after(TOLERANCE) || unmended.max(returning.count()) >= TOLERANCE {
             return Ok(());
         }
         let i = u.choose_index(self.machines.len())?;
@@ -440,14 +441,14 @@
         self.actors.retain(|_, actor| {
             !matches!(
                 &actor.work,
-                Work::Proposal { change: Change::Join { replica, .. }, .. } if replica.id == id
+                Work::Proposal { change: Change::AddReplica { replica, .. }, .. } if replica.id == id
             )
         });
         let machine = &mut self.machines[i];
         machine.unsynced.clear();
         machine.has_lost_disk = true;
-        machine.durable = Vote::default();
-        machine.acceptor = Acceptor::new(new_id, Vote::default());
+        machine.durable = AcceptorState::default();
+        machine.acceptor = Acceptor::new(new_id, AcceptorState::default());
         Ok(())
     }
 
@@ -457,7 +458,7 @@
         self.machines.iter().all(|machine| {
             machine
                 .acceptor
-                .vote()
+                .state()
                 .accepted
                 .as_ref()
                 .is_none_or(|accepted| accepted.state.replicas.epoch <= epoch)
@@ -501,7 +502,7 @@
     fn begin_reading(&mut self) {
         self.next_number += 1;
         let actor = self.next_number;
-        let (reading, progress) = Reading::start(self.hint(), self.known(actor));
+        let (reading, progress) = QuorumRead::start(self.hint(), self.known(actor));
         let work = Work::Reading(Box::new(reading));
         self.actors.insert(
             actor,
@@ -534,7 +535,7 @@
         })
     }
 
-    fn known(&self, actor: u64) -> Option<Accepted> {
+    fn known(&self, actor: u64) -> Option<AcceptedValue> {
         actor.is_multiple_of(2).then(|| self.newest.clone())
     }
 
@@ -555,8 +556,9 @@
                 let answered = machine.acceptor.handle(request);
                 machine
                     .unsynced
-                    .push_back((answered.sync, answered.reply, actor));
-                let at_once = machine.unsynced.len() == 1 && machine.unsynced[0].0 == Sync::Nothing;
+                    .push_back((answered.durable_write, answered.reply, actor));
+                let at_once =
+                    machine.unsynced.len() == 1 && machine.unsynced[0].0 == DurableWrite::Nothing;
                 if at_once {
                     self.finish_sync(i, 1);
                 } else if self.planted == Planted::AnswersBeforeSync {
@@ -576,27 +578,27 @@
         self.send(Message::Reply {
             actor,
             from: target,
-            reply: Reply::Stranger { id: 0 },
+            reply: Reply::WrongReplica { id: 0 },
         });
     }
 
-    fn finish_sync(&mut self, i: usize, most: usize) {
-        for _ in 0..most {
+    fn finish_sync(&mut self, i: usize, max_count: usize) {
+        for _ in 0..max_count {
             let machine = &mut self.machines[i];
             let Some((sync, reply, actor)) = machine.unsynced.pop_front() else {
                 return;
             };
             match sync {
-                Sync::Nothing => (),
-                Sync::Promise(ballot) => machine.durable.promised = ballot,
-                Sync::Learned { promised, chosen } => {
-                    machine.durable = Vote {
+                DurableWrite::Nothing => (),
+                DurableWrite::Promise(ballot) => machine.durable.promised = ballot,
+                DurableWrite::Learned { promised, chosen } => {
+                    machine.durable = AcceptorState {
                         promised,
                         accepted: Some(chosen),
                     };
                 }
-                Sync::Value(accepted) => {
-                    machine.durable = Vote {
+                DurableWrite::Accepted(accepted) => {
+                    machine.durable = AcceptorState {
                         promised: accepted.ballot,
                         accepted: Some(accepted),
                     };
@@ -634,7 +636,7 @@
                 let progress = match input {
                     Input::Reply(from, reply) => reading.reply(from, Some(reply)),
                     Input::Lost(from, _) => reading.reply(from, None),
-                    Input::Timer => Progress::Unclear,
+                    Input::Timer => ReadProgress::Inconclusive,
                 };
                 self.carry_on(actor, progress);
             }
@@ -664,8 +666,8 @@
             return;
         };
         self.check(outcome.chosen, floor);
-        if let (Change::Configuration { base, version, .. }, Answer::Done) =
-            (change, outcome.answer)
+        if let (Change::SetConfiguration { base, version, .. }, ChangeOutcome::Applied) =
+            (change, outcome.change)
         {
             self.counts.taken += 1;
             let other = self
@@ -680,17 +682,17 @@
         }
     }
 
-    fn carry_on(&mut self, actor: u64, progress: Progress) {
+    fn carry_on(&mut self, actor: u64, progress: ReadProgress) {
         match progress {
-            Progress::Ask(messages) => {
+            ReadProgress::Send(messages) => {
                 messages
                     .into_iter()
                     .for_each(|(_, request)| self.send(Message::Request { actor, request }));
             }
-            Progress::Unclear => {
+            ReadProgress::Inconclusive => {
                 self.actors.remove(&actor);
             }
-            Progress::Chosen(chosen) => {
+            ReadProgress::Chosen(chosen) => {
                 self.counts.reads += 1;
                 if let Some(gone) = self.actors.remove(&actor) {
                     self.check(chosen, gone.floor);
@@ -700,7 +702,7 @@
     }
 
     /// A value that is said to be chosen: one for each revision, and none older than what was acknowledged before.
-    fn check(&mut self, chosen: Accepted, floor: u64) {
+    fn check(&mut self, chosen: AcceptedValue, floor: u64) {
         let revision = chosen.state.revision;
         if revision < floor {
             self.breaks(format!(
--- a/crates/mintlb-simulation/src/checks.rs
+++ b/crates/mintlb-simulation/src/checks.rs
@@ -3,7 +3,7 @@
 
 use crate::context::Time;
 use crate::message::Ask;
-use mintlb_register::message::Accepted;
+use mintlb_register::message::AcceptedValue;
 use mintlb_register::state::ControlState;
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -230,7 +230,7 @@
     }
 
     /// A controller has learnt that a value is chosen.
-    pub fn chosen(&mut self, now: Time, accepted: &Accepted) {
+    pub fn chosen(&mut self, now: Time, accepted: &AcceptedValue) {
         let state = &accepted.state;
         if let Some(known) = self.chosen.get(&state.revision) {
             if known != state {
--- a/crates/mintlb-simulation/src/context.rs
+++ b/crates/mintlb-simulation/src/context.rs
@@ -4,7 +4,7 @@
 use crate::planted::Planted;
 use crate::random::Random;
 use mintlb_common::record::Record;
-use mintlb_register::message::Accepted;
+use mintlb_register::message::AcceptedValue;
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::Duration;
@@ -59,7 +59,7 @@
     /// Answer a call from outside.
     Tell(u64, Told),
     /// This was learnt to be chosen.
-    Chosen(Accepted),
+    Chosen(AcceptedValue),
     /// This record is newly in force here.
     InForce(Arc<Record>),
     /// For the trace.
--- a/crates/mintlb-simulation/src/controller/configuration.rs
+++ b/crates/mintlb-simulation/src/controller/configuration.rs
@@ -7,7 +7,7 @@
 use crate::message::{Ask, Told};
 use crate::planted::Planted;
 use mintlb_common::record::{CONFIGURATION, PLACEMENT, REPLICAS, Record};
-use mintlb_register::change::{Answer, Change};
+use mintlb_register::change::{Change, ChangeOutcome};
 use mintlb_register::state::ControlState;
 use std::time::Duration;
 
@@ -40,13 +40,13 @@
                 body,
             } => {
                 self.puts.insert(id, context.now);
-                let at_least_kept = context.now.saturating_sub(self.started) >= ALL_JOINED;
-                let change = Change::Configuration {
+                let durability_suffices = context.now.saturating_sub(self.started) >= ALL_JOINED;
+                let change = Change::SetConfiguration {
                     base,
                     version,
                     body,
-                    tolerance: TOLERANCE,
-                    at_least_kept,
+                    tolerated_failures: TOLERANCE,
+                    durability_suffices,
                 };
                 self.change(context, change, REGISTER_WITHIN, Purpose::Put(id));
             }
@@ -74,16 +74,18 @@
             return;
         };
         let forgets = context.planted == Planted::TakenForgotten;
-        let told = match outcome.answer {
-            Answer::AlreadyDone if forgets => Told::Refused,
-            Answer::Done | Answer::AlreadyDone => {
+        let told = match outcome.change {
+            ChangeOutcome::AlreadyApplied if forgets => Told::Refused,
+            ChangeOutcome::Applied | ChangeOutcome::AlreadyApplied => {
                 let left = ANSWER_WITHIN
                     .saturating_sub(context.now - begun)
                     .min(CONFIRMED_WITHIN);
                 return self.confirm_configuration(context, ask, &outcome.chosen.state, left);
             }
-            Answer::StaleBase | Answer::VersionNotAbove => Told::Refused,
-            Answer::Forgotten | Answer::TooFewReplicas | Answer::SetFull => Told::Unavailable,
+            ChangeOutcome::StaleBase | ChangeOutcome::VersionNotIncreased => Told::Refused,
+            ChangeOutcome::HistoryCompacted
+            | ChangeOutcome::TooFewReplicas
+            | ChangeOutcome::SetFull => Told::Unavailable,
         };
         context.out.push(Out::Tell(ask, told));
     }
--- a/crates/mintlb-simulation/src/controller/duties.rs
+++ b/crates/mintlb-simulation/src/controller/duties.rs
@@ -10,8 +10,8 @@
 use mintlb_batch::placement_planner::{StoreTable, StoreView};
 use mintlb_common::placement::Placement;
 use mintlb_control::controller::ping_state::{Ping, PingState, Pong, STEP};
-use mintlb_register::change::{Answer as ChangeAnswer, Change};
-use mintlb_register::state::{ReplicaId, ReplicaSet};
+use mintlb_register::change::{Change, ChangeOutcome};
+use mintlb_register::replica_set::{ReplicaId, ReplicaSet};
 use std::net::SocketAddr;
 use std::time::Duration;
 use tokio::time::Instant;
@@ -175,8 +175,8 @@
             return;
         };
         let set = &chosen.state.replicas;
-        let fewest = 2 * TOLERANCE + 1;
-        if set.is_joint() || set.current.len() <= fewest {
+        let min_replicas = 2 * TOLERANCE + 1;
+        if set.is_joint() || set.current.len() <= min_replicas {
             return;
         }
         let Some(id) = self.duties.silent(context, set).first().copied() else {
@@ -185,7 +185,7 @@
         self.duties.busy = true;
         self.change(
             context,
-            Change::Leave { id, fewest },
+            Change::RemoveReplica { id, min_replicas },
             CHANGE_WITHIN,
             Purpose::Remove,
         );
@@ -200,11 +200,11 @@
             return self.remove_silent_replica(context);
         }
         if let (Purpose::Remove, Ended::Changed(outcome)) = (purpose, ended)
-            && outcome.answer == ChangeAnswer::Done
+            && outcome.change == ChangeOutcome::Applied
         {
             return self.change(
                 context,
-                Change::Settle,
+                Change::LeaveJoint,
                 SETTLE_WITHIN,
                 Purpose::SettleRemoved,
             );
--- a/crates/mintlb-simulation/src/controller/membership.rs
+++ b/crates/mintlb-simulation/src/controller/membership.rs
@@ -1,17 +1,18 @@
 //! How a controller keeps in touch with the register; mirrors `controller/membership.rs`. The campaign among seeds
 //! without a disk is left out: every controller of the model has one.
 
+use super::Controller;
 use super::tasks::{Awaited, Ended, Purpose};
 use super::vote::ReplyTo;
-use super::{Controller, is_done};
 use crate::context::{Context, Out, Timer};
 use crate::message::{Answer, Call};
 use mintlb_common::record::REPLICAS;
 use mintlb_register::ballot::Ballot;
-use mintlb_register::change::{Answer as ChangeAnswer, Change};
-use mintlb_register::founding::{Founding, SeedAnswer, Step};
-use mintlb_register::message::{Accepted, Ask, Request};
-use mintlb_register::state::{ControlState, ReplicaSet};
+use mintlb_register::bootstrap::{Bootstrap, BootstrapStep, SeedStatus};
+use mintlb_register::change::{Change, ChangeOutcome};
+use mintlb_register::message::{AcceptedValue, Request, RequestBody};
+use mintlb_register::replica_set::ReplicaSet;
+use mintlb_register::state::ControlState;
 use std::sync::Arc;
 use std::time::Duration;
 
@@ -28,7 +29,7 @@
 #[derive(Debug, Default)]
 pub struct Membership {
     unclear: u32,
-    answers: Vec<Option<SeedAnswer>>,
+    answers: Vec<Option<SeedStatus>>,
     open: usize,
 }
 
@@ -88,34 +89,34 @@
             let sets = answers
                 .into_iter()
                 .flatten()
-                .filter_map(|answer| answer.set);
+                .filter_map(|answer| answer.replica_set);
             sets.for_each(|set| self.register.hint(set));
             return self.pause(context, JOIN_PAUSE);
         }
-        let own_place = self.seeds.iter().position(|seed| *seed == context.own);
-        let founding = Founding {
+        let own_index = self.seeds.iter().position(|seed| *seed == context.own);
+        let founding = Bootstrap {
             first_start: self.first_start,
             has_disk: true,
-            own_place,
-            answers: &answers,
+            own_index,
+            seed_statuses: &answers,
         };
         match founding.step() {
             // The pause begins once it is synced.
-            Step::Found => return self.found(context),
-            Step::Join(set) => self.register.hint(set),
-            Step::Campaign | Step::Wait => (),
+            BootstrapStep::Initialize => return self.found(context),
+            BootstrapStep::Join(set) => self.register.hint(set),
+            BootstrapStep::RequestVotes | BootstrapStep::Wait => (),
         }
         self.pause(context, SEED_PAUSE);
     }
 
     fn found(&mut self, context: &mut Context) {
         let ballot = Ballot::default().next(context.random.number());
-        let state = Arc::new(ControlState::founded_by(self.replica.identity().clone()));
-        let proposed = Accepted { ballot, state };
+        let state = Arc::new(ControlState::bootstrap(self.replica.identity().clone()));
+        let proposed = AcceptedValue { ballot, state };
         let target = self.replica.identity().id;
         let request = Request {
             target,
-            ask: Ask::Accept {
+            body: RequestBody::Accept {
                 proposed: proposed.clone(),
             },
         };
@@ -126,7 +127,7 @@
     }
 
     /// The founding value is on disk.
-    pub(super) fn founded(&mut self, context: &mut Context, accepted: Accepted) {
+    pub(super) fn founded(&mut self, context: &mut Context, accepted: AcceptedValue) {
         context.out.push(Out::Note(format!("{} founds", self.name)));
         self.learn(context, accepted);
         self.pause(context, SEED_PAUSE);
@@ -158,15 +159,17 @@
             }
             (Purpose::MemberConfirm, Ended::Failed) => self.ask_seeds(context),
             (Purpose::MemberConfirm, _) => self.keep_place(context),
-            (Purpose::Join, Ended::Changed(outcome)) if is_done(outcome.answer) => {
+            (Purpose::Join, Ended::Changed(outcome)) if outcome.change.is_applied() => {
                 self.change(
                     context,
-                    Change::Settle,
+                    Change::LeaveJoint,
                     JOIN_WITHIN,
                     Purpose::Settle { joined: true },
                 );
             }
-            (Purpose::Join, Ended::Changed(outcome)) if outcome.answer == ChangeAnswer::SetFull => {
+            (Purpose::Join, Ended::Changed(outcome))
+                if outcome.change == ChangeOutcome::SetFull =>
+            {
                 self.pause(context, READ_EVERY);
             }
             (Purpose::Settle { joined: true }, Ended::Changed(_)) => {
@@ -184,7 +187,7 @@
         }
         self.change(
             context,
-            Change::Confirm,
+            Change::Identity,
             READ_WITHIN,
             Purpose::MemberConfirm,
         );
@@ -197,17 +200,17 @@
         let set = &chosen.state.replicas;
         if !set.current.contains(self.replica.identity()) {
             let silent = self.duties.silent(context, set);
-            let change = Change::Join {
+            let change = Change::AddReplica {
                 replica: self.replica.identity().clone(),
-                silent,
-                most: MOST_REPLICAS,
+                unresponsive: silent,
+                max_replicas: MOST_REPLICAS,
             };
             return self.change(context, change, JOIN_WITHIN, Purpose::Join);
         }
         if set.is_joint() {
             return self.change(
                 context,
-                Change::Settle,
+                Change::LeaveJoint,
                 JOIN_WITHIN,
                 Purpose::Settle { joined: false },
             );
--- a/crates/mintlb-simulation/src/controller/mod.rs
+++ b/crates/mintlb-simulation/src/controller/mod.rs
@@ -20,8 +20,7 @@
 use mintlb_control::controller::ping_state::STEP;
 use mintlb_control::controller::registry::Registry;
 use mintlb_gossip::Role;
-use mintlb_register::change::Answer as ChangeAnswer;
-use mintlb_register::founding::SeedAnswer;
+use mintlb_register::bootstrap::SeedStatus;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 use tasks::{Ended, Purpose, Register};
@@ -141,9 +140,9 @@
                 let set = self.register.set().cloned();
                 context.answer(
                     &caller,
-                    Answer::Status(SeedAnswer {
+                    Answer::Status(SeedStatus {
                         has_disk: true,
-                        set,
+                        replica_set: set,
                     }),
                 );
             }
@@ -215,8 +214,3 @@
         }
     }
 }
-
-/// Whether a change is part of the chosen value.
-fn is_done(answer: ChangeAnswer) -> bool {
-    matches!(answer, ChangeAnswer::Done | ChangeAnswer::AlreadyDone)
-}
--- a/crates/mintlb-simulation/src/controller/placing.rs
+++ b/crates/mintlb-simulation/src/controller/placing.rs
@@ -1,9 +1,9 @@
 //! The placement duty and the retirement of stores; mirrors `controller/duties.rs` and `controller/retirement.rs`
 //! around the product's planner.
 
+use super::Controller;
 use super::duties::TOLERANCE;
 use super::tasks::{Ended, Purpose};
-use super::{Controller, is_done};
 use crate::context::{Context, Out};
 use crate::message::Told;
 use crate::planted::Planted;
@@ -68,7 +68,7 @@
         )));
         self.change(
             context,
-            Change::Placement(next),
+            Change::SetPlacement(next),
             CHANGE_WITHIN,
             Purpose::Place,
         );
@@ -112,7 +112,7 @@
                 RetirementOrder::TooFew => Told::Refused,
                 RetirementOrder::NotNow => Told::Unavailable,
                 RetirementOrder::Begin(next) => {
-                    let change = Change::Placement(next);
+                    let change = Change::SetPlacement(next);
                     return self.change(
                         context,
                         change,
@@ -136,7 +136,7 @@
 
     /// The order of a retirement has ended.
     pub(super) fn retire_ordered(&mut self, context: &mut Context, ask: u64, ended: Ended) {
-        let ordered = matches!(ended, Ended::Changed(outcome) if is_done(outcome.answer));
+        let ordered = matches!(ended, Ended::Changed(outcome) if outcome.change.is_applied());
         let told = if ordered {
             Told::Retiring { completed: false }
         } else {
--- a/crates/mintlb-simulation/src/controller/tasks.rs
+++ b/crates/mintlb-simulation/src/controller/tasks.rs
@@ -7,10 +7,10 @@
 use crate::planted::Planted;
 use mintlb_register::ballot::Ballot;
 use mintlb_register::change::Change;
-use mintlb_register::message::{Accepted, Ask, Reply, Report, Request};
-use mintlb_register::proposal::{Effects, Input, Outcome, Proposal, ROUND};
-use mintlb_register::reading::{Progress, Reading};
-use mintlb_register::state::{Replica, ReplicaId, ReplicaSet};
+use mintlb_register::message::{AcceptedValue, Reply, ReportedValue, Request, RequestBody};
+use mintlb_register::proposal::{Effects, Input, PHASE_TIMEOUT, Proposal, ProposalOutcome};
+use mintlb_register::quorum_read::{QuorumRead, ReadProgress};
+use mintlb_register::replica_set::{Replica, ReplicaId, ReplicaSet};
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -63,9 +63,9 @@
 #[derive(Clone, Debug)]
 pub enum Ended {
     /// The change has an outcome.
-    Changed(Outcome),
+    Changed(ProposalOutcome),
     /// This was read.
-    Read(Accepted),
+    Read(AcceptedValue),
     /// No majority answered in time.
     Failed,
 }
@@ -79,7 +79,7 @@
     },
     /// With `then_confirm_by`, an unclear read goes on as a proposal until then.
     Reading {
-        reading: Box<Reading>,
+        reading: Box<QuorumRead>,
         then_confirm_by: Option<Time>,
     },
 }
@@ -114,7 +114,7 @@
 /// What the process knows of the register, and what it has under way.
 #[derive(Default)]
 pub struct Register {
-    chosen: Option<Accepted>,
+    chosen: Option<AcceptedValue>,
     /// When the newest read or change began that a majority answered.
     majority_at: Option<Instant>,
     hint: Option<ReplicaSet>,
@@ -143,7 +143,7 @@
     }
 
     /// The newest value known to be chosen.
-    pub fn chosen(&self) -> Option<&Accepted> {
+    pub fn chosen(&self) -> Option<&AcceptedValue> {
         self.chosen.as_ref()
     }
 
@@ -260,7 +260,7 @@
         let Some(set) = self.register.set().cloned() else {
             return self.completed(context, purpose, Ended::Failed);
         };
-        let (reading, progress) = Reading::start(set, self.register.chosen.clone());
+        let (reading, progress) = QuorumRead::start(set, self.register.chosen.clone());
         let id = self.register.number();
         let work = Work::Reading {
             reading: Box::new(reading),
@@ -315,7 +315,7 @@
         };
         if let Work::Reading { reading, .. } = &mut task.work {
             let progress = reading.reply(from, reply);
-            let promise = reading.highest_promise();
+            let promise = reading.highest_ballot();
             self.register.raise_floor(promise);
             return self.progress(context, id, progress);
         }
@@ -357,10 +357,10 @@
             return;
         }
         if let Work::Reading { .. } = task.work {
-            return self.progress(context, id, Progress::Unclear);
+            return self.progress(context, id, ReadProgress::Inconclusive);
         }
         if let Work::Proposal { proposal, .. } = &task.work {
-            let seen = proposal.highest_seen();
+            let seen = proposal.highest_ballot();
             self.register.raise_floor(seen);
         }
         self.end(context, id, Ended::Failed);
@@ -393,24 +393,24 @@
         let Some(outcome) = effects.outcome else {
             return;
         };
-        let seen = proposal.highest_seen();
+        let seen = proposal.highest_ballot();
         self.register.raise_floor(seen);
         self.learn(context, outcome.chosen.clone());
         self.end(context, id, Ended::Changed(outcome));
     }
 
-    fn progress(&mut self, context: &mut Context, id: u64, progress: Progress) {
+    fn progress(&mut self, context: &mut Context, id: u64, progress: ReadProgress) {
         match progress {
-            Progress::Ask(messages) => {
+            ReadProgress::Send(messages) => {
                 messages
                     .into_iter()
                     .for_each(|(replica, request)| self.post(context, id, replica, request));
             }
-            Progress::Chosen(chosen) => {
+            ReadProgress::Chosen(chosen) => {
                 self.learn(context, chosen.clone());
                 self.end(context, id, Ended::Read(chosen));
             }
-            Progress::Unclear => {
+            ReadProgress::Inconclusive => {
                 let Some(task) = self.register.tasks.get_mut(&id) else {
                     return;
                 };
@@ -423,7 +423,7 @@
                 let Some(by) = *then_confirm_by else {
                     return self.end(context, id, Ended::Failed);
                 };
-                task.work = Work::Waiting(Change::Confirm);
+                task.work = Work::Waiting(Change::Identity);
                 task.deadline = by;
                 task.begun = context.instant;
                 self.queue_change(context, id, by.saturating_sub(context.now));
@@ -447,10 +447,10 @@
     }
 
     fn post(&mut self, context: &mut Context, task: u64, replica: Replica, request: Request) {
-        let ballot = match &request.ask {
-            Ask::Prepare { ballot, .. } => *ballot,
-            Ask::Accept { proposed } => proposed.ballot,
-            Ask::Read { .. } => Ballot::default(),
+        let ballot = match &request.body {
+            RequestBody::Prepare { ballot, .. } => *ballot,
+            RequestBody::Accept { proposed } => proposed.ballot,
+            RequestBody::Read { .. } => Ballot::default(),
         };
         let id = self.register.await_call(Awaited::Task {
             task,
@@ -461,7 +461,7 @@
             let replies = self.replica.answer(context, request, ReplyTo::Local(id));
             return self.hand_out(context, replies);
         }
-        context.wake(ROUND, Timer::CallLost(id));
+        context.wake(PHASE_TIMEOUT, Timer::CallLost(id));
         match replica.address.parse() {
             Ok(address) => context.call(address, id, Call::Vote(request)),
             Err(_) => self.register.replies.push_back((id, None)),
@@ -491,7 +491,7 @@
     }
 
     /// Takes note of a value that is chosen, and publishes what is news in it.
-    pub(super) fn learn(&mut self, context: &mut Context, accepted: Accepted) {
+    pub(super) fn learn(&mut self, context: &mut Context, accepted: AcceptedValue) {
         context.out.push(Out::Chosen(accepted.clone()));
         if self
             .register
@@ -519,12 +519,24 @@
 /// What a planted fault makes of a replica's reply.
 fn altered(planted: Planted, reply: Reply) -> Reply {
     match (planted, reply) {
-        (Planted::JointSetLeft, Reply::Promised { ballot, report }) => Reply::Promised {
+        (
+            Planted::JointSetLeft,
+            Reply::Promise {
+                ballot,
+                last_accepted,
+            },
+        ) => Reply::Promise {
             ballot,
-            report: left_joint(report),
+            last_accepted: left_joint(last_accepted),
         },
-        (Planted::JointSetLeft, Reply::Read { report, promised }) => Reply::Read {
-            report: left_joint(report),
+        (
+            Planted::JointSetLeft,
+            Reply::Read {
+                last_accepted,
+                promised,
+            },
+        ) => Reply::Read {
+            last_accepted: left_joint(last_accepted),
             promised,
         },
         (_, reply) => reply,
@@ -532,14 +544,14 @@
 }
 
 /// The report with the set's change ended without a round.
-fn left_joint(report: Report) -> Report {
+fn left_joint(report: ReportedValue) -> ReportedValue {
     match report {
-        Report::Value(accepted) if accepted.state.replicas.is_joint() => {
+        ReportedValue::Value(accepted) if accepted.state.replicas.is_joint() => {
             let mut state = (*accepted.state).clone();
             state.revision += 1;
             state.replicas.epoch += 1;
             state.replicas.previous.clear();
-            Report::Value(Accepted {
+            ReportedValue::Value(AcceptedValue {
                 ballot: accepted.ballot,
                 state: Arc::new(state),
             })
--- a/crates/mintlb-simulation/src/controller/vote.rs
+++ b/crates/mintlb-simulation/src/controller/vote.rs
@@ -4,9 +4,9 @@
 use crate::context::{Caller, Context, Timer};
 use crate::planted::Planted;
 use crate::random::Random;
-use mintlb_register::acceptor::{Acceptor, Sync, Vote};
-use mintlb_register::message::{Accepted, Reply, Request};
-use mintlb_register::state::{Replica, ReplicaId};
+use mintlb_register::acceptor::{Acceptor, AcceptorState, DurableWrite};
+use mintlb_register::message::{AcceptedValue, Reply, Request};
+use mintlb_register::replica_set::{Replica, ReplicaId};
 use std::collections::VecDeque;
 
 /// What a disk holds.
@@ -15,22 +15,22 @@
     /// The replica's identity, drawn when the disk was first used.
     pub id: ReplicaId,
     /// Its vote.
-    pub vote: Vote,
+    pub vote: AcceptorState,
 }
 
 impl VoteDisk {
-    fn apply(&mut self, sync: &Sync) {
+    fn apply(&mut self, sync: &DurableWrite) {
         match sync {
-            Sync::Nothing => (),
-            Sync::Promise(ballot) => self.vote.promised = *ballot,
-            Sync::Value(accepted) => {
-                self.vote = Vote {
+            DurableWrite::Nothing => (),
+            DurableWrite::Promise(ballot) => self.vote.promised = *ballot,
+            DurableWrite::Accepted(accepted) => {
+                self.vote = AcceptorState {
                     promised: accepted.ballot,
                     accepted: Some(accepted.clone()),
                 };
             }
-            Sync::Learned { promised, chosen } => {
-                self.vote = Vote {
+            DurableWrite::Learned { promised, chosen } => {
+                self.vote = AcceptorState {
                     promised: *promised,
                     accepted: Some(chosen.clone()),
                 };
@@ -47,13 +47,13 @@
     /// A call of this process.
     Local(u64),
     /// The founding of a register with this value.
-    Found(Accepted),
+    Found(AcceptedValue),
     /// Nobody.
     Nobody,
 }
 
 struct Job {
-    sync: Sync,
+    sync: DurableWrite,
     reply: Reply,
     to: ReplyTo,
 }
@@ -92,8 +92,8 @@
     }
 
     /// The value that it accepted last, which may not be chosen.
-    pub fn accepted(&self) -> Option<Accepted> {
-        self.acceptor.vote().accepted.clone()
+    pub fn accepted(&self) -> Option<AcceptedValue> {
+        self.acceptor.state().accepted.clone()
     }
 
     /// Handles a request; returns the replies that can be given at once.
@@ -106,13 +106,13 @@
         let answered = self.acceptor.handle(request);
         let at_once = match context.planted {
             Planted::AnswerBeforeSync => true,
-            Planted::PromiseNotSynced => matches!(answered.sync, Sync::Promise(_)),
+            Planted::PromiseNotSynced => matches!(answered.durable_write, DurableWrite::Promise(_)),
             _ => false,
         };
         if at_once {
             let sync = match context.planted {
-                Planted::PromiseNotSynced => Sync::Nothing,
-                _ => answered.sync,
+                Planted::PromiseNotSynced => DurableWrite::Nothing,
+                _ => answered.durable_write,
             };
             self.queue(
                 context,
@@ -124,13 +124,13 @@
             );
             return vec![(to, answered.reply)];
         }
-        if answered.sync == Sync::Nothing && self.jobs.is_empty() {
+        if answered.durable_write == DurableWrite::Nothing && self.jobs.is_empty() {
             return vec![(to, answered.reply)];
         }
         self.queue(
             context,
             Job {
-                sync: answered.sync,
+                sync: answered.durable_write,
                 reply: answered.reply,
                 to,
             },
--- a/crates/mintlb-simulation/src/message.rs
+++ b/crates/mintlb-simulation/src/message.rs
@@ -6,7 +6,7 @@
 use mintlb_batch::peer::Envelope;
 use mintlb_common::record::WorkerRecord;
 use mintlb_control::controller::ping_state::{Ping, Pong};
-use mintlb_register::founding::SeedAnswer;
+use mintlb_register::bootstrap::SeedStatus;
 use mintlb_register::message::{Reply, Request};
 use std::net::SocketAddr;
 
@@ -71,7 +71,7 @@
     /// To [`Call::Vote`].
     Vote(Reply),
     /// To [`Call::Status`].
-    Status(SeedAnswer),
+    Status(SeedStatus),
     /// To [`Call::Lots`], with what is raw in it.
     Lots(messages::Answer, Bytes),
     /// To [`Call::Ping`].
--- a/crates/mintlb-simulation/src/store/mod.rs
+++ b/crates/mintlb-simulation/src/store/mod.rs
@@ -18,7 +18,7 @@
 use mintlb_common::placement::{Placement, StoreId};
 use mintlb_common::record::{PLACEMENT, REPLICAS};
 use mintlb_gossip::Role;
-use mintlb_register::state::ReplicaSet;
+use mintlb_register::replica_set::ReplicaSet;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::time::Duration;
