--- a/crates/mintlb-control/tests/controller_wire_fixtures.rs
+++ b/crates/mintlb-control/tests/controller_wire_fixtures.rs
@@ -17,10 +17,11 @@
 use mintlb_control::controller::register::Register;
 use mintlb_control::controller::replica::LocalReplica;
 use mintlb_control::controller::vote_store::{FILE, VoteStore};
-use mintlb_register::acceptor::Sync;
+use mintlb_register::acceptor::DurableWrite;
 use mintlb_register::ballot::Ballot;
-use mintlb_register::message::Accepted;
-use mintlb_register::state::{ControlState, Replica, ReplicaSet};
+use mintlb_register::message::AcceptedValue;
+use mintlb_register::replica_set::{Replica, ReplicaSet};
+use mintlb_register::state::ControlState;
 use mintlb_register::taken::TakenHistory;
 use parking_lot::Mutex;
 use redb::{Database, ReadableDatabase, ReadableTable, TableDefinition, TableHandle};
@@ -54,7 +55,7 @@
 }
 
 /// The value in the file.
-fn accepted() -> Accepted {
+fn accepted() -> AcceptedValue {
     let mut taken = TakenHistory::beginning_after(3);
     taken.push(4, b"four");
     let store = StoreEntry {
@@ -87,17 +88,17 @@
         former_taken: (),
         superseded: Some(taken),
     };
-    Accepted {
+    AcceptedValue {
         ballot: ballot(6),
         state: Arc::new(state),
     }
 }
 
 /// A value that one replica has founded.
-fn founded() -> Accepted {
-    Accepted {
+fn founded() -> AcceptedValue {
+    AcceptedValue {
         ballot: ballot(6),
-        state: Arc::new(ControlState::founded_by(replica(ID))),
+        state: Arc::new(ControlState::bootstrap(replica(ID))),
     }
 }
 
@@ -246,7 +247,7 @@
     assert_eq!(opened.vote.accepted, Some(accepted()));
     opened
         .store
-        .sync(Sync::Learned {
+        .sync(DurableWrite::Learned {
             promised: ballot(8),
             chosen: accepted(),
         })
@@ -265,9 +266,9 @@
 fn make_file(directory: &Path) {
     let opened = VoteStore::open(directory, ID).unwrap();
     for sync in [
-        Sync::Promise(ballot(3)),
-        Sync::Value(accepted()),
-        Sync::Promise(ballot(8)),
+        DurableWrite::Promise(ballot(3)),
+        DurableWrite::Accepted(accepted()),
+        DurableWrite::Promise(ballot(8)),
     ] {
         opened.store.sync(sync).blocking_recv().unwrap();
     }
@@ -353,13 +354,13 @@
     let to = seed.own_address();
     let status = register.status_of(to, WAIT).await.unwrap();
     assert!(status.has_disk);
-    assert_eq!(status.set, Some(ReplicaSet::founded_by(replica(42))));
+    assert_eq!(status.set, Some(ReplicaSet::bootstrap(replica(42))));
     let status = register.status_of(to, WAIT).await.unwrap();
     assert_eq!((status.has_disk, status.set), (false, None));
     assert!(register.ask_grant(to, WAIT).await);
     assert!(!register.ask_grant(to, WAIT).await);
     let register = Register::start(reader, None, 2, false);
-    register.hint(ReplicaSet::founded_by(Replica {
+    register.hint(ReplicaSet::bootstrap(Replica {
         address: to.to_string(),
         ..replica(ID)
     }));
--- a/crates/mintlb-register/tests/wire_fixtures.rs
+++ b/crates/mintlb-register/tests/wire_fixtures.rs
@@ -7,10 +7,11 @@
 
 use fixture::Fixtures;
 use mintlb_common::placement::{Placement, ShardAssignment, StoreEntry};
+use mintlb_register::applied_history::{AppliedHistory, HistoryLookup};
 use mintlb_register::ballot::Ballot;
-use mintlb_register::message::{Accepted, Ask, Reply, Report, Request};
-use mintlb_register::state::{ControlState, Replica, ReplicaSet};
-use mintlb_register::taken::{Remembered, TakenHistory};
+use mintlb_register::message::{AcceptedValue, Reply, ReportedValue, Request, RequestBody};
+use mintlb_register::replica_set::{Replica, ReplicaSet};
+use mintlb_register::state::ControlState;
 use std::sync::Arc;
 
 const CONFIGURATION: &[u8] = br#"{"config_version":9,"route_list":[],"service_list":[]}"#;
@@ -40,8 +41,8 @@
     }
 }
 
-fn taken() -> TakenHistory {
-    let mut taken = TakenHistory::beginning_after(3);
+fn taken() -> AppliedHistory {
+    let mut taken = AppliedHistory::starting_after(3);
     taken.push(4, b"four");
     taken.push(300, b"three hundred");
     taken
@@ -82,15 +83,15 @@
         configuration_version: 9,
         configuration: CONFIGURATION.to_vec(),
         placement: placement(),
-        former_taken: (),
-        superseded: Some(taken()),
+        legacy_history: (),
+        applied_history: Some(taken()),
     }
 }
 
-fn accepted() -> Accepted {
-    Accepted {
+fn accepted() -> AcceptedValue {
+    AcceptedValue {
         ballot: ballot(6),
-        state: Arc::new(ControlState::founded_by(replica(1))),
+        state: Arc::new(ControlState::bootstrap(replica(1))),
     }
 }
 
@@ -113,23 +114,23 @@
 fn the_value() {
     let mut fixtures = Fixtures::read("state.txt");
     fixtures.check("replica", &replica(1));
-    fixtures.check("set-settled", &ReplicaSet::founded_by(replica(1)));
+    fixtures.check("set-settled", &ReplicaSet::bootstrap(replica(1)));
     fixtures.check("set-joint", &joint_set());
-    fixtures.check("taken-none", &TakenHistory::default());
+    fixtures.check("taken-none", &AppliedHistory::default());
     fixtures.check("taken", &taken());
     fixtures.check("state-empty", &ControlState::default());
-    fixtures.check("state-founded", &ControlState::founded_by(replica(1)));
+    fixtures.check("state-founded", &ControlState::bootstrap(replica(1)));
     fixtures.check(
         "state-without-history",
         &ControlState {
-            superseded: None,
+            applied_history: None,
             ..whole_state()
         },
     );
     fixtures.check("state-whole", &whole_state());
     fixtures.check(
         "accepted",
-        &Accepted {
+        &AcceptedValue {
             ballot: ballot(6),
             state: Arc::new(whole_state()),
         },
@@ -139,41 +140,43 @@
 
 #[test]
 fn what_was_taken_is_looked_up_in_the_bytes() {
-    let taken: TakenHistory = minicbor::decode(&Fixtures::read("state.txt").take("taken")).unwrap();
-    assert_eq!(taken.look_up(3, b"three"), Remembered::Forgotten);
-    assert_eq!(taken.look_up(4, b"four"), Remembered::Taken);
-    assert_eq!(taken.look_up(300, b"three hundred"), Remembered::Taken);
-    assert_eq!(taken.look_up(300, b"other"), Remembered::NotTaken);
+    let taken: AppliedHistory =
+        minicbor::decode(&Fixtures::read("state.txt").take("taken")).unwrap();
+    assert_eq!(taken.look_up(3, b"three"), HistoryLookup::Compacted);
+    assert_eq!(taken.look_up(4, b"four"), HistoryLookup::Applied);
+    assert_eq!(taken.look_up(300, b"three hundred"), HistoryLookup::Applied);
+    assert_eq!(taken.look_up(300, b"other"), HistoryLookup::NotApplied);
 }
 
 #[test]
 fn requests() {
     let mut fixtures = Fixtures::read("requests.txt");
-    let mut check = |name: &str, ask: Ask| fixtures.check(name, &Request { target: 77, ask });
+    let mut check =
+        |name: &str, body: RequestBody| fixtures.check(name, &Request { target: 77, body });
     check(
         "prepare",
-        Ask::Prepare {
+        RequestBody::Prepare {
             ballot: ballot(6),
             known: None,
         },
     );
     check(
         "prepare-known",
-        Ask::Prepare {
+        RequestBody::Prepare {
             ballot: ballot(6),
             known: Some(ballot(5)),
         },
     );
     check(
         "accept",
-        Ask::Accept {
+        RequestBody::Accept {
             proposed: accepted(),
         },
     );
-    check("read", Ask::Read { known: None });
+    check("read", RequestBody::Read { known: None });
     check(
         "read-known",
-        Ask::Read {
+        RequestBody::Read {
             known: Some(ballot(5)),
         },
     );
@@ -184,21 +187,21 @@
 fn replies() {
     let mut fixtures = Fixtures::read("replies.txt");
     let reports = [
-        ("nothing", Report::Nothing),
-        ("known", Report::Known(ballot(5))),
-        ("value", Report::Value(accepted())),
+        ("nothing", ReportedValue::Nothing),
+        ("known", ReportedValue::Unchanged(ballot(5))),
+        ("value", ReportedValue::Value(accepted())),
     ];
-    for (name, report) in reports {
-        fixtures.check(&format!("report-{name}"), &report);
-        let promised = Reply::Promised {
+    for (name, last_accepted) in reports {
+        fixtures.check(&format!("last_accepted-{name}"), &last_accepted);
+        let promised = Reply::Promise {
             ballot: ballot(7),
-            report: report.clone(),
+            last_accepted: last_accepted.clone(),
         };
         fixtures.check(&format!("promised-{name}"), &promised);
         fixtures.check(
             &format!("read-{name}"),
             &Reply::Read {
-                report,
+                last_accepted,
                 promised: ballot(8),
             },
         );
@@ -206,11 +209,11 @@
     fixtures.check("accepted", &Reply::Accepted { ballot: ballot(7) });
     fixtures.check(
         "refused",
-        &Reply::Refused {
+        &Reply::Rejected {
             ballot: ballot(7),
             promised: ballot(8),
         },
     );
-    fixtures.check("stranger", &Reply::Stranger { id: 78 });
+    fixtures.check("stranger", &Reply::WrongReplica { id: 78 });
     fixtures.done();
 }
