--- /dev/null
+++ b/crates/mintlb-control/tests/error_numbers.rs
@@ -0,0 +1,41 @@
+//! The numbered errors of the program as they are worded in its log and answers: operators look them up by
+//! their numbers, so a change of the code's names must not change them. Those that only an answer of a call
+//! or the command line words are not among them, as nothing public gives their text.
+
+use mintlb_control::controller::ControllerError;
+use mintlb_control::controller::register::Unavailable;
+use mintlb_control::store::StoreError;
+use mintlb_control::store::file::DiskError;
+use std::io::{Error, ErrorKind};
+use std::net::SocketAddr;
+
+fn cause() -> Error {
+    Error::new(ErrorKind::PermissionDenied, "the cause")
+}
+
+#[test]
+fn errors_are_worded_as_written_down() {
+    let address: SocketAddr = "10.0.0.1:7001".parse().unwrap();
+    let damaged = || DiskError::Damaged("the cause".to_string());
+    let refused = || DiskError::Refused("the cause".to_string());
+    let folder = || DiskError::Folder("the cause".to_string());
+    let texts = [
+        ControllerError::NoAddress.to_string(),
+        ControllerError::Listen { address, cause: cause() }.to_string(),
+        ControllerError::Disk { path: "/a/folder".into(), cause: cause() }.to_string(),
+        ControllerError::Database("the cause".to_string()).to_string(),
+        ControllerError::System(cause()).to_string(),
+        ControllerError::Damaged("the cause".to_string()).to_string(),
+        Unavailable.to_string(),
+        StoreError::NoDisk.to_string(),
+        StoreError::Folder("the cause".to_string()).to_string(),
+        StoreError::from(folder()).to_string(),
+        StoreError::from(damaged()).to_string(),
+        StoreError::from(refused()).to_string(),
+        StoreError::File(damaged()).to_string(),
+        StoreError::Listen { address, cause: cause() }.to_string(),
+        StoreError::System(cause()).to_string(),
+    ];
+    let expected = include_str!("fixtures/error_numbers.txt");
+    assert_eq!(texts.join("\n"), expected.trim_end());
+}
--- /dev/null
+++ b/crates/mintlb-control/tests/store_fixture/mod.rs
@@ -0,0 +1,156 @@
+//! The writes that made the fixture `tests/fixtures/store/lots.redb`, and what a lots' file holds, as text.
+
+use bytes::Bytes;
+use mintlb_control::store::disk::{LoadedShards, LotDisk};
+use mintlb_lots::entry::{Entry, ItemHead, ItemState, LotHead, LotTerms};
+use mintlb_lots::framing;
+use mintlb_lots::log_index::LogIndex;
+use mintlb_lots::replica::{DiskWrite, Effect, Replica, ReplicaSettings, ShardMeta};
+use redb::{Database, ReadableDatabase, ReadableTable, TableDefinition, TableHandle};
+use std::path::{Path, PathBuf};
+use std::time::Duration;
+
+/// The identity of the fixture's store.
+pub const IDENTITY: u64 = 0x1122_3344_5566_7788;
+/// How long its lots have to be readable.
+const STATUS: Duration = Duration::from_secs(30);
+
+/// A path under `tests/fixtures`.
+pub fn path(name: &str) -> PathBuf {
+    Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures").join(name)
+}
+
+/// A text under `tests/fixtures`.
+pub fn text(name: &str) -> String {
+    std::fs::read_to_string(path(name)).unwrap()
+}
+
+/// A replica with what the file holds of a shard.
+pub fn replica(shards: &mut LoadedShards, shard: u32) -> Replica {
+    let loaded = shards.remove(&shard).unwrap();
+    let settings = ReplicaSettings { own: IDENTITY, tolerance: 1, status: STATUS };
+    Replica::load(shard, settings, loaded.meta, loaded.entries.into_iter(), Duration::ZERO)
+}
+
+/// Makes the fixture's file in a folder: shard 5 with an open, a finished and an ended lot, of which the
+/// sweep has taken the payloads; shard 63 with a longer entry than a part, and a compacted start.
+pub fn make(directory: &Path) {
+    let (disk, _) = LotDisk::open(directory, IDENTITY).unwrap();
+    let puts = |shard: u32, entries: Vec<Bytes>| {
+        let rows = (1..).zip(entries).map(|(index, bytes)| (shard, DiskWrite::Put(index, bytes)));
+        disk.commit(&rows.collect::<Vec<_>>()).unwrap();
+    };
+    let meta = |shard: u32, runs: &[(u64, u64)], promised: u64, committed: u64| {
+        let mut log = LogIndex::default();
+        runs.iter().for_each(|(through, epoch)| log.extend(*through, *epoch));
+        disk.commit(&[(shard, DiskWrite::Meta(ShardMeta { promised, log, committed }))]).unwrap();
+    };
+    let five = vec![
+        begin(),
+        lot("open", &[40, 1500, 7]),
+        lot("finished", &[11, 12]),
+        result(2, 1, ItemState::Completed, 2100),
+        result(3, 1, ItemState::Unrecoverable, 20),
+        begin(),
+        result(3, 0, ItemState::Completed, 30),
+        lot("ended", &[5, 6]),
+        // One byte more than a part takes.
+        result(8, 1, ItemState::Completed, 995),
+        framing::encode(&Entry::Ended { lot: 8 }, &[]),
+        lot("uncommitted", &[3]),
+    ];
+    puts(5, five);
+    meta(5, &[(5, 2), (11, 4)], 6, 10);
+    sweep(&disk, 5, Duration::from_secs(2));
+    let many = vec![
+        begin(),
+        lot("old", &[100]),
+        result(2, 0, ItemState::Completed, 50),
+        lot("kept", &[2500, 999]),
+        // Just what a part takes.
+        result(4, 1, ItemState::Completed, 994),
+    ];
+    puts(63, many);
+    meta(63, &[(5, 300)], 300, 5);
+    sweep(&disk, 63, STATUS + Duration::from_secs(11));
+    // The table of the bytes that only try the disk.
+    disk.close();
+    disk.reopen().unwrap();
+}
+
+/// Carries out what a replica's sweep writes at this time.
+fn sweep(disk: &LotDisk, shard: u32, at: Duration) {
+    disk.close();
+    let mut replica = replica(&mut disk.reopen().unwrap(), shard);
+    replica.tick(at);
+    let writes = replica.take_effects().into_iter().map(|effect| match effect {
+        Effect::Write(write) => (shard, write),
+        other => panic!("{other:?}"),
+    });
+    disk.commit(&writes.collect::<Vec<_>>()).unwrap();
+}
+
+fn begin() -> Bytes {
+    framing::encode(&Entry::Begin, &[])
+}
+
+fn lot(id: &str, lengths: &[u64]) -> Bytes {
+    let items = lengths.iter().zip(1..).map(|(length, number)| ItemHead {
+        id: format!("{id}-{number}"),
+        tokens: 100 * number,
+        length: *length,
+    });
+    let head = LotHead {
+        host: "h.example".to_string(),
+        id: id.to_string(),
+        route: "route-1".to_string(),
+        terms: LotTerms {
+            sent_at_ms: 1_700_000_000_123,
+            completion_target_ms: 60_000,
+            retention_ms: 86_400_000,
+            max_attempts: 5,
+        },
+        items: items.collect(),
+    };
+    framing::encode(&Entry::Accepted(head), &[&pattern(lengths.iter().sum())])
+}
+
+fn result(lot: u64, item: u32, state: ItemState, length: u64) -> Bytes {
+    framing::encode(&Entry::Result { lot, item, state }, &[&pattern(length)])
+}
+
+fn pattern(length: u64) -> Vec<u8> {
+    (0..length).map(|at| (at % 251) as u8).collect()
+}
+
+/// All tables of a file with their keys and values, read by redb alone: a line each.
+pub fn rows(file: &Path) -> Vec<String> {
+    let database = Database::create(file).unwrap();
+    let transaction = database.begin_read().unwrap();
+    let mut tables: Vec<String> =
+        transaction.list_tables().unwrap().map(|table| format!("table {}", table.name())).collect();
+    tables.sort();
+    let mut lines = tables;
+    let store = transaction.open_table(TableDefinition::<&str, u64>::new("store")).unwrap();
+    for row in store.iter().unwrap().map(Result::unwrap) {
+        lines.push(format!("store {} {:x}", row.0.value(), row.1.value()));
+    }
+    let shards = transaction.open_table(TableDefinition::<u32, &[u8]>::new("shards")).unwrap();
+    for row in shards.iter().unwrap().map(Result::unwrap) {
+        lines.push(format!("shards {} {}", row.0.value(), hex(row.1.value())));
+    }
+    let parts = transaction.open_table(TableDefinition::<(u32, u64, u16), &[u8]>::new("parts")).unwrap();
+    for row in parts.iter().unwrap().map(Result::unwrap) {
+        lines.push(format!("parts {:?} {}", row.0.value(), hex(row.1.value())));
+    }
+    let probe = transaction.open_table(TableDefinition::<(), &[u8]>::new("probe")).unwrap();
+    for row in probe.iter().unwrap().map(Result::unwrap) {
+        lines.push(format!("probe () {}", hex(row.1.value())));
+    }
+    lines
+}
+
+/// Bytes as hex.
+pub fn hex(bytes: &[u8]) -> String {
+    bytes.iter().map(|byte| format!("{byte:02x}")).collect()
+}
