--- a/crates/mintlb-admin/tests/wire_fixtures.rs
+++ b/crates/mintlb-admin/tests/wire_fixtures.rs
@@ -1,6 +1,7 @@
 //! The operators' calls and their answers, as bytes. Operators' scripts go by them, so that a change of the source, such as
 //! a renaming, must leave them as they are in `fixtures/`.
 
+#[path = "../../mintlb-scheduler/tests/fixture/mod.rs"]
 mod fixture;
 
 use mintlb_ops::call::{CALLS, Call, Reply};
@@ -8,20 +9,30 @@
 const LINES: &str = include_str!("fixtures/calls.txt");
 const REPLIES: &str = include_str!("fixtures/replies.txt");
 
-const NAMED: [(&str, Call); 4] =
-    [("health", Call::Health), ("dump", Call::Dump), ("leave", Call::Leave), ("join", Call::Join)];
+const NAMED: [(&str, Call); 4] = [
+    ("health", Call::Health),
+    ("dump", Call::Dump),
+    ("leave", Call::Leave),
+    ("join", Call::Join),
+];
 
 #[test]
 fn calls_are_written_as_in_the_fixtures() {
     let word = |call: Call| CALLS.iter().find(|(_, known)| *known == call).unwrap().0;
-    fixture::check(LINES, &NAMED.map(|(name, call)| (name, word(call).as_bytes().to_vec())));
+    fixture::check(
+        LINES,
+        &NAMED.map(|(name, call)| (name, word(call).as_bytes().to_vec())),
+    );
     assert_eq!(CALLS.len(), NAMED.len(), "a call without a fixture");
 }
 
 #[test]
 fn the_fixtures_are_read_as_the_same_calls() {
     let held = fixture::read(LINES);
-    let read: Vec<_> = held.iter().map(|(name, line)| (*name, Call::parse(line).unwrap())).collect();
+    let read: Vec<_> = held
+        .iter()
+        .map(|(name, line)| (*name, Call::parse(line).unwrap()))
+        .collect();
     assert_eq!(read, NAMED);
 }
 
@@ -34,7 +45,10 @@
         &[
             ("success", text(Reply::Success("it is so".into()))),
             ("failure", text(Reply::Failure("it is not so".into()))),
-            ("figures", text(Reply::Figures("some.figure=1\nother.figure=0.5\n".into()))),
+            (
+                "figures",
+                text(Reply::Figures("some.figure=1\nother.figure=0.5\n".into())),
+            ),
             ("no-figures", text(Reply::Figures(String::new()))),
             ("empty-call", refused(b" ")),
             ("unknown-call", refused(b"what \"else\"")),
--- a/crates/mintlb-batch/tests/wire_fixtures.rs
+++ b/crates/mintlb-batch/tests/wire_fixtures.rs
@@ -25,7 +25,10 @@
 
 impl Fixtures {
     fn of(file: &'static str) -> Fixtures {
-        Fixtures { file, left: fixture::read(file) }
+        Fixtures {
+            file,
+            left: fixture::read(file),
+        }
     }
 
     fn take(&mut self, name: &str) -> Bytes {
@@ -40,14 +43,22 @@
     {
         let expected = self.take(name);
         let encoded = framing::encode(&value, &[raw]);
-        assert_eq!(fixture::hex(&encoded), fixture::hex(&expected), "{name}: encoding");
+        assert_eq!(
+            fixture::hex(&encoded),
+            fixture::hex(&expected),
+            "{name}: encoding"
+        );
         let decoded = framing::decode::<T>(&expected);
         let (head, rest) = decoded.unwrap_or_else(|| panic!("{name} can't be decoded"));
         assert_eq!((&head, &rest[..]), (&value, raw), "{name}: decoding");
         let again = framing::encode(&head, &[&rest]);
         assert_eq!(again, expected, "{name}: encoding what was decoded");
         let (head, end) = framing::decode_head::<T>(&expected).unwrap();
-        assert_eq!((&head, end), (&value, expected.len() - raw.len()), "{name}: decoding the head alone");
+        assert_eq!(
+            (&head, end),
+            (&value, expected.len() - raw.len()),
+            "{name}: decoding the head alone"
+        );
     }
 
     /// What a process of an earlier version wrote decodes to the value.
@@ -56,12 +67,18 @@
         T: for<'b> Decode<'b, ()> + PartialEq + Debug,
     {
         let bytes = self.take(name);
-        let (head, rest) = framing::decode::<T>(&bytes).unwrap_or_else(|| panic!("{name} can't be decoded"));
+        let (head, rest) =
+            framing::decode::<T>(&bytes).unwrap_or_else(|| panic!("{name} can't be decoded"));
         assert_eq!((head, rest.len()), (value, 0), "{name}: decoding");
     }
 
     fn end(self) {
-        assert!(self.left.is_empty(), "{}: lines that nothing asked for: {:?}", self.file, self.left.keys());
+        assert!(
+            self.left.is_empty(),
+            "{}: lines that nothing asked for: {:?}",
+            self.file,
+            self.left.keys()
+        );
     }
 }
 
@@ -73,7 +90,10 @@
 }
 
 fn name(id: &str) -> LotName {
-    LotName { host: text("h.example"), id: text(id) }
+    LotName {
+        host: text("h.example"),
+        id: text(id),
+    }
 }
 
 fn terms() -> LotTerms {
@@ -87,10 +107,24 @@
 
 fn lot() -> LotHead {
     let items = vec![
-        ItemHead { id: text("first"), tokens: 300, length: 7 },
-        ItemHead { id: text("zweites-\u{fc}"), tokens: 70_000, length: 0 },
+        ItemHead {
+            id: text("first"),
+            tokens: 300,
+            length: 7,
+        },
+        ItemHead {
+            id: text("zweites-\u{fc}"),
+            tokens: 70_000,
+            length: 0,
+        },
     ];
-    LotHead { host: text("h.example"), id: text("lot-1"), route: text("route-1"), terms: terms(), items }
+    LotHead {
+        host: text("h.example"),
+        id: text("lot-1"),
+        route: text("route-1"),
+        terms: terms(),
+        items,
+    }
 }
 
 fn log() -> LogIndex {
@@ -102,10 +136,31 @@
 
 fn append() -> Append {
     Append {
-        previous: Place { epoch: 4, index: 21 },
+        previous: Place {
+            epoch: 4,
+            index: 21,
+        },
         through: 300,
-        runs: vec![Run { first: 22, epoch: 5 }, Run { first: 40, epoch: 6 }],
-        entries: vec![EntryLength { index: 23, length: 1 }, EntryLength { index: 260, length: 2 }],
+        runs: vec![
+            Run {
+                first: 22,
+                epoch: 5,
+            },
+            Run {
+                first: 40,
+                epoch: 6,
+            },
+        ],
+        entries: vec![
+            EntryLength {
+                index: 23,
+                length: 1,
+            },
+            EntryLength {
+                index: 260,
+                length: 2,
+            },
+        ],
         committed: 280,
         sent_at: LONG,
         lots: Some(vec![7, 260]),
@@ -113,7 +168,11 @@
 }
 
 fn held(failures: Vec<(u32, u32)>) -> HeldItems {
-    HeldItems { lot: name("lot-1"), items: vec![0, 25, 70_000], failures }
+    HeldItems {
+        lot: name("lot-1"),
+        items: vec![0, 25, 70_000],
+        failures,
+    }
 }
 
 fn leased(failures: u32) -> LeasedHead {
@@ -133,17 +192,58 @@
 fn messages_between_replicas() {
     let mut fixtures = Fixtures::of("peer.txt");
     let mut check = |name: &str, message: PeerMessage, raw: &[u8]| {
-        fixtures.check(name, Envelope { from: LONG, to: 2, shard: 63, epoch: 17, message }, raw);
+        fixtures.check(
+            name,
+            Envelope {
+                from: LONG,
+                to: 2,
+                shard: 63,
+                epoch: 17,
+                message,
+            },
+            raw,
+        );
     };
     check("append", PeerMessage::Append(append()), b"xyz");
-    check("append_of_nothing", PeerMessage::Append(Append::default()), b"");
-    check("append_without_lots", PeerMessage::Append(Append { lots: None, ..append() }), b"xyz");
-    check("appended", PeerMessage::Appended { matched: 300, echo: LONG }, b"");
-    check("diverged", PeerMessage::Diverged { log: log(), echo: LONG }, b"");
+    check(
+        "append_of_nothing",
+        PeerMessage::Append(Append::default()),
+        b"",
+    );
+    check(
+        "append_without_lots",
+        PeerMessage::Append(Append {
+            lots: None,
+            ..append()
+        }),
+        b"xyz",
+    );
+    check(
+        "appended",
+        PeerMessage::Appended {
+            matched: 300,
+            echo: LONG,
+        },
+        b"",
+    );
+    check(
+        "diverged",
+        PeerMessage::Diverged {
+            log: log(),
+            echo: LONG,
+        },
+        b"",
+    );
     check("fenced", PeerMessage::Fenced, b"");
     check("collect", PeerMessage::Collect, b"");
     check("collected", PeerMessage::Collected { log: log() }, b"");
-    check("collected_nothing", PeerMessage::Collected { log: LogIndex::default() }, b"");
+    check(
+        "collected_nothing",
+        PeerMessage::Collected {
+            log: LogIndex::default(),
+        },
+        b"",
+    );
     check("fetch", PeerMessage::Fetch { after: 21 }, b"");
     check("fetched", PeerMessage::Fetched(append()), b"xyz");
     fixtures.end();
@@ -153,20 +253,61 @@
 fn calls_of_dispatchers() {
     let mut fixtures = Fixtures::of("calls.txt");
     let mut check = |name: &str, call: Call, raw: &[u8]| fixtures.check(name, call, raw);
-    let submit = Submit { epoch: 17, holder: LONG, max_queued_tokens: 100_000, lot: lot() };
+    let submit = Submit {
+        epoch: 17,
+        holder: LONG,
+        max_queued_tokens: 100_000,
+        lot: lot(),
+    };
     check("submit", Call::Submit(submit), b"payload");
-    let read = Read { lot: name("lot-1"), start_after: 2, wait_ms: 1500, most_bytes: 1 << 20 };
+    let read = Read {
+        lot: name("lot-1"),
+        start_after: 2,
+        wait_ms: 1500,
+        most_bytes: 1 << 20,
+    };
     check("read", Call::Read(read), b"");
-    check("body", Call::Body(ItemName { lot: name("lot-1"), item: text("first") }), b"");
+    check(
+        "body",
+        Call::Body(ItemName {
+            lot: name("lot-1"),
+            item: text("first"),
+        }),
+        b"",
+    );
     check("end", Call::End(name("lot-1")), b"");
-    check("lease", Call::Lease(Lease { holder: LONG, most: 32 }), b"");
+    check(
+        "lease",
+        Call::Lease(Lease {
+            holder: LONG,
+            most: 32,
+        }),
+        b"",
+    );
     let lots = vec![held(vec![(25, 3), (0, 1)]), held(Vec::new())];
     check("renew", Call::Renew(Renew { holder: LONG, lots }), b"");
-    let record = |state| Call::Record(Record { lot: name("lot-1"), item: 25, state });
-    check("record_completed", record(ItemState::Completed), b"{\"text\":1}");
-    check("record_unrecoverable", record(ItemState::Unrecoverable), b"");
+    let record = |state| {
+        Call::Record(Record {
+            lot: name("lot-1"),
+            item: 25,
+            state,
+        })
+    };
+    check(
+        "record_completed",
+        record(ItemState::Completed),
+        b"{\"text\":1}",
+    );
+    check(
+        "record_unrecoverable",
+        record(ItemState::Unrecoverable),
+        b"",
+    );
     check("release", Call::Release(LONG), b"");
-    let renew = Call::Renew(Renew { holder: LONG, lots: vec![held(Vec::new())] });
+    let renew = Call::Renew(Renew {
+        holder: LONG,
+        lots: vec![held(Vec::new())],
+    });
     fixtures.check_earlier("earlier_renew_without_failures", renew);
     fixtures.end();
 }
@@ -184,19 +325,49 @@
     check("conflict", Answer::Conflict, b"");
     check("disk_full", Answer::DiskFull, b"");
     let results = vec![
-        PageResult { item: text("first"), state: ItemState::Completed, length: 2 },
-        PageResult { item: text("second"), state: ItemState::Unrecoverable, length: 3 },
+        PageResult {
+            item: text("first"),
+            state: ItemState::Completed,
+            length: 2,
+        },
+        PageResult {
+            item: text("second"),
+            state: ItemState::Unrecoverable,
+            length: 3,
+        },
     ];
-    check("page", Answer::Page(Page { total: 300, next: 2, results }), b"{}[1]");
+    check(
+        "page",
+        Answer::Page(Page {
+            total: 300,
+            next: 2,
+            results,
+        }),
+        b"{}[1]",
+    );
     check("body", Answer::Body, b"payload");
     check("ended", Answer::Ended, b"");
-    check("leased", Answer::Leased(vec![leased(4), leased(0)]), b"abcdef");
+    check(
+        "leased",
+        Answer::Leased(vec![leased(4), leased(0)]),
+        b"abcdef",
+    );
     check("leased_nothing", Answer::Leased(Vec::new()), b"");
-    check("renewed", Answer::Renewed(Renewed { lost: vec![held(vec![(25, 3)])], open: 40 }), b"");
+    check(
+        "renewed",
+        Answer::Renewed(Renewed {
+            lost: vec![held(vec![(25, 3)])],
+            open: 40,
+        }),
+        b"",
+    );
     check("renewed_all", Answer::Renewed(Renewed::default()), b"");
     check("recorded", Answer::Recorded, b"");
     check("released", Answer::Released, b"");
-    fixtures.check_earlier("earlier_leased_without_failures", Answer::Leased(vec![leased(0)]));
+    fixtures.check_earlier(
+        "earlier_leased_without_failures",
+        Answer::Leased(vec![leased(0)]),
+    );
     fixtures.end();
 }
 
@@ -204,8 +375,18 @@
 fn heartbeats_of_stores() {
     let mut fixtures = Fixtures::of("heartbeats.txt");
     let shards = vec![
-        ShardReport { shard: 63, epoch: 17, in_charge: true, caught_up: vec![LONG, 2] },
-        ShardReport { shard: 0, epoch: 300, in_charge: false, caught_up: Vec::new() },
+        ShardReport {
+            shard: 63,
+            epoch: 17,
+            in_charge: true,
+            caught_up: vec![LONG, 2],
+        },
+        ShardReport {
+            shard: 0,
+            epoch: 300,
+            in_charge: false,
+            caught_up: Vec::new(),
+        },
     ];
     let heartbeat = |shards, leaving| StoreHeartbeat {
         id: LONG,
@@ -227,19 +408,48 @@
     fixtures.check("begin", Entry::Begin, b"");
     fixtures.check("accepted", Entry::Accepted(lot()), b"payload");
     fixtures.check("accepted_stripped", Entry::Accepted(lot()), b"");
-    let result = |state| Entry::Result { lot: 260, item: 1, state };
-    fixtures.check("result_completed", result(ItemState::Completed), b"{\"text\":1}");
-    fixtures.check("result_unrecoverable", result(ItemState::Unrecoverable), b"");
+    let result = |state| Entry::Result {
+        lot: 260,
+        item: 1,
+        state,
+    };
+    fixtures.check(
+        "result_completed",
+        result(ItemState::Completed),
+        b"{\"text\":1}",
+    );
+    fixtures.check(
+        "result_unrecoverable",
+        result(ItemState::Unrecoverable),
+        b"",
+    );
     fixtures.check("ended", Entry::Ended { lot: 260 }, b"");
-    fixtures.check("meta", ShardMeta { promised: 10, log: log(), committed: 280 }, b"");
+    fixtures.check(
+        "meta",
+        ShardMeta {
+            promised: 10,
+            log: log(),
+            committed: 280,
+        },
+        b"",
+    );
     fixtures.check("meta_of_nothing", ShardMeta::default(), b"");
-    let headers = vec![(text("content-type"), text("application/json")), (text("x-a"), text(""))];
-    let payload = ItemPayload { path: text("/v1/completions"), headers };
+    let headers = vec![
+        (text("content-type"), text("application/json")),
+        (text("x-a"), text("")),
+    ];
+    let payload = ItemPayload {
+        path: text("/v1/completions"),
+        headers,
+    };
     fixtures.check("payload", payload.clone(), b"{\"prompt\":\"a\"}");
     fixtures.check("payload_of_nothing", ItemPayload::default(), b"");
     fixtures.end();
 
     let expected = Bytes::from(fixture::read("entries.txt")["payload"].clone());
     assert_eq!(payload.encode(b"{\"prompt\":\"a\"}"), expected);
-    assert_eq!(ItemPayload::decode(&expected), Some((payload, Bytes::from_static(b"{\"prompt\":\"a\"}"))));
+    assert_eq!(
+        ItemPayload::decode(&expected),
+        Some((payload, Bytes::from_static(b"{\"prompt\":\"a\"}")))
+    );
 }
--- a/crates/mintlb-control/tests/error_numbers.rs
+++ b/crates/mintlb-control/tests/error_numbers.rs
@@ -21,8 +21,16 @@
     let folder = || DiskError::Folder("the cause".to_string());
     let texts = [
         ControllerError::NoAddress.to_string(),
-        ControllerError::Listen { address, cause: cause() }.to_string(),
-        ControllerError::Disk { path: "/a/folder".into(), cause: cause() }.to_string(),
+        ControllerError::Listen {
+            address,
+            cause: cause(),
+        }
+        .to_string(),
+        ControllerError::Disk {
+            path: "/a/folder".into(),
+            cause: cause(),
+        }
+        .to_string(),
         ControllerError::Database("the cause".to_string()).to_string(),
         ControllerError::System(cause()).to_string(),
         ControllerError::Damaged("the cause".to_string()).to_string(),
@@ -33,7 +41,11 @@
         StoreError::from(damaged()).to_string(),
         StoreError::from(refused()).to_string(),
         StoreError::File(damaged()).to_string(),
-        StoreError::Listen { address, cause: cause() }.to_string(),
+        StoreError::Listen {
+            address,
+            cause: cause(),
+        }
+        .to_string(),
         StoreError::System(cause()).to_string(),
     ];
     let expected = include_str!("fixtures/error_numbers.txt");
--- a/crates/mintlb-control/tests/store_disk_fixture.rs
+++ b/crates/mintlb-control/tests/store_disk_fixture.rs
@@ -15,15 +15,31 @@
 /// What a replica knows of its shard, a line each.
 fn known(replica: &Replica, shard: u32) -> Vec<String> {
     let end = replica.log().end();
-    let epochs: Vec<_> =
-        (1..=end.index).map(|index| replica.log().epoch_at(index).unwrap().to_string()).collect();
+    let epochs: Vec<_> = (1..=end.index)
+        .map(|index| replica.log().epoch_at(index).unwrap().to_string())
+        .collect();
     let entries: Vec<_> = replica.lots().entries_after(0).collect();
     let open: Vec<_> = replica.lots().open().map(|(index, _)| index).collect();
     let mut lines = vec![
-        format!("shard {shard}: promised {} committed {}", replica.promised(), replica.committed()),
-        format!("shard {shard}: log to {} of epoch {}: {}", end.index, end.epoch, epochs.join(" ")),
-        format!("shard {shard}: entries {entries:?}, {} bytes", replica.lots().bytes()),
-        format!("shard {shard}: open {open:?}, {} tokens", replica.lots().waiting_tokens("route-1")),
+        format!(
+            "shard {shard}: promised {} committed {}",
+            replica.promised(),
+            replica.committed()
+        ),
+        format!(
+            "shard {shard}: log to {} of epoch {}: {}",
+            end.index,
+            end.epoch,
+            epochs.join(" ")
+        ),
+        format!(
+            "shard {shard}: entries {entries:?}, {} bytes",
+            replica.lots().bytes()
+        ),
+        format!(
+            "shard {shard}: open {open:?}, {} tokens",
+            replica.lots().waiting_tokens("route-1")
+        ),
     ];
     for (index, lot) in replica.lots().all() {
         let terms = &lot.terms;
@@ -34,12 +50,17 @@
         let name = format!("{} {} {}", lot.name.host, lot.name.id, lot.route);
         lines.push(format!("shard {shard}: lot {index} {name} {terms} {end}"));
         for item in &lot.items {
-            lines.push(format!("  item {} {} {} {:?}", item.id, item.tokens, item.length, item.position));
+            lines.push(format!(
+                "  item {} {} {} {:?}",
+                item.id, item.tokens, item.length, item.position
+            ));
         }
         for listed in &lot.listed {
             let completed = listed.state == ItemState::Completed;
             let (at, item, length) = (listed.index, listed.item, listed.length);
-            lines.push(format!("  result {at} of {item}: completed {completed} {length}"));
+            lines.push(format!(
+                "  result {at} of {item}: completed {completed} {length}"
+            ));
         }
     }
     lines
@@ -49,13 +70,17 @@
 fn entries(disk: &LotDisk, shard: u32) -> Vec<String> {
     let indexes: Vec<u64> = (0..20).collect();
     let read = disk.read(shard, &indexes).unwrap().into_iter();
-    read.map(|(index, bytes)| format!("{shard} {index} {}", store_fixture::hex(&bytes))).collect()
+    read.map(|(index, bytes)| format!("{shard} {index} {}", store_fixture::hex(&bytes)))
+        .collect()
 }
 
 /// The entries of a shard as the table's rows hold them: their parts one after another.
 fn entries_in_rows(rows: &str, shard: u32) -> Vec<String> {
     let mut entries: Vec<String> = Vec::new();
-    for row in rows.lines().filter_map(|row| row.strip_prefix(&format!("parts ({shard}, "))) {
+    for row in rows
+        .lines()
+        .filter_map(|row| row.strip_prefix(&format!("parts ({shard}, ")))
+    {
         let (key, bytes) = row.split_once(") ").unwrap();
         let (index, place) = key.split_once(", ").unwrap();
         match place {
@@ -68,12 +93,18 @@
 
 fn copied() -> tempfile::TempDir {
     let directory = tempfile::tempdir().unwrap();
-    std::fs::copy(store_fixture::path("store/lots.redb"), directory.path().join("lots.redb")).unwrap();
+    std::fs::copy(
+        store_fixture::path("store/lots.redb"),
+        directory.path().join("lots.redb"),
+    )
+    .unwrap();
     directory
 }
 
 fn names(directory: &Path) -> Vec<String> {
-    let files = std::fs::read_dir(directory).unwrap().map(|file| file.unwrap().file_name());
+    let files = std::fs::read_dir(directory)
+        .unwrap()
+        .map(|file| file.unwrap().file_name());
     files.map(|name| name.into_string().unwrap()).collect()
 }
 
@@ -81,20 +112,31 @@
 fn the_program_finds_its_lots_again() {
     let directory = copied();
     let (disk, mut shards) = LotDisk::open(directory.path(), 1).unwrap();
-    assert_eq!(disk.id(), store_fixture::IDENTITY, "the file was not taken as the store's");
+    assert_eq!(
+        disk.id(),
+        store_fixture::IDENTITY,
+        "the file was not taken as the store's"
+    );
     assert_eq!(shards.keys().copied().collect::<Vec<_>>(), [5, 63]);
     let rows = store_fixture::text("store/rows.txt");
     let mut lines = Vec::new();
     for shard in [5, 63] {
         assert_eq!(entries(&disk, shard), entries_in_rows(&rows, shard));
-        lines.append(&mut known(&store_fixture::replica(&mut shards, shard), shard));
+        lines.append(&mut known(
+            &store_fixture::replica(&mut shards, shard),
+            shard,
+        ));
     }
     let expected = store_fixture::text("store/known.txt");
     assert_eq!(lines, expected.lines().collect::<Vec<_>>());
     drop(disk);
     assert_eq!(names(directory.path()), ["lots.redb"]);
     let after = store_fixture::rows(&directory.path().join("lots.redb"));
-    assert_eq!(after, rows.lines().collect::<Vec<_>>(), "opening has changed the file's tables");
+    assert_eq!(
+        after,
+        rows.lines().collect::<Vec<_>>(),
+        "opening has changed the file's tables"
+    );
 }
 
 #[test]
@@ -105,14 +147,24 @@
     store_fixture::make(directory.path());
     assert_eq!(names(directory.path()), ["lots.redb"]);
     let rows = store_fixture::rows(&directory.path().join("lots.redb"));
-    assert_eq!(rows, store_fixture::text("store/rows.txt").lines().collect::<Vec<_>>());
+    assert_eq!(
+        rows,
+        store_fixture::text("store/rows.txt")
+            .lines()
+            .collect::<Vec<_>>()
+    );
 }
 
 #[test]
 fn the_fixture_holds_the_tables_that_are_written_down() {
     let directory = copied();
     let rows = store_fixture::rows(&directory.path().join("lots.redb"));
-    assert_eq!(rows, store_fixture::text("store/rows.txt").lines().collect::<Vec<_>>());
+    assert_eq!(
+        rows,
+        store_fixture::text("store/rows.txt")
+            .lines()
+            .collect::<Vec<_>>()
+    );
 }
 
 #[test]
--- a/crates/mintlb-control/tests/store_fixture/mod.rs
+++ b/crates/mintlb-control/tests/store_fixture/mod.rs
@@ -17,7 +17,9 @@
 
 /// A path under `tests/fixtures`.
 pub fn path(name: &str) -> PathBuf {
-    Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures").join(name)
+    Path::new(env!("CARGO_MANIFEST_DIR"))
+        .join("tests/fixtures")
+        .join(name)
 }
 
 /// A text under `tests/fixtures`.
@@ -28,8 +30,18 @@
 /// A replica with what the file holds of a shard.
 pub fn replica(shards: &mut LoadedShards, shard: u32) -> Replica {
     let loaded = shards.remove(&shard).unwrap();
-    let settings = ReplicaSettings { own: IDENTITY, tolerance: 1, status: STATUS };
-    Replica::load(shard, settings, loaded.meta, loaded.entries.into_iter(), Duration::ZERO)
+    let settings = ReplicaSettings {
+        own: IDENTITY,
+        tolerance: 1,
+        status: STATUS,
+    };
+    Replica::load(
+        shard,
+        settings,
+        loaded.meta,
+        loaded.entries.into_iter(),
+        Duration::ZERO,
+    )
 }
 
 /// Makes the fixture's file in a folder: shard 5 with an open, a finished and an ended lot, of which the
@@ -37,13 +49,24 @@
 pub fn make(directory: &Path) {
     let (disk, _) = LotDisk::open(directory, IDENTITY).unwrap();
     let puts = |shard: u32, entries: Vec<Bytes>| {
-        let rows = (1..).zip(entries).map(|(index, bytes)| (shard, DiskWrite::Put(index, bytes)));
+        let rows = (1..)
+            .zip(entries)
+            .map(|(index, bytes)| (shard, DiskWrite::Put(index, bytes)));
         disk.commit(&rows.collect::<Vec<_>>()).unwrap();
     };
     let meta = |shard: u32, runs: &[(u64, u64)], promised: u64, committed: u64| {
         let mut log = LogIndex::default();
-        runs.iter().for_each(|(through, epoch)| log.extend(*through, *epoch));
-        disk.commit(&[(shard, DiskWrite::Meta(ShardMeta { promised, log, committed }))]).unwrap();
+        runs.iter()
+            .for_each(|(through, epoch)| log.extend(*through, *epoch));
+        disk.commit(&[(
+            shard,
+            DiskWrite::Meta(ShardMeta {
+                promised,
+                log,
+                committed,
+            }),
+        )])
+        .unwrap();
     };
     let five = vec![
         begin(),
@@ -83,10 +106,13 @@
     disk.close();
     let mut replica = replica(&mut disk.reopen().unwrap(), shard);
     replica.tick(at);
-    let writes = replica.take_effects().into_iter().map(|effect| match effect {
-        Effect::Write(write) => (shard, write),
-        other => panic!("{other:?}"),
-    });
+    let writes = replica
+        .take_effects()
+        .into_iter()
+        .map(|effect| match effect {
+            Effect::Write(write) => (shard, write),
+            other => panic!("{other:?}"),
+        });
     disk.commit(&writes.collect::<Vec<_>>()).unwrap();
 }
 
@@ -127,23 +153,34 @@
 pub fn rows(file: &Path) -> Vec<String> {
     let database = Database::create(file).unwrap();
     let transaction = database.begin_read().unwrap();
-    let mut tables: Vec<String> =
-        transaction.list_tables().unwrap().map(|table| format!("table {}", table.name())).collect();
+    let mut tables: Vec<String> = transaction
+        .list_tables()
+        .unwrap()
+        .map(|table| format!("table {}", table.name()))
+        .collect();
     tables.sort();
     let mut lines = tables;
-    let store = transaction.open_table(TableDefinition::<&str, u64>::new("store")).unwrap();
+    let store = transaction
+        .open_table(TableDefinition::<&str, u64>::new("store"))
+        .unwrap();
     for row in store.iter().unwrap().map(Result::unwrap) {
         lines.push(format!("store {} {:x}", row.0.value(), row.1.value()));
     }
-    let shards = transaction.open_table(TableDefinition::<u32, &[u8]>::new("shards")).unwrap();
+    let shards = transaction
+        .open_table(TableDefinition::<u32, &[u8]>::new("shards"))
+        .unwrap();
     for row in shards.iter().unwrap().map(Result::unwrap) {
         lines.push(format!("shards {} {}", row.0.value(), hex(row.1.value())));
     }
-    let parts = transaction.open_table(TableDefinition::<(u32, u64, u16), &[u8]>::new("parts")).unwrap();
+    let parts = transaction
+        .open_table(TableDefinition::<(u32, u64, u16), &[u8]>::new("parts"))
+        .unwrap();
     for row in parts.iter().unwrap().map(Result::unwrap) {
         lines.push(format!("parts {:?} {}", row.0.value(), hex(row.1.value())));
     }
-    let probe = transaction.open_table(TableDefinition::<(), &[u8]>::new("probe")).unwrap();
+    let probe = transaction
+        .open_table(TableDefinition::<(), &[u8]>::new("probe"))
+        .unwrap();
     for row in probe.iter().unwrap().map(Result::unwrap) {
         lines.push(format!("probe () {}", hex(row.1.value())));
     }
--- a/crates/mintlb/tests/wire_fixtures.rs
+++ b/crates/mintlb/tests/wire_fixtures.rs
@@ -1,34 +1,69 @@
-//! The bytes of what schedulers tell one another. Schedulers of different versions do so during an update, so that a
-//! change of the source, such as a renaming, must leave them as they are in `fixtures/words.txt`.
+//! The file by which one process leaves the list of workers to the next one of its name, and the list service's words
+//! that it is made of. The next process may be of another version, so that a change of the source, such as a renaming,
+//! must leave the file's name and its bytes as they are in `fixtures/`.
 
-mod fixture;
+use mintlb::record::Record;
+use mintlb_http::list::Listing;
+use std::fs;
+use std::net::SocketAddr;
+use std::path::{Path, PathBuf};
 
-use mintlb::word::{MOST, Word};
+/// The file's name for a scheduler named `n1`, and what it holds.
+const FILE: &str = "mintlb-list-7b07b558dc73.json";
+const LEFT: &str = include_str!("fixtures/mintlb-list-7b07b558dc73.json");
+/// What the list service said before: the whole list, and then a change of it.
+const SAID: &str = include_str!("fixtures/said.jsonl");
 
-const WORDS: &str = include_str!("fixtures/words.txt");
+const AT: &str = "127.0.0.1:9000";
 
-fn words() -> Vec<(&'static str, Word)> {
-    vec![
-        ("nothing-held", Word { sent: 0.0, holds: vec![] }),
-        ("some-held", Word { sent: 1.5, holds: vec![(0, 0), (258, 1), (65535, 255)] }),
-        ("time-gone-round", Word { sent: 66.25, holds: vec![(7, 3)] }),
-        ("as-long-as-can-be", Word { sent: 60.0, holds: vec![(772, 5); MOST] }),
-    ]
+fn folder(name: &str) -> PathBuf {
+    let folder = std::env::temp_dir().join(format!("mintlb-wire-{name}-{}", std::process::id()));
+    fs::create_dir_all(&folder).unwrap();
+    folder
+}
+
+fn record(folder: &Path, name: &str) -> Record {
+    Record::new(folder, name, AT.parse::<SocketAddr>().unwrap())
 }
 
 #[test]
-fn words_are_written_as_in_the_fixtures() {
-    let written: Vec<_> = words().into_iter().map(|(name, word)| (name, word.write())).collect();
-    fixture::check(WORDS, &written);
+fn the_list_is_left_as_in_the_fixture() {
+    let folder = folder("left");
+    let mut record = record(&folder, "n1");
+    for line in SAID.lines() {
+        record
+            .hear(&serde_json::from_str::<Listing>(line).unwrap())
+            .unwrap();
+    }
+    let files: Vec<_> = fs::read_dir(&folder)
+        .unwrap()
+        .map(|file| file.unwrap().file_name())
+        .collect();
+    assert_eq!(files, [FILE]);
+    assert_eq!(fs::read_to_string(folder.join(FILE)).unwrap(), LEFT);
+    fs::remove_dir_all(&folder).unwrap();
 }
 
 #[test]
-fn the_fixtures_are_read_as_the_same_words() {
-    let (words, held) = (words(), fixture::read(WORDS));
-    assert_eq!(words.len(), held.len());
-    for ((name, word), (_, bytes)) in words.into_iter().zip(held) {
-        let read = Word::read(word.sent, &bytes).unwrap_or_else(|| panic!("{name}: no word"));
-        assert_eq!(read, word, "{name}");
-        assert_eq!(read.write(), bytes, "{name}: written again");
+fn the_fixture_is_read_as_the_list_that_was_left() {
+    let folder = folder("read");
+    let older = LEFT.replace(&format!(r#""at":"{AT}","#), "");
+    assert_ne!(older, LEFT);
+    for (left, why) in [
+        (LEFT, "as it is left now"),
+        (&older, "left by a version that wrote no address"),
+    ] {
+        fs::write(folder.join(FILE), left).unwrap();
+        let mut record = record(&folder, "n1");
+        let list = record.newer(None).expect(why);
+        let json = serde_json::to_string(&list).unwrap();
+        assert!(LEFT.contains(&format!(r#""list":{json}"#)), "{why}: {json}");
+        record.hear(&list).unwrap();
+        assert_eq!(
+            fs::read_to_string(folder.join(FILE)).unwrap(),
+            LEFT,
+            "{why}: left again"
+        );
     }
+    fs::remove_dir_all(&folder).unwrap();
 }
