--- a/crates/mintlb-control/src/controller/duties.rs
+++ b/crates/mintlb-control/src/controller/duties.rs
@@ -148,7 +148,7 @@
 /// Reads the register if another controller has written a newer placement than the one known here.
 async fn keep_up(controller: &Controller) {
     let published = controller
-        .overlay
+        .gossip
         .get(PLACEMENT)
         .map_or(0, |record| record.version);
     let known = controller
@@ -233,11 +233,11 @@
     if !controller.has_duties(epoch) {
         return;
     }
-    for record in orphans.look(Instant::now(), &controller.overlay.snapshot(), &claimed) {
+    for record in orphans.look(Instant::now(), &controller.gossip.snapshot(), &claimed) {
         log::info!(
             "duties: no controller hears the worker {}",
             record.instance_id
         );
-        controller.overlay.publish_now(record.to_record());
+        controller.gossip.publish_now(record.to_record());
     }
 }
--- a/crates/mintlb-control/src/controller/instance_api.rs
+++ b/crates/mintlb-control/src/controller/instance_api.rs
@@ -93,7 +93,7 @@
     let in_force = controller.worker_in_force(&told.instance_id);
     if !controller.is_in_contact() {
         if let Some(record) = news(told, in_force.as_ref()) {
-            controller.overlay.publish_now(record.to_record());
+            controller.gossip.publish_now(record.to_record());
         }
         return out_of_contact();
     }
@@ -105,7 +105,7 @@
         Heard::Nothing | Heard::Late => acknowledged(),
         Heard::TooMany => unavailable("M463 there are too many workers"),
         Heard::Publish(record) if record.state == WorkerState::InService => {
-            controller.overlay.publish_now(record.to_record());
+            controller.gossip.publish_now(record.to_record());
             acknowledged()
         }
         Heard::Publish(record) => publish_confirmed(&controller, record).await,
@@ -120,7 +120,7 @@
     let in_force = controller.worker_in_force(&id);
     let record = controller.registry.lock().leave(&id, in_force);
     if !controller.is_in_contact() {
-        controller.overlay.publish_now(record.to_record());
+        controller.gossip.publish_now(record.to_record());
         return out_of_contact();
     }
     publish_confirmed(&controller, record).await
@@ -130,7 +130,7 @@
 /// record, and by a process that is in contact at that moment.
 async fn publish_confirmed(controller: &Controller, record: WorkerRecord) -> Answered {
     let confirmed = controller
-        .overlay
+        .gossip
         .publish(record.to_record(), CONFIRMED_WITHIN)
         .await;
     log::debug!(
--- a/crates/mintlb-control/src/controller/membership.rs
+++ b/crates/mintlb-control/src/controller/membership.rs
@@ -49,7 +49,7 @@
 
 /// Finds the register or founds it.
 async fn look_for_set(controller: &Controller) {
-    if hint_from_overlay(controller) {
+    if hint_from_gossip(controller) {
         return;
     }
     let settings = controller.settings();
@@ -85,7 +85,7 @@
 
 /// The newest set may be known to others when nobody of the known one answers.
 async fn ask_for_newer_set(controller: &Controller) {
-    hint_from_overlay(controller);
+    hint_from_gossip(controller);
     let seeds = controller.settings().seed_addresses();
     for answer in ask(controller, &seeds).await.into_iter().flatten() {
         if let Some(set) = answer.replica_set {
@@ -95,8 +95,8 @@
 }
 
 /// Takes the set from the overlay's records; whether there is one.
-fn hint_from_overlay(controller: &Controller) -> bool {
-    let Some(record) = controller.overlay.get(REPLICAS) else {
+fn hint_from_gossip(controller: &Controller) -> bool {
+    let Some(record) = controller.gossip.get(REPLICAS) else {
         return false;
     };
     let Ok(set) = minicbor::decode::<ReplicaSet>(&record.body) else {
--- a/crates/mintlb-control/src/controller/mod.rs
+++ b/crates/mintlb-control/src/controller/mod.rs
@@ -43,7 +43,7 @@
 use mintlb_common::settings::{InternalPort, NodeSettings};
 use mintlb_common::signals::Signals;
 use mintlb_common::transport::Transport;
-use mintlb_gossip::{Member, Overlay, OverlayConfig, Role};
+use mintlb_gossip::{GossipConfig, GossipService, Member, Role};
 use mintlb_register::replica_set::{Replica, ReplicaId};
 use parking_lot::Mutex;
 use publisher::Publisher;
@@ -76,7 +76,7 @@
     /// Messages to other processes.
     pub transport: Arc<Transport>,
     /// Records.
-    pub overlay: Arc<Overlay>,
+    pub gossip: Arc<GossipService>,
     /// The register.
     pub register: Arc<Register>,
     /// The register's value as records.
@@ -106,7 +106,7 @@
 
     /// A worker's record as everybody knows it.
     pub fn worker_in_force(&self, id: &str) -> Option<WorkerRecord> {
-        let record = self.overlay.get(&format!("{WORKER_PREFIX}{id}"))?;
+        let record = self.gossip.get(&format!("{WORKER_PREFIX}{id}"))?;
         minicbor::decode(&record.body).ok()
     }
 
@@ -254,14 +254,14 @@
         zone: settings.zone.clone(),
     };
     let seeds = settings.seed_addresses();
-    let overlay = Overlay::start(OverlayConfig {
+    let gossip = GossipService::start(GossipConfig {
         transport: transport.clone(),
         seeds,
         member,
     });
     let register = Register::start(transport.clone(), replica, draw, settings.first_start);
     let replica_id = register.replica().map(|replica| replica.identity().id);
-    let publisher = Arc::new(Publisher::new(overlay.clone()));
+    let publisher = Arc::new(Publisher::new(gossip.clone()));
     let on_chosen = publisher.clone();
     register.listen(Box::new(move |chosen| on_chosen.publish(&chosen.state)));
     Ok(Arc::new(Controller {
@@ -269,7 +269,7 @@
         settings: Mutex::new(Arc::new(settings)),
         started_at: Instant::now(),
         transport,
-        overlay,
+        gossip,
         publisher,
         duties: Duties::new(replica_id, own, mix64(!draw)),
         register,
@@ -295,7 +295,7 @@
                 .tick(Instant::now(), controller.is_in_contact(), in_force);
         for record in silent {
             log::info!("workers: {} is silent", record.instance_id);
-            controller.overlay.publish_now(record.to_record());
+            controller.gossip.publish_now(record.to_record());
         }
     }
 }
--- a/crates/mintlb-control/src/controller/publisher.rs
+++ b/crates/mintlb-control/src/controller/publisher.rs
@@ -1,27 +1,27 @@
 //! What of the register's chosen value goes to every process as records.
 
 use mintlb_common::record::{CONFIGURATION, PLACEMENT, REPLICAS, Record};
-use mintlb_gossip::Overlay;
+use mintlb_gossip::GossipService;
 use mintlb_register::state::ControlState;
 use std::sync::Arc;
 use std::time::Duration;
 
 /// Publishes the records of chosen values; never of a value that may not be chosen.
 pub struct Publisher {
-    overlay: Arc<Overlay>,
+    gossip: Arc<GossipService>,
 }
 
 impl Publisher {
     /// A publisher by this overlay.
-    pub fn new(overlay: Arc<Overlay>) -> Publisher {
-        Publisher { overlay }
+    pub fn new(gossip: Arc<GossipService>) -> Publisher {
+        Publisher { gossip }
     }
 
     /// Publishes what is newer than what is in force.
     pub fn publish(&self, state: &ControlState) {
         for record in records(state) {
             if self.is_news(&record) {
-                self.overlay.publish_now(record);
+                self.gossip.publish_now(record);
             }
         }
     }
@@ -29,12 +29,12 @@
     /// Waits until a neighbour has confirmed the configuration, or for this time.
     pub async fn confirm_configuration(&self, state: &ControlState, wait: Duration) {
         if let Some(record) = configuration(state) {
-            self.overlay.publish(record, wait).await;
+            self.gossip.publish(record, wait).await;
         }
     }
 
     fn is_news(&self, record: &Record) -> bool {
-        self.overlay
+        self.gossip
             .get(&record.key)
             .is_none_or(|known| known.version < record.version)
     }
--- a/crates/mintlb-control/src/store/heartbeats.rs
+++ b/crates/mintlb-control/src/store/heartbeats.rs
@@ -6,7 +6,7 @@
 use mintlb_common::record::REPLICAS;
 use mintlb_common::settings::{InternalPort, NodeSettings};
 use mintlb_common::transport::{Channel, Transport};
-use mintlb_gossip::Overlay;
+use mintlb_gossip::GossipService;
 use mintlb_register::replica_set::ReplicaSet;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -21,7 +21,7 @@
     settings: NodeSettings,
     store: Arc<Store>,
     transport: Arc<Transport>,
-    overlay: Arc<Overlay>,
+    gossip: Arc<GossipService>,
 ) {
     let address = settings.internal_address(InternalPort::Store).to_string();
     loop {
@@ -43,7 +43,7 @@
             leaving: store.is_leaving(),
         };
         let body = framing::encode(&heartbeat, &[]);
-        for controller in controllers(&overlay) {
+        for controller in controllers(&gossip) {
             transport.notify(controller, Channel::Control, body.clone());
         }
         timeout(HEARTBEAT, store.report_changed().notified())
@@ -54,8 +54,8 @@
 }
 
 /// The controllers that hold the register, once they are known.
-fn controllers(overlay: &Overlay) -> Vec<SocketAddr> {
-    let set = overlay
+fn controllers(gossip: &GossipService) -> Vec<SocketAddr> {
+    let set = gossip
         .get(REPLICAS)
         .and_then(|record| minicbor::decode::<ReplicaSet>(&record.body).ok());
     let Some(set) = set else { return Vec::new() };
--- a/crates/mintlb-control/src/store/mod.rs
+++ b/crates/mintlb-control/src/store/mod.rs
@@ -30,7 +30,7 @@
 use mintlb_common::settings::{InternalPort, NodeSettings};
 use mintlb_common::signals::Signals;
 use mintlb_common::transport::{Channel, Transport};
-use mintlb_gossip::{Member, Overlay, OverlayConfig, Role};
+use mintlb_gossip::{GossipConfig, GossipService, Member, Role};
 use std::hash::{BuildHasher, RandomState};
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -137,9 +137,9 @@
     let hand_over = HAND_OVER.min(Duration::from_secs_f64(
         settings.bounds.grace_period_s.clamp(0.0, 60.0) / 2.0,
     ));
-    let overlay = join_overlay(&settings, &transport, &store);
+    let gossip = join_gossip(&settings, &transport, &store);
     transport.register_service(Channel::Batch, Arc::new(StoreService(store.clone())));
-    tokio::spawn(heartbeats::run(settings, store.clone(), transport, overlay));
+    tokio::spawn(heartbeats::run(settings, store.clone(), transport, gossip));
 
     let mut driver = Driver::new(store.clone(), disk, commits);
     loop {
@@ -163,11 +163,11 @@
 }
 
 /// Joins the overlay, and goes by the placement that it brings.
-fn join_overlay(
+fn join_gossip(
     settings: &NodeSettings,
     transport: &Arc<Transport>,
     store: &Arc<Store>,
-) -> Arc<Overlay> {
+) -> Arc<GossipService> {
     let member = Member {
         address: transport.own_address(),
         incarnation: transport.incarnation(),
@@ -176,13 +176,13 @@
         zone: settings.zone.clone(),
     };
     let seeds = settings.seed_addresses();
-    let overlay = Overlay::start(OverlayConfig {
+    let gossip = GossipService::start(GossipConfig {
         transport: transport.clone(),
         seeds,
         member,
     });
     let store = Arc::downgrade(store);
-    overlay.subscribe(Arc::new(move |record| {
+    gossip.subscribe(Arc::new(move |record| {
         if record.key != PLACEMENT {
             return;
         }
@@ -192,7 +192,7 @@
             Err(error) => log::warn!("store: a placement can't be read: {error}"),
         }
     }));
-    overlay
+    gossip
 }
 
 /// Listens, trying again for a while: the process before may not have let go of the address yet.
--- a/crates/mintlb-control/tests/controller_fleet.rs
+++ b/crates/mintlb-control/tests/controller_fleet.rs
@@ -430,7 +430,7 @@
     let seen = |place: usize| {
         fleet
             .at(place)
-            .overlay
+            .gossip
             .get(CONFIGURATION)
             .map(|record| record.version)
     };
--- a/crates/mintlb-control/tests/controller_orphans.rs
+++ b/crates/mintlb-control/tests/controller_orphans.rs
@@ -36,7 +36,7 @@
     }
 
     fn publish(&mut self, record: WorkerRecord) {
-        self.records.publish(self.now, record.to_record());
+        self.records.apply_local(self.now, record.to_record());
     }
 
     fn look(&mut self, after: Duration, claimed: &[&str]) -> Vec<WorkerRecord> {
--- a/crates/mintlb-control/tests/controllers/mod.rs
+++ b/crates/mintlb-control/tests/controllers/mod.rs
@@ -7,7 +7,7 @@
 use mintlb_common::settings::NodeSettings;
 use mintlb_control::controller::vote_store::FILE;
 use mintlb_control::controller::{Controller, http, start};
-use mintlb_gossip::Overlay;
+use mintlb_gossip::GossipService;
 use mintlb_register::replica_set::ReplicaSet;
 use std::path::Path;
 use std::sync::atomic::{AtomicU16, Ordering::SeqCst};
@@ -146,8 +146,8 @@
         fits: impl Fn(&Record) -> bool + Send + Sync + 'static,
     ) {
         let (found, finding) = mpsc::channel();
-        let overlay: &Arc<Overlay> = &self.at(place).overlay;
-        overlay.subscribe(Arc::new(move |record| {
+        let gossip: &Arc<GossipService> = &self.at(place).gossip;
+        gossip.subscribe(Arc::new(move |record| {
             if fits(record) {
                 found.send(()).ok();
             }
--- a/crates/mintlb-dispatcher/src/batch/calls.rs
+++ b/crates/mintlb-dispatcher/src/batch/calls.rs
@@ -15,7 +15,7 @@
 use mintlb_batch::messages::DispatcherId;
 use mintlb_common::configuration::Route;
 use mintlb_common::record::{ENDED_JOB_PREFIX, Record};
-use mintlb_gossip::Overlay;
+use mintlb_gossip::GossipService;
 use std::future::Future;
 use std::pin::Pin;
 use std::sync::Arc;
@@ -43,7 +43,7 @@
 pub struct BatchCalls {
     client: Arc<LotClient>,
     runner: Arc<Runner>,
-    overlay: Arc<Overlay>,
+    gossip: Arc<GossipService>,
     holder: DispatcherId,
     leaving: AtomicBool,
 }
@@ -59,13 +59,13 @@
     pub fn new(
         client: Arc<LotClient>,
         runner: Arc<Runner>,
-        overlay: Arc<Overlay>,
+        gossip: Arc<GossipService>,
         holder: DispatcherId,
     ) -> BatchCalls {
         BatchCalls {
             client,
             runner,
-            overlay,
+            gossip,
             holder,
             leaving: AtomicBool::new(false),
         }
@@ -186,17 +186,17 @@
     }
 
     fn end(&self, call: &BatchCall, lot_id: &str) -> Answer {
-        let (client, runner, overlay) = (
+        let (client, runner, gossip) = (
             self.client.clone(),
             self.runner.clone(),
-            self.overlay.clone(),
+            self.gossip.clone(),
         );
         let (host, lot_id) = (host_name(&call.host), lot_id.to_string());
         Box::pin(async move {
             match client.end(&host, &lot_id).await {
                 EndOutcome::Ended => {
                     runner.lot_ended(&host, &lot_id);
-                    overlay.publish_now(Record {
+                    gossip.publish_now(Record {
                         key: format!("{ENDED_JOB_PREFIX}{lot_id}"),
                         version: 1,
                         ttl_s: ENDED_LIFETIME_S,
--- a/crates/mintlb-dispatcher/src/batch/mod.rs
+++ b/crates/mintlb-dispatcher/src/batch/mod.rs
@@ -16,13 +16,13 @@
 use mintlb_common::placement::Placement;
 use mintlb_common::record::{ENDED_JOB_PREFIX, PLACEMENT, Record};
 use mintlb_common::transport::Transport;
-use mintlb_gossip::Overlay;
+use mintlb_gossip::GossipService;
 use std::sync::Arc;
 
 /// Starts what serves lots at this dispatcher. `holder` names it towards the stores, another number at each start.
 pub fn start(
     transport: Arc<Transport>,
-    overlay: Arc<Overlay>,
+    gossip: Arc<GossipService>,
     intake: Intake,
     holder: DispatcherId,
 ) -> Arc<dyn BatchHandler> {
@@ -34,7 +34,7 @@
     ));
     let runner = runner::Runner::start(client.clone(), intake, holder);
     let listener = runner.clone();
-    overlay.subscribe(Arc::new(move |record: &Record| {
+    gossip.subscribe(Arc::new(move |record: &Record| {
         if record.key == PLACEMENT {
             match minicbor::decode(&record.body) {
                 Ok(newer) => placement.store(Arc::new(newer)),
@@ -47,5 +47,5 @@
             listener.lot_ended(&String::from_utf8_lossy(&record.body), lot_id);
         }
     }));
-    Arc::new(calls::BatchCalls::new(client, runner, overlay, holder))
+    Arc::new(calls::BatchCalls::new(client, runner, gossip, holder))
 }
--- a/crates/mintlb-dispatcher/src/run.rs
+++ b/crates/mintlb-dispatcher/src/run.rs
@@ -10,7 +10,7 @@
 use mintlb_common::settings::{InternalPort, NodeSettings};
 use mintlb_common::signals::Signals;
 use mintlb_common::transport::Transport;
-use mintlb_gossip::{Member, Overlay, OverlayConfig, Role};
+use mintlb_gossip::{GossipConfig, GossipService, Member, Role};
 use std::net::{SocketAddr, SocketAddrV4};
 use std::sync::Arc;
 use std::time::Duration;
@@ -57,7 +57,7 @@
         node_name: settings.node_name.clone(),
         zone: settings.zone.clone(),
     };
-    let overlay = Overlay::start(OverlayConfig {
+    let gossip = GossipService::start(GossipConfig {
         transport: transport.clone(),
         seeds: settings.seed_addresses(),
         member,
@@ -67,22 +67,22 @@
     let mut dispatcher = Dispatcher::new(grants);
     dispatcher.batch = Some(batch::start(
         transport,
-        overlay.clone(),
+        gossip.clone(),
         dispatcher.intake(),
         holder,
     ));
     let tell = dispatcher.tell.clone();
-    overlay.subscribe(Arc::new(move |record: &Record| {
+    gossip.subscribe(Arc::new(move |record: &Record| {
         if let Some(known) = knowledge::read(record) {
             tell.send(known).ok();
         }
     }));
-    let (tell, joining) = (dispatcher.tell.clone(), overlay.clone());
+    let (tell, joining) = (dispatcher.tell.clone(), gossip.clone());
     tokio::spawn(async move {
-        joining.settled().await;
+        joining.wait_until_joined().await;
         tell.send(Known::Joined).ok();
     });
-    tokio::spawn(estimate(overlay, dispatcher.hub.clone()));
+    tokio::spawn(estimate(gossip, dispatcher.hub.clone()));
     log::info!(
         "dispatch: {} serves on {:?}",
         settings.node_name,
@@ -97,9 +97,9 @@
 }
 
 /// Keeps the number of dispatchers that share the workers.
-async fn estimate(overlay: Arc<Overlay>, hub: Arc<Hub>) {
+async fn estimate(gossip: Arc<GossipService>, hub: Arc<Hub>) {
     loop {
-        let others = overlay
+        let others = gossip
             .members()
             .iter()
             .filter(|member| member.role == Role::Dispatcher)
--- a/crates/mintlb-dispatcher/tests/lifecycle.rs
+++ b/crates/mintlb-dispatcher/tests/lifecycle.rs
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn without_the_overlay_it_is_not_ready() {
+fn not_ready_before_joining_the_gossip() {
     on_one_thread(async {
         let machine = Machine::start().await;
         let (one, two) = (
--- a/crates/mintlb-gossip/src/digest.rs
+++ b/crates/mintlb-gossip/src/anti_entropy.rs
@@ -6,11 +6,11 @@
 //! side, the one with the lower address or with far fewer records, lists the versions it has in these buckets; the other
 //! side answers with what is newer there and fetches what is newer here.
 
-use crate::broadcast::Broadcast;
-use crate::codec::{CarriedRecord, Stamp, record_id};
-use crate::effects::{Effect, Effects, MESSAGE_BYTES};
+use crate::broadcast::BroadcastTree;
+use crate::codec::{RecordFrame, RecordVersion, record_id};
+use crate::effects::{Effect, Effects, MAX_MESSAGE_BYTES};
 use crate::message::Message;
-use crate::table::{BUCKETS, Put, RecordStore, Table, bucket_of};
+use crate::table::{ApplyOutcome, BUCKETS, RecordStore, Table, bucket_of};
 use minicbor::bytes::ByteVec;
 use minicbor::{Decode, Encode};
 use rustc_hash::FxHashMap;
@@ -19,15 +19,15 @@
 use tokio::time::Instant;
 
 /// How often neighbours send a sign of life with a digest.
-pub const PING_INTERVAL: Duration = Duration::from_millis(500);
+pub const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
 /// A repair that has not ended by then makes way for another one.
-const REPAIR_TIME: Duration = Duration::from_secs(1);
+const REPAIR_TIMEOUT: Duration = Duration::from_secs(1);
 /// How many versions a listing holds at most.
-const MOST_LISTED: usize = MESSAGE_BYTES / 20;
+const MAX_LISTED_VERSIONS: usize = MAX_MESSAGE_BYTES / 20;
 
 /// A sign of life with a digest of the table.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
-pub struct Ping {
+pub struct Heartbeat {
     /// The hash of the whole table.
     #[n(0)]
     pub hash: u64,
@@ -41,13 +41,13 @@
 
 /// What the sender has in some buckets.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
-pub struct Listing {
+pub struct BucketVersions {
     /// The buckets.
     #[n(0)]
     pub buckets: ByteVec,
     /// All that they hold.
     #[n(1)]
-    pub stamps: Vec<Stamp>,
+    pub versions: Vec<RecordVersion>,
 }
 
 /// Asks for records.
@@ -63,7 +63,7 @@
 pub struct Records {
     /// The records.
     #[n(0)]
-    pub records: Vec<CarriedRecord>,
+    pub records: Vec<RecordFrame>,
     /// The buckets of what did not fit in; the receiver lists them again.
     #[n(1)]
     pub unfinished: ByteVec,
@@ -75,39 +75,39 @@
     /// By what the table's hash differed from the neighbour's at its last ping; 0 if it was the same.
     difference: u64,
     /// Whether the tables were once the same or a repair has ended.
-    compared: bool,
+    synchronized: bool,
     /// By what each bucket differed at the last ping, if it told.
     differences: Vec<u32>,
 }
 
 /// The comparisons of one process with its neighbours.
 #[derive(Debug, Default)]
-pub struct Digests {
+pub struct AntiEntropy {
     links: Vec<Link>,
     repair: Option<(SocketAddr, Instant)>,
     joined: bool,
 }
 
-impl Digests {
+impl AntiEntropy {
     /// Whether the table has been compared with at least one neighbour's and what was lacking has come.
     pub fn joined(&self) -> bool {
         self.joined
     }
 
     /// A link is new, or messages on it were lost: both sides send a digest.
-    pub fn link_up(&mut self, address: SocketAddr, store: &RecordStore, effects: &mut Effects) {
-        self.link_down(address);
+    pub fn neighbor_up(&mut self, address: SocketAddr, store: &RecordStore, effects: &mut Effects) {
+        self.neighbor_down(address);
         self.links.push(Link {
             address,
             difference: 0,
-            compared: false,
+            synchronized: false,
             differences: Vec::new(),
         });
-        effects.send(address, &ping(store.table(), true));
+        effects.send(address, &heartbeat(store.table(), true));
     }
 
     /// A link is gone.
-    pub fn link_down(&mut self, address: SocketAddr) {
+    pub fn neighbor_down(&mut self, address: SocketAddr) {
         self.links.retain(|link| link.address != address);
         if self.repair.is_some_and(|(with, _)| with == address) {
             self.repair = None;
@@ -115,27 +115,27 @@
     }
 
     /// Sends each neighbour a sign of life.
-    pub fn ping_all(&self, store: &RecordStore, effects: &mut Effects) {
+    pub fn send_heartbeats(&self, store: &RecordStore, effects: &mut Effects) {
         let table = store.table();
         let (same, differing): (Vec<_>, Vec<_>) =
             self.links.iter().partition(|link| link.difference == 0);
         let addresses =
             |links: Vec<&Link>| links.iter().map(|link| link.address).collect::<Vec<_>>();
         if !same.is_empty() {
-            effects.send_all(&addresses(same), &ping(table, false));
+            effects.send_all(&addresses(same), &heartbeat(table, false));
         }
         if !differing.is_empty() {
-            effects.send_all(&addresses(differing), &ping(table, true));
+            effects.send_all(&addresses(differing), &heartbeat(table, true));
         }
     }
 
     /// A neighbour's digest.
-    pub fn on_ping(
+    pub fn on_heartbeat(
         &mut self,
         now: Instant,
         from: SocketAddr,
         own: SocketAddr,
-        ping: Ping,
+        heartbeat: Heartbeat,
         store: &RecordStore,
         effects: &mut Effects,
     ) {
@@ -143,70 +143,79 @@
         let Some(link) = self.links.iter_mut().find(|link| link.address == from) else {
             return;
         };
-        let difference = ping.hash ^ table.hash();
+        let difference = heartbeat.hash ^ table.hash();
         let steady = link.difference == difference;
         link.difference = difference;
         if difference == 0 {
             link.differences.clear();
-            link.compared = true;
+            link.synchronized = true;
             self.joined = true;
             return;
         }
-        if ping.buckets.len() != BUCKETS * 4 {
+        if heartbeat.buckets.len() != BUCKETS * 4 {
             return;
         }
         let before = std::mem::take(&mut link.differences);
-        link.differences = differences(table, &ping.buckets);
+        link.differences = differences(table, &heartbeat.buckets);
         let lasting = |&bucket: &usize| {
             let difference = link.differences[bucket];
-            difference != 0 && (!link.compared || steady || before.get(bucket) == Some(&difference))
+            difference != 0
+                && (!link.synchronized || steady || before.get(bucket) == Some(&difference))
         };
         let buckets: Vec<_> = (0..BUCKETS).filter(lasting).collect();
-        let lists = lists(table.len() as u64, own, ping.records, from);
+        let is_repair_initiator =
+            is_repair_initiator(table.len() as u64, own, heartbeat.records, from);
         let busy = self.repair.is_some_and(|(_, until)| now < until);
-        if lists && !busy && !buckets.is_empty() {
-            self.repair = Some((from, now + REPAIR_TIME));
-            effects.send(from, &listing(table, &buckets));
+        if is_repair_initiator && !busy && !buckets.is_empty() {
+            self.repair = Some((from, now + REPAIR_TIMEOUT));
+            effects.send(from, &bucket_versions(table, &buckets));
         }
     }
 
     /// A neighbour lists what it has: it gets what is newer here, and is asked for what is newer there.
-    pub fn on_listing(
+    pub fn on_bucket_versions(
         &mut self,
         now: Instant,
         from: SocketAddr,
-        listing: Listing,
+        bucket_versions: BucketVersions,
         store: &RecordStore,
         effects: &mut Effects,
     ) {
-        let theirs: FxHashMap<u64, u64> =
-            listing.stamps.iter().map(|s| (s.id, s.version)).collect();
-        let mut answer = Answer::default();
-        let mut buckets: Vec<_> = listing.buckets.iter().map(|&b| usize::from(b)).collect();
+        let theirs: FxHashMap<u64, u64> = bucket_versions
+            .versions
+            .iter()
+            .map(|s| (s.id, s.version))
+            .collect();
+        let mut reply = RepairReply::default();
+        let mut buckets: Vec<_> = bucket_versions
+            .buckets
+            .iter()
+            .map(|&b| usize::from(b))
+            .collect();
         buckets.sort_unstable();
         buckets.dedup();
         for bucket in buckets.into_iter().filter(|&bucket| bucket < BUCKETS) {
-            for stamp in store
+            for record_version in store
                 .table()
-                .stamps(bucket)
-                .filter(|stamp| !theirs.contains_key(&stamp.id))
+                .versions(bucket)
+                .filter(|record_version| !theirs.contains_key(&record_version.id))
             {
-                answer.add(bucket, || store.carry(now, stamp.id));
+                reply.add(bucket, || store.frame(now, record_version.id));
             }
         }
         let mut fetch = Vec::new();
         for (&id, &version) in &theirs {
             match store.version(id) {
                 Some(known) if known > version => {
-                    answer.add(bucket_of(id), || store.carry_to_older(now, id));
+                    reply.add(bucket_of(id), || store.frame_for_stale_peer(now, id));
                 }
                 Some(known) if known == version => (),
                 _ => fetch.push(id),
             }
         }
-        effects.send(from, &answer.into_message());
+        effects.send(from, &reply.into_message());
         if fetch.is_empty() {
-            self.finish(from);
+            self.complete_repair(from);
         } else {
             effects.send(from, &Message::Fetch(Fetch { ids: fetch }));
         }
@@ -221,11 +230,11 @@
         store: &RecordStore,
         effects: &mut Effects,
     ) {
-        let mut answer = Answer::default();
-        for id in fetch.ids.into_iter().take(MOST_LISTED) {
-            answer.add(bucket_of(id), || store.carry(now, id));
+        let mut reply = RepairReply::default();
+        for id in fetch.ids.into_iter().take(MAX_LISTED_VERSIONS) {
+            reply.add(bucket_of(id), || store.frame(now, id));
         }
-        effects.send(from, &answer.into_message());
+        effects.send(from, &reply.into_message());
     }
 
     /// A neighbour hands over records that were lacking here.
@@ -235,52 +244,54 @@
         from: SocketAddr,
         records: Records,
         store: &mut RecordStore,
-        broadcast: &mut Broadcast,
+        broadcast: &mut BroadcastTree,
         effects: &mut Effects,
     ) {
         let mut fresh = Vec::new();
-        let mut answer = Answer::default();
+        let mut reply = RepairReply::default();
         for record in records.records {
             let id = record_id(&record.key);
-            match store.take(now, record) {
-                Some(Put::InForce(record)) => {
-                    fresh.push(Stamp {
+            match store.apply_remote(now, record) {
+                Some(ApplyOutcome::Applied(record)) => {
+                    fresh.push(RecordVersion {
                         id,
                         version: record.version,
                     });
-                    effects.push(Effect::InForce(record));
+                    effects.push(Effect::Applied(record));
                 }
-                Some(Put::Older) => answer.add(bucket_of(id), || store.carry_to_older(now, id)),
-                Some(Put::Known) | None => (),
+                Some(ApplyOutcome::Stale) => {
+                    reply.add(bucket_of(id), || store.frame_for_stale_peer(now, id))
+                }
+                Some(ApplyOutcome::Duplicate) | None => (),
             }
-            broadcast.settle(id, store);
+            broadcast.on_delivered(id, store);
         }
-        if !answer.records.is_empty() {
-            effects.send(from, &answer.into_message());
+        if !reply.records.is_empty() {
+            effects.send(from, &reply.into_message());
         }
         if self.joined {
             broadcast.announce_repaired(now, &fresh, from);
         }
         let unfinished: Vec<_> = records.unfinished.iter().map(|&b| usize::from(b)).collect();
         if unfinished.is_empty() || fresh.is_empty() {
-            self.finish(from);
+            self.complete_repair(from);
         } else {
-            self.repair = Some((from, now + REPAIR_TIME));
+            self.repair = Some((from, now + REPAIR_TIMEOUT));
             let buckets: Vec<_> = unfinished
                 .into_iter()
                 .filter(|&bucket| bucket < BUCKETS)
                 .collect();
-            effects.send(from, &self::listing(store.table(), &buckets));
+            effects.send(from, &self::bucket_versions(store.table(), &buckets));
         }
     }
 
     /// A repair with a neighbour has ended.
-    fn finish(&mut self, with: SocketAddr) {
+    fn complete_repair(&mut self, with: SocketAddr) {
         if self.repair.is_some_and(|(repairing, _)| repairing == with) {
             self.repair = None;
         }
         if let Some(link) = self.links.iter_mut().find(|link| link.address == with) {
-            link.compared = true;
+            link.synchronized = true;
             link.differences.clear();
             self.joined = true;
         }
@@ -289,20 +300,20 @@
 
 /// Records that are handed over, up to the bound of a message.
 #[derive(Default)]
-struct Answer {
-    records: Vec<CarriedRecord>,
+struct RepairReply {
+    records: Vec<RecordFrame>,
     bytes: usize,
     unfinished: Vec<u8>,
 }
 
-impl Answer {
-    fn add(&mut self, bucket: usize, record: impl FnOnce() -> Option<CarriedRecord>) {
+impl RepairReply {
+    fn add(&mut self, bucket: usize, record: impl FnOnce() -> Option<RecordFrame>) {
         if self.unfinished.contains(&(bucket as u8)) {
             return;
         }
         let Some(record) = record() else { return };
         let size = record.size();
-        if self.bytes > 0 && self.bytes + size > MESSAGE_BYTES {
+        if self.bytes > 0 && self.bytes + size > MAX_MESSAGE_BYTES {
             return self.unfinished.push(bucket as u8);
         }
         self.bytes += size;
@@ -318,20 +329,25 @@
 }
 
 /// Which side of a link lists. Both sides come to the same, although their counts are of different moments.
-fn lists(own_records: u64, own: SocketAddr, their_records: u64, other: SocketAddr) -> bool {
+fn is_repair_initiator(
+    own_records: u64,
+    own: SocketAddr,
+    their_records: u64,
+    other: SocketAddr,
+) -> bool {
     let own_far_fewer = own_records < their_records / 2;
     let theirs_far_fewer = their_records < own_records / 2;
     own_far_fewer || (!theirs_far_fewer && own < other)
 }
 
-fn ping(table: &Table, with_buckets: bool) -> Message {
+fn heartbeat(table: &Table, with_buckets: bool) -> Message {
     let hashes = || (0..BUCKETS).flat_map(|bucket| table.bucket_hash(bucket).to_be_bytes());
     let buckets = if with_buckets {
         hashes().collect::<Vec<_>>()
     } else {
         Vec::new()
     };
-    Message::Ping(Ping {
+    Message::Heartbeat(Heartbeat {
         hash: table.hash(),
         records: table.len() as u64,
         buckets: buckets.into(),
@@ -349,17 +365,19 @@
 }
 
 /// As many of the buckets as fit into a message.
-fn listing(table: &Table, buckets: &[usize]) -> Message {
-    let (mut listed, mut stamps) = (Vec::new(), Vec::new());
+fn bucket_versions(table: &Table, buckets: &[usize]) -> Message {
+    let (mut listed_buckets, mut versions) = (Vec::new(), Vec::new());
     for &bucket in buckets {
-        if !listed.is_empty() && stamps.len() + table.bucket_len(bucket) > MOST_LISTED {
+        if !listed_buckets.is_empty()
+            && versions.len() + table.bucket_len(bucket) > MAX_LISTED_VERSIONS
+        {
             break;
         }
-        listed.push(bucket as u8);
-        stamps.extend(table.stamps(bucket));
+        listed_buckets.push(bucket as u8);
+        versions.extend(table.versions(bucket));
     }
-    Message::Listing(Listing {
-        buckets: listed.into(),
-        stamps,
+    Message::BucketVersions(BucketVersions {
+        buckets: listed_buckets.into(),
+        versions,
     })
 }
--- a/crates/mintlb-gossip/src/broadcast.rs
+++ b/crates/mintlb-gossip/src/broadcast.rs
@@ -4,10 +4,10 @@
 //! (prune); one that hears an announcement of something it hasn't got soon after puts it in and asks for the record
 //! (graft). A dead relay therefore costs one announcement interval and one wait.
 
-use crate::codec::{CarriedRecord, Stamp, record_id};
-use crate::effects::{Effect, Effects, MESSAGE_BYTES};
+use crate::codec::{RecordFrame, RecordVersion, record_id};
+use crate::effects::{Effect, Effects, MAX_MESSAGE_BYTES};
 use crate::message::Message;
-use crate::table::{Put, RecordStore};
+use crate::table::{ApplyOutcome, RecordStore};
 use minicbor::{Decode, Encode};
 use rustc_hash::FxHashMap;
 use std::net::SocketAddr;
@@ -15,36 +15,36 @@
 use tokio::time::Instant;
 
 /// How long announcements are gathered before they are sent.
-pub const ANNOUNCE_INTERVAL: Duration = Duration::from_millis(100);
+pub const IHAVE_INTERVAL: Duration = Duration::from_millis(100);
 /// How long an announced record may still come down the tree before it is asked for.
-pub const GRAFT_DELAY: Duration = Duration::from_millis(150);
+pub const GRAFT_TIMEOUT: Duration = Duration::from_millis(150);
 /// How long a neighbour that was asked has to send a record before another one is asked.
-pub const GRAFT_RETRY: Duration = Duration::from_millis(300);
+pub const GRAFT_RETRY_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// How many announcements wait for one link at most; what is beyond is left to the digests.
-const MOST_ANNOUNCEMENTS: usize = 2048;
+const MAX_QUEUED_IHAVES: usize = 2048;
 /// How many announced records are waited for at most.
-const MOST_MISSING: usize = 8192;
+const MAX_MISSING: usize = 8192;
 /// How many neighbours are remembered as sources of one record.
-const MOST_SOURCES: usize = 4;
+const MAX_ANNOUNCERS: usize = 4;
 
 /// New records down the tree.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
-pub struct Push {
+pub struct Gossip {
     /// The records.
     #[n(0)]
-    pub records: Vec<CarriedRecord>,
+    pub records: Vec<RecordFrame>,
     /// The receiver is to confirm that it has them.
     #[n(1)]
-    pub confirm: bool,
+    pub request_ack: bool,
 }
 
 /// What the sender has newly got.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
-pub struct Announce {
+pub struct IHave {
     /// Which versions of which records.
     #[n(0)]
-    pub stamps: Vec<Stamp>,
+    pub versions: Vec<RecordVersion>,
 }
 
 /// Makes the link part of the tree and asks for records.
@@ -57,81 +57,81 @@
 
 /// A record whose receipt is to be confirmed, outside the tree.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
-pub struct Offer {
+pub struct DirectPush {
     /// The record.
     #[n(0)]
-    pub record: CarriedRecord,
+    pub record: RecordFrame,
 }
 
 /// Confirms that the sender has records.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
-pub struct Have {
+pub struct Ack {
     /// Which versions of which records.
     #[n(0)]
-    pub stamps: Vec<Stamp>,
+    pub versions: Vec<RecordVersion>,
 }
 
 #[derive(Debug)]
 struct Link {
     address: SocketAddr,
-    in_tree: bool,
-    announcements: Vec<Stamp>,
+    eager: bool,
+    pending_ihaves: Vec<RecordVersion>,
 }
 
 #[derive(Debug)]
 struct Missing {
     version: u64,
-    sources: Vec<SocketAddr>,
+    announcers: Vec<SocketAddr>,
     due: Instant,
 }
 
 /// The links of one process and what it waits for.
 #[derive(Debug, Default)]
-pub struct Broadcast {
+pub struct BroadcastTree {
     links: Vec<Link>,
     missing: FxHashMap<u64, Missing>,
-    announce_at: Option<Instant>,
+    ihave_at: Option<Instant>,
     graft_at: Option<Instant>,
 }
 
-impl Broadcast {
+impl BroadcastTree {
     /// A link is new; it starts as part of the tree.
-    pub fn link_up(&mut self, address: SocketAddr) {
-        self.link_down(address);
+    pub fn neighbor_up(&mut self, address: SocketAddr) {
+        self.neighbor_down(address);
         self.links.push(Link {
             address,
-            in_tree: true,
-            announcements: Vec::new(),
+            eager: true,
+            pending_ihaves: Vec::new(),
         });
     }
 
     /// A link is gone.
-    pub fn link_down(&mut self, address: SocketAddr) {
+    pub fn neighbor_down(&mut self, address: SocketAddr) {
         self.links.retain(|link| link.address != address);
     }
 
     /// How many links are part of the tree.
-    pub fn tree_links(&self) -> usize {
-        self.links.iter().filter(|link| link.in_tree).count()
+    pub fn eager_link_count(&self) -> usize {
+        self.links.iter().filter(|link| link.eager).count()
     }
 
     /// When announcements or grafts are due, if there are any.
     pub fn deadline(&self) -> Option<Instant> {
-        self.announce_at.into_iter().chain(self.graft_at).min()
+        self.ihave_at.into_iter().chain(self.graft_at).min()
     }
 
     /// Sends records down the tree and announces them on the other links, but not to where they came from.
-    pub fn spread(
+    pub fn broadcast(
         &mut self,
         now: Instant,
-        records: Vec<CarriedRecord>,
+        records: Vec<RecordFrame>,
         from: Option<SocketAddr>,
-        confirm: bool,
+        request_ack: bool,
         effects: &mut Effects,
     ) {
-        let stamps: Vec<_> = records
+        let versions: Vec<_> = records
             .iter()
-            .map(|record| Stamp {
+            .map(|record| RecordVersion {
                 id: record_id(&record.key),
                 version: record.version,
             })
@@ -139,123 +139,142 @@
         let tree = self
             .links
             .iter()
-            .filter(|link| link.in_tree && Some(link.address) != from);
+            .filter(|link| link.eager && Some(link.address) != from);
         let tree: Vec<_> = tree.map(|link| link.address).collect();
         for records in split(records) {
-            effects.send_all(&tree, &Message::Push(Push { records, confirm }));
+            effects.send_all(
+                &tree,
+                &Message::Gossip(Gossip {
+                    records,
+                    request_ack,
+                }),
+            );
         }
-        self.announce(now, &stamps, from, |link| !link.in_tree);
+        self.queue_ihave(now, &versions, from, |link| !link.eager);
     }
 
     /// Announces records that came by a repair on all other links.
-    pub fn announce_repaired(&mut self, now: Instant, stamps: &[Stamp], from: SocketAddr) {
-        self.announce(now, stamps, Some(from), |_| true);
+    pub fn announce_repaired(
+        &mut self,
+        now: Instant,
+        versions: &[RecordVersion],
+        from: SocketAddr,
+    ) {
+        self.queue_ihave(now, versions, Some(from), |_| true);
     }
 
-    fn announce(
+    fn queue_ihave(
         &mut self,
         now: Instant,
-        stamps: &[Stamp],
+        versions: &[RecordVersion],
         from: Option<SocketAddr>,
         wanted: impl Fn(&Link) -> bool,
     ) {
         for link in &mut self.links {
             if Some(link.address) != from && wanted(link) {
-                let room = MOST_ANNOUNCEMENTS - link.announcements.len().min(MOST_ANNOUNCEMENTS);
-                link.announcements.extend(stamps.iter().take(room));
-                if !link.announcements.is_empty() {
-                    self.announce_at.get_or_insert(now + ANNOUNCE_INTERVAL);
+                let has_capacity =
+                    MAX_QUEUED_IHAVES - link.pending_ihaves.len().min(MAX_QUEUED_IHAVES);
+                link.pending_ihaves
+                    .extend(versions.iter().take(has_capacity));
+                if !link.pending_ihaves.is_empty() {
+                    self.ihave_at.get_or_insert(now + IHAVE_INTERVAL);
                 }
             }
         }
     }
 
     /// Records have come down the tree.
-    pub fn on_push(
+    pub fn on_gossip(
         &mut self,
         now: Instant,
         from: SocketAddr,
-        push: Push,
+        push: Gossip,
         store: &mut RecordStore,
         effects: &mut Effects,
     ) {
-        let (mut fresh, mut stamps, mut known) = (Vec::new(), Vec::new(), 0);
+        let (mut fresh, mut versions, mut known) = (Vec::new(), Vec::new(), 0);
         for record in push.records {
             let id = record_id(&record.key);
-            match store.take(now, record) {
-                Some(Put::InForce(record)) => {
-                    effects.push(Effect::InForce(record));
-                    fresh.extend(store.carry(now, id));
+            match store.apply_remote(now, record) {
+                Some(ApplyOutcome::Applied(record)) => {
+                    effects.push(Effect::Applied(record));
+                    fresh.extend(store.frame(now, id));
                 }
-                Some(Put::Known) => known += 1,
-                Some(Put::Older) | None => (),
+                Some(ApplyOutcome::Duplicate) => known += 1,
+                Some(ApplyOutcome::Stale) | None => (),
             }
-            self.settle(id, store);
-            stamps.extend(store.version(id).map(|version| Stamp { id, version }));
+            self.on_delivered(id, store);
+            versions.extend(
+                store
+                    .version(id)
+                    .map(|version| RecordVersion { id, version }),
+            );
         }
-        if push.confirm && !stamps.is_empty() {
-            effects.send(from, &Message::Have(Have { stamps }));
+        if push.request_ack && !versions.is_empty() {
+            effects.send(from, &Message::Ack(Ack { versions }));
         }
         let link = self.links.iter_mut().find(|link| link.address == from);
         match link {
-            Some(link) if !fresh.is_empty() => link.in_tree = true,
+            Some(link) if !fresh.is_empty() => link.eager = true,
             Some(link) if known > 0 => {
-                link.in_tree = false;
+                link.eager = false;
                 effects.send(from, &Message::Prune);
             }
             _ => (),
         }
         if !fresh.is_empty() {
-            self.spread(now, fresh, Some(from), false, effects);
+            self.broadcast(now, fresh, Some(from), false, effects);
         }
     }
 
     /// A neighbour takes the link out of the tree.
     pub fn on_prune(&mut self, from: SocketAddr) {
         if let Some(link) = self.links.iter_mut().find(|link| link.address == from) {
-            link.in_tree = false;
+            link.eager = false;
         }
     }
 
     /// A neighbour has records that may not be known here yet.
-    pub fn on_announce(
+    pub fn on_ihave(
         &mut self,
         now: Instant,
         from: SocketAddr,
-        announce: Announce,
+        queue_ihave: IHave,
         store: &RecordStore,
     ) {
-        for stamp in announce.stamps.into_iter().take(MOST_ANNOUNCEMENTS) {
+        for record_version in queue_ihave.versions.into_iter().take(MAX_QUEUED_IHAVES) {
             if store
-                .version(stamp.id)
-                .is_some_and(|version| version >= stamp.version)
+                .version(record_version.id)
+                .is_some_and(|version| version >= record_version.version)
             {
                 continue;
             }
-            let due = now + GRAFT_DELAY;
-            let full = self.missing.len() >= MOST_MISSING;
-            match self.missing.get_mut(&stamp.id) {
-                Some(missing) if stamp.version > missing.version => {
+            let due = now + GRAFT_TIMEOUT;
+            let full = self.missing.len() >= MAX_MISSING;
+            match self.missing.get_mut(&record_version.id) {
+                Some(missing) if record_version.version > missing.version => {
                     *missing = Missing {
-                        version: stamp.version,
-                        sources: vec![from],
+                        version: record_version.version,
+                        announcers: vec![from],
                         due,
                     };
                 }
-                Some(missing) if stamp.version < missing.version => continue,
+                Some(missing) if record_version.version < missing.version => continue,
                 Some(missing) => {
-                    if missing.sources.len() < MOST_SOURCES && !missing.sources.contains(&from) {
-                        missing.sources.push(from);
+                    if missing.announcers.len() < MAX_ANNOUNCERS
+                        && !missing.announcers.contains(&from)
+                    {
+                        missing.announcers.push(from);
                     }
                 }
                 None if full => continue,
                 None => {
                     let missing = Missing {
-                        version: stamp.version,
-                        sources: vec![from],
+                        version: record_version.version,
+                        announcers: vec![from],
                         due,
                     };
-                    self.missing.insert(stamp.id, missing);
+                    self.missing.insert(record_version.id, missing);
                 }
             }
             self.graft_at = Some(self.graft_at.map_or(due, |at| at.min(due)));
@@ -272,14 +291,14 @@
         effects: &mut Effects,
     ) {
         if let Some(link) = self.links.iter_mut().find(|link| link.address == from) {
-            link.in_tree = true;
+            link.eager = true;
         }
-        let wanted = graft.ids.into_iter().take(MOST_ANNOUNCEMENTS);
+        let wanted = graft.ids.into_iter().take(MAX_QUEUED_IHAVES);
         let mut bytes = 0;
         let records = wanted
-            .filter_map(|id| store.carry(now, id))
+            .filter_map(|id| store.frame(now, id))
             .take_while(|record| {
-                let fits = bytes == 0 || bytes + record.size() <= MESSAGE_BYTES;
+                let fits = bytes == 0 || bytes + record.size() <= MAX_MESSAGE_BYTES;
                 bytes += record.size();
                 fits
             });
@@ -287,16 +306,16 @@
         if !records.is_empty() {
             effects.send(
                 from,
-                &Message::Push(Push {
+                &Message::Gossip(Gossip {
                     records,
-                    confirm: false,
+                    request_ack: false,
                 }),
             );
         }
     }
 
     /// A record has come, by whatever way.
-    pub fn settle(&mut self, id: u64, store: &RecordStore) {
+    pub fn on_delivered(&mut self, id: u64, store: &RecordStore) {
         if self
             .missing
             .get(&id)
@@ -308,12 +327,12 @@
 
     /// Sends what is due.
     pub fn tick(&mut self, now: Instant, effects: &mut Effects) {
-        if self.announce_at.is_some_and(|at| now >= at) {
-            self.announce_at = None;
+        if self.ihave_at.is_some_and(|at| now >= at) {
+            self.ihave_at = None;
             for link in &mut self.links {
-                if !link.announcements.is_empty() {
-                    let stamps = std::mem::take(&mut link.announcements);
-                    effects.send(link.address, &Message::Announce(Announce { stamps }));
+                if !link.pending_ihaves.is_empty() {
+                    let versions = std::mem::take(&mut link.pending_ihaves);
+                    effects.send(link.address, &Message::IHave(IHave { versions }));
                 }
             }
         }
@@ -330,13 +349,13 @@
                 return true;
             }
             missing
-                .sources
+                .announcers
                 .retain(|source| links.iter().any(|link| link.address == *source));
-            if missing.sources.is_empty() {
+            if missing.announcers.is_empty() {
                 return false;
             }
-            let source = missing.sources.remove(0);
-            missing.due = now + GRAFT_RETRY;
+            let source = missing.announcers.remove(0);
+            missing.due = now + GRAFT_RETRY_TIMEOUT;
             match wanted.iter_mut().find(|(address, _)| *address == source) {
                 Some((_, ids)) => ids.push(id),
                 None => wanted.push((source, vec![id])),
@@ -346,7 +365,7 @@
         self.graft_at = self.missing.values().map(|missing| missing.due).min();
         for (source, ids) in wanted {
             if let Some(link) = self.links.iter_mut().find(|link| link.address == source) {
-                link.in_tree = true;
+                link.eager = true;
             }
             effects.send(source, &Message::Graft(Graft { ids }));
         }
@@ -354,13 +373,13 @@
 }
 
 /// Splits records into messages of bounded size.
-fn split(records: Vec<CarriedRecord>) -> Vec<Vec<CarriedRecord>> {
-    let mut messages: Vec<Vec<CarriedRecord>> = Vec::new();
+fn split(records: Vec<RecordFrame>) -> Vec<Vec<RecordFrame>> {
+    let mut messages: Vec<Vec<RecordFrame>> = Vec::new();
     let mut bytes = 0;
     for record in records {
         bytes += record.size();
         match messages.last_mut() {
-            Some(last) if bytes <= MESSAGE_BYTES => last.push(record),
+            Some(last) if bytes <= MAX_MESSAGE_BYTES => last.push(record),
             _ => {
                 bytes = record.size();
                 messages.push(vec![record]);
--- a/crates/mintlb-gossip/src/codec.rs
+++ b/crates/mintlb-gossip/src/codec.rs
@@ -5,7 +5,7 @@
 use mintlb_common::record::Record;
 
 /// The longest key of a record, in bytes.
-pub const MOST_KEY_BYTES: usize = 256;
+pub const MAX_KEY_BYTES: usize = 256;
 
 /// An IPv4 address and port as one number.
 pub mod address {
@@ -59,7 +59,7 @@
 
 /// A record on its way from one process to another.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
-pub struct CarriedRecord {
+pub struct RecordFrame {
     /// The record's key.
     #[n(0)]
     pub key: String,
@@ -78,11 +78,11 @@
     pub body: Bytes,
 }
 
-impl CarriedRecord {
+impl RecordFrame {
     /// The record as its receiver keeps it; none if it breaks the bounds or its lifetime is over.
     pub fn into_record(self) -> Option<Record> {
         let over = self.ttl_s > 0 && self.remaining_ms == 0;
-        if over || self.key.len() > MOST_KEY_BYTES {
+        if over || self.key.len() > MAX_KEY_BYTES {
             return None;
         }
         Some(Record {
@@ -101,7 +101,7 @@
 
 /// Which version of which record a process has, without the body.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
-pub struct Stamp {
+pub struct RecordVersion {
     /// [`record_id`] of the key.
     #[n(0)]
     pub id: u64,
@@ -114,13 +114,13 @@
 pub fn record_id(key: &str) -> u64 {
     const FNV_OFFSET: u64 = 0xcbf2_9ce4_8422_2325;
     const FNV_PRIME: u64 = 0x0100_0000_01b3;
-    scramble(key.bytes().fold(FNV_OFFSET, |hash, byte| {
+    mix64(key.bytes().fold(FNV_OFFSET, |hash, byte| {
         (hash ^ u64::from(byte)).wrapping_mul(FNV_PRIME)
     }))
 }
 
 /// Spreads every bit of a number over all of its bits (the last step of splitmix64).
-pub fn scramble(number: u64) -> u64 {
+pub fn mix64(number: u64) -> u64 {
     let mut mixed = number.wrapping_add(0x9e37_79b9_7f4a_7c15);
     mixed = (mixed ^ (mixed >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     mixed = (mixed ^ (mixed >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
--- a/crates/mintlb-gossip/src/driver.rs
+++ b/crates/mintlb-gossip/src/driver.rs
@@ -1,4 +1,4 @@
-//! [`Overlay`]: a [`Node`] over the tier's transport, with publications that wait and listeners.
+//! [`GossipService`]: a [`Node`] over the tier's transport, with publications that wait and listeners.
 
 use crate::codec::record_id;
 use crate::effects::Effect;
@@ -18,7 +18,7 @@
 use tokio::time::{Instant, sleep_until, timeout};
 
 /// What an overlay starts from.
-pub struct OverlayConfig {
+pub struct GossipConfig {
     /// Carries the messages; the overlay serves its channel.
     pub transport: Arc<Transport>,
     /// Internal addresses of some controllers, the way in.
@@ -34,7 +34,7 @@
 struct Waiter {
     id: u64,
     version: u64,
-    confirmed: oneshot::Sender<()>,
+    acknowledged: oneshot::Sender<()>,
 }
 
 /// Records that the listeners have yet to be told of, each of them in order.
@@ -52,22 +52,22 @@
 }
 
 /// The overlay of one process.
-pub struct Overlay {
+pub struct GossipService {
     transport: Arc<Transport>,
     state: Mutex<State>,
     deliveries: Mutex<Deliveries>,
     joined: watch::Sender<bool>,
-    sooner: Notify,
+    rescheduled: Notify,
 }
 
-impl Overlay {
+impl GossipService {
     /// Joins the overlay; its task runs on the current runtime from now on.
-    pub fn start(config: OverlayConfig) -> Arc<Overlay> {
+    pub fn start(config: GossipConfig) -> Arc<GossipService> {
         let now = Instant::now();
         let seed =
             record_id(&config.member.address.to_string()) ^ config.member.incarnation.number();
         let node = Node::new(now, config.member, &config.seeds, seed);
-        let overlay = Arc::new(Overlay {
+        let gossip = Arc::new(GossipService {
             transport: config.transport.clone(),
             state: Mutex::new(State {
                 node,
@@ -76,35 +76,35 @@
             }),
             deliveries: Mutex::default(),
             joined: watch::Sender::new(false),
-            sooner: Notify::new(),
+            rescheduled: Notify::new(),
         });
         config
             .transport
-            .register_service(Channel::Gossip, overlay.clone());
-        tokio::spawn(overlay.clone().run());
-        overlay
+            .register_service(Channel::Gossip, gossip.clone());
+        tokio::spawn(gossip.clone().run());
+        gossip
     }
 
     /// Publishes a record. True once one neighbour has confirmed that it has this version or a newer one, false if none
     /// has within `wait`; the record is in force here and on its way all the same. A version that is not higher than
     /// the known one changes nothing; it is confirmed like any other.
     pub async fn publish(&self, record: Record, wait: Duration) -> bool {
-        let (confirmed, confirmation) = oneshot::channel();
+        let (acknowledged, confirmation) = oneshot::channel();
         let (id, version) = (record_id(&record.key), record.version);
         self.state.lock().waiters.push(Waiter {
             id,
             version,
-            confirmed,
+            acknowledged,
         });
         self.handle(Input::Publish {
             record,
-            confirm_until: Some(Instant::now() + wait),
+            ack_deadline: Some(Instant::now() + wait),
         });
         let outcome = timeout(wait, confirmation).await;
         self.state
             .lock()
             .waiters
-            .retain(|waiter| !waiter.confirmed.is_closed());
+            .retain(|waiter| !waiter.acknowledged.is_closed());
         matches!(outcome, Ok(Ok(())))
     }
 
@@ -112,7 +112,7 @@
     pub fn publish_now(&self, record: Record) {
         self.handle(Input::Publish {
             record,
-            confirm_until: None,
+            ack_deadline: None,
         });
     }
 
@@ -135,7 +135,7 @@
             let known = state
                 .node
                 .table()
-                .shared()
+                .iter_shared()
                 .map(|record| (listener.clone(), record.clone()));
             deliveries.queue.extend(known);
             deliveries.listeners.push(listener);
@@ -145,12 +145,12 @@
 
     /// The neighbours and the other processes that were heard of recently.
     pub fn members(&self) -> Vec<Member> {
-        self.state.lock().node.views().members(Instant::now())
+        self.state.lock().node.membership().members(Instant::now())
     }
 
     /// How many neighbours there are.
-    pub fn neighbours(&self) -> usize {
-        self.state.lock().node.views().neighbours().count()
+    pub fn neighbors(&self) -> usize {
+        self.state.lock().node.membership().neighbors().count()
     }
 
     /// True once the table has been compared with at least one neighbour's and what was lacking has come. It stays
@@ -159,8 +159,8 @@
         self.joined.subscribe()
     }
 
-    /// Waits until [`Overlay::joined`] is true.
-    pub async fn settled(&self) {
+    /// Waits until [`GossipService::joined`] is true.
+    pub async fn wait_until_joined(&self) {
         self.joined
             .subscribe()
             .wait_for(|&joined| joined)
@@ -177,7 +177,7 @@
             };
             tokio::select! {
                 () = sleep_until(wake_at) => self.handle(Input::Tick),
-                () = self.sooner.notified() => (),
+                () = self.rescheduled.notified() => (),
             }
         }
     }
@@ -190,15 +190,15 @@
             for effect in effects {
                 match effect {
                     Effect::Send { to, body } => sends.push((to, body)),
-                    Effect::Unreadable(from) => {
+                    Effect::Malformed(from) => {
                         self.transport.record_rejection(Rejection::Malformed, from)
                     }
-                    Effect::InForce(record) => self.deliveries.lock().add(record),
-                    Effect::Confirmed { id, version } => state.confirm(id, version),
+                    Effect::Applied(record) => self.deliveries.lock().add(record),
+                    Effect::Acknowledged { id, version } => state.acknowledge(id, version),
                 }
             }
             if state.node.deadline() < state.wake_at {
-                self.sooner.notify_one();
+                self.rescheduled.notify_one();
             }
             if state.node.joined() && !*self.joined.borrow() {
                 self.joined.send_replace(true);
@@ -239,11 +239,11 @@
 }
 
 impl State {
-    fn confirm(&mut self, id: u64, version: u64) {
+    fn acknowledge(&mut self, id: u64, version: u64) {
         let waiters = std::mem::take(&mut self.waiters);
         for waiter in waiters {
             if waiter.id == id && waiter.version <= version {
-                waiter.confirmed.send(()).ok();
+                waiter.acknowledged.send(()).ok();
             } else {
                 self.waiters.push(waiter);
             }
@@ -251,7 +251,7 @@
     }
 }
 
-impl Service for Overlay {
+impl Service for GossipService {
     fn on_notification(&self, from: SocketAddr, body: Bytes) {
         self.handle(Input::Received { from, body });
     }
--- a/crates/mintlb-gossip/src/effects.rs
+++ b/crates/mintlb-gossip/src/effects.rs
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 
 /// The longest message, apart from one that holds a single larger record.
-pub const MESSAGE_BYTES: usize = 256 << 10;
+pub const MAX_MESSAGE_BYTES: usize = 256 << 10;
 
 /// One thing to do.
 #[derive(Clone, Debug)]
@@ -20,11 +20,11 @@
         body: Bytes,
     },
     /// A message from this process could not be read.
-    Unreadable(SocketAddr),
+    Malformed(SocketAddr),
     /// Tell the listeners that this record is newly in force here.
-    InForce(Arc<Record>),
+    Applied(Arc<Record>),
     /// A neighbour has said that it has this version, or a newer one.
-    Confirmed {
+    Acknowledged {
         /// [`crate::codec::record_id`] of the record's key.
         id: u64,
         /// The version that the neighbour has.
--- a/crates/mintlb-gossip/src/lib.rs
+++ b/crates/mintlb-gossip/src/lib.rs
@@ -4,24 +4,24 @@
 //! of. A new record goes at once down the links of a broadcast tree and is announced on the other links; neighbours
 //! compare digests of their tables and fetch what they lack.
 //!
-//! - [`views`]: who is whose neighbour.
+//! - [`membership`]: who is whose neighbour.
 //! - [`broadcast`]: the tree, announcements, grafts.
 //! - [`table`]: the replicated table of records.
-//! - [`digest`]: comparison and repair between two neighbours.
+//! - [`anti_entropy`]: comparison and repair between two neighbours.
 //! - [`node`]: the four joined into one state machine, without I/O.
-//! - [`driver`]: [`Overlay`], that state machine over the tier's transport.
+//! - [`driver`]: [`GossipService`], that state machine over the tier's transport.
 
+pub mod anti_entropy;
 pub mod broadcast;
 pub mod codec;
-pub mod digest;
 pub mod driver;
 pub mod effects;
+pub mod membership;
 pub mod message;
 pub mod node;
 pub mod random;
 pub mod table;
-pub mod views;
 
-pub use driver::{Overlay, OverlayConfig};
+pub use driver::{GossipConfig, GossipService};
 pub use message::{Member, Role};
 pub use table::Table;
--- a/crates/mintlb-gossip/src/message.rs
+++ b/crates/mintlb-gossip/src/message.rs
@@ -1,8 +1,8 @@
 //! The messages between two processes' overlays. Each is declared beside its handler.
 
-use crate::broadcast::{Announce, Graft, Have, Offer, Push};
-use crate::digest::{Fetch, Listing, Ping, Records};
-use crate::views::{NeighbourReply, NeighbourRequest, Probe, Shuffle};
+use crate::anti_entropy::{BucketVersions, Fetch, Heartbeat, Records};
+use crate::broadcast::{Ack, DirectPush, Gossip, Graft, IHave};
+use crate::membership::{NeighborReply, NeighborRequest, Probe, Shuffle};
 use bytes::Bytes;
 use minicbor::{Decode, Encode};
 use mintlb_common::incarnation::Incarnation;
@@ -49,13 +49,13 @@
 pub enum Message {
     /// Asks to become a neighbour.
     #[n(0)]
-    Neighbour(#[n(0)] NeighbourRequest),
+    Neighbor(#[n(0)] NeighborRequest),
     /// The sender has taken the receiver as a neighbour.
     #[n(1)]
-    Accepted(#[n(0)] NeighbourReply),
+    NeighborAccepted(#[n(0)] NeighborReply),
     /// The sender's active view is full.
     #[n(2)]
-    Refused(#[n(0)] NeighbourReply),
+    NeighborRejected(#[n(0)] NeighborReply),
     /// The receiver is no neighbour of the sender's.
     #[n(3)]
     Disconnect,
@@ -73,10 +73,10 @@
     ProbeReply(#[n(0)] Probe),
     /// A sign of life with a digest of the table.
     #[n(8)]
-    Ping(#[n(0)] Ping),
+    Heartbeat(#[n(0)] Heartbeat),
     /// What the sender has in some buckets.
     #[n(9)]
-    Listing(#[n(0)] Listing),
+    BucketVersions(#[n(0)] BucketVersions),
     /// Asks for records.
     #[n(10)]
     Fetch(#[n(0)] Fetch),
@@ -85,10 +85,10 @@
     Records(#[n(0)] Records),
     /// New records down the tree.
     #[n(12)]
-    Push(#[n(0)] Push),
+    Gossip(#[n(0)] Gossip),
     /// What the sender has newly got.
     #[n(13)]
-    Announce(#[n(0)] Announce),
+    IHave(#[n(0)] IHave),
     /// Makes the link part of the tree and asks for records.
     #[n(14)]
     Graft(#[n(0)] Graft),
@@ -97,10 +97,10 @@
     Prune,
     /// A record whose receipt is to be confirmed.
     #[n(16)]
-    Offer(#[n(0)] Offer),
+    DirectPush(#[n(0)] DirectPush),
     /// Confirms that the sender has records.
     #[n(17)]
-    Have(#[n(0)] Have),
+    Ack(#[n(0)] Ack),
 }
 
 impl Message {
--- a/crates/mintlb-gossip/src/node.rs
+++ b/crates/mintlb-gossip/src/node.rs
@@ -1,13 +1,13 @@
 //! One process of the overlay as a state machine: an input and the clock go in, effects come out.
 
-use crate::broadcast::{Broadcast, Have, Offer};
-use crate::codec::{Stamp, record_id};
-use crate::digest::{Digests, PING_INTERVAL};
+use crate::anti_entropy::{AntiEntropy, HEARTBEAT_INTERVAL};
+use crate::broadcast::{Ack, BroadcastTree, DirectPush};
+use crate::codec::{RecordVersion, record_id};
 use crate::effects::{Effect, Effects};
+use crate::membership::{Membership, MembershipChange};
 use crate::message::{Member, Message};
 use crate::random::Random;
-use crate::table::{Put, RecordStore, Table};
-use crate::views::{LinkChange, Views};
+use crate::table::{ApplyOutcome, RecordStore, Table};
 use bytes::Bytes;
 use mintlb_common::incarnation::Incarnation;
 use mintlb_common::record::Record;
@@ -20,9 +20,9 @@
 pub const TICK_INTERVAL: Duration = Duration::from_millis(250);
 
 /// How many publications wait for a confirmation at most.
-const MOST_AWAITED: usize = 1024;
+const MAX_PENDING_ACKS: usize = 1024;
 /// To how many neighbours an unconfirmed publication is offered again.
-const OFFERED_TO: usize = 2;
+const ACK_FANOUT: usize = 2;
 
 /// What comes to a node.
 #[derive(Clone, Debug)]
@@ -48,45 +48,45 @@
         /// The record.
         record: Record,
         /// Until when a neighbour's confirmation is asked for, if at all.
-        confirm_until: Option<Instant>,
+        ack_deadline: Option<Instant>,
     },
     /// The time given by [`Node::deadline`] has come.
     Tick,
 }
 
 #[derive(Debug)]
-struct Awaited {
-    stamp: Stamp,
+struct PendingAck {
+    record_version: RecordVersion,
     until: Instant,
 }
 
 /// One process of the overlay.
 #[derive(Debug)]
 pub struct Node {
-    views: Views,
-    broadcast: Broadcast,
-    digests: Digests,
+    membership: Membership,
+    broadcast: BroadcastTree,
+    anti_entropy: AntiEntropy,
     store: RecordStore,
-    awaited: Vec<Awaited>,
+    pending_acks: Vec<PendingAck>,
     random: Random,
     tick_at: Instant,
-    ping_at: Instant,
+    heartbeat_at: Instant,
 }
 
 impl Node {
     /// A node that knows nobody but the seeds. Its random choices follow from the seed number.
     pub fn new(now: Instant, member: Member, seeds: &[SocketAddr], seed: u64) -> Node {
         let mut random = Random::new(seed);
-        let views = Views::new(now, member, seeds, Random::new(random.next_number()));
+        let membership = Membership::new(now, member, seeds, Random::new(random.next_number()));
         Node {
-            views,
-            broadcast: Broadcast::default(),
-            digests: Digests::default(),
+            membership,
+            broadcast: BroadcastTree::default(),
+            anti_entropy: AntiEntropy::default(),
             store: RecordStore::default(),
-            awaited: Vec::new(),
+            pending_acks: Vec::new(),
             random,
             tick_at: now,
-            ping_at: now,
+            heartbeat_at: now,
         }
     }
 
@@ -96,18 +96,18 @@
     }
 
     /// The views.
-    pub fn views(&self) -> &Views {
-        &self.views
+    pub fn membership(&self) -> &Membership {
+        &self.membership
     }
 
     /// The links of the broadcast tree.
-    pub fn broadcast(&self) -> &Broadcast {
+    pub fn broadcast(&self) -> &BroadcastTree {
         &self.broadcast
     }
 
     /// Whether the node has compared its table with a neighbour's once and has got what it lacked.
     pub fn joined(&self) -> bool {
-        self.digests.joined()
+        self.anti_entropy.joined()
     }
 
     /// When the node wants its next tick.
@@ -124,77 +124,95 @@
         match input {
             Input::Received { from, body } => match Message::from_bytes(&body) {
                 Some(message) => {
-                    self.views.heard_from(now, from);
+                    self.membership.on_received_from(now, from);
                     self.receive(now, from, message, &mut effects);
                 }
-                None => effects.push(Effect::Unreadable(from)),
+                None => effects.push(Effect::Malformed(from)),
             },
-            Input::Unreachable(peer) => self.views.on_unreachable(now, peer, &mut effects),
+            Input::Unreachable(peer) => self.membership.on_unreachable(now, peer, &mut effects),
             Input::Restarted { peer, incarnation } => {
-                self.views
+                self.membership
                     .on_restarted(now, peer, incarnation, &mut effects);
             }
             Input::Publish {
                 record,
-                confirm_until,
+                ack_deadline,
             } => {
-                self.publish(now, record, confirm_until, &mut effects);
+                self.publish(now, record, ack_deadline, &mut effects);
             }
             Input::Tick => self.tick(now, &mut effects),
         }
-        self.follow_links(&mut effects);
+        self.apply_membership_changes(&mut effects);
         effects.into_list()
     }
 
     fn receive(&mut self, now: Instant, from: SocketAddr, message: Message, effects: &mut Effects) {
         let hash = || self.store.table().hash();
         match message {
-            Message::Neighbour(request) => self.views.on_request(now, from, request, effects),
-            Message::Accepted(reply) => self.views.on_accepted(now, from, reply, effects),
-            Message::Refused(reply) => self.views.on_refused(now, from, reply, effects),
-            Message::Disconnect => self.views.on_disconnect(now, from, effects),
-            Message::Shuffle(shuffle) => self.views.on_shuffle(now, from, shuffle, true, effects),
-            Message::ShuffleReply(shuffle) => {
-                self.views.on_shuffle(now, from, shuffle, false, effects)
+            Message::Neighbor(request) => self
+                .membership
+                .on_neighbor_request(now, from, request, effects),
+            Message::NeighborAccepted(reply) => self
+                .membership
+                .on_neighbor_accepted(now, from, reply, effects),
+            Message::NeighborRejected(reply) => self
+                .membership
+                .on_neighbor_rejected(now, from, reply, effects),
+            Message::Disconnect => self.membership.on_disconnect(now, from, effects),
+            Message::Shuffle(shuffle) => self
+                .membership
+                .on_shuffle(now, from, shuffle, true, effects),
+            Message::ShuffleReply(shuffle) => self
+                .membership
+                .on_shuffle(now, from, shuffle, false, effects),
+            Message::Probe(send_probes) => {
+                self.membership
+                    .on_probe(now, from, send_probes, hash(), effects)
             }
-            Message::Probe(probe) => self.views.on_probe(now, from, probe, hash(), effects),
-            Message::ProbeReply(probe) => {
-                self.views.on_probe_reply(now, from, probe, hash(), effects)
+            Message::ProbeReply(send_probes) => {
+                self.membership
+                    .on_probe_reply(now, from, send_probes, hash(), effects)
             }
-            Message::Ping(ping) => {
-                if self.views.check_neighbour(from, effects) {
-                    let own = self.views.own().address;
-                    self.digests
-                        .on_ping(now, from, own, ping, &self.store, effects);
+            Message::Heartbeat(heartbeat) => {
+                if self.membership.require_neighbor(from, effects) {
+                    let own = self.membership.own().address;
+                    self.anti_entropy
+                        .on_heartbeat(now, from, own, heartbeat, &self.store, effects);
                 }
             }
-            Message::Listing(listing) => {
-                self.digests
-                    .on_listing(now, from, listing, &self.store, effects)
+            Message::BucketVersions(bucket_versions) => self.anti_entropy.on_bucket_versions(
+                now,
+                from,
+                bucket_versions,
+                &self.store,
+                effects,
+            ),
+            Message::Fetch(fetch) => {
+                self.anti_entropy
+                    .on_fetch(now, from, fetch, &self.store, effects)
             }
-            Message::Fetch(fetch) => self
-                .digests
-                .on_fetch(now, from, fetch, &self.store, effects),
             Message::Records(records) => {
                 let (store, broadcast) = (&mut self.store, &mut self.broadcast);
-                self.digests
+                self.anti_entropy
                     .on_records(now, from, records, store, broadcast, effects);
             }
-            Message::Push(push) => {
+            Message::Gossip(push) => {
                 self.broadcast
-                    .on_push(now, from, push, &mut self.store, effects)
+                    .on_gossip(now, from, push, &mut self.store, effects)
             }
-            Message::Announce(announce) => {
-                self.confirmed(&announce.stamps, effects);
-                self.broadcast.on_announce(now, from, announce, &self.store);
+            Message::IHave(queue_ihave) => {
+                self.acknowledged(&queue_ihave.versions, effects);
+                self.broadcast.on_ihave(now, from, queue_ihave, &self.store);
             }
             Message::Graft(graft) => {
                 self.broadcast
                     .on_graft(now, from, graft, &self.store, effects)
             }
             Message::Prune => self.broadcast.on_prune(from),
-            Message::Offer(offer) => self.on_offer(now, from, offer, effects),
-            Message::Have(have) => self.confirmed(&have.stamps, effects),
+            Message::DirectPush(direct_push) => {
+                self.on_direct_push(now, from, direct_push, effects)
+            }
+            Message::Ack(acknowledged) => self.acknowledged(&acknowledged.versions, effects),
         }
     }
 
@@ -202,72 +220,90 @@
         &mut self,
         now: Instant,
         record: Record,
-        confirm_until: Option<Instant>,
+        ack_deadline: Option<Instant>,
         effects: &mut Effects,
     ) {
-        let stamp = Stamp {
+        let record_version = RecordVersion {
             id: record_id(&record.key),
             version: record.version,
         };
-        let confirm = confirm_until.is_some();
-        if let Some(until) = confirm_until.filter(|_| self.awaited.len() < MOST_AWAITED) {
-            self.awaited.push(Awaited { stamp, until });
+        let request_ack = ack_deadline.is_some();
+        if let Some(until) = ack_deadline.filter(|_| self.pending_acks.len() < MAX_PENDING_ACKS) {
+            self.pending_acks.push(PendingAck {
+                record_version,
+                until,
+            });
         }
-        if let Put::InForce(record) = self.store.publish(now, record) {
-            effects.push(Effect::InForce(record));
-            let records: Vec<_> = self.store.carry(now, stamp.id).into_iter().collect();
-            self.broadcast.spread(now, records, None, confirm, effects);
-            if self.broadcast.tree_links() > 0 {
+        if let ApplyOutcome::Applied(record) = self.store.apply_local(now, record) {
+            effects.push(Effect::Applied(record));
+            let records: Vec<_> = self
+                .store
+                .frame(now, record_version.id)
+                .into_iter()
+                .collect();
+            self.broadcast
+                .broadcast(now, records, None, request_ack, effects);
+            if self.broadcast.eager_link_count() > 0 {
                 return;
             }
         }
-        if confirm {
-            self.offer(now, stamp.id, effects);
+        if request_ack {
+            self.direct_push(now, record_version.id, effects);
         }
     }
 
     /// Hands a record to some neighbours and asks them to confirm it.
-    fn offer(&mut self, now: Instant, id: u64, effects: &mut Effects) {
-        let mut neighbours: Vec<_> = self.views.neighbours().collect();
-        self.random.shuffle(&mut neighbours);
-        neighbours.truncate(OFFERED_TO);
-        if let Some(record) = self.store.carry_to_older(now, id) {
-            effects.send_all(&neighbours, &Message::Offer(Offer { record }));
+    fn direct_push(&mut self, now: Instant, id: u64, effects: &mut Effects) {
+        let mut neighbors: Vec<_> = self.membership.neighbors().collect();
+        self.random.shuffle(&mut neighbors);
+        neighbors.truncate(ACK_FANOUT);
+        if let Some(record) = self.store.frame_for_stale_peer(now, id) {
+            effects.send_all(&neighbors, &Message::DirectPush(DirectPush { record }));
         }
     }
 
-    fn on_offer(&mut self, now: Instant, from: SocketAddr, offer: Offer, effects: &mut Effects) {
-        let id = record_id(&offer.record.key);
-        if let Some(Put::InForce(record)) = self.store.take(now, offer.record) {
-            effects.push(Effect::InForce(record));
-            let records: Vec<_> = self.store.carry(now, id).into_iter().collect();
+    fn on_direct_push(
+        &mut self,
+        now: Instant,
+        from: SocketAddr,
+        direct_push: DirectPush,
+        effects: &mut Effects,
+    ) {
+        let id = record_id(&direct_push.record.key);
+        if let Some(ApplyOutcome::Applied(record)) =
+            self.store.apply_remote(now, direct_push.record)
+        {
+            effects.push(Effect::Applied(record));
+            let records: Vec<_> = self.store.frame(now, id).into_iter().collect();
             self.broadcast
-                .spread(now, records, Some(from), false, effects);
+                .broadcast(now, records, Some(from), false, effects);
         }
-        self.broadcast.settle(id, &self.store);
+        self.broadcast.on_delivered(id, &self.store);
         if let Some(version) = self.store.version(id) {
             effects.send(
                 from,
-                &Message::Have(Have {
-                    stamps: vec![Stamp { id, version }],
+                &Message::Ack(Ack {
+                    versions: vec![RecordVersion { id, version }],
                 }),
             );
         }
     }
 
     /// Another process has these versions.
-    fn confirmed(&mut self, stamps: &[Stamp], effects: &mut Effects) {
-        if self.awaited.is_empty() {
+    fn acknowledged(&mut self, versions: &[RecordVersion], effects: &mut Effects) {
+        if self.pending_acks.is_empty() {
             return;
         }
-        for have in stamps {
-            let before = self.awaited.len();
-            self.awaited
-                .retain(|a| a.stamp.id != have.id || a.stamp.version > have.version);
-            if self.awaited.len() < before {
-                effects.push(Effect::Confirmed {
-                    id: have.id,
-                    version: have.version,
+        for acknowledged in versions {
+            let before = self.pending_acks.len();
+            self.pending_acks.retain(|a| {
+                a.record_version.id != acknowledged.id
+                    || a.record_version.version > acknowledged.version
+            });
+            if self.pending_acks.len() < before {
+                effects.push(Effect::Acknowledged {
+                    id: acknowledged.id,
+                    version: acknowledged.version,
                 });
             }
         }
@@ -278,37 +314,40 @@
         if now < self.tick_at {
             return;
         }
-        self.views
+        self.membership
             .tick(now, TICK_INTERVAL, self.store.table().hash(), effects);
-        self.awaited.retain(|awaited| now < awaited.until);
-        let mut unconfirmed: Vec<_> = self
-            .awaited
+        self.pending_acks
+            .retain(|pending_acks| now < pending_acks.until);
+        let mut unacknowledged: Vec<_> = self
+            .pending_acks
             .iter()
-            .map(|awaited| awaited.stamp.id)
+            .map(|pending_acks| pending_acks.record_version.id)
             .collect();
-        unconfirmed.dedup();
-        unconfirmed
+        unacknowledged.dedup();
+        unacknowledged
             .into_iter()
-            .for_each(|id| self.offer(now, id, effects));
-        if now >= self.ping_at {
-            self.ping_at = now + PING_INTERVAL;
-            self.digests.ping_all(&self.store, effects);
+            .for_each(|id| self.direct_push(now, id, effects));
+        if now >= self.heartbeat_at {
+            self.heartbeat_at = now + HEARTBEAT_INTERVAL;
+            self.anti_entropy.send_heartbeats(&self.store, effects);
         }
         self.tick_at = now + TICK_INTERVAL;
     }
 
     /// Lets the tree and the digests follow what changed with the links.
-    fn follow_links(&mut self, effects: &mut Effects) {
-        for change in self.views.take_changes() {
+    fn apply_membership_changes(&mut self, effects: &mut Effects) {
+        for change in self.membership.take_changes() {
             match change {
-                LinkChange::Up(address) => {
-                    self.broadcast.link_up(address);
-                    self.digests.link_up(address, &self.store, effects);
+                MembershipChange::Up(address) => {
+                    self.broadcast.neighbor_up(address);
+                    self.anti_entropy.neighbor_up(address, &self.store, effects);
+                }
+                MembershipChange::Broken(address) => {
+                    self.anti_entropy.neighbor_up(address, &self.store, effects)
                 }
-                LinkChange::Broken(address) => self.digests.link_up(address, &self.store, effects),
-                LinkChange::Down(address) => {
-                    self.broadcast.link_down(address);
-                    self.digests.link_down(address);
+                MembershipChange::Down(address) => {
+                    self.broadcast.neighbor_down(address);
+                    self.anti_entropy.neighbor_down(address);
                 }
             }
         }
--- a/crates/mintlb-gossip/src/random.rs
+++ b/crates/mintlb-gossip/src/random.rs
@@ -1,6 +1,6 @@
 //! A small random number generator, so that a node's choices follow from its seed alone.
 
-use crate::codec::scramble;
+use crate::codec::mix64;
 
 /// A splitmix64 generator.
 #[derive(Clone, Debug)]
@@ -15,7 +15,7 @@
     /// The next number.
     pub fn next_number(&mut self) -> u64 {
         self.0 = self.0.wrapping_add(0x9e37_79b9_7f4a_7c15);
-        scramble(self.0)
+        mix64(self.0)
     }
 
     /// A number below `bound`; 0 if the bound is 0.
--- a/crates/mintlb-gossip/src/table.rs
+++ b/crates/mintlb-gossip/src/table.rs
@@ -6,10 +6,10 @@
 //! Lifetimes: a record with a lifetime is handed on with what is left of it, so that all copies end at about the same
 //! time. In the last quarter of its lifetime a record counts in no digest and is handed to nobody; thus processes that
 //! drop it at slightly different times don't bring it back to each other. A dropped record is kept aside for
-//! [`RETIRED_FOR`], so that an older version of its key, from a process that was long out of touch, stays out and that
+//! [`EXPIRED_RETENTION`], so that an older version of its key, from a process that was long out of touch, stays out and that
 //! process is told of the newer one.
 
-use crate::codec::{CarriedRecord, Stamp, record_id, scramble};
+use crate::codec::{RecordFrame, RecordVersion, mix64, record_id};
 use mintlb_common::record::Record;
 use rustc_hash::FxHashMap;
 use std::cmp::Reverse;
@@ -22,18 +22,18 @@
 pub const BUCKETS: usize = 64;
 
 /// How long a record that was dropped at the end of its lifetime is kept aside.
-pub const RETIRED_FOR: Duration = Duration::from_secs(3600);
+pub const EXPIRED_RETENTION: Duration = Duration::from_secs(3600);
 
 /// How many dropped records are kept aside at most; the oldest go first.
-const MOST_RETIRED: usize = 4096;
+const MAX_EXPIRED: usize = 4096;
 
 #[derive(Clone, Debug)]
 struct Entry {
     record: Arc<Record>,
     /// When the record is dropped, if it has a lifetime.
-    ends: Option<Instant>,
+    expires_at: Option<Instant>,
     /// Whether it counts in digests and is handed on.
-    offered: bool,
+    advertised: bool,
 }
 
 #[derive(Clone, Debug, Default)]
@@ -97,11 +97,11 @@
     }
 
     /// What a bucket holds.
-    pub fn stamps(&self, bucket: usize) -> impl Iterator<Item = Stamp> + '_ {
+    pub fn versions(&self, bucket: usize) -> impl Iterator<Item = RecordVersion> + '_ {
         self.buckets[bucket]
             .entries
             .iter()
-            .map(|(&id, entry)| Stamp {
+            .map(|(&id, entry)| RecordVersion {
                 id,
                 version: entry.record.version,
             })
@@ -112,7 +112,7 @@
         self.buckets[bucket].entries.len()
     }
 
-    pub(crate) fn shared(&self) -> impl Iterator<Item = &Arc<Record>> {
+    pub(crate) fn iter_shared(&self) -> impl Iterator<Item = &Arc<Record>> {
         self.buckets
             .iter()
             .flat_map(|bucket| bucket.entries.values())
@@ -133,19 +133,19 @@
     (id >> (u64::BITS - BUCKETS.ilog2())) as usize
 }
 
-fn share_of_hash(id: u64, version: u64) -> u64 {
-    scramble(id ^ scramble(version))
+fn hash_contribution(id: u64, version: u64) -> u64 {
+    mix64(id ^ mix64(version))
 }
 
 /// What became of a record that was put.
 #[derive(Clone, Debug)]
-pub enum Put {
+pub enum ApplyOutcome {
     /// It is newly in force.
-    InForce(Arc<Record>),
+    Applied(Arc<Record>),
     /// This very version is known.
-    Known,
+    Duplicate,
     /// A newer version is known.
-    Older,
+    Stale,
 }
 
 /// The table of a process with the end of its records' lifetimes.
@@ -154,8 +154,8 @@
     table: Arc<Table>,
     /// When to look at a record again, as its last quarter begins or its lifetime ends.
     due: BinaryHeap<Reverse<(Instant, u64)>>,
-    retired: FxHashMap<u64, Arc<Record>>,
-    retired_at: VecDeque<(Instant, u64, u64)>,
+    expired: FxHashMap<u64, Arc<Record>>,
+    expiry_log: VecDeque<(Instant, u64, u64)>,
 }
 
 impl RecordStore {
@@ -167,89 +167,86 @@
     /// The newest version known of a record, also of one that was dropped.
     pub fn version(&self, id: u64) -> Option<u64> {
         let live = self.table.entry(id).map(|entry| entry.record.version);
-        live.max(self.retired.get(&id).map(|record| record.version))
+        live.max(self.expired.get(&id).map(|record| record.version))
     }
 
     /// Takes over a record of the process's own.
-    pub fn publish(&mut self, now: Instant, record: Record) -> Put {
+    pub fn apply_local(&mut self, now: Instant, record: Record) -> ApplyOutcome {
         let remaining = Duration::from_secs(record.ttl_s.into());
-        self.put(now, record, remaining)
+        self.apply(now, record, remaining)
     }
 
     /// Takes over a record from another process; none if it is out of bounds.
-    pub fn take(&mut self, now: Instant, carried: CarriedRecord) -> Option<Put> {
-        let lifetime = Duration::from_secs(carried.ttl_s.into());
-        let remaining = Duration::from_millis(carried.remaining_ms).min(lifetime);
-        carried
+    pub fn apply_remote(&mut self, now: Instant, frame: RecordFrame) -> Option<ApplyOutcome> {
+        let lifetime = Duration::from_secs(frame.ttl_s.into());
+        let remaining = Duration::from_millis(frame.remaining_ms).min(lifetime);
+        frame
             .into_record()
-            .map(|record| self.put(now, record, remaining))
+            .map(|record| self.apply(now, record, remaining))
     }
 
-    fn put(&mut self, now: Instant, record: Record, remaining: Duration) -> Put {
+    fn apply(&mut self, now: Instant, record: Record, remaining: Duration) -> ApplyOutcome {
         let id = record_id(&record.key);
         match self.version(id) {
-            Some(known) if known > record.version => return Put::Older,
-            Some(known) if known == record.version => return Put::Known,
+            Some(known) if known > record.version => return ApplyOutcome::Stale,
+            Some(known) if known == record.version => return ApplyOutcome::Duplicate,
             _ => (),
         }
-        self.retired.remove(&id);
-        let ends = (record.ttl_s > 0).then(|| now + remaining);
+        self.expired.remove(&id);
+        let expires_at = (record.ttl_s > 0).then(|| now + remaining);
         let quiet = Duration::from_secs(record.ttl_s.into()) / 4;
-        let offered = ends.is_none() || remaining > quiet;
-        if let Some(ends) = ends {
-            self.due.push(Reverse((ends, id)));
-            if offered {
-                self.due.push(Reverse((ends - quiet, id)));
+        let advertised = expires_at.is_none() || remaining > quiet;
+        if let Some(expires_at) = expires_at {
+            self.due.push(Reverse((expires_at, id)));
+            if advertised {
+                self.due.push(Reverse((expires_at - quiet, id)));
             }
         }
         let record = Arc::new(record);
         let table = Arc::make_mut(&mut self.table);
         let bucket = table.bucket_mut(id);
-        if offered {
-            bucket.hash ^= share_of_hash(id, record.version);
+        if advertised {
+            bucket.hash ^= hash_contribution(id, record.version);
         }
         let before = bucket.entries.insert(
             id,
             Entry {
                 record: record.clone(),
-                ends,
-                offered,
+                expires_at,
+                advertised,
             },
         );
         match before {
-            Some(before) if before.offered => {
-                bucket.hash ^= share_of_hash(id, before.record.version)
+            Some(before) if before.advertised => {
+                bucket.hash ^= hash_contribution(id, before.record.version)
             }
             Some(_) => (),
             None => table.length += 1,
         }
-        Put::InForce(record)
+        ApplyOutcome::Applied(record)
     }
 
     /// The record as it is handed on; none if it isn't known or is in the last quarter of its lifetime.
-    pub fn carry(&self, now: Instant, id: u64) -> Option<CarriedRecord> {
-        let entry = self.table.entry(id).filter(|entry| entry.offered)?;
-        let remaining = entry
-            .ends
-            .map_or(Duration::ZERO, |ends| ends.saturating_duration_since(now));
-        Some(carried(&entry.record, remaining))
+    pub fn frame(&self, now: Instant, id: u64) -> Option<RecordFrame> {
+        let entry = self.table.entry(id).filter(|entry| entry.advertised)?;
+        let remaining = entry.expires_at.map_or(Duration::ZERO, |expires_at| {
+            expires_at.saturating_duration_since(now)
+        });
+        Some(frame(&entry.record, remaining))
     }
 
     /// The record that a process with an older version has to be told: also one in the last quarter of its lifetime
     /// or dropped, with a quarter of its lifetime as what is left.
-    pub fn carry_to_older(&self, now: Instant, id: u64) -> Option<CarriedRecord> {
+    pub fn frame_for_stale_peer(&self, now: Instant, id: u64) -> Option<RecordFrame> {
         let known = || {
             self.table
                 .entry(id)
                 .map(|entry| &entry.record)
-                .or_else(|| self.retired.get(&id))
+                .or_else(|| self.expired.get(&id))
         };
-        self.carry(now, id).or_else(|| {
+        self.frame(now, id).or_else(|| {
             let record = known()?;
-            Some(carried(
-                record,
-                Duration::from_secs(record.ttl_s.into()) / 4,
-            ))
+            Some(frame(record, Duration::from_secs(record.ttl_s.into()) / 4))
         })
     }
 
@@ -260,53 +257,55 @@
                 break;
             }
             self.due.pop();
-            self.look_at(now, id);
+            self.update_lifetime(now, id);
         }
-        while let Some(&(at, id, version)) = self.retired_at.front() {
-            if now < at + RETIRED_FOR && self.retired_at.len() <= MOST_RETIRED {
+        while let Some(&(at, id, version)) = self.expiry_log.front() {
+            if now < at + EXPIRED_RETENTION && self.expiry_log.len() <= MAX_EXPIRED {
                 break;
             }
-            self.retired_at.pop_front();
+            self.expiry_log.pop_front();
             if self
-                .retired
+                .expired
                 .get(&id)
                 .is_some_and(|record| record.version == version)
             {
-                self.retired.remove(&id);
+                self.expired.remove(&id);
             }
         }
     }
 
-    fn look_at(&mut self, now: Instant, id: u64) {
+    fn update_lifetime(&mut self, now: Instant, id: u64) {
         let Some(entry) = self.table.entry(id) else {
             return;
         };
-        let Some(ends) = entry.ends else { return };
-        let (offered, record) = (entry.offered, entry.record.clone());
+        let Some(expires_at) = entry.expires_at else {
+            return;
+        };
+        let (advertised, record) = (entry.advertised, entry.record.clone());
         let quiet = Duration::from_secs(record.ttl_s.into()) / 4;
-        if now + quiet < ends {
+        if now + quiet < expires_at {
             return;
         }
         let table = Arc::make_mut(&mut self.table);
         let bucket = table.bucket_mut(id);
-        if offered {
-            bucket.hash ^= share_of_hash(id, record.version);
+        if advertised {
+            bucket.hash ^= hash_contribution(id, record.version);
         }
-        if now < ends {
+        if now < expires_at {
             if let Some(entry) = bucket.entries.get_mut(&id) {
-                entry.offered = false;
+                entry.advertised = false;
             }
             return;
         }
         bucket.entries.remove(&id);
         table.length -= 1;
-        self.retired_at.push_back((now, id, record.version));
-        self.retired.insert(id, record);
+        self.expiry_log.push_back((now, id, record.version));
+        self.expired.insert(id, record);
     }
 }
 
-fn carried(record: &Record, remaining: Duration) -> CarriedRecord {
-    CarriedRecord {
+fn frame(record: &Record, remaining: Duration) -> RecordFrame {
+    RecordFrame {
         key: record.key.clone(),
         version: record.version,
         ttl_s: record.ttl_s,
--- a/crates/mintlb-gossip/tests/broadcasting.rs
+++ b/crates/mintlb-gossip/tests/broadcasting.rs
@@ -103,7 +103,7 @@
     let links: usize = simulation
         .running()
         .iter()
-        .map(|&n| simulation.node(n).broadcast().tree_links())
+        .map(|&n| simulation.node(n).broadcast().eager_link_count())
         .sum();
     println!("60 processes: {links} ends of tree links, a tree has 118");
     assert!(links < 60 * 3, "{links} ends of tree links");
@@ -112,33 +112,33 @@
 #[test]
 fn a_publication_is_confirmed() {
     let mut simulation = grown(12, 5);
-    simulation.publish_confirmed(0, record("drain", 1), ms(1000));
+    simulation.publish_with_ack(0, record("drain", 1), ms(1000));
     simulation.run_for(ms(60));
-    assert_eq!(simulation.confirmed(0), 1);
+    assert_eq!(simulation.acknowledged(0), 1);
     // Again the same: nothing new, but confirmed.
-    simulation.publish_confirmed(0, record("drain", 1), ms(1000));
+    simulation.publish_with_ack(0, record("drain", 1), ms(1000));
     simulation.run_for(ms(60));
-    assert_eq!(simulation.confirmed(0), 2);
+    assert_eq!(simulation.acknowledged(0), 2);
 }
 
 #[test]
 fn a_publication_is_confirmed_although_the_neighbours_die() {
     let mut simulation = grown(13, 12);
-    let neighbours: Vec<_> = simulation.node(5).views().neighbours().collect();
-    for number in (0..12).filter(|&number| neighbours.contains(&common::address(number))) {
+    let neighbors: Vec<_> = simulation.node(5).membership().neighbors().collect();
+    for number in (0..12).filter(|&number| neighbors.contains(&common::address(number))) {
         simulation.vanish(number);
     }
-    simulation.publish_confirmed(5, record("drain", 1), ms(4000));
+    simulation.publish_with_ack(5, record("drain", 1), ms(4000));
     let until = simulation.now + ms(4000);
-    assert!(simulation.run_until(until, |s| s.confirmed(5) == 1));
+    assert!(simulation.run_until(until, |s| s.acknowledged(5) == 1));
 }
 
 #[test]
 fn nobody_confirms_to_a_lonely_process() {
     let mut simulation = Simulation::fleet(14, 1, 1, ms(1));
     simulation.run_for(ms(500));
-    simulation.publish_confirmed(0, record("drain", 1), ms(1000));
+    simulation.publish_with_ack(0, record("drain", 1), ms(1000));
     simulation.run_for(ms(3000));
-    assert_eq!(simulation.confirmed(0), 0);
+    assert_eq!(simulation.acknowledged(0), 0);
     assert!(!simulation.all_joined());
 }
--- a/crates/mintlb-gossip/tests/common/mod.rs
+++ b/crates/mintlb-gossip/tests/common/mod.rs
@@ -91,7 +91,7 @@
     messages: u64,
     /// When which version of which key came into force, in order.
     history: Vec<(Instant, String, u64)>,
-    confirmed: u64,
+    acknowledged: u64,
 }
 
 pub struct Simulation {
@@ -172,7 +172,7 @@
             sent: 0,
             messages: 0,
             history: Vec::new(),
-            confirmed: 0,
+            acknowledged: 0,
         };
         self.processes.insert(address(number), process);
         self.schedule(self.now + delay, Happening::Start(address(number)));
@@ -318,13 +318,13 @@
                     process.messages += 1;
                     sends.push((to, body));
                 }
-                Effect::InForce(record) => {
+                Effect::Applied(record) => {
                     process
                         .history
                         .push((now, record.key.clone(), record.version));
                 }
-                Effect::Confirmed { .. } => process.confirmed += 1,
-                Effect::Unreadable(_) => (),
+                Effect::Acknowledged { .. } => process.acknowledged += 1,
+                Effect::Malformed(_) => (),
             }
         }
         self.schedule(deadline.max(now), Happening::Wake(at));
@@ -430,18 +430,18 @@
             address(number),
             Input::Publish {
                 record,
-                confirm_until: None,
+                ack_deadline: None,
             },
         );
     }
 
-    pub fn publish_confirmed(&mut self, number: usize, record: Record, wait: Duration) {
-        let confirm_until = Some(self.now + wait);
+    pub fn publish_with_ack(&mut self, number: usize, record: Record, wait: Duration) {
+        let ack_deadline = Some(self.now + wait);
         self.handle(
             address(number),
             Input::Publish {
                 record,
-                confirm_until,
+                ack_deadline,
             },
         );
     }
--- a/crates/mintlb-gossip/tests/common/questions.rs
+++ b/crates/mintlb-gossip/tests/common/questions.rs
@@ -27,8 +27,8 @@
         self.processes[&address(number)].node.as_ref().unwrap()
     }
 
-    pub fn confirmed(&self, number: usize) -> u64 {
-        self.processes[&address(number)].confirmed
+    pub fn acknowledged(&self, number: usize) -> u64 {
+        self.processes[&address(number)].acknowledged
     }
 
     pub fn version(&self, number: usize, key: &str) -> Option<u64> {
@@ -65,14 +65,14 @@
         let (mut seen, mut open) = (HashSet::from([address(number)]), vec![address(number)]);
         while let Some(at) = open.pop() {
             let node = self.processes[&at].node.as_ref().unwrap();
-            for next in node.views().neighbours() {
+            for next in node.membership().neighbors() {
                 let both = self.condition(next) == Some(Condition::Running)
                     && self.processes[&next]
                         .node
                         .as_ref()
                         .unwrap()
-                        .views()
-                        .is_neighbour(at);
+                        .membership()
+                        .is_neighbor(at);
                 if both && seen.insert(next) {
                     open.push(next);
                 }
@@ -91,14 +91,14 @@
         let running = self.running();
         let links = running.iter().flat_map(|&number| {
             self.node(number)
-                .views()
-                .neighbours()
-                .map(move |neighbour| (address(number), neighbour))
+                .membership()
+                .neighbors()
+                .map(move |neighbor| (address(number), neighbor))
         });
-        let known = |(at, neighbour): &(SocketAddr, SocketAddr)| {
-            let process = &self.processes[neighbour];
+        let known = |(at, neighbor): &(SocketAddr, SocketAddr)| {
+            let process = &self.processes[neighbor];
             process.condition == Condition::Running
-                && process.node.as_ref().unwrap().views().is_neighbour(*at)
+                && process.node.as_ref().unwrap().membership().is_neighbor(*at)
         };
         links.filter(|link| !known(link)).count()
     }
--- a/crates/mintlb-gossip/tests/driver.rs
+++ b/crates/mintlb-gossip/tests/driver.rs
@@ -4,7 +4,7 @@
 use mintlb_common::incarnation::Incarnation;
 use mintlb_common::record::Record;
 use mintlb_common::transport::Transport;
-use mintlb_gossip::{Member, Overlay, OverlayConfig, Role};
+use mintlb_gossip::{GossipConfig, GossipService, Member, Role};
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::thread::JoinHandle;
@@ -25,7 +25,7 @@
     transports
 }
 
-fn start(transport: &Arc<Transport>, seeds: &[SocketAddr], number: usize) -> Arc<Overlay> {
+fn start(transport: &Arc<Transport>, seeds: &[SocketAddr], number: usize) -> Arc<GossipService> {
     let member = Member {
         address: transport.own_address(),
         incarnation: transport.incarnation(),
@@ -33,7 +33,7 @@
         node_name: format!("machine{number}"),
         zone: format!("zone{}", number % 2),
     };
-    Overlay::start(OverlayConfig {
+    GossipService::start(GossipConfig {
         transport: transport.clone(),
         seeds: seeds.to_vec(),
         member,
@@ -49,10 +49,14 @@
     }
 }
 
-async fn heard(events: &mut mpsc::UnboundedReceiver<(String, u64)>, key: &str, version: u64) {
+async fn expect_record(
+    events: &mut mpsc::UnboundedReceiver<(String, u64)>,
+    key: &str,
+    version: u64,
+) {
     let wanted = async {
-        while let Some((heard, at)) = events.recv().await {
-            if heard == key && at == version {
+        while let Some((received, at)) = events.recv().await {
+            if received == key && at == version {
                 return;
             }
         }
@@ -70,60 +74,64 @@
         .iter()
         .map(|transport| transport.own_address())
         .collect();
-    let overlays: Vec<_> = (0..5)
+    let gossips: Vec<_> = (0..5)
         .rev()
         .map(|number| start(&transports[number], &seeds, number))
         .collect();
-    for overlay in &overlays {
-        timeout(PATIENCE, overlay.settled()).await.expect("joined");
-        assert!(*overlay.joined().borrow() && overlay.neighbours() > 0);
+    for gossip in &gossips {
+        timeout(PATIENCE, gossip.wait_until_joined())
+            .await
+            .expect("joined");
+        assert!(*gossip.joined().borrow() && gossip.neighbors() > 0);
     }
     let mut events: Vec<_> = Vec::new();
-    for overlay in &overlays {
+    for gossip in &gossips {
         let (sender, receiver) = mpsc::unbounded_channel();
-        overlay.subscribe(Arc::new(move |record: &Record| {
+        gossip.subscribe(Arc::new(move |record: &Record| {
             sender.send((record.key.clone(), record.version)).ok();
         }));
         events.push(receiver);
     }
     assert!(
-        overlays[2]
+        gossips[2]
             .publish(record("configuration", 3), PATIENCE)
             .await
     );
     for events in &mut events {
-        heard(events, "configuration", 3).await;
+        expect_record(events, "configuration", 3).await;
     }
     // An older version is a no-op; that neighbours have a newer one confirms it.
     assert!(
-        overlays[2]
+        gossips[2]
             .publish(record("configuration", 2), PATIENCE)
             .await
     );
     assert_eq!(
-        overlays[2].get("configuration"),
+        gossips[2].get("configuration"),
         Some(record("configuration", 3))
     );
     // A snapshot stays as it is.
-    let snapshot = overlays[0].snapshot();
-    overlays[0].publish_now(record("configuration", 4));
+    let snapshot = gossips[0].snapshot();
+    gossips[0].publish_now(record("configuration", 4));
     assert_eq!(
         snapshot.get("configuration").map(|record| record.version),
         Some(3)
     );
     assert_eq!(
-        overlays[0]
+        gossips[0]
             .snapshot()
             .get("configuration")
             .map(|record| record.version),
         Some(4)
     );
     for events in &mut events {
-        heard(events, "configuration", 4).await;
+        expect_record(events, "configuration", 4).await;
     }
     // A latecomer gets everything, and its listener is told of what is known.
     let late = start(&transports[5], &seeds, 5);
-    timeout(PATIENCE, late.settled()).await.expect("joined");
+    timeout(PATIENCE, late.wait_until_joined())
+        .await
+        .expect("joined");
     assert_eq!(
         late.get("configuration").map(|record| record.version),
         Some(4)
@@ -132,9 +140,9 @@
     late.subscribe(Arc::new(move |record: &Record| {
         sender.send((record.key.clone(), record.version)).ok();
     }));
-    heard(&mut receiver, "configuration", 4).await;
+    expect_record(&mut receiver, "configuration", 4).await;
     assert_eq!(late.snapshot().len(), 1);
-    assert!(late.members().len() >= late.neighbours());
+    assert!(late.members().len() >= late.neighbors());
 }
 
 #[tokio::test]
@@ -148,14 +156,14 @@
     let publisher = Arc::downgrade(&other);
     other.subscribe(Arc::new(move |record: &Record| {
         if record.key == "question" {
-            let answer = Record {
+            let reply = Record {
                 key: "answer".into(),
                 ..record.clone()
             };
             publisher
                 .upgrade()
                 .into_iter()
-                .for_each(|overlay| overlay.publish_now(answer.clone()));
+                .for_each(|gossip| gossip.publish_now(reply.clone()));
         }
     }));
     let (sender, mut receiver) = mpsc::unbounded_channel();
@@ -163,28 +171,28 @@
         sender.send((record.key.clone(), record.version)).ok();
     }));
     one.publish_now(record("question", 1));
-    heard(&mut receiver, "answer", 1).await;
+    expect_record(&mut receiver, "answer", 1).await;
 }
 
 #[tokio::test]
 async fn a_lonely_publication_is_not_confirmed() {
     let transports = transports(1).await;
-    let overlay = start(&transports[0], &[transports[0].own_address()], 0);
+    let gossip = start(&transports[0], &[transports[0].own_address()], 0);
     assert!(
-        !overlay
+        !gossip
             .publish(record("configuration", 1), Duration::from_millis(30))
             .await
     );
     assert_eq!(
-        overlay.get("configuration").map(|record| record.version),
+        gossip.get("configuration").map(|record| record.version),
         Some(1)
     );
-    assert!(!*overlay.joined().borrow());
+    assert!(!*gossip.joined().borrow());
 }
 
 /// A process on a thread of its own, which ends with its runtime, as one that is killed.
 struct Killable {
-    overlay: Arc<Overlay>,
+    gossip: Arc<GossipService>,
     incarnation: Incarnation,
     kill: oneshot::Sender<()>,
     thread: JoinHandle<()>,
@@ -199,15 +207,15 @@
             let runtime = Builder::new_current_thread().enable_all().build().unwrap();
             runtime.block_on(async {
                 let transport = Transport::start(address).await.unwrap();
-                let overlay = start(&transport, &seeds, 1);
-                overlay.settled().await;
-                tell.send((overlay, transport.incarnation())).ok();
+                let gossip = start(&transport, &seeds, 1);
+                gossip.wait_until_joined().await;
+                tell.send((gossip, transport.incarnation())).ok();
                 killed.await.ok();
             });
         });
-        let (overlay, incarnation) = timeout(PATIENCE, told).await.expect("joined").unwrap();
+        let (gossip, incarnation) = timeout(PATIENCE, told).await.expect("joined").unwrap();
         Killable {
-            overlay,
+            gossip,
             incarnation,
             kill,
             thread,
@@ -244,7 +252,7 @@
         );
         assert_eq!(
             process
-                .overlay
+                .gossip
                 .get("configuration")
                 .map(|record| record.version),
             Some(version)
--- a/crates/mintlb-gossip/tests/faults.rs
+++ b/crates/mintlb-gossip/tests/faults.rs
@@ -102,13 +102,13 @@
             assert!(simulation.is_connected());
             assert_eq!(simulation.one_sided(), 0);
             let stale = |&other: &usize| {
-                let members = simulation.node(other).views().members(simulation.now);
+                let members = simulation.node(other).membership().members(simulation.now);
                 members
                     .iter()
                     .any(|m| m.address == address(number) && m.incarnation == former)
             };
-            let neighbours: Vec<_> = simulation.node(number).views().neighbours().collect();
-            let knows = |other: &usize| neighbours.contains(&address(*other));
+            let neighbors: Vec<_> = simulation.node(number).membership().neighbors().collect();
+            let knows = |other: &usize| neighbors.contains(&address(*other));
             assert!(
                 !simulation
                     .running()
@@ -189,7 +189,7 @@
     // Who is gone is not reported for ever.
     simulation.run_for(ms(90_000));
     for number in simulation.running() {
-        let members = simulation.node(number).views().members(simulation.now);
+        let members = simulation.node(number).membership().members(simulation.now);
         let gone =
             (3..13).filter(|&gone| members.iter().any(|member| member.address == address(gone)));
         assert_eq!(gone.count(), 0, "at {number}");
--- a/crates/mintlb-gossip/tests/identity.rs
+++ b/crates/mintlb-gossip/tests/identity.rs
@@ -5,9 +5,9 @@
 
 use common::{address, ms};
 use mintlb_common::incarnation::Incarnation;
+use mintlb_gossip::membership::{MemberDescriptor, NeighborReply, NeighborRequest, Probe, Shuffle};
 use mintlb_gossip::message::Message;
 use mintlb_gossip::node::{Input, Node};
-use mintlb_gossip::views::{Heard, NeighbourReply, NeighbourRequest, Probe, Shuffle};
 use mintlb_gossip::{Member, Role};
 use std::time::Duration;
 use tokio::time::Instant;
@@ -45,13 +45,13 @@
         let member = member(1, 1);
         watcher.hear(
             1,
-            Message::Neighbour(NeighbourRequest {
+            Message::Neighbor(NeighborRequest {
                 member,
-                urgent: false,
+                high_priority: false,
                 sample: Vec::new(),
             }),
         );
-        assert!(watcher.node.views().is_neighbour(address(1)));
+        assert!(watcher.node.membership().is_neighbor(address(1)));
         watcher
     }
 
@@ -67,7 +67,7 @@
 
     /// The neighbour says that somebody heard of this life so many seconds ago.
     fn hearsay(&mut self, incarnation: u64, age_s: u32) {
-        let entries = vec![Heard {
+        let entries = vec![MemberDescriptor {
             member: member(RESTARTED, incarnation),
             age_s,
         }];
@@ -75,7 +75,7 @@
     }
 
     /// This life itself says that it is there.
-    fn meet(&mut self, incarnation: u64) {
+    fn on_direct_contact(&mut self, incarnation: u64) {
         self.hear(
             RESTARTED,
             Message::Probe(Probe {
@@ -100,7 +100,7 @@
 
     /// The lives that are known of the process.
     fn known(&self) -> Vec<u64> {
-        let members = self.node.views().members(self.now);
+        let members = self.node.membership().members(self.now);
         let at = |member: &Member| member.address == address(RESTARTED);
         members
             .into_iter()
@@ -132,9 +132,9 @@
 fn hearsay_does_not_bring_back_a_life_whose_successor_was_met() {
     for (former, new) in ORDERS {
         let mut watcher = Watcher::new();
-        watcher.meet(former);
+        watcher.on_direct_contact(former);
         watcher.pass(ms(2000));
-        watcher.meet(new);
+        watcher.on_direct_contact(new);
         // Told by somebody whose messages lay about for long, so that it seems fresh.
         watcher.pass(ms(2000));
         watcher.hearsay(former, 0);
@@ -149,12 +149,12 @@
 fn a_living_process_refutes_the_word_of_its_end() {
     for (living, wrong) in ORDERS {
         let mut watcher = Watcher::new();
-        watcher.meet(living);
+        watcher.on_direct_contact(living);
         watcher.restarted(wrong);
         assert_eq!(watcher.known(), [wrong]);
         watcher.pass(ms(1000));
         watcher.restarted(living);
-        watcher.meet(living);
+        watcher.on_direct_contact(living);
         assert_eq!(watcher.known(), [living]);
         watcher.pass(ms(1000));
         watcher.hearsay(wrong, 0);
@@ -177,28 +177,28 @@
         let mut watcher = Watcher::new();
         let request = |incarnation| {
             let member = member(RESTARTED, incarnation);
-            Message::Neighbour(NeighbourRequest {
+            Message::Neighbor(NeighborRequest {
                 member,
-                urgent: false,
+                high_priority: false,
                 sample: Vec::new(),
             })
         };
         watcher.hear(RESTARTED, request(former));
-        assert!(watcher.node.views().is_neighbour(address(RESTARTED)));
+        assert!(watcher.node.membership().is_neighbor(address(RESTARTED)));
         watcher.restarted(new);
-        assert!(!watcher.node.views().is_neighbour(address(RESTARTED)));
+        assert!(!watcher.node.membership().is_neighbor(address(RESTARTED)));
         // An answer to what the former life was asked makes no link.
         let member = member(RESTARTED, former);
         watcher.hear(
             RESTARTED,
-            Message::Accepted(NeighbourReply {
+            Message::NeighborAccepted(NeighborReply {
                 member,
                 sample: Vec::new(),
-                lost: Vec::new(),
+                lost_neighbors: Vec::new(),
             }),
         );
         watcher.hear(RESTARTED, request(new));
-        assert!(watcher.node.views().is_neighbour(address(RESTARTED)));
+        assert!(watcher.node.membership().is_neighbor(address(RESTARTED)));
         assert_eq!(watcher.known(), [new]);
     }
 }
@@ -208,7 +208,7 @@
     let mut watcher = Watcher::new();
     for incarnation in 1..=1000 {
         watcher.pass(ms(10));
-        watcher.meet(incarnation);
+        watcher.on_direct_contact(incarnation);
     }
     assert_eq!(watcher.known(), [1000]);
     watcher.pass(ms(10));
--- a/crates/mintlb-gossip/tests/joining.rs
+++ b/crates/mintlb-gossip/tests/joining.rs
@@ -24,7 +24,7 @@
     let degrees = simulation
         .running()
         .into_iter()
-        .map(|n| simulation.node(n).views().neighbours().count());
+        .map(|n| simulation.node(n).membership().neighbors().count());
     let degrees: Vec<_> = degrees.collect();
     let (least, most) = (degrees.iter().min().unwrap(), degrees.iter().max().unwrap());
     assert!(*most <= 6);
--- a/crates/mintlb-gossip/tests/table.rs
+++ b/crates/mintlb-gossip/tests/table.rs
@@ -3,7 +3,7 @@
 use bytes::Bytes;
 use mintlb_common::record::Record;
 use mintlb_gossip::codec::record_id;
-use mintlb_gossip::table::{Put, RETIRED_FOR, RecordStore};
+use mintlb_gossip::table::{ApplyOutcome, EXPIRED_RETENTION, RecordStore};
 use std::time::Duration;
 use tokio::time::Instant;
 
@@ -24,14 +24,20 @@
 fn the_higher_version_is_in_force_for_good() {
     let (mut store, now) = (RecordStore::default(), Instant::now());
     assert!(matches!(
-        store.publish(now, record("a", 2, 0)),
-        Put::InForce(_)
+        store.apply_local(now, record("a", 2, 0)),
+        ApplyOutcome::Applied(_)
     ));
-    assert!(matches!(store.publish(now, record("a", 2, 0)), Put::Known));
-    assert!(matches!(store.publish(now, record("a", 1, 0)), Put::Older));
     assert!(matches!(
-        store.publish(now, record("a", 3, 0)),
-        Put::InForce(_)
+        store.apply_local(now, record("a", 2, 0)),
+        ApplyOutcome::Duplicate
+    ));
+    assert!(matches!(
+        store.apply_local(now, record("a", 1, 0)),
+        ApplyOutcome::Stale
+    ));
+    assert!(matches!(
+        store.apply_local(now, record("a", 3, 0)),
+        ApplyOutcome::Applied(_)
     ));
     assert_eq!(store.table().get("a").map(|record| record.version), Some(3));
     assert_eq!((store.table().len(), store.table().iter().count()), (1, 1));
@@ -42,23 +48,23 @@
     let now = Instant::now();
     let (mut one, mut other) = (RecordStore::default(), RecordStore::default());
     for number in 0..200 {
-        one.publish(now, record(&format!("key {number}"), 1, 0));
-        other.publish(now, record(&format!("key {}", 199 - number), 1, 0));
+        one.apply_local(now, record(&format!("key {number}"), 1, 0));
+        other.apply_local(now, record(&format!("key {}", 199 - number), 1, 0));
     }
     assert_eq!(one.table().hash(), other.table().hash());
-    one.publish(now, record("key 7", 2, 0));
+    one.apply_local(now, record("key 7", 2, 0));
     assert_ne!(one.table().hash(), other.table().hash());
-    other.publish(now, record("key 7", 2, 0));
+    other.apply_local(now, record("key 7", 2, 0));
     assert_eq!(one.table().hash(), other.table().hash());
 }
 
 #[test]
 fn a_snapshot_stays_as_it_is() {
     let (mut store, now) = (RecordStore::default(), Instant::now());
-    store.publish(now, record("a", 1, 0));
+    store.apply_local(now, record("a", 1, 0));
     let snapshot = store.table().clone();
-    store.publish(now, record("a", 2, 0));
-    store.publish(now, record("b", 1, 0));
+    store.apply_local(now, record("a", 2, 0));
+    store.apply_local(now, record("b", 1, 0));
     assert_eq!(snapshot.get("a").map(|record| record.version), Some(1));
     assert!(snapshot.get("b").is_none() && snapshot.len() == 1);
 }
@@ -68,24 +74,33 @@
     let (mut store, start) = (RecordStore::default(), Instant::now());
     let empty = store.table().hash();
     let id = record_id("a");
-    store.publish(start, record("a", 5, 60));
-    let carried = store.carry(start + seconds(20), id).unwrap();
-    assert_eq!(carried.remaining_ms, 40_000);
+    store.apply_local(start, record("a", 5, 60));
+    let frame = store.frame(start + seconds(20), id).unwrap();
+    assert_eq!(frame.remaining_ms, 40_000);
     // In the last quarter it is there but handed to nobody and in no digest.
     store.expire(start + seconds(46));
-    assert!(store.carry(start + seconds(46), id).is_none());
+    assert!(store.frame(start + seconds(46), id).is_none());
     assert!(store.table().get("a").is_some());
     assert_eq!(store.table().hash(), empty);
     // Then it is gone, and an older version stays out and is answered by the newer one.
     let end = start + seconds(60);
     store.expire(end);
     assert!(store.table().is_empty());
-    assert!(matches!(store.publish(end, record("a", 4, 0)), Put::Older));
-    assert!(matches!(store.publish(end, record("a", 5, 60)), Put::Known));
-    assert_eq!(store.carry_to_older(end, id).unwrap().remaining_ms, 15_000);
     assert!(matches!(
-        store.publish(end, record("a", 6, 0)),
-        Put::InForce(_)
+        store.apply_local(end, record("a", 4, 0)),
+        ApplyOutcome::Stale
+    ));
+    assert!(matches!(
+        store.apply_local(end, record("a", 5, 60)),
+        ApplyOutcome::Duplicate
+    ));
+    assert_eq!(
+        store.frame_for_stale_peer(end, id).unwrap().remaining_ms,
+        15_000
+    );
+    assert!(matches!(
+        store.apply_local(end, record("a", 6, 0)),
+        ApplyOutcome::Applied(_)
     ));
     store.expire(end + seconds(100_000));
     assert_eq!(store.table().get("a").map(|record| record.version), Some(6));
@@ -94,15 +109,15 @@
 #[test]
 fn what_was_dropped_is_remembered_for_a_bounded_time() {
     let (mut store, start) = (RecordStore::default(), Instant::now());
-    store.publish(start, record("a", 5, 60));
+    store.apply_local(start, record("a", 5, 60));
     store.expire(start + seconds(60));
-    store.expire(start + seconds(59) + RETIRED_FOR);
+    store.expire(start + seconds(59) + EXPIRED_RETENTION);
     assert_eq!(store.version(record_id("a")), Some(5));
-    store.expire(start + seconds(60) + RETIRED_FOR);
+    store.expire(start + seconds(60) + EXPIRED_RETENTION);
     assert_eq!(store.version(record_id("a")), None);
     // A bounded number, too.
     for number in 0..10_000 {
-        store.publish(start, record(&format!("key {number}"), 1, 1));
+        store.apply_local(start, record(&format!("key {number}"), 1, 1));
     }
     store.expire(start + seconds(2));
     let remembered =
@@ -114,9 +129,9 @@
 fn a_copy_lives_no_longer_than_its_source() {
     let (mut one, mut other) = (RecordStore::default(), RecordStore::default());
     let start = Instant::now();
-    one.publish(start, record("a", 1, 60));
-    let carried = one.carry(start + seconds(30), record_id("a")).unwrap();
-    other.take(start + seconds(30), carried);
+    one.apply_local(start, record("a", 1, 60));
+    let frame = one.frame(start + seconds(30), record_id("a")).unwrap();
+    other.apply_remote(start + seconds(30), frame);
     other.expire(start + seconds(59));
     assert!(other.table().get("a").is_some());
     other.expire(start + seconds(60));
@@ -128,7 +143,7 @@
     let (mut one, mut other) = (RecordStore::default(), RecordStore::default());
     let now = Instant::now();
     let key = "k".repeat(257);
-    one.publish(now, record(&key, 1, 0));
-    let carried = one.carry(now, record_id(&key)).unwrap();
-    assert!(other.take(now, carried).is_none());
+    one.apply_local(now, record(&key, 1, 0));
+    let frame = one.frame(now, record_id(&key)).unwrap();
+    assert!(other.apply_remote(now, frame).is_none());
 }
--- a/crates/mintlb-simulation/src/context.rs
+++ b/crates/mintlb-simulation/src/context.rs
@@ -17,7 +17,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Timer {
     /// The overlay wants its tick.
-    Overlay,
+    Gossip,
     /// The commit under way is on disk.
     Disk,
     /// A proposal's timer.
--- a/crates/mintlb-simulation/src/controller/membership.rs
+++ b/crates/mintlb-simulation/src/controller/membership.rs
@@ -39,7 +39,7 @@
         if self.register.set().is_some() {
             return self.read_once(context, READ_WITHIN, Purpose::MemberRead);
         }
-        if self.hint_from_overlay() {
+        if self.hint_from_gossip() {
             return self.pause(context, SEED_PAUSE);
         }
         self.ask_seeds(context);
@@ -85,7 +85,7 @@
     fn seeds_answered(&mut self, context: &mut Context) {
         let answers = std::mem::take(&mut self.membership.answers);
         if self.register.set().is_some() {
-            self.hint_from_overlay();
+            self.hint_from_gossip();
             let sets = answers
                 .into_iter()
                 .flatten()
@@ -133,7 +133,7 @@
         self.pause(context, SEED_PAUSE);
     }
 
-    fn hint_from_overlay(&mut self) -> bool {
+    fn hint_from_gossip(&mut self) -> bool {
         let Some(record) = self.gossip.get(REPLICAS) else {
             return false;
         };
--- a/crates/mintlb-simulation/src/controller/mod.rs
+++ b/crates/mintlb-simulation/src/controller/mod.rs
@@ -102,7 +102,7 @@
     /// A message came.
     pub fn packet(&mut self, context: &mut Context, packet: Packet) {
         match packet.body {
-            Body::Overlay(body) => {
+            Body::Gossip(body) => {
                 let confirmed = self
                     .gossip
                     .received(context, packet.from, packet.from_life, body);
@@ -168,7 +168,7 @@
     /// A timer ran out.
     pub fn timer(&mut self, context: &mut Context, timer: Timer) {
         match timer {
-            Timer::Overlay => {
+            Timer::Gossip => {
                 let confirmed = self.gossip.tick(context);
                 self.confirmed(context, &confirmed);
             }
--- a/crates/mintlb-simulation/src/dispatcher.rs
+++ b/crates/mintlb-simulation/src/dispatcher.rs
@@ -56,7 +56,7 @@
     /// A message came.
     pub fn packet(&mut self, context: &mut Context, packet: Packet) {
         match packet.body {
-            Body::Overlay(body) => {
+            Body::Gossip(body) => {
                 _ = self
                     .gossip
                     .received(context, packet.from, packet.from_life, body)
@@ -74,7 +74,7 @@
     /// A timer ran out.
     pub fn timer(&mut self, context: &mut Context, timer: Timer) {
         match timer {
-            Timer::Overlay => _ = self.gossip.tick(context),
+            Timer::Gossip => _ = self.gossip.tick(context),
             Timer::CallLost(id) => self.answered(context, id, None),
             Timer::Retry(ask) => self.try_once(context, ask),
             _ => (),
--- a/crates/mintlb-simulation/src/gossip.rs
+++ b/crates/mintlb-simulation/src/gossip.rs
@@ -120,7 +120,7 @@
             context,
             Input::Publish {
                 record,
-                confirm_until: None,
+                ack_deadline: None,
             },
         )
     }
@@ -138,12 +138,12 @@
             version: record.version,
             token,
         });
-        let confirm_until = Some(context.instant + wait);
+        let ack_deadline = Some(context.instant + wait);
         self.handle(
             context,
             Input::Publish {
                 record,
-                confirm_until,
+                ack_deadline,
             },
         )
     }
@@ -163,14 +163,14 @@
                         from_life: context.life,
                         to,
                         to_life: None,
-                        body: Body::Overlay(body),
+                        body: Body::Gossip(body),
                     };
                     context.send(packet);
                 }
                 // Counted by the product; nothing that is sent here is altered.
-                Effect::Unreadable(_) => (),
-                Effect::InForce(record) => context.out.push(Out::InForce(record)),
-                Effect::Confirmed { id, version } => {
+                Effect::Malformed(_) => (),
+                Effect::Applied(record) => context.out.push(Out::InForce(record)),
+                Effect::Acknowledged { id, version } => {
                     let is_done = |waiter: &Waiter| waiter.id == id && waiter.version <= version;
                     confirmed.extend(
                         self.waiters
@@ -187,7 +187,7 @@
             self.wake_at = Some(deadline);
             context.wake(
                 deadline.saturating_duration_since(context.instant),
-                Timer::Overlay,
+                Timer::Gossip,
             );
         }
         confirmed
--- a/crates/mintlb-simulation/src/message.rs
+++ b/crates/mintlb-simulation/src/message.rs
@@ -45,7 +45,7 @@
         answer: Answer,
     },
     /// A message of the overlay.
-    Overlay(Bytes),
+    Gossip(Bytes),
     /// A message between stores' replicas, with its entries.
     Lots(Envelope, Bytes),
     /// What a store tells the controllers.
--- a/crates/mintlb-simulation/src/store/mod.rs
+++ b/crates/mintlb-simulation/src/store/mod.rs
@@ -88,7 +88,7 @@
     /// A message came.
     pub fn packet(&mut self, context: &mut Context, packet: Packet) {
         match packet.body {
-            Body::Overlay(body) => {
+            Body::Gossip(body) => {
                 self.gossip
                     .received(context, packet.from, packet.from_life, body);
                 self.follow_placement(context);
@@ -118,7 +118,7 @@
     /// A timer ran out.
     pub fn timer(&mut self, context: &mut Context, timer: Timer) {
         match timer {
-            Timer::Overlay => {
+            Timer::Gossip => {
                 self.gossip.tick(context);
                 self.follow_placement(context);
             }
--- a/crates/mintlb-simulation/src/world/network.rs
+++ b/crates/mintlb-simulation/src/world/network.rs
@@ -104,7 +104,7 @@
 
     /// A connection is found broken after a while.
     fn breaks(&mut self, from: usize, packet: &Packet, after: Duration) {
-        if let Body::Overlay(_) = packet.body {
+        if let Body::Gossip(_) = packet.body {
             let (life, peer) = (self.machines[from].life, packet.to);
             self.schedule(
                 after,
@@ -122,7 +122,7 @@
         let life = self.machines[from].life;
         let after = Duration::from_millis(1);
         match packet.body {
-            Body::Overlay(_) => {
+            Body::Gossip(_) => {
                 let peer = packet.to;
                 self.schedule(
                     after,
