--- a/crates/mintlb-batch/tests/client.rs
+++ b/crates/mintlb-batch/tests/client.rs
@@ -43,7 +43,7 @@
     store.register_service(Channel::Batch, script.clone());
     let entry = StoreEntry {
         id: 1,
-        address: store.own_address().to_string(),
+        address: store.local_address().to_string(),
         ..empty_entry()
     };
     let shard = ShardAssignment {
--- a/crates/mintlb-common/src/transport/frame.rs
+++ b/crates/mintlb-common/src/transport/frame.rs
@@ -1,115 +1,126 @@
-//! The frames on a connection, after its greetings.
+//! Frames: the unit of transfer on a connection after its handshake.
+//!
+//! A frame is a header of [`HEADER_BYTES`] (body length, channel, kind, call number; integers in big-endian order)
+//! followed by the body.
 
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 use tokio::io::AsyncReadExt;
 use tokio::net::tcp::OwnedReadHalf;
 
-/// The longest message.
+/// Maximum length of a message, in bytes. A longer one makes the receiver close the connection.
 pub const MAX_MESSAGE_BYTES: usize = 24 << 20;
 
-/// Length, channel, kind and call number of a frame.
-const HEAD: usize = 4 + 1 + 1 + 8;
+/// Length of a frame's header: body length, channel, kind and call number.
+const HEADER_BYTES: usize = 4 + 1 + 1 + 8;
+/// Capacity of a read buffer that holds no large message, in bytes.
+const READ_BUFFER_BYTES: usize = 4 << 10;
+/// An empty read buffer above this capacity is replaced by a small one, so that a single large message does not pin its
+/// memory for the life of the connection.
+const MAX_RETAINED_BUFFER_BYTES: usize = 256 << 10;
 
-/// What a frame is.
-#[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Kind {
-    /// A message that gets no answer.
-    Notice = 0,
-    /// A message that gets an answer.
+/// The role of a frame in the exchange. The discriminants are on the wire.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum FrameKind {
+    /// A one-way message.
+    Notification = 0,
+    /// A message that is answered by a response.
     Request = 1,
-    /// An answer.
-    Answer = 2,
+    /// The response to a request.
+    Response = 2,
 }
 
-/// One message with its head.
+impl FrameKind {
+    fn from_byte(byte: u8) -> Option<FrameKind> {
+        match byte {
+            0 => Some(FrameKind::Notification),
+            1 => Some(FrameKind::Request),
+            2 => Some(FrameKind::Response),
+            _ => None,
+        }
+    }
+}
+
+/// A message with its header.
 #[derive(Debug)]
 pub struct Frame {
-    /// The number of its channel.
+    /// The channel number, see [`super::Channel`].
     pub channel: u8,
-    /// What it is.
-    pub kind: Kind,
-    /// The number of the call that it is or answers; 0 for a notice.
+    /// The role of the frame.
+    pub kind: FrameKind,
+    /// The call number that a request opens and its response repeats; 0 for a notification.
     pub call: u64,
-    /// The message.
+    /// The encoded message.
     pub body: Bytes,
 }
 
-/// The bytes are no frame of this protocol.
-#[derive(Debug)]
-pub struct NoFrame;
+/// The received bytes are not a frame of this protocol.
+#[derive(Debug, thiserror::Error)]
+#[error("malformed frame")]
+pub struct MalformedFrame;
+
+impl Frame {
+    /// Appends the encoded frame to `out`.
+    pub fn encode_into(&self, out: &mut BytesMut) {
+        out.put_u32(self.body.len() as u32);
+        out.put_u8(self.channel);
+        out.put_u8(self.kind as u8);
+        out.put_u64(self.call);
+        out.put_slice(&self.body);
+    }
 
-/// Writes a frame.
-pub fn put(out: &mut BytesMut, frame: &Frame) {
-    out.put_u32(frame.body.len() as u32);
-    out.put_u8(frame.channel);
-    out.put_u8(frame.kind as u8);
-    out.put_u64(frame.call);
-    out.put_slice(&frame.body);
+    /// Splits the next frame off `buffer`; `None` while it is incomplete.
+    fn decode(buffer: &mut BytesMut) -> Result<Option<Frame>, MalformedFrame> {
+        if buffer.len() < HEADER_BYTES {
+            return Ok(None);
+        }
+        let body_bytes = (&buffer[..]).get_u32() as usize;
+        if body_bytes > MAX_MESSAGE_BYTES {
+            return Err(MalformedFrame);
+        }
+        let frame_bytes = HEADER_BYTES + body_bytes;
+        if buffer.len() < frame_bytes {
+            buffer.reserve(frame_bytes - buffer.len());
+            return Ok(None);
+        }
+        let mut header = buffer.split_to(HEADER_BYTES);
+        header.advance(size_of::<u32>());
+        Ok(Some(Frame {
+            channel: header.get_u8(),
+            kind: FrameKind::from_byte(header.get_u8()).ok_or(MalformedFrame)?,
+            call: header.get_u64(),
+            body: buffer.split_to(body_bytes).freeze(),
+        }))
+    }
 }
 
-/// Reads frames from a connection.
-pub struct Frames {
-    read: OwnedReadHalf,
-    bytes: BytesMut,
+/// Reads frames from the receiving half of a connection.
+pub struct FrameReader {
+    stream: OwnedReadHalf,
+    buffer: BytesMut,
 }
 
-impl Frames {
-    /// Of this connection, whose greetings are over.
-    pub fn new(read: OwnedReadHalf) -> Frames {
-        Frames {
-            read,
-            bytes: BytesMut::with_capacity(4 << 10),
+impl FrameReader {
+    /// Reads from a connection whose handshake is complete.
+    pub fn new(stream: OwnedReadHalf) -> FrameReader {
+        FrameReader {
+            stream,
+            buffer: BytesMut::with_capacity(READ_BUFFER_BYTES),
         }
     }
 
-    /// The next frame; none when the connection has ended.
-    pub async fn next(&mut self) -> Result<Option<Frame>, NoFrame> {
+    /// The next frame; `None` once the connection has ended.
+    pub async fn next_frame(&mut self) -> Result<Option<Frame>, MalformedFrame> {
         loop {
-            if let Some(frame) = take(&mut self.bytes)? {
+            if let Some(frame) = Frame::decode(&mut self.buffer)? {
                 return Ok(Some(frame));
             }
-            if self.bytes.is_empty() && self.bytes.capacity() > 256 << 10 {
-                self.bytes = BytesMut::with_capacity(4 << 10);
+            if self.buffer.is_empty() && self.buffer.capacity() > MAX_RETAINED_BUFFER_BYTES {
+                self.buffer = BytesMut::with_capacity(READ_BUFFER_BYTES);
             }
-            if !self
-                .read
-                .read_buf(&mut self.bytes)
-                .await
-                .is_ok_and(|read| read > 0)
-            {
+            let read = self.stream.read_buf(&mut self.buffer).await;
+            if !matches!(read, Ok(1..)) {
                 return Ok(None);
             }
         }
     }
 }
-
-/// The next whole frame, if it is there.
-fn take(bytes: &mut BytesMut) -> Result<Option<Frame>, NoFrame> {
-    if bytes.len() < HEAD {
-        return Ok(None);
-    }
-    let length = u32::from_be_bytes([bytes[0], bytes[1], bytes[2], bytes[3]]) as usize;
-    if length > MAX_MESSAGE_BYTES {
-        return Err(NoFrame);
-    }
-    if bytes.len() < HEAD + length {
-        bytes.reserve(HEAD + length - bytes.len());
-        return Ok(None);
-    }
-    let mut head = bytes.split_to(HEAD);
-    head.advance(4);
-    let channel = head.get_u8();
-    let kind = match head.get_u8() {
-        0 => Kind::Notice,
-        1 => Kind::Request,
-        2 => Kind::Answer,
-        _ => return Err(NoFrame),
-    };
-    let call = head.get_u64();
-    Ok(Some(Frame {
-        channel,
-        kind,
-        call,
-        body: bytes.split_to(length).freeze(),
-    }))
-}
--- a/crates/mintlb-common/src/transport/incarnations.rs
+++ b/crates/mintlb-common/src/transport/incarnations.rs
@@ -1,41 +1,44 @@
-//! Which life of a process is at which address, as far as is known here; pure.
+//! The incarnation known at each peer address.
 //!
-//! Two things tell of it. Who *answers* at an address is the one that is there. Who *dials* and names an address may be a
-//! life that has ended, whose bytes lay about while this process was frozen: if another life is known, the address is
-//! asked before anything that came is taken. If it can't be reached the newcomer is believed, as a living process would
-//! have answered, or will dial again and be asked for in its turn.
+//! There are two sources. The process that *accepts* a connection at an address is the one that runs there. A process that
+//! *dials* and names an address may have ended since: its bytes may have been buffered while this process was suspended.
+//! If another incarnation is known at the address, the address is therefore queried before anything from the dialer is
+//! accepted. If the query fails, the dialer is believed: a live incarnation would have replied, or will dial again and
+//! cause a query in its turn.
+//!
+//! Pure state: no I/O and no clock.
 
 use crate::incarnation::Incarnation;
 use std::collections::HashMap;
 use std::net::SocketAddr;
 
-/// How many addresses are remembered at most; of further ones no life is expected.
+/// Maximum number of addresses in the table; at further addresses any incarnation is accepted.
 const MAX_ADDRESSES: usize = 4096;
 
-/// What to do about a process that dials.
+/// The result of checking a process that dials against the table.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DialCheck {
-    /// It is the life that is known, or the first one heard of.
+    /// The incarnation is the known one, or the first at its address.
     Known,
-    /// Another life is known at its address, which is to be asked who is there.
+    /// Another incarnation is known at the address, which has to be queried.
     Conflict,
 }
 
-/// The lives by address.
+/// The known incarnations by address.
 #[derive(Debug, Default)]
 pub struct IncarnationTable {
     known: HashMap<SocketAddr, Incarnation>,
 }
 
 impl IncarnationTable {
-    /// The life that messages to this address are meant for.
-    pub fn at(&self, address: SocketAddr) -> Option<Incarnation> {
+    /// The incarnation that messages to this address are meant for.
+    pub fn get(&self, address: SocketAddr) -> Option<Incarnation> {
         self.known.get(&address).copied()
     }
 
-    /// A process dials and says that it is at this address.
+    /// Checks a process that dials and claims this address.
     pub fn check_dialer(&mut self, address: SocketAddr, incarnation: Incarnation) -> DialCheck {
-        match self.at(address) {
+        match self.get(address) {
             Some(known) if known != incarnation => DialCheck::Conflict,
             Some(_) => DialCheck::Known,
             None => {
@@ -45,18 +48,17 @@
         }
     }
 
-    /// This life is at the address; whether another one was known there.
+    /// Stores the incarnation that was found at the address. Returns whether it replaces another one.
     pub fn confirm(&mut self, address: SocketAddr, incarnation: Incarnation) -> bool {
         if !self.known.contains_key(&address) && self.known.len() >= MAX_ADDRESSES {
             return false;
         }
-        self.known
-            .insert(address, incarnation)
-            .is_some_and(|before| before != incarnation)
+        let previous = self.known.insert(address, incarnation);
+        previous.is_some_and(|previous| previous != incarnation)
     }
 
-    /// Whether what comes from this life is still taken.
+    /// Whether messages from this incarnation are still accepted.
     pub fn is_current(&self, address: SocketAddr, incarnation: Incarnation) -> bool {
-        self.at(address).is_none_or(|known| known == incarnation)
+        self.get(address).is_none_or(|known| known == incarnation)
     }
 }
--- a/crates/mintlb-common/src/transport/link.rs
+++ b/crates/mintlb-common/src/transport/link.rs
@@ -1,4 +1,4 @@
-//! One connection to another process, from the first message queued for it to its end.
+//! The sending side of one connection to a peer: its queue of messages and the calls that wait for a response on it.
 
 use super::CallError;
 use super::frame::Frame;
@@ -9,76 +9,84 @@
 use std::sync::Arc;
 use tokio::sync::{Notify, mpsc, oneshot};
 
-/// Messages that wait for one connection.
-const QUEUE: usize = 512;
+/// Messages that may be queued for one connection.
+const QUEUE_CAPACITY: usize = 512;
 
-/// What becomes of a call.
-pub type Outcome = Result<Bytes, CallError>;
+/// The result of a call: the body of the response.
+pub type CallResult = Result<Bytes, CallError>;
 
-/// The calls that wait for an answer on this connection, and on no other.
-type Waiting = HashMap<u64, oneshot::Sender<Outcome>>;
+/// The calls that wait for a response, by call number.
+type PendingCalls = HashMap<u64, oneshot::Sender<CallResult>>;
 
-/// One connection to another process.
+/// One connection to a peer, from the first message queued for it until it ends.
+///
+/// A response counts only on the link that its request was sent on: a call never moves to another connection.
 pub struct Link {
-    /// The only life that the messages are meant for; none if none is known.
-    pub expected: Option<Incarnation>,
+    expected: Option<Incarnation>,
     queue: mpsc::Sender<Frame>,
-    waiting: Mutex<Waiting>,
-    /// Another life is at the address: the connection is to end.
-    replaced: Notify,
+    pending: Mutex<PendingCalls>,
+    close_requested: Notify,
 }
 
 impl Link {
-    /// A link without a connection yet, and the queue of its messages.
+    /// Creates a link that is not connected yet, and the receiving end of its queue. Only the incarnation `expected` may
+    /// receive its messages; any may if `expected` is `None`.
     pub fn new(expected: Option<Incarnation>) -> (Arc<Link>, mpsc::Receiver<Frame>) {
-        let (queue, queued) = mpsc::channel(QUEUE);
+        let (queue, queued) = mpsc::channel(QUEUE_CAPACITY);
         let link = Link {
             expected,
             queue,
-            waiting: Mutex::default(),
-            replaced: Notify::new(),
+            pending: Mutex::default(),
+            close_requested: Notify::new(),
         };
         (Arc::new(link), queued)
     }
 
-    /// Queues a message; whether there was room.
+    /// The only incarnation that may receive the messages; `None` if any may.
+    pub fn expected(&self) -> Option<Incarnation> {
+        self.expected
+    }
+
+    /// Queues a message. Returns whether the queue had capacity for it.
     pub fn send(&self, frame: Frame) -> bool {
         self.queue.try_send(frame).is_ok()
     }
 
-    /// Notes a call before it is queued.
-    pub fn expect_answer(&self, call: u64) -> oneshot::Receiver<Outcome> {
-        let (answer, answered) = oneshot::channel();
-        self.waiting.lock().insert(call, answer);
-        answered
+    /// Registers a call. Has to precede [`Link::send`], or an early response would find nobody waiting.
+    pub fn register_call(&self, call: u64) -> oneshot::Receiver<CallResult> {
+        let (result_sender, result) = oneshot::channel();
+        self.pending.lock().insert(call, result_sender);
+        result
     }
 
-    /// Nobody waits for this call any more.
+    /// Removes a call that nobody waits for any more.
     pub fn forget_call(&self, call: u64) {
-        self.waiting.lock().remove(&call);
+        self.pending.lock().remove(&call);
     }
 
-    /// An answer has come on this connection.
-    pub fn answered(&self, call: u64, body: Bytes) {
-        let waits = self.waiting.lock().remove(&call);
-        waits.map(|waits| waits.send(Ok(body)));
+    /// Completes a call with the response received on this connection.
+    pub fn complete_call(&self, call: u64, body: Bytes) {
+        let result_sender = self.pending.lock().remove(&call);
+        if let Some(result_sender) = result_sender {
+            result_sender.send(Ok(body)).ok();
+        }
     }
 
-    /// The connection has ended, and its queue is dropped: no call on it gets an answer.
-    pub fn ended(&self, cause: CallError) {
-        let waiting = std::mem::take(&mut *self.waiting.lock());
-        waiting
-            .into_values()
-            .for_each(|waits| drop(waits.send(Err(cause))));
+    /// Fails all pending calls: the connection has ended and its queue is dropped.
+    pub fn fail_pending_calls(&self, cause: CallError) {
+        let pending = std::mem::take(&mut *self.pending.lock());
+        for result_sender in pending.into_values() {
+            result_sender.send(Err(cause)).ok();
+        }
     }
 
-    /// Ends the connection.
-    pub fn replace(&self) {
-        self.replaced.notify_one();
+    /// Requests the connection to be closed, as its peer was replaced by another incarnation.
+    pub fn close(&self) {
+        self.close_requested.notify_one();
     }
 
-    /// Waits until the connection is to end.
-    pub async fn replaced(&self) {
-        self.replaced.notified().await;
+    /// Waits until the connection is to be closed.
+    pub async fn close_requested(&self) {
+        self.close_requested.notified().await;
     }
 }
--- a/crates/mintlb-common/tests/transport.rs
+++ b/crates/mintlb-common/tests/transport.rs
@@ -14,11 +14,15 @@
 async fn a_notice_comes_with_its_senders_address() {
     let (a, _) = process().await;
     let (b, mut sees) = process().await;
-    assert!(a.notify(b.own_address(), Channel::Batch, Bytes::from_static(b"word")));
+    assert!(a.notify(
+        b.local_address(),
+        Channel::Batch,
+        Bytes::from_static(b"word")
+    ));
     let seen = timeout(WAIT, sees.recv()).await.unwrap().unwrap();
     assert_eq!(
         seen,
-        Seen::Notice(a.own_address(), Bytes::from_static(b"word"))
+        Seen::Notice(a.local_address(), Bytes::from_static(b"word"))
     );
 }
 
@@ -27,7 +31,7 @@
     let (a, _) = process().await;
     let (b, _sees) = process().await;
     let call = |text: String| {
-        let (a, to) = (a.clone(), b.own_address());
+        let (a, to) = (a.clone(), b.local_address());
         tokio::spawn(async move { a.call(to, Channel::Batch, text.into(), WAIT).await })
     };
     let calls: Vec<_> = (0..50).map(|i| (i, call(format!("{i},")))).collect();
@@ -45,7 +49,7 @@
     let (b, _sees) = process().await;
     let body = Bytes::from(vec![7_u8; 3 << 20]);
     let answer = a
-        .call(b.own_address(), Channel::Batch, body, WAIT)
+        .call(b.local_address(), Channel::Batch, body, WAIT)
         .await
         .unwrap();
     assert_eq!(answer.len(), 6 << 20);
@@ -55,7 +59,7 @@
 async fn a_call_without_an_answer_ends_in_time_and_others_go_on() {
     let (a, _) = process().await;
     let (b, _sees) = process().await;
-    let (to, soon) = (b.own_address(), Duration::from_millis(20));
+    let (to, soon) = (b.local_address(), Duration::from_millis(20));
     let silent = a
         .call(to, Channel::Batch, Bytes::from_static(b"silence"), soon)
         .await;
@@ -105,7 +109,7 @@
 #[tokio::test]
 async fn bytes_of_another_protocol_are_not_taken() {
     let (b, mut sees) = process().await;
-    let mut stranger = TcpStream::connect(b.own_address()).await.unwrap();
+    let mut stranger = TcpStream::connect(b.local_address()).await.unwrap();
     stranger
         .write_all(b"GET / HTTP/1.1\r\nHost: x\r\n\r\n")
         .await
@@ -121,7 +125,11 @@
     .ok();
     assert!(end.is_empty());
     let (a, _) = process().await;
-    a.notify(b.own_address(), Channel::Batch, Bytes::from_static(b"word"));
+    a.notify(
+        b.local_address(),
+        Channel::Batch,
+        Bytes::from_static(b"word"),
+    );
     assert!(matches!(
         timeout(WAIT, sees.recv()).await.unwrap().unwrap(),
         Seen::Notice(..)
--- a/crates/mintlb-common/tests/transport_incarnations.rs
+++ b/crates/mintlb-common/tests/transport_incarnations.rs
@@ -30,14 +30,14 @@
     let (b, mut sees) = process().await;
     let (_listener, from) = listener().await;
     let own = b.incarnation().number();
-    let (mut wire, there) = Wire::dial(b.own_address(), from, 7, own ^ 1).await;
+    let (mut wire, there) = Wire::dial(b.local_address(), from, 7, own ^ 1).await;
     assert_eq!(there, own, "who is there says who it is");
     wire.write(NOTICE, 0, "for another").await;
     wire.write(REQUEST, 1, "for another").await;
     wire.closed().await;
     // What is meant for it, or for whoever is there, is taken.
     for (expected, word) in [(own, "for it"), (0, "for anybody")] {
-        let (mut wire, _) = Wire::dial(b.own_address(), from, 7, expected).await;
+        let (mut wire, _) = Wire::dial(b.local_address(), from, 7, expected).await;
         wire.write(NOTICE, 0, word).await;
         assert_eq!(next(&mut sees).await, notice(from, word));
     }
@@ -86,7 +86,7 @@
     let (mut wire, _) = Wire::accept(&listener, 1).await;
     let of_second = wire.read().await.call;
     // On a connection of the other direction nothing is an answer; it ends.
-    let (mut other, _) = Wire::dial(a.own_address(), there, 1, 0).await;
+    let (mut other, _) = Wire::dial(a.local_address(), there, 1, 0).await;
     other.write(ANSWER, of_second, "forged").await;
     other.closed().await;
     // The earlier call's answer comes late, on the new connection.
@@ -101,12 +101,12 @@
 async fn an_ended_life_that_dials_late_is_not_heard() {
     let (a, mut sees) = process().await;
     let (listener, there) = listener().await;
-    let (mut living, _) = Wire::dial(a.own_address(), there, 2, 0).await;
+    let (mut living, _) = Wire::dial(a.local_address(), there, 2, 0).await;
     living.write(NOTICE, 0, "living").await;
     assert_eq!(next(&mut sees).await, notice(there, "living"));
     // Who listens at the address is the second life, and says so when asked.
     let answers = tokio::spawn(async move { Wire::accept(&listener, 2).await });
-    let (mut ended, _) = Wire::dial(a.own_address(), there, 1, 0).await;
+    let (mut ended, _) = Wire::dial(a.local_address(), there, 1, 0).await;
     ended.write(NOTICE, 0, "ended").await;
     ended.closed().await;
     living.write(NOTICE, 0, "still here").await;
@@ -119,10 +119,10 @@
     let (a, mut sees) = process().await;
     // Nobody listens there any more, as after a loss of power: no reset comes.
     let there = listener().await.1;
-    let (mut former, _) = Wire::dial(a.own_address(), there, 1, 0).await;
+    let (mut former, _) = Wire::dial(a.local_address(), there, 1, 0).await;
     former.write(NOTICE, 0, "one").await;
     assert_eq!(next(&mut sees).await, notice(there, "one"));
-    let (mut successor, _) = Wire::dial(a.own_address(), there, 2, 0).await;
+    let (mut successor, _) = Wire::dial(a.local_address(), there, 2, 0).await;
     successor.write(NOTICE, 0, "two").await;
     assert_eq!(next(&mut sees).await, Seen::Restarted(there, 2));
     assert_eq!(next(&mut sees).await, notice(there, "two"));
@@ -141,7 +141,7 @@
     let (mut wire, _) = Wire::accept(&listener, 1).await;
     wire.read().await;
     drop(listener);
-    let (mut successor, _) = Wire::dial(a.own_address(), there, 2, 0).await;
+    let (mut successor, _) = Wire::dial(a.local_address(), there, 2, 0).await;
     successor.write(NOTICE, 0, "two").await;
     assert_eq!(next(&mut sees).await, Seen::Restarted(there, 2));
     let outcome = timeout(WAIT, call)
@@ -161,7 +161,7 @@
     let (a, _) = process().await;
     let (b, _) = process().await;
     assert_ne!(a.incarnation(), b.incarnation());
-    let own = a.own_address();
+    let own = a.local_address();
     let drawn: std::collections::HashSet<_> = (0..1000)
         .map(|_| Incarnation::generate(own).number())
         .collect();
@@ -203,7 +203,7 @@
     }
     assert_eq!(
         (1..=5000)
-            .filter(|number| incarnations.at(address(*number)).is_some())
+            .filter(|number| incarnations.get(address(*number)).is_some())
             .count(),
         4096
     );
--- a/crates/mintlb-common/tests/transport_rejections.rs
+++ b/crates/mintlb-common/tests/transport_rejections.rs
@@ -21,7 +21,7 @@
 async fn frames_that_can_not_be_read_cost_nobody_else_anything() {
     let (a, mut sees) = process().await;
     let (good, bad) = (listener().await.1, listener().await.1);
-    let (mut wire, _) = Wire::dial(a.own_address(), good, 1, 0).await;
+    let (mut wire, _) = Wire::dial(a.local_address(), good, 1, 0).await;
     let unreadable = [
         head(MAX_MESSAGE_BYTES as u32 + 1, NOTICE),
         head(u32::MAX, REQUEST),
@@ -29,7 +29,7 @@
         head(0, 255),
     ];
     for (round, bytes) in unreadable.into_iter().enumerate() {
-        let (mut stranger, _) = Wire::dial(a.own_address(), bad, 1, 0).await;
+        let (mut stranger, _) = Wire::dial(a.local_address(), bad, 1, 0).await;
         stranger.0.write_all(&bytes).await.unwrap();
         stranger.closed().await;
         assert_eq!(
@@ -47,20 +47,20 @@
     let (a, _sees) = process().await;
     let (listener, there) = listener().await;
     let own = a.incarnation().number();
-    let (wire, _) = Wire::dial(a.own_address(), there, 2, own ^ 1).await;
+    let (wire, _) = Wire::dial(a.local_address(), there, 2, own ^ 1).await;
     wire.closed().await;
     assert_eq!(a.rejection_count(Rejection::WrongIncarnation, there), 1);
-    let (mut wire, _) = Wire::dial(a.own_address(), there, 2, own).await;
+    let (mut wire, _) = Wire::dial(a.local_address(), there, 2, own).await;
     wire.write(ANSWER, 1, "to nothing").await;
     wire.closed().await;
     assert_eq!(a.rejection_count(Rejection::UnexpectedFrame, there), 1);
     // The second life answers when it is asked, so the first has ended.
     let answers = tokio::spawn(async move { Wire::accept(&listener, 2).await });
-    let (wire, _) = Wire::dial(a.own_address(), there, 1, own).await;
+    let (wire, _) = Wire::dial(a.local_address(), there, 1, own).await;
     wire.closed().await;
     assert_eq!(a.rejection_count(Rejection::StaleIncarnation, there), 1);
     answers.abort();
-    let mut stranger = TcpStream::connect(a.own_address()).await.unwrap();
+    let mut stranger = TcpStream::connect(a.local_address()).await.unwrap();
     let from = SocketAddr::new(stranger.local_addr().unwrap().ip(), 0);
     stranger
         .write_all(b"mintl1 is an earlier version of it.")
@@ -92,17 +92,17 @@
     let mut rejections = RejectionCounts::default();
     let sender = |port| SocketAddr::from(([10, 0, 0, 1], port));
     let told: Vec<_> = (0..100)
-        .filter_map(|_| rejections.count(Rejection::Malformed, sender(1)))
+        .filter_map(|_| rejections.increment(Rejection::Malformed, sender(1)))
         .collect();
     assert_eq!(told, [1, 2, 4, 8, 16, 32, 64]);
     for port in 2..2000 {
-        rejections.count(Rejection::UnexpectedFrame, sender(port));
+        rejections.increment(Rejection::UnexpectedFrame, sender(port));
     }
-    assert_eq!(rejections.of(Rejection::UnexpectedFrame, sender(2)), 1);
-    assert_eq!(rejections.of(Rejection::UnexpectedFrame, sender(1999)), 0);
+    assert_eq!(rejections.get(Rejection::UnexpectedFrame, sender(2)), 1);
+    assert_eq!(rejections.get(Rejection::UnexpectedFrame, sender(1999)), 0);
     assert_eq!(
-        rejections.of(Rejection::UnexpectedFrame, OTHER_SENDERS),
+        rejections.get(Rejection::UnexpectedFrame, OTHER_SENDERS),
         1998 - 255
     );
-    assert_eq!(rejections.of(Rejection::Malformed, sender(1)), 100);
+    assert_eq!(rejections.get(Rejection::Malformed, sender(1)), 100);
 }
--- a/crates/mintlb-control/src/controller/duties.rs
+++ b/crates/mintlb-control/src/controller/duties.rs
@@ -44,10 +44,10 @@
 
 impl Duties {
     /// Nothing is known yet. `draw` is a random number of this life of the process.
-    pub fn new(own: Option<ReplicaId>, own_address: SocketAddr, draw: u64) -> Duties {
+    pub fn new(own: Option<ReplicaId>, local_address: SocketAddr, draw: u64) -> Duties {
         let now = Instant::now();
         Duties {
-            pings: Mutex::new(PingState::new(now, own, own_address, draw)),
+            pings: Mutex::new(PingState::new(now, own, local_address, draw)),
             stores: Mutex::new(StoreTable::new(Duration::ZERO)),
             begun: now,
             news: Notify::new(),
--- a/crates/mintlb-control/src/controller/membership.rs
+++ b/crates/mintlb-control/src/controller/membership.rs
@@ -54,7 +54,7 @@
     }
     let settings = controller.settings();
     let seeds = settings.seed_addresses();
-    let own = controller.transport.own_address();
+    let own = controller.transport.local_address();
     let answers = ask(controller, &seeds).await;
     let founding = Bootstrap {
         first_start: settings.first_start,
@@ -108,7 +108,7 @@
 
 /// The seeds' answers, each at its place.
 async fn ask(controller: &Controller, seeds: &[SocketAddr]) -> Vec<Option<SeedStatus>> {
-    let own = controller.transport.own_address();
+    let own = controller.transport.local_address();
     let mut answers = vec![None; seeds.len()];
     let mut calls = JoinSet::new();
     for (place, seed) in seeds
--- a/crates/mintlb-control/src/controller/mod.rs
+++ b/crates/mintlb-control/src/controller/mod.rs
@@ -182,7 +182,7 @@
     let controller = start(settings).await?;
     log::info!(
         "controller: at {address}, internal {}",
-        controller.transport.own_address()
+        controller.transport.local_address()
     );
     tokio::spawn(reload::run(controller.clone()));
     let (stop, stopping) = watch::channel(false);
@@ -230,7 +230,7 @@
     settings: NodeSettings,
     transport: Arc<Transport>,
 ) -> Result<Arc<Controller>, ControllerError> {
-    let own = transport.own_address();
+    let own = transport.local_address();
     let draw =
         RandomState::new().hash_one((own, &settings.node_name, std::time::SystemTime::now()));
     let identity = Replica {
--- a/crates/mintlb-control/src/controller/ping_state.rs
+++ b/crates/mintlb-control/src/controller/ping_state.rs
@@ -56,7 +56,7 @@
 #[derive(Debug)]
 pub struct PingState {
     own: Option<ReplicaId>,
-    own_address: SocketAddr,
+    local_address: SocketAddr,
     stamps: Stamps,
     /// The newest stamp of each controller that has answered.
     echoes: FxHashMap<SocketAddr, u64>,
@@ -70,13 +70,13 @@
     pub fn new(
         now: Instant,
         own: Option<ReplicaId>,
-        own_address: SocketAddr,
+        local_address: SocketAddr,
         draw: u64,
     ) -> PingState {
         let (stamps, peers) = (Stamps::new(now, draw), Peers::new(now, own));
         PingState {
             own,
-            own_address,
+            local_address,
             stamps,
             echoes: FxHashMap::default(),
             peers,
@@ -94,9 +94,9 @@
         let voting = self.votes(set);
         let is_target = |address: &SocketAddr| {
             let pings_here = voting
-                && self.own_address > *address
+                && self.local_address > *address
                 && self.peers.is_heard(now, *address, HEARD_WITHIN);
-            *address != self.own_address && !pings_here
+            *address != self.local_address && !pings_here
         };
         let addresses = set
             .members()
--- a/crates/mintlb-control/src/controller/retire_api.rs
+++ b/crates/mintlb-control/src/controller/retire_api.rs
@@ -69,7 +69,7 @@
 async fn pass_on(controller: &Arc<Controller>, call: &RetireCall) -> RetireAnswer {
     let deadline = Instant::now() + ANSWER_WITHIN;
     let set = controller.register.set().unwrap_or_default();
-    let own = controller.transport.own_address();
+    let own = controller.transport.local_address();
     let addresses = set
         .current
         .iter()
--- a/crates/mintlb-control/src/store/mod.rs
+++ b/crates/mintlb-control/src/store/mod.rs
@@ -169,7 +169,7 @@
     store: &Arc<Store>,
 ) -> Arc<GossipService> {
     let member = Member {
-        address: transport.own_address(),
+        address: transport.local_address(),
         incarnation: transport.incarnation(),
         role: Role::Store,
         node_name: settings.node_name.clone(),
--- a/crates/mintlb-control/tests/stores/mod.rs
+++ b/crates/mintlb-control/tests/stores/mod.rs
@@ -44,7 +44,7 @@
         let transport = Transport::start("127.0.0.1:0".parse().unwrap())
             .await
             .unwrap();
-        let address = transport.own_address();
+        let address = transport.local_address();
         let settings = ReplicaSettings {
             own: disk.id(),
             tolerance: 1,
--- a/crates/mintlb-gossip/tests/driver.rs
+++ b/crates/mintlb-gossip/tests/driver.rs
@@ -27,7 +27,7 @@
 
 fn start(transport: &Arc<Transport>, seeds: &[SocketAddr], number: usize) -> Arc<GossipService> {
     let member = Member {
-        address: transport.own_address(),
+        address: transport.local_address(),
         incarnation: transport.incarnation(),
         role: Role::Controller,
         node_name: format!("machine{number}"),
@@ -72,7 +72,7 @@
     let transports = transports(6).await;
     let seeds: Vec<_> = transports[..3]
         .iter()
-        .map(|transport| transport.own_address())
+        .map(|transport| transport.local_address())
         .collect();
     let gossips: Vec<_> = (0..5)
         .rev()
@@ -148,7 +148,7 @@
 #[tokio::test]
 async fn a_listener_may_publish() {
     let transports = transports(2).await;
-    let seeds = [transports[0].own_address()];
+    let seeds = [transports[0].local_address()];
     let (one, other) = (
         start(&transports[0], &seeds, 0),
         start(&transports[1], &seeds, 1),
@@ -177,7 +177,7 @@
 #[tokio::test]
 async fn a_lonely_publication_is_not_confirmed() {
     let transports = transports(1).await;
-    let gossip = start(&transports[0], &[transports[0].own_address()], 0);
+    let gossip = start(&transports[0], &[transports[0].local_address()], 0);
     assert!(
         !gossip
             .publish(record("configuration", 1), Duration::from_millis(30))
@@ -231,7 +231,7 @@
 #[tokio::test]
 async fn a_process_that_is_restarted_at_its_address_is_linked_again() {
     let transport = transports(1).await.remove(0);
-    let seeds = [transport.own_address()];
+    let seeds = [transport.local_address()];
     let one = start(&transport, &seeds, 0);
     let address = TcpListener::bind("127.0.0.1:0")
         .await
