--- a/crates/mintlb-batch/src/client.rs
+++ b/crates/mintlb-batch/src/client.rs
@@ -23,75 +23,75 @@
 pub type CurrentPlacement = Arc<dyn Fn() -> Arc<Placement> + Send + Sync>;
 
 /// A client of all stores.
-pub struct LotClient {
+pub struct BatchClient {
     transport: Arc<Transport>,
     placement: CurrentPlacement,
     /// When each store was last asked for items, and how many it then had that nobody ran.
     open: Mutex<FxHashMap<StoreId, (Instant, u32)>>,
 }
 
-impl LotClient {
+impl BatchClient {
     /// A client that goes by this placement.
-    pub fn new(transport: Arc<Transport>, placement: CurrentPlacement) -> LotClient {
-        LotClient {
+    pub fn new(transport: Arc<Transport>, placement: CurrentPlacement) -> BatchClient {
+        BatchClient {
             transport,
             placement,
             open: Mutex::default(),
         }
     }
 
-    /// Has a lot taken, with the lease of its items for `holder`.
+    /// Has a lot taken, with the lease of its items for `owner`.
     pub async fn submit(
         &self,
-        lot: Submission,
-        holder: DispatcherId,
+        job: Submission,
+        owner: DispatcherId,
         within: Duration,
     ) -> SubmitOutcome {
-        calls::submit(self, lot, holder, within).await
+        calls::submit(self, job, owner, within).await
     }
 
     /// Results of a lot from position `start_after` on; waits up to `wait` for the first one.
     pub async fn read(
         &self,
         host: &str,
-        lot_id: &str,
+        job_id: &str,
         start_after: u64,
         wait: Duration,
-        most_bytes: usize,
+        max_bytes: usize,
     ) -> ReadOutcome {
-        calls::read(self, host, lot_id, start_after, wait, most_bytes).await
+        calls::read(self, host, job_id, start_after, wait, max_bytes).await
     }
 
     /// The body of an item that is not listed, of a lot that is not ended.
-    pub async fn body(&self, host: &str, lot_id: &str, instance_id: &str) -> BodyOutcome {
-        calls::body(self, host, lot_id, instance_id).await
+    pub async fn body(&self, host: &str, job_id: &str, instance_id: &str) -> BodyOutcome {
+        calls::body(self, host, job_id, instance_id).await
     }
 
     /// Ends a lot for good.
-    pub async fn end(&self, host: &str, lot_id: &str) -> EndOutcome {
-        calls::end(self, host, lot_id).await
+    pub async fn end(&self, host: &str, job_id: &str) -> EndOutcome {
+        calls::end(self, host, job_id).await
     }
 
-    /// Up to `most` items that nobody runs, for `holder` to run. Asks a few stores that may have some.
-    pub async fn lease(&self, holder: DispatcherId, most: usize) -> Vec<LeasedItem> {
-        calls::lease(self, holder, most).await
+    /// Up to `most` items that nobody runs, for `owner` to run. Asks a few stores that may have some.
+    pub async fn lease(&self, owner: DispatcherId, most: usize) -> Vec<LeasedItem> {
+        calls::lease(self, owner, most).await
     }
 
-    /// Renews the leases of the items that `holder` still runs; call it each second. Returns those it is to
+    /// Renews the leases of the items that `owner` still runs; call it each second. Returns those it is to
     /// stop.
-    pub async fn renew(&self, holder: DispatcherId, held: Vec<HeldLot>) -> Vec<HeldLot> {
-        calls::renew(self, holder, held).await
+    pub async fn renew(&self, owner: DispatcherId, held: Vec<LeasedJob>) -> Vec<LeasedJob> {
+        calls::renew(self, owner, held).await
     }
 
     /// Records the result of an item. True if it is kept (this one or an earlier one) or no longer wanted, as
     /// the lot is ended or gone; false if that can't be told: call it again then.
-    pub async fn record(&self, host: &str, lot_id: &str, index: u32, result: ItemResult) -> bool {
-        calls::record(self, host, lot_id, index, result).await
+    pub async fn record(&self, host: &str, job_id: &str, index: u32, result: ItemResult) -> bool {
+        calls::record(self, host, job_id, index, result).await
     }
 
-    /// Gives all leases of `holder` up, as it leaves.
-    pub async fn release(&self, holder: DispatcherId) {
-        calls::release(self, holder).await
+    /// Gives all leases of `owner` up, as it leaves.
+    pub async fn release(&self, owner: DispatcherId) {
+        calls::release(self, owner).await
     }
 
     /// Whether a shard of this host has a primary at all, as far as the placement says.
--- a/crates/mintlb-batch/src/client/calls.rs
+++ b/crates/mintlb-batch/src/client/calls.rs
@@ -1,9 +1,11 @@
-//! The calls of [`super::LotClient`], each with its bounds.
+//! The calls of [`super::BatchClient`], each with its bounds.
 
 use super::*;
-use crate::entry::{ItemHead, ItemPayload, ItemState, LotHead};
+use crate::entry::{ItemHeader, ItemPayload, ItemState, JobHeader};
 use crate::framing;
-use crate::messages::{self, Answer, Call, HeldItems, ItemName, LotName, Record, Renew, Submit};
+use crate::messages::{
+    self, ItemName, JobName, LeasedItems, Record, Renew, StoreRequest, StoreResponse, Submit,
+};
 use mintlb_common::transport::{CallError, Channel};
 use std::net::SocketAddr;
 use tokio::time::{sleep, timeout_at};
@@ -25,7 +27,7 @@
 
 /// The answer of a try.
 enum Try {
-    Answered(Answer, Bytes),
+    Answered(StoreResponse, Bytes),
     /// Nothing was or will be done.
     NotDone,
     /// It may have been done.
@@ -33,22 +35,22 @@
 }
 
 /// The primary of a host's shard and the shard's epoch.
-fn primary(client: &LotClient, host: &str) -> Option<(SocketAddr, u64)> {
+fn primary(client: &BatchClient, host: &str) -> Option<(SocketAddr, u64)> {
     let placement = (client.placement)();
     let shard = Placement::shard_of(host);
     let address = placement.primary(shard)?.address.parse().ok()?;
     Some((address, placement.shards.get(shard as usize)?.epoch))
 }
 
-async fn call_once(client: &LotClient, to: SocketAddr, body: Bytes, within: Duration) -> Try {
+async fn call_once(client: &BatchClient, to: SocketAddr, body: Bytes, within: Duration) -> Try {
     match client
         .transport
         .call(to, Channel::Batch, body, within)
         .await
     {
-        Ok(bytes) => match framing::decode::<Answer>(&bytes) {
-            Some((Answer::NotInCharge, _)) => Try::NotDone,
-            Some((Answer::Unsure, _)) | None => Try::Unclear,
+        Ok(bytes) => match framing::decode::<StoreResponse>(&bytes) {
+            Some((StoreResponse::NotPrimary, _)) => Try::NotDone,
+            Some((StoreResponse::Indeterminate, _)) | None => Try::Unclear,
             Some((answer, raw)) => Try::Answered(answer, raw),
         },
         Err(CallError::NotUnderstood | CallError::Replaced) => Try::NotDone,
@@ -56,17 +58,17 @@
     }
 }
 
-fn encode_call(call: &Call, raw: &[&[u8]]) -> Bytes {
+fn encode_call(call: &StoreRequest, raw: &[&[u8]]) -> Bytes {
     framing::encode(call, raw)
 }
 
 /// Tries until there is an answer or the time is over.
 async fn call_host(
-    client: &LotClient,
+    client: &BatchClient,
     host: &str,
     body: Bytes,
     until: Instant,
-) -> Option<(Answer, Bytes)> {
+) -> Option<(StoreResponse, Bytes)> {
     loop {
         let left = until.saturating_duration_since(Instant::now());
         if left.is_zero() {
@@ -82,37 +84,37 @@
 }
 
 pub(super) async fn submit(
-    client: &LotClient,
-    lot: Submission,
-    holder: DispatcherId,
+    client: &BatchClient,
+    job: Submission,
+    owner: DispatcherId,
     within: Duration,
 ) -> SubmitOutcome {
     let until = Instant::now() + within;
-    let payloads: Vec<Bytes> = lot.items.iter().map(payload).collect();
-    let items = lot
+    let payloads: Vec<Bytes> = job.items.iter().map(payload).collect();
+    let items = job
         .items
         .into_iter()
         .zip(&payloads)
-        .map(|(item, payload)| ItemHead {
+        .map(|(item, payload)| ItemHeader {
             id: item.instance_id,
             tokens: item.tokens,
             length: payload.len() as u64,
         });
     let items = items.collect();
-    let head = LotHead {
-        host: lot.host,
-        id: lot.lot_id,
-        route: lot.route,
-        terms: lot.terms,
+    let head = JobHeader {
+        host: job.host,
+        id: job.job_id,
+        route: job.route,
+        terms: job.terms,
         items,
     };
     let host = head.host.clone();
     let raw: Vec<&[u8]> = payloads.iter().map(|payload| &payload[..]).collect();
     let mut submit = Submit {
         epoch: 0,
-        holder,
-        max_queued_tokens: lot.max_queued_tokens,
-        lot: head,
+        owner,
+        max_queued_tokens: job.max_queued_tokens,
+        job: head,
     };
     // Once a try came out unclear it may be carried out at any time, so that only "accepted" can be believed.
     let mut unclear = false;
@@ -121,32 +123,36 @@
         let left = until.saturating_duration_since(Instant::now());
         if left.is_zero() {
             return if unclear {
-                SubmitOutcome::Unclear
+                SubmitOutcome::Indeterminate
             } else {
-                SubmitOutcome::Refused
+                SubmitOutcome::Rejected
             };
         }
         if let Some((to, epoch)) = primary(client, &host) {
             if body.is_empty() || submit.epoch != epoch {
                 submit.epoch = epoch;
-                let call = Call::Submit(submit);
+                let call = StoreRequest::Submit(submit);
                 body = encode_call(&call, &raw);
-                let Call::Submit(back) = call else {
+                let StoreRequest::Submit(back) = call else {
                     unreachable!("it was just put in")
                 };
                 submit = back;
             }
             match call_once(client, to, body.clone(), left.min(TRY)).await {
-                Try::Answered(Answer::Accepted { leased }, _) => {
+                Try::Answered(StoreResponse::Accepted { leased }, _) => {
                     return SubmitOutcome::Accepted {
                         items_leased: leased,
                     };
                 }
-                Try::Answered(Answer::Conflict, _) => return SubmitOutcome::Conflict,
-                Try::Answered(Answer::QuotaFull, _) if !unclear => return SubmitOutcome::QuotaFull,
-                Try::Answered(Answer::DiskFull, _) if !unclear => return SubmitOutcome::Refused,
-                Try::Answered(Answer::QuotaFull | Answer::DiskFull, _) => {
-                    return SubmitOutcome::Unclear;
+                Try::Answered(StoreResponse::Conflict, _) => return SubmitOutcome::Conflict,
+                Try::Answered(StoreResponse::QuotaExceeded, _) if !unclear => {
+                    return SubmitOutcome::QuotaExceeded;
+                }
+                Try::Answered(StoreResponse::DiskFull, _) if !unclear => {
+                    return SubmitOutcome::Rejected;
+                }
+                Try::Answered(StoreResponse::QuotaExceeded | StoreResponse::DiskFull, _) => {
+                    return SubmitOutcome::Indeterminate;
                 }
                 Try::Answered(..) | Try::Unclear => unclear = true,
                 Try::NotDone => (),
@@ -157,23 +163,23 @@
 }
 
 pub(super) async fn read(
-    client: &LotClient,
+    client: &BatchClient,
     host: &str,
-    lot_id: &str,
+    job_id: &str,
     start_after: u64,
     wait: Duration,
-    most_bytes: usize,
+    max_bytes: usize,
 ) -> ReadOutcome {
     let until = Instant::now() + wait + SHORT;
-    let call = Call::Read(messages::Read {
-        lot: name(host, lot_id),
+    let call = StoreRequest::Read(messages::Read {
+        job: name(host, job_id),
         start_after,
         wait_ms: wait.as_millis() as u64,
-        most_bytes: most_bytes as u64,
+        max_bytes: max_bytes as u64,
     });
     match call_host(client, host, encode_call(&call, &[]), until).await {
-        Some((Answer::Page(page), raw)) => listed(page, raw),
-        Some((Answer::Unknown, _)) => ReadOutcome::Unknown,
+        Some((StoreResponse::Page(page), raw)) => listed(page, raw),
+        Some((StoreResponse::NotFound, _)) => ReadOutcome::NotFound,
         _ => ReadOutcome::Unavailable,
     }
 }
@@ -182,7 +188,7 @@
     if page.results.iter().map(|result| result.length).sum::<u64>() != raw.len() as u64 {
         return ReadOutcome::Unavailable;
     }
-    let results = page.results.into_iter().map(|result| ListedResult {
+    let results = page.results.into_iter().map(|result| CommittedResult {
         instance_id: result.item,
         state: result.state,
         text: raw.split_to(result.length as usize),
@@ -195,39 +201,39 @@
 }
 
 pub(super) async fn body(
-    client: &LotClient,
+    client: &BatchClient,
     host: &str,
-    lot_id: &str,
+    job_id: &str,
     instance_id: &str,
 ) -> BodyOutcome {
     let item = ItemName {
-        lot: name(host, lot_id),
+        job: name(host, job_id),
         item: instance_id.to_string(),
     };
-    let body = encode_call(&Call::Body(item), &[]);
+    let body = encode_call(&StoreRequest::Body(item), &[]);
     match call_host(client, host, body, Instant::now() + SHORT).await {
-        Some((Answer::Body, raw)) => match ItemPayload::decode(&raw) {
+        Some((StoreResponse::Body, raw)) => match ItemPayload::decode(&raw) {
             Some((_, body)) => BodyOutcome::Body(body),
             None => BodyOutcome::Unavailable,
         },
-        Some((Answer::Unknown, _)) => BodyOutcome::Unknown,
+        Some((StoreResponse::NotFound, _)) => BodyOutcome::NotFound,
         _ => BodyOutcome::Unavailable,
     }
 }
 
-pub(super) async fn end(client: &LotClient, host: &str, lot_id: &str) -> EndOutcome {
-    let body = encode_call(&Call::End(name(host, lot_id)), &[]);
+pub(super) async fn end(client: &BatchClient, host: &str, job_id: &str) -> EndOutcome {
+    let body = encode_call(&StoreRequest::End(name(host, job_id)), &[]);
     match call_host(client, host, body, Instant::now() + SHORT).await {
-        Some((Answer::Ended, _)) => EndOutcome::Ended,
-        Some((Answer::Unknown, _)) => EndOutcome::Unknown,
+        Some((StoreResponse::Ended, _)) => EndOutcome::Ended,
+        Some((StoreResponse::NotFound, _)) => EndOutcome::NotFound,
         _ => EndOutcome::Unavailable,
     }
 }
 
 pub(super) async fn record(
-    client: &LotClient,
+    client: &BatchClient,
     host: &str,
-    lot_id: &str,
+    job_id: &str,
     index: u32,
     result: ItemResult,
 ) -> bool {
@@ -235,14 +241,17 @@
         ItemResult::Completed(text) => (ItemState::Completed, text),
         ItemResult::Unrecoverable => (ItemState::Unrecoverable, Bytes::new()),
     };
-    let call = Call::Record(Record {
-        lot: name(host, lot_id),
+    let call = StoreRequest::Record(Record {
+        job: name(host, job_id),
         item: index,
         state,
     });
     let body = encode_call(&call, &[&text]);
     let answer = call_host(client, host, body, Instant::now() + RECORD).await;
-    matches!(answer, Some((Answer::Recorded | Answer::Unknown, _)))
+    matches!(
+        answer,
+        Some((StoreResponse::Recorded | StoreResponse::NotFound, _))
+    )
 }
 
 /// The distinct primaries of all shards.
@@ -267,24 +276,24 @@
 }
 
 pub(super) async fn lease(
-    client: &LotClient,
-    holder: DispatcherId,
+    client: &BatchClient,
+    owner: DispatcherId,
     most: usize,
 ) -> Vec<LeasedItem> {
     let mut leased = Vec::new();
-    let stores = stores_to_ask(client, holder);
+    let stores = stores_to_ask(client, owner);
     for (store, address) in stores.into_iter().take(MOST_ASKED) {
         let left = most.saturating_sub(leased.len());
         if left == 0 {
             break;
         }
-        let call = Call::Lease(messages::Lease {
-            holder,
-            most: left as u32,
+        let call = StoreRequest::Lease(messages::Lease {
+            owner,
+            max_items: left as u32,
         });
         let answer = call_once(client, address, encode_call(&call, &[]), LEASE).await;
         let got = match answer {
-            Try::Answered(Answer::Leased(heads), raw) => leased_items(heads, raw),
+            Try::Answered(StoreResponse::Leased(heads), raw) => leased_items(heads, raw),
             _ => Vec::new(),
         };
         // As long as a store gives something it is asked again at once.
@@ -298,7 +307,7 @@
 }
 
 /// Those that may have something first, beginning at another store for each holder.
-fn stores_to_ask(client: &LotClient, holder: DispatcherId) -> Vec<(StoreId, SocketAddr)> {
+fn stores_to_ask(client: &BatchClient, owner: DispatcherId) -> Vec<(StoreId, SocketAddr)> {
     let mut stores = primaries(&(client.placement)());
     let now = Instant::now();
     let mut open = client.open.lock();
@@ -312,13 +321,13 @@
     stores.sort_by_key(|(id, _)| {
         (
             std::cmp::Reverse(waiting(*id).map(|n| n > 0)),
-            (id ^ holder).rotate_left(17),
+            (id ^ owner).rotate_left(17),
         )
     });
     stores
 }
 
-fn leased_items(heads: Vec<messages::LeasedHead>, mut raw: Bytes) -> Vec<LeasedItem> {
+fn leased_items(heads: Vec<messages::LeasedItemHeader>, mut raw: Bytes) -> Vec<LeasedItem> {
     if heads.iter().map(|head| head.length).sum::<u64>() != raw.len() as u64 {
         return Vec::new();
     }
@@ -326,9 +335,9 @@
         let (payload, body) = ItemPayload::decode(&raw.split_to(head.length as usize))?;
         let (path, headers) = (payload.path, payload.headers);
         Some(LeasedItem {
-            host: head.lot.host,
+            host: head.job.host,
             route: head.route,
-            lot_id: head.lot.id,
+            job_id: head.job.id,
             terms: head.terms,
             index: head.index,
             item: Item {
@@ -345,35 +354,35 @@
 }
 
 pub(super) async fn renew(
-    client: &LotClient,
-    holder: DispatcherId,
-    held: Vec<HeldLot>,
-) -> Vec<HeldLot> {
+    client: &BatchClient,
+    owner: DispatcherId,
+    held: Vec<LeasedJob>,
+) -> Vec<LeasedJob> {
     let placement = (client.placement)();
-    let mut by_store: FxHashMap<(StoreId, SocketAddr), Vec<HeldItems>> = FxHashMap::default();
-    for lot in held {
-        let store = placement.primary(Placement::shard_of(&lot.host));
+    let mut by_store: FxHashMap<(StoreId, SocketAddr), Vec<LeasedItems>> = FxHashMap::default();
+    for job in held {
+        let store = placement.primary(Placement::shard_of(&job.host));
         if let Some(address) = store.and_then(|store| Some((store.id, store.address.parse().ok()?)))
         {
-            let HeldLot {
+            let LeasedJob {
                 host,
-                lot_id,
+                job_id,
                 items,
                 failures,
-            } = lot;
-            let lot = HeldItems {
-                lot: LotName { host, id: lot_id },
+            } = job;
+            let job = LeasedItems {
+                job: JobName { host, id: job_id },
                 items,
                 failures,
             };
-            by_store.entry(address).or_default().push(lot);
+            by_store.entry(address).or_default().push(job);
         }
     }
     let until = Instant::now() + LEASE;
     let calls: Vec<_> = by_store
         .into_iter()
-        .map(|((store, address), lots)| {
-            let body = encode_call(&Call::Renew(Renew { holder, lots }), &[]);
+        .map(|((store, address), jobs)| {
+            let body = encode_call(&StoreRequest::Renew(Renew { owner, jobs }), &[]);
             let transport = client.transport.clone();
             let call = async move { transport.call(address, Channel::Batch, body, LEASE).await };
             (store, tokio::spawn(call))
@@ -384,14 +393,15 @@
         let Ok(Ok(Ok(bytes))) = timeout_at(until, call).await else {
             continue;
         };
-        if let Some((Answer::Renewed(renewed), _)) = framing::decode::<Answer>(&bytes) {
+        if let Some((StoreResponse::Renewed(renewed), _)) = framing::decode::<StoreResponse>(&bytes)
+        {
             client
                 .open
                 .lock()
                 .insert(store, (Instant::now(), renewed.open));
-            lost.extend(renewed.lost.into_iter().map(|items| HeldLot {
-                host: items.lot.host,
-                lot_id: items.lot.id,
+            lost.extend(renewed.lost.into_iter().map(|items| LeasedJob {
+                host: items.job.host,
+                job_id: items.job.id,
                 items: items.items,
                 failures: items.failures,
             }));
@@ -400,8 +410,8 @@
     lost
 }
 
-pub(super) async fn release(client: &LotClient, holder: DispatcherId) {
-    let body = encode_call(&Call::Release(holder), &[]);
+pub(super) async fn release(client: &BatchClient, owner: DispatcherId) {
+    let body = encode_call(&StoreRequest::Release(owner), &[]);
     let until = Instant::now() + LEASE;
     let stores = primaries(&(client.placement)()).into_iter();
     let calls: Vec<_> = stores
@@ -415,9 +425,9 @@
     }
 }
 
-fn name(host: &str, lot_id: &str) -> LotName {
-    LotName {
+fn name(host: &str, job_id: &str) -> JobName {
+    JobName {
         host: host.to_string(),
-        id: lot_id.to_string(),
+        id: job_id.to_string(),
     }
 }
--- a/crates/mintlb-batch/src/client/types.rs
+++ b/crates/mintlb-batch/src/client/types.rs
@@ -1,6 +1,6 @@
 //! Types of the client's calls.
 
-use crate::entry::LotTerms;
+use crate::entry::JobTerms;
 use bytes::Bytes;
 
 /// A lot to take.
@@ -11,9 +11,9 @@
     /// The name of its route.
     pub route: String,
     /// The id that its client gave it.
-    pub lot_id: String,
+    pub job_id: String,
     /// When it was sent, due times, attempts.
-    pub terms: LotTerms,
+    pub terms: JobTerms,
     /// Tokens that may wait on the route; 0 is no limit.
     pub max_queued_tokens: u64,
     /// Its items.
@@ -44,13 +44,13 @@
         items_leased: bool,
     },
     /// It does not fit, and nothing of it will run: answer 429.
-    QuotaFull,
+    QuotaExceeded,
     /// Another lot has this id: the first one stays. A proper client doesn't do this.
     Conflict,
     /// Nothing of it will run: answer 503.
-    Refused,
+    Rejected,
     /// It may be in or not: promise nothing (502 or a closed connection).
-    Unclear,
+    Indeterminate,
 }
 
 /// Results of a lot.
@@ -63,17 +63,17 @@
         /// The position after the last result here.
         next: u64,
         /// The results.
-        results: Vec<ListedResult>,
+        results: Vec<CommittedResult>,
     },
     /// There is no such lot, for sure: answer 404.
-    Unknown,
+    NotFound,
     /// Can't be told: answer 503.
     Unavailable,
 }
 
 /// A result at its position.
 #[derive(Clone, Debug, PartialEq)]
-pub struct ListedResult {
+pub struct CommittedResult {
     /// The item's id.
     pub instance_id: String,
     /// Whether it is `completed` or `unrecoverable`.
@@ -88,7 +88,7 @@
     /// Here it is.
     Body(Bytes),
     /// There is no such item, or it is listed, or its lot is ended: answer 404.
-    Unknown,
+    NotFound,
     /// Can't be told: answer 503.
     Unavailable,
 }
@@ -99,7 +99,7 @@
     /// It is ended for good.
     Ended,
     /// There is no such lot.
-    Unknown,
+    NotFound,
     /// Can't be told: answer 503.
     Unavailable,
 }
@@ -121,9 +121,9 @@
     /// The lot's route.
     pub route: String,
     /// The lot's id.
-    pub lot_id: String,
+    pub job_id: String,
     /// The lot's times and limits.
-    pub terms: LotTerms,
+    pub terms: JobTerms,
     /// The item's place in the lot.
     pub index: u32,
     /// The item.
@@ -134,11 +134,11 @@
 
 /// Items of one lot that a dispatcher runs.
 #[derive(Clone, Debug, PartialEq)]
-pub struct HeldLot {
+pub struct LeasedJob {
     /// The lot's host.
     pub host: String,
     /// The lot's id.
-    pub lot_id: String,
+    pub job_id: String,
     /// The items, by their place in the lot.
     pub items: Vec<u32>,
     /// Those of them that failed, each with the count of its failed attempts over all holders.
--- a/crates/mintlb-batch/src/entry.rs
+++ b/crates/mintlb-batch/src/entry.rs
@@ -10,17 +10,17 @@
 pub enum Entry {
     /// A primary begins its epoch.
     #[n(0)]
-    Begin,
+    EpochStart,
     /// A lot is taken. Raw: the payloads of its items, one after another; none once they are no longer
     /// needed.
     #[n(1)]
-    Accepted(#[n(0)] LotHead),
+    Accepted(#[n(0)] JobHeader),
     /// An item is listed. Raw: its text.
     #[n(2)]
     Result {
         /// The lot, by the index of its entry.
         #[n(0)]
-        lot: u64,
+        job: u64,
         /// The item's place in the lot.
         #[n(1)]
         item: u32,
@@ -33,13 +33,13 @@
     Ended {
         /// The lot, by the index of its entry.
         #[n(0)]
-        lot: u64,
+        job: u64,
     },
 }
 
 /// A lot without the payloads of its items.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
-pub struct LotHead {
+pub struct JobHeader {
     /// The `Host` of its route.
     #[n(0)]
     pub host: String,
@@ -51,15 +51,15 @@
     pub route: String,
     /// Its times and limits.
     #[n(3)]
-    pub terms: LotTerms,
+    pub terms: JobTerms,
     /// Its items, in the client's order.
     #[n(4)]
-    pub items: Vec<ItemHead>,
+    pub items: Vec<ItemHeader>,
 }
 
 /// Times and limits of a lot.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Encode, Decode)]
-pub struct LotTerms {
+pub struct JobTerms {
     /// When it was first sent, as far as the dispatcher that took it knows; Unix time in ms.
     #[n(0)]
     pub sent_at_ms: u64,
@@ -76,7 +76,7 @@
 
 /// An item without its payload.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
-pub struct ItemHead {
+pub struct ItemHeader {
     /// Its `instance_id`.
     #[n(0)]
     pub id: String,
@@ -123,7 +123,7 @@
     }
 }
 
-impl LotHead {
+impl JobHeader {
     /// Where an item's payload lies within the payloads of the lot.
     pub fn payload_range(&self, item: usize) -> std::ops::Range<usize> {
         let start: u64 = self.items[..item].iter().map(|item| item.length).sum();
--- a/crates/mintlb-batch/src/heartbeat.rs
+++ b/crates/mintlb-batch/src/heartbeat.rs
@@ -30,7 +30,7 @@
     pub placement: u64,
     /// It was told to stop: its shards are to get other primaries.
     #[n(6)]
-    pub leaving: bool,
+    pub draining: bool,
 }
 
 /// What a primary knows of its shard.
@@ -44,7 +44,7 @@
     pub epoch: u64,
     /// It has read what the previous replicas had and a quorum of the new ones has it.
     #[n(2)]
-    pub in_charge: bool,
+    pub active: bool,
     /// The replicas that have the whole log but for the newest entries.
     #[n(3)]
     pub caught_up: Vec<StoreId>,
--- a/crates/mintlb-batch/src/lots.rs
+++ b/crates/mintlb-batch/src/job_table.rs
@@ -2,14 +2,14 @@
 //! they are in the log; what is committed is told apart by its index, so that entries that never get
 //! committed can be undone. Payloads and texts lie on disk only.
 
-use crate::entry::{Entry, ItemState, LotHead, LotTerms};
-use crate::messages::LotName;
+use crate::entry::{Entry, ItemState, JobHeader, JobTerms};
+use crate::messages::JobName;
 use rustc_hash::FxHashMap;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
 /// The process's steady clock.
-pub type Moment = Duration;
+pub type Timestamp = Duration;
 
 /// A finished lot is dropped so long after the time for which it has to be readable.
 const DROP_AFTER: Duration = Duration::from_secs(10);
@@ -20,9 +20,9 @@
 
 /// All lots of a shard.
 #[derive(Clone, Debug, Default)]
-pub struct Lots {
-    by_name: FxHashMap<LotName, u64>,
-    lots: BTreeMap<u64, Lot>,
+pub struct JobTable {
+    by_name: FxHashMap<JobName, u64>,
+    jobs: BTreeMap<u64, BatchJob>,
     /// Entries that lie on disk, by index.
     entries: BTreeMap<u64, Kept>,
     /// Tokens of each route that wait.
@@ -38,13 +38,13 @@
 
 /// A lot.
 #[derive(Clone, Debug)]
-pub struct Lot {
+pub struct BatchJob {
     /// Its host and id.
-    pub name: LotName,
+    pub name: JobName,
     /// The name of its route.
     pub route: String,
     /// Its times and limits.
-    pub terms: LotTerms,
+    pub terms: JobTerms,
     /// Its items.
     pub items: Vec<Item>,
     /// What is listed, by position.
@@ -53,7 +53,7 @@
     pub ended: Option<u64>,
     /// Its payloads lie on disk.
     pub has_payloads: bool,
-    since: Moment,
+    since: Timestamp,
 }
 
 /// An item of a lot.
@@ -94,10 +94,10 @@
     Other,
     Accepted,
     Result {
-        lot: u64,
+        job: u64,
     },
     Ended {
-        lot: u64,
+        job: u64,
     },
 }
 
@@ -110,7 +110,7 @@
     pub remove: Vec<u64>,
 }
 
-impl Lot {
+impl BatchJob {
     /// How many results are committed.
     pub fn committed_results(&self, committed: u64) -> usize {
         self.listed
@@ -177,7 +177,7 @@
     }
 }
 
-impl Lots {
+impl JobTable {
     /// Bytes of all entries on disk.
     pub fn bytes(&self) -> u64 {
         self.bytes
@@ -185,30 +185,30 @@
 
     /// Bytes that the texts of items that wait may take: as much as those of their lot that are there.
     pub fn texts_to_come(&self) -> u64 {
-        self.open().map(|(_, lot)| lot.texts_to_come()).sum()
+        self.open().map(|(_, job)| job.texts_to_come()).sum()
     }
 
     /// A lot by its name, with the index of its entry.
-    pub fn find(&self, name: &LotName) -> Option<(u64, &Lot)> {
+    pub fn find(&self, name: &JobName) -> Option<(u64, &BatchJob)> {
         let index = *self.by_name.get(name)?;
-        self.lots.get(&index).map(|lot| (index, lot))
+        self.jobs.get(&index).map(|job| (index, job))
     }
 
     /// A lot by the index of its entry.
-    pub fn get(&self, index: u64) -> Option<&Lot> {
-        self.lots.get(&index)
+    pub fn get(&self, index: u64) -> Option<&BatchJob> {
+        self.jobs.get(&index)
     }
 
     /// Lots with items that wait, the one due first in front.
-    pub fn open(&self) -> impl Iterator<Item = (u64, &Lot)> {
+    pub fn open(&self) -> impl Iterator<Item = (u64, &BatchJob)> {
         self.open
             .iter()
-            .filter_map(|(_, index)| self.lots.get(index).map(|lot| (*index, lot)))
+            .filter_map(|(_, index)| self.jobs.get(index).map(|job| (*index, job)))
     }
 
     /// All lots by the index of their entries.
-    pub fn all(&self) -> impl Iterator<Item = (u64, &Lot)> {
-        self.lots.iter().map(|(index, lot)| (*index, lot))
+    pub fn all(&self) -> impl Iterator<Item = (u64, &BatchJob)> {
+        self.jobs.iter().map(|(index, job)| (*index, job))
     }
 
     /// Tokens of a route that wait.
@@ -225,14 +225,14 @@
 
     /// Applies the entry at the end of the log. `length` is what it takes on disk, `raw` the part behind its
     /// head.
-    pub fn apply(&mut self, index: u64, entry: &Entry, length: u64, raw: u64, now: Moment) {
+    pub fn apply(&mut self, index: u64, entry: &Entry, length: u64, raw: u64, now: Timestamp) {
         let kind = match entry {
-            Entry::Begin => Kind::Other,
+            Entry::EpochStart => Kind::Other,
             Entry::Accepted(head) => self.apply_accepted(index, head, raw, now),
-            Entry::Result { lot, item, state } => {
-                self.apply_result(index, *lot, *item, *state, length)
+            Entry::Result { job, item, state } => {
+                self.apply_result(index, *job, *item, *state, length)
             }
-            Entry::Ended { lot } => self.apply_ended(index, *lot),
+            Entry::Ended { job } => self.apply_ended(index, *job),
         };
         if matches!(kind, Kind::Other) {
             self.of_no_lot.insert(index);
@@ -241,8 +241,8 @@
         self.entries.insert(index, Kept { length, kind });
     }
 
-    fn apply_accepted(&mut self, index: u64, head: &LotHead, raw: u64, now: Moment) -> Kind {
-        let name = LotName {
+    fn apply_accepted(&mut self, index: u64, head: &JobHeader, raw: u64, now: Timestamp) -> Kind {
+        let name = JobName {
             host: head.host.clone(),
             id: head.id.clone(),
         };
@@ -257,7 +257,7 @@
             })
             .collect();
         let payload_bytes: u64 = items.iter().map(|item| item.length).sum();
-        let lot = Lot {
+        let job = BatchJob {
             name: name.clone(),
             route: head.route.clone(),
             terms: head.terms,
@@ -267,12 +267,12 @@
             has_payloads: raw == payload_bytes,
             since: now,
         };
-        *self.waiting.entry(lot.route.clone()).or_default() += lot.waiting_tokens();
-        if !lot.is_done() {
-            self.open.insert((lot.due_at_ms(), index));
+        *self.waiting.entry(job.route.clone()).or_default() += job.waiting_tokens();
+        if !job.is_done() {
+            self.open.insert((job.due_at_ms(), index));
         }
         self.by_name.insert(name, index);
-        self.lots.insert(index, lot);
+        self.jobs.insert(index, job);
         Kind::Accepted
     }
 
@@ -284,13 +284,13 @@
         state: ItemState,
         length: u64,
     ) -> Kind {
-        let Some(lot) = self.lots.get_mut(&number) else {
+        let Some(job) = self.jobs.get_mut(&number) else {
             return Kind::Other;
         };
-        let position = lot.listed.len() as u32;
-        let ended = lot.ended.is_some();
-        let due = lot.due_at_ms();
-        let Some(place) = lot
+        let position = job.listed.len() as u32;
+        let ended = job.ended.is_some();
+        let due = job.due_at_ms();
+        let Some(place) = job
             .items
             .get_mut(item as usize)
             .filter(|item| item.position.is_none())
@@ -299,30 +299,30 @@
         };
         place.position = Some(position);
         let tokens = if ended { 0 } else { place.tokens };
-        lot.listed.push(Listed {
+        job.listed.push(Listed {
             index,
             item,
             state,
             length,
         });
-        if lot.is_done() {
+        if job.is_done() {
             self.open.remove(&(due, number));
             self.to_strip.insert(number);
         }
-        Self::take(&mut self.waiting, &lot.route, tokens);
-        Kind::Result { lot: number }
+        Self::take(&mut self.waiting, &job.route, tokens);
+        Kind::Result { job: number }
     }
 
     fn apply_ended(&mut self, index: u64, number: u64) -> Kind {
-        let Some(lot) = self.lots.get_mut(&number).filter(|lot| lot.ended.is_none()) else {
+        let Some(job) = self.jobs.get_mut(&number).filter(|job| job.ended.is_none()) else {
             return Kind::Other;
         };
-        let tokens = lot.waiting_tokens();
-        lot.ended = Some(index);
-        self.open.remove(&(lot.due_at_ms(), number));
+        let tokens = job.waiting_tokens();
+        job.ended = Some(index);
+        self.open.remove(&(job.due_at_ms(), number));
         self.to_strip.insert(number);
-        Self::take(&mut self.waiting, &lot.route, tokens);
-        Kind::Ended { lot: number }
+        Self::take(&mut self.waiting, &job.route, tokens);
+        Kind::Ended { job: number }
     }
 
     fn take(waiting: &mut FxHashMap<String, u64>, route: &str, tokens: u64) {
@@ -347,70 +347,70 @@
             match kept.kind {
                 Kind::Other => _ = self.of_no_lot.remove(&index),
                 Kind::Accepted => self.forget(index),
-                Kind::Result { lot } => self.undo_result(lot),
-                Kind::Ended { lot } => self.undo_ended(lot),
+                Kind::Result { job } => self.undo_result(job),
+                Kind::Ended { job } => self.undo_ended(job),
             }
         }
     }
 
     fn undo_result(&mut self, number: u64) {
-        let Some(lot) = self.lots.get_mut(&number) else {
+        let Some(job) = self.jobs.get_mut(&number) else {
             return;
         };
-        let Some(listed) = lot.listed.pop() else {
+        let Some(listed) = job.listed.pop() else {
             return;
         };
-        let item = &mut lot.items[listed.item as usize];
+        let item = &mut job.items[listed.item as usize];
         item.position = None;
-        if lot.ended.is_none() {
-            *self.waiting.entry(lot.route.clone()).or_default() += item.tokens;
-            self.open.insert((lot.due_at_ms(), number));
+        if job.ended.is_none() {
+            *self.waiting.entry(job.route.clone()).or_default() += item.tokens;
+            self.open.insert((job.due_at_ms(), number));
             self.to_strip.remove(&number);
         }
     }
 
     fn undo_ended(&mut self, number: u64) {
-        let Some(lot) = self.lots.get_mut(&number) else {
+        let Some(job) = self.jobs.get_mut(&number) else {
             return;
         };
-        lot.ended = None;
-        if !lot.is_done() {
-            *self.waiting.entry(lot.route.clone()).or_default() += lot.waiting_tokens();
-            self.open.insert((lot.due_at_ms(), number));
+        job.ended = None;
+        if !job.is_done() {
+            *self.waiting.entry(job.route.clone()).or_default() += job.waiting_tokens();
+            self.open.insert((job.due_at_ms(), number));
             self.to_strip.remove(&number);
         }
     }
 
     fn forget(&mut self, number: u64) {
-        let Some(lot) = self.lots.remove(&number) else {
+        let Some(job) = self.jobs.remove(&number) else {
             return;
         };
-        Self::take(&mut self.waiting, &lot.route, lot.waiting_tokens());
-        self.open.remove(&(lot.due_at_ms(), number));
+        Self::take(&mut self.waiting, &job.route, job.waiting_tokens());
+        self.open.remove(&(job.due_at_ms(), number));
         self.to_strip.remove(&number);
-        if self.by_name.get(&lot.name) == Some(&number) {
-            self.by_name.remove(&lot.name);
+        if self.by_name.get(&job.name) == Some(&number) {
+            self.by_name.remove(&job.name);
         }
     }
 
     /// What can go from the disk: payloads of lots that are done, lots that need not be readable any more.
     /// `status` is how long a lot has to be readable. Goes by the time since the lot was applied in this
     /// process, so that neither a step of the clock nor a restart makes anything go early.
-    pub fn sweep(&mut self, committed: u64, status: Duration, now: Moment) -> Sweep {
+    pub fn sweep(&mut self, committed: u64, status: Duration, now: Timestamp) -> Sweep {
         let mut sweep = Sweep::default();
         self.strip_done(committed, &mut sweep);
         let expired: Vec<u64> = self
-            .lots
+            .jobs
             .iter()
-            .filter(|(index, lot)| lot.last_index(**index) <= committed)
-            .filter(|(_, lot)| {
-                let keep = match lot.is_done() {
+            .filter(|(index, job)| job.last_index(**index) <= committed)
+            .filter(|(_, job)| {
+                let keep = match job.is_done() {
                     true => status + DROP_AFTER,
                     false => {
-                        status + ABANDONED_AFTER + Duration::from_millis(lot.terms.retention_ms)
+                        status + ABANDONED_AFTER + Duration::from_millis(job.terms.retention_ms)
                     }
                 };
-                now.saturating_sub(lot.since) > keep
+                now.saturating_sub(job.since) > keep
             })
             .map(|(index, _)| *index)
             .collect();
@@ -429,7 +429,7 @@
     pub fn drop_all_but(&mut self, numbers: &[u64], through: u64) -> Vec<u64> {
         let kept: BTreeSet<u64> = numbers.iter().copied().collect();
         let gone: Vec<u64> = self
-            .lots
+            .jobs
             .range(..=through)
             .map(|(number, _)| *number)
             .filter(|n| !kept.contains(n))
@@ -443,7 +443,7 @@
 
     /// All lots up to an index, by the index of their entries.
     pub fn numbers_through(&self, through: u64) -> Vec<u64> {
-        self.lots
+        self.jobs
             .range(..=through)
             .map(|(number, _)| *number)
             .collect()
@@ -451,14 +451,14 @@
 
     /// Drops a lot; adds its entries to `remove`.
     fn drop_lot(&mut self, number: u64, remove: &mut Vec<u64>) {
-        let Some(lot) = self.lots.get(&number) else {
+        let Some(job) = self.jobs.get(&number) else {
             return;
         };
         remove.extend(
-            lot.listed
+            job.listed
                 .iter()
                 .map(|listed| listed.index)
-                .chain(lot.ended)
+                .chain(job.ended)
                 .chain([number]),
         );
         self.forget(number);
@@ -478,18 +478,18 @@
             .iter()
             .copied()
             .filter(|number| {
-                self.lots
+                self.jobs
                     .get(number)
-                    .is_none_or(|lot| lot.last_index(*number) <= committed)
+                    .is_none_or(|job| job.last_index(*number) <= committed)
             })
             .collect();
         for number in settled {
             self.to_strip.remove(&number);
-            let Some(lot) = self.lots.get_mut(&number).filter(|lot| lot.has_payloads) else {
+            let Some(job) = self.jobs.get_mut(&number).filter(|job| job.has_payloads) else {
                 continue;
             };
-            lot.has_payloads = false;
-            let payload_bytes = lot.payload_bytes();
+            job.has_payloads = false;
+            let payload_bytes = job.payload_bytes();
             if let Some(kept) = self.entries.get_mut(&number) {
                 kept.length -= payload_bytes;
                 self.bytes -= payload_bytes;
@@ -500,6 +500,6 @@
 
     /// Forgets everything.
     pub fn clear(&mut self) {
-        *self = Lots::default();
+        *self = JobTable::default();
     }
 }
--- a/crates/mintlb-batch/src/leases.rs
+++ b/crates/mintlb-batch/src/leases.rs
@@ -1,7 +1,7 @@
 //! Who runs which item. Known to the primary only, and not replicated: a new primary waits for renewals
 //! first.
 
-use crate::lots::{Lot, Lots, Moment};
+use crate::job_table::{BatchJob, JobTable, Timestamp};
 use crate::messages::DispatcherId;
 use rustc_hash::FxHashMap;
 use std::time::Duration;
@@ -13,39 +13,39 @@
 #[derive(Clone, Debug, Default)]
 pub struct Leases {
     /// Before this time, nothing is open: holders may still renew what an earlier primary granted.
-    quiet_until: Moment,
-    lots: FxHashMap<u64, LotLeases>,
+    quiet_until: Timestamp,
+    jobs: FxHashMap<u64, JobLeases>,
 }
 
 /// The lease of each item of a lot. An item's lease lives by its own renewals: one whose grant got lost on its way is
 /// renewed by nobody, and is open again, also while its holder runs others of the lot.
 #[derive(Clone, Debug, Default)]
-struct LotLeases {
+struct JobLeases {
     items: Vec<ItemLease>,
 }
 
 /// Who runs an item, and when that was last said; 0 is nobody. Failed attempts are counted over all holders.
 #[derive(Clone, Copy, Debug, Default)]
 struct ItemLease {
-    holder: DispatcherId,
-    renewed: Moment,
+    owner: DispatcherId,
+    renewed: Timestamp,
     failures: u32,
 }
 
 impl ItemLease {
-    fn is_live(&self, now: Moment) -> bool {
-        self.holder != 0 && now.saturating_sub(self.renewed) < LEASE
+    fn is_live(&self, now: Timestamp) -> bool {
+        self.owner != 0 && now.saturating_sub(self.renewed) < LEASE
     }
 }
 
-impl LotLeases {
+impl JobLeases {
     fn of(&self, item: u32) -> ItemLease {
         self.items.get(item as usize).copied().unwrap_or_default()
     }
 
-    fn set(&mut self, item: u32, holder: DispatcherId, now: Moment) {
+    fn set(&mut self, item: u32, owner: DispatcherId, now: Timestamp) {
         let lease = self.entry(item);
-        (lease.holder, lease.renewed) = (holder, now);
+        (lease.owner, lease.renewed) = (owner, now);
     }
 
     fn entry(&mut self, item: u32) -> &mut ItemLease {
@@ -58,58 +58,58 @@
 
 impl Leases {
     /// Drops all leases; nothing is open until holders had the time to renew.
-    pub fn restart(&mut self, now: Moment) {
-        self.lots.clear();
+    pub fn restart(&mut self, now: Timestamp) {
+        self.jobs.clear();
         self.pause(now);
     }
 
     /// Nothing is open until holders had the time to renew.
-    pub fn pause(&mut self, now: Moment) {
+    pub fn pause(&mut self, now: Timestamp) {
         self.quiet_until = now + LEASE;
     }
 
     /// The holder is to run all items of a new lot.
-    pub fn grant_all(&mut self, number: u64, items: usize, holder: DispatcherId, now: Moment) {
+    pub fn grant_all(&mut self, number: u64, items: usize, owner: DispatcherId, now: Timestamp) {
         let leases = vec![
             ItemLease {
-                holder,
+                owner,
                 renewed: now,
                 failures: 0
             };
             items
         ];
-        self.lots.insert(number, LotLeases { items: leases });
+        self.jobs.insert(number, JobLeases { items: leases });
     }
 
     /// Whether this holder has all items of a lot.
-    pub fn holds_all(&self, number: u64, lot: &Lot, holder: DispatcherId) -> bool {
-        let Some(leases) = self.lots.get(&number) else {
+    pub fn holds_all(&self, number: u64, job: &BatchJob, owner: DispatcherId) -> bool {
+        let Some(leases) = self.jobs.get(&number) else {
             return false;
         };
-        (0..lot.items.len()).all(|item| leases.of(item as u32).holder == holder)
+        (0..job.items.len()).all(|item| leases.of(item as u32).owner == owner)
     }
 
     /// Renews the holder's leases of a lot; returns the items that are not its any more.
     pub fn renew(
         &mut self,
         number: u64,
-        lot: &Lot,
+        job: &BatchJob,
         items: &[u32],
-        holder: DispatcherId,
-        now: Moment,
+        owner: DispatcherId,
+        now: Timestamp,
     ) -> Vec<u32> {
-        let leases = self.lots.entry(number).or_default();
+        let leases = self.jobs.entry(number).or_default();
         let mut lost = Vec::new();
         for &item in items {
-            let waits = lot.ended.is_none()
-                && lot
+            let waits = job.ended.is_none()
+                && job
                     .items
                     .get(item as usize)
                     .is_some_and(|item| item.position.is_none());
             let current = leases.of(item);
-            let free = current.holder == holder || !current.is_live(now);
+            let free = current.owner == owner || !current.is_live(now);
             match waits && free {
-                true => leases.set(item, holder, now),
+                true => leases.set(item, owner, now),
                 false => lost.push(item),
             }
         }
@@ -117,45 +117,45 @@
     }
 
     /// A holder tells how often an item has failed so far.
-    pub fn failed(&mut self, number: u64, lot: &Lot, item: u32, count: u32) {
-        if (item as usize) < lot.items.len() {
-            let lease = self.lots.entry(number).or_default().entry(item);
+    pub fn failed(&mut self, number: u64, job: &BatchJob, item: u32, count: u32) {
+        if (item as usize) < job.items.len() {
+            let lease = self.jobs.entry(number).or_default().entry(item);
             lease.failures = lease.failures.max(count);
         }
     }
 
     /// How often an item has failed so far, as far as its holders told this primary.
     pub fn failures(&self, number: u64, item: u32) -> u32 {
-        self.lots
+        self.jobs
             .get(&number)
             .map_or(0, |leases| leases.of(item).failures)
     }
 
     /// Gives all leases of a holder up.
-    pub fn release(&mut self, holder: DispatcherId) {
-        let all = self.lots.values_mut().flat_map(|leases| &mut leases.items);
-        all.filter(|lease| lease.holder == holder)
-            .for_each(|lease| lease.holder = 0);
+    pub fn release(&mut self, owner: DispatcherId) {
+        let all = self.jobs.values_mut().flat_map(|leases| &mut leases.items);
+        all.filter(|lease| lease.owner == owner)
+            .for_each(|lease| lease.owner = 0);
     }
 
     /// Committed items that nobody runs, those of the lot due first in front.
     pub fn open_items<'a>(
         &'a self,
-        lots: &'a Lots,
+        jobs: &'a JobTable,
         committed: u64,
-        now: Moment,
+        now: Timestamp,
     ) -> impl Iterator<Item = (u64, u32)> + 'a {
         let quiet = now < self.quiet_until;
-        let open = lots
+        let open = jobs
             .open()
             .filter(move |(number, _)| !quiet && *number <= committed);
-        open.flat_map(move |(number, lot)| {
-            let leases = self.lots.get(&number);
+        open.flat_map(move |(number, job)| {
+            let leases = self.jobs.get(&number);
             let is_open = move |item: u32| match leases {
                 None => true,
                 Some(leases) => !leases.of(item).is_live(now),
             };
-            lot.waiting_items()
+            job.waiting_items()
                 .map(|(item, _)| item)
                 .filter(move |item| is_open(*item))
                 .map(move |i| (number, i))
@@ -163,13 +163,13 @@
     }
 
     /// Leases one item.
-    pub fn grant(&mut self, number: u64, item: u32, holder: DispatcherId, now: Moment) {
-        self.lots.entry(number).or_default().set(item, holder, now);
+    pub fn grant(&mut self, number: u64, item: u32, owner: DispatcherId, now: Timestamp) {
+        self.jobs.entry(number).or_default().set(item, owner, now);
     }
 
     /// Forgets leases of lots that are done.
-    pub fn sweep(&mut self, lots: &Lots) {
-        self.lots
-            .retain(|number, _| lots.get(*number).is_some_and(|lot| !lot.is_done()));
+    pub fn sweep(&mut self, jobs: &JobTable) {
+        self.jobs
+            .retain(|number, _| jobs.get(*number).is_some_and(|job| !job.is_done()));
     }
 }
--- a/crates/mintlb-batch/src/lib.rs
+++ b/crates/mintlb-batch/src/lib.rs
@@ -5,7 +5,7 @@
 //! - [`peer`]: messages between the replicas of a shard.
 //! - [`entry`]: entries of a shard's log.
 //! - [`log_index`]: which epoch wrote which part of a log, and how two logs compare.
-//! - [`lots`]: the lots of one shard, built from its log: items, results, quota.
+//! - [`job_table`]: the lots of one shard, built from its log: items, results, quota.
 //! - [`leases`]: who runs which item.
 //! - [`replica`]: one shard at one store: follower, takeover, primary. Pure.
 //! - [`heartbeat`]: what stores tell the controllers.
@@ -16,9 +16,9 @@
 pub mod entry;
 pub mod framing;
 pub mod heartbeat;
+pub mod job_table;
 pub mod leases;
 pub mod log_index;
-pub mod lots;
 pub mod messages;
 pub mod peer;
 pub mod placement_planner;
--- a/crates/mintlb-batch/src/log_index.rs
+++ b/crates/mintlb-batch/src/log_index.rs
@@ -9,7 +9,7 @@
 
 /// Entries of one epoch in a row.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
-pub struct Run {
+pub struct EpochRun {
     /// The first index.
     #[n(0)]
     pub first: u64,
@@ -21,7 +21,7 @@
 /// A place in a log: an index and the epoch that wrote it. Ordered as takeovers choose: the later epoch is
 /// ahead.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Encode, Decode)]
-pub struct Place {
+pub struct LogPosition {
     /// The epoch.
     #[n(0)]
     pub epoch: u64,
@@ -35,7 +35,7 @@
 pub struct LogIndex {
     /// Rising in `first` and in `epoch`.
     #[n(0)]
-    runs: Vec<Run>,
+    runs: Vec<EpochRun>,
     /// The last index; 0 if the log is empty.
     #[n(1)]
     last: u64,
@@ -48,8 +48,8 @@
     }
 
     /// The place of the last entry.
-    pub fn end(&self) -> Place {
-        Place {
+    pub fn end(&self) -> LogPosition {
+        LogPosition {
             epoch: self.runs.last().map_or(0, |run| run.epoch),
             index: self.last,
         }
@@ -73,7 +73,7 @@
             return;
         }
         if self.runs.last().is_none_or(|run| run.epoch != epoch) {
-            self.runs.push(Run {
+            self.runs.push(EpochRun {
                 first: self.last + 1,
                 epoch,
             });
@@ -90,7 +90,7 @@
     }
 
     /// The runs between two indexes, both included.
-    pub fn runs(&self, first: u64, through: u64) -> Vec<Run> {
+    pub fn runs(&self, first: u64, through: u64) -> Vec<EpochRun> {
         let mut runs = Vec::new();
         let mut index = first;
         while index <= through.min(self.last) {
@@ -98,7 +98,7 @@
             let Some(run) = after.checked_sub(1).map(|run| self.runs[run]) else {
                 break;
             };
-            runs.push(Run {
+            runs.push(EpochRun {
                 first: index,
                 epoch: run.epoch,
             });
@@ -128,7 +128,7 @@
 }
 
 /// The epoch at an index by a message's runs; `None` before the first of them.
-pub fn epoch_in(runs: &[Run], index: u64) -> Option<u64> {
+pub fn epoch_in_runs(runs: &[EpochRun], index: u64) -> Option<u64> {
     let after = runs.partition_point(|run| run.first <= index);
     after.checked_sub(1).map(|run| runs[run].epoch)
 }
--- a/crates/mintlb-batch/src/messages.rs
+++ b/crates/mintlb-batch/src/messages.rs
@@ -2,7 +2,7 @@
 //! [`crate::framing`] head; what is raw behind it is said at the variant. Messages between replicas are
 //! notices on the same channel, see [`crate::peer`].
 
-use crate::entry::{ItemState, LotHead};
+use crate::entry::{ItemState, JobHeader};
 use minicbor::{Decode, Encode};
 
 /// Identifies a dispatcher process as holder of leases; drawn at its start.
@@ -10,7 +10,7 @@
 
 /// What a dispatcher asks of the primary of a shard.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
-pub enum Call {
+pub enum StoreRequest {
     /// Take a lot. Raw: the payloads of its items, one after another.
     #[n(0)]
     Submit(#[n(0)] Submit),
@@ -22,7 +22,7 @@
     Body(#[n(0)] ItemName),
     /// End a lot.
     #[n(3)]
-    End(#[n(0)] LotName),
+    End(#[n(0)] JobName),
     /// Items that nobody runs, of all shards this store is in charge of.
     #[n(4)]
     Lease(#[n(0)] Lease),
@@ -39,7 +39,7 @@
 
 /// A lot by its host and id.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Encode, Decode)]
-pub struct LotName {
+pub struct JobName {
     /// The `Host` of its route.
     #[n(0)]
     pub host: String,
@@ -53,7 +53,7 @@
 pub struct ItemName {
     /// Its lot.
     #[n(0)]
-    pub lot: LotName,
+    pub job: JobName,
     /// Its `instance_id`.
     #[n(1)]
     pub item: String,
@@ -68,13 +68,13 @@
     pub epoch: u64,
     /// Who runs the items.
     #[n(1)]
-    pub holder: DispatcherId,
+    pub owner: DispatcherId,
     /// Tokens that may wait on the lot's route; 0 is no limit.
     #[n(2)]
     pub max_queued_tokens: u64,
     /// The lot without its payloads.
     #[n(3)]
-    pub lot: LotHead,
+    pub job: JobHeader,
 }
 
 /// Results to read.
@@ -82,7 +82,7 @@
 pub struct Read {
     /// The lot.
     #[n(0)]
-    pub lot: LotName,
+    pub job: JobName,
     /// The first position.
     #[n(1)]
     pub start_after: u64,
@@ -91,7 +91,7 @@
     pub wait_ms: u64,
     /// The most bytes of texts; one result comes in any case.
     #[n(3)]
-    pub most_bytes: u64,
+    pub max_bytes: u64,
 }
 
 /// Items to lease.
@@ -99,10 +99,10 @@
 pub struct Lease {
     /// Who will run them.
     #[n(0)]
-    pub holder: DispatcherId,
+    pub owner: DispatcherId,
     /// How many at most.
     #[n(1)]
-    pub most: u32,
+    pub max_items: u32,
 }
 
 /// Leases to renew.
@@ -110,18 +110,18 @@
 pub struct Renew {
     /// Who runs them.
     #[n(0)]
-    pub holder: DispatcherId,
+    pub owner: DispatcherId,
     /// The items by lot.
     #[n(1)]
-    pub lots: Vec<HeldItems>,
+    pub jobs: Vec<LeasedItems>,
 }
 
 /// Items of one lot that a dispatcher holds, by their place in the lot.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
-pub struct HeldItems {
+pub struct LeasedItems {
     /// The lot.
     #[n(0)]
-    pub lot: LotName,
+    pub job: JobName,
     /// The items.
     #[n(1)]
     pub items: Vec<u32>,
@@ -136,7 +136,7 @@
 pub struct Record {
     /// The lot.
     #[n(0)]
-    pub lot: LotName,
+    pub job: JobName,
     /// The item's place in the lot.
     #[n(1)]
     pub item: u32,
@@ -147,16 +147,16 @@
 
 /// A store's answer.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
-pub enum Answer {
+pub enum StoreResponse {
     /// This store is not in charge of the shard: nothing of the call was or will be done.
     #[n(0)]
-    NotInCharge,
+    NotPrimary,
     /// The store can't tell; the call may have been done.
     #[n(1)]
-    Unsure,
+    Indeterminate,
     /// No such lot or item, for sure.
     #[n(2)]
-    Unknown,
+    NotFound,
     /// The lot is taken, now or before.
     #[n(3)]
     Accepted {
@@ -166,7 +166,7 @@
     },
     /// The lot does not fit into what may wait on its route.
     #[n(4)]
-    QuotaFull,
+    QuotaExceeded,
     /// Another lot with this id is there.
     #[n(5)]
     Conflict,
@@ -184,7 +184,7 @@
     Ended,
     /// Items to run. Raw: their payloads, one after another.
     #[n(10)]
-    Leased(#[n(0)] Vec<LeasedHead>),
+    Leased(#[n(0)] Vec<LeasedItemHeader>),
     /// The leases are renewed but for some.
     #[n(11)]
     Renewed(#[n(0)] Renewed),
@@ -226,16 +226,16 @@
 
 /// An item to run, without its payload.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
-pub struct LeasedHead {
+pub struct LeasedItemHeader {
     /// Its lot.
     #[n(0)]
-    pub lot: LotName,
+    pub job: JobName,
     /// The lot's route.
     #[n(1)]
     pub route: String,
     /// The lot's times and limits.
     #[n(2)]
-    pub terms: crate::entry::LotTerms,
+    pub terms: crate::entry::JobTerms,
     /// Its place in the lot.
     #[n(3)]
     pub index: u32,
@@ -259,7 +259,7 @@
 pub struct Renewed {
     /// Items that the holder is to stop: listed, leased to another, or of an ended or unknown lot.
     #[n(0)]
-    pub lost: Vec<HeldItems>,
+    pub lost: Vec<LeasedItems>,
     /// Items at this store that nobody runs.
     #[n(1)]
     pub open: u32,
--- a/crates/mintlb-batch/src/peer.rs
+++ b/crates/mintlb-batch/src/peer.rs
@@ -1,7 +1,7 @@
 //! Messages between the replicas of a shard: notices on [`mintlb_common::transport::Channel::Batch`], each a
 //! [`crate::framing`] head; entries are raw behind it. A lost one is made good by the sender's next one.
 
-use crate::log_index::{LogIndex, Place, Run};
+use crate::log_index::{EpochRun, LogIndex, LogPosition};
 use minicbor::{Decode, Encode};
 use mintlb_common::placement::StoreId;
 
@@ -56,10 +56,10 @@
     Fenced,
     /// A new primary asks for a promise and for what the receiver has.
     #[n(4)]
-    Collect,
+    NewEpoch,
     /// The promise is given, on disk; the sender's log is this.
     #[n(5)]
-    Collected {
+    EpochAck {
         /// Its log.
         #[n(0)]
         log: LogIndex,
@@ -81,13 +81,13 @@
 pub struct Append {
     /// The place just before the part.
     #[n(0)]
-    pub previous: Place,
+    pub previous: LogPosition,
     /// The part's last index; equal to the previous one if the part is empty.
     #[n(1)]
     pub through: u64,
     /// The epochs of the part.
     #[n(2)]
-    pub runs: Vec<Run>,
+    pub runs: Vec<EpochRun>,
     /// Index and length of each entry that is still needed, in order.
     #[n(3)]
     pub entries: Vec<EntryLength>,
@@ -101,7 +101,7 @@
     /// by the index of their entries. Any others are dropped by the receiver, as the results or the end of such
     /// a lot may be what is left out, and without them it would seem to wait.
     #[n(6)]
-    pub lots: Option<Vec<u64>>,
+    pub jobs: Option<Vec<u64>>,
 }
 
 /// An entry's index and the bytes it takes.
--- a/crates/mintlb-batch/src/placement_planner.rs
+++ b/crates/mintlb-batch/src/placement_planner.rs
@@ -10,7 +10,7 @@
 mod view;
 
 pub use retirement::{Retirement, RetirementOrder, order_retirement, retirement};
-pub use view::{ShardView, StoreSeen, StoreTable, StoreView};
+pub use view::{ShardView, StoreStatus, StoreTable, StoreView};
 
 use mintlb_common::placement::{Placement, SHARD_COUNT, ShardAssignment, StoreEntry, StoreId};
 use std::collections::BTreeMap;
@@ -55,11 +55,11 @@
 }
 
 fn first_placement(mut next: Placement, view: &StoreView, tolerance: usize) -> Option<Placement> {
-    let live: Vec<&StoreSeen> = view.live().collect();
+    let live: Vec<&StoreStatus> = view.live().collect();
     let oldest = live.iter().map(|store| store.known_for).max()?;
     let newest = live.iter().map(|store| store.known_for).min()?;
-    let settled = oldest >= FIRST_WAIT && newest >= NEWEST_WAIT;
-    if live.len() <= tolerance || !(settled || oldest >= LONGEST_FIRST_WAIT) {
+    let waited_enough = oldest >= FIRST_WAIT && newest >= NEWEST_WAIT;
+    if live.len() <= tolerance || !(waited_enough || oldest >= LONGEST_FIRST_WAIT) {
         return None;
     }
     next.stores = live.iter().map(|store| store.entry()).collect();
@@ -109,14 +109,14 @@
         } else {
             FORGET
         };
-        view.silence(entry.id) >= patience || (!entry.retiring && view.is_replaced(entry))
+        view.since_heartbeat(entry.id) >= patience || (!entry.retiring && view.is_replaced(entry))
     };
     next.stores
         .retain(|entry| named.contains(&entry.id) || !gone(entry));
 }
 
 /// A store that was not known. With an emptied disk the machine is still to be taken away if that was ordered.
-fn new_entry(next: &Placement, store: &StoreSeen) -> StoreEntry {
+fn new_entry(next: &Placement, store: &StoreStatus) -> StoreEntry {
     let is_ordered = |entry: &StoreEntry| {
         entry.retiring && entry.node_name == store.node_name && entry.address == store.address
     };
@@ -153,7 +153,7 @@
 
     /// Live stores that nobody is to take away.
     fn staying(&self) -> impl Iterator<Item = &StoreEntry> {
-        let stays = |entry: &&StoreEntry| !entry.retiring && !self.view.is_leaving(entry.id);
+        let stays = |entry: &&StoreEntry| !entry.retiring && !self.view.is_draining(entry.id);
         self.next
             .stores
             .iter()
@@ -168,7 +168,7 @@
     }
 
     fn is_live(&self, id: StoreId) -> bool {
-        self.view.silence(id) < LIVE
+        self.view.since_heartbeat(id) < LIVE
     }
 
     fn plan_shard(&mut self, shard: usize) {
@@ -179,18 +179,15 @@
             return;
         };
         let report = self.view.report(primary, shard, assignment.epoch);
-        let in_charge = report.is_some_and(|report| report.in_charge);
-        if in_charge && !assignment.previous.is_empty() {
+        let active = report.is_some_and(|report| report.active);
+        if active && !assignment.previous.is_empty() {
             self.next.shards[shard].previous.clear();
             return;
         }
-        let leaves = self.view.is_leaving(primary);
-        let dead = self.view.silence(primary) >= PRIMARY_DEAD || leaves && in_charge;
-        let stuck =
-            !in_charge && self.view.unsettled_for(shard, assignment.epoch) >= TAKEOVER_PATIENCE;
-        if !in_charge
-            && self.lacks_quorum(&assignment)
-            && self.choose_anew(shard, &assignment, false)
+        let leaves = self.view.is_draining(primary);
+        let dead = self.view.since_heartbeat(primary) >= PRIMARY_DEAD || leaves && active;
+        let stuck = !active && self.view.inactive_for(shard, assignment.epoch) >= TAKEOVER_PATIENCE;
+        if !active && self.lacks_quorum(&assignment) && self.choose_anew(shard, &assignment, false)
         {
             return;
         }
@@ -201,13 +198,13 @@
         let caught_up = report
             .map(|report| report.caught_up.clone())
             .unwrap_or_default();
-        if in_charge && self.hand_over(shard, &assignment, &caught_up) {
+        if active && self.hand_over(shard, &assignment, &caught_up) {
             return;
         }
         if dead || stuck {
             return self.replace_primary(shard, &assignment);
         }
-        if in_charge {
+        if active {
             self.change_members(shard, &assignment, &caught_up);
         }
     }
@@ -217,7 +214,7 @@
         let caught_up = self.view.last_caught_up(shard);
         let primary = assignment.replicas[0];
         let places = assignment.replicas.iter().skip(1).enumerate();
-        let others = places.filter(|(_, id)| self.is_live(**id) && !self.view.is_leaving(**id));
+        let others = places.filter(|(_, id)| self.is_live(**id) && !self.view.is_draining(**id));
         let chosen = others.min_by_key(|(place, id)| {
             let behind = !caught_up.contains(id) && !assignment.previous.contains(id);
             (
--- a/crates/mintlb-batch/src/placement_planner/members.rs
+++ b/crates/mintlb-batch/src/placement_planner/members.rs
@@ -65,7 +65,7 @@
     /// Live stores that may have the shard's log, those first that are sure to be of use.
     fn live_sources(&self, assignment: &ShardAssignment, size: usize) -> Vec<StoreId> {
         let suits = |id: &&StoreId| {
-            self.is_live(**id) && !self.is_retiring(**id) && !self.view.is_leaving(**id)
+            self.is_live(**id) && !self.is_retiring(**id) && !self.view.is_draining(**id)
         };
         let previous: Vec<StoreId> = assignment.previous.iter().filter(suits).copied().collect();
         let current: Vec<StoreId> = assignment.replicas.iter().filter(suits).copied().collect();
@@ -96,17 +96,17 @@
     ) -> bool {
         let replicas = &assignment.replicas;
         let leaves = |id: &&StoreId| {
-            self.is_live(**id) && self.view.is_leaving(**id) && !self.is_retiring(**id)
+            self.is_live(**id) && self.view.is_draining(**id) && !self.is_retiring(**id)
         };
-        let Some(leaving) = replicas.iter().find(leaves).copied() else {
+        let Some(draining) = replicas.iter().find(leaves).copied() else {
             return false;
         };
         let candidate = self
             .candidate(shard, replicas)
             .filter(|id| self.is_new(*id) || self.is_held_back(*id));
-        let mut changed = replace(replicas, leaving, candidate);
+        let mut changed = replace(replicas, draining, candidate);
         let is_good = |id: &StoreId| {
-            self.is_live(*id) && !self.view.is_leaving(*id) && caught_up.contains(id)
+            self.is_live(*id) && !self.view.is_draining(*id) && caught_up.contains(id)
         };
         let good: Vec<StoreId> = changed.iter().copied().filter(is_good).collect();
         let may_shrink = good.len() > self.tolerance && good.iter().any(|id| self.is_new(*id));
@@ -152,32 +152,32 @@
         let lost = replicas
             .iter()
             .find(|id| self.is_lost(**id, self.patience(**id, at_ease)));
-        let leaving = lost
+        let draining = lost
             .or(replicas.iter().find(|id| self.is_retiring(**id)))
             .copied();
         let candidate = self.candidate(shard, replicas);
         // A copy that is missing is made good at once: the next loss may come as soon as the new store counts no
         // more.
         let is_missing =
-            leaving.is_some_and(|id| !self.is_live(id)) || replicas.len() < self.size();
+            draining.is_some_and(|id| !self.is_live(id)) || replicas.len() < self.size();
         if !is_missing && candidate.is_some_and(|id| self.filling(id) >= MOST_FILLING) {
             return;
         }
         let stays =
-            |leaving: StoreId| good.iter().filter(|id| **id != leaving).count() > self.tolerance;
-        let changed = match (leaving, candidate) {
+            |draining: StoreId| good.iter().filter(|id| **id != draining).count() > self.tolerance;
+        let changed = match (draining, candidate) {
             // One that is lost makes no quorum: beside its successor it would only be one more that can't be read.
-            (Some(leaving), Some(candidate))
-                if stays(leaving) || self.is_lost(leaving, REPLICA_DEAD) =>
+            (Some(draining), Some(candidate))
+                if stays(draining) || self.is_lost(draining, REPLICA_DEAD) =>
             {
-                Some(replace(replicas, leaving, Some(candidate)))
+                Some(replace(replicas, draining, Some(candidate)))
             }
             // One more for a while, until there are enough copies without the one that leaves.
             (Some(_), Some(candidate)) if replicas.len() <= self.size().max(self.tolerance + 1) => {
                 Some(with(replicas, candidate))
             }
-            (Some(leaving), None) if stays(leaving) && self.may_shrink(leaving) => {
-                Some(replace(replicas, leaving, None))
+            (Some(draining), None) if stays(draining) && self.may_shrink(draining) => {
+                Some(replace(replicas, draining, None))
             }
             (None, Some(candidate)) if replicas.len() < self.size() => {
                 Some(with(replicas, candidate))
@@ -216,29 +216,29 @@
         self.next
             .store(id)
             .is_none_or(|entry| self.view.is_replaced(entry))
-            || self.view.silence(id) >= patience
+            || self.view.since_heartbeat(id) >= patience
     }
 
     /// Without a store to take its place, a silent replica stays: it may come back. A retiring one has to go, one
     /// whose disk is lost is of no use, and one whose successor is there will not come back: if it stayed in the
     /// set, the next loss would leave too few to read from.
-    fn may_shrink(&self, leaving: StoreId) -> bool {
+    fn may_shrink(&self, draining: StoreId) -> bool {
         let replaced = self
             .next
-            .store(leaving)
+            .store(draining)
             .is_none_or(|entry| self.view.is_replaced(entry));
-        self.is_retiring(leaving) || replaced || self.has_successor(leaving)
+        self.is_retiring(draining) || replaced || self.has_successor(draining)
     }
 
     /// Whether a silent store was told to stop, or another one came after its last word.
     fn has_successor(&self, id: StoreId) -> bool {
-        let silence = self.view.silence(id);
+        let since_heartbeat = self.view.since_heartbeat(id);
         let came_after = self.usable().any(|entry| {
             self.view
                 .store(entry.id)
-                .is_some_and(|store| store.known_for <= silence)
+                .is_some_and(|store| store.known_for <= since_heartbeat)
         });
-        silence >= REPLICA_DEAD && (self.view.is_leaving(id) || came_after)
+        since_heartbeat >= REPLICA_DEAD && (self.view.is_draining(id) || came_after)
     }
 
     /// The usable store that suits best as one more replica: of a zone with few of them, with few shards.
@@ -246,7 +246,7 @@
         let zone_of = |id: &StoreId| self.next.store(*id).map(|entry| entry.zone.as_str());
         let others = self
             .usable()
-            .filter(|entry| !replicas.contains(&entry.id) && !self.view.is_leaving(entry.id));
+            .filter(|entry| !replicas.contains(&entry.id) && !self.view.is_draining(entry.id));
         let best = others.min_by_key(|entry: &&StoreEntry| {
             let live = replicas
                 .iter()
@@ -278,11 +278,11 @@
     }
 }
 
-fn replace(replicas: &[StoreId], leaving: StoreId, by: Option<StoreId>) -> Vec<StoreId> {
+fn replace(replicas: &[StoreId], draining: StoreId, by: Option<StoreId>) -> Vec<StoreId> {
     replicas
         .iter()
         .copied()
-        .filter(|id| *id != leaving)
+        .filter(|id| *id != draining)
         .chain(by)
         .collect()
 }
--- a/crates/mintlb-batch/src/placement_planner/retirement.rs
+++ b/crates/mintlb-batch/src/placement_planner/retirement.rs
@@ -12,15 +12,15 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum RetirementOrder {
     /// Write this placement into the register, then answer 200.
-    Begin(Placement),
+    Start(Placement),
     /// It is under way or completed already: answer 200.
-    Begun,
+    AlreadyStarted,
     /// There is no such store: answer 404.
-    Unknown,
+    NotFound,
     /// Too few stores would be left: answer 409.
-    TooFew,
+    TooFewStores,
     /// Whether enough stores would be left depends on one that was told to stop and may come back: answer 503.
-    NotNow,
+    Unavailable,
 }
 
 /// How far a store is emptied.
@@ -41,7 +41,7 @@
 ) -> RetirementOrder {
     let of_node = |entry: &&StoreEntry| entry.node_name == node_name;
     if !current.stores.iter().any(|entry| of_node(&entry)) {
-        return RetirementOrder::Unknown;
+        return RetirementOrder::NotFound;
     }
     if current
         .stores
@@ -49,18 +49,18 @@
         .filter(of_node)
         .all(|entry| entry.retiring)
     {
-        return RetirementOrder::Begun;
+        return RetirementOrder::AlreadyStarted;
     }
     let stays = |entry: &&StoreEntry| {
-        entry.node_name != node_name && !entry.retiring && view.silence(entry.id) < COUNTS
+        entry.node_name != node_name && !entry.retiring && view.since_heartbeat(entry.id) < COUNTS
     };
-    let leaves = |entry: &&StoreEntry| view.is_leaving(entry.id);
+    let leaves = |entry: &&StoreEntry| view.is_draining(entry.id);
     let staying: Vec<&StoreEntry> = current.stores.iter().filter(stays).collect();
     if staying.len() <= tolerance {
-        return RetirementOrder::TooFew;
+        return RetirementOrder::TooFewStores;
     }
     if staying.iter().filter(|entry| !leaves(entry)).count() <= tolerance {
-        return RetirementOrder::NotNow;
+        return RetirementOrder::Unavailable;
     }
     let mut next = Placement {
         epoch: current.epoch + 1,
@@ -70,7 +70,7 @@
         .iter_mut()
         .filter(|entry| entry.node_name == node_name)
         .for_each(|entry| entry.retiring = true);
-    RetirementOrder::Begin(next)
+    RetirementOrder::Start(next)
 }
 
 /// How far the store on this machine is emptied; `None` if there is no such order. It is completed only while more than
@@ -108,11 +108,12 @@
             let Some(report) = view.report(primary, shard, assignment.epoch) else {
                 return false;
             };
-            let lacks = |id: &StoreId| view.silence(*id) < COUNTS && !report.caught_up.contains(id);
-            let stays = |id: &StoreId| view.silence(*id) < LIVE && !view.is_leaving(*id);
+            let lacks =
+                |id: &StoreId| view.since_heartbeat(*id) < COUNTS && !report.caught_up.contains(id);
+            let stays = |id: &StoreId| view.since_heartbeat(*id) < LIVE && !view.is_draining(*id);
             let whole = |id: &&StoreId| stays(id) && report.caught_up.contains(id);
             assignment.previous.is_empty()
-                && report.in_charge
+                && report.active
                 && !assignment.replicas.iter().any(lacks)
                 && assignment.replicas.iter().filter(whole).count() > tolerance
         });
--- a/crates/mintlb-batch/src/placement_planner/view.rs
+++ b/crates/mintlb-batch/src/placement_planner/view.rs
@@ -18,7 +18,7 @@
 #[derive(Clone, Debug)]
 pub struct StoreTable {
     since: Duration,
-    stores: FxHashMap<StoreId, Heard>,
+    stores: FxHashMap<StoreId, StoreContact>,
     /// By shard: the epoch, since when it is known, and whether it has been in charge.
     shards: Vec<ShardView>,
     /// By shard: the replicas that were last reported to be caught up, by the primary of the highest epoch.
@@ -35,7 +35,7 @@
 }
 
 #[derive(Clone, Debug)]
-struct Heard {
+struct StoreContact {
     heartbeat: StoreHeartbeat,
     first: Duration,
     last: Duration,
@@ -47,25 +47,25 @@
     /// The epoch.
     pub epoch: u64,
     /// Since when its primary is not in charge.
-    pub unsettled_since: Option<Duration>,
+    pub inactive_since: Option<Duration>,
 }
 
 /// What is known of the stores at a moment.
 #[derive(Clone, Debug, Default)]
 pub struct StoreView {
     /// The stores heard of.
-    pub stores: Vec<StoreSeen>,
+    pub stores: Vec<StoreStatus>,
     /// How long heartbeats have been listened to: a store never heard of is silent for as long.
     pub watched: Duration,
     /// By shard, its epoch and for how long its primary is not in charge.
-    pub unsettled: Vec<(u64, Duration)>,
+    pub inactive: Vec<(u64, Duration)>,
     /// By shard, the replicas that were last reported to be caught up.
     pub caught_up: FxHashMap<u32, Vec<StoreId>>,
 }
 
 /// A store as its heartbeats show it.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct StoreSeen {
+pub struct StoreStatus {
     /// Its identity.
     pub id: StoreId,
     /// Its machine's name.
@@ -75,13 +75,13 @@
     /// Its zone.
     pub zone: String,
     /// Since its last heartbeat.
-    pub silence: Duration,
+    pub since_heartbeat: Duration,
     /// Since its first heartbeat.
     pub known_for: Duration,
     /// What it said of the shards whose primary it is.
     pub reports: Vec<ShardReport>,
     /// It was told to stop.
-    pub leaving: bool,
+    pub draining: bool,
 }
 
 impl StoreTable {
@@ -99,8 +99,8 @@
     /// Notes a heartbeat. True if what it says of shards is new.
     pub fn note(&mut self, heartbeat: StoreHeartbeat, now: Duration) -> bool {
         self.stores
-            .retain(|_, heard| now.saturating_sub(heard.last) < FORGET);
-        for report in heartbeat.shards.iter().filter(|report| report.in_charge) {
+            .retain(|_, contact| now.saturating_sub(contact.last) < FORGET);
+        for report in heartbeat.shards.iter().filter(|report| report.active) {
             let known = self.caught_up.entry(report.shard).or_default();
             if report.epoch >= known.epoch {
                 *known = CaughtUp {
@@ -109,15 +109,15 @@
                 };
             }
         }
-        if let Some(heard) = self.stores.get_mut(&heartbeat.id) {
-            let news = heard.heartbeat != heartbeat;
-            (heard.heartbeat, heard.last) = (heartbeat, now);
+        if let Some(contact) = self.stores.get_mut(&heartbeat.id) {
+            let news = contact.heartbeat != heartbeat;
+            (contact.heartbeat, contact.last) = (heartbeat, now);
             return news;
         }
         if self.stores.len() < MOST_STORES {
             self.stores.insert(
                 heartbeat.id,
-                Heard {
+                StoreContact {
                     heartbeat,
                     first: now,
                     last: now,
@@ -130,20 +130,20 @@
 
     /// What is known now, under the placement in force.
     pub fn view(&mut self, current: &Placement, now: Duration) -> StoreView {
-        let stores = self.stores.values().map(|heard| StoreSeen {
-            id: heard.heartbeat.id,
-            node_name: heard.heartbeat.node_name.clone(),
-            address: heard.heartbeat.address.clone(),
-            zone: heard.heartbeat.zone.clone(),
-            silence: now.saturating_sub(heard.last),
-            known_for: now.saturating_sub(heard.first),
-            reports: heard.heartbeat.shards.clone(),
-            leaving: heard.heartbeat.leaving,
+        let stores = self.stores.values().map(|contact| StoreStatus {
+            id: contact.heartbeat.id,
+            node_name: contact.heartbeat.node_name.clone(),
+            address: contact.heartbeat.address.clone(),
+            zone: contact.heartbeat.zone.clone(),
+            since_heartbeat: now.saturating_sub(contact.last),
+            known_for: now.saturating_sub(contact.first),
+            reports: contact.heartbeat.shards.clone(),
+            draining: contact.heartbeat.draining,
         });
         let mut view = StoreView {
             stores: stores.collect(),
             watched: now.saturating_sub(self.since),
-            unsettled: Vec::new(),
+            inactive: Vec::new(),
             caught_up: self
                 .caught_up
                 .iter()
@@ -160,23 +160,23 @@
         for (shard, (known, assignment)) in self.shards.iter_mut().zip(&current.shards).enumerate()
         {
             let primary = assignment.replicas.first().copied().unwrap_or(0);
-            let in_charge = view
+            let active = view
                 .report(primary, shard, assignment.epoch)
-                .is_some_and(|report| report.in_charge);
+                .is_some_and(|report| report.active);
             if known.epoch != assignment.epoch {
                 *known = ShardView {
                     epoch: assignment.epoch,
-                    unsettled_since: None,
+                    inactive_since: None,
                 };
             }
-            match in_charge {
-                true => known.unsettled_since = None,
-                false => _ = known.unsettled_since.get_or_insert(now),
+            match active {
+                true => known.inactive_since = None,
+                false => _ = known.inactive_since.get_or_insert(now),
             }
-            let unsettled = known
-                .unsettled_since
+            let inactive = known
+                .inactive_since
                 .map_or(Duration::ZERO, |since| now.saturating_sub(since));
-            view.unsettled.push((known.epoch, unsettled));
+            view.inactive.push((known.epoch, inactive));
         }
         view
     }
@@ -184,23 +184,26 @@
 
 impl StoreView {
     /// A store that was heard of.
-    pub fn store(&self, id: StoreId) -> Option<&StoreSeen> {
+    pub fn store(&self, id: StoreId) -> Option<&StoreStatus> {
         self.stores.iter().find(|store| store.id == id)
     }
 
     /// How long a store has been silent.
-    pub fn silence(&self, id: StoreId) -> Duration {
-        self.store(id).map_or(self.watched, |store| store.silence)
+    pub fn since_heartbeat(&self, id: StoreId) -> Duration {
+        self.store(id)
+            .map_or(self.watched, |store| store.since_heartbeat)
     }
 
     /// Whether a store was told to stop.
-    pub fn is_leaving(&self, id: StoreId) -> bool {
-        self.store(id).is_some_and(|store| store.leaving)
+    pub fn is_draining(&self, id: StoreId) -> bool {
+        self.store(id).is_some_and(|store| store.draining)
     }
 
     /// Stores that are heard of.
-    pub fn live(&self) -> impl Iterator<Item = &StoreSeen> {
-        self.stores.iter().filter(|store| store.silence < LIVE)
+    pub fn live(&self) -> impl Iterator<Item = &StoreStatus> {
+        self.stores
+            .iter()
+            .filter(|store| store.since_heartbeat < LIVE)
     }
 
     /// What the primary of this epoch says of its shard.
@@ -220,22 +223,22 @@
     }
 
     /// How long the primary of this epoch has not been in charge.
-    pub fn unsettled_for(&self, shard: usize, epoch: u64) -> Duration {
+    pub fn inactive_for(&self, shard: usize, epoch: u64) -> Duration {
         let known = self
-            .unsettled
+            .inactive
             .get(shard)
             .filter(|(known, _)| *known == epoch);
-        known.map_or(Duration::ZERO, |(_, unsettled)| *unsettled)
+        known.map_or(Duration::ZERO, |(_, inactive)| *inactive)
     }
 
     /// Whether another store has come up at the address of this silent one: its disk is lost.
     pub fn is_replaced(&self, entry: &StoreEntry) -> bool {
-        let another = |store: &&StoreSeen| store.address == entry.address && store.id != entry.id;
-        self.silence(entry.id) >= LIVE && self.live().any(|store| another(&store))
+        let another = |store: &&StoreStatus| store.address == entry.address && store.id != entry.id;
+        self.since_heartbeat(entry.id) >= LIVE && self.live().any(|store| another(&store))
     }
 }
 
-impl StoreSeen {
+impl StoreStatus {
     /// The store as the placement names it.
     pub fn entry(&self) -> StoreEntry {
         StoreEntry {
--- a/crates/mintlb-batch/src/replica.rs
+++ b/crates/mintlb-batch/src/replica.rs
@@ -14,9 +14,9 @@
 
 use crate::entry::Entry;
 use crate::heartbeat::ShardReport;
+use crate::job_table::{JobTable, Timestamp};
 use crate::leases::Leases;
 use crate::log_index::LogIndex;
-use crate::lots::{Lots, Moment};
 use crate::peer::{Append, Envelope, PeerMessage};
 use bytes::Bytes;
 use minicbor::{Decode, Encode};
@@ -37,7 +37,7 @@
 pub struct ShardMeta {
     /// Messages of lower epochs are refused.
     #[n(0)]
-    pub promised: u64,
+    pub current_epoch: u64,
     /// The epochs of the log.
     #[n(1)]
     pub log: LogIndex,
@@ -93,14 +93,14 @@
     /// A message can be sent.
     Send(Envelope),
     /// The primary's own log is durable up to here.
-    OwnLog {
+    LogPersisted {
         /// The epoch it was written in.
         epoch: u64,
         /// Up to here.
         through: u64,
     },
     /// The own promise to the takeover of this epoch holds.
-    OwnPromise(u64),
+    EpochPersisted(u64),
 }
 
 /// What a replica does in its shard.
@@ -109,7 +109,7 @@
     /// Takes what a primary sends, if there is one.
     Follower,
     /// Is to be the primary, and reads what the previous replicas have.
-    Taking(Takeover),
+    TakingOver(Takeover),
     /// Orders the shard's log.
     Primary(Primary),
 }
@@ -132,13 +132,13 @@
     settings: ReplicaSettings,
     meta: ShardMeta,
     meta_changed: bool,
-    lots: Lots,
+    jobs: JobTable,
     leases: Leases,
     assignment: ShardAssignment,
     role: Role,
     effects: Vec<Effect>,
-    ticked: Moment,
-    swept: Moment,
+    ticked: Timestamp,
+    swept: Timestamp,
 }
 
 impl Replica {
@@ -148,18 +148,18 @@
         settings: ReplicaSettings,
         meta: ShardMeta,
         entries: impl Iterator<Item = (u64, Entry, u64, u64)>,
-        now: Moment,
+        now: Timestamp,
     ) -> Replica {
-        let mut lots = Lots::default();
+        let mut jobs = JobTable::default();
         for (index, entry, length, raw) in entries {
-            lots.apply(index, &entry, length, raw, now);
+            jobs.apply(index, &entry, length, raw, now);
         }
         Replica {
             shard,
             settings,
             meta,
             meta_changed: false,
-            lots,
+            jobs,
             leases: Leases::default(),
             assignment: ShardAssignment::default(),
             role: Role::Follower,
@@ -181,13 +181,13 @@
     }
 
     /// The placement of the shard that is in force.
-    pub fn set_assignment(&mut self, assignment: &ShardAssignment, now: Moment) {
+    pub fn set_assignment(&mut self, assignment: &ShardAssignment, now: Timestamp) {
         if assignment.epoch < self.assignment.epoch || *assignment == self.assignment {
             return;
         }
         let is_new = assignment.epoch > self.assignment.epoch;
         self.assignment = assignment.clone();
-        if assignment.epoch < self.meta.promised {
+        if assignment.epoch < self.meta.current_epoch {
             return;
         }
         if is_new {
@@ -196,7 +196,7 @@
                 self.begin_epoch(now);
             }
         } else if assignment.previous.is_empty() {
-            self.on_settled(now);
+            self.on_epoch_confirmed(now);
         }
         self.clear_unless_needed();
     }
@@ -207,7 +207,7 @@
         let assignment = &self.assignment;
         let named = assignment.replicas.contains(&self.settings.own)
             || assignment.previous.contains(&self.settings.own);
-        if named || !assignment.previous.is_empty() || assignment.epoch < self.meta.promised {
+        if named || !assignment.previous.is_empty() || assignment.epoch < self.meta.current_epoch {
             return;
         }
         if self.meta.log.last() > 0 {
@@ -217,17 +217,17 @@
                 assignment.epoch
             );
             self.meta = ShardMeta {
-                promised: assignment.epoch,
+                current_epoch: assignment.epoch,
                 ..ShardMeta::default()
             };
-            self.lots.clear();
+            self.jobs.clear();
             self.effects.push(Effect::Write(DiskWrite::Clear));
             self.meta_changed = true;
         }
     }
 
     /// A message of another replica, with its raw part.
-    pub fn message(&mut self, envelope: Envelope, raw: Bytes, now: Moment) {
+    pub fn message(&mut self, envelope: Envelope, raw: Bytes, now: Timestamp) {
         if envelope.to != self.settings.own {
             return;
         }
@@ -239,10 +239,10 @@
         } = envelope;
         match message {
             PeerMessage::Append(append) => self.on_append(from, epoch, append, raw, now),
-            PeerMessage::Collect => self.on_collect(from, epoch),
+            PeerMessage::NewEpoch => self.on_collect(from, epoch),
             PeerMessage::Fetch { after } => self.on_fetch(from, epoch, after),
             PeerMessage::Fenced => self.on_fenced(epoch),
-            PeerMessage::Collected { log } => self.on_collected(from, epoch, log, now),
+            PeerMessage::EpochAck { log } => self.on_collected(from, epoch, log, now),
             PeerMessage::Fetched(append) => self.on_fetched(from, epoch, append, raw, now),
             PeerMessage::Appended { matched, echo } => {
                 self.on_appended(from, epoch, matched, echo, now)
@@ -252,28 +252,30 @@
     }
 
     /// The disk has what came before this.
-    pub fn synced(&mut self, after: AfterSync, now: Moment) {
+    pub fn synced(&mut self, after: AfterSync, now: Timestamp) {
         match after {
             AfterSync::Send(envelope) => {
                 // Another promise may have been given since.
-                if envelope.epoch >= self.meta.promised {
+                if envelope.epoch >= self.meta.current_epoch {
                     self.effects.push(Effect::Send(envelope));
                 }
             }
-            AfterSync::OwnLog { epoch, through } => self.on_own_log(epoch, through, now),
-            AfterSync::OwnPromise(epoch) => self.on_own_promise(epoch, now),
+            AfterSync::LogPersisted { epoch, through } => {
+                self.on_log_persisted(epoch, through, now)
+            }
+            AfterSync::EpochPersisted(epoch) => self.on_epoch_persisted(epoch, now),
         }
     }
 
     /// Time passes.
-    pub fn tick(&mut self, now: Moment) {
+    pub fn tick(&mut self, now: Timestamp) {
         if now.saturating_sub(self.ticked) > SLEPT {
             self.leases.pause(now);
         }
         self.ticked = now;
         match self.role {
             Role::Follower => (),
-            Role::Taking(_) => self.tick_takeover(now),
+            Role::TakingOver(_) => self.tick_takeover(now),
             Role::Primary(_) => self.tick_primary(now),
         }
         if now.saturating_sub(self.swept) >= SWEEP {
@@ -282,9 +284,9 @@
         }
     }
 
-    fn sweep(&mut self, now: Moment) {
+    fn sweep(&mut self, now: Timestamp) {
         let sweep = self
-            .lots
+            .jobs
             .sweep(self.meta.committed, self.settings.status, now);
         if !sweep.strip.is_empty() {
             self.effects
@@ -294,7 +296,7 @@
             self.effects
                 .push(Effect::Write(DiskWrite::Remove(sweep.remove)));
         }
-        self.leases.sweep(&self.lots);
+        self.leases.sweep(&self.jobs);
     }
 
     /// What the controllers are told of this shard; only its primary says something.
@@ -305,19 +307,19 @@
         Some(ShardReport {
             shard: self.shard,
             epoch: primary.epoch,
-            in_charge: primary.gets_on(self.ticked),
+            active: primary.gets_on(self.ticked),
             caught_up: self.caught_up(primary),
         })
     }
 
     /// Bytes of this shard on disk.
     pub fn bytes(&self) -> u64 {
-        self.lots.bytes()
+        self.jobs.bytes()
     }
 
     /// The highest epoch promised.
-    pub fn promised(&self) -> u64 {
-        self.meta.promised
+    pub fn current_epoch(&self) -> u64 {
+        self.meta.current_epoch
     }
 
     /// Up to here the log is known to be committed.
@@ -331,8 +333,8 @@
     }
 
     /// The lots.
-    pub fn lots(&self) -> &Lots {
-        &self.lots
+    pub fn jobs(&self) -> &JobTable {
+        &self.jobs
     }
 
     /// How many replicas have to have an entry before it is committed.
@@ -347,9 +349,9 @@
         }
     }
 
-    fn promise(&mut self, epoch: u64) {
-        if epoch > self.meta.promised {
-            self.meta.promised = epoch;
+    fn advance_epoch(&mut self, epoch: u64) {
+        if epoch > self.meta.current_epoch {
+            self.meta.current_epoch = epoch;
             self.meta_changed = true;
         }
     }
@@ -369,7 +371,7 @@
     fn part(&self, after: u64, through: u64, most: u64) -> (Append, Vec<u64>) {
         let mut indexes = Vec::new();
         let (mut bytes, mut end) = (0, through.max(after));
-        for (index, length) in self.lots.entries_after(after) {
+        for (index, length) in self.jobs.entries_after(after) {
             if index > through {
                 break;
             }
@@ -380,18 +382,18 @@
             bytes += length;
             indexes.push(index);
         }
-        let previous = crate::log_index::Place {
+        let previous = crate::log_index::LogPosition {
             epoch: self.meta.log.epoch_at(after).unwrap_or(0),
             index: after,
         };
         let runs = self.meta.log.runs(after + 1, end);
         let left_out = (indexes.len() as u64) < end - after;
-        let lots = left_out.then(|| self.lots.numbers_through(end));
+        let jobs = left_out.then(|| self.jobs.numbers_through(end));
         let append = Append {
             previous,
             through: end,
             runs,
-            lots,
+            jobs,
             ..Append::default()
         };
         (append, indexes)
--- a/crates/mintlb-batch/src/replica/follower.rs
+++ b/crates/mintlb-batch/src/replica/follower.rs
@@ -3,8 +3,8 @@
 use super::{AfterSync, DiskWrite, Effect, Replica};
 use crate::entry::Entry;
 use crate::framing;
-use crate::log_index::epoch_in;
-use crate::lots::Moment;
+use crate::job_table::Timestamp;
+use crate::log_index::epoch_in_runs;
 use crate::peer::{Append, PeerMessage};
 use bytes::Bytes;
 use mintlb_common::placement::StoreId;
@@ -27,13 +27,13 @@
         epoch: u64,
         append: Append,
         raw: Bytes,
-        now: Moment,
+        now: Timestamp,
     ) {
-        if epoch < self.meta.promised {
+        if epoch < self.meta.current_epoch {
             return self.refuse(from);
         }
-        if epoch > self.meta.promised {
-            self.promise(epoch);
+        if epoch > self.meta.current_epoch {
+            self.advance_epoch(epoch);
             self.step_down();
         }
         let echo = append.sent_at;
@@ -62,7 +62,7 @@
         &mut self,
         part: &Append,
         raw: Bytes,
-        now: Moment,
+        now: Timestamp,
     ) -> Result<(), NotTaken> {
         let previous = part.previous;
         if self.meta.log.epoch_at(previous.index) != Some(previous.epoch) {
@@ -81,13 +81,13 @@
                 return Err(NotTaken::Wrong);
             }
             self.meta.log.truncate(differs - 1);
-            self.lots.truncate(differs - 1);
+            self.jobs.truncate(differs - 1);
             self.effects
                 .push(Effect::Write(DiskWrite::Truncate(differs - 1)));
         }
         for (index, entry, bytes, raw_length) in entries {
             if index >= differs {
-                self.lots
+                self.jobs
                     .apply(index, &entry, bytes.len() as u64, raw_length, now);
                 self.effects
                     .push(Effect::Write(DiskWrite::Put(index, bytes)));
@@ -100,8 +100,8 @@
 
     /// Lots that the sender of a part has dropped, of which this replica may not have all entries.
     fn drop_lots_that_are_gone(&mut self, part: &Append) {
-        let Some(lots) = &part.lots else { return };
-        let removed = self.lots.drop_all_but(lots, part.through);
+        let Some(jobs) = &part.jobs else { return };
+        let removed = self.jobs.drop_all_but(jobs, part.through);
         if !removed.is_empty() {
             self.effects.push(Effect::Write(DiskWrite::Remove(removed)));
         }
@@ -120,7 +120,7 @@
         let inside = starts.filter(|first| *first > part.previous.index && *first <= part.through);
         let mut first = None;
         for index in inside {
-            let theirs = epoch_in(&part.runs, index).ok_or(NotTaken::Wrong)?;
+            let theirs = epoch_in_runs(&part.runs, index).ok_or(NotTaken::Wrong)?;
             if self.meta.log.epoch_at(index) != Some(theirs) {
                 first = Some(first.map_or(index, |first: u64| first.min(index)));
             }
@@ -150,17 +150,17 @@
     }
 
     pub(super) fn on_collect(&mut self, from: StoreId, epoch: u64) {
-        if epoch < self.meta.promised {
+        if epoch < self.meta.current_epoch {
             return self.refuse(from);
         }
-        if epoch > self.meta.promised {
-            self.promise(epoch);
+        if epoch > self.meta.current_epoch {
+            self.advance_epoch(epoch);
             self.step_down();
         }
         let answer = self.envelope(
             from,
             epoch,
-            PeerMessage::Collected {
+            PeerMessage::EpochAck {
                 log: self.meta.log.clone(),
             },
         );
@@ -169,7 +169,7 @@
     }
 
     pub(super) fn on_fetch(&mut self, from: StoreId, epoch: u64, after: u64) {
-        if epoch != self.meta.promised {
+        if epoch != self.meta.current_epoch {
             return self.refuse(from);
         }
         let (part, indexes) = self.part(after, self.meta.log.last(), PART_BYTES);
@@ -178,13 +178,13 @@
     }
 
     fn refuse(&mut self, to: StoreId) {
-        let fenced = self.envelope(to, self.meta.promised, PeerMessage::Fenced);
+        let fenced = self.envelope(to, self.meta.current_epoch, PeerMessage::Fenced);
         self.effects
             .push(Effect::AfterSync(AfterSync::Send(fenced)));
     }
 
-    pub(super) fn on_fenced(&mut self, promised: u64) {
-        if promised > self.own_epoch() {
+    pub(super) fn on_fenced(&mut self, current_epoch: u64) {
+        if current_epoch > self.own_epoch() {
             self.step_down();
         }
     }
@@ -193,7 +193,7 @@
     fn own_epoch(&self) -> u64 {
         match &self.role {
             super::Role::Follower => u64::MAX,
-            super::Role::Taking(takeover) => takeover.epoch,
+            super::Role::TakingOver(takeover) => takeover.epoch,
             super::Role::Primary(primary) => primary.epoch,
         }
     }
--- a/crates/mintlb-batch/src/replica/primary.rs
+++ b/crates/mintlb-batch/src/replica/primary.rs
@@ -4,8 +4,8 @@
 use super::{AfterSync, DiskWrite, Effect, Replica, Role};
 use crate::entry::Entry;
 use crate::framing;
-use crate::log_index::{LogIndex, Place};
-use crate::lots::Moment;
+use crate::job_table::Timestamp;
+use crate::log_index::{LogIndex, LogPosition};
 use crate::peer::{Append, PeerMessage};
 use mintlb_common::placement::StoreId;
 use std::time::Duration;
@@ -36,14 +36,14 @@
     /// within the epoch, one behind it. All up to here may have been told to somebody.
     pub base: u64,
     /// The log is committed up to there.
-    pub in_charge: bool,
+    pub active: bool,
     /// The own log is on disk up to here.
     durable: u64,
     followers: Vec<Follower>,
     replicated: u64,
-    since: Moment,
+    since: Timestamp,
     /// Since when there is something to commit.
-    uncommitted: Option<Moment>,
+    uncommitted: Option<Timestamp>,
 }
 
 #[derive(Debug)]
@@ -52,11 +52,11 @@
     /// Its log is equal up to here, on its disk; `None` until it has said so.
     matched: Option<u64>,
     /// What it has not yet answered: when it was sent.
-    outstanding: Option<Moment>,
+    outstanding: Option<Timestamp>,
     /// The last time it was sent anything.
-    sent: Moment,
+    sent: Timestamp,
     /// The time at which the newest message that it answered was sent.
-    confirmed: Option<Moment>,
+    confirmed: Option<Timestamp>,
     /// What it was last told to be committed.
     told: u64,
 }
@@ -66,20 +66,20 @@
         epoch: u64,
         base: u64,
         followers: impl Iterator<Item = StoreId>,
-        now: Moment,
+        now: Timestamp,
     ) -> Primary {
         let follower = |id| Follower {
             id,
             matched: None,
             outstanding: None,
-            sent: Moment::ZERO,
+            sent: Timestamp::ZERO,
             confirmed: None,
             told: 0,
         };
         Primary {
             epoch,
             base,
-            in_charge: false,
+            active: false,
             durable: 0,
             followers: followers.map(follower).collect(),
             replicated: 0,
@@ -89,19 +89,19 @@
     }
 
     /// Whether it is in charge and gets on.
-    pub(super) fn gets_on(&self, now: Moment) -> bool {
-        self.in_charge
+    pub(super) fn gets_on(&self, now: Timestamp) -> bool {
+        self.active
             && self
                 .uncommitted
                 .is_none_or(|since| now.saturating_sub(since) < STUCK)
     }
 
     /// The time at which `others` followers still followed.
-    fn confirmed(&self, others: usize, now: Moment) -> Option<Moment> {
+    fn confirmed(&self, others: usize, now: Timestamp) -> Option<Timestamp> {
         let Some(place) = others.checked_sub(1) else {
             return Some(now);
         };
-        let mut times: Vec<Moment> = self
+        let mut times: Vec<Timestamp> = self
             .followers
             .iter()
             .filter_map(|follower| follower.confirmed)
@@ -113,25 +113,26 @@
 
 impl Replica {
     /// Appends an entry to the log; returns its index. The caller has checked that this is the primary.
-    pub(super) fn append_own(&mut self, entry: &Entry, raw: &[&[u8]], now: Moment) -> u64 {
+    pub(super) fn append_own(&mut self, entry: &Entry, raw: &[&[u8]], now: Timestamp) -> u64 {
         let index = self.meta.log.last() + 1;
         let epoch = self.meta.log.end().epoch;
         let raw_length: usize = raw.iter().map(|part| part.len()).sum();
         let bytes = framing::encode(entry, raw);
         self.meta.log.extend(index, epoch);
         self.meta_changed = true;
-        self.lots
+        self.jobs
             .apply(index, entry, bytes.len() as u64, raw_length as u64, now);
         self.effects
             .push(Effect::Write(DiskWrite::Put(index, bytes)));
-        self.effects.push(Effect::AfterSync(AfterSync::OwnLog {
-            epoch,
-            through: index,
-        }));
+        self.effects
+            .push(Effect::AfterSync(AfterSync::LogPersisted {
+                epoch,
+                through: index,
+            }));
         index
     }
 
-    pub(super) fn on_own_log(&mut self, epoch: u64, through: u64, now: Moment) {
+    pub(super) fn on_log_persisted(&mut self, epoch: u64, through: u64, now: Timestamp) {
         let Role::Primary(primary) = &mut self.role else {
             return;
         };
@@ -150,7 +151,7 @@
         epoch: u64,
         matched: u64,
         echo: u64,
-        now: Moment,
+        now: Timestamp,
     ) {
         let end = self.meta.log.last();
         let Some(follower) = self.follower(from, epoch) else {
@@ -169,7 +170,7 @@
         epoch: u64,
         log: LogIndex,
         echo: u64,
-        now: Moment,
+        now: Timestamp,
     ) {
         let common = self.meta.log.common(&log);
         let Some(follower) = self.follower(from, epoch) else {
@@ -193,7 +194,7 @@
             .find(|follower| follower.id == id)
     }
 
-    fn answered(&mut self, from: StoreId, echo: u64, now: Moment) {
+    fn answered(&mut self, from: StoreId, echo: u64, now: Timestamp) {
         let Role::Primary(primary) = &mut self.role else {
             return;
         };
@@ -204,7 +205,7 @@
         else {
             return;
         };
-        let sent = Moment::from_millis(echo);
+        let sent = Timestamp::from_millis(echo);
         if sent <= now {
             follower.confirmed = follower.confirmed.max(Some(sent));
             if follower
@@ -220,7 +221,7 @@
     }
 
     /// Commits what enough replicas have.
-    fn advance(&mut self, now: Moment) {
+    fn advance(&mut self, now: Timestamp) {
         let quorum = self.quorum();
         let Role::Primary(primary) = &mut self.role else {
             return;
@@ -241,8 +242,8 @@
         if committed < primary.base || committed > primary.durable {
             return;
         }
-        if !primary.in_charge {
-            primary.in_charge = true;
+        if !primary.active {
+            primary.active = true;
             log::info!(
                 "lots: shard {}: in charge, epoch {}",
                 self.shard,
@@ -263,12 +264,12 @@
     }
 
     /// The register has heard that the epoch is in charge.
-    pub(super) fn on_settled(&mut self, now: Moment) {
+    pub(super) fn on_epoch_confirmed(&mut self, now: Timestamp) {
         self.advance(now);
         self.feed_all(now);
     }
 
-    fn feed_all(&mut self, now: Moment) {
+    fn feed_all(&mut self, now: Timestamp) {
         let Role::Primary(primary) = &self.role else {
             return;
         };
@@ -281,7 +282,7 @@
     }
 
     /// Sends a follower what it lacks, one part at a time, or asks where it stands.
-    fn feed(&mut self, id: StoreId, now: Moment) {
+    fn feed(&mut self, id: StoreId, now: Timestamp) {
         let Role::Primary(primary) = &self.role else {
             return;
         };
@@ -304,23 +305,23 @@
         }
     }
 
-    fn send_part(&mut self, id: StoreId, after: u64, through: u64, now: Moment) {
+    fn send_part(&mut self, id: StoreId, after: u64, through: u64, now: Timestamp) {
         let (part, indexes) = self.part(after, through, PART_BYTES);
         self.send(id, part, indexes, now);
     }
 
     /// An empty part behind this index: the answer says whether the follower's log is equal up to there.
-    fn send_empty(&mut self, id: StoreId, index: u64, now: Moment) {
+    fn send_empty(&mut self, id: StoreId, index: u64, now: Timestamp) {
         let epoch = self.meta.log.epoch_at(index).unwrap_or(0);
         let part = Append {
-            previous: Place { epoch, index },
+            previous: LogPosition { epoch, index },
             through: index,
             ..Append::default()
         };
         self.send(id, part, Vec::new(), now);
     }
 
-    fn send(&mut self, id: StoreId, mut part: Append, indexes: Vec<u64>, now: Moment) {
+    fn send(&mut self, id: StoreId, mut part: Append, indexes: Vec<u64>, now: Timestamp) {
         let committed = self.meta.committed;
         let Role::Primary(primary) = &mut self.role else {
             return;
@@ -342,7 +343,7 @@
         self.effects.push(Effect::SendEntries(envelope, indexes));
     }
 
-    pub(super) fn tick_primary(&mut self, now: Moment) {
+    pub(super) fn tick_primary(&mut self, now: Timestamp) {
         let Role::Primary(primary) = &mut self.role else {
             return;
         };
@@ -375,7 +376,7 @@
     }
 
     /// Asks a follower that is late for a sign of life; once it answers it is fed again.
-    fn probe(&mut self, id: StoreId, now: Moment) {
+    fn probe(&mut self, id: StoreId, now: Timestamp) {
         let Role::Primary(primary) = &self.role else {
             return;
         };
@@ -390,7 +391,7 @@
 
     /// Whether all that was committed until shortly ago is known here. If not, the followers are asked to
     /// confirm.
-    pub fn confirm(&mut self, now: Moment) -> bool {
+    pub fn confirm(&mut self, now: Timestamp) -> bool {
         let others = self.quorum() - 1;
         let Role::Primary(primary) = &self.role else {
             return false;
@@ -425,7 +426,7 @@
             .iter()
             .filter(has)
             .map(|follower| follower.id);
-        let own = primary.in_charge.then_some(self.settings.own);
+        let own = primary.active.then_some(self.settings.own);
         own.into_iter().chain(others).collect()
     }
 }
--- a/crates/mintlb-batch/src/replica/serving.rs
+++ b/crates/mintlb-batch/src/replica/serving.rs
@@ -1,10 +1,10 @@
 //! Dispatchers' calls at the primary in charge. What changes the log is answered once it is committed.
 
 use super::{Replica, Role};
-use crate::entry::{Entry, ItemState, LotHead};
-use crate::lots::{Lot, Moment};
+use crate::entry::{Entry, ItemState, JobHeader};
+use crate::job_table::{BatchJob, Timestamp};
 use crate::messages::{
-    Answer, DispatcherId, HeldItems, LeasedHead, LotName, Page, PageResult, Renewed,
+    DispatcherId, JobName, LeasedItemHeader, LeasedItems, Page, PageResult, Renewed, StoreResponse,
 };
 use bytes::Bytes;
 
@@ -12,13 +12,13 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Proposal {
     /// Answer this at once.
-    Done(Answer),
+    Done(StoreResponse),
     /// Answer this once the log is committed up to the index.
-    Pending(u64, Answer),
+    Pending(u64, StoreResponse),
     /// A lot with this id is there, by the entry at this index: compare its items on disk with the new ones
     /// once the log is committed up to there; equal items are answered with the answer, others are a
     /// conflict.
-    Compare(u64, Answer),
+    Compare(u64, StoreResponse),
 }
 
 /// A page of results: the entries that hold the texts, in order.
@@ -34,7 +34,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct LeasePlan {
     /// The item.
-    pub head: LeasedHead,
+    pub head: LeasedItemHeader,
     /// The entry of its lot.
     pub entry: u64,
     /// Where its payload lies within the raw part of the entry.
@@ -46,7 +46,7 @@
     pub fn is_serving(&self) -> bool {
         match &self.role {
             Role::Primary(primary) => {
-                primary.in_charge
+                primary.active
                     && primary.epoch == self.assignment.epoch
                     && self.assignment.previous.is_empty()
             }
@@ -64,98 +64,98 @@
         self.assignment.epoch
     }
 
-    /// Takes a lot, if it fits; its items are leased to `holder`.
+    /// Takes a lot, if it fits; its items are leased to `owner`.
     pub fn submit(
         &mut self,
         epoch: u64,
-        head: LotHead,
+        head: JobHeader,
         raw: &Bytes,
-        holder: DispatcherId,
+        owner: DispatcherId,
         max_queued_tokens: u64,
-        now: Moment,
+        now: Timestamp,
     ) -> Proposal {
         if !self.is_serving() || epoch != self.assignment.epoch {
-            return Proposal::Done(Answer::NotInCharge);
+            return Proposal::Done(StoreResponse::NotPrimary);
         }
-        let name = LotName {
+        let name = JobName {
             host: head.host.clone(),
             id: head.id.clone(),
         };
-        if let Some((index, lot)) = self.lots.find(&name) {
-            let leased = self.leases.holds_all(index, lot, holder) && !lot.is_done();
-            return Proposal::Compare(index, Answer::Accepted { leased });
+        if let Some((index, job)) = self.jobs.find(&name) {
+            let leased = self.leases.holds_all(index, job, owner) && !job.is_done();
+            return Proposal::Compare(index, StoreResponse::Accepted { leased });
         }
         let lengths: u64 = head.items.iter().map(|item| item.length).sum();
         if lengths != raw.len() as u64 {
-            return Proposal::Done(Answer::NotInCharge);
+            return Proposal::Done(StoreResponse::NotPrimary);
         }
         let tokens: u64 = head.items.iter().map(|item| item.tokens).sum();
-        let waiting = self.lots.waiting_tokens(&head.route);
+        let waiting = self.jobs.waiting_tokens(&head.route);
         if max_queued_tokens > 0 && waiting.saturating_add(tokens) > max_queued_tokens {
-            return Proposal::Done(Answer::QuotaFull);
+            return Proposal::Done(StoreResponse::QuotaExceeded);
         }
         let items = head.items.len();
         let index = self.append_own(&Entry::Accepted(head), &[raw], now);
-        self.leases.grant_all(index, items, holder, now);
-        Proposal::Pending(index, Answer::Accepted { leased: true })
+        self.leases.grant_all(index, items, owner, now);
+        Proposal::Pending(index, StoreResponse::Accepted { leased: true })
     }
 
     /// Whether a lot's head, as it lies on disk, has the same items as a new one. Payloads are compared by
     /// the driver.
-    pub fn same_items(stored: &LotHead, new: &LotHead) -> bool {
+    pub fn same_items(stored: &JobHeader, new: &JobHeader) -> bool {
         stored.items == new.items
     }
 
     /// Lists the result of an item, the first time.
     pub fn record(
         &mut self,
-        name: &LotName,
+        name: &JobName,
         item: u32,
         state: ItemState,
         text: &Bytes,
-        now: Moment,
+        now: Timestamp,
     ) -> Proposal {
         if !self.is_serving() {
-            return Proposal::Done(Answer::NotInCharge);
+            return Proposal::Done(StoreResponse::NotPrimary);
         }
-        let Some((number, lot)) = self.lots.find(name) else {
-            return Proposal::Done(Answer::Unknown);
+        let Some((number, job)) = self.jobs.find(name) else {
+            return Proposal::Done(StoreResponse::NotFound);
         };
-        let Some(place) = lot.items.get(item as usize) else {
-            return Proposal::Done(Answer::Unknown);
+        let Some(place) = job.items.get(item as usize) else {
+            return Proposal::Done(StoreResponse::NotFound);
         };
         if let Some(position) = place.position {
-            let index = lot.listed[position as usize].index;
-            return self.pending(index, Answer::Recorded);
+            let index = job.listed[position as usize].index;
+            return self.pending(index, StoreResponse::Recorded);
         }
-        if let Some(index) = lot.ended {
-            return self.pending(index, Answer::Recorded);
+        if let Some(index) = job.ended {
+            return self.pending(index, StoreResponse::Recorded);
         }
         let entry = Entry::Result {
-            lot: number,
+            job: number,
             item,
             state,
         };
         let index = self.append_own(&entry, &[text], now);
-        Proposal::Pending(index, Answer::Recorded)
+        Proposal::Pending(index, StoreResponse::Recorded)
     }
 
     /// Ends a lot.
-    pub fn end(&mut self, name: &LotName, now: Moment) -> Proposal {
+    pub fn end(&mut self, name: &JobName, now: Timestamp) -> Proposal {
         if !self.is_serving() {
-            return Proposal::Done(Answer::NotInCharge);
+            return Proposal::Done(StoreResponse::NotPrimary);
         }
-        let Some((number, lot)) = self.lots.find(name) else {
-            return Proposal::Done(Answer::Unknown);
+        let Some((number, job)) = self.jobs.find(name) else {
+            return Proposal::Done(StoreResponse::NotFound);
         };
-        if let Some(index) = lot.ended {
-            return self.pending(index, Answer::Ended);
+        if let Some(index) = job.ended {
+            return self.pending(index, StoreResponse::Ended);
         }
-        let index = self.append_own(&Entry::Ended { lot: number }, &[], now);
-        Proposal::Pending(index, Answer::Ended)
+        let index = self.append_own(&Entry::Ended { job: number }, &[], now);
+        Proposal::Pending(index, StoreResponse::Ended)
     }
 
-    fn pending(&self, index: u64, answer: Answer) -> Proposal {
+    fn pending(&self, index: u64, answer: StoreResponse) -> Proposal {
         match index <= self.meta.committed {
             true => Proposal::Done(answer),
             false => Proposal::Pending(index, answer),
@@ -163,32 +163,32 @@
     }
 
     /// A committed lot, with the index of its entry. The caller has had [`Replica::confirm`] say yes.
-    pub fn committed_lot(&self, name: &LotName) -> Option<(u64, &Lot)> {
-        self.lots
+    pub fn committed_job(&self, name: &JobName) -> Option<(u64, &BatchJob)> {
+        self.jobs
             .find(name)
             .filter(|(index, _)| *index <= self.meta.committed)
     }
 
     /// Committed results of a lot from a position on.
-    pub fn page(&self, name: &LotName, start_after: u64, most_bytes: u64) -> Option<PagePlan> {
-        let (_, lot) = self.committed_lot(name)?;
-        let committed = lot.committed_results(self.meta.committed);
+    pub fn page(&self, name: &JobName, start_after: u64, max_bytes: u64) -> Option<PagePlan> {
+        let (_, job) = self.committed_job(name)?;
+        let committed = job.committed_results(self.meta.committed);
         let start = (start_after as usize).min(committed);
         let mut plan = PagePlan {
             page: Page {
-                total: lot.items.len() as u64,
+                total: job.items.len() as u64,
                 next: start_after,
                 results: Vec::new(),
             },
             entries: Vec::new(),
         };
         let mut bytes = 0;
-        for listed in &lot.listed[start..committed] {
+        for listed in &job.listed[start..committed] {
             bytes += listed.length;
-            if bytes > most_bytes && !plan.entries.is_empty() {
+            if bytes > max_bytes && !plan.entries.is_empty() {
                 break;
             }
-            let item = lot.items[listed.item as usize].id.to_string();
+            let item = job.items[listed.item as usize].id.to_string();
             plan.page.results.push(PageResult {
                 item,
                 state: listed.state,
@@ -202,42 +202,42 @@
 
     /// Where the payload of an item lies that is not listed and not ended: its lot's entry and the range in
     /// it.
-    pub fn payload(&self, name: &LotName, item: &str) -> Option<(u64, std::ops::Range<usize>)> {
-        let (index, lot) = self.committed_lot(name)?;
-        let item = lot.item(item)?;
-        let listed = lot.items[item]
+    pub fn payload(&self, name: &JobName, item: &str) -> Option<(u64, std::ops::Range<usize>)> {
+        let (index, job) = self.committed_job(name)?;
+        let item = job.item(item)?;
+        let listed = job.items[item]
             .position
-            .is_some_and(|position| lot.listed[position as usize].index <= self.meta.committed);
-        let ended = lot.ended.is_some_and(|ended| ended <= self.meta.committed);
-        (lot.has_payloads && !listed && !ended).then(|| (index, lot.payload_range(item)))
+            .is_some_and(|position| job.listed[position as usize].index <= self.meta.committed);
+        let ended = job.ended.is_some_and(|ended| ended <= self.meta.committed);
+        (job.has_payloads && !listed && !ended).then(|| (index, job.payload_range(item)))
     }
 
-    /// Leases up to `most` items that nobody runs, as far as their payloads fit into `most_bytes`. The
+    /// Leases up to `most` items that nobody runs, as far as their payloads fit into `max_bytes`. The
     /// caller has had [`Replica::confirm`] say yes.
     pub fn lease(
         &mut self,
-        holder: DispatcherId,
+        owner: DispatcherId,
         most: usize,
-        most_bytes: u64,
-        now: Moment,
+        max_bytes: u64,
+        now: Timestamp,
     ) -> Vec<LeasePlan> {
         if !self.is_serving() {
             return Vec::new();
         }
         let mut bytes = 0;
         let committed = self.meta.committed;
-        let open = self.leases.open_items(&self.lots, committed, now);
+        let open = self.leases.open_items(&self.jobs, committed, now);
         let fits = |(number, item): &(u64, u32)| {
             bytes += self
-                .lots
+                .jobs
                 .get(*number)
-                .map_or(0, |lot| lot.items[*item as usize].length);
-            bytes <= most_bytes
+                .map_or(0, |job| job.items[*item as usize].length);
+            bytes <= max_bytes
         };
         let taken: Vec<(u64, u32)> = open.take(most).take_while(fits).collect();
         taken
             .into_iter()
-            .filter_map(|(number, item)| self.lease_one(number, item, holder, now))
+            .filter_map(|(number, item)| self.lease_one(number, item, owner, now))
             .collect()
     }
 
@@ -245,23 +245,23 @@
         &mut self,
         number: u64,
         item: u32,
-        holder: DispatcherId,
-        now: Moment,
+        owner: DispatcherId,
+        now: Timestamp,
     ) -> Option<LeasePlan> {
-        let lot = self.lots.get(number)?;
-        let place = &lot.items[item as usize];
-        let head = LeasedHead {
-            lot: lot.name.clone(),
-            route: lot.route.clone(),
-            terms: lot.terms,
+        let job = self.jobs.get(number)?;
+        let place = &job.items[item as usize];
+        let head = LeasedItemHeader {
+            job: job.name.clone(),
+            route: job.route.clone(),
+            terms: job.terms,
             index: item,
             item: place.id.to_string(),
             tokens: place.tokens,
             length: place.length,
             failures: self.leases.failures(number, item),
         };
-        let range = lot.payload_range(item as usize);
-        self.leases.grant(number, item, holder, now);
+        let range = job.payload_range(item as usize);
+        self.leases.grant(number, item, owner, now);
         Some(LeasePlan {
             head,
             entry: number,
@@ -272,26 +272,26 @@
     /// Renews leases; adds what is lost to `renewed`.
     pub fn renew(
         &mut self,
-        holder: DispatcherId,
-        held: &HeldItems,
+        owner: DispatcherId,
+        held: &LeasedItems,
         renewed: &mut Renewed,
-        now: Moment,
+        now: Timestamp,
     ) {
         if !self.is_serving() {
             return;
         }
-        let lost = match self.lots.find(&held.lot) {
-            Some((number, lot)) => {
+        let lost = match self.jobs.find(&held.job) {
+            Some((number, job)) => {
                 held.failures
                     .iter()
-                    .for_each(|(item, count)| self.leases.failed(number, lot, *item, *count));
-                self.leases.renew(number, lot, &held.items, holder, now)
+                    .for_each(|(item, count)| self.leases.failed(number, job, *item, *count));
+                self.leases.renew(number, job, &held.items, owner, now)
             }
             None => held.items.clone(),
         };
         if !lost.is_empty() {
-            renewed.lost.push(HeldItems {
-                lot: held.lot.clone(),
+            renewed.lost.push(LeasedItems {
+                job: held.job.clone(),
                 items: lost,
                 failures: Vec::new(),
             });
@@ -299,28 +299,28 @@
     }
 
     /// Whether there are items that nobody runs.
-    pub fn has_open_items(&self, now: Moment) -> bool {
+    pub fn has_unleased_items(&self, now: Timestamp) -> bool {
         self.is_serving()
             && self
                 .leases
-                .open_items(&self.lots, self.meta.committed, now)
+                .open_items(&self.jobs, self.meta.committed, now)
                 .next()
                 .is_some()
     }
 
     /// How many items nobody runs.
-    pub fn open_items(&self, now: Moment) -> u32 {
+    pub fn open_items(&self, now: Timestamp) -> u32 {
         match self.is_serving() {
             true => self
                 .leases
-                .open_items(&self.lots, self.meta.committed, now)
+                .open_items(&self.jobs, self.meta.committed, now)
                 .count() as u32,
             false => 0,
         }
     }
 
     /// Gives all leases of a holder up.
-    pub fn release(&mut self, holder: DispatcherId) {
-        self.leases.release(holder);
+    pub fn release(&mut self, owner: DispatcherId) {
+        self.leases.release(owner);
     }
 }
--- a/crates/mintlb-batch/src/replica/takeover.rs
+++ b/crates/mintlb-batch/src/replica/takeover.rs
@@ -9,8 +9,8 @@
 use super::{AfterSync, DiskWrite, Effect, Replica, Role};
 use crate::entry::Entry;
 use crate::framing;
+use crate::job_table::Timestamp;
 use crate::log_index::LogIndex;
-use crate::lots::Moment;
 use crate::peer::{Append, PeerMessage};
 use bytes::Bytes;
 use mintlb_common::placement::StoreId;
@@ -29,15 +29,15 @@
     /// What the previous replicas have, this one included.
     answers: Vec<(StoreId, LogIndex)>,
     /// Whose log is taken, up to which index, and when it last sent something.
-    source: Option<(StoreId, LogIndex, Moment)>,
-    asked: Moment,
+    source: Option<(StoreId, LogIndex, Timestamp)>,
+    asked: Timestamp,
 }
 
 impl Replica {
     /// Begins the epoch of the assignment, of which this replica is the primary.
-    pub(super) fn begin_epoch(&mut self, now: Moment) {
+    pub(super) fn begin_epoch(&mut self, now: Timestamp) {
         let epoch = self.assignment.epoch;
-        self.promise(epoch);
+        self.advance_epoch(epoch);
         // With an entry of this epoch in the own log, everything older is in it, too: a restart.
         if self.meta.log.end().epoch == epoch {
             return self.become_primary(now);
@@ -54,14 +54,14 @@
             return;
         }
         log::info!("lots: shard {}: takes over, epoch {epoch}", self.shard);
-        self.role = Role::Taking(Takeover {
+        self.role = Role::TakingOver(Takeover {
             epoch,
             answers: Vec::new(),
             source: None,
             asked: now,
         });
         self.effects
-            .push(Effect::AfterSync(AfterSync::OwnPromise(epoch)));
+            .push(Effect::AfterSync(AfterSync::EpochPersisted(epoch)));
         self.ask_sources(epoch);
     }
 
@@ -75,12 +75,12 @@
                 .filter(|id| !self.assignment.previous.contains(id)),
         );
         for id in others.into_iter().filter(|id| *id != self.settings.own) {
-            let collect = self.envelope(id, epoch, PeerMessage::Collect);
+            let collect = self.envelope(id, epoch, PeerMessage::NewEpoch);
             self.effects.push(Effect::Send(collect));
         }
     }
 
-    pub(super) fn on_own_promise(&mut self, epoch: u64, now: Moment) {
+    pub(super) fn on_epoch_persisted(&mut self, epoch: u64, now: Timestamp) {
         let log = self.meta.log.clone();
         self.on_collected(self.settings.own, epoch, log, now);
     }
@@ -108,11 +108,17 @@
             || epoch == last_active_epoch && self.assignment.previous.first() == Some(&from)
     }
 
-    pub(super) fn on_collected(&mut self, from: StoreId, epoch: u64, log: LogIndex, now: Moment) {
+    pub(super) fn on_collected(
+        &mut self,
+        from: StoreId,
+        epoch: u64,
+        log: LogIndex,
+        now: Timestamp,
+    ) {
         let needed = self.answers_needed();
         let is_previous = self.assignment.previous.contains(&from);
         let is_whole = self.is_whole(from, &log);
-        let Role::Taking(takeover) = &mut self.role else {
+        let Role::TakingOver(takeover) = &mut self.role else {
             return;
         };
         if takeover.epoch != epoch || !(is_previous || is_whole) || takeover.source.is_some() {
@@ -137,7 +143,7 @@
     }
 
     fn fetch(&mut self) {
-        let Role::Taking(takeover) = &self.role else {
+        let Role::TakingOver(takeover) = &self.role else {
             return;
         };
         let Some((source, log, _)) = &takeover.source else {
@@ -154,18 +160,18 @@
         epoch: u64,
         part: Append,
         raw: Bytes,
-        now: Moment,
+        now: Timestamp,
     ) {
-        let Role::Taking(takeover) = &mut self.role else {
+        let Role::TakingOver(takeover) = &mut self.role else {
             return;
         };
-        let Some((source, log, heard)) = &mut takeover.source else {
+        let Some((source, log, last_received)) = &mut takeover.source else {
             return;
         };
         if takeover.epoch != epoch || *source != from {
             return;
         }
-        *heard = now;
+        *last_received = now;
         let end = log.end();
         if self.take_part(&part, raw, now).is_err() {
             return;
@@ -176,23 +182,24 @@
         }
     }
 
-    pub(super) fn tick_takeover(&mut self, now: Moment) {
-        let Role::Taking(takeover) = &mut self.role else {
+    pub(super) fn tick_takeover(&mut self, now: Timestamp) {
+        let Role::TakingOver(takeover) = &mut self.role else {
             return;
         };
         let epoch = takeover.epoch;
-        let silent = |heard: Moment| now.saturating_sub(heard) >= SOURCE_PATIENCE;
+        let silent =
+            |last_received: Timestamp| now.saturating_sub(last_received) >= SOURCE_PATIENCE;
         if takeover
             .source
             .as_ref()
-            .is_some_and(|(_, _, heard)| silent(*heard))
+            .is_some_and(|(_, _, last_received)| silent(*last_received))
         {
             takeover.source = None;
             takeover.answers.clear();
             self.effects
-                .push(Effect::AfterSync(AfterSync::OwnPromise(epoch)));
+                .push(Effect::AfterSync(AfterSync::EpochPersisted(epoch)));
         }
-        let Role::Taking(takeover) = &mut self.role else {
+        let Role::TakingOver(takeover) = &mut self.role else {
             return;
         };
         if now.saturating_sub(takeover.asked) < ASK_AGAIN {
@@ -206,19 +213,19 @@
     }
 
     /// The own log holds all that is committed: the epoch's first entry goes on top.
-    fn append_begin(&mut self, now: Moment) {
+    fn append_begin(&mut self, now: Timestamp) {
         let index = self.meta.log.last() + 1;
-        let bytes = framing::encode(&Entry::Begin, &[]);
+        let bytes = framing::encode(&Entry::EpochStart, &[]);
         self.meta.log.extend(index, self.assignment.epoch);
         self.meta_changed = true;
-        self.lots
-            .apply(index, &Entry::Begin, bytes.len() as u64, 0, now);
+        self.jobs
+            .apply(index, &Entry::EpochStart, bytes.len() as u64, 0, now);
         self.effects
             .push(Effect::Write(DiskWrite::Put(index, bytes)));
         self.become_primary(now);
     }
 
-    fn become_primary(&mut self, now: Moment) {
+    fn become_primary(&mut self, now: Timestamp) {
         let epoch = self.assignment.epoch;
         let followers = self
             .assignment
@@ -230,6 +237,9 @@
         self.role = Role::Primary(Primary::new(epoch, through, followers, now));
         self.leases.restart(now);
         self.effects
-            .push(Effect::AfterSync(AfterSync::OwnLog { epoch, through }));
+            .push(Effect::AfterSync(AfterSync::LogPersisted {
+                epoch,
+                through,
+            }));
     }
 }
--- a/crates/mintlb-batch/tests/client.rs
+++ b/crates/mintlb-batch/tests/client.rs
@@ -1,8 +1,8 @@
 //! What the client of stores makes of their answers.
 
-use mintlb_batch::client::{Item, LotClient, Submission, SubmitOutcome};
+use mintlb_batch::client::{BatchClient, Item, Submission, SubmitOutcome};
 use mintlb_batch::framing;
-use mintlb_batch::messages::{Answer, Call};
+use mintlb_batch::messages::{StoreRequest, StoreResponse};
 use mintlb_common::placement::{Placement, SHARD_COUNT, ShardAssignment, StoreEntry};
 use mintlb_common::transport::{self, Channel, Service, Transport};
 use parking_lot::Mutex;
@@ -11,11 +11,11 @@
 use std::time::Duration;
 
 /// A store that answers submissions as it is told to; `None` is silence.
-struct Scripted(Mutex<Vec<Option<Answer>>>, Mutex<Vec<u64>>);
+struct Scripted(Mutex<Vec<Option<StoreResponse>>>, Mutex<Vec<u64>>);
 
 impl Service for Scripted {
     fn on_request(&self, _from: SocketAddr, body: bytes::Bytes) -> transport::ResponseFuture {
-        let Some((Call::Submit(submit), _)) = framing::decode::<Call>(&body) else {
+        let Some((StoreRequest::Submit(submit), _)) = framing::decode::<StoreRequest>(&body) else {
             panic!("no submission")
         };
         self.1.lock().push(submit.epoch);
@@ -36,7 +36,7 @@
     }
 }
 
-async fn submitted(answers: &[Option<Answer>], within_ms: u64) -> (SubmitOutcome, Vec<u64>) {
+async fn submitted(answers: &[Option<StoreResponse>], within_ms: u64) -> (SubmitOutcome, Vec<u64>) {
     let any = "127.0.0.1:0".parse().unwrap();
     let store = Transport::start(any).await.unwrap();
     let script = Arc::new(Scripted(Mutex::new(answers.to_vec()), Mutex::default()));
@@ -57,20 +57,20 @@
         shards: vec![shard; SHARD_COUNT as usize],
     };
     let placement = Arc::new(placement);
-    let client = LotClient::new(
+    let client = BatchClient::new(
         Transport::start(any).await.unwrap(),
         Arc::new(move || placement.clone()),
     );
-    let lot = Submission {
+    let job = Submission {
         host: "h".to_string(),
         route: "r".to_string(),
-        lot_id: "l".to_string(),
+        job_id: "l".to_string(),
         terms: Default::default(),
         max_queued_tokens: 0,
         items: vec![Item::default()],
     };
     let outcome = client
-        .submit(lot, 1, Duration::from_millis(within_ms))
+        .submit(job, 1, Duration::from_millis(within_ms))
         .await;
     let epochs = script.1.lock().clone();
     (outcome, epochs)
@@ -88,26 +88,35 @@
 
 #[tokio::test]
 async fn a_submission_is_refused_only_when_surely_nothing_of_it_is_in() {
-    let leased = Answer::Accepted { leased: true };
+    let leased = StoreResponse::Accepted { leased: true };
     let accepted = SubmitOutcome::Accepted { items_leased: true };
-    let not_in_charge = Some(Answer::NotInCharge);
+    let not_in_charge = Some(StoreResponse::NotPrimary);
     let cases = [
         (vec![Some(leased.clone())], accepted),
         (vec![not_in_charge.clone(), Some(leased.clone())], accepted),
-        (vec![not_in_charge.clone()], SubmitOutcome::Refused),
-        (vec![Some(Answer::QuotaFull)], SubmitOutcome::QuotaFull),
-        (vec![Some(Answer::DiskFull)], SubmitOutcome::Refused),
-        (vec![Some(Answer::Conflict)], SubmitOutcome::Conflict),
-        (vec![Some(Answer::Unsure), Some(leased)], accepted),
+        (vec![not_in_charge.clone()], SubmitOutcome::Rejected),
         (
-            vec![Some(Answer::Unsure), Some(Answer::QuotaFull)],
-            SubmitOutcome::Unclear,
+            vec![Some(StoreResponse::QuotaExceeded)],
+            SubmitOutcome::QuotaExceeded,
         ),
+        (vec![Some(StoreResponse::DiskFull)], SubmitOutcome::Rejected),
+        (vec![Some(StoreResponse::Conflict)], SubmitOutcome::Conflict),
         (
-            vec![Some(Answer::Unsure), not_in_charge.clone()],
-            SubmitOutcome::Unclear,
+            vec![Some(StoreResponse::Indeterminate), Some(leased)],
+            accepted,
         ),
-        (vec![not_in_charge, None], SubmitOutcome::Unclear),
+        (
+            vec![
+                Some(StoreResponse::Indeterminate),
+                Some(StoreResponse::QuotaExceeded),
+            ],
+            SubmitOutcome::Indeterminate,
+        ),
+        (
+            vec![Some(StoreResponse::Indeterminate), not_in_charge.clone()],
+            SubmitOutcome::Indeterminate,
+        ),
+        (vec![not_in_charge, None], SubmitOutcome::Indeterminate),
     ];
     for (answers, expected) in cases {
         let (outcome, epochs) = submitted(&answers, 200).await;
--- a/crates/mintlb-batch/tests/dropped_lots.rs
+++ b/crates/mintlb-batch/tests/dropped_lots.rs
@@ -54,14 +54,14 @@
     }
 }
 
-fn end(model: &mut Model, lot: &str) {
-    model.told.end_asked.insert(lot.to_string());
-    model.end(0, lot.to_string());
+fn end(model: &mut Model, job: &str) {
+    model.told.end_asked.insert(job.to_string());
+    model.end(0, job.to_string());
 }
 
-fn record(model: &mut Model, lot: &str, item: u32) {
-    model.told.finished(lot, item);
-    model.record(0, lot.to_string(), item);
+fn record(model: &mut Model, job: &str, item: u32) {
+    model.told.finished(job, item);
+    model.record(0, job.to_string(), item);
 }
 
 /// Three stores with ids 1 to 3, 1 being the primary in charge.
@@ -72,13 +72,13 @@
     model
 }
 
-fn has(model: &Model, place: usize, lot: &str) -> bool {
+fn has(model: &Model, place: usize, job: &str) -> bool {
     model.stores[place]
         .replica
         .as_ref()
         .unwrap()
-        .lots()
-        .find(&model::name(lot))
+        .jobs()
+        .find(&model::name(job))
         .is_some()
 }
 
@@ -87,7 +87,7 @@
         .replica
         .as_ref()
         .unwrap()
-        .lots()
+        .jobs()
         .waiting_tokens("r")
 }
 
@@ -160,12 +160,12 @@
     let mut seen = Vec::new();
     for day in 0..6 {
         for i in 0..100 {
-            let lot = format!("lot{day}-{i}");
-            model.submit(0, lot.clone(), 2);
-            record(&mut model, &lot, 0);
+            let job = format!("lot{day}-{i}");
+            model.submit(0, job.clone(), 2);
+            record(&mut model, &job, 0);
             match i % 2 {
-                0 => record(&mut model, &lot, 1),
-                _ => end(&mut model, &lot),
+                0 => record(&mut model, &job, 1),
+                _ => end(&mut model, &job),
             }
             quiet(&mut model);
             model.tick(Duration::from_millis(100));
@@ -173,12 +173,12 @@
         long_after(&mut model);
         let held = |place: usize| {
             let store: &model::Store = &model.stores[place];
-            let lots = store.replica.as_ref().unwrap().lots();
+            let jobs = store.replica.as_ref().unwrap().jobs();
             (
                 store.disk.entries.len(),
-                lots.all().count(),
-                lots.bytes(),
-                lots.entries_after(0).count(),
+                jobs.all().count(),
+                jobs.bytes(),
+                jobs.entries_after(0).count(),
             )
         };
         seen.push([held(0), held(1), held(2)]);
--- a/crates/mintlb-batch/tests/fleet/machines.rs
+++ b/crates/mintlb-batch/tests/fleet/machines.rs
@@ -27,7 +27,7 @@
     /// Since when its disk has lasted.
     pub disk_since: Duration,
     /// Told to stop: when, and whether the machine goes with it.
-    pub leaving: Option<(Duration, bool)>,
+    pub draining: Option<(Duration, bool)>,
     /// To be told to stop then, for good.
     leaves_at: Option<Duration>,
     /// The place of the machine that replaces it, once it is there; when it is to come.
@@ -45,7 +45,7 @@
             state: State::Up,
             up_since: now,
             disk_since: now,
-            leaving: None,
+            draining: None,
             leaves_at: None,
             successor: None,
             successor_at: None,
@@ -74,7 +74,7 @@
     /// Whether something is still to happen to it.
     pub fn will_change(&self) -> bool {
         matches!(self.state, State::Down(_))
-            || self.leaving.is_some() && self.state != State::Removed
+            || self.draining.is_some() && self.state != State::Removed
             || self.leaves_at.is_some()
             || self.successor_at.is_some()
     }
@@ -89,7 +89,7 @@
                 && until <= now
             {
                 let machine = &mut self.machines[place];
-                (machine.state, machine.up_since, machine.leaving) = (State::Up, now, None);
+                (machine.state, machine.up_since, machine.draining) = (State::Up, now, None);
             }
             if self.machines[place]
                 .successor_at
@@ -100,7 +100,7 @@
             }
             if self.machines[place].leaves_at.is_some_and(|at| at <= now) {
                 self.machines[place].leaves_at = None;
-                self.machines[place].leaving = Some((now, true));
+                self.machines[place].draining = Some((now, true));
             }
             self.end_if_handed_over(place);
         }
@@ -108,7 +108,7 @@
 
     fn end_if_handed_over(&mut self, place: usize) {
         let machine = &self.machines[place];
-        let (State::Up, Some((since, for_good))) = (machine.state.clone(), machine.leaving) else {
+        let (State::Up, Some((since, for_good))) = (machine.state.clone(), machine.draining) else {
             return;
         };
         let (id, now) = (machine.id, self.now);
@@ -138,7 +138,7 @@
         let recent = self.now < machine.up_since + self.catch_up
             && machine.up_since > Duration::from_secs(100);
         match machine.state {
-            State::Up => recent || machine.leaving.is_some() || machine.leaves_at.is_some(),
+            State::Up => recent || machine.draining.is_some() || machine.leaves_at.is_some(),
             State::Down(_) => true,
             State::Removed if machine.retired => false,
             State::Removed => match machine.successor {
@@ -178,7 +178,7 @@
     /// Whether the promise lets this machine be lost now.
     pub fn may_lose(&self, place: usize) -> bool {
         self.machines[place].state == State::Up
-            && self.machines[place].leaving.is_none()
+            && self.machines[place].draining.is_none()
             && self.machines[place].successor.is_none()
             && (self.counts(place) || self.lost() < self.tolerance)
     }
@@ -228,6 +228,6 @@
     /// Told to stop and started again with its disk.
     pub fn restart(&mut self, place: usize) {
         self.note(format!("{} is restarted", self.machines[place].node()));
-        self.machines[place].leaving = Some((self.now, false));
+        self.machines[place].draining = Some((self.now, false));
     }
 }
--- a/crates/mintlb-batch/tests/fleet/mod.rs
+++ b/crates/mintlb-batch/tests/fleet/mod.rs
@@ -109,12 +109,12 @@
             let reports: Vec<_> = (0..self.shards.len())
                 .filter_map(|shard| self.report(shard, machine.id))
                 .collect();
-            let in_charge = reports.iter().filter(|report| report.in_charge).count();
+            let active = reports.iter().filter(|report| report.active).count();
             let due = (round + machine.id).is_multiple_of(HEARTBEAT_STEPS);
-            if !due && in_charge <= machine.told_in_charge.get() {
+            if !due && active <= machine.told_in_charge.get() {
                 continue;
             }
-            machine.told_in_charge.set(in_charge);
+            machine.told_in_charge.set(active);
             let heartbeat = StoreHeartbeat {
                 id: machine.id,
                 node_name: machine.node(),
@@ -122,7 +122,7 @@
                 zone: machine.zone(),
                 shards: reports,
                 placement: self.placement.epoch,
-                leaving: machine.leaving.is_some(),
+                draining: machine.draining.is_some(),
             };
             self.table.note(heartbeat, self.now);
         }
@@ -133,9 +133,11 @@
         let node = self.machines[place].node();
         let view = self.table.view(&self.placement, self.now);
         match order_retirement(&self.placement, &view, &node, self.tolerance) {
-            RetirementOrder::Begin(next) => self.set_placement(next),
-            RetirementOrder::Begun => (),
-            RetirementOrder::TooFew | RetirementOrder::NotNow | RetirementOrder::Unknown => {
+            RetirementOrder::Start(next) => self.set_placement(next),
+            RetirementOrder::AlreadyStarted => (),
+            RetirementOrder::TooFewStores
+            | RetirementOrder::Unavailable
+            | RetirementOrder::NotFound => {
                 return false;
             }
         }
--- a/crates/mintlb-batch/tests/fleet/shards.rs
+++ b/crates/mintlb-batch/tests/fleet/shards.rs
@@ -2,7 +2,7 @@
 
 use super::Fleet;
 use mintlb_batch::heartbeat::ShardReport;
-use mintlb_batch::log_index::Place;
+use mintlb_batch::log_index::LogPosition;
 use mintlb_common::placement::{ShardAssignment, StoreId};
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -10,15 +10,15 @@
 #[derive(Default)]
 pub struct Shard {
     /// Where the log of each store ends.
-    logs: BTreeMap<StoreId, Place>,
+    logs: BTreeMap<StoreId, LogPosition>,
     /// The highest place that was told to clients.
-    told: Place,
+    told: LogPosition,
     /// The epoch that its primary has begun, and when.
     begun: Option<(u64, Duration)>,
     /// When each other replica begins to be filled.
     filled_from: BTreeMap<StoreId, Duration>,
     /// Whether the primary has been in charge in this epoch.
-    in_charge: bool,
+    active: bool,
 }
 
 impl Fleet {
@@ -39,7 +39,7 @@
                 self.move_shard(shard, &assignment);
             } else {
                 // Another life of the primary begins anew.
-                (self.shards[shard].in_charge, self.shards[shard].begun) = (false, None);
+                (self.shards[shard].active, self.shards[shard].begun) = (false, None);
             }
         }
     }
@@ -66,14 +66,14 @@
         if copies <= self.tolerance {
             return;
         }
-        self.shards[shard].in_charge = true;
+        self.shards[shard].active = true;
         if assignment.previous.is_empty() {
             self.shards[shard].told = has;
             if self.idle {
                 return;
             }
             // The next entry is on its way.
-            let next = Place {
+            let next = LogPosition {
                 epoch: has.epoch,
                 index: has.index + 1,
             };
@@ -91,13 +91,13 @@
             .unwrap_or_default();
         let at = self.now;
         let state = &mut self.shards[shard];
-        (state.in_charge, state.filled_from) = (false, BTreeMap::new());
+        (state.active, state.filled_from) = (false, BTreeMap::new());
         if own.epoch == assignment.epoch {
             state.begun = Some((assignment.epoch, at));
             return true;
         }
         let log = match assignment.previous.is_empty() {
-            true if assignment.epoch == 1 => Place::default(),
+            true if assignment.epoch == 1 => LogPosition::default(),
             true => return false,
             false => match self.read(shard, assignment) {
                 Some(log) => log,
@@ -110,7 +110,7 @@
             self.shards[shard].told,
             self.history.join("\n")
         );
-        let begin = Place {
+        let begin = LogPosition {
             epoch: assignment.epoch,
             index: log.index + 1,
         };
@@ -119,7 +119,7 @@
         true
     }
 
-    fn read(&self, shard: usize, assignment: &ShardAssignment) -> Option<Place> {
+    fn read(&self, shard: usize, assignment: &ShardAssignment) -> Option<LogPosition> {
         let log = |id: &StoreId| self.shards[shard].logs.get(id).copied().unwrap_or_default();
         let up = |id: &&StoreId| self.is_store_up(**id);
         // The settled epoch's primary has all that was told, and so has who began a later epoch.
@@ -191,12 +191,12 @@
         };
         let up = |id: &&StoreId| self.is_store_up(**id);
         let live = assignment.replicas.iter().filter(near).filter(up).count();
-        let in_charge = state.in_charge && (self.idle || live > self.tolerance);
+        let active = state.active && (self.idle || live > self.tolerance);
         let caught_up = assignment.replicas.iter().filter(near).copied().collect();
         Some(ShardReport {
             shard: shard as u32,
             epoch: assignment.epoch,
-            in_charge,
+            active,
             caught_up,
         })
     }
@@ -208,6 +208,6 @@
             .replicas
             .first()
             .and_then(|primary| self.report(shard, *primary));
-        assignment.previous.is_empty() && report.is_some_and(|report| report.in_charge)
+        assignment.previous.is_empty() && report.is_some_and(|report| report.active)
     }
 }
--- a/crates/mintlb-batch/tests/leases.rs
+++ b/crates/mintlb-batch/tests/leases.rs
@@ -1,8 +1,8 @@
 //! Who runs which item: each lease lives by its own renewals.
 
-use mintlb_batch::entry::{Entry, ItemHead, ItemState, LotHead, LotTerms};
+use mintlb_batch::entry::{Entry, ItemHeader, ItemState, JobHeader, JobTerms};
+use mintlb_batch::job_table::{JobTable, Timestamp};
 use mintlb_batch::leases::{LEASE, Leases};
-use mintlb_batch::lots::{Lots, Moment};
 use std::time::Duration;
 
 const LOT: u64 = 1;
@@ -10,72 +10,78 @@
 const TWO: u64 = 22;
 
 /// A lot of three items, its entry the first one.
-fn lots() -> Lots {
-    let item = |id: &str| ItemHead {
+fn jobs() -> JobTable {
+    let item = |id: &str| ItemHeader {
         id: id.to_string(),
         tokens: 1,
         length: 0,
     };
     let items = ["a", "b", "c"].map(item).to_vec();
-    let head = LotHead {
+    let head = JobHeader {
         host: "h.example".into(),
         id: "lot".into(),
         route: "r".into(),
-        terms: LotTerms::default(),
+        terms: JobTerms::default(),
         items,
     };
-    let mut lots = Lots::default();
-    lots.apply(LOT, &Entry::Accepted(head), 1, 0, Moment::ZERO);
-    lots
+    let mut jobs = JobTable::default();
+    jobs.apply(LOT, &Entry::Accepted(head), 1, 0, Timestamp::ZERO);
+    jobs
 }
 
-fn open(leases: &Leases, lots: &Lots, now: Moment) -> Vec<u32> {
+fn open(leases: &Leases, jobs: &JobTable, now: Timestamp) -> Vec<u32> {
     leases
-        .open_items(lots, LOT, now)
+        .open_items(jobs, LOT, now)
         .map(|(_, item)| item)
         .collect()
 }
 
-fn renew(leases: &mut Leases, lots: &Lots, items: &[u32], holder: u64, now: Moment) -> Vec<u32> {
-    leases.renew(LOT, lots.get(LOT).unwrap(), items, holder, now)
+fn renew(
+    leases: &mut Leases,
+    jobs: &JobTable,
+    items: &[u32],
+    owner: u64,
+    now: Timestamp,
+) -> Vec<u32> {
+    leases.renew(LOT, jobs.get(LOT).unwrap(), items, owner, now)
 }
 
 #[test]
 fn an_item_whose_grant_was_lost_is_open_again_while_its_holder_runs_others() {
-    let (lots, mut leases) = (lots(), Leases::default());
+    let (jobs, mut leases) = (jobs(), Leases::default());
     let second = Duration::from_secs(1);
-    leases.grant(LOT, 0, ONE, Moment::ZERO);
+    leases.grant(LOT, 0, ONE, Timestamp::ZERO);
     // The answer with these two never came.
-    leases.grant(LOT, 1, ONE, Moment::ZERO);
-    leases.grant(LOT, 2, ONE, Moment::ZERO);
+    leases.grant(LOT, 1, ONE, Timestamp::ZERO);
+    leases.grant(LOT, 2, ONE, Timestamp::ZERO);
     for at in 1..3 {
-        assert!(renew(&mut leases, &lots, &[0], ONE, second * at).is_empty());
-        assert!(open(&leases, &lots, second * at).is_empty());
+        assert!(renew(&mut leases, &jobs, &[0], ONE, second * at).is_empty());
+        assert!(open(&leases, &jobs, second * at).is_empty());
     }
-    assert!(renew(&mut leases, &lots, &[0], ONE, LEASE).is_empty());
-    assert_eq!(open(&leases, &lots, LEASE), [1, 2]);
+    assert!(renew(&mut leases, &jobs, &[0], ONE, LEASE).is_empty());
+    assert_eq!(open(&leases, &jobs, LEASE), [1, 2]);
 }
 
 #[test]
 fn an_item_is_run_by_one_holder_at_a_time() {
-    let (mut lots, mut leases) = (lots(), Leases::default());
-    leases.grant_all(LOT, 3, ONE, Moment::ZERO);
+    let (mut jobs, mut leases) = (jobs(), Leases::default());
+    leases.grant_all(LOT, 3, ONE, Timestamp::ZERO);
     let almost = LEASE - Duration::from_millis(1);
     assert_eq!(
-        renew(&mut leases, &lots, &[0, 1], TWO, almost),
+        renew(&mut leases, &jobs, &[0, 1], TWO, almost),
         [0, 1],
         "the lease still holds"
     );
-    assert!(open(&leases, &lots, almost).is_empty());
+    assert!(open(&leases, &jobs, almost).is_empty());
     // Frozen for as long as its lease lasts, it finds that another holds the items now.
     leases.grant(LOT, 0, TWO, LEASE);
-    assert!(renew(&mut leases, &lots, &[1], TWO, LEASE).is_empty());
-    assert_eq!(renew(&mut leases, &lots, &[0, 1, 2], ONE, LEASE), [0, 1]);
+    assert!(renew(&mut leases, &jobs, &[1], TWO, LEASE).is_empty());
+    assert_eq!(renew(&mut leases, &jobs, &[0, 1, 2], ONE, LEASE), [0, 1]);
     // What is listed is nobody's to run.
-    lots.apply(
+    jobs.apply(
         2,
         &Entry::Result {
-            lot: LOT,
+            job: LOT,
             item: 2,
             state: ItemState::Completed,
         },
@@ -83,20 +89,20 @@
         0,
         LEASE,
     );
-    assert_eq!(renew(&mut leases, &lots, &[2], ONE, LEASE), [2]);
+    assert_eq!(renew(&mut leases, &jobs, &[2], ONE, LEASE), [2]);
     leases.release(TWO);
-    assert_eq!(open(&leases, &lots, LEASE), [0, 1]);
+    assert_eq!(open(&leases, &jobs, LEASE), [0, 1]);
 }
 
 #[test]
 fn failed_attempts_outlast_their_holder() {
-    let (lots, mut leases) = (lots(), Leases::default());
-    leases.grant_all(LOT, 3, ONE, Moment::ZERO);
-    let lot = lots.get(LOT).unwrap();
-    leases.failed(LOT, lot, 1, 2);
+    let (jobs, mut leases) = (jobs(), Leases::default());
+    leases.grant_all(LOT, 3, ONE, Timestamp::ZERO);
+    let job = jobs.get(LOT).unwrap();
+    leases.failed(LOT, job, 1, 2);
     // An older word of it comes late; another names an item that is none.
-    leases.failed(LOT, lot, 1, 1);
-    leases.failed(LOT, lot, 900, 1);
+    leases.failed(LOT, job, 1, 1);
+    leases.failed(LOT, job, 900, 1);
     leases.release(ONE);
     leases.grant(LOT, 1, TWO, LEASE);
     assert_eq!(
--- a/crates/mintlb-batch/tests/model/checks.rs
+++ b/crates/mintlb-batch/tests/model/checks.rs
@@ -26,35 +26,35 @@
 }
 
 impl Told {
-    pub fn accepted(&mut self, lot: String, items: usize, now: Duration) {
-        self.accepted.entry(lot).or_insert((now, items));
+    pub fn accepted(&mut self, job: String, items: usize, now: Duration) {
+        self.accepted.entry(job).or_insert((now, items));
         let waiting: u64 = self
             .accepted
             .iter()
-            .filter(|(lot, _)| !self.end_asked.contains(*lot))
-            .map(|(lot, (_, items))| {
-                let finished = self.finished.get(lot).map_or(0, BTreeSet::len);
+            .filter(|(job, _)| !self.end_asked.contains(*job))
+            .map(|(job, (_, items))| {
+                let finished = self.finished.get(job).map_or(0, BTreeSet::len);
                 30 * items.saturating_sub(finished) as u64
             })
             .sum();
         assert!(waiting <= LIMIT, "{waiting} tokens wait");
     }
 
-    pub fn ended(&mut self, lot: String, now: Duration) {
-        self.ended.entry(lot).or_insert(now);
+    pub fn ended(&mut self, job: String, now: Duration) {
+        self.ended.entry(job).or_insert(now);
     }
 
     /// A worker finished an item: its result is sent from now on.
-    pub fn finished(&mut self, lot: &str, item: u32) {
+    pub fn finished(&mut self, job: &str, item: u32) {
         self.finished
-            .entry(lot.to_string())
+            .entry(job.to_string())
             .or_default()
             .insert(item);
     }
 
     pub fn read(
         &mut self,
-        lot: &str,
+        job: &str,
         results: Option<(u64, Vec<(String, String)>)>,
         sure: bool,
         now: Duration,
@@ -62,44 +62,44 @@
         self.reads += 1;
         let known = self
             .accepted
-            .get(lot)
+            .get(job)
             .is_some_and(|(at, _)| *at + OLD <= now);
         let Some((total, results)) = results else {
             assert!(!(sure && known), "an accepted lot is unknown");
             return;
         };
-        if let Some((_, items)) = self.accepted.get(lot) {
+        if let Some((_, items)) = self.accepted.get(job) {
             assert_eq!(total, *items as u64);
         }
         let ids: BTreeSet<&String> = results.iter().map(|(item, _)| item).collect();
         assert_eq!(ids.len(), results.len(), "an item stands at two positions");
-        let before = self.results.entry(lot.to_string()).or_default();
+        let before = self.results.entry(job.to_string()).or_default();
         let common = before.len().min(results.len());
         assert_eq!(before[..common], results[..common], "a position changed");
         if sure {
             self.sure_reads += 1;
-            let read_at = |position: usize| self.read_at.get(&(lot.to_string(), position));
+            let read_at = |position: usize| self.read_at.get(&(job.to_string(), position));
             let missing = (results.len()..before.len())
                 .find(|position| read_at(*position).is_some_and(|at| *at + OLD <= now));
             assert_eq!(missing, None, "a position that was read is not there");
         }
         for position in before.len()..results.len() {
-            self.read_at.insert((lot.to_string(), position), now);
+            self.read_at.insert((job.to_string(), position), now);
         }
         if results.len() > before.len() {
             *before = results;
         }
     }
 
-    pub fn leased(&mut self, lot: &str, item: &str, now: Duration) {
+    pub fn leased(&mut self, job: &str, item: &str, now: Duration) {
         self.leases += 1;
-        let ended = self.ended.get(lot).is_some_and(|at| *at + OLD <= now);
+        let ended = self.ended.get(job).is_some_and(|at| *at + OLD <= now);
         assert!(!ended, "an item of an ended lot is leased");
         let listed = self
             .results
-            .get(lot)
+            .get(job)
             .and_then(|results| results.iter().position(|(id, _)| id == item));
-        let old = listed.and_then(|position| self.read_at.get(&(lot.to_string(), position)));
+        let old = listed.and_then(|position| self.read_at.get(&(job.to_string(), position)));
         assert!(
             old.is_none_or(|at| *at + OLD > now),
             "an item that was read is leased"
--- a/crates/mintlb-batch/tests/model/machines.rs
+++ b/crates/mintlb-batch/tests/model/machines.rs
@@ -162,7 +162,7 @@
         let current = self.placements.last().unwrap().clone();
         let view = self.table.view(&current, self.now);
         let order = order_retirement(&current, &view, &node, self.tolerance);
-        let RetirementOrder::Begin(next) = order else {
+        let RetirementOrder::Start(next) = order else {
             return false;
         };
         self.placements.push(next);
@@ -253,7 +253,7 @@
                 zone: store.zone.clone(),
                 shards: replica.report().into_iter().collect(),
                 placement: 0,
-                leaving: store.machine.stops_at.is_some_and(|at| at <= self.now),
+                draining: store.machine.stops_at.is_some_and(|at| at <= self.now),
             };
             self.table.note(heartbeat, self.now);
         }
--- a/crates/mintlb-batch/tests/model/mod.rs
+++ b/crates/mintlb-batch/tests/model/mod.rs
@@ -12,9 +12,9 @@
 use checks::Told;
 use disk::Disk;
 use machines::Machine;
-use mintlb_batch::entry::{Entry, ItemHead, ItemState, LotHead, LotTerms};
+use mintlb_batch::entry::{Entry, ItemHeader, ItemState, JobHeader, JobTerms};
 use mintlb_batch::framing;
-use mintlb_batch::messages::{Answer, LotName};
+use mintlb_batch::messages::{JobName, StoreResponse};
 use mintlb_batch::peer::{EntryLength, Envelope, PeerMessage};
 use mintlb_batch::placement_planner::StoreTable;
 use mintlb_batch::replica::{AfterSync, DiskWrite, Effect, Proposal, Replica, ReplicaSettings};
@@ -32,9 +32,9 @@
 /// What a caller waits for.
 #[derive(Clone, Debug)]
 pub enum Expected {
-    Accepted { lot: String, items: usize },
-    Listed { lot: String },
-    Ended { lot: String },
+    Accepted { job: String, items: usize },
+    Listed { job: String },
+    Ended { job: String },
 }
 
 /// A store: its disk outlives its process.
@@ -316,15 +316,15 @@
     fn tell(&mut self, place: usize, expected: Expected) {
         let (now, random) = (self.now, self.random.below(2));
         match expected {
-            Expected::Accepted { lot, items } => {
+            Expected::Accepted { job, items } => {
                 self.accepted_now = true;
-                self.told.accepted(lot, items, now);
+                self.told.accepted(job, items, now);
             }
-            Expected::Ended { lot } => self.told.ended(lot, now),
-            Expected::Listed { lot } => {
+            Expected::Ended { job } => self.told.ended(job, now),
+            Expected::Listed { job } => {
                 self.told.records += 1;
                 if random == 0 {
-                    self.read(place, &lot);
+                    self.read(place, &job);
                 }
             }
         }
@@ -333,7 +333,9 @@
     /// A dispatcher calls a store; the answer is told at once or once it is committed.
     fn propose(&mut self, place: usize, proposal: Proposal, expected: Expected) {
         match proposal {
-            Proposal::Done(Answer::Recorded | Answer::Ended) => self.tell(place, expected),
+            Proposal::Done(StoreResponse::Recorded | StoreResponse::Ended) => {
+                self.tell(place, expected)
+            }
             Proposal::Done(_) => (),
             Proposal::Pending(index, _) => self.stores[place].waiting.push((index, expected)),
             Proposal::Compare(index, _) => {
@@ -347,53 +349,53 @@
         self.act(place);
     }
 
-    pub fn submit(&mut self, place: usize, lot: String, items: usize) {
+    pub fn submit(&mut self, place: usize, job: String, items: usize) {
         let Some(replica) = &mut self.stores[place].replica else {
             return;
         };
-        let payload = |item: usize| format!("payload {lot} {item};");
-        let heads = (0..items).map(|item| ItemHead {
-            id: format!("{lot}-{item}"),
+        let payload = |item: usize| format!("payload {job} {item};");
+        let heads = (0..items).map(|item| ItemHeader {
+            id: format!("{job}-{item}"),
             tokens: 30,
             length: payload(item).len() as u64,
         });
         let raw: Bytes = (0..items).map(payload).collect::<String>().into();
-        let terms = LotTerms {
+        let terms = JobTerms {
             retention_ms: 1_000_000_000,
-            ..LotTerms::default()
+            ..JobTerms::default()
         };
-        let head = LotHead {
+        let head = JobHeader {
             host: HOST.to_string(),
-            id: lot.clone(),
+            id: job.clone(),
             route: "r".to_string(),
             terms,
             items: heads.collect(),
         };
         let epoch = replica.epoch();
         let proposal = replica.submit(epoch, head, &raw, 7, LIMIT, self.now);
-        self.propose(place, proposal, Expected::Accepted { lot, items });
+        self.propose(place, proposal, Expected::Accepted { job, items });
     }
 
-    pub fn record(&mut self, place: usize, lot: String, item: u32) {
+    pub fn record(&mut self, place: usize, job: String, item: u32) {
         let Some(replica) = &mut self.stores[place].replica else {
             return;
         };
-        let text = format!("text {} of {lot} {item}", self.random.below(1000));
-        let name = name(&lot);
+        let text = format!("text {} of {job} {item}", self.random.below(1000));
+        let name = name(&job);
         let proposal = replica.record(&name, item, ItemState::Completed, &text.into(), self.now);
-        self.propose(place, proposal, Expected::Listed { lot });
+        self.propose(place, proposal, Expected::Listed { job });
     }
 
-    pub fn end(&mut self, place: usize, lot: String) {
+    pub fn end(&mut self, place: usize, job: String) {
         let Some(replica) = &mut self.stores[place].replica else {
             return;
         };
-        let proposal = replica.end(&name(&lot), self.now);
-        self.propose(place, proposal, Expected::Ended { lot });
+        let proposal = replica.end(&name(&job), self.now);
+        self.propose(place, proposal, Expected::Ended { job });
     }
 
     /// A reader reads the whole lot at a store, if that is sure enough to answer.
-    pub fn read(&mut self, place: usize, lot: &str) {
+    pub fn read(&mut self, place: usize, job: &str) {
         let store = &mut self.stores[place];
         let Some(replica) = &mut store.replica else {
             return;
@@ -402,7 +404,7 @@
             return;
         }
         let sure = replica.confirm(self.now);
-        let plan = replica.page(&name(lot), 0, u64::MAX);
+        let plan = replica.page(&name(job), 0, u64::MAX);
         let results = plan.map(|plan| {
             let entries = plan.entries.iter().zip(&plan.page.results);
             let texts = entries.map(|(index, result)| {
@@ -419,7 +421,7 @@
             });
             (plan.page.total, texts.collect::<Vec<_>>())
         });
-        self.told.read(lot, results, sure, self.now);
+        self.told.read(job, results, sure, self.now);
         self.act(place);
     }
 
@@ -437,7 +439,7 @@
         replica.release(9);
         for plan in leased {
             self.told
-                .leased(&plan.head.lot.id, &plan.head.item, self.now);
+                .leased(&plan.head.job.id, &plan.head.item, self.now);
             let bytes = self.stores[place]
                 .disk
                 .entries
@@ -445,17 +447,17 @@
                 .expect("a leased payload is on disk");
             let (_, raw) = framing::decode::<Entry>(bytes).unwrap();
             let payload = raw.slice(plan.range);
-            let expected = format!("payload {} {};", plan.head.lot.id, plan.head.index);
+            let expected = format!("payload {} {};", plan.head.job.id, plan.head.index);
             assert_eq!(payload, expected.as_bytes());
         }
         self.act(place);
     }
 }
 
-pub fn name(lot: &str) -> LotName {
-    LotName {
+pub fn name(job: &str) -> JobName {
+    JobName {
         host: HOST.to_string(),
-        id: lot.to_string(),
+        id: job.to_string(),
     }
 }
 
--- a/crates/mintlb-batch/tests/model/plays.rs
+++ b/crates/mintlb-batch/tests/model/plays.rs
@@ -19,26 +19,26 @@
     let kind = model.random.below(33);
     if kind < 7 {
         model.next_lot += 1;
-        let lot = format!("lot{:05}", model.next_lot);
+        let job = format!("lot{:05}", model.next_lot);
         let items = 1 + model.random.below(4) as usize;
-        return model.submit(place, lot, items);
+        return model.submit(place, job, items);
     }
-    let Some((lot, items)) = any_lot(model) else {
+    let Some((job, items)) = any_lot(model) else {
         return;
     };
     match kind {
         // The same lot again, perhaps at another store.
-        7..=8 => model.submit(place, lot, items),
+        7..=8 => model.submit(place, job, items),
         9..=19 => {
             let item = model.random.below(items as u64) as u32;
-            model.told.finished(&lot, item);
-            model.record(place, lot, item);
+            model.told.finished(&job, item);
+            model.record(place, job, item);
         }
         20 if model.random.chance(40) => {
-            model.told.end_asked.insert(lot.clone());
-            model.end(place, lot);
+            model.told.end_asked.insert(job.clone());
+            model.end(place, job);
         }
-        21..=28 => model.read(place, &lot),
+        21..=28 => model.read(place, &job),
         29..=30 => model.lease(place),
         _ => (),
     }
@@ -48,9 +48,9 @@
     let count = model.told.accepted.len() as u64;
     // The newest ones are of most interest.
     let back = model.random.below(count.min(8)) as usize;
-    let lot = model.told.accepted.keys().rev().nth(back)?.clone();
-    let items = model.told.accepted[&lot].1;
-    Some((lot, items))
+    let job = model.told.accepted.keys().rev().nth(back)?.clone();
+    let items = model.told.accepted[&job].1;
+    Some((job, items))
 }
 
 /// All is well again: everything runs, everything arrives.
@@ -112,23 +112,23 @@
             .unwrap()
             .confirm(model.now)
     );
-    let lots: Vec<(String, usize)> = model
+    let jobs: Vec<(String, usize)> = model
         .told
         .accepted
         .iter()
-        .map(|(lot, (_, items))| (lot.clone(), *items))
+        .map(|(job, (_, items))| (job.clone(), *items))
         .collect();
-    for (lot, _) in &lots {
-        let lots = model.stores[place].replica.as_ref().unwrap().lots();
-        let Some((_, found)) = lots.find(&name(lot)) else {
-            panic!("LOST: {lot}\n{history}")
+    for (job, _) in &jobs {
+        let jobs = model.stores[place].replica.as_ref().unwrap().jobs();
+        let Some((_, found)) = jobs.find(&name(job)) else {
+            panic!("LOST: {job}\n{history}")
         };
-        if model.told.ended.contains_key(lot) {
+        if model.told.ended.contains_key(job) {
             assert!(found.ended.is_some(), "an end is lost");
         }
-        let read = model.told.results.get(lot).map_or(0, Vec::len);
+        let read = model.told.results.get(job).map_or(0, Vec::len);
         assert!(found.listed.len() >= read, "a result is lost");
-        model.read(place, lot);
+        model.read(place, job);
     }
     model.lease(place);
 }
--- a/crates/mintlb-batch/tests/placement.rs
+++ b/crates/mintlb-batch/tests/placement.rs
@@ -20,7 +20,7 @@
     /// Stores that catch up with nothing.
     slow: BTreeSet<StoreId>,
     /// Stores that were told to stop.
-    leaving: BTreeSet<StoreId>,
+    draining: BTreeSet<StoreId>,
     tolerance: usize,
     /// Primaries do not notice that they can't commit.
     idle: bool,
@@ -36,7 +36,7 @@
             placement: Placement::default(),
             live: BTreeMap::new(),
             slow: BTreeSet::new(),
-            leaving: BTreeSet::new(),
+            draining: BTreeSet::new(),
             tolerance,
             idle: false,
             changes: 0,
@@ -64,7 +64,7 @@
                     ShardReport {
                         shard: i as u32,
                         epoch: shard.epoch,
-                        in_charge: self.idle
+                        active: self.idle
                             || shard.replicas.iter().filter(|id| caught_up(id)).count()
                                 > self.tolerance,
                         caught_up: shard.replicas.iter().copied().filter(caught_up).collect(),
@@ -77,7 +77,7 @@
                 zone: zone.clone(),
                 shards: reports.collect(),
                 placement: self.placement.epoch,
-                leaving: self.leaving.contains(id),
+                draining: self.draining.contains(id),
             };
             self.table.note(heartbeat, self.now);
         }
@@ -257,7 +257,7 @@
 fn a_store_that_leaves_hands_its_shards_over() {
     let mut tier = Tier::new(&["a", "b", "c"], 1);
     tier.settle();
-    tier.leaving.insert(1);
+    tier.draining.insert(1);
     tier.run(STEP * 3);
     assert!(
         tier.placement
@@ -268,7 +268,7 @@
     assert_eq!(tier.holds(1), 16, "its copies stay");
     tier.live.remove(&1);
     tier.run(STEP * 5);
-    tier.leaving.clear();
+    tier.draining.clear();
     tier.add(1, "a", "node-1");
     tier.settle();
 }
@@ -276,7 +276,7 @@
 fn retire(tier: &mut Tier, node: &str) -> RetirementOrder {
     let view = tier.table.view(&tier.placement, tier.now);
     let order = order_retirement(&tier.placement, &view, node, tier.tolerance);
-    if let RetirementOrder::Begin(next) = &order {
+    if let RetirementOrder::Start(next) = &order {
         tier.placement = next.clone();
     }
     order
@@ -291,13 +291,13 @@
 fn a_retired_store_is_emptied_first() {
     let mut tier = Tier::new(&["a", "b", "c", "a"], 1);
     tier.settle();
-    assert_eq!(retire(&mut tier, "nobody"), RetirementOrder::Unknown);
+    assert_eq!(retire(&mut tier, "nobody"), RetirementOrder::NotFound);
     assert_eq!(state(&mut tier, "node-1"), None);
     assert!(matches!(
         retire(&mut tier, "node-1"),
-        RetirementOrder::Begin(_)
+        RetirementOrder::Start(_)
     ));
-    assert_eq!(retire(&mut tier, "node-1"), RetirementOrder::Begun);
+    assert_eq!(retire(&mut tier, "node-1"), RetirementOrder::AlreadyStarted);
     assert_eq!(state(&mut tier, "node-1"), Some(Retirement::Running));
     tier.settle();
     assert_eq!(state(&mut tier, "node-1"), Some(Retirement::Completed));
@@ -320,7 +320,7 @@
     tier.settle();
     assert!(matches!(
         retire(&mut tier, "node-2"),
-        RetirementOrder::Begin(_)
+        RetirementOrder::Start(_)
     ));
     tier.settle();
     assert_eq!(state(&mut tier, "node-2"), Some(Retirement::Completed));
@@ -330,20 +330,20 @@
             .iter()
             .all(|shard| shard.replicas.len() == 2)
     );
-    assert_eq!(retire(&mut tier, "node-1"), RetirementOrder::TooFew);
+    assert_eq!(retire(&mut tier, "node-1"), RetirementOrder::TooFewStores);
 }
 
 #[test]
 fn a_retirement_that_counts_on_a_store_that_leaves_is_not_ordered_now() {
     let mut tier = Tier::new(&["a", "b", "c"], 1);
     tier.settle();
-    tier.leaving.insert(3);
+    tier.draining.insert(3);
     tier.run(STEP);
-    assert_eq!(retire(&mut tier, "node-2"), RetirementOrder::NotNow);
-    tier.leaving.clear();
+    assert_eq!(retire(&mut tier, "node-2"), RetirementOrder::Unavailable);
+    tier.draining.clear();
     tier.run(STEP);
     assert!(
-        matches!(retire(&mut tier, "node-2"), RetirementOrder::Begin(_)),
+        matches!(retire(&mut tier, "node-2"), RetirementOrder::Start(_)),
         "it was a restart"
     );
 }
@@ -419,11 +419,11 @@
         shards: vec![ShardReport {
             shard: 0,
             epoch,
-            in_charge: true,
+            active: true,
             caught_up: caught_up.to_vec(),
         }],
         placement: epoch,
-        leaving: false,
+        draining: false,
     };
     for (heartbeat, known) in [
         (says(1, 3, &[1, 2]), [1, 2]),
@@ -447,15 +447,13 @@
     // Not in charge for a moment; then another controller looks after the shards.
     let mut table = StoreTable::new(tier.now);
     assert_eq!(
-        table
-            .view(&tier.placement, tier.now)
-            .unsettled_for(0, epoch),
+        table.view(&tier.placement, tier.now).inactive_for(0, epoch),
         Duration::ZERO
     );
     let later = table.view(&tier.placement, tier.now + STEP);
-    assert_eq!(later.unsettled_for(0, epoch), STEP);
+    assert_eq!(later.inactive_for(0, epoch), STEP);
     let much_later = table.view(&tier.placement, tier.now + Duration::from_secs(60));
-    assert_eq!(much_later.unsettled_for(0, epoch), Duration::ZERO);
+    assert_eq!(much_later.inactive_for(0, epoch), Duration::ZERO);
 }
 
 #[test]
--- a/crates/mintlb-batch/tests/takeover.rs
+++ b/crates/mintlb-batch/tests/takeover.rs
@@ -4,7 +4,7 @@
 
 mod model;
 
-use mintlb_batch::messages::{HeldItems, Renewed};
+use mintlb_batch::messages::{LeasedItems, Renewed};
 use mintlb_batch::peer::PeerMessage;
 use mintlb_common::placement::{Placement, ShardAssignment};
 use model::Model;
@@ -99,7 +99,7 @@
     sync(&mut model, 3);
     assert!(matches!(
         sent(&model, 3)[..],
-        [PeerMessage::Collected { .. }]
+        [PeerMessage::EpochAck { .. }]
     ));
 }
 
@@ -113,7 +113,7 @@
     sync(&mut model, 3);
     model.crash(2);
     model.start(2);
-    assert_eq!(model.stores[2].replica.as_ref().unwrap().promised(), 2);
+    assert_eq!(model.stores[2].replica.as_ref().unwrap().current_epoch(), 2);
 }
 
 #[test]
@@ -165,12 +165,12 @@
     place(&mut model, 3, replicas, &[]);
     quiet(&mut model);
     assert!(serves(&model, replicas[0]));
-    let lots = |place: usize| model.stores[place].replica.as_ref().unwrap().lots();
+    let jobs = |place: usize| model.stores[place].replica.as_ref().unwrap().jobs();
     for place in [0, 2] {
-        assert!(lots(place).find(&model::name("kept")).is_some());
-        assert!(lots(place).find(&model::name("lost0")).is_none());
+        assert!(jobs(place).find(&model::name("kept")).is_some());
+        assert!(jobs(place).find(&model::name("lost0")).is_none());
     }
-    assert_eq!(lots(2).waiting_tokens("r"), 30);
+    assert_eq!(jobs(2).waiting_tokens("r"), 30);
 }
 
 #[test]
@@ -189,7 +189,7 @@
     place(&mut model, 2, &[2, 3, 1], &[1, 2, 3]);
     quiet(&mut model);
     let report = model.stores[1].replica.as_ref().unwrap().report().unwrap();
-    assert!(report.in_charge && report.epoch == 2);
+    assert!(report.active && report.epoch == 2);
     assert!(
         !serves(&model, 2),
         "if it dies now, others read from the previous replicas"
@@ -223,8 +223,8 @@
     // The new primary asks again.
     model.tick(Duration::from_millis(800));
     quiet(&mut model);
-    let lots = model.stores[0].replica.as_ref().unwrap().lots();
-    assert!(lots.find(&model::name("stale")).is_none() && lots.find(&model::name("new")).is_some());
+    let jobs = model.stores[0].replica.as_ref().unwrap().jobs();
+    assert!(jobs.find(&model::name("stale")).is_none() && jobs.find(&model::name("new")).is_some());
 }
 
 #[test]
@@ -277,9 +277,9 @@
     model
 }
 
-fn has_lot(model: &Model, id: u64, lot: &str) -> bool {
+fn has_lot(model: &Model, id: u64, job: &str) -> bool {
     let replica = model.stores[id as usize - 1].replica.as_ref().unwrap();
-    replica.lots().find(&model::name(lot)).is_some()
+    replica.jobs().find(&model::name(job)).is_some()
 }
 
 #[test]
@@ -320,7 +320,7 @@
             .as_ref()
             .unwrap()
             .report()
-            .is_some_and(|report| report.in_charge)
+            .is_some_and(|report| report.active)
     );
 }
 
@@ -336,7 +336,7 @@
             .as_ref()
             .unwrap()
             .report()
-            .is_some_and(|report| report.in_charge)
+            .is_some_and(|report| report.active)
     );
     // The register does not hear of it; the second one takes over by its own log, before it hears the others.
     (
@@ -378,7 +378,7 @@
             .as_ref()
             .unwrap()
             .report()
-            .is_some_and(|report| report.in_charge)
+            .is_some_and(|report| report.active)
     );
     assert!(has_lot(&model, 4, "kept"));
 }
@@ -409,8 +409,8 @@
     }
     let now = model.now;
     let replica = model.stores[0].replica.as_mut().unwrap();
-    let held = HeldItems {
-        lot: model::name("a"),
+    let held = LeasedItems {
+        job: model::name("a"),
         items: vec![0, 1, 2],
         failures: vec![(1, 2), (7, 1)],
     };
--- a/crates/mintlb-control/src/controller/retirement.rs
+++ b/crates/mintlb-control/src/controller/retirement.rs
@@ -38,12 +38,12 @@
             return progress(placement, &view, &call.node_name, tolerance, has_listened);
         }
         let next = match order_retirement(placement, &view, &call.node_name, tolerance) {
-            RetirementOrder::Begun => return RetireAnswer::Ordered,
-            RetirementOrder::Unknown => return RetireAnswer::Unknown,
+            RetirementOrder::AlreadyStarted => return RetireAnswer::Ordered,
+            RetirementOrder::NotFound => return RetireAnswer::Unknown,
             _ if !has_listened => return RetireAnswer::Unavailable,
-            RetirementOrder::TooFew => return RetireAnswer::TooFew,
-            RetirementOrder::NotNow => return RetireAnswer::Unavailable,
-            RetirementOrder::Begin(next) => next,
+            RetirementOrder::TooFewStores => return RetireAnswer::TooFew,
+            RetirementOrder::Unavailable => return RetireAnswer::Unavailable,
+            RetirementOrder::Start(next) => next,
         };
         let left = deadline.saturating_duration_since(Instant::now());
         match controller
@@ -83,5 +83,5 @@
         .shards
         .iter()
         .filter_map(|shard| shard.replicas.first());
-    primaries.all(|primary| view.silence(*primary) < LIVE)
+    primaries.all(|primary| view.since_heartbeat(*primary) < LIVE)
 }
--- a/crates/mintlb-control/src/store/calls.rs
+++ b/crates/mintlb-control/src/store/calls.rs
@@ -8,8 +8,8 @@
 use mintlb_batch::entry::Entry;
 use mintlb_batch::framing;
 use mintlb_batch::heartbeat::ShardReport;
-use mintlb_batch::lots::{Lot, Moment};
-use mintlb_batch::messages::{self, Call, ItemName, Lease, LotName, Record, Renew, Submit};
+use mintlb_batch::job_table::{BatchJob, Timestamp};
+use mintlb_batch::messages::{self, ItemName, JobName, Lease, Record, Renew, StoreRequest, Submit};
 use mintlb_batch::peer::Envelope;
 use mintlb_batch::replica::{AfterSync, LeasePlan, PagePlan, Proposal, Replica, ReplicaSettings};
 use mintlb_common::placement::{Placement, SHARD_COUNT, StoreId};
@@ -39,7 +39,7 @@
     clock_offset: Duration,
     disk_bytes: u64,
     report_changed: Arc<Notify>,
-    leaving: AtomicBool,
+    draining: AtomicBool,
 }
 
 impl Store {
@@ -55,7 +55,7 @@
         let core = Core::new(transport, opened, settings, clock_offset);
         let report_changed = core.report_changed.clone();
         let own = settings.own;
-        let (core, started, leaving) = (Mutex::new(core), Instant::now(), Default::default());
+        let (core, started, draining) = (Mutex::new(core), Instant::now(), Default::default());
         Arc::new(Store {
             core,
             own,
@@ -63,11 +63,11 @@
             clock_offset,
             disk_bytes,
             report_changed,
-            leaving,
+            draining,
         })
     }
 
-    fn now(&self) -> Moment {
+    fn now(&self) -> Timestamp {
         self.clock_offset + self.started.elapsed()
     }
 
@@ -131,13 +131,13 @@
 
     /// Lets the controllers know that this store was told to stop, so that its shards get other primaries.
     pub fn leave(&self) {
-        self.leaving.store(true, Relaxed);
+        self.draining.store(true, Relaxed);
         self.report_changed.notify_one();
     }
 
     /// Whether this store was told to stop.
-    pub fn is_leaving(&self) -> bool {
-        self.leaving.load(Relaxed)
+    pub fn is_draining(&self) -> bool {
+        self.draining.load(Relaxed)
     }
 
     /// Whether other stores still need this one: it is the primary of a shard, or a shard is moved away from it and
@@ -157,16 +157,16 @@
         self.core.lock().lots_waited_for()
     }
 
-    async fn call(self: Arc<Self>, call: Call, raw: Bytes) -> Bytes {
+    async fn call(self: Arc<Self>, call: StoreRequest, raw: Bytes) -> Bytes {
         let answer = match call {
-            Call::Submit(submit) => self.submit(submit, raw).await,
-            Call::Read(read) => return self.read(read).await,
-            Call::Body(item) => return self.body(item).await,
-            Call::End(lot) => self.end(lot).await,
-            Call::Lease(lease) => return self.lease(&lease),
-            Call::Renew(renew) => self.renew(&renew),
-            Call::Record(record) => self.record(record, raw).await,
-            Call::Release(holder) => self.release(holder),
+            StoreRequest::Submit(submit) => self.submit(submit, raw).await,
+            StoreRequest::Read(read) => return self.read(read).await,
+            StoreRequest::Body(item) => return self.body(item).await,
+            StoreRequest::End(job) => self.end(job).await,
+            StoreRequest::Lease(lease) => return self.lease(&lease),
+            StoreRequest::Renew(renew) => self.renew(&renew),
+            StoreRequest::Record(record) => self.record(record, raw).await,
+            StoreRequest::Release(owner) => self.release(owner),
         };
         framing::encode(&answer, &[])
     }
@@ -175,7 +175,7 @@
     async fn propose(
         &self,
         shard: u32,
-        change: impl FnOnce(&mut Replica, Moment) -> Proposal,
+        change: impl FnOnce(&mut Replica, Timestamp) -> Proposal,
         look: impl FnOnce(&mut Core, &Proposal),
     ) -> Proposal {
         let (proposal, commit) = {
@@ -196,25 +196,25 @@
         if let Some(commit) = commit
             && !is_told(commit).await
         {
-            return Proposal::Done(messages::Answer::Unsure);
+            return Proposal::Done(messages::StoreResponse::Indeterminate);
         }
         proposal
     }
 
-    async fn submit(&self, submit: Submit, raw: Bytes) -> messages::Answer {
-        let shard = Placement::shard_of(&submit.lot.host);
+    async fn submit(&self, submit: Submit, raw: Bytes) -> messages::StoreResponse {
+        let shard = Placement::shard_of(&submit.job.host);
         if self.is_disk_full(raw.len() as u64) {
-            return messages::Answer::DiskFull;
+            return messages::StoreResponse::DiskFull;
         }
         let Submit {
             epoch,
-            holder,
+            owner,
             max_queued_tokens,
-            lot,
+            job,
         } = submit;
-        let new = lot.clone();
+        let new = job.clone();
         let change = |replica: &mut Replica, now| {
-            replica.submit(epoch, lot, &raw, holder, max_queued_tokens, now)
+            replica.submit(epoch, job, &raw, owner, max_queued_tokens, now)
         };
         match self.propose(shard, change, |_, _| ()).await {
             Proposal::Done(answer) | Proposal::Pending(_, answer) => answer,
@@ -224,13 +224,13 @@
                     .first()
                     .and_then(|(_, bytes)| framing::decode::<Entry>(bytes));
                 let Some((Entry::Accepted(head), stored)) = entry else {
-                    return messages::Answer::Unsure;
+                    return messages::StoreResponse::Indeterminate;
                 };
                 let same = Replica::same_items(&head, &new) && (stored.is_empty() || stored == raw);
                 if same {
                     answer
                 } else {
-                    messages::Answer::Conflict
+                    messages::StoreResponse::Conflict
                 }
             }
         }
@@ -239,32 +239,32 @@
     fn is_disk_full(&self, more: u64) -> bool {
         let core = self.core.lock();
         let file = core.disk.file_bytes();
-        let lots = || core.replicas().iter().map(Replica::lots);
-        let held: u64 = lots().map(|lots| lots.bytes() + lots.texts_to_come()).sum();
+        let jobs = || core.replicas().iter().map(Replica::jobs);
+        let held: u64 = jobs().map(|jobs| jobs.bytes() + jobs.texts_to_come()).sum();
         core.writer.is_full() || !room::fits(held + more, file, self.disk_bytes)
     }
 
-    async fn end(&self, lot: LotName) -> messages::Answer {
-        let shard = Placement::shard_of(&lot.host);
+    async fn end(&self, job: JobName) -> messages::StoreResponse {
+        let shard = Placement::shard_of(&job.host);
         let proposal = self
-            .propose(shard, |replica, now| replica.end(&lot, now), |_, _| ())
+            .propose(shard, |replica, now| replica.end(&job, now), |_, _| ())
             .await;
         self.sure(shard, proposal).await
     }
 
-    async fn record(&self, record: Record, raw: Bytes) -> messages::Answer {
-        let shard = Placement::shard_of(&record.lot.host);
+    async fn record(&self, record: Record, raw: Bytes) -> messages::StoreResponse {
+        let shard = Placement::shard_of(&record.job.host);
         let change = |replica: &mut Replica, now| {
-            replica.record(&record.lot, record.item, record.state, &raw, now)
+            replica.record(&record.job, record.item, record.state, &raw, now)
         };
         let look = |core: &mut Core, proposal: &Proposal| {
-            let lot = core
+            let job = core
                 .replica(shard)
-                .lots()
-                .find(&record.lot)
+                .jobs()
+                .find(&record.job)
                 .map(|(number, _)| number);
-            if let (Proposal::Pending(index, _), Some(lot)) = (proposal, lot) {
-                core.result_on_its_way(shard, *index, lot);
+            if let (Proposal::Pending(index, _), Some(job)) = (proposal, job) {
+                core.result_on_its_way(shard, *index, job);
             }
         };
         let proposal = self.propose(shard, change, look).await;
@@ -272,10 +272,10 @@
     }
 
     /// The answer of a proposal; that a lot is not known has to be confirmed.
-    async fn sure(&self, shard: u32, proposal: Proposal) -> messages::Answer {
+    async fn sure(&self, shard: u32, proposal: Proposal) -> messages::StoreResponse {
         match proposal {
-            Proposal::Done(messages::Answer::Unknown) if !self.confirmed(shard).await => {
-                messages::Answer::Unsure
+            Proposal::Done(messages::StoreResponse::NotFound) if !self.confirmed(shard).await => {
+                messages::StoreResponse::Indeterminate
             }
             Proposal::Done(answer)
             | Proposal::Pending(_, answer)
@@ -307,7 +307,7 @@
     }
 
     async fn read(&self, read: messages::Read) -> Bytes {
-        let shard = Placement::shard_of(&read.lot.host);
+        let shard = Placement::shard_of(&read.job.host);
         let until = Instant::now() + Duration::from_millis(read.wait_ms).min(LONGEST_READ);
         loop {
             match self.look(shard, &read, Instant::now() < until) {
@@ -321,16 +321,16 @@
     fn look(&self, shard: u32, read: &messages::Read, may_wait: bool) -> Look {
         let mut core = self.core.lock();
         if !core.replica(shard).is_serving() {
-            return Look::Answer(framing::encode(&messages::Answer::NotInCharge, &[]));
+            return Look::Answer(framing::encode(&messages::StoreResponse::NotPrimary, &[]));
         }
         let plan = core
             .replica(shard)
-            .page(&read.lot, read.start_after, read.most_bytes);
+            .page(&read.job, read.start_after, read.max_bytes);
         if let Some(plan) = plan.as_ref().filter(|plan| !plan.entries.is_empty()) {
             return Look::Answer(page(&core, shard, plan));
         }
-        match core.replica(shard).committed_lot(&read.lot) {
-            Some((number, lot)) if may_wait && may_get_more(lot, read.start_after) => {
+        match core.replica(shard).committed_job(&read.job) {
+            Some((number, job)) if may_wait && may_get_more(job, read.start_after) => {
                 Look::Wait(core.wait_result(shard, number))
             }
             _ => Look::Nothing(plan.map(|plan| plan.page)),
@@ -340,26 +340,26 @@
     /// An empty page, or that the lot is not known: both have to be confirmed.
     async fn nothing_there(&self, shard: u32, page: Option<messages::Page>) -> Bytes {
         let answer = match (self.confirmed(shard).await, page) {
-            (false, _) => messages::Answer::Unsure,
-            (true, Some(page)) => messages::Answer::Page(page),
-            (true, None) => messages::Answer::Unknown,
+            (false, _) => messages::StoreResponse::Indeterminate,
+            (true, Some(page)) => messages::StoreResponse::Page(page),
+            (true, None) => messages::StoreResponse::NotFound,
         };
         framing::encode(&answer, &[])
     }
 
     async fn body(&self, item: ItemName) -> Bytes {
-        let shard = Placement::shard_of(&item.lot.host);
+        let shard = Placement::shard_of(&item.job.host);
         {
             let mut core = self.core.lock();
             if !core.replica(shard).is_serving() {
-                return framing::encode(&messages::Answer::NotInCharge, &[]);
+                return framing::encode(&messages::StoreResponse::NotPrimary, &[]);
             }
-            if let Some((entry, range)) = core.replica(shard).payload(&item.lot, &item.item) {
+            if let Some((entry, range)) = core.replica(shard).payload(&item.job, &item.item) {
                 let stored = core.read(shard, &[entry]).unwrap_or_default();
                 let payload = stored.first().and_then(|(_, bytes)| raw_part(bytes, range));
                 return match payload {
-                    Some(payload) => framing::encode(&messages::Answer::Body, &[&payload]),
-                    None => framing::encode(&messages::Answer::Unsure, &[]),
+                    Some(payload) => framing::encode(&messages::StoreResponse::Body, &[&payload]),
+                    None => framing::encode(&messages::StoreResponse::Indeterminate, &[]),
                 };
             }
         }
@@ -369,7 +369,7 @@
     fn lease(&self, lease: &Lease) -> Bytes {
         let mut core = self.core.lock();
         let now = self.now();
-        let (mut left, mut bytes) = (lease.most as usize, LEASE_BYTES);
+        let (mut left, mut bytes) = (lease.max_items as usize, LEASE_BYTES);
         let (mut heads, mut payloads) = (Vec::new(), Vec::new());
         for shard in 0..SHARD_COUNT {
             if left == 0 || bytes == 0 {
@@ -378,8 +378,8 @@
             // One that may have been followed by another primary has nothing to give: it would not know of
             // ends.
             let replica = core.replica(shard);
-            let plans = match replica.has_open_items(now) && replica.confirm(now) {
-                true => replica.lease(lease.holder, left, bytes, now),
+            let plans = match replica.has_unleased_items(now) && replica.confirm(now) {
+                true => replica.lease(lease.owner, left, bytes, now),
                 false => Vec::new(),
             };
             core.act(shard, now);
@@ -392,30 +392,30 @@
             }
         }
         let raw: Vec<&[u8]> = payloads.iter().map(|payload| &payload[..]).collect();
-        framing::encode(&messages::Answer::Leased(heads), &raw)
+        framing::encode(&messages::StoreResponse::Leased(heads), &raw)
     }
 
-    fn renew(&self, renew: &Renew) -> messages::Answer {
+    fn renew(&self, renew: &Renew) -> messages::StoreResponse {
         let mut core = self.core.lock();
         let now = self.now();
         let mut renewed = messages::Renewed::default();
-        for held in &renew.lots {
-            let shard = Placement::shard_of(&held.lot.host);
+        for held in &renew.jobs {
+            let shard = Placement::shard_of(&held.job.host);
             core.replica(shard)
-                .renew(renew.holder, held, &mut renewed, now);
+                .renew(renew.owner, held, &mut renewed, now);
         }
         renewed.open = core
             .replicas()
             .iter()
             .map(|replica| replica.open_items(now))
             .sum();
-        messages::Answer::Renewed(renewed)
+        messages::StoreResponse::Renewed(renewed)
     }
 
-    fn release(&self, holder: messages::DispatcherId) -> messages::Answer {
+    fn release(&self, owner: messages::DispatcherId) -> messages::StoreResponse {
         let mut core = self.core.lock();
-        (0..SHARD_COUNT).for_each(|shard| core.replica(shard).release(holder));
-        messages::Answer::Released
+        (0..SHARD_COUNT).for_each(|shard| core.replica(shard).release(owner));
+        messages::StoreResponse::Released
     }
 }
 
@@ -430,8 +430,8 @@
 }
 
 /// Whether results may still come at or behind the position.
-fn may_get_more(lot: &Lot, start_after: u64) -> bool {
-    lot.ended.is_none() && start_after < lot.items.len() as u64
+fn may_get_more(job: &BatchJob, start_after: u64) -> bool {
+    job.ended.is_none() && start_after < job.items.len() as u64
 }
 
 /// A page with its texts.
@@ -443,14 +443,14 @@
         .filter_map(|(_, bytes)| Some(framing::decode::<Entry>(bytes)?.1))
         .collect();
     if texts.len() != page.results.len() {
-        return framing::encode(&messages::Answer::Unsure, &[]);
+        return framing::encode(&messages::StoreResponse::Indeterminate, &[]);
     }
     page.results
         .iter_mut()
         .zip(&texts)
         .for_each(|(result, text)| result.length = text.len() as u64);
     let raw: Vec<&[u8]> = texts.iter().map(|text| &text[..]).collect();
-    framing::encode(&messages::Answer::Page(page), &raw)
+    framing::encode(&messages::StoreResponse::Page(page), &raw)
 }
 
 fn raw_part(entry: &Bytes, range: std::ops::Range<usize>) -> Option<Bytes> {
@@ -501,7 +501,7 @@
     fn on_request(&self, _from: SocketAddr, body: Bytes) -> transport::ResponseFuture {
         let store = self.0.clone();
         Box::pin(async move {
-            match framing::decode::<Call>(&body) {
+            match framing::decode::<StoreRequest>(&body) {
                 Some((call, raw)) => store.call(call, raw).await,
                 None => Bytes::new(),
             }
