--- a/crates/mintlb-control/src/store/core.rs
+++ b/crates/mintlb-control/src/store/core.rs
@@ -6,7 +6,7 @@
 use bytes::Bytes;
 use mintlb_batch::framing;
 use mintlb_batch::heartbeat::ShardReport;
-use mintlb_batch::lots::Moment;
+use mintlb_batch::job_table::Timestamp;
 use mintlb_batch::peer::{EntryLength, Envelope, PeerMessage};
 use mintlb_batch::replica::{AfterSync, DiskWrite, Effect, Replica, ReplicaSettings};
 use mintlb_common::placement::{Placement, SHARD_COUNT, StoreId};
@@ -64,7 +64,7 @@
         transport: Arc<Transport>,
         opened: Opened,
         settings: ReplicaSettings,
-        now: Moment,
+        now: Timestamp,
     ) -> Core {
         Core {
             replicas: load(opened.shards, settings, now),
@@ -83,7 +83,7 @@
 
     /// What is on disk is not known any more: all calls that wait are answered as unsure, and no replica says
     /// anything until [`Core::resume`]. To the others it is as if the process had ended.
-    pub fn suspend(&mut self, now: Moment) {
+    pub fn suspend(&mut self, now: Timestamp) {
         self.suspended = true;
         self.replicas = load(LoadedShards::new(), self.settings, now);
         self.waiting = no_calls();
@@ -91,7 +91,7 @@
     }
 
     /// Goes on with what the disk holds, like a process that starts.
-    pub fn resume(&mut self, shards: LoadedShards, now: Moment) {
+    pub fn resume(&mut self, shards: LoadedShards, now: Timestamp) {
         self.replicas = load(shards, self.settings, now);
         self.writer.resume();
         self.suspended = false;
@@ -129,7 +129,7 @@
     }
 
     /// Goes by this placement from now on.
-    pub fn set_placement(&mut self, placement: Placement, now: Moment) {
+    pub fn set_placement(&mut self, placement: Placement, now: Timestamp) {
         if placement.epoch <= self.placement.epoch {
             return;
         }
@@ -149,7 +149,7 @@
     }
 
     /// A message of another store's replica.
-    pub fn message(&mut self, envelope: Envelope, raw: Bytes, now: Moment) {
+    pub fn message(&mut self, envelope: Envelope, raw: Bytes, now: Timestamp) {
         let shard = envelope.shard;
         if self.suspended || shard >= SHARD_COUNT || (!raw.is_empty() && self.writer.is_full()) {
             return;
@@ -159,7 +159,7 @@
     }
 
     /// What follows a commit.
-    pub fn synced(&mut self, after: Vec<(u32, AfterSync)>, now: Moment) {
+    pub fn synced(&mut self, after: Vec<(u32, AfterSync)>, now: Timestamp) {
         if self.suspended {
             return;
         }
@@ -170,7 +170,7 @@
     }
 
     /// Time passes.
-    pub fn tick(&mut self, now: Moment) {
+    pub fn tick(&mut self, now: Timestamp) {
         if self.suspended {
             return;
         }
@@ -200,14 +200,14 @@
     }
 
     /// Wakes the lot's readers once the result at this index is committed.
-    pub fn result_on_its_way(&mut self, shard: u32, index: u64, lot: u64) {
-        self.waiting[shard as usize].results.push_back((index, lot));
+    pub fn result_on_its_way(&mut self, shard: u32, index: u64, job: u64) {
+        self.waiting[shard as usize].results.push_back((index, job));
     }
 
     /// Waits for the next result of a lot.
-    pub fn wait_result(&mut self, shard: u32, lot: u64) -> oneshot::Receiver<()> {
+    pub fn wait_result(&mut self, shard: u32, job: u64) -> oneshot::Receiver<()> {
         let (told, receiver) = oneshot::channel();
-        let readers = self.waiting[shard as usize].readers.entry(lot).or_default();
+        let readers = self.waiting[shard as usize].readers.entry(job).or_default();
         readers.retain(|reader| !reader.is_closed());
         readers.push(told);
         receiver
@@ -231,7 +231,7 @@
     }
 
     /// Carries out what a replica asks for.
-    pub fn act(&mut self, shard: u32, now: Moment) {
+    pub fn act(&mut self, shard: u32, now: Timestamp) {
         loop {
             let effects = self.replica(shard).take_effects();
             if effects.is_empty() {
@@ -334,9 +334,9 @@
             .results
             .front()
             .is_some_and(|(index, _)| *index <= through)
-            && let Some((_, lot)) = waiting.results.pop_front()
+            && let Some((_, job)) = waiting.results.pop_front()
         {
-            let readers = waiting.readers.remove(&lot).unwrap_or_default();
+            let readers = waiting.readers.remove(&job).unwrap_or_default();
             readers.into_iter().for_each(|told| _ = told.send(()));
         }
     }
@@ -353,7 +353,7 @@
     }
 }
 
-fn load(mut shards: LoadedShards, settings: ReplicaSettings, now: Moment) -> Vec<Replica> {
+fn load(mut shards: LoadedShards, settings: ReplicaSettings, now: Timestamp) -> Vec<Replica> {
     let replicas = (0..SHARD_COUNT).map(|shard| {
         let loaded = shards.remove(&shard).unwrap_or_default();
         Replica::load(
--- a/crates/mintlb-control/src/store/heartbeats.rs
+++ b/crates/mintlb-control/src/store/heartbeats.rs
@@ -40,7 +40,7 @@
             zone: settings.zone.clone(),
             shards,
             placement,
-            leaving: store.is_leaving(),
+            draining: store.is_draining(),
         };
         let body = framing::encode(&heartbeat, &[]);
         for controller in controllers(&gossip) {
--- a/crates/mintlb-control/tests/controller_retirement.rs
+++ b/crates/mintlb-control/tests/controller_retirement.rs
@@ -1,7 +1,7 @@
 //! When the end of a store's retirement may be told.
 
 use mintlb_batch::heartbeat::ShardReport;
-use mintlb_batch::placement_planner::{LIVE, StoreSeen, StoreView};
+use mintlb_batch::placement_planner::{LIVE, StoreStatus, StoreView};
 use mintlb_common::placement::{Placement, ShardAssignment, StoreEntry};
 use mintlb_control::controller::duty_messages::RetireAnswer;
 use mintlb_control::controller::retirement::progress;
@@ -40,22 +40,22 @@
 }
 
 /// The primary of the shard has reported, and was last heard so long ago.
-fn view(silence: Duration) -> StoreView {
+fn view(since_heartbeat: Duration) -> StoreView {
     let report = ShardReport {
         shard: 0,
         epoch: 4,
-        in_charge: true,
+        active: true,
         caught_up: vec![2, 3, 4],
     };
-    let primary = StoreSeen {
+    let primary = StoreStatus {
         id: 2,
-        silence,
+        since_heartbeat,
         reports: vec![report],
-        ..StoreSeen::default()
+        ..StoreStatus::default()
     };
-    let other = |id| StoreSeen {
+    let other = |id| StoreStatus {
         id,
-        ..StoreSeen::default()
+        ..StoreStatus::default()
     };
     StoreView {
         stores: vec![primary, other(3), other(4)],
--- a/crates/mintlb-control/tests/store_cluster.rs
+++ b/crates/mintlb-control/tests/store_cluster.rs
@@ -4,40 +4,40 @@
 
 use bytes::Bytes;
 use mintlb_batch::client::{
-    BodyOutcome, EndOutcome, HeldLot, ItemResult, ReadOutcome, SubmitOutcome,
+    BodyOutcome, EndOutcome, ItemResult, LeasedJob, ReadOutcome, SubmitOutcome,
 };
 use mintlb_batch::entry::ItemState;
 use mintlb_common::placement::Placement;
 use std::time::Duration;
-use stores::{Cluster, HOST, Node, WITHIN, lot, placement};
+use stores::{Cluster, HOST, Node, WITHIN, job, placement};
 
 #[tokio::test]
 async fn a_lot_is_taken_run_read_and_ended() {
     let cluster = Cluster::start(3).await;
     cluster.place(placement(&cluster.nodes, 1, &[0, 1, 2], &[]));
     let client = &cluster.client;
-    let first = client.submit(lot("a", 3, 500), 7, WITHIN).await;
+    let first = client.submit(job("a", 3, 500), 7, WITHIN).await;
     assert_eq!(first, SubmitOutcome::Accepted { items_leased: true });
     assert_eq!(
-        client.submit(lot("a", 3, 500), 7, WITHIN).await,
+        client.submit(job("a", 3, 500), 7, WITHIN).await,
         SubmitOutcome::Accepted { items_leased: true }
     );
     assert_eq!(
-        client.submit(lot("a", 3, 500), 8, WITHIN).await,
+        client.submit(job("a", 3, 500), 8, WITHIN).await,
         SubmitOutcome::Accepted {
             items_leased: false
         }
     );
     assert_eq!(
-        client.submit(lot("a", 4, 500), 8, WITHIN).await,
+        client.submit(job("a", 4, 500), 8, WITHIN).await,
         SubmitOutcome::Conflict
     );
     assert_eq!(
-        client.submit(lot("b", 3, 500), 8, WITHIN).await,
-        SubmitOutcome::QuotaFull
+        client.submit(job("b", 3, 500), 8, WITHIN).await,
+        SubmitOutcome::QuotaExceeded
     );
     assert_eq!(
-        client.submit(lot("b", 2, 500), 8, WITHIN).await,
+        client.submit(job("b", 2, 500), 8, WITHIN).await,
         SubmitOutcome::Accepted { items_leased: true }
     );
 
@@ -63,22 +63,22 @@
         client.body(HOST, "a", "a-1").await,
         BodyOutcome::Body(Bytes::from(vec![1; 5000]))
     );
-    assert_eq!(client.body(HOST, "a", "a-2").await, BodyOutcome::Unknown);
+    assert_eq!(client.body(HOST, "a", "a-2").await, BodyOutcome::NotFound);
     assert_eq!(
         client.read(HOST, "x", 0, Duration::ZERO, 1000).await,
-        ReadOutcome::Unknown
+        ReadOutcome::NotFound
     );
 
-    let held = HeldLot {
+    let held = LeasedJob {
         host: HOST.to_string(),
-        lot_id: "a".to_string(),
+        job_id: "a".to_string(),
         items: vec![1, 2],
         failures: vec![(2, 1)],
     };
     let lost = client.renew(7, vec![held.clone()]).await;
     assert_eq!(
         lost,
-        vec![HeldLot {
+        vec![LeasedJob {
             items: vec![2],
             failures: vec![],
             ..held.clone()
@@ -89,11 +89,11 @@
 
     assert_eq!(client.end(HOST, "a").await, EndOutcome::Ended);
     assert_eq!(client.end(HOST, "a").await, EndOutcome::Ended);
-    assert_eq!(client.end(HOST, "x").await, EndOutcome::Unknown);
-    assert_eq!(client.body(HOST, "a", "a-1").await, BodyOutcome::Unknown);
+    assert_eq!(client.end(HOST, "x").await, EndOutcome::NotFound);
+    assert_eq!(client.body(HOST, "a", "a-1").await, BodyOutcome::NotFound);
     assert_eq!(
         client.renew(7, vec![held.clone()]).await,
-        vec![HeldLot {
+        vec![LeasedJob {
             failures: vec![],
             ..held
         }]
@@ -107,7 +107,7 @@
     cluster.place(placement(&cluster.nodes, 1, &[0, 1, 2], &[]));
     let accepted = SubmitOutcome::Accepted { items_leased: true };
     assert_eq!(
-        cluster.client.submit(lot("a", 3, 0), 7, WITHIN).await,
+        cluster.client.submit(job("a", 3, 0), 7, WITHIN).await,
         accepted
     );
     assert!(
@@ -121,7 +121,7 @@
     let taken_over = placement(&cluster.nodes, 2, &[1, 2, 0], &[0, 1, 2]);
     cluster.nodes[1].store.set_placement(taken_over.clone());
     cluster.nodes[2].store.set_placement(taken_over);
-    cluster.in_charge(1, 2).await;
+    cluster.wait_until_active(1, 2).await;
     let settled = placement(&cluster.nodes, 2, &[1, 2, 0], &[]);
     cluster.place(Placement {
         epoch: 3,
@@ -137,7 +137,7 @@
         BodyOutcome::Body(Bytes::from(vec![2; 5000]))
     );
     assert_eq!(
-        cluster.client.submit(lot("b", 3, 0), 7, WITHIN).await,
+        cluster.client.submit(job("b", 3, 0), 7, WITHIN).await,
         accepted
     );
 
@@ -178,7 +178,7 @@
     let client = &cluster.client;
     for i in 0..20 {
         let id = format!("r{i}");
-        client.submit(lot(&id, 1, 0), 7, WITHIN).await;
+        client.submit(job(&id, 1, 0), 7, WITHIN).await;
         client
             .read(HOST, &id, 0, Duration::from_millis(5), 1000)
             .await;
@@ -207,7 +207,7 @@
     // The third one's copies move to the fourth: while the takeover may have to read it, it goes on.
     cluster.place(placement(&cluster.nodes, 2, &[0, 1, 3], &[0, 1, 2]));
     assert!(is_needed(2));
-    cluster.in_charge(0, 2).await;
+    cluster.wait_until_active(0, 2).await;
     let settled = placement(&cluster.nodes, 2, &[0, 1, 3], &[]);
     cluster.place(Placement {
         epoch: 3,
--- a/crates/mintlb-control/tests/store_disk.rs
+++ b/crates/mintlb-control/tests/store_disk.rs
@@ -4,7 +4,7 @@
 
 use bytes::Bytes;
 use faulty_file::Disk;
-use mintlb_batch::entry::{Entry, ItemHead, LotHead, LotTerms};
+use mintlb_batch::entry::{Entry, ItemHeader, JobHeader, JobTerms};
 use mintlb_batch::framing;
 use mintlb_batch::log_index::LogIndex;
 use mintlb_batch::replica::{AfterSync, DiskWrite, ShardMeta};
@@ -15,24 +15,24 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-fn lot(payload: &[u8]) -> Bytes {
-    let items = vec![ItemHead {
+fn job(payload: &[u8]) -> Bytes {
+    let items = vec![ItemHeader {
         id: "i".to_string(),
         tokens: 5,
         length: payload.len() as u64,
     }];
-    let head = LotHead {
+    let head = JobHeader {
         host: "h".to_string(),
         id: "l".to_string(),
         route: "r".to_string(),
-        terms: LotTerms::default(),
+        terms: JobTerms::default(),
         items,
     };
     framing::encode(&Entry::Accepted(head), &[payload])
 }
 
 fn begin() -> Bytes {
-    framing::encode(&Entry::Begin, &[])
+    framing::encode(&Entry::EpochStart, &[])
 }
 
 fn open(directory: &Path) -> (LotDisk, Vec<(u32, ShardMeta, Vec<u64>)>) {
@@ -62,7 +62,7 @@
     let mut log = LogIndex::default();
     log.extend(4, 2);
     let meta = ShardMeta {
-        promised: 3,
+        current_epoch: 3,
         log,
         committed: 2,
     };
@@ -101,14 +101,14 @@
 fn a_stripped_lot_keeps_its_head() {
     let directory = tempfile::tempdir().unwrap();
     let (disk, _) = open(directory.path());
-    disk.commit(&[(0, DiskWrite::Put(1, lot(&[7; 3000])))])
+    disk.commit(&[(0, DiskWrite::Put(1, job(&[7; 3000])))])
         .unwrap();
-    assert_eq!(disk.read(0, &[1, 2]).unwrap(), vec![(1, lot(&[7; 3000]))]);
+    assert_eq!(disk.read(0, &[1, 2]).unwrap(), vec![(1, job(&[7; 3000]))]);
     disk.commit(&[(0, DiskWrite::Strip(vec![1, 2]))]).unwrap();
     drop(disk);
     let (_, shards) = LotDisk::open(directory.path(), 1).unwrap();
     let (index, entry, length, raw) = &shards[&0].entries[0];
-    let (expected, _) = framing::decode::<Entry>(&lot(&[7; 3000])).unwrap();
+    let (expected, _) = framing::decode::<Entry>(&job(&[7; 3000])).unwrap();
     assert_eq!((*index, entry, *raw), (1, &expected, 0));
     assert!(*length < 100);
 }
@@ -128,7 +128,7 @@
     let (disk, _) = open(directory.path());
     let (committed, mut commits) = tokio::sync::mpsc::unbounded_channel();
     let writer = Writer::start(disk.clone(), committed).unwrap();
-    let follows = |through| AfterSync::OwnLog { epoch: 1, through };
+    let follows = |through| AfterSync::LogPersisted { epoch: 1, through };
     assert_eq!(
         writer.write(3, Vec::new(), vec![follows(0)]),
         Err(vec![follows(0)]),
@@ -152,7 +152,7 @@
     while followed.len() + last.len() < 51 {
         let batch = commits.recv().await.unwrap().unwrap();
         for (shard, after) in batch {
-            let AfterSync::OwnLog { through, .. } = after else {
+            let AfterSync::LogPersisted { through, .. } = after else {
                 panic!()
             };
             assert_eq!(shard, 3);
@@ -215,7 +215,7 @@
             let writes = (0..(100_000 / bytes).max(1)).map(|_| {
                 index += 1;
                 sum += bytes as u64;
-                (0, DiskWrite::Put(index, lot(&vec![7; bytes])))
+                (0, DiskWrite::Put(index, job(&vec![7; bytes])))
             });
             disk.commit(&writes.collect::<Vec<_>>()).unwrap();
         }
@@ -225,7 +225,7 @@
         assert!(factor < 1.7 || bytes < 100, "{bytes} bytes: {factor:.2}");
         assert_eq!(
             disk.read(0, &[1, index]).unwrap()[1],
-            (index, lot(&vec![7; bytes]))
+            (index, job(&vec![7; bytes]))
         );
     }
 }
@@ -244,13 +244,13 @@
         transaction
             .open_table(whole)
             .unwrap()
-            .insert((2, 9), &lot(&[5; 40_000])[..])
+            .insert((2, 9), &job(&[5; 40_000])[..])
             .unwrap();
         transaction.commit().unwrap();
     }
     for _ in 0..2 {
         let (disk, shards) = open(directory.path());
         assert_eq!((disk.id(), shards[0].0, &shards[0].2), (77, 2, &vec![9]));
-        assert_eq!(disk.read(2, &[9]).unwrap(), vec![(9, lot(&[5; 40_000]))]);
+        assert_eq!(disk.read(2, &[9]).unwrap(), vec![(9, job(&[5; 40_000]))]);
     }
 }
--- a/crates/mintlb-control/tests/store_faults.rs
+++ b/crates/mintlb-control/tests/store_faults.rs
@@ -17,7 +17,7 @@
 fn result(text: &[u8]) -> Bytes {
     framing::encode(
         &Entry::Result {
-            lot: 1,
+            job: 1,
             item: 0,
             state: ItemState::Completed,
         },
--- a/crates/mintlb-control/tests/store_full_disk.rs
+++ b/crates/mintlb-control/tests/store_full_disk.rs
@@ -8,7 +8,7 @@
 use mintlb_batch::client::{BodyOutcome, ReadOutcome, SubmitOutcome};
 use mintlb_control::store::disk::LotDisk;
 use std::time::Duration;
-use stores::{Cluster, HOST, Node, WITHIN, lot, placement};
+use stores::{Cluster, HOST, Node, WITHIN, job, placement};
 
 const TAKEN: SubmitOutcome = SubmitOutcome::Accepted { items_leased: true };
 const SHORT: Duration = Duration::from_millis(700);
@@ -22,25 +22,25 @@
     }
     let cluster = Cluster::of(nodes, directories).await;
     cluster.place(placement(&cluster.nodes, 1, &[0, 1, 2], &[]));
-    cluster.in_charge(0, 1).await;
+    cluster.wait_until_active(0, 1).await;
     (cluster, disks)
 }
 
-async fn body(cluster: &Cluster, lot: &str) -> BodyOutcome {
-    cluster.client.body(HOST, lot, &format!("{lot}-1")).await
+async fn body(cluster: &Cluster, job: &str) -> BodyOutcome {
+    cluster.client.body(HOST, job, &format!("{job}-1")).await
 }
 
 #[tokio::test]
 async fn full_disks_stop_promises_until_they_take_bytes() {
     let (cluster, disks) = cluster().await;
     assert_eq!(
-        cluster.client.submit(lot("a", 3, 0), 7, WITHIN).await,
+        cluster.client.submit(job("a", 3, 0), 7, WITHIN).await,
         TAKEN
     );
     disks.iter().for_each(|disk| disk.set_full(true));
-    let while_full = cluster.client.submit(lot("b", 3, 0), 7, SHORT).await;
+    let while_full = cluster.client.submit(job("b", 3, 0), 7, SHORT).await;
     assert!(
-        matches!(while_full, SubmitOutcome::Unclear),
+        matches!(while_full, SubmitOutcome::Indeterminate),
         "{while_full:?}"
     );
     assert!(cluster.nodes[0].store.is_suspended());
@@ -50,8 +50,8 @@
     );
     // Nothing of this one can be in, so that its client is told to come back.
     assert_eq!(
-        cluster.client.submit(lot("c", 3, 0), 7, SHORT).await,
-        SubmitOutcome::Refused
+        cluster.client.submit(job("c", 3, 0), 7, SHORT).await,
+        SubmitOutcome::Rejected
     );
     assert_eq!(
         body(&cluster, "a").await,
@@ -66,21 +66,21 @@
 
     disks.iter().for_each(|disk| disk.set_full(false));
     assert_eq!(
-        cluster.client.submit(lot("d", 3, 0), 7, WITHIN).await,
+        cluster.client.submit(job("d", 3, 0), 7, WITHIN).await,
         TAKEN
     );
     assert!(
         cluster.nodes.iter().all(|node| !node.task.is_finished()),
         "no process has ended"
     );
-    for lot in ["a", "d"] {
+    for job in ["a", "d"] {
         assert_eq!(
-            body(&cluster, lot).await,
+            body(&cluster, job).await,
             BodyOutcome::Body(Bytes::from(vec![1; 5000])),
-            "{lot}"
+            "{job}"
         );
     }
-    assert_eq!(body(&cluster, "c").await, BodyOutcome::Unknown);
+    assert_eq!(body(&cluster, "c").await, BodyOutcome::NotFound);
 }
 
 #[tokio::test]
@@ -90,19 +90,19 @@
     for round in 0..3 {
         let before = format!("before{round}");
         assert_eq!(
-            cluster.client.submit(lot(&before, 3, 0), 7, WITHIN).await,
+            cluster.client.submit(job(&before, 3, 0), 7, WITHIN).await,
             TAKEN
         );
         disks.iter().for_each(|disk| disk.set_full(true));
         let during = format!("during{round}");
-        if cluster.client.submit(lot(&during, 3, 0), 7, SHORT).await == TAKEN {
+        if cluster.client.submit(job(&during, 3, 0), 7, SHORT).await == TAKEN {
             taken.push(during);
         }
         disks.iter().for_each(|disk| disk.set_full(false));
         taken.push(before);
     }
     assert_eq!(
-        cluster.client.submit(lot("last", 3, 0), 7, WITHIN).await,
+        cluster.client.submit(job("last", 3, 0), 7, WITHIN).await,
         TAKEN
     );
     taken.push("last".to_string());
@@ -127,6 +127,6 @@
         "{again:?}"
     );
     // Begin of 16 shards, and each lot at two of the three at least.
-    let lots: usize = again.iter().map(|(_, held)| held.saturating_sub(16)).sum();
-    assert!(lots >= 2 * taken.len(), "{again:?} for {taken:?}");
+    let jobs: usize = again.iter().map(|(_, held)| held.saturating_sub(16)).sum();
+    assert!(jobs >= 2 * taken.len(), "{again:?} for {taken:?}");
 }
--- a/crates/mintlb-control/tests/store_long_day.rs
+++ b/crates/mintlb-control/tests/store_long_day.rs
@@ -3,8 +3,8 @@
 mod faulty_file;
 
 use bytes::Bytes;
-use mintlb_batch::entry::{ItemHead, ItemState, LotHead, LotTerms};
-use mintlb_batch::messages::LotName;
+use mintlb_batch::entry::{ItemHeader, ItemState, JobHeader, JobTerms};
+use mintlb_batch::messages::JobName;
 use mintlb_batch::replica::{AfterSync, DiskWrite, Effect, Replica, ReplicaSettings};
 use mintlb_common::placement::ShardAssignment;
 use mintlb_control::store::disk::LotDisk;
@@ -28,8 +28,8 @@
     now: Duration,
 }
 
-fn name(number: u64) -> LotName {
-    LotName {
+fn name(number: u64) -> JobName {
+    JobName {
         host: "h".to_string(),
         id: format!("lot{number}"),
     }
@@ -38,7 +38,7 @@
 /// What a store holds at a moment.
 #[derive(Debug)]
 struct Held {
-    lots: usize,
+    jobs: usize,
     entries: usize,
     bytes: u64,
     file: u64,
@@ -96,18 +96,18 @@
 
     fn submit(&mut self, number: u64, item_bytes: usize) {
         let id = format!("lot{number}");
-        let item = |i| ItemHead {
+        let item = |i| ItemHeader {
             id: format!("{id}-{i}"),
             tokens: 10,
             length: item_bytes as u64,
         };
-        let head = LotHead {
+        let head = JobHeader {
             host: "h".to_string(),
             id: id.clone(),
             route: "r".to_string(),
-            terms: LotTerms {
+            terms: JobTerms {
                 retention_ms: 5_000,
-                ..LotTerms::default()
+                ..JobTerms::default()
             },
             items: (0..ITEMS).map(item).collect(),
         };
@@ -141,8 +141,8 @@
 
     fn held(&self) -> Held {
         Held {
-            lots: self.replica.lots().all().count(),
-            entries: self.replica.lots().entries_after(0).count(),
+            jobs: self.replica.jobs().all().count(),
+            entries: self.replica.jobs().entries_after(0).count(),
             bytes: self.replica.bytes(),
             file: self.disk.file_bytes(),
         }
@@ -164,7 +164,7 @@
     let (first, last) = (&seen[0], &seen[seen.len() - 1]);
     // Those of status_s and 10 s.
     assert!(
-        last.lots <= 32 && last.entries <= 32 * (ITEMS + 1),
+        last.jobs <= 32 && last.entries <= 32 * (ITEMS + 1),
         "{last:?}"
     );
     assert!(
@@ -177,12 +177,12 @@
     let now = store.now;
     drop(store);
     let mut again = Store::open(directory.path(), now);
-    assert_eq!(again.held().lots, last.lots);
+    assert_eq!(again.held().jobs, last.jobs);
     again.now += STATUS + Duration::from_secs(11);
     again.replica.tick(again.now);
     again.act();
     assert_eq!(
-        (again.held().lots, again.held().entries, again.held().bytes),
+        (again.held().jobs, again.held().entries, again.held().bytes),
         (0, 0, 0)
     );
     println!("all dropped: {:?}", again.held());
@@ -197,9 +197,9 @@
     let mut store = Store::open(directory.path(), Duration::from_secs(50));
     let mut taken = 0;
     loop {
-        let (lots, file) = (store.replica.lots(), store.disk.file_bytes());
+        let (jobs, file) = (store.replica.jobs(), store.disk.file_bytes());
         let more = (ITEMS * LARGE) as u64;
-        if !room::fits(lots.bytes() + lots.texts_to_come() + more, file, DISK) {
+        if !room::fits(jobs.bytes() + jobs.texts_to_come() + more, file, DISK) {
             break;
         }
         taken += 1;
--- a/crates/mintlb-control/tests/stores/mod.rs
+++ b/crates/mintlb-control/tests/stores/mod.rs
@@ -2,8 +2,8 @@
 #![allow(dead_code)]
 
 use bytes::Bytes;
-use mintlb_batch::client::{Item, LotClient, ReadOutcome, Submission};
-use mintlb_batch::entry::{ItemState, LotTerms};
+use mintlb_batch::client::{BatchClient, Item, ReadOutcome, Submission};
+use mintlb_batch::entry::{ItemState, JobTerms};
 use mintlb_batch::replica::ReplicaSettings;
 use mintlb_common::placement::{Placement, SHARD_COUNT, ShardAssignment, StoreEntry, StoreId};
 use mintlb_common::transport::{Channel, Transport};
@@ -94,7 +94,7 @@
     }
 }
 
-pub fn lot(id: &str, items: usize, max_queued_tokens: u64) -> Submission {
+pub fn job(id: &str, items: usize, max_queued_tokens: u64) -> Submission {
     let items = (0..items).map(|i| Item {
         instance_id: format!("{id}-{i}"),
         path: format!("/p/{i}"),
@@ -105,8 +105,8 @@
     Submission {
         host: HOST.to_string(),
         route: "r".to_string(),
-        lot_id: id.to_string(),
-        terms: LotTerms {
+        job_id: id.to_string(),
+        terms: JobTerms {
             sent_at_ms: 1,
             completion_target_ms: 5000,
             retention_ms: 60_000,
@@ -121,7 +121,7 @@
     pub nodes: Vec<Node>,
     pub directories: Vec<TempDir>,
     pub placement: Arc<Mutex<Arc<Placement>>>,
-    pub client: LotClient,
+    pub client: BatchClient,
 }
 
 impl Cluster {
@@ -140,7 +140,7 @@
             .await
             .unwrap();
         let known = placement.clone();
-        let client = LotClient::new(transport, Arc::new(move || known.lock().clone()));
+        let client = BatchClient::new(transport, Arc::new(move || known.lock().clone()));
         Cluster {
             nodes,
             directories,
@@ -156,12 +156,12 @@
         *self.placement.lock() = Arc::new(placement);
     }
 
-    pub async fn in_charge(&self, node: usize, epoch: u64) {
+    pub async fn wait_until_active(&self, node: usize, epoch: u64) {
         let store = &self.nodes[node].store;
         let all = |store: &Store| {
             let (reports, _) = store.report();
             reports.len() == SHARD_COUNT as usize
-                && reports.iter().all(|r| r.in_charge && r.epoch == epoch)
+                && reports.iter().all(|r| r.active && r.epoch == epoch)
         };
         while !all(store) {
             tokio::time::timeout(WITHIN, store.report_changed().notified())
--- a/crates/mintlb-dispatcher/src/batch/calls.rs
+++ b/crates/mintlb-dispatcher/src/batch/calls.rs
@@ -9,9 +9,9 @@
 use axum::http::{HeaderMap, HeaderValue, Method, StatusCode};
 use axum::response::{IntoResponse, Response};
 use mintlb_batch::client::{
-    BodyOutcome, EndOutcome, LeasedItem, LotClient, ReadOutcome, Submission, SubmitOutcome,
+    BatchClient, BodyOutcome, EndOutcome, LeasedItem, ReadOutcome, Submission, SubmitOutcome,
 };
-use mintlb_batch::entry::LotTerms;
+use mintlb_batch::entry::JobTerms;
 use mintlb_batch::messages::DispatcherId;
 use mintlb_common::configuration::Route;
 use mintlb_common::record::{ENDED_JOB_PREFIX, Record};
@@ -41,7 +41,7 @@
 
 /// Answers clients' calls about lots.
 pub struct BatchCalls {
-    client: Arc<LotClient>,
+    client: Arc<BatchClient>,
     runner: Arc<Runner>,
     gossip: Arc<GossipService>,
     holder: DispatcherId,
@@ -57,7 +57,7 @@
 impl BatchCalls {
     /// Calls go to the stores by `client`; accepted items go to `runner`.
     pub fn new(
-        client: Arc<LotClient>,
+        client: Arc<BatchClient>,
         runner: Arc<Runner>,
         gossip: Arc<GossipService>,
         holder: DispatcherId,
@@ -113,17 +113,17 @@
             .headers
             .get("mintlb-request-id")
             .and_then(|id| id.to_str().ok());
-        let Some(lot_id) = id.filter(|id| !id.is_empty()) else {
+        let Some(job_id) = id.filter(|id| !id.is_empty()) else {
             return wrong("M414 Mintlb-Request-Id: one is needed".to_string());
         };
         let items = match submission::parse(&call.body, route) {
             Ok(items) => items,
             Err(error) => return wrong(error.to_string()),
         };
-        let lot = Submission {
+        let job = Submission {
             host: host_name(&call.host),
             route: route.name.clone(),
-            lot_id: lot_id.to_string(),
+            job_id: job_id.to_string(),
             terms: terms(route, self.runner.now_ms()),
             max_queued_tokens: route.max_queued_tokens,
             items,
@@ -131,14 +131,14 @@
         let within = submit_within(&call.headers);
         let (client, runner, holder) = (self.client.clone(), self.runner.clone(), self.holder);
         // On its own task: what is taken is run here, also when its client has left meanwhile.
-        let task = tokio::spawn(async move { submit(&client, &runner, holder, lot, within).await });
+        let task = tokio::spawn(async move { submit(&client, &runner, holder, job, within).await });
         Box::pin(async move {
             task.await
                 .unwrap_or_else(|_| StatusCode::BAD_GATEWAY.into_response())
         })
     }
 
-    fn read(&self, call: &BatchCall, lot_id: &str, query: &str) -> Answer {
+    fn read(&self, call: &BatchCall, job_id: &str, query: &str) -> Answer {
         let start_after = match parameter(query, "start_after").map_or(Ok(0), str::parse) {
             Ok(position) => position,
             Err(_) => return wrong("M415 start_after: is no position".to_string()),
@@ -146,14 +146,14 @@
         let wait = milliseconds(&call.headers, "mintlb-wait-ms")
             .unwrap_or_default()
             .min(LONGEST_READ_WAIT);
-        let (client, host, lot_id) = (
+        let (client, host, job_id) = (
             self.client.clone(),
             host_name(&call.host),
-            lot_id.to_string(),
+            job_id.to_string(),
         );
         Box::pin(async move {
             match client
-                .read(&host, &lot_id, start_after, wait, MOST_PAGE_BYTES)
+                .read(&host, &job_id, start_after, wait, MOST_PAGE_BYTES)
                 .await
             {
                 ReadOutcome::Page {
@@ -161,50 +161,50 @@
                     next,
                     results,
                 } => json(page::to_json(total, next, &results)),
-                ReadOutcome::Unknown => StatusCode::NOT_FOUND.into_response(),
+                ReadOutcome::NotFound => StatusCode::NOT_FOUND.into_response(),
                 ReadOutcome::Unavailable => later(StatusCode::SERVICE_UNAVAILABLE, COME_BACK),
             }
         })
     }
 
-    fn body(&self, call: &BatchCall, lot_id: &str, query: &str) -> Answer {
+    fn body(&self, call: &BatchCall, job_id: &str, query: &str) -> Answer {
         let Some(instance_id) = parameter(query, "instance_id").map(str::to_string) else {
             return wrong("M416 instance_id: one is needed".to_string());
         };
-        let (client, host, lot_id) = (
+        let (client, host, job_id) = (
             self.client.clone(),
             host_name(&call.host),
-            lot_id.to_string(),
+            job_id.to_string(),
         );
         Box::pin(async move {
-            match client.body(&host, &lot_id, &instance_id).await {
+            match client.body(&host, &job_id, &instance_id).await {
                 BodyOutcome::Body(body) => Response::new(Body::from(body)),
-                BodyOutcome::Unknown => StatusCode::NOT_FOUND.into_response(),
+                BodyOutcome::NotFound => StatusCode::NOT_FOUND.into_response(),
                 BodyOutcome::Unavailable => later(StatusCode::SERVICE_UNAVAILABLE, COME_BACK),
             }
         })
     }
 
-    fn end(&self, call: &BatchCall, lot_id: &str) -> Answer {
+    fn end(&self, call: &BatchCall, job_id: &str) -> Answer {
         let (client, runner, gossip) = (
             self.client.clone(),
             self.runner.clone(),
             self.gossip.clone(),
         );
-        let (host, lot_id) = (host_name(&call.host), lot_id.to_string());
+        let (host, job_id) = (host_name(&call.host), job_id.to_string());
         Box::pin(async move {
-            match client.end(&host, &lot_id).await {
+            match client.end(&host, &job_id).await {
                 EndOutcome::Ended => {
-                    runner.lot_ended(&host, &lot_id);
+                    runner.lot_ended(&host, &job_id);
                     gossip.publish_now(Record {
-                        key: format!("{ENDED_JOB_PREFIX}{lot_id}"),
+                        key: format!("{ENDED_JOB_PREFIX}{job_id}"),
                         version: 1,
                         ttl_s: ENDED_LIFETIME_S,
                         body: host.into_bytes().into(),
                     });
                     StatusCode::OK.into_response()
                 }
-                EndOutcome::Unknown => StatusCode::NOT_FOUND.into_response(),
+                EndOutcome::NotFound => StatusCode::NOT_FOUND.into_response(),
                 EndOutcome::Unavailable => later(StatusCode::SERVICE_UNAVAILABLE, COME_BACK),
             }
         })
@@ -212,42 +212,42 @@
 }
 
 async fn submit(
-    client: &LotClient,
+    client: &BatchClient,
     runner: &Arc<Runner>,
     holder: DispatcherId,
-    lot: Submission,
+    job: Submission,
     within: Duration,
 ) -> Response {
-    match client.submit(lot.clone(), holder, within).await {
+    match client.submit(job.clone(), holder, within).await {
         SubmitOutcome::Accepted { items_leased } => {
             if items_leased {
-                runner.take(leased(lot));
+                runner.take(leased(job));
             }
             StatusCode::ACCEPTED.into_response()
         }
-        SubmitOutcome::QuotaFull => later(StatusCode::TOO_MANY_REQUESTS, QUOTA_COME_BACK),
+        SubmitOutcome::QuotaExceeded => later(StatusCode::TOO_MANY_REQUESTS, QUOTA_COME_BACK),
         SubmitOutcome::Conflict => {
             (StatusCode::CONFLICT, "M417 another lot has this id").into_response()
         }
-        SubmitOutcome::Refused => later(StatusCode::SERVICE_UNAVAILABLE, COME_BACK),
+        SubmitOutcome::Rejected => later(StatusCode::SERVICE_UNAVAILABLE, COME_BACK),
         // It may be in: a status that promises that it is not would be a lie.
-        SubmitOutcome::Unclear => StatusCode::GATEWAY_TIMEOUT.into_response(),
+        SubmitOutcome::Indeterminate => StatusCode::GATEWAY_TIMEOUT.into_response(),
     }
 }
 
-fn leased(lot: Submission) -> Vec<LeasedItem> {
+fn leased(job: Submission) -> Vec<LeasedItem> {
     let Submission {
         host,
         route,
-        lot_id,
+        job_id,
         terms,
         items,
         ..
-    } = lot;
+    } = job;
     let leased = |(index, item)| LeasedItem {
         host: host.clone(),
         route: route.clone(),
-        lot_id: lot_id.clone(),
+        job_id: job_id.clone(),
         terms,
         index: index as u32,
         item,
@@ -256,8 +256,8 @@
     items.into_iter().enumerate().map(leased).collect()
 }
 
-fn terms(route: &Route, now_ms: u64) -> LotTerms {
-    LotTerms {
+fn terms(route: &Route, now_ms: u64) -> JobTerms {
+    JobTerms {
         sent_at_ms: now_ms,
         completion_target_ms: route.completion_target_ms.unwrap_or(USUAL_RETENTION_MS),
         retention_ms: route
@@ -281,8 +281,8 @@
 
 fn named(path: &str) -> Option<Named<'_>> {
     let is_id = |id: &&str| !id.is_empty() && !id.contains('/');
-    let lot = path.strip_prefix("/v1/lots/").filter(is_id).map(Named::Lot);
-    lot.or_else(|| {
+    let job = path.strip_prefix("/v1/lots/").filter(is_id).map(Named::Lot);
+    job.or_else(|| {
         path.strip_prefix("/v1/items/")
             .filter(is_id)
             .map(Named::Items)
--- a/crates/mintlb-dispatcher/src/batch/mod.rs
+++ b/crates/mintlb-dispatcher/src/batch/mod.rs
@@ -11,7 +11,7 @@
 
 use crate::intake::{BatchHandler, Intake};
 use arc_swap::ArcSwap;
-use mintlb_batch::client::LotClient;
+use mintlb_batch::client::BatchClient;
 use mintlb_batch::messages::DispatcherId;
 use mintlb_common::placement::Placement;
 use mintlb_common::record::{ENDED_JOB_PREFIX, PLACEMENT, Record};
@@ -28,7 +28,7 @@
 ) -> Arc<dyn BatchHandler> {
     let placement = Arc::new(ArcSwap::from_pointee(Placement::default()));
     let current = placement.clone();
-    let client = Arc::new(LotClient::new(
+    let client = Arc::new(BatchClient::new(
         transport,
         Arc::new(move || current.load_full()),
     ));
@@ -43,8 +43,8 @@
                     record.version
                 ),
             }
-        } else if let Some(lot_id) = record.key.strip_prefix(ENDED_JOB_PREFIX) {
-            listener.lot_ended(&String::from_utf8_lossy(&record.body), lot_id);
+        } else if let Some(job_id) = record.key.strip_prefix(ENDED_JOB_PREFIX) {
+            listener.lot_ended(&String::from_utf8_lossy(&record.body), job_id);
         }
     }));
     Arc::new(calls::BatchCalls::new(client, runner, gossip, holder))
--- a/crates/mintlb-dispatcher/src/batch/page.rs
+++ b/crates/mintlb-dispatcher/src/batch/page.rs
@@ -1,6 +1,6 @@
 //! A page of a lot's results, as its client reads it.
 
-use mintlb_batch::client::ListedResult;
+use mintlb_batch::client::CommittedResult;
 use mintlb_batch::entry::ItemState;
 use serde::Serialize;
 
@@ -19,7 +19,7 @@
 }
 
 /// The JSON of a page.
-pub fn to_json(total: u64, next: u64, results: &[ListedResult]) -> Vec<u8> {
+pub fn to_json(total: u64, next: u64, results: &[CommittedResult]) -> Vec<u8> {
     let page = Page {
         total,
         next_page_token: next,
@@ -28,7 +28,7 @@
     serde_json::to_vec(&page).unwrap_or_default()
 }
 
-fn line(result: &ListedResult) -> ResultLine<'_> {
+fn line(result: &CommittedResult) -> ResultLine<'_> {
     let state = match result.state {
         ItemState::Completed => "completed",
         ItemState::Unrecoverable => "unrecoverable",
--- a/crates/mintlb-dispatcher/src/batch/progress.rs
+++ b/crates/mintlb-dispatcher/src/batch/progress.rs
@@ -2,7 +2,7 @@
 
 use bytes::Bytes;
 use mintlb_batch::client::ItemResult;
-use mintlb_batch::entry::LotTerms;
+use mintlb_batch::entry::JobTerms;
 use std::time::Duration;
 
 /// The pause before an item is tried again, doubled with each attempt that brought nothing.
@@ -68,7 +68,7 @@
     }
 
     /// Whether it has failed as often as it may.
-    pub fn is_spent(&self, terms: &LotTerms) -> bool {
+    pub fn is_spent(&self, terms: &JobTerms) -> bool {
         self.failures >= terms.max_attempts.max(1)
     }
 
@@ -93,7 +93,7 @@
 
     /// The attempt under way has ended. `now_ms` is the time of day at the start of this process and the time that it
     /// has run since, in ms; so a step of the clock while it runs changes nothing.
-    pub fn ended(&mut self, outcome: &AttemptOutcome, terms: &LotTerms, now_ms: u64) -> Next {
+    pub fn ended(&mut self, outcome: &AttemptOutcome, terms: &JobTerms, now_ms: u64) -> Next {
         match outcome {
             AttemptOutcome::Completed => {
                 return Next::Record(ItemResult::Completed(self.take_text()));
--- a/crates/mintlb-dispatcher/src/batch/queue.rs
+++ b/crates/mintlb-dispatcher/src/batch/queue.rs
@@ -1,6 +1,6 @@
 //! The items that this dispatcher holds leases of: which runs next, and how many run at once. Pure.
 
-use mintlb_batch::client::{HeldLot, LeasedItem};
+use mintlb_batch::client::{LeasedItem, LeasedJob};
 use std::collections::{BTreeMap, HashMap, HashSet, VecDeque};
 
 /// Ended lots that are remembered: their items may still come with an answer that was under way.
@@ -29,7 +29,7 @@
 impl ItemQueue {
     /// Takes an item in, unless it is here already or its lot is known to be ended.
     pub fn add(&mut self, item: LeasedItem) {
-        let key = (item.host.clone(), item.lot_id.clone());
+        let key = (item.host.clone(), item.job_id.clone());
         if self.ended.contains(&key) || !self.held.entry(key).or_default().insert(item.index) {
             return;
         }
@@ -49,7 +49,7 @@
         let ((_, number), item) = self.waiting.pop_first()?;
         self.running.insert(
             number,
-            ((item.host.clone(), item.lot_id.clone()), item.index),
+            ((item.host.clone(), item.job_id.clone()), item.index),
         );
         Some((number, item))
     }
@@ -62,16 +62,16 @@
     }
 
     /// An item that runs has failed so often, over all holders. What is to be told of it at once.
-    pub fn failed(&mut self, number: ItemNumber, count: u32) -> Option<HeldLot> {
+    pub fn failed(&mut self, number: ItemNumber, count: u32) -> Option<LeasedJob> {
         let (key, index) = self.running.get(&number).filter(|_| count > 0)?;
         self.failures
             .entry(key.clone())
             .or_default()
             .insert(*index, count);
-        let (host, lot_id) = key.clone();
-        Some(HeldLot {
+        let (host, job_id) = key.clone();
+        Some(LeasedJob {
             host,
-            lot_id,
+            job_id,
             items: vec![*index],
             failures: vec![(*index, count)],
         })
@@ -91,7 +91,7 @@
     pub fn drop_items(&mut self, key: &LotKey, items: Option<&[u32]>) -> Vec<ItemNumber> {
         let fits = |index: u32| items.is_none_or(|items| items.contains(&index));
         self.waiting.retain(|_, item| {
-            !((&item.host, &item.lot_id) == (&key.0, &key.1) && fits(item.index))
+            !((&item.host, &item.job_id) == (&key.0, &key.1) && fits(item.index))
         });
         if let Some(held) = self.held.get_mut(key) {
             held.retain(|index| !fits(*index));
@@ -121,19 +121,19 @@
     }
 
     /// What is held, for the renewal of its leases.
-    pub fn held(&self) -> Vec<HeldLot> {
-        let lot = |(key, items): (&LotKey, &HashSet<u32>)| {
-            let (host, lot_id) = key.clone();
+    pub fn held(&self) -> Vec<LeasedJob> {
+        let job = |(key, items): (&LotKey, &HashSet<u32>)| {
+            let (host, job_id) = key.clone();
             let failures = self.failures.get(key).into_iter().flatten();
             let failures = failures.map(|(item, count)| (*item, *count)).collect();
-            HeldLot {
+            LeasedJob {
                 host,
-                lot_id,
+                job_id,
                 items: items.iter().copied().collect(),
                 failures,
             }
         };
-        self.held.iter().map(lot).collect()
+        self.held.iter().map(job).collect()
     }
 
     /// Items that wait to run.
--- a/crates/mintlb-dispatcher/src/batch/runner.rs
+++ b/crates/mintlb-dispatcher/src/batch/runner.rs
@@ -5,7 +5,7 @@
 use crate::events::{event_data, event_id, split_events};
 use crate::intake::{Intake, ItemOutcome, ItemRequest, ItemStep};
 use axum::http::{HeaderMap, HeaderName, HeaderValue, StatusCode};
-use mintlb_batch::client::{ItemResult, LeasedItem, LotClient};
+use mintlb_batch::client::{BatchClient, ItemResult, LeasedItem};
 use mintlb_batch::messages::DispatcherId;
 use parking_lot::Mutex;
 use std::collections::HashMap;
@@ -31,7 +31,7 @@
 
 /// Runs items of lots.
 pub struct Runner {
-    client: Arc<LotClient>,
+    client: Arc<BatchClient>,
     intake: Intake,
     holder: DispatcherId,
     queue: Mutex<ItemQueue>,
@@ -41,7 +41,7 @@
 
 impl Runner {
     /// Starts with nothing to run.
-    pub fn start(client: Arc<LotClient>, intake: Intake, holder: DispatcherId) -> Arc<Runner> {
+    pub fn start(client: Arc<BatchClient>, intake: Intake, holder: DispatcherId) -> Arc<Runner> {
         let runner = Arc::new(Runner {
             client,
             intake,
@@ -72,11 +72,11 @@
     }
 
     /// No item of this lot runs here any more, nor one whose lease is still under way.
-    pub fn lot_ended(&self, host: &str, lot_id: &str) {
+    pub fn lot_ended(&self, host: &str, job_id: &str) {
         let stopped = self
             .queue
             .lock()
-            .end_lot((host.to_string(), lot_id.to_string()));
+            .end_lot((host.to_string(), job_id.to_string()));
         self.cancel(&stopped);
     }
 
@@ -180,7 +180,7 @@
         for _ in 0..MOST_RECORDS {
             if self
                 .client
-                .record(&item.host, &item.lot_id, item.index, result.clone())
+                .record(&item.host, &item.job_id, item.index, result.clone())
                 .await
             {
                 return;
@@ -189,7 +189,7 @@
         }
         log::warn!(
             "lots: a result of lot {} could not be recorded",
-            item.lot_id
+            item.job_id
         );
     }
 
@@ -204,7 +204,7 @@
                 continue;
             }
             for lost in self.client.renew(self.holder, held).await {
-                let key = (lost.host, lost.lot_id);
+                let key = (lost.host, lost.job_id);
                 let stopped = self.queue.lock().drop_items(&key, Some(&lost.items));
                 self.cancel(&stopped);
             }
--- a/crates/mintlb-dispatcher/src/batch/submission.rs
+++ b/crates/mintlb-dispatcher/src/batch/submission.rs
@@ -55,14 +55,14 @@
 
 /// The items of a lot for this route.
 pub fn parse(json: &[u8], route: &Route) -> Result<Vec<Item>, SubmissionError> {
-    let lot: Lot =
+    let job: Lot =
         serde_json::from_slice(json).map_err(|e| SubmissionError::Unreadable(e.to_string()))?;
-    if lot.requests.is_empty() || lot.requests.len() > MOST_ITEMS {
-        return Err(SubmissionError::Count(lot.requests.len()));
+    if job.requests.is_empty() || job.requests.len() > MOST_ITEMS {
+        return Err(SubmissionError::Count(job.requests.len()));
     }
     let mut ids = HashSet::new();
-    let mut items = Vec::with_capacity(lot.requests.len());
-    for (position, request) in lot.requests.into_iter().enumerate() {
+    let mut items = Vec::with_capacity(job.requests.len());
+    for (position, request) in job.requests.into_iter().enumerate() {
         let wrong = |field, reason: &str| SubmissionError::Item {
             position,
             field,
--- a/crates/mintlb-dispatcher/tests/batch.rs
+++ b/crates/mintlb-dispatcher/tests/batch.rs
@@ -1,7 +1,7 @@
 //! Lots at a dispatcher: what is read, what is refused, how an item goes on, which is next.
 
-use mintlb_batch::client::{Item, ItemResult, LeasedItem, ListedResult};
-use mintlb_batch::entry::{ItemState, LotTerms};
+use mintlb_batch::client::{CommittedResult, Item, ItemResult, LeasedItem};
+use mintlb_batch::entry::{ItemState, JobTerms};
 use mintlb_common::configuration::Configuration;
 use mintlb_dispatcher::batch::progress::{AttemptOutcome, Next, Progress};
 use mintlb_dispatcher::batch::queue::ItemQueue;
@@ -87,7 +87,7 @@
 
 #[test]
 fn a_page_says_what_is_listed() {
-    let result = ListedResult {
+    let result = CommittedResult {
         instance_id: "e5".into(),
         state: ItemState::Completed,
         text: "a\n\"b\"".into(),
@@ -99,7 +99,7 @@
     assert_eq!(json, expected);
 }
 
-const TERMS: LotTerms = LotTerms {
+const TERMS: JobTerms = JobTerms {
     sent_at_ms: 1_000,
     completion_target_ms: 10_000,
     retention_ms: 40_000,
@@ -200,12 +200,12 @@
     );
 }
 
-fn leased(lot: &str, index: u32, sent_at_ms: u64) -> LeasedItem {
+fn leased(job: &str, index: u32, sent_at_ms: u64) -> LeasedItem {
     LeasedItem {
         host: "a.example".into(),
         route: "notices".into(),
-        lot_id: lot.into(),
-        terms: LotTerms {
+        job_id: job.into(),
+        terms: JobTerms {
             sent_at_ms,
             ..TERMS
         },
@@ -227,7 +227,7 @@
         queue.add(item);
     }
     let order: Vec<(String, u32)> = std::iter::from_fn(|| queue.start(9))
-        .map(|(_, item)| (item.lot_id, item.index))
+        .map(|(_, item)| (item.job_id, item.index))
         .collect();
     assert_eq!(
         order,
@@ -258,7 +258,7 @@
     assert!(!queue.is_held(number));
     queue.finish(number);
     assert_eq!(queue.held().len(), 1);
-    assert_eq!(queue.start(9).unwrap().1.lot_id, "other");
+    assert_eq!(queue.start(9).unwrap().1.job_id, "other");
     assert!(queue.start(9).is_none());
 }
 
@@ -277,7 +277,7 @@
     let mut elsewhere = leased("ended", 0, 1);
     elsewhere.host = "b.example".to_string();
     queue.add(elsewhere);
-    let next = |queue: &mut ItemQueue| queue.start(9).map(|(_, item)| (item.host, item.lot_id));
+    let next = |queue: &mut ItemQueue| queue.start(9).map(|(_, item)| (item.host, item.job_id));
     assert_eq!(next(&mut queue), Some((host, "other".to_string())));
     assert_eq!(
         next(&mut queue),
@@ -294,11 +294,11 @@
     for number in 0..5000 {
         queue.end_lot(("a.example".to_string(), number.to_string()));
     }
-    for lot in ["0", "4999", "904"] {
-        queue.add(leased(lot, 0, 0));
+    for job in ["0", "4999", "904"] {
+        queue.add(leased(job, 0, 0));
     }
     let left: Vec<String> = std::iter::from_fn(|| queue.start(9))
-        .map(|(_, item)| item.lot_id)
+        .map(|(_, item)| item.job_id)
         .collect();
     assert_eq!(
         left,
--- a/crates/mintlb-simulation/src/controller/placing.rs
+++ b/crates/mintlb-simulation/src/controller/placing.rs
@@ -106,12 +106,12 @@
         let has_listened = self.in_contact_for(context) >= LISTENS_FIRST;
         let told = match begin {
             true => match order_retirement(placement, &view, &node, TOLERANCE) {
-                RetirementOrder::Begun => Told::Retiring { completed: false },
-                RetirementOrder::Unknown => Told::Refused,
+                RetirementOrder::AlreadyStarted => Told::Retiring { completed: false },
+                RetirementOrder::NotFound => Told::Refused,
                 _ if !has_listened => Told::Unavailable,
-                RetirementOrder::TooFew => Told::Refused,
-                RetirementOrder::NotNow => Told::Unavailable,
-                RetirementOrder::Begin(next) => {
+                RetirementOrder::TooFewStores => Told::Refused,
+                RetirementOrder::Unavailable => Told::Unavailable,
+                RetirementOrder::Start(next) => {
                     let change = Change::SetPlacement(next);
                     return self.change(
                         context,
--- a/crates/mintlb-simulation/src/dispatcher.rs
+++ b/crates/mintlb-simulation/src/dispatcher.rs
@@ -21,7 +21,7 @@
 const ALL_TRIES: Duration = Duration::from_millis(1300);
 
 struct LotCall {
-    call: messages::Call,
+    call: messages::StoreRequest,
     raw: Bytes,
     until: Time,
 }
@@ -115,7 +115,7 @@
         let Some((address, epoch)) = self.primary(host_of(&call)) else {
             return context.wake(PAUSE, Timer::Retry(ask));
         };
-        if let messages::Call::Submit(submit) = &mut call {
+        if let messages::StoreRequest::Submit(submit) = &mut call {
             submit.epoch = epoch;
         }
         self.next_try += 1;
@@ -129,7 +129,10 @@
             return;
         };
         match answer {
-            Some(Answer::Lots(messages::Answer::NotInCharge | messages::Answer::Unsure, _))
+            Some(Answer::Lots(
+                messages::StoreResponse::NotPrimary | messages::StoreResponse::Indeterminate,
+                _,
+            ))
             | None => {
                 context.wake(PAUSE, Timer::Retry(ask));
             }
@@ -152,12 +155,12 @@
     }
 }
 
-fn host_of(call: &messages::Call) -> &str {
+fn host_of(call: &messages::StoreRequest) -> &str {
     match call {
-        messages::Call::Submit(submit) => &submit.lot.host,
-        messages::Call::Read(read) => &read.lot.host,
-        messages::Call::End(lot) => &lot.host,
-        messages::Call::Record(record) => &record.lot.host,
+        messages::StoreRequest::Submit(submit) => &submit.job.host,
+        messages::StoreRequest::Read(read) => &read.job.host,
+        messages::StoreRequest::End(lot) => &lot.host,
+        messages::StoreRequest::Record(record) => &record.job.host,
         _ => "",
     }
 }
--- a/crates/mintlb-simulation/src/lot_client.rs
+++ b/crates/mintlb-simulation/src/lot_client.rs
@@ -6,8 +6,8 @@
 use crate::random::Random;
 use crate::store::SHARDS;
 use bytes::Bytes;
-use mintlb_batch::entry::{ItemHead, ItemState, LotHead, LotTerms};
-use mintlb_batch::messages::{Answer, Call, LotName, Read, Record, Submit};
+use mintlb_batch::entry::{ItemHeader, ItemState, JobHeader, JobTerms};
+use mintlb_batch::messages::{JobName, Read, Record, StoreRequest, StoreResponse, Submit};
 use mintlb_common::placement::Placement;
 use std::time::Duration;
 
@@ -44,7 +44,7 @@
     pub fn ask(&self, told: &LotsTold) -> Ask {
         let lot = told.lots.get(self.lot());
         let host = lot.map(|lot| lot.host.clone()).unwrap_or_default();
-        let name = LotName {
+        let name = JobName {
             host,
             id: self.lot().to_string(),
         };
@@ -52,39 +52,39 @@
             LotAct::Submit(_) => submit(name, lot.map_or(0, |lot| lot.items)),
             LotAct::Record(_, item, text) => {
                 let record = Record {
-                    lot: name,
+                    job: name,
                     item: *item,
                     state: ItemState::Completed,
                 };
-                Ask::Lots(Call::Record(record), Bytes::from(text.clone()))
+                Ask::Lots(StoreRequest::Record(record), Bytes::from(text.clone()))
             }
             LotAct::Read(_) => {
                 let read = Read {
-                    lot: name,
+                    job: name,
                     start_after: 0,
                     wait_ms: 0,
-                    most_bytes: u64::MAX,
+                    max_bytes: u64::MAX,
                 };
-                Ask::Lots(Call::Read(read), Bytes::new())
+                Ask::Lots(StoreRequest::Read(read), Bytes::new())
             }
-            LotAct::End(_) => Ask::Lots(Call::End(name), Bytes::new()),
+            LotAct::End(_) => Ask::Lots(StoreRequest::End(name), Bytes::new()),
         }
     }
 }
 
-fn submit(name: LotName, items: u32) -> Ask {
+fn submit(name: JobName, items: u32) -> Ask {
     let payload = |item: u32| format!("payload of {}", item_id(&name.id, item));
-    let head = |item: u32| ItemHead {
+    let head = |item: u32| ItemHeader {
         id: item_id(&name.id, item),
         tokens: 30,
         length: payload(item).len() as u64,
     };
     let raw: String = (0..items).map(payload).collect();
-    let terms = LotTerms {
+    let terms = JobTerms {
         retention_ms: 1_000_000_000,
-        ..LotTerms::default()
+        ..JobTerms::default()
     };
-    let lot = LotHead {
+    let lot = JobHeader {
         host: name.host.clone(),
         id: name.id.clone(),
         route: "r".to_string(),
@@ -92,11 +92,11 @@
         items: (0..items).map(head).collect(),
     };
     Ask::Lots(
-        Call::Submit(Submit {
+        StoreRequest::Submit(Submit {
             epoch: 0,
-            holder: 1,
+            owner: 1,
             max_queued_tokens: 0,
-            lot,
+            job: lot,
         }),
         raw.into(),
     )
@@ -139,7 +139,7 @@
     /// It was answered; how long it pauses.
     pub fn told(&mut self, random: &mut Random, told: &Told) -> Duration {
         self.turn += 1;
-        if matches!(told, Told::Lots(answer, _) if *answer != Answer::Conflict) {
+        if matches!(told, Told::Lots(answer, _) if *answer != StoreResponse::Conflict) {
             self.act = None;
         }
         if random.chance(60) {
--- a/crates/mintlb-simulation/src/lots_told.rs
+++ b/crates/mintlb-simulation/src/lots_told.rs
@@ -1,7 +1,7 @@
 //! What callers were told of lots, and what they may be told after that.
 
 use bytes::Bytes;
-use mintlb_batch::messages::{Answer, Page};
+use mintlb_batch::messages::{Page, StoreResponse};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A violation's point and what was seen.
@@ -81,14 +81,14 @@
         id: &str,
         accepted: bool,
         last: bool,
-        answer: &Answer,
+        answer: &StoreResponse,
         raw: &Bytes,
     ) -> Result<(), Broken> {
         match answer {
-            Answer::Unknown if accepted => {
+            StoreResponse::NotFound if accepted => {
                 Err(("P3", format!("lot {id} was accepted and is unknown")))
             }
-            Answer::Page(page) => self.page(id, page, raw, last),
+            StoreResponse::Page(page) => self.page(id, page, raw, last),
             _ => Ok(()),
         }
     }
--- a/crates/mintlb-simulation/src/message.rs
+++ b/crates/mintlb-simulation/src/message.rs
@@ -60,7 +60,7 @@
     /// Which set is known, and is there a disk?
     Status,
     /// A dispatcher's call to a store, with what is raw in it.
-    Lots(messages::Call, Bytes),
+    Lots(messages::StoreRequest, Bytes),
     /// A ping of the duties.
     Ping(Ping),
 }
@@ -73,7 +73,7 @@
     /// To [`Call::Status`].
     Status(SeedStatus),
     /// To [`Call::Lots`], with what is raw in it.
-    Lots(messages::Answer, Bytes),
+    Lots(messages::StoreResponse, Bytes),
     /// To [`Call::Ping`].
     Pong(Pong),
 }
@@ -104,7 +104,7 @@
     /// A worker ends, by its id.
     Leave(String),
     /// A call on a lot at a dispatcher, with what is raw in it.
-    Lots(messages::Call, Bytes),
+    Lots(messages::StoreRequest, Bytes),
 }
 
 /// The answer to an [`Ask`].
@@ -129,5 +129,5 @@
         completed: bool,
     },
     /// An answer on a lot, with what is raw in it.
-    Lots(messages::Answer, Bytes),
+    Lots(messages::StoreResponse, Bytes),
 }
--- a/crates/mintlb-simulation/src/store/calls.rs
+++ b/crates/mintlb-simulation/src/store/calls.rs
@@ -6,7 +6,7 @@
 use bytes::Bytes;
 use mintlb_batch::entry::Entry;
 use mintlb_batch::framing;
-use mintlb_batch::messages::{self, Answer};
+use mintlb_batch::messages::{self, StoreResponse};
 use mintlb_batch::replica::{PagePlan, Proposal, Replica};
 use mintlb_common::placement::Placement;
 use std::time::Duration;
@@ -20,13 +20,13 @@
     /// For the commit of an index.
     commits: Vec<(u64, Caller, Proposal, Option<Submitted>)>,
     /// For a confirmation, until a time.
-    confirmations: Vec<(Time, Caller, Answer)>,
+    confirmations: Vec<(Time, Caller, StoreResponse)>,
 }
 
 /// A lot that came again has to be the same.
 #[derive(Clone)]
 struct Submitted {
-    head: mintlb_batch::entry::LotHead,
+    head: mintlb_batch::entry::JobHeader,
     raw: Bytes,
 }
 
@@ -36,15 +36,15 @@
         &mut self,
         context: &mut Context,
         caller: Caller,
-        call: messages::Call,
+        call: messages::StoreRequest,
         raw: Bytes,
     ) {
         let now = context.now;
         let host = match &call {
-            messages::Call::Submit(submit) => &submit.lot.host,
-            messages::Call::Read(read) => &read.lot.host,
-            messages::Call::End(lot) => &lot.host,
-            messages::Call::Record(record) => &record.lot.host,
+            messages::StoreRequest::Submit(submit) => &submit.job.host,
+            messages::StoreRequest::Read(read) => &read.job.host,
+            messages::StoreRequest::End(job) => &job.host,
+            messages::StoreRequest::Record(record) => &record.job.host,
             _ => return,
         };
         let shard = Placement::shard_of(host);
@@ -53,26 +53,26 @@
         }
         let replica = &mut self.replicas[shard as usize];
         let (proposal, submitted) = match call {
-            messages::Call::Submit(submit) => {
+            messages::StoreRequest::Submit(submit) => {
                 let messages::Submit {
                     epoch,
-                    holder,
+                    owner,
                     max_queued_tokens,
-                    lot,
+                    job,
                 } = submit;
                 let submitted = Submitted {
-                    head: lot.clone(),
+                    head: job.clone(),
                     raw: raw.clone(),
                 };
-                let proposal = replica.submit(epoch, lot, &raw, holder, max_queued_tokens, now);
+                let proposal = replica.submit(epoch, job, &raw, owner, max_queued_tokens, now);
                 (proposal, Some(submitted))
             }
-            messages::Call::End(lot) => (replica.end(&lot, now), None),
-            messages::Call::Record(record) => (
-                replica.record(&record.lot, record.item, record.state, &raw, now),
+            messages::StoreRequest::End(job) => (replica.end(&job, now), None),
+            messages::StoreRequest::Record(record) => (
+                replica.record(&record.job, record.item, record.state, &raw, now),
                 None,
             ),
-            messages::Call::Read(read) => return self.page(context, caller, shard, &read),
+            messages::StoreRequest::Read(read) => return self.page(context, caller, shard, &read),
             _ => return,
         };
         self.proposed(context, shard, caller, proposal, submitted);
@@ -107,8 +107,8 @@
         submitted: Option<Submitted>,
     ) {
         match proposal {
-            Proposal::Done(Answer::Unknown) => {
-                self.confirm(context, shard, caller, Answer::Unknown)
+            Proposal::Done(StoreResponse::NotFound) => {
+                self.confirm(context, shard, caller, StoreResponse::NotFound)
             }
             Proposal::Done(answer) | Proposal::Pending(_, answer) => {
                 reply(context, &caller, answer)
@@ -123,12 +123,16 @@
                         Replica::same_items(&head, &new.head)
                             && (stored.is_empty() || stored == new.raw)
                     }
-                    _ => return reply(context, &caller, Answer::Unsure),
+                    _ => return reply(context, &caller, StoreResponse::Indeterminate),
                 };
                 reply(
                     context,
                     &caller,
-                    if same { answer } else { Answer::Conflict },
+                    if same {
+                        answer
+                    } else {
+                        StoreResponse::Conflict
+                    },
                 );
             }
         }
@@ -137,12 +141,12 @@
     fn page(&mut self, context: &mut Context, caller: Caller, shard: u32, read: &messages::Read) {
         let replica = &self.replicas[shard as usize];
         if !replica.is_serving() {
-            return reply(context, &caller, Answer::NotInCharge);
+            return reply(context, &caller, StoreResponse::NotPrimary);
         }
-        match replica.page(&read.lot, read.start_after, read.most_bytes) {
+        match replica.page(&read.job, read.start_after, read.max_bytes) {
             Some(plan) if !plan.entries.is_empty() => self.texts(context, &caller, shard, plan),
-            Some(plan) => self.confirm(context, shard, caller, Answer::Page(plan.page)),
-            None => self.confirm(context, shard, caller, Answer::Unknown),
+            Some(plan) => self.confirm(context, shard, caller, StoreResponse::Page(plan.page)),
+            None => self.confirm(context, shard, caller, StoreResponse::NotFound),
         }
         self.act(context, shard);
     }
@@ -155,7 +159,7 @@
             .filter_map(|(_, bytes)| Some(framing::decode::<Entry>(bytes)?.1))
             .collect();
         if texts.len() != page.results.len() {
-            return reply(context, caller, Answer::Unsure);
+            return reply(context, caller, StoreResponse::Indeterminate);
         }
         page.results
             .iter_mut()
@@ -164,12 +168,18 @@
         let raw: Vec<u8> = texts.iter().flat_map(|text| text.to_vec()).collect();
         context.answer(
             caller,
-            message::Answer::Lots(Answer::Page(page), raw.into()),
+            message::Answer::Lots(StoreResponse::Page(page), raw.into()),
         );
     }
 
     /// Answers once this is confirmed to be the primary in charge still.
-    fn confirm(&mut self, context: &mut Context, shard: u32, caller: Caller, answer: Answer) {
+    fn confirm(
+        &mut self,
+        context: &mut Context,
+        shard: u32,
+        caller: Caller,
+        answer: StoreResponse,
+    ) {
         let until = context.now + CONFIRM;
         self.waiting[shard as usize]
             .confirmations
@@ -192,7 +202,11 @@
             reply(
                 context,
                 &caller,
-                if serving { answer } else { Answer::Unsure },
+                if serving {
+                    answer
+                } else {
+                    StoreResponse::Indeterminate
+                },
             );
         }
     }
@@ -222,13 +236,13 @@
             .map(|(_, caller, _)| caller);
         callers
             .chain(others)
-            .for_each(|caller| reply(context, &caller, Answer::Unsure));
+            .for_each(|caller| reply(context, &caller, StoreResponse::Indeterminate));
     }
 
     /// Those that have waited too long for a confirmation.
     pub(super) fn give_up_waiting(&mut self, context: &mut Context) {
         for waiting in &mut self.waiting {
-            let late = |(until, ..): &(Time, Caller, Answer)| *until <= context.now;
+            let late = |(until, ..): &(Time, Caller, StoreResponse)| *until <= context.now;
             let callers: Vec<Caller> = waiting
                 .confirmations
                 .iter()
@@ -238,11 +252,11 @@
             waiting.confirmations.retain(|w| !late(w));
             callers
                 .iter()
-                .for_each(|caller| reply(context, caller, Answer::Unsure));
+                .for_each(|caller| reply(context, caller, StoreResponse::Indeterminate));
         }
     }
 }
 
-fn reply(context: &mut Context, caller: &Caller, answer: Answer) {
+fn reply(context: &mut Context, caller: &Caller, answer: StoreResponse) {
     context.answer(caller, message::Answer::Lots(answer, Bytes::new()));
 }
--- a/crates/mintlb-simulation/src/store/mod.rs
+++ b/crates/mintlb-simulation/src/store/mod.rs
@@ -145,12 +145,12 @@
             return;
         }
         if context.planted == Planted::EpochNotCompared {
-            let promised = self.replicas[shard as usize].promised();
+            let current_epoch = self.replicas[shard as usize].current_epoch();
             match envelope.message {
                 PeerMessage::Append(_)
                 | PeerMessage::Appended { .. }
                 | PeerMessage::Diverged { .. } => {
-                    envelope.epoch = promised;
+                    envelope.epoch = current_epoch;
                 }
                 _ => (),
             }
@@ -293,7 +293,7 @@
             zone: "z".to_string(),
             shards: self.replicas.iter().filter_map(Replica::report).collect(),
             placement: self.placement.epoch,
-            leaving: false,
+            draining: false,
         };
         for replica in set.iter().flat_map(ReplicaSet::members) {
             if let Ok(to) = replica.address.parse() {
--- a/crates/mintlb-simulation/src/world/lots.rs
+++ b/crates/mintlb-simulation/src/world/lots.rs
@@ -5,7 +5,7 @@
 use crate::lot_client::{LotAct, PATIENCE};
 use crate::message::{Ask, Told};
 use bytes::Bytes;
-use mintlb_batch::messages::Answer;
+use mintlb_batch::messages::StoreResponse;
 use std::time::Duration;
 
 /// The operator asks again how far a retirement is.
@@ -51,31 +51,33 @@
         act: &LotAct,
         accepted: bool,
         last: bool,
-        answer: &Answer,
+        answer: &StoreResponse,
         raw: &Bytes,
     ) {
         self.note(|| format!("{act:?}: {answer:?}"));
         let id = act.lot();
         match (act, answer) {
-            (LotAct::Submit(_), Answer::Accepted { .. }) => {
+            (LotAct::Submit(_), StoreResponse::Accepted { .. }) => {
                 if let Some(lot) = self.lots.lots.get_mut(id) {
                     lot.accepted = true;
                 }
             }
-            (LotAct::Submit(_), Answer::Conflict) => {
+            (LotAct::Submit(_), StoreResponse::Conflict) => {
                 self.checks.violates(
                     "P5",
                     self.now,
                     format!("lot {id} came again and is a conflict"),
                 );
             }
-            (LotAct::Record(_, item, _), Answer::Recorded) => self.lots.result_kept(id, *item),
-            (LotAct::End(_), Answer::Ended) => {
+            (LotAct::Record(_, item, _), StoreResponse::Recorded) => {
+                self.lots.result_kept(id, *item)
+            }
+            (LotAct::End(_), StoreResponse::Ended) => {
                 if let Some(lot) = self.lots.lots.get_mut(id) {
                     lot.ended = true;
                 }
             }
-            (_, Answer::Unknown) if accepted => {
+            (_, StoreResponse::NotFound) if accepted => {
                 let what = format!("lot {id} was accepted and is unknown to {act:?}");
                 self.checks.violates("P3", self.now, what);
             }
--- a/crates/mintlb-simulation/src/world/outside.rs
+++ b/crates/mintlb-simulation/src/world/outside.rs
@@ -7,7 +7,7 @@
 use crate::message::{Ask, Told};
 use crate::operator::{Next, PATIENCE};
 use crate::process::Role;
-use mintlb_batch::messages::Answer;
+use mintlb_batch::messages::StoreResponse;
 use std::time::Duration;
 
 /// Of a hundred answers so many never reach the caller.
@@ -148,7 +148,7 @@
             Told::Lots(answer, _) => {
                 matches!(
                     answer,
-                    Answer::Accepted { .. } | Answer::Recorded | Answer::Ended
+                    StoreResponse::Accepted { .. } | StoreResponse::Recorded | StoreResponse::Ended
                 )
             }
             _ => false,
