--- a/crates/mintlb-dispatcher/src/batch/mod.rs
+++ b/crates/mintlb-dispatcher/src/batch/mod.rs
@@ -11,30 +11,30 @@
 
 use crate::intake::{BatchHandler, Intake};
 use arc_swap::ArcSwap;
-use mintlb_batch::client::LotClient;
+use mintlb_batch::client::BatchClient;
 use mintlb_batch::messages::DispatcherId;
 use mintlb_common::placement::Placement;
 use mintlb_common::record::{ENDED_JOB_PREFIX, PLACEMENT, Record};
 use mintlb_common::transport::Transport;
-use mintlb_gossip::Overlay;
+use mintlb_gossip::GossipService;
 use std::sync::Arc;
 
 /// Starts what serves lots at this dispatcher. `holder` names it towards the stores, another number at each start.
 pub fn start(
     transport: Arc<Transport>,
-    overlay: Arc<Overlay>,
+    gossip: Arc<GossipService>,
     intake: Intake,
     holder: DispatcherId,
 ) -> Arc<dyn BatchHandler> {
     let placement = Arc::new(ArcSwap::from_pointee(Placement::default()));
     let current = placement.clone();
-    let client = Arc::new(LotClient::new(
+    let client = Arc::new(BatchClient::new(
         transport,
         Arc::new(move || current.load_full()),
     ));
     let runner = runner::Runner::start(client.clone(), intake, holder);
     let listener = runner.clone();
-    overlay.subscribe(Arc::new(move |record: &Record| {
+    gossip.subscribe(Arc::new(move |record: &Record| {
         if record.key == PLACEMENT {
             match minicbor::decode(&record.body) {
                 Ok(newer) => placement.store(Arc::new(newer)),
@@ -43,9 +43,9 @@
                     record.version
                 ),
             }
-        } else if let Some(lot_id) = record.key.strip_prefix(ENDED_JOB_PREFIX) {
-            listener.lot_ended(&String::from_utf8_lossy(&record.body), lot_id);
+        } else if let Some(job_id) = record.key.strip_prefix(ENDED_JOB_PREFIX) {
+            listener.lot_ended(&String::from_utf8_lossy(&record.body), job_id);
         }
     }));
-    Arc::new(calls::BatchCalls::new(client, runner, overlay, holder))
+    Arc::new(calls::BatchCalls::new(client, runner, gossip, holder))
 }
--- a/crates/mintlb-simulation/src/store/mod.rs
+++ b/crates/mintlb-simulation/src/store/mod.rs
@@ -88,7 +88,7 @@
     /// A message came.
     pub fn packet(&mut self, context: &mut Context, packet: Packet) {
         match packet.body {
-            Body::Overlay(body) => {
+            Body::Gossip(body) => {
                 self.gossip
                     .received(context, packet.from, packet.from_life, body);
                 self.follow_placement(context);
@@ -118,7 +118,7 @@
     /// A timer ran out.
     pub fn timer(&mut self, context: &mut Context, timer: Timer) {
         match timer {
-            Timer::Overlay => {
+            Timer::Gossip => {
                 self.gossip.tick(context);
                 self.follow_placement(context);
             }
@@ -145,12 +145,12 @@
             return;
         }
         if context.planted == Planted::EpochNotCompared {
-            let promised = self.replicas[shard as usize].promised();
+            let current_epoch = self.replicas[shard as usize].current_epoch();
             match envelope.message {
                 PeerMessage::Append(_)
                 | PeerMessage::Appended { .. }
                 | PeerMessage::Diverged { .. } => {
-                    envelope.epoch = promised;
+                    envelope.epoch = current_epoch;
                 }
                 _ => (),
             }
@@ -293,7 +293,7 @@
             zone: "z".to_string(),
             shards: self.replicas.iter().filter_map(Replica::report).collect(),
             placement: self.placement.epoch,
-            leaving: false,
+            draining: false,
         };
         for replica in set.iter().flat_map(ReplicaSet::members) {
             if let Ok(to) = replica.address.parse() {
