--- a/crates/mintlb-admin/tests/wire_fixtures.rs
+++ b/crates/mintlb-admin/tests/wire_fixtures.rs
@@ -4,7 +4,7 @@
 #[path = "../../mintlb-scheduler/tests/fixture/mod.rs"]
 mod fixture;
 
-use mintlb_ops::call::{CALLS, Call, Reply};
+use mintlb_admin::call::{CALLS, Call, Reply};
 
 const LINES: &str = include_str!("fixtures/calls.txt");
 const REPLIES: &str = include_str!("fixtures/replies.txt");
--- a/crates/mintlb-batch/tests/wire_fixtures.rs
+++ b/crates/mintlb-batch/tests/wire_fixtures.rs
@@ -7,13 +7,13 @@
 
 use bytes::Bytes;
 use minicbor::{Decode, Encode};
-use mintlb_lots::entry::*;
-use mintlb_lots::framing;
-use mintlb_lots::heartbeat::*;
-use mintlb_lots::log_index::{LogIndex, Place, Run};
-use mintlb_lots::messages::*;
-use mintlb_lots::peer::*;
-use mintlb_lots::replica::ShardMeta;
+use mintlb_batch::entry::*;
+use mintlb_batch::framing;
+use mintlb_batch::heartbeat::*;
+use mintlb_batch::log_index::{EpochRun, LogIndex, LogPosition};
+use mintlb_batch::messages::*;
+use mintlb_batch::peer::*;
+use mintlb_batch::replica::ShardMeta;
 use std::collections::BTreeMap;
 use std::fmt::Debug;
 
@@ -89,15 +89,15 @@
     text.to_string()
 }
 
-fn name(id: &str) -> LotName {
-    LotName {
+fn name(id: &str) -> JobName {
+    JobName {
         host: text("h.example"),
         id: text(id),
     }
 }
 
-fn terms() -> LotTerms {
-    LotTerms {
+fn terms() -> JobTerms {
+    JobTerms {
         sent_at_ms: 1_700_000_000_123,
         completion_target_ms: 60_000,
         retention_ms: 86_400_000,
@@ -105,20 +105,20 @@
     }
 }
 
-fn lot() -> LotHead {
+fn job() -> JobHeader {
     let items = vec![
-        ItemHead {
+        ItemHeader {
             id: text("first"),
             tokens: 300,
             length: 7,
         },
-        ItemHead {
+        ItemHeader {
             id: text("zweites-\u{fc}"),
             tokens: 70_000,
             length: 0,
         },
     ];
-    LotHead {
+    JobHeader {
         host: text("h.example"),
         id: text("lot-1"),
         route: text("route-1"),
@@ -136,17 +136,17 @@
 
 fn append() -> Append {
     Append {
-        previous: Place {
+        previous: LogPosition {
             epoch: 4,
             index: 21,
         },
         through: 300,
         runs: vec![
-            Run {
+            EpochRun {
                 first: 22,
                 epoch: 5,
             },
-            Run {
+            EpochRun {
                 first: 40,
                 epoch: 6,
             },
@@ -163,21 +163,21 @@
         ],
         committed: 280,
         sent_at: LONG,
-        lots: Some(vec![7, 260]),
+        jobs: Some(vec![7, 260]),
     }
 }
 
-fn held(failures: Vec<(u32, u32)>) -> HeldItems {
-    HeldItems {
-        lot: name("lot-1"),
+fn held(failures: Vec<(u32, u32)>) -> LeasedItems {
+    LeasedItems {
+        job: name("lot-1"),
         items: vec![0, 25, 70_000],
         failures,
     }
 }
 
-fn leased(failures: u32) -> LeasedHead {
-    LeasedHead {
-        lot: name("lot-1"),
+fn leased(failures: u32) -> LeasedItemHeader {
+    LeasedItemHeader {
+        job: name("lot-1"),
         route: text("route-1"),
         terms: terms(),
         index: 1,
@@ -213,7 +213,7 @@
     check(
         "append_without_lots",
         PeerMessage::Append(Append {
-            lots: None,
+            jobs: None,
             ..append()
         }),
         b"xyz",
@@ -235,11 +235,11 @@
         b"",
     );
     check("fenced", PeerMessage::Fenced, b"");
-    check("collect", PeerMessage::Collect, b"");
-    check("collected", PeerMessage::Collected { log: log() }, b"");
+    check("collect", PeerMessage::NewEpoch, b"");
+    check("collected", PeerMessage::EpochAck { log: log() }, b"");
     check(
         "collected_nothing",
-        PeerMessage::Collected {
+        PeerMessage::EpochAck {
             log: LogIndex::default(),
         },
         b"",
@@ -252,43 +252,47 @@
 #[test]
 fn calls_of_dispatchers() {
     let mut fixtures = Fixtures::of("calls.txt");
-    let mut check = |name: &str, call: Call, raw: &[u8]| fixtures.check(name, call, raw);
+    let mut check = |name: &str, call: StoreRequest, raw: &[u8]| fixtures.check(name, call, raw);
     let submit = Submit {
         epoch: 17,
-        holder: LONG,
+        owner: LONG,
         max_queued_tokens: 100_000,
-        lot: lot(),
+        job: job(),
     };
-    check("submit", Call::Submit(submit), b"payload");
+    check("submit", StoreRequest::Submit(submit), b"payload");
     let read = Read {
-        lot: name("lot-1"),
+        job: name("lot-1"),
         start_after: 2,
         wait_ms: 1500,
-        most_bytes: 1 << 20,
+        max_bytes: 1 << 20,
     };
-    check("read", Call::Read(read), b"");
+    check("read", StoreRequest::Read(read), b"");
     check(
         "body",
-        Call::Body(ItemName {
-            lot: name("lot-1"),
+        StoreRequest::Body(ItemName {
+            job: name("lot-1"),
             item: text("first"),
         }),
         b"",
     );
-    check("end", Call::End(name("lot-1")), b"");
+    check("end", StoreRequest::End(name("lot-1")), b"");
     check(
         "lease",
-        Call::Lease(Lease {
-            holder: LONG,
-            most: 32,
+        StoreRequest::Lease(Lease {
+            owner: LONG,
+            max_items: 32,
         }),
         b"",
     );
-    let lots = vec![held(vec![(25, 3), (0, 1)]), held(Vec::new())];
-    check("renew", Call::Renew(Renew { holder: LONG, lots }), b"");
+    let jobs = vec![held(vec![(25, 3), (0, 1)]), held(Vec::new())];
+    check(
+        "renew",
+        StoreRequest::Renew(Renew { owner: LONG, jobs }),
+        b"",
+    );
     let record = |state| {
-        Call::Record(Record {
-            lot: name("lot-1"),
+        StoreRequest::Record(Record {
+            job: name("lot-1"),
             item: 25,
             state,
         })
@@ -303,10 +307,10 @@
         record(ItemState::Unrecoverable),
         b"",
     );
-    check("release", Call::Release(LONG), b"");
-    let renew = Call::Renew(Renew {
-        holder: LONG,
-        lots: vec![held(Vec::new())],
+    check("release", StoreRequest::Release(LONG), b"");
+    let renew = StoreRequest::Renew(Renew {
+        owner: LONG,
+        jobs: vec![held(Vec::new())],
     });
     fixtures.check_earlier("earlier_renew_without_failures", renew);
     fixtures.end();
@@ -315,15 +319,20 @@
 #[test]
 fn answers_of_stores() {
     let mut fixtures = Fixtures::of("answers.txt");
-    let mut check = |name: &str, answer: Answer, raw: &[u8]| fixtures.check(name, answer, raw);
-    check("not_in_charge", Answer::NotInCharge, b"");
-    check("unsure", Answer::Unsure, b"");
-    check("unknown", Answer::Unknown, b"");
-    check("accepted_leased", Answer::Accepted { leased: true }, b"");
-    check("accepted", Answer::Accepted { leased: false }, b"");
-    check("quota_full", Answer::QuotaFull, b"");
-    check("conflict", Answer::Conflict, b"");
-    check("disk_full", Answer::DiskFull, b"");
+    let mut check =
+        |name: &str, answer: StoreResponse, raw: &[u8]| fixtures.check(name, answer, raw);
+    check("not_in_charge", StoreResponse::NotPrimary, b"");
+    check("unsure", StoreResponse::Indeterminate, b"");
+    check("unknown", StoreResponse::NotFound, b"");
+    check(
+        "accepted_leased",
+        StoreResponse::Accepted { leased: true },
+        b"",
+    );
+    check("accepted", StoreResponse::Accepted { leased: false }, b"");
+    check("quota_full", StoreResponse::QuotaExceeded, b"");
+    check("conflict", StoreResponse::Conflict, b"");
+    check("disk_full", StoreResponse::DiskFull, b"");
     let results = vec![
         PageResult {
             item: text("first"),
@@ -338,35 +347,39 @@
     ];
     check(
         "page",
-        Answer::Page(Page {
+        StoreResponse::Page(Page {
             total: 300,
             next: 2,
             results,
         }),
         b"{}[1]",
     );
-    check("body", Answer::Body, b"payload");
-    check("ended", Answer::Ended, b"");
+    check("body", StoreResponse::Body, b"payload");
+    check("ended", StoreResponse::Ended, b"");
     check(
         "leased",
-        Answer::Leased(vec![leased(4), leased(0)]),
+        StoreResponse::Leased(vec![leased(4), leased(0)]),
         b"abcdef",
     );
-    check("leased_nothing", Answer::Leased(Vec::new()), b"");
+    check("leased_nothing", StoreResponse::Leased(Vec::new()), b"");
     check(
         "renewed",
-        Answer::Renewed(Renewed {
+        StoreResponse::Renewed(Renewed {
             lost: vec![held(vec![(25, 3)])],
             open: 40,
         }),
         b"",
     );
-    check("renewed_all", Answer::Renewed(Renewed::default()), b"");
-    check("recorded", Answer::Recorded, b"");
-    check("released", Answer::Released, b"");
+    check(
+        "renewed_all",
+        StoreResponse::Renewed(Renewed::default()),
+        b"",
+    );
+    check("recorded", StoreResponse::Recorded, b"");
+    check("released", StoreResponse::Released, b"");
     fixtures.check_earlier(
         "earlier_leased_without_failures",
-        Answer::Leased(vec![leased(0)]),
+        StoreResponse::Leased(vec![leased(0)]),
     );
     fixtures.end();
 }
@@ -378,24 +391,24 @@
         ShardReport {
             shard: 63,
             epoch: 17,
-            in_charge: true,
+            active: true,
             caught_up: vec![LONG, 2],
         },
         ShardReport {
             shard: 0,
             epoch: 300,
-            in_charge: false,
+            active: false,
             caught_up: Vec::new(),
         },
     ];
-    let heartbeat = |shards, leaving| StoreHeartbeat {
+    let heartbeat = |shards, draining| StoreHeartbeat {
         id: LONG,
         node_name: text("node-1"),
         address: text("10.0.0.1:7001"),
         zone: text("zone-b"),
         shards,
         placement: 19,
-        leaving,
+        draining,
     };
     fixtures.check("heartbeat", heartbeat(shards, false), b"");
     fixtures.check("heartbeat_leaving", heartbeat(Vec::new(), true), b"");
@@ -405,11 +418,11 @@
 #[test]
 fn entries_of_a_log() {
     let mut fixtures = Fixtures::of("entries.txt");
-    fixtures.check("begin", Entry::Begin, b"");
-    fixtures.check("accepted", Entry::Accepted(lot()), b"payload");
-    fixtures.check("accepted_stripped", Entry::Accepted(lot()), b"");
+    fixtures.check("begin", Entry::EpochStart, b"");
+    fixtures.check("accepted", Entry::Accepted(job()), b"payload");
+    fixtures.check("accepted_stripped", Entry::Accepted(job()), b"");
     let result = |state| Entry::Result {
-        lot: 260,
+        job: 260,
         item: 1,
         state,
     };
@@ -423,11 +436,11 @@
         result(ItemState::Unrecoverable),
         b"",
     );
-    fixtures.check("ended", Entry::Ended { lot: 260 }, b"");
+    fixtures.check("ended", Entry::Ended { job: 260 }, b"");
     fixtures.check(
         "meta",
         ShardMeta {
-            promised: 10,
+            current_epoch: 10,
             log: log(),
             committed: 280,
         },
--- a/crates/mintlb-common/tests/wire_fixtures.rs
+++ b/crates/mintlb-common/tests/wire_fixtures.rs
@@ -388,7 +388,7 @@
 async fn what_the_dialling_side_writes() {
     let mut fixtures = Fixtures::read("transport.txt");
     let (a, _sees) = process().await;
-    let (own, life) = (a.own_address(), a.incarnation());
+    let (own, life) = (a.local_address(), a.incarnation());
     let (listener, there) = listener().await;
     assert!(a.notify(there, Channel::Gossip, Bytes::from_static(b"notice")));
     let (mut stream, _) = listener.accept().await.unwrap();
@@ -440,7 +440,7 @@
 async fn what_the_accepting_side_reads_and_writes() {
     let mut fixtures = Fixtures::read("transport_accepted.txt");
     let (a, mut sees) = process().await;
-    let mut stream = TcpStream::connect(a.own_address()).await.unwrap();
+    let mut stream = TcpStream::connect(a.local_address()).await.unwrap();
     stream.write_all(&fixtures.take("greeting")).await.unwrap();
     let reply = blanked(
         read(&mut stream, 14).await,
--- a/crates/mintlb-control/tests/controller_wire_fixtures.rs
+++ b/crates/mintlb-control/tests/controller_wire_fixtures.rs
@@ -18,11 +18,11 @@
 use mintlb_control::controller::replica::LocalReplica;
 use mintlb_control::controller::vote_store::{FILE, VoteStore};
 use mintlb_register::acceptor::DurableWrite;
+use mintlb_register::applied_history::AppliedHistory;
 use mintlb_register::ballot::Ballot;
 use mintlb_register::message::AcceptedValue;
 use mintlb_register::replica_set::{Replica, ReplicaSet};
 use mintlb_register::state::ControlState;
-use mintlb_register::taken::TakenHistory;
 use parking_lot::Mutex;
 use redb::{Database, ReadableDatabase, ReadableTable, TableDefinition, TableHandle};
 use std::collections::VecDeque;
@@ -56,7 +56,7 @@
 
 /// The value in the file.
 fn accepted() -> AcceptedValue {
-    let mut taken = TakenHistory::beginning_after(3);
+    let mut taken = AppliedHistory::starting_after(3);
     taken.push(4, b"four");
     let store = StoreEntry {
         id: 21,
@@ -85,8 +85,8 @@
             stores: vec![store],
             shards: vec![shard],
         },
-        former_taken: (),
-        superseded: Some(taken),
+        legacy_history: (),
+        applied_history: Some(taken),
     };
     AcceptedValue {
         ballot: ballot(6),
@@ -299,11 +299,11 @@
         Register::start(without.clone(), None, 2, true),
     );
     let steps = [
-        ("read", "vote-read", with_disk.own_address()),
-        ("status", "status-disk", with_disk.own_address()),
-        ("grant", "grant-refused", with_disk.own_address()),
-        ("status", "status-none", without.own_address()),
-        ("grant", "grant-given", without.own_address()),
+        ("read", "vote-read", with_disk.local_address()),
+        ("status", "status-disk", with_disk.local_address()),
+        ("grant", "grant-refused", with_disk.local_address()),
+        ("status", "status-none", without.local_address()),
+        ("grant", "grant-given", without.local_address()),
     ];
     for (call, answer, to) in steps {
         let body =
@@ -351,12 +351,12 @@
         asked: Mutex::default(),
     });
     seed.register_service(Channel::Register, prepared.clone());
-    let to = seed.own_address();
+    let to = seed.local_address();
     let status = register.status_of(to, WAIT).await.unwrap();
     assert!(status.has_disk);
-    assert_eq!(status.set, Some(ReplicaSet::bootstrap(replica(42))));
+    assert_eq!(status.replica_set, Some(ReplicaSet::bootstrap(replica(42))));
     let status = register.status_of(to, WAIT).await.unwrap();
-    assert_eq!((status.has_disk, status.set), (false, None));
+    assert_eq!((status.has_disk, status.replica_set), (false, None));
     assert!(register.ask_grant(to, WAIT).await);
     assert!(!register.ask_grant(to, WAIT).await);
     let register = Register::start(reader, None, 2, false);
--- a/crates/mintlb-control/tests/store_disk_fixture.rs
+++ b/crates/mintlb-control/tests/store_disk_fixture.rs
@@ -2,14 +2,14 @@
 //! exchanged for one of another version has to find its lots again, so a change of names or of the code's
 //! structure must change neither the file's name, nor its tables, nor a byte in them.
 //!
-//! `lots.redb` is the file, `rows.txt` its tables as redb alone reads them, `known.txt` what the program
+//! `jobs.redb` is the file, `rows.txt` its tables as redb alone reads them, `known.txt` what the program
 //! makes of it.
 
 mod store_fixture;
 
+use mintlb_batch::entry::ItemState;
+use mintlb_batch::replica::Replica;
 use mintlb_control::store::disk::LotDisk;
-use mintlb_lots::entry::ItemState;
-use mintlb_lots::replica::Replica;
 use std::path::Path;
 
 /// What a replica knows of its shard, a line each.
@@ -18,12 +18,12 @@
     let epochs: Vec<_> = (1..=end.index)
         .map(|index| replica.log().epoch_at(index).unwrap().to_string())
         .collect();
-    let entries: Vec<_> = replica.lots().entries_after(0).collect();
-    let open: Vec<_> = replica.lots().open().map(|(index, _)| index).collect();
+    let entries: Vec<_> = replica.jobs().entries_after(0).collect();
+    let open: Vec<_> = replica.jobs().open().map(|(index, _)| index).collect();
     let mut lines = vec![
         format!(
             "shard {shard}: promised {} committed {}",
-            replica.promised(),
+            replica.current_epoch(),
             replica.committed()
         ),
         format!(
@@ -34,28 +34,28 @@
         ),
         format!(
             "shard {shard}: entries {entries:?}, {} bytes",
-            replica.lots().bytes()
+            replica.jobs().bytes()
         ),
         format!(
             "shard {shard}: open {open:?}, {} tokens",
-            replica.lots().waiting_tokens("route-1")
+            replica.jobs().waiting_tokens("route-1")
         ),
     ];
-    for (index, lot) in replica.lots().all() {
-        let terms = &lot.terms;
+    for (index, job) in replica.jobs().all() {
+        let terms = &job.terms;
         let (sent, target) = (terms.sent_at_ms, terms.completion_target_ms);
         let (retention, attempts) = (terms.retention_ms, terms.max_attempts);
         let terms = format!("terms {sent} {target} {retention} {attempts}");
-        let end = format!("ended {:?} payloads {}", lot.ended, lot.has_payloads);
-        let name = format!("{} {} {}", lot.name.host, lot.name.id, lot.route);
+        let end = format!("ended {:?} payloads {}", job.ended, job.has_payloads);
+        let name = format!("{} {} {}", job.name.host, job.name.id, job.route);
         lines.push(format!("shard {shard}: lot {index} {name} {terms} {end}"));
-        for item in &lot.items {
+        for item in &job.items {
             lines.push(format!(
                 "  item {} {} {} {:?}",
                 item.id, item.tokens, item.length, item.position
             ));
         }
-        for listed in &lot.listed {
+        for listed in &job.listed {
             let completed = listed.state == ItemState::Completed;
             let (at, item, length) = (listed.index, listed.item, listed.length);
             lines.push(format!(
--- a/crates/mintlb-control/tests/store_fixture/mod.rs
+++ b/crates/mintlb-control/tests/store_fixture/mod.rs
@@ -1,11 +1,11 @@
-//! The writes that made the fixture `tests/fixtures/store/lots.redb`, and what a lots' file holds, as text.
+//! The writes that made the fixture `tests/fixtures/store/jobs.redb`, and what a lots' file holds, as text.
 
 use bytes::Bytes;
+use mintlb_batch::entry::{Entry, ItemHeader, ItemState, JobHeader, JobTerms};
+use mintlb_batch::framing;
+use mintlb_batch::log_index::LogIndex;
+use mintlb_batch::replica::{DiskWrite, Effect, Replica, ReplicaSettings, ShardMeta};
 use mintlb_control::store::disk::{LoadedShards, LotDisk};
-use mintlb_lots::entry::{Entry, ItemHead, ItemState, LotHead, LotTerms};
-use mintlb_lots::framing;
-use mintlb_lots::log_index::LogIndex;
-use mintlb_lots::replica::{DiskWrite, Effect, Replica, ReplicaSettings, ShardMeta};
 use redb::{Database, ReadableDatabase, ReadableTable, TableDefinition, TableHandle};
 use std::path::{Path, PathBuf};
 use std::time::Duration;
@@ -54,14 +54,14 @@
             .map(|(index, bytes)| (shard, DiskWrite::Put(index, bytes)));
         disk.commit(&rows.collect::<Vec<_>>()).unwrap();
     };
-    let meta = |shard: u32, runs: &[(u64, u64)], promised: u64, committed: u64| {
+    let meta = |shard: u32, runs: &[(u64, u64)], current_epoch: u64, committed: u64| {
         let mut log = LogIndex::default();
         runs.iter()
             .for_each(|(through, epoch)| log.extend(*through, *epoch));
         disk.commit(&[(
             shard,
             DiskWrite::Meta(ShardMeta {
-                promised,
+                current_epoch,
                 log,
                 committed,
             }),
@@ -70,26 +70,26 @@
     };
     let five = vec![
         begin(),
-        lot("open", &[40, 1500, 7]),
-        lot("finished", &[11, 12]),
+        job("open", &[40, 1500, 7]),
+        job("finished", &[11, 12]),
         result(2, 1, ItemState::Completed, 2100),
         result(3, 1, ItemState::Unrecoverable, 20),
         begin(),
         result(3, 0, ItemState::Completed, 30),
-        lot("ended", &[5, 6]),
+        job("ended", &[5, 6]),
         // One byte more than a part takes.
         result(8, 1, ItemState::Completed, 995),
-        framing::encode(&Entry::Ended { lot: 8 }, &[]),
-        lot("uncommitted", &[3]),
+        framing::encode(&Entry::Ended { job: 8 }, &[]),
+        job("uncommitted", &[3]),
     ];
     puts(5, five);
     meta(5, &[(5, 2), (11, 4)], 6, 10);
     sweep(&disk, 5, Duration::from_secs(2));
     let many = vec![
         begin(),
-        lot("old", &[100]),
+        job("old", &[100]),
         result(2, 0, ItemState::Completed, 50),
-        lot("kept", &[2500, 999]),
+        job("kept", &[2500, 999]),
         // Just what a part takes.
         result(4, 1, ItemState::Completed, 994),
     ];
@@ -117,20 +117,20 @@
 }
 
 fn begin() -> Bytes {
-    framing::encode(&Entry::Begin, &[])
+    framing::encode(&Entry::EpochStart, &[])
 }
 
-fn lot(id: &str, lengths: &[u64]) -> Bytes {
-    let items = lengths.iter().zip(1..).map(|(length, number)| ItemHead {
+fn job(id: &str, lengths: &[u64]) -> Bytes {
+    let items = lengths.iter().zip(1..).map(|(length, number)| ItemHeader {
         id: format!("{id}-{number}"),
         tokens: 100 * number,
         length: *length,
     });
-    let head = LotHead {
+    let head = JobHeader {
         host: "h.example".to_string(),
         id: id.to_string(),
         route: "route-1".to_string(),
-        terms: LotTerms {
+        terms: JobTerms {
             sent_at_ms: 1_700_000_000_123,
             completion_target_ms: 60_000,
             retention_ms: 86_400_000,
@@ -141,8 +141,8 @@
     framing::encode(&Entry::Accepted(head), &[&pattern(lengths.iter().sum())])
 }
 
-fn result(lot: u64, item: u32, state: ItemState, length: u64) -> Bytes {
-    framing::encode(&Entry::Result { lot, item, state }, &[&pattern(length)])
+fn result(job: u64, item: u32, state: ItemState, length: u64) -> Bytes {
+    framing::encode(&Entry::Result { job, item, state }, &[&pattern(length)])
 }
 
 fn pattern(length: u64) -> Vec<u8> {
--- a/crates/mintlb-gossip/tests/wire_fixtures.rs
+++ b/crates/mintlb-gossip/tests/wire_fixtures.rs
@@ -6,15 +6,15 @@
 mod fixture;
 
 use bytes::Bytes;
-use mintlb_overlay::broadcast::{Announce, Graft, Have, Offer, Push};
-use mintlb_overlay::codec::{CarriedRecord, Stamp, record_id};
-use mintlb_overlay::digest::{Digests, Fetch, Listing, Ping, Records};
-use mintlb_overlay::effects::{Effect, Effects};
-use mintlb_overlay::message::{Member, Message, Role};
-use mintlb_overlay::table::RecordStore;
-use mintlb_overlay::views::{Heard, NeighbourReply, NeighbourRequest, Probe, Shuffle};
-use mintlb_tier::incarnation::Incarnation;
-use mintlb_tier::record::Record;
+use mintlb_common::incarnation::Incarnation;
+use mintlb_common::record::Record;
+use mintlb_gossip::anti_entropy::{AntiEntropy, BucketVersions, Fetch, Heartbeat, Records};
+use mintlb_gossip::broadcast::{Ack, DirectPush, Gossip, Graft, IHave};
+use mintlb_gossip::codec::{RecordFrame, RecordVersion, record_id};
+use mintlb_gossip::effects::{Effect, Effects};
+use mintlb_gossip::membership::{MemberDescriptor, NeighborReply, NeighborRequest, Probe, Shuffle};
+use mintlb_gossip::message::{Member, Message, Role};
+use mintlb_gossip::table::RecordStore;
 use tokio::time::Instant;
 
 const MESSAGES: &str = include_str!("fixtures/messages.txt");
@@ -33,16 +33,16 @@
     }
 }
 
-fn stamp(id: u64, version: u64) -> Stamp {
-    Stamp { id, version }
+fn record_version(id: u64, version: u64) -> RecordVersion {
+    RecordVersion { id, version }
 }
 
-fn carried(key: &str, lifetime_s: u32) -> CarriedRecord {
+fn frame(key: &str, ttl_s: u32) -> RecordFrame {
     let body = Bytes::from_static(&[0, 1, 0x7f, 0xff]);
-    CarriedRecord {
+    RecordFrame {
         key: key.into(),
         version: 70_000,
-        lifetime_s,
+        ttl_s,
         remaining_ms: 299_500,
         body,
     }
@@ -52,45 +52,45 @@
     let first = member("127.0.0.1:7000", 1, Role::Dispatcher);
     let second = member("10.250.3.4:65535", u64::MAX, Role::Controller);
     let third = member("192.168.0.9:1", 0x1234_5678_9abc_def0, Role::Store);
-    let heard = |member: &Member, age_s: u32| Heard {
+    let last_received = |member: &Member, age_s: u32| MemberDescriptor {
         member: member.clone(),
         age_s,
     };
-    let sample = vec![heard(&second, 0), heard(&third, 100_000)];
-    let reply = |member: &Member| NeighbourReply {
+    let sample = vec![last_received(&second, 0), last_received(&third, 100_000)];
+    let reply = |member: &Member| NeighborReply {
         member: member.clone(),
         sample: sample.clone(),
-        lost: vec![heard(&first, 30)],
+        lost_neighbors: vec![last_received(&first, 30)],
     };
     let entries = Shuffle {
         entries: sample.clone(),
     };
-    let stamps = vec![stamp(0, 1), stamp(u64::MAX, 300)];
+    let versions = vec![record_version(0, 1), record_version(u64::MAX, 300)];
     vec![
         (
             "neighbour",
-            Message::Neighbour(NeighbourRequest {
+            Message::Neighbor(NeighborRequest {
                 member: first.clone(),
-                urgent: true,
+                high_priority: true,
                 sample: sample.clone(),
             }),
         ),
         (
             "neighbour-alone",
-            Message::Neighbour(NeighbourRequest {
+            Message::Neighbor(NeighborRequest {
                 member: third.clone(),
-                urgent: false,
+                high_priority: false,
                 sample: vec![],
             }),
         ),
-        ("accepted", Message::Accepted(reply(&second))),
-        ("refused", Message::Refused(reply(&third))),
+        ("accepted", Message::NeighborAccepted(reply(&second))),
+        ("refused", Message::NeighborRejected(reply(&third))),
         (
             "refused-empty",
-            Message::Refused(NeighbourReply {
+            Message::NeighborRejected(NeighborReply {
                 member: first.clone(),
                 sample: vec![],
-                lost: vec![],
+                lost_neighbors: vec![],
             }),
         ),
         ("disconnect", Message::Disconnect),
@@ -112,7 +112,7 @@
         ),
         (
             "ping",
-            Message::Ping(Ping {
+            Message::Heartbeat(Heartbeat {
                 hash: 1 << 40,
                 records: 9,
                 buckets: vec![1, 2, 3, 4].into(),
@@ -120,7 +120,7 @@
         ),
         (
             "ping-same",
-            Message::Ping(Ping {
+            Message::Heartbeat(Heartbeat {
                 hash: 1,
                 records: 1000,
                 buckets: vec![].into(),
@@ -128,9 +128,9 @@
         ),
         (
             "listing",
-            Message::Listing(Listing {
+            Message::BucketVersions(BucketVersions {
                 buckets: vec![0, 63].into(),
-                stamps: stamps.clone(),
+                versions: versions.clone(),
             }),
         ),
         (
@@ -142,28 +142,28 @@
         (
             "records",
             Message::Records(Records {
-                records: vec![carried("key-1", 600), carried("key-2", 0)],
+                records: vec![frame("key-1", 600), frame("key-2", 0)],
                 unfinished: vec![7, 40].into(),
             }),
         ),
         (
             "push",
-            Message::Push(Push {
-                records: vec![carried("key-1", 600)],
-                confirm: true,
+            Message::Gossip(Gossip {
+                records: vec![frame("key-1", 600)],
+                request_ack: true,
             }),
         ),
         (
             "push-unconfirmed",
-            Message::Push(Push {
+            Message::Gossip(Gossip {
                 records: vec![],
-                confirm: false,
+                request_ack: false,
             }),
         ),
         (
             "announce",
-            Message::Announce(Announce {
-                stamps: stamps.clone(),
+            Message::IHave(IHave {
+                versions: versions.clone(),
             }),
         ),
         (
@@ -175,11 +175,11 @@
         ("prune", Message::Prune),
         (
             "offer",
-            Message::Offer(Offer {
-                record: carried("key-1", 600),
+            Message::DirectPush(DirectPush {
+                record: frame("key-1", 600),
             }),
         ),
-        ("have", Message::Have(Have { stamps })),
+        ("have", Message::Ack(Ack { versions })),
     ]
 }
 
@@ -225,17 +225,17 @@
         (RecordStore::default(), Effects::default(), Instant::now());
     for (key, version) in [("key-1", 1), ("key-2", 70_000), ("key-3", u64::MAX)] {
         let body = Bytes::from_static(b"body");
-        store.publish(
+        store.apply_local(
             now,
             Record {
                 key: key.into(),
                 version,
-                lifetime_s: 600,
+                ttl_s: 600,
                 body,
             },
         );
     }
-    Digests::default().link_up("127.0.0.1:7000".parse().unwrap(), &store, &mut effects);
+    AntiEntropy::default().neighbor_up("127.0.0.1:7000".parse().unwrap(), &store, &mut effects);
     let sent = effects.into_list();
     let [Effect::Send { body, .. }] = &sent[..] else {
         panic!("one message to a new neighbour: {sent:?}")
--- a/crates/mintlb-rate-limit/tests/wire_fixtures.rs
+++ b/crates/mintlb-rate-limit/tests/wire_fixtures.rs
@@ -5,9 +5,9 @@
 #[path = "../../mintlb-scheduler/tests/fixture/mod.rs"]
 mod fixture;
 
-use mintlb_fleet::fleet::Fleet;
-use mintlb_fleet::table::{Plan, Table};
-use mintlb_fleet::word::{Amount, Letter, Term, Wanted, Word};
+use mintlb_rate_limit::fleet::Fleet;
+use mintlb_rate_limit::table::{Plan, Table};
+use mintlb_rate_limit::word::{Amount, Letter, Term, Wanted, Word};
 use std::time::Duration;
 use tokio::net::UdpSocket;
 use tokio::time::timeout;
--- a/crates/mintlb-register/tests/wire_fixtures.rs
+++ b/crates/mintlb-register/tests/wire_fixtures.rs
@@ -192,7 +192,7 @@
         ("value", ReportedValue::Value(accepted())),
     ];
     for (name, last_accepted) in reports {
-        fixtures.check(&format!("last_accepted-{name}"), &last_accepted);
+        fixtures.check(&format!("report-{name}"), &last_accepted);
         let promised = Reply::Promise {
             ballot: ballot(7),
             last_accepted: last_accepted.clone(),
