--- a/crates/mintlb-control/src/cli.rs
+++ b/crates/mintlb-control/src/cli.rs
@@ -26,7 +26,7 @@
 
 /// Why the program ended with an error.
 #[derive(Debug, thiserror::Error)]
-enum Failure {
+enum CliError {
     #[error(transparent)]
     Settings(#[from] SettingsError),
     #[error("M104 {0}")]
@@ -66,24 +66,24 @@
 /// Runs the program with the arguments of the process.
 pub fn main() -> ExitCode {
     let verb = parser().run();
-    match perform(verb) {
+    match run_command(verb) {
         Ok(()) => ExitCode::SUCCESS,
         Err(failure) => {
             eprintln!("mintlb-control: {failure}");
             match failure {
-                Failure::Settings(_) | Failure::Unsuitable(_) => ExitCode::from(EXIT_SETTINGS),
+                CliError::Settings(_) | CliError::Unsuitable(_) => ExitCode::from(EXIT_SETTINGS),
                 _ => ExitCode::from(EXIT_FAILED),
             }
         }
     }
 }
 
-fn perform(verb: Verb) -> Result<(), Failure> {
+fn run_command(verb: Verb) -> Result<(), CliError> {
     let settings = NodeSettings::from_environment()?;
     if verb == Verb::Check {
-        let faults = faults(&settings);
-        if !faults.is_empty() {
-            return Err(Failure::Unsuitable(faults.join("; ")));
+        let problems = validate(&settings);
+        if !problems.is_empty() {
+            return Err(CliError::Unsuitable(problems.join("; ")));
         }
         println!(
             "{}: settings of {} ({}) are right",
@@ -105,27 +105,27 @@
 }
 
 /// What in readable settings keeps this program from serving, each with its field.
-pub fn faults(settings: &NodeSettings) -> Vec<String> {
+pub fn validate(settings: &NodeSettings) -> Vec<String> {
     let serves = |service: &str| settings.serves.iter().any(|served| served == service);
-    let mut faults = Vec::new();
+    let mut problems = Vec::new();
     if serves("control") && settings.listen_addresses.control_plane.is_none() {
-        faults.push(
+        problems.push(
             "listen_addresses.control_plane: is missing, though the role serves control"
                 .to_string(),
         );
     }
     if serves("storage") && settings.data_directory.is_none() {
-        faults.push("data_directory: is missing, though the role serves storage".to_string());
+        problems.push("data_directory: is missing, though the role serves storage".to_string());
     }
     if let Some(folder) = settings
         .data_directory
         .as_ref()
         .filter(|folder| !folder.is_dir())
     {
-        faults.push(format!("data_directory: {} is no folder", folder.display()));
+        problems.push(format!("data_directory: {} is no folder", folder.display()));
     }
     if settings.seed_nodes.is_empty() {
-        faults.push("seed_nodes: names nobody".to_string());
+        problems.push("seed_nodes: names nobody".to_string());
     }
-    faults
+    problems
 }
--- a/crates/mintlb-control/src/controller/ping_state.rs
+++ b/crates/mintlb-control/src/controller/contact/ping_state.rs
@@ -1,7 +1,7 @@
 //! What pings say and what is learned of them, on both sides; pure.
 
-use super::peers::Peers;
-use super::stamps::Stamps;
+use crate::controller::contact::echo_clock::EchoClock;
+use crate::controller::contact::peers::Peers;
 use minicbor::{Decode, Encode};
 use mintlb_register::replica_set::{ReplicaId, ReplicaSet};
 use rustc_hash::FxHashMap;
@@ -12,9 +12,9 @@
 /// How often controllers ping each other.
 pub const STEP: Duration = Duration::from_millis(300);
 /// A replica whose own pings have come for so long is not pinged by one with a higher address.
-const HEARD_WITHIN: Duration = Duration::from_millis(450);
+const PEER_PING_TIMEOUT: Duration = Duration::from_millis(450);
 /// Controllers of which the newest stamp is kept.
-const MOST_STAMPS: usize = 64;
+const MAX_ECHOES: usize = 64;
 
 /// What each side says of itself.
 #[derive(Clone, Copy, Debug, Encode, Decode)]
@@ -27,7 +27,7 @@
     pub epoch: u64,
     /// Whom it sees as the first live replica; none if it is out of contact with a majority.
     #[n(2)]
-    pub first: Option<ReplicaId>,
+    pub preferred_leader: Option<ReplicaId>,
 }
 
 /// I run.
@@ -57,7 +57,7 @@
 pub struct PingState {
     own: Option<ReplicaId>,
     local_address: SocketAddr,
-    stamps: Stamps,
+    echo_clock: EchoClock,
     /// The newest stamp of each controller that has answered.
     echoes: FxHashMap<SocketAddr, u64>,
     /// What is known of the other controllers.
@@ -65,37 +65,39 @@
 }
 
 impl PingState {
-    /// Nothing is known yet. `own` is the replica here, if there is one, `draw` a random number of this life of the
+    /// Nothing is known yet. `own` is the replica here, if there is one, `random_seed` a random number of this life of the
     /// process.
     pub fn new(
         now: Instant,
         own: Option<ReplicaId>,
         local_address: SocketAddr,
-        draw: u64,
+        random_seed: u64,
     ) -> PingState {
-        let (stamps, peers) = (Stamps::new(now, draw), Peers::new(now, own));
+        let (echo_clock, peers) = (EchoClock::new(now, random_seed), Peers::new(now, own));
         PingState {
             own,
             local_address,
-            stamps,
+            echo_clock,
             echoes: FxHashMap::default(),
             peers,
         }
     }
 
     /// Whether the replica here has a vote in this set.
-    pub fn votes(&self, set: &ReplicaSet) -> bool {
+    pub fn is_member(&self, set: &ReplicaSet) -> bool {
         self.own
             .is_some_and(|own| set.members().any(|replica| replica.id == own))
     }
 
     /// Whom to ping now. Of two replicas that hear each other the one with the lower address pings.
     pub fn targets(&self, now: Instant, set: &ReplicaSet) -> Vec<SocketAddr> {
-        let voting = self.votes(set);
+        let voting = self.is_member(set);
         let is_target = |address: &SocketAddr| {
             let pings_here = voting
                 && self.local_address > *address
-                && self.peers.is_heard(now, *address, HEARD_WITHIN);
+                && self
+                    .peers
+                    .is_received_within(now, *address, PEER_PING_TIMEOUT);
             *address != self.local_address && !pings_here
         };
         let addresses = set
@@ -120,18 +122,20 @@
         ping: Ping,
         set: Option<&ReplicaSet>,
     ) -> Pong {
-        let answered_at = ping.echo.and_then(|echo| self.stamps.made_at(now, echo));
+        let answered_at = ping
+            .echo
+            .and_then(|echo| self.echo_clock.made_at(now, echo));
         self.note(now, from, ping.status, answered_at);
         Pong {
             status: self.status(now, set),
-            stamp: self.stamps.stamp(now),
+            stamp: self.echo_clock.stamp(now),
         }
     }
 
     /// A ping that was sent at that time has been answered.
     pub fn answered(&mut self, now: Instant, from: SocketAddr, sent_at: Instant, pong: Pong) {
         self.note(now, from, pong.status, Some(sent_at));
-        if self.echoes.len() >= MOST_STAMPS && !self.echoes.contains_key(&from) {
+        if self.echoes.len() >= MAX_ECHOES && !self.echoes.contains_key(&from) {
             self.echoes.clear();
         }
         self.echoes.insert(from, pong.stamp);
@@ -141,7 +145,7 @@
         Status {
             replica: self.own,
             epoch: self.peers.epoch(),
-            first: set.and_then(|set| self.peers.first_live(now, set)),
+            preferred_leader: set.and_then(|set| self.peers.preferred_leader(now, set)),
         }
     }
 
@@ -153,9 +157,11 @@
         status: Status,
         reached_at: Option<Instant>,
     ) {
-        self.peers.heard(now, from, status.replica, status.epoch);
+        self.peers
+            .record_message(now, from, status.replica, status.epoch);
         if let Some((replica, reached_at)) = status.replica.zip(reached_at) {
-            self.peers.reached(replica, reached_at, status.first);
+            self.peers
+                .record_acknowledgement(replica, reached_at, status.preferred_leader);
         }
     }
 }
--- a/crates/mintlb-control/src/controller/pings.rs
+++ b/crates/mintlb-control/src/controller/contact/pings.rs
@@ -1,8 +1,8 @@
 //! Controllers ping each other: so each knows who runs, whether it is in contact with a majority, and who has the duties.
 
-use super::Controller;
-use super::duty_messages::{DutyAnswer, DutyCall, encoded};
-use super::ping_state::STEP;
+use crate::controller::Controller;
+use crate::controller::contact::ping_state::STEP;
+use crate::controller::singleton::messages::{SingletonRequest, SingletonResponse, encoded};
 use mintlb_common::transport::Channel;
 use mintlb_register::replica_set::ReplicaSet;
 use std::net::SocketAddr;
@@ -11,9 +11,9 @@
 use tokio::time::{Instant, sleep};
 
 /// A controller without a vote pings at each so many steps.
-const STEPS_WITHOUT_VOTE: u32 = 2;
+const STEPS_PER_PING_WITHOUT_REPLICA: u32 = 2;
 /// How long a ping may take.
-const PING_WITHIN: Duration = Duration::from_millis(600);
+const PING_TIMEOUT: Duration = Duration::from_millis(600);
 
 /// Pings the replicas and looks at who has the duties, for the life of the process.
 pub async fn run(controller: Arc<Controller>) {
@@ -25,12 +25,12 @@
         let Some(set) = controller.register.set() else {
             continue;
         };
-        let votes = controller.duties.pings().votes(&set);
-        if votes || step % STEPS_WITHOUT_VOTE == 0 {
+        let votes = controller.singleton.pings().is_member(&set);
+        if votes || step % STEPS_PER_PING_WITHOUT_REPLICA == 0 {
             ping_all(&controller, &set);
         }
-        let holds = controller
-            .duties
+        let leader_epoch = controller
+            .singleton
             .step(&set, controller.register.majority_at());
         if controller.is_in_contact() != in_contact {
             in_contact = !in_contact;
@@ -43,20 +43,20 @@
                 }
             );
         }
-        if holds != held {
+        if leader_epoch != held {
             log::info!(
                 "duties: {}",
-                holds.map_or("given up".into(), |epoch| format!("taken, epoch {epoch}"))
+                leader_epoch.map_or("given up".into(), |epoch| format!("taken, epoch {epoch}"))
             );
-            held = holds;
-            controller.duties.wake();
+            held = leader_epoch;
+            controller.singleton.wake();
         }
     }
 }
 
 /// Pings every other replica; the answers are noted as they come.
 fn ping_all(controller: &Arc<Controller>, set: &ReplicaSet) {
-    let targets = controller.duties.pings().targets(Instant::now(), set);
+    let targets = controller.singleton.pings().targets(Instant::now(), set);
     for address in targets {
         let (controller, set) = (controller.clone(), set.clone());
         tokio::spawn(async move { ping(&controller, address, &set).await });
@@ -65,17 +65,17 @@
 
 async fn ping(controller: &Controller, to: SocketAddr, set: &ReplicaSet) {
     let sent_at = Instant::now();
-    let call = DutyCall::Ping(controller.duties.pings().ping(sent_at, to, set));
+    let call = SingletonRequest::Ping(controller.singleton.pings().ping(sent_at, to, set));
     let answer = controller
         .transport
-        .call(to, Channel::Control, encoded(&call), PING_WITHIN)
+        .call(to, Channel::Control, encoded(&call), PING_TIMEOUT)
         .await;
-    if let Some(DutyAnswer::Pong(pong)) = answer
+    if let Some(SingletonResponse::Pong(pong)) = answer
         .ok()
         .and_then(|answer| minicbor::decode(&answer).ok())
     {
         controller
-            .duties
+            .singleton
             .pings()
             .answered(Instant::now(), to, sent_at, pong);
     }
--- a/crates/mintlb-control/src/controller/contact.rs
+++ b/crates/mintlb-control/src/controller/contact/quorum_contact.rs
@@ -10,58 +10,63 @@
 use tokio::time::Instant;
 
 /// How long an answered message proves contact, from its sending.
-pub const LEASE: Duration = Duration::from_millis(1500);
+pub const CONTACT_LEASE: Duration = Duration::from_millis(1500);
 /// Proofs older than this are dropped.
-const KEPT: Duration = Duration::from_secs(10);
+const PROOF_RETENTION: Duration = Duration::from_secs(10);
 
 /// The newest proofs of contact.
 #[derive(Debug)]
-pub struct Contact {
+pub struct QuorumContact {
     own: Option<ReplicaId>,
     /// By replica, when the newest message was sent that it is known to have received.
-    reached: FxHashMap<ReplicaId, Instant>,
+    acknowledged_at: FxHashMap<ReplicaId, Instant>,
     /// When the newest round began that a majority of the set answered.
     majority_at: Option<Instant>,
 }
 
-impl Contact {
+impl QuorumContact {
     /// Nothing is proved yet. `own` is the replica here, if there is one: it needs no proof.
-    pub fn new(own: Option<ReplicaId>) -> Contact {
-        Contact {
+    pub fn new(own: Option<ReplicaId>) -> QuorumContact {
+        QuorumContact {
             own,
-            reached: FxHashMap::default(),
+            acknowledged_at: FxHashMap::default(),
             majority_at: None,
         }
     }
 
     /// This replica has answered a message that was sent at that time.
-    pub fn reached(&mut self, replica: ReplicaId, sent_at: Instant) {
+    pub fn record_acknowledgement(&mut self, replica: ReplicaId, sent_at: Instant) {
         let newest = self
-            .reached
+            .acknowledged_at
             .get(&replica)
             .map_or(sent_at, |known| sent_at.max(*known));
-        self.reached
-            .retain(|_, known| newest.saturating_duration_since(*known) < KEPT);
-        self.reached.insert(replica, newest);
+        self.acknowledged_at
+            .retain(|_, known| newest.saturating_duration_since(*known) < PROOF_RETENTION);
+        self.acknowledged_at.insert(replica, newest);
     }
 
     /// A majority of the set has answered a round that began at that time.
-    pub fn majority_reached(&mut self, begun_at: Instant) {
+    pub fn record_majority_round(&mut self, round_started_at: Instant) {
         self.majority_at = Some(
             self.majority_at
-                .map_or(begun_at, |known| begun_at.max(known)),
+                .map_or(round_started_at, |known| round_started_at.max(known)),
         );
     }
 
     /// Whether this replica is proved to have been reached within that time.
-    pub fn is_reached(&self, now: Instant, replica: ReplicaId, within: Duration) -> bool {
-        Some(replica) == self.own || is_within(now, self.reached.get(&replica), within)
+    pub fn is_acknowledged_within(
+        &self,
+        now: Instant,
+        replica: ReplicaId,
+        within: Duration,
+    ) -> bool {
+        Some(replica) == self.own || is_within(now, self.acknowledged_at.get(&replica), within)
     }
 
     /// Whether the lease holds now, by this set.
-    pub fn is_held(&self, now: Instant, set: &ReplicaSet) -> bool {
-        is_within(now, self.majority_at.as_ref(), LEASE)
-            || set.is_quorum(|replica| self.is_reached(now, replica, LEASE))
+    pub fn is_valid(&self, now: Instant, set: &ReplicaSet) -> bool {
+        is_within(now, self.majority_at.as_ref(), CONTACT_LEASE)
+            || set.is_quorum(|replica| self.is_acknowledged_within(now, replica, CONTACT_LEASE))
     }
 }
 
--- a/crates/mintlb-control/src/controller/configuration_api.rs
+++ b/crates/mintlb-control/src/controller/http/configuration_api.rs
@@ -1,8 +1,9 @@
 //! The operator's calls on the configuration.
 
-use super::Controller;
-use super::answers::{
-    Answered, RETRY_SOON, body_within, out_of_contact, refuse, retry, unavailable,
+use crate::controller::Controller;
+use crate::controller::http::responses::{
+    Response, SHORT_RETRY_AFTER_SECONDS, error_response, out_of_contact, read_body, retry_response,
+    unavailable,
 };
 use axum::Router;
 use axum::extract::State;
@@ -16,17 +17,17 @@
 use tokio::time::Instant;
 
 /// The longest configuration.
-const MOST_BYTES: usize = 8 << 20;
+const MAX_BODY_BYTES: usize = 8 << 20;
 /// How long its bytes may take to come.
-const BODY_WITHIN: Duration = Duration::from_secs(4);
+const BODY_READ_TIMEOUT: Duration = Duration::from_secs(4);
 /// The operator calls another controller after a second.
-const ANSWER_WITHIN: Duration = Duration::from_millis(850);
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(850);
 /// How long the register may take, so that time is left for a neighbour's confirmation.
-const REGISTER_WITHIN: Duration = Duration::from_millis(700);
+const REGISTER_TIMEOUT: Duration = Duration::from_millis(700);
 /// All replicas there are have joined by so long after the start.
-const ALL_JOINED: Duration = Duration::from_secs(6);
+const JOIN_PERIOD: Duration = Duration::from_secs(6);
 /// How long an accepted configuration may wait for a neighbour that confirms it.
-const CONFIRMED_WITHIN: Duration = Duration::from_millis(150);
+const CONFIRMATION_TIMEOUT: Duration = Duration::from_millis(150);
 
 /// The calls.
 pub fn routes() -> Router<Arc<Controller>> {
@@ -34,13 +35,13 @@
 }
 
 /// `GET /v1/configuration`: the newest one, whole.
-async fn read(State(controller): State<Arc<Controller>>) -> Answered {
+async fn read(State(controller): State<Arc<Controller>>) -> Response {
     if !controller.is_in_contact() {
         return out_of_contact();
     }
-    match controller.register.read(REGISTER_WITHIN).await {
+    match controller.register.read(REGISTER_TIMEOUT).await {
         Ok(newest) if newest.state.configuration_version == 0 => {
-            refuse(StatusCode::NOT_FOUND, "there is no configuration yet")
+            error_response(StatusCode::NOT_FOUND, "there is no configuration yet")
         }
         Ok(newest) => {
             let headers = [
@@ -58,21 +59,21 @@
     State(controller): State<Arc<Controller>>,
     headers: HeaderMap,
     body: axum::body::Body,
-) -> Answered {
-    let body = match body_within(body, MOST_BYTES, BODY_WITHIN).await {
+) -> Response {
+    let body = match read_body(body, MAX_BODY_BYTES, BODY_READ_TIMEOUT).await {
         Ok(body) => body,
         Err(refusal) => return refusal,
     };
-    let begun = Instant::now();
+    let started_at = Instant::now();
     let Some(base) = base_version(&headers) else {
-        return refuse(
+        return error_response(
             StatusCode::BAD_REQUEST,
             "M452 If-Match: has to hold the version it builds on",
         );
     };
     let configuration = match Configuration::parse_from_operator(&body) {
         Ok(configuration) => configuration,
-        Err(error) => return refuse(StatusCode::BAD_REQUEST, &error.to_string()),
+        Err(error) => return error_response(StatusCode::BAD_REQUEST, &error.to_string()),
     };
     if !controller.is_in_contact() {
         return out_of_contact();
@@ -83,17 +84,17 @@
         version,
         body: body.to_vec(),
         tolerated_failures: controller.settings().fault_tolerance.machines,
-        durability_suffices: controller.started_at.elapsed() >= ALL_JOINED,
+        durability_suffices: controller.started_at.elapsed() >= JOIN_PERIOD,
     };
-    match controller.register.change(change, REGISTER_WITHIN).await {
+    match controller.register.change(change, REGISTER_TIMEOUT).await {
         Ok(outcome) => {
             log::info!(
                 "configuration: version {version} on {base}: {:?}",
                 outcome.change
             );
-            let left = ANSWER_WITHIN
-                .saturating_sub(begun.elapsed())
-                .min(CONFIRMED_WITHIN);
+            let left = RESPONSE_TIMEOUT
+                .saturating_sub(started_at.elapsed())
+                .min(CONFIRMATION_TIMEOUT);
             answer(&controller, outcome.change, &outcome.chosen.state, left).await
         }
         Err(error) => {
@@ -108,7 +109,7 @@
     answer: ChangeOutcome,
     state: &mintlb_register::state::ControlState,
     left: Duration,
-) -> Answered {
+) -> Response {
     let current = state.configuration_version;
     match answer {
         ChangeOutcome::Applied | ChangeOutcome::AlreadyApplied => {
@@ -120,20 +121,21 @@
         }
         ChangeOutcome::StaleBase => {
             let text = format!("M453 If-Match: the current version is {current}");
-            refuse(StatusCode::PRECONDITION_FAILED, &text)
+            error_response(StatusCode::PRECONDITION_FAILED, &text)
         }
         ChangeOutcome::VersionNotIncreased => {
             let text = format!(
                 "M404 config_version: is not above the version it builds on; current is {current}"
             );
-            refuse(StatusCode::BAD_REQUEST, &text)
+            error_response(StatusCode::BAD_REQUEST, &text)
         }
         ChangeOutcome::HistoryCompacted => unavailable(&format!(
             "M406 config_version: is so old that it can't be told whether it was taken; current is {current}"
         )),
-        ChangeOutcome::TooFewReplicas | ChangeOutcome::SetFull => {
-            retry(RETRY_SOON, "M405 there are too few replicas yet")
-        }
+        ChangeOutcome::TooFewReplicas | ChangeOutcome::SetFull => retry_response(
+            SHORT_RETRY_AFTER_SECONDS,
+            "M405 there are too few replicas yet",
+        ),
     }
 }
 
--- a/crates/mintlb-control/src/controller/instance_api.rs
+++ b/crates/mintlb-control/src/controller/http/instance_api.rs
@@ -3,9 +3,11 @@
 //! Out of contact with a majority nothing is acknowledged, so that the worker calls another controller. What it said is
 //! true all the same and goes to whom it reaches: the call sequence orders it among what other controllers publish.
 
-use super::Controller;
-use super::answers::{Answered, body_within, out_of_contact, refuse, unavailable};
-use super::registry::{Heard, news};
+use crate::controller::Controller;
+use crate::controller::http::responses::{
+    Response, error_response, out_of_contact, read_body, unavailable,
+};
+use crate::controller::workers::registry::{HeartbeatOutcome, newer_record};
 use axum::Router;
 use axum::extract::{Path, State};
 use axum::http::{StatusCode, header};
@@ -19,14 +21,14 @@
 use tokio::time::Instant;
 
 /// The longest call of a worker.
-const MOST_BYTES: usize = 64 << 10;
+const MAX_BODY_BYTES: usize = 64 << 10;
 /// How long its bytes may take to come.
-const BODY_WITHIN: Duration = Duration::from_secs(1);
+const BODY_READ_TIMEOUT: Duration = Duration::from_secs(1);
 /// How long the acknowledgement of a drain or an end may wait for a neighbour that confirms the record: while a process
 /// finds its first neighbours, the record is offered to them two or three times. A worker waits for a second.
-const CONFIRMED_WITHIN: Duration = Duration::from_millis(600);
+const CONFIRMATION_TIMEOUT: Duration = Duration::from_millis(600);
 /// The longest instance id.
-const MOST_ID_BYTES: usize = 128;
+const MAX_INSTANCE_ID_BYTES: usize = 128;
 
 /// The calls.
 pub fn routes() -> Router<Arc<Controller>> {
@@ -77,48 +79,48 @@
     State(controller): State<Arc<Controller>>,
     Path(id): Path<String>,
     body: axum::body::Body,
-) -> Answered {
-    if id.len() > MOST_ID_BYTES {
-        return refuse(StatusCode::BAD_REQUEST, "M461 the instance id is too long");
+) -> Response {
+    if id.len() > MAX_INSTANCE_ID_BYTES {
+        return error_response(StatusCode::BAD_REQUEST, "M461 the instance id is too long");
     }
-    let body = match body_within(body, MOST_BYTES, BODY_WITHIN).await {
+    let body = match read_body(body, MAX_BODY_BYTES, BODY_READ_TIMEOUT).await {
         Ok(body) => body,
         Err(refusal) => return refusal,
     };
     let call: InstanceCall = match serde_json::from_slice(&body) {
         Ok(call) => call,
-        Err(error) => return refuse(StatusCode::BAD_REQUEST, &format!("M462 {error}")),
+        Err(error) => return error_response(StatusCode::BAD_REQUEST, &format!("M462 {error}")),
     };
-    let told = call.into_record(id, unix_ms());
-    let in_force = controller.worker_in_force(&told.instance_id);
+    let reported = call.into_record(id, unix_ms());
+    let current = controller.current_worker_record(&reported.instance_id);
     if !controller.is_in_contact() {
-        if let Some(record) = news(told, in_force.as_ref()) {
+        if let Some(record) = newer_record(reported, current.as_ref()) {
             controller.gossip.publish_now(record.to_record());
         }
         return out_of_contact();
     }
-    let heard = controller
+    let outcome = controller
         .registry
         .lock()
-        .heartbeat(Instant::now(), told, in_force.as_ref());
-    match heard {
-        Heard::Nothing | Heard::Late => acknowledged(),
-        Heard::TooMany => unavailable("M463 there are too many workers"),
-        Heard::Publish(record) if record.state == WorkerState::InService => {
+        .heartbeat(Instant::now(), reported, current.as_ref());
+    match outcome {
+        HeartbeatOutcome::Unchanged | HeartbeatOutcome::Stale => acknowledged(),
+        HeartbeatOutcome::RegistryFull => unavailable("M463 there are too many workers"),
+        HeartbeatOutcome::Publish(record) if record.state == WorkerState::InService => {
             controller.gossip.publish_now(record.to_record());
             acknowledged()
         }
-        Heard::Publish(record) => publish_confirmed(&controller, record).await,
+        HeartbeatOutcome::Publish(record) => publish_confirmed(&controller, record).await,
     }
 }
 
 /// `DELETE /v1/instances/ID`: the worker ends.
-async fn leave(State(controller): State<Arc<Controller>>, Path(id): Path<String>) -> Answered {
-    if id.len() > MOST_ID_BYTES {
-        return refuse(StatusCode::BAD_REQUEST, "M461 the instance id is too long");
+async fn leave(State(controller): State<Arc<Controller>>, Path(id): Path<String>) -> Response {
+    if id.len() > MAX_INSTANCE_ID_BYTES {
+        return error_response(StatusCode::BAD_REQUEST, "M461 the instance id is too long");
     }
-    let in_force = controller.worker_in_force(&id);
-    let record = controller.registry.lock().leave(&id, in_force);
+    let current = controller.current_worker_record(&id);
+    let record = controller.registry.lock().leave(&id, current);
     if !controller.is_in_contact() {
         controller.gossip.publish_now(record.to_record());
         return out_of_contact();
@@ -128,10 +130,10 @@
 
 /// Publishes the record of a worker to which nothing new may be sent. That is promised only once a neighbour has the
 /// record, and by a process that is in contact at that moment.
-async fn publish_confirmed(controller: &Controller, record: WorkerRecord) -> Answered {
+async fn publish_confirmed(controller: &Controller, record: WorkerRecord) -> Response {
     let confirmed = controller
         .gossip
-        .publish(record.to_record(), CONFIRMED_WITHIN)
+        .publish(record.to_record(), CONFIRMATION_TIMEOUT)
         .await;
     log::debug!(
         "workers: {} is {:?}, confirmed: {confirmed}",
@@ -148,7 +150,7 @@
     acknowledged()
 }
 
-fn acknowledged() -> Answered {
+fn acknowledged() -> Response {
     ([(header::CONTENT_TYPE, "application/json")], "{}").into_response()
 }
 
--- a/crates/mintlb-control/src/controller/retire_api.rs
+++ b/crates/mintlb-control/src/controller/http/retirement_api.rs
@@ -1,10 +1,12 @@
 //! The operator's calls on the retirement of stores. They are carried out by a controller that hears the stores; another
 //! one passes them on.
 
-use super::Controller;
-use super::answers::{Answered, out_of_contact, refuse, unavailable};
-use super::duty_messages::{DutyAnswer, DutyCall, RetireAnswer, RetireCall, encoded};
-use super::retirement::{ANSWER_WITHIN, carry_out};
+use crate::controller::Controller;
+use crate::controller::http::responses::{Response, error_response, out_of_contact, unavailable};
+use crate::controller::singleton::messages::{
+    RetirementRequest, RetirementStatus, SingletonRequest, SingletonResponse, encoded,
+};
+use crate::controller::singleton::retirement::{RESPONSE_TIMEOUT, handle_retirement};
 use axum::Router;
 use axum::extract::{Path, State};
 use axum::http::{StatusCode, header};
@@ -15,7 +17,7 @@
 use tokio::time::Instant;
 
 /// The longest name of a machine.
-const MOST_NAME_BYTES: usize = 256;
+const MAX_NODE_NAME_BYTES: usize = 256;
 
 /// The calls.
 pub fn routes() -> Router<Arc<Controller>> {
@@ -23,41 +25,47 @@
 }
 
 /// `POST /v1/retire/NODE`: the store is to be emptied.
-async fn order(State(controller): State<Arc<Controller>>, Path(node): Path<String>) -> Answered {
+async fn order(State(controller): State<Arc<Controller>>, Path(node): Path<String>) -> Response {
     call(&controller, node, true).await
 }
 
 /// `GET /v1/retire/NODE`: how far it is emptied.
-async fn progress(State(controller): State<Arc<Controller>>, Path(node): Path<String>) -> Answered {
+async fn progress(State(controller): State<Arc<Controller>>, Path(node): Path<String>) -> Response {
     call(&controller, node, false).await
 }
 
-async fn call(controller: &Arc<Controller>, node_name: String, begin: bool) -> Answered {
-    if node_name.len() > MOST_NAME_BYTES {
-        return refuse(StatusCode::NOT_FOUND, "M441 there is no such store");
+async fn call(controller: &Arc<Controller>, node_name: String, begin: bool) -> Response {
+    if node_name.len() > MAX_NODE_NAME_BYTES {
+        return error_response(StatusCode::NOT_FOUND, "M441 there is no such store");
     }
     if !controller.is_in_contact() {
         return out_of_contact();
     }
-    let call = RetireCall { node_name, begin };
-    let answer = match controller.hears_stores() {
-        true => carry_out(controller, &call).await,
-        false => pass_on(controller, &call).await,
+    let call = RetirementRequest { node_name, begin };
+    let answer = match controller.receives_store_heartbeats() {
+        true => handle_retirement(controller, &call).await,
+        false => forward(controller, &call).await,
     };
     if begin {
         log::info!("retire: {}: {answer:?}", call.node_name);
     }
     match answer {
-        RetireAnswer::Ordered => StatusCode::OK.into_response(),
-        RetireAnswer::Running => state("running"),
-        RetireAnswer::Completed => state("completed"),
-        RetireAnswer::Unknown => refuse(StatusCode::NOT_FOUND, "M441 there is no such store"),
-        RetireAnswer::TooFew => refuse(StatusCode::CONFLICT, "M442 too few stores would be left"),
-        RetireAnswer::Unavailable => unavailable("M443 the placement can't be read or changed now"),
+        RetirementStatus::Ordered => StatusCode::OK.into_response(),
+        RetirementStatus::Running => state("running"),
+        RetirementStatus::Completed => state("completed"),
+        RetirementStatus::Unknown => {
+            error_response(StatusCode::NOT_FOUND, "M441 there is no such store")
+        }
+        RetirementStatus::TooFew => {
+            error_response(StatusCode::CONFLICT, "M442 too few stores would be left")
+        }
+        RetirementStatus::Unavailable => {
+            unavailable("M443 the placement can't be read or changed now")
+        }
     }
 }
 
-fn state(state: &str) -> Answered {
+fn state(state: &str) -> Response {
     (
         [(header::CONTENT_TYPE, "application/json")],
         format!("{{\"state\":\"{state}\"}}"),
@@ -66,28 +74,28 @@
 }
 
 /// Passes a call on to the replicas, one after the other.
-async fn pass_on(controller: &Arc<Controller>, call: &RetireCall) -> RetireAnswer {
-    let deadline = Instant::now() + ANSWER_WITHIN;
+async fn forward(controller: &Arc<Controller>, call: &RetirementRequest) -> RetirementStatus {
+    let deadline = Instant::now() + RESPONSE_TIMEOUT;
     let set = controller.register.set().unwrap_or_default();
     let own = controller.transport.local_address();
     let addresses = set
         .current
         .iter()
         .filter_map(|replica| replica.address.parse().ok());
-    let body = encoded(&DutyCall::Retire(call.clone()));
+    let body = encoded(&SingletonRequest::Retire(call.clone()));
     for address in addresses.filter(|address| *address != own) {
         let left = deadline.saturating_duration_since(Instant::now());
         let answer = controller
             .transport
             .call(address, Channel::Control, body.clone(), left / 2)
             .await;
-        if let Some(DutyAnswer::Retire(answer)) = answer
+        if let Some(SingletonResponse::Retire(answer)) = answer
             .ok()
             .and_then(|answer| minicbor::decode(&answer).ok())
-            && answer != RetireAnswer::Unavailable
+            && answer != RetirementStatus::Unavailable
         {
             return answer;
         }
     }
-    RetireAnswer::Unavailable
+    RetirementStatus::Unavailable
 }
--- a/crates/mintlb-control/src/controller/mod.rs
+++ b/crates/mintlb-control/src/controller/mod.rs
@@ -1,43 +1,21 @@
-//! The controller: takes the operator's and the workers' calls, holds a replica of the register where there is a disk,
-//! and has the duties of which each is done by one controller at a time.
+//! The controller: serves the operator's and the workers' HTTP API, runs a replica of the register where the machine has
+//! a disk, and competes for the singleton role, which one controller at a time fills.
 //!
-//! - [`vote_file`], [`vote_store`], [`replica`], [`knowledge`], [`register`]: the register.
-//! - [`membership`]: founding and joining it.
-//! - [`publisher`]: its value to every process.
-//! - [`registry`]: the workers.
-//! - [`contact`], [`peers`], [`stamps`], [`ping_state`], [`pings`]: contact with the others, and who has the duties.
-//! - [`duties`], [`orphans`], [`retirement`]: the duties.
-//! - [`duty_messages`], [`duty_service`]: what controllers say to each other.
-//! - [`http`], [`configuration_api`], [`instance_api`], [`retire_api`], [`answers`]: the calls.
-//! - [`reload`]: settings that have changed.
+//! - [`register`]: the replicated register, its replica on this machine, and membership of the replica set.
+//! - [`contact`]: liveness of the other controllers, contact with a quorum, election of the singleton leader.
+//! - [`singleton`]: the work of the elected leader, and the protocol between controllers.
+//! - [`workers`]: the registry of workers.
+//! - [`http`]: the HTTP API.
+//! - [`settings_reload`]: reload of the settings file.
 
-pub mod answers;
-pub mod configuration_api;
 pub mod contact;
-pub mod duties;
-pub mod duty_messages;
-pub mod duty_service;
 pub mod error;
 pub mod http;
-pub mod instance_api;
-pub mod knowledge;
-pub mod membership;
-pub mod orphans;
-pub mod peers;
-pub mod ping_state;
-pub mod pings;
-pub mod publisher;
 pub mod register;
-pub mod registry;
-pub mod reload;
-pub mod replica;
-pub mod retire_api;
-pub mod retirement;
-pub mod stamps;
-pub mod vote_file;
-pub mod vote_store;
+pub mod settings_reload;
+pub mod singleton;
+pub mod workers;
 
-use duties::Duties;
 pub use error::ControllerError;
 use mintlb_common::record::{WORKER_PREFIX, WorkerRecord};
 use mintlb_common::settings::{InternalPort, NodeSettings};
@@ -46,10 +24,11 @@
 use mintlb_gossip::{GossipConfig, GossipService, Member, Role};
 use mintlb_register::replica_set::{Replica, ReplicaId};
 use parking_lot::Mutex;
-use publisher::Publisher;
+use register::acceptor_storage::AcceptorStorage;
+use register::local_replica::LocalReplica;
+use register::publisher::Publisher;
 use register::{Register, mix64};
-use registry::Registry;
-use replica::LocalReplica;
+use singleton::Singleton;
 use std::hash::{BuildHasher, RandomState};
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -57,16 +36,16 @@
 use std::time::Duration;
 use tokio::sync::watch;
 use tokio::time::{Instant, interval, sleep, timeout};
-use vote_store::VoteStore;
+use workers::registry::Registry;
 
 /// How often silence among the workers is looked for.
-const WORKERS_TICK: Duration = Duration::from_millis(200);
+const WORKER_CHECK_INTERVAL: Duration = Duration::from_millis(200);
 /// How long an address that is still taken is tried again.
-const BIND_WITHIN: Duration = Duration::from_secs(5);
+const BIND_TIMEOUT: Duration = Duration::from_secs(5);
 /// The pause between two tries.
-const BIND_PAUSE: Duration = Duration::from_millis(100);
+const BIND_RETRY_INTERVAL: Duration = Duration::from_millis(100);
 /// Descriptors that are not for connections of workers and the operator.
-const OTHER_DESCRIPTORS: usize = 400;
+const RESERVED_DESCRIPTORS: usize = 400;
 
 /// What the parts of a controller share.
 pub struct Controller {
@@ -84,10 +63,10 @@
     /// The workers that call here.
     pub registry: Mutex<Registry>,
     /// What one controller does for all.
-    pub duties: Duties,
+    pub singleton: Singleton,
     /// Whether the process was told to stop: it does not join the register's set any more.
-    pub stopping: AtomicBool,
-    dice: AtomicU64,
+    pub shutting_down: AtomicBool,
+    rng_state: AtomicU64,
 }
 
 impl Controller {
@@ -100,12 +79,12 @@
     pub fn replace_settings(&self, settings: NodeSettings) {
         self.registry
             .lock()
-            .set_silence(settings.heartbeat_timeout());
+            .set_heartbeat_timeout(settings.heartbeat_timeout());
         *self.settings.lock() = Arc::new(settings);
     }
 
     /// A worker's record as everybody knows it.
-    pub fn worker_in_force(&self, id: &str) -> Option<WorkerRecord> {
+    pub fn current_worker_record(&self, id: &str) -> Option<WorkerRecord> {
         let record = self.gossip.get(&format!("{WORKER_PREFIX}{id}"))?;
         minicbor::decode(&record.body).ok()
     }
@@ -116,7 +95,7 @@
     }
 
     /// Whether the stores send their heartbeats here, so that what is known of them is whole.
-    pub fn hears_stores(&self) -> bool {
+    pub fn receives_store_heartbeats(&self) -> bool {
         let id = self.replica_id();
         let set = self.register.set();
         id.zip(set)
@@ -129,24 +108,24 @@
         let majority_at = self.register.majority_at();
         self.register
             .set()
-            .is_some_and(|set| self.duties.is_in_contact(&set, majority_at))
+            .is_some_and(|set| self.singleton.is_in_contact(&set, majority_at))
     }
 
     /// For how long it has been in contact without a pause.
     pub fn in_contact_for(&self) -> Duration {
         self.register
             .set()
-            .map_or(Duration::ZERO, |set| self.duties.in_contact_for(&set))
+            .map_or(Duration::ZERO, |set| self.singleton.in_contact_for(&set))
     }
 
     /// The epoch under which this process has the duties now.
-    pub fn duty_epoch(&self) -> Option<u64> {
-        self.duties.held(&self.register.set()?)
+    pub fn leader_epoch(&self) -> Option<u64> {
+        self.singleton.held(&self.register.set()?)
     }
 
     /// Whether this process has the duties now, still under this epoch.
-    pub fn has_duties(&self, epoch: u64) -> bool {
-        self.duty_epoch() == Some(epoch)
+    pub fn is_leader(&self, epoch: u64) -> bool {
+        self.leader_epoch() == Some(epoch)
     }
 
     /// Lets go of the disk, once all that was asked for is synced. The replica does not answer any more.
@@ -156,10 +135,10 @@
         }
     }
 
-    /// A number from 0 to below `most`.
-    pub fn roll_below(&self, most: u64) -> u64 {
-        let step = self.dice.fetch_add(0x9e37_79b9_7f4a_7c15, Relaxed);
-        mix64(step) % most.max(1)
+    /// A number from 0 to below `limit`.
+    pub fn random_below(&self, limit: u64) -> u64 {
+        let step = self.rng_state.fetch_add(0x9e37_79b9_7f4a_7c15, Relaxed);
+        mix64(step) % limit.max(1)
     }
 }
 
@@ -178,22 +157,22 @@
         .listen_addresses
         .control_plane
         .ok_or(ControllerError::NoAddress)?;
-    let listener = bound(address.into(), async || http::listen(address)).await?;
+    let listener = bind_with_retry(address.into(), async || http::listen(address)).await?;
     let controller = start(settings).await?;
     log::info!(
         "controller: at {address}, internal {}",
         controller.transport.local_address()
     );
-    tokio::spawn(reload::run(controller.clone()));
-    let (stop, stopping) = watch::channel(false);
-    let most_connections = (controller.settings().limits.max_open_files as usize)
-        .saturating_sub(OTHER_DESCRIPTORS)
-        .max(OTHER_DESCRIPTORS);
+    tokio::spawn(settings_reload::run(controller.clone()));
+    let (stop, shutting_down) = watch::channel(false);
+    let max_connections = (controller.settings().limits.max_open_files as usize)
+        .saturating_sub(RESERVED_DESCRIPTORS)
+        .max(RESERVED_DESCRIPTORS);
     let server = http::serve(
         listener,
         http::router(controller.clone()),
-        most_connections,
-        stopping,
+        max_connections,
+        shutting_down,
     );
     let server = tokio::spawn(server);
     signals.shutdown_requested().await;
@@ -206,7 +185,7 @@
             .grace_period_s
             .clamp(0.5, 600.0),
     );
-    let served_and_left = async { tokio::join!(server, membership::leave(&controller)) };
+    let served_and_left = async { tokio::join!(server, register::membership::leave(&controller)) };
     timeout(grace / 2, served_and_left).await.ok();
     controller.close();
     Ok(())
@@ -215,13 +194,13 @@
 /// Starts everything but the HTTP server, on the current runtime.
 pub async fn start(settings: NodeSettings) -> Result<Arc<Controller>, ControllerError> {
     let own = settings.internal_address(InternalPort::Controller);
-    let transport = bound(own, async || Transport::start(own).await).await?;
+    let transport = bind_with_retry(own, async || Transport::start(own).await).await?;
     let controller = assemble(settings, transport)?;
-    tokio::spawn(membership::run(controller.clone()));
-    tokio::spawn(watch_workers(controller.clone()));
-    duty_service::serve(&controller);
-    tokio::spawn(pings::run(controller.clone()));
-    tokio::spawn(duties::run(controller.clone()));
+    tokio::spawn(register::membership::run(controller.clone()));
+    tokio::spawn(expire_silent_workers(controller.clone()));
+    singleton::service::serve(&controller);
+    tokio::spawn(contact::pings::run(controller.clone()));
+    tokio::spawn(singleton::run(controller.clone()));
     Ok(controller)
 }
 
@@ -231,7 +210,7 @@
     transport: Arc<Transport>,
 ) -> Result<Arc<Controller>, ControllerError> {
     let own = transport.local_address();
-    let draw =
+    let random_seed =
         RandomState::new().hash_one((own, &settings.node_name, std::time::SystemTime::now()));
     let identity = Replica {
         id: 0,
@@ -241,7 +220,7 @@
     };
     let replica = match &settings.data_directory {
         Some(directory) => {
-            let opened = VoteStore::open(directory, mix64(draw))?;
+            let opened = AcceptorStorage::open(directory, mix64(random_seed))?;
             Some(Arc::new(LocalReplica::new(opened, identity)))
         }
         None => None,
@@ -259,7 +238,12 @@
         seeds,
         member,
     });
-    let register = Register::start(transport.clone(), replica, draw, settings.first_start);
+    let register = Register::start(
+        transport.clone(),
+        replica,
+        random_seed,
+        settings.first_start,
+    );
     let replica_id = register.replica().map(|replica| replica.identity().id);
     let publisher = Arc::new(Publisher::new(gossip.clone()));
     let on_chosen = publisher.clone();
@@ -271,21 +255,21 @@
         transport,
         gossip,
         publisher,
-        duties: Duties::new(replica_id, own, mix64(!draw)),
+        singleton: Singleton::new(replica_id, own, mix64(!random_seed)),
         register,
-        stopping: AtomicBool::new(false),
-        dice: AtomicU64::new(draw),
+        shutting_down: AtomicBool::new(false),
+        rng_state: AtomicU64::new(random_seed),
     }))
 }
 
 /// Publishes the silence of workers that have stopped calling.
-async fn watch_workers(controller: Arc<Controller>) {
-    let mut ticks = interval(WORKERS_TICK);
+async fn expire_silent_workers(controller: Arc<Controller>) {
+    let mut ticks = interval(WORKER_CHECK_INTERVAL);
     loop {
         ticks.tick().await;
         let in_force = |id: &str| {
             controller
-                .worker_in_force(id)
+                .current_worker_record(id)
                 .map(|record| record.version())
         };
         let silent =
@@ -301,18 +285,18 @@
 }
 
 /// Listens, trying again for a while: the process before may not have let go of the address yet.
-async fn bound<T>(
+async fn bind_with_retry<T>(
     address: SocketAddr,
     listen: impl AsyncFn() -> std::io::Result<T>,
 ) -> Result<T, ControllerError> {
-    let deadline = Instant::now() + BIND_WITHIN;
+    let deadline = Instant::now() + BIND_TIMEOUT;
     loop {
         match listen().await {
             Ok(listening) => return Ok(listening),
             Err(cause) if Instant::now() > deadline => {
                 return Err(ControllerError::Listen { address, cause });
             }
-            Err(_) => sleep(BIND_PAUSE).await,
+            Err(_) => sleep(BIND_RETRY_INTERVAL).await,
         }
     }
 }
--- a/crates/mintlb-control/src/controller/vote_file.rs
+++ b/crates/mintlb-control/src/controller/register/acceptor_file.rs
@@ -1,6 +1,6 @@
 //! What the register's file holds, a replica's identity and vote, and how it is made, read and written.
 
-use super::ControllerError;
+use crate::controller::ControllerError;
 use minicbor::{Decode, Encode};
 use mintlb_register::acceptor::AcceptorState;
 use mintlb_register::ballot::Ballot;
@@ -12,7 +12,7 @@
 /// The file in the data directory.
 pub const FILE: &str = "register.redb";
 /// The file while it is being made.
-const UNFINISHED_FILE: &str = "register.redb.new";
+const TEMPORARY_FILE: &str = "register.redb.new";
 /// Bytes of the file kept in memory.
 const CACHE_BYTES: usize = 1 << 20;
 
@@ -44,7 +44,7 @@
 
 /// Makes the file of a new replica, under another name first, so that a file with the right name is whole.
 pub fn create(directory: &Path, id: ReplicaId) -> Result<(), ControllerError> {
-    let unfinished = directory.join(UNFINISHED_FILE);
+    let unfinished = directory.join(TEMPORARY_FILE);
     let disk = |cause| ControllerError::disk(directory, cause);
     if unfinished.exists() {
         std::fs::remove_file(&unfinished).map_err(disk)?;
--- a/crates/mintlb-control/src/controller/vote_store.rs
+++ b/crates/mintlb-control/src/controller/register/acceptor_storage.rs
@@ -4,9 +4,9 @@
 //! what waits, opens the file again, with bounded pauses until the disk takes bytes, writes the vote that it finds there
 //! once more and hands it back, so that the replica goes on from what is synced.
 
-use super::ControllerError;
-pub use super::vote_file::FILE;
-use super::vote_file::{self, Contents};
+use crate::controller::ControllerError;
+pub use crate::controller::register::acceptor_file::FILE;
+use crate::controller::register::acceptor_file::{self, Contents};
 use mintlb_register::acceptor::{AcceptorState, DurableWrite};
 use mintlb_register::replica_set::ReplicaId;
 use parking_lot::Mutex;
@@ -20,22 +20,22 @@
 use tokio::sync::oneshot;
 
 /// A file that could not be read, kept for whoever looks into it.
-const UNREADABLE_FILE: &str = "register.redb.unreadable";
+const QUARANTINED_FILE: &str = "register.redb.unreadable";
 /// Syncs that may wait.
-pub const QUEUE: usize = 256;
+pub const MAX_PENDING_SYNCS: usize = 256;
 /// The pause before a file is opened again after a failure; it doubles with each further try.
-const FIRST_PAUSE: Duration = Duration::from_millis(50);
+const INITIAL_BACKOFF: Duration = Duration::from_millis(50);
 /// The longest pause.
-const LONGEST_PAUSE: Duration = Duration::from_millis(800);
+const MAX_BACKOFF: Duration = Duration::from_millis(800);
 
 /// Opens the file, at the start and after each failure.
 pub type Opener = Box<dyn Fn() -> Result<Database, ControllerError> + Send>;
 
 /// A sync that is asked for, and whom to tell of it.
-struct Job {
+struct SyncJob {
     sync: DurableWrite,
     /// The life of the vote in memory to which it belongs.
-    life: u64,
+    generation: u64,
     done: oneshot::Sender<()>,
 }
 
@@ -55,7 +55,7 @@
 #[derive(Default)]
 struct Shared {
     unfinished: AtomicUsize,
-    life: AtomicU64,
+    generation: AtomicU64,
     health: Mutex<Health>,
 }
 
@@ -63,7 +63,7 @@
     /// Before the jobs are counted as finished, so that whoever finds none unfinished finds the failure.
     fn fail(&self) {
         *self.health.lock() = Health::Failed;
-        self.life.fetch_add(1, SeqCst);
+        self.generation.fetch_add(1, SeqCst);
     }
 
     fn finish(&self, jobs: usize) {
@@ -72,57 +72,57 @@
 }
 
 /// The file with its thread. Dropping it waits until the thread has closed the file.
-pub struct VoteStore {
-    jobs: Mutex<Option<SyncSender<Job>>>,
+pub struct AcceptorStorage {
+    jobs: Mutex<Option<SyncSender<SyncJob>>>,
     thread: Mutex<Option<JoinHandle<()>>>,
     shared: Arc<Shared>,
 }
 
-impl Drop for VoteStore {
+impl Drop for AcceptorStorage {
     fn drop(&mut self) {
         self.close();
     }
 }
 
 /// What the file held when it was opened.
-pub struct Opened {
+pub struct OpenedAcceptor {
     /// The file.
-    pub store: VoteStore,
+    pub store: AcceptorStorage,
     /// The replica's identity.
     pub id: ReplicaId,
     /// Its vote.
     pub vote: AcceptorState,
 }
 
-impl VoteStore {
+impl AcceptorStorage {
     /// Opens the file, or makes it with a new identity. A damaged file is put aside: the replica then begins anew, as one
     /// that has lost its disk.
-    pub fn open(directory: &Path, new_id: ReplicaId) -> Result<Opened, ControllerError> {
+    pub fn open(directory: &Path, new_id: ReplicaId) -> Result<OpenedAcceptor, ControllerError> {
         let path = directory.join(FILE);
-        let reopened = path.clone();
-        let opener = move || vote_file::open(&reopened);
+        let reopen = path.clone();
+        let opener = move || acceptor_file::open(&reopen);
         if path.exists() {
-            match VoteStore::start(Box::new(opener.clone())) {
+            match AcceptorStorage::start(Box::new(opener.clone())) {
                 Err(error) if error.is_damage() => {
                     log::warn!(
                         "register: {} is damaged and put aside: {error}",
                         path.display()
                     );
-                    std::fs::rename(&path, directory.join(UNREADABLE_FILE))
+                    std::fs::rename(&path, directory.join(QUARANTINED_FILE))
                         .map_err(|cause| ControllerError::disk(&path, cause))?;
                 }
                 opened => return opened,
             }
         }
-        vote_file::create(directory, new_id)?;
-        VoteStore::start(Box::new(opener))
+        acceptor_file::create(directory, new_id)?;
+        AcceptorStorage::start(Box::new(opener))
     }
 
     /// Goes on with the vote that a database holds.
-    pub fn start(opener: Opener) -> Result<Opened, ControllerError> {
+    pub fn start(opener: Opener) -> Result<OpenedAcceptor, ControllerError> {
         let database = opener()?;
-        let Contents { id, vote } = vote_file::read(&database)?;
-        let (jobs, queue) = sync_channel(QUEUE);
+        let Contents { id, vote } = acceptor_file::read(&database)?;
+        let (jobs, queue) = sync_channel(MAX_PENDING_SYNCS);
         let shared = Arc::new(Shared::default());
         let worker = Worker {
             opener,
@@ -134,12 +134,12 @@
             .name("register-sync".to_string())
             .spawn(move || worker.run(database))
             .map_err(|cause| ControllerError::disk(Path::new(FILE), cause))?;
-        let store = VoteStore {
+        let store = AcceptorStorage {
             jobs: Mutex::new(Some(jobs)),
             thread: Mutex::new(Some(thread)),
             shared,
         };
-        Ok(Opened { store, id, vote })
+        Ok(OpenedAcceptor { store, id, vote })
     }
 
     /// Waits until all that was asked for is synced and the file is closed. No sync comes about after it.
@@ -171,7 +171,7 @@
 
     /// Whether as many syncs wait as may.
     pub fn is_full(&self) -> bool {
-        self.shared.unfinished.load(SeqCst) >= QUEUE
+        self.shared.unfinished.load(SeqCst) >= MAX_PENDING_SYNCS
     }
 
     /// Asks for a sync after all those asked for before; the receiver fails if it did not come about.
@@ -181,9 +181,9 @@
         if *health != Health::Good {
             return receiver;
         }
-        let job = Job {
+        let job = SyncJob {
             sync,
-            life: self.shared.life.load(SeqCst),
+            generation: self.shared.generation.load(SeqCst),
             done,
         };
         self.shared.unfinished.fetch_add(1, SeqCst);
@@ -205,7 +205,7 @@
 struct Worker {
     opener: Opener,
     id: ReplicaId,
-    queue: Receiver<Job>,
+    queue: Receiver<SyncJob>,
     shared: Arc<Shared>,
 }
 
@@ -216,8 +216,8 @@
             let mut jobs = vec![first];
             jobs.extend(self.queue.try_iter());
             let waited = jobs.len();
-            let life = self.shared.life.load(SeqCst);
-            jobs.retain(|job| job.life == life);
+            let generation = self.shared.generation.load(SeqCst);
+            jobs.retain(|job| job.generation == generation);
             let Err(error) = commit(&database, &jobs) else {
                 self.shared.finish(waited);
                 for job in jobs {
@@ -231,7 +231,7 @@
             self.shared.fail();
             self.shared.finish(waited);
             drop((jobs, database));
-            match self.reopened() {
+            match self.reopen() {
                 Some(again) => database = again,
                 None => return,
             }
@@ -240,10 +240,10 @@
     }
 
     /// The file, once it can be read and written again; `None` if nobody asks any more.
-    fn reopened(&self) -> Option<Database> {
-        let mut pause = FIRST_PAUSE;
+    fn reopen(&self) -> Option<Database> {
+        let mut backoff = INITIAL_BACKOFF;
         loop {
-            match self.queue.recv_timeout(pause) {
+            match self.queue.recv_timeout(backoff) {
                 // It belongs to the life before.
                 Ok(_) => self.shared.finish(1),
                 Err(RecvTimeoutError::Disconnected) => return None,
@@ -255,7 +255,7 @@
                         }
                         Err(error) => log::debug!("register: the file can't be used yet: {error}"),
                     }
-                    pause = (2 * pause).min(LONGEST_PAUSE);
+                    backoff = (2 * backoff).min(MAX_BACKOFF);
                 }
             }
         }
@@ -264,19 +264,19 @@
     /// What was read is written once more: a commit that failed may have left it where no later sync would cover it.
     fn reload(&self) -> Result<(Database, AcceptorState), ControllerError> {
         let database = (self.opener)()?;
-        let contents = vote_file::read(&database)?;
+        let contents = acceptor_file::read(&database)?;
         if contents.id != self.id {
             return Err(ControllerError::Damaged(
                 "it is another replica's".to_string(),
             ));
         }
-        vote_file::rewrite(&database, &contents)?;
+        acceptor_file::rewrite(&database, &contents)?;
         Ok((database, contents.vote))
     }
 }
 
 /// Writes the last promise and the last value of the jobs. Later ones are never lower.
-fn commit(database: &Database, jobs: &[Job]) -> Result<(), ControllerError> {
+fn commit(database: &Database, jobs: &[SyncJob]) -> Result<(), ControllerError> {
     let promise = jobs.iter().rev().find_map(|job| match &job.sync {
         DurableWrite::Nothing => None,
         DurableWrite::Promise(ballot) => Some(*ballot),
@@ -293,5 +293,5 @@
         } => Some(accepted),
         _ => None,
     });
-    vote_file::write_vote(database, promise, value)
+    acceptor_file::write_vote(database, promise, value)
 }
--- a/crates/mintlb-control/src/controller/replica.rs
+++ b/crates/mintlb-control/src/controller/register/local_replica.rs
@@ -1,6 +1,6 @@
 //! This process's replica of the register: its vote in memory, the file behind it, and its answers.
 
-use super::vote_store::{Health, Opened, VoteStore};
+use crate::controller::register::acceptor_storage::{AcceptorStorage, Health, OpenedAcceptor};
 use mintlb_register::acceptor::{Acceptor, DurableWrite};
 use mintlb_register::message::{AcceptedValue, Reply, Request};
 use mintlb_register::replica_set::Replica;
@@ -13,12 +13,12 @@
 pub struct LocalReplica {
     identity: Replica,
     acceptor: Mutex<Acceptor>,
-    store: VoteStore,
+    store: AcceptorStorage,
 }
 
 impl LocalReplica {
     /// A replica with what its file held; the identity's id is taken from there.
-    pub fn new(opened: Opened, mut identity: Replica) -> LocalReplica {
+    pub fn new(opened: OpenedAcceptor, mut identity: Replica) -> LocalReplica {
         identity.id = opened.id;
         LocalReplica {
             acceptor: Mutex::new(Acceptor::new(opened.id, opened.vote)),
@@ -44,7 +44,7 @@
 
     /// Answers once everything that the answer tells of is synced; `None` if it could not be, or while too much waits.
     pub async fn answer(&self, request: Request) -> Option<Reply> {
-        self.synced(|acceptor| {
+        self.persist(|acceptor| {
             let answered = acceptor.handle(request);
             (answered.durable_write, answered.reply)
         })
@@ -63,13 +63,13 @@
             .members()
             .any(|member| member.id == self.identity.id);
         if is_behind && is_member {
-            self.synced(|acceptor| (acceptor.learn(chosen), ())).await;
+            self.persist(|acceptor| (acceptor.learn(chosen), ())).await;
         }
     }
 
     /// What came of the vote, once all that it has taken in is on disk.
-    async fn synced<T>(&self, vote: impl FnOnce(&mut Acceptor) -> (DurableWrite, T)) -> Option<T> {
-        let (result, synced) = {
+    async fn persist<T>(&self, vote: impl FnOnce(&mut Acceptor) -> (DurableWrite, T)) -> Option<T> {
+        let (result, persist) = {
             let mut acceptor = self.acceptor.lock();
             match self.store.take_health() {
                 Health::Good => (),
@@ -85,7 +85,7 @@
             }
             (result, self.store.sync(sync))
         };
-        synced.await.ok().map(|()| result)
+        persist.await.ok().map(|()| result)
     }
 
     /// Writes the first value of a register, with this replica as the only one; `None` if it could not be synced.
--- a/crates/mintlb-control/src/controller/register.rs
+++ b/crates/mintlb-control/src/controller/register/mod.rs
@@ -1,7 +1,14 @@
 //! This process's way to the register: it drives proposals and reads over the transport, and answers for its replica.
 
-use super::knowledge::Knowledge;
-use super::replica::LocalReplica;
+pub mod acceptor_file;
+pub mod acceptor_storage;
+pub mod local_replica;
+pub mod membership;
+pub mod publisher;
+pub mod register_cache;
+
+use crate::controller::register::local_replica::LocalReplica;
+use crate::controller::register::register_cache::RegisterCache;
 use bytes::Bytes;
 use minicbor::{Decode, Encode};
 use mintlb_common::transport::{self, Channel, Transport};
@@ -21,9 +28,9 @@
 use tokio::time::{Instant, sleep_until, timeout_at};
 
 /// How long a read may try to do with one round.
-const ONE_ROUND_READ: Duration = Duration::from_millis(120);
+const SINGLE_ROUND_TIMEOUT: Duration = Duration::from_millis(120);
 /// Replies of one proposal or read that may wait to be handled.
-const REPLIES: usize = 64;
+const REPLY_QUEUE_CAPACITY: usize = 64;
 
 /// No quorum answered in time. The change may or may not become part of the value.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
@@ -32,7 +39,7 @@
 
 /// A message on the register's channel.
 #[derive(Debug, Encode, Decode)]
-enum Call {
+enum RegisterRequest {
     /// For the replica here.
     #[n(0)]
     Vote(#[n(0)] Request),
@@ -44,9 +51,9 @@
     Grant(#[n(0)] ReplicaId),
 }
 
-/// The answer to a [`Call`].
+/// The answer to a [`RegisterRequest`].
 #[derive(Debug, Encode, Decode)]
-enum CallAnswer {
+enum RegisterResponse {
     #[n(0)]
     Vote(#[n(0)] Reply),
     #[n(1)]
@@ -67,37 +74,37 @@
 pub struct Register {
     transport: Arc<Transport>,
     replica: Option<Arc<LocalReplica>>,
-    knowledge: Mutex<Knowledge>,
+    register_cache: Mutex<RegisterCache>,
     /// Proposals so far, to tell their ballots apart.
     proposals: AtomicU64,
-    draw: u64,
+    random_seed: u64,
     first_start: bool,
     grant: Mutex<BootstrapVote>,
-    turn: tokio::sync::Mutex<()>,
+    proposal_lock: tokio::sync::Mutex<()>,
     /// When the newest round began that a majority answered.
     majority_at: Mutex<Option<Instant>>,
     listener: Mutex<Option<Listener>>,
 }
 
 impl Register {
-    /// A way to the register, which answers on the transport from now on. `draw` is a random number of this start,
+    /// A way to the register, which answers on the transport from now on. `random_seed` is a random number of this start,
     /// `first_start` as in the settings.
     pub fn start(
         transport: Arc<Transport>,
         replica: Option<Arc<LocalReplica>>,
-        draw: u64,
+        random_seed: u64,
         first_start: bool,
     ) -> Arc<Register> {
         let stored = replica.as_ref().and_then(|replica| replica.accepted());
         let register = Arc::new(Register {
             transport: transport.clone(),
             replica,
-            knowledge: Mutex::new(Knowledge::stored(stored)),
+            register_cache: Mutex::new(RegisterCache::stored(stored)),
             proposals: AtomicU64::default(),
-            draw,
+            random_seed,
             first_start,
             grant: Mutex::default(),
-            turn: tokio::sync::Mutex::default(),
+            proposal_lock: tokio::sync::Mutex::default(),
             majority_at: Mutex::default(),
             listener: Mutex::default(),
         });
@@ -120,13 +127,13 @@
 
     /// The newest value known to be chosen.
     pub fn chosen(&self) -> Option<AcceptedValue> {
-        self.knowledge.lock().chosen().cloned()
+        self.register_cache.lock().chosen().cloned()
     }
 
     /// The set by which to ask: the chosen one, or, if one heard of since is newer or none is known, one that may never
     /// have been chosen.
     pub fn set(&self) -> Option<ReplicaSet> {
-        self.knowledge.lock().set().cloned()
+        self.register_cache.lock().set().cloned()
     }
 
     /// When the newest read or change began that a majority answered.
@@ -134,14 +141,14 @@
         *self.majority_at.lock()
     }
 
-    fn majority_answered(&self, begun_at: Instant) {
+    fn majority_answered(&self, round_started_at: Instant) {
         let mut newest = self.majority_at.lock();
-        *newest = Some(newest.map_or(begun_at, |known| known.max(begun_at)));
+        *newest = Some(newest.map_or(round_started_at, |known| known.max(round_started_at)));
     }
 
     /// Takes note of a set that another process knows.
     pub fn hint(&self, set: ReplicaSet) {
-        self.knowledge.lock().hint(set);
+        self.register_cache.lock().hint(set);
     }
 
     /// Founds the register with the replica of this process; whether that is on disk.
@@ -152,7 +159,7 @@
         let ballot = Ballot::default().next(self.proposer());
         match replica.found(ballot).await {
             Some(accepted) => {
-                self.learn(accepted);
+                self.record_chosen(accepted);
                 true
             }
             None => false,
@@ -165,38 +172,38 @@
         change: Change,
         within: Duration,
     ) -> Result<ProposalOutcome, Unavailable> {
-        let begun_at = Instant::now();
-        let deadline = begun_at + within;
-        let _turn = timeout_at(deadline, self.turn.lock())
+        let round_started_at = Instant::now();
+        let deadline = round_started_at + within;
+        let _turn = timeout_at(deadline, self.proposal_lock.lock())
             .await
             .map_err(|_| Unavailable)?;
         let set = self.set().ok_or(Unavailable)?;
         let known = self.chosen();
-        let floor = self.knowledge.lock().floor();
+        let ballot_floor = self.register_cache.lock().ballot_floor();
         let (mut proposal, mut effects) =
-            Proposal::start(self.proposer(), floor, set, known, change);
-        let (replies, mut inputs) = mpsc::channel(REPLIES);
+            Proposal::start(self.proposer(), ballot_floor, set, known, change);
+        let (replies, mut inputs) = mpsc::channel(REPLY_QUEUE_CAPACITY);
         let mut timer = deadline;
         loop {
             if let Some(outcome) = effects.outcome {
-                self.majority_answered(begun_at);
-                self.raise_floor(proposal.highest_ballot());
-                self.learn(outcome.chosen.clone());
+                self.majority_answered(round_started_at);
+                self.raise_ballot_floor(proposal.highest_ballot());
+                self.record_chosen(outcome.chosen.clone());
                 return Ok(outcome);
             }
             for (replica, request) in effects.send {
-                self.post(replica, request, replies.clone());
+                self.send_request(replica, request, replies.clone());
             }
             if let Some(after) = effects.timer {
                 timer = Instant::now() + after;
             }
             let input = tokio::select! {
                 biased;
-                input = inputs.recv() => input.map(Received::into_input),
+                input = inputs.recv() => input.map(ReplicaReply::into_input),
                 () = sleep_until(timer.min(deadline)) => None,
             };
             if Instant::now() >= deadline {
-                self.raise_floor(proposal.highest_ballot());
+                self.raise_ballot_floor(proposal.highest_ballot());
                 return Err(Unavailable);
             }
             effects = proposal.handle(input.unwrap_or(Input::Timer));
@@ -207,7 +214,7 @@
     pub async fn read(&self, within: Duration) -> Result<AcceptedValue, Unavailable> {
         let deadline = Instant::now() + within;
         match self
-            .read_once(deadline.min(Instant::now() + ONE_ROUND_READ))
+            .read_once(deadline.min(Instant::now() + SINGLE_ROUND_TIMEOUT))
             .await
         {
             Some(chosen) => Ok(chosen),
@@ -222,39 +229,39 @@
 
     /// Reads in one round, if a quorum agrees.
     pub async fn read_once(&self, deadline: Instant) -> Option<AcceptedValue> {
-        let begun_at = Instant::now();
+        let round_started_at = Instant::now();
         let (mut reading, mut progress) = QuorumRead::start(self.set()?, self.chosen());
-        let (replies, mut inputs) = mpsc::channel(REPLIES);
+        let (replies, mut inputs) = mpsc::channel(REPLY_QUEUE_CAPACITY);
         loop {
             match progress {
                 ReadProgress::Chosen(accepted) => {
-                    self.majority_answered(begun_at);
-                    self.learn(accepted.clone());
+                    self.majority_answered(round_started_at);
+                    self.record_chosen(accepted.clone());
                     return Some(accepted);
                 }
                 ReadProgress::Inconclusive => return None,
                 ReadProgress::Send(messages) => {
                     for (replica, request) in messages {
-                        self.post(replica, request, replies.clone());
+                        self.send_request(replica, request, replies.clone());
                     }
                 }
             }
-            let received: Received = timeout_at(deadline, inputs.recv()).await.ok()??;
+            let received: ReplicaReply = timeout_at(deadline, inputs.recv()).await.ok()??;
             progress = reading.reply(received.from, received.reply);
-            self.raise_floor(reading.highest_ballot());
+            self.raise_ballot_floor(reading.highest_ballot());
         }
     }
 
     /// Asks another process what it knows of the register.
     pub async fn status_of(&self, address: SocketAddr, within: Duration) -> Option<SeedStatus> {
-        let body = encoded(&Call::Status);
+        let body = encoded(&RegisterRequest::Status);
         let answer = self
             .transport
             .call(address, Channel::Register, body, within)
             .await
             .ok()?;
         match minicbor::decode(&answer).ok()? {
-            CallAnswer::Status { has_disk, set } => Some(SeedStatus {
+            RegisterResponse::Status { has_disk, set } => Some(SeedStatus {
                 has_disk,
                 replica_set: set,
             }),
@@ -263,11 +270,11 @@
     }
 
     /// Asks a seed without a disk whether the replica here may found the register.
-    pub async fn ask_grant(&self, seed: SocketAddr, within: Duration) -> bool {
+    pub async fn request_bootstrap_grant(&self, seed: SocketAddr, within: Duration) -> bool {
         let Some(replica) = &self.replica else {
             return false;
         };
-        let body = encoded(&Call::Grant(replica.identity().id));
+        let body = encoded(&RegisterRequest::Grant(replica.identity().id));
         let answer = self
             .transport
             .call(seed, Channel::Register, body, within)
@@ -275,17 +282,17 @@
         let answer = answer
             .ok()
             .and_then(|answer| minicbor::decode(&answer).ok());
-        matches!(answer, Some(CallAnswer::Grant(true)))
+        matches!(answer, Some(RegisterResponse::Grant(true)))
     }
 
     /// Proposals begin above this ballot from now on.
-    fn raise_floor(&self, seen: Ballot) {
-        self.knowledge.lock().raise_floor(seen);
+    fn raise_ballot_floor(&self, seen: Ballot) {
+        self.register_cache.lock().raise_ballot_floor(seen);
     }
 
     /// Takes note of a value that is chosen.
-    fn learn(&self, accepted: AcceptedValue) {
-        let Some(epoch) = self.knowledge.lock().learn(&accepted) else {
+    fn record_chosen(&self, accepted: AcceptedValue) {
+        let Some(epoch) = self.register_cache.lock().record_chosen(&accepted) else {
             return;
         };
         let set = &accepted.state.replicas;
@@ -306,13 +313,18 @@
     fn proposer(&self) -> u64 {
         let number = self.proposals.fetch_add(1, Relaxed) + 1;
         mix64(
-            self.draw
+            self.random_seed
                 .wrapping_add(number.wrapping_mul(0x9e37_79b9_7f4a_7c15)),
         )
     }
 
     /// Sends a message to a replica, and its reply or its loss to `replies`.
-    fn post(&self, replica: Replica, request: Request, replies: mpsc::Sender<Received>) {
+    fn send_request(
+        &self,
+        replica: Replica,
+        request: Request,
+        replies: mpsc::Sender<ReplicaReply>,
+    ) {
         let ballot = match &request.body {
             RequestBody::Prepare { ballot, .. } => *ballot,
             RequestBody::Accept { proposed } => proposed.ballot,
@@ -331,7 +343,7 @@
                 None => remote(&transport, &replica, request).await,
             };
             replies
-                .send(Received {
+                .send(ReplicaReply {
                     from,
                     ballot,
                     reply,
@@ -344,25 +356,25 @@
 
 async fn remote(transport: &Arc<Transport>, replica: &Replica, request: Request) -> Option<Reply> {
     let address = replica.address.parse().ok()?;
-    let body = encoded(&Call::Vote(request));
+    let body = encoded(&RegisterRequest::Vote(request));
     let answer = transport
         .call(address, Channel::Register, body, PHASE_TIMEOUT)
         .await
         .ok()?;
     match minicbor::decode(&answer).ok()? {
-        CallAnswer::Vote(reply) => Some(reply),
+        RegisterResponse::Vote(reply) => Some(reply),
         _ => None,
     }
 }
 
 /// A replica's reply, or `None` if it is lost.
-struct Received {
+struct ReplicaReply {
     from: ReplicaId,
     ballot: Ballot,
     reply: Option<Reply>,
 }
 
-impl Received {
+impl ReplicaReply {
     fn into_input(self) -> Input {
         match self.reply {
             Some(reply) => Input::Reply(self.from, reply),
@@ -379,30 +391,30 @@
         let register = self.0.clone();
         Box::pin(async move {
             match minicbor::decode(&body) {
-                Ok(Call::Vote(request)) => {
+                Ok(RegisterRequest::Vote(request)) => {
                     let Some(replica) = &register.replica else {
                         return Bytes::new();
                     };
                     match replica.answer(request).await {
-                        Some(reply) => encoded(&CallAnswer::Vote(reply)),
+                        Some(reply) => encoded(&RegisterResponse::Vote(reply)),
                         None => Bytes::new(),
                     }
                 }
-                Ok(Call::Status) => {
+                Ok(RegisterRequest::Status) => {
                     let set = register.set();
-                    encoded(&CallAnswer::Status {
+                    encoded(&RegisterResponse::Status {
                         has_disk: register.replica.is_some(),
                         set,
                     })
                 }
-                Ok(Call::Grant(candidate)) => {
+                Ok(RegisterRequest::Grant(candidate)) => {
                     let knows_set = register.set().is_some();
                     let granted = register.replica.is_none()
                         && register
                             .grant
                             .lock()
                             .grant(candidate, register.first_start, knows_set);
-                    encoded(&CallAnswer::Grant(granted))
+                    encoded(&RegisterResponse::Grant(granted))
                 }
                 Err(_) => Bytes::new(),
             }
--- a/crates/mintlb-control/src/controller/publisher.rs
+++ b/crates/mintlb-control/src/controller/register/publisher.rs
@@ -20,7 +20,7 @@
     /// Publishes what is newer than what is in force.
     pub fn publish(&self, state: &ControlState) {
         for record in records(state) {
-            if self.is_news(&record) {
+            if self.is_newer(&record) {
                 self.gossip.publish_now(record);
             }
         }
@@ -33,7 +33,7 @@
         }
     }
 
-    fn is_news(&self, record: &Record) -> bool {
+    fn is_newer(&self, record: &Record) -> bool {
         self.gossip
             .get(&record.key)
             .is_none_or(|known| known.version < record.version)
@@ -42,13 +42,13 @@
 
 /// The records of a value.
 fn records(state: &ControlState) -> impl Iterator<Item = Record> {
-    let replicas = kept(
+    let replicas = permanent_record(
         REPLICAS,
         state.replicas.epoch,
         minicbor::to_vec(&state.replicas),
     );
     let placement = (state.placement.epoch > 0).then(|| {
-        kept(
+        permanent_record(
             PLACEMENT,
             state.placement.epoch,
             minicbor::to_vec(&state.placement),
@@ -73,7 +73,7 @@
     })
 }
 
-fn kept<E>(key: &str, version: u64, body: Result<Vec<u8>, E>) -> Option<Record> {
+fn permanent_record<E>(key: &str, version: u64, body: Result<Vec<u8>, E>) -> Option<Record> {
     let body = body.ok()?.into();
     Some(Record {
         key: key.to_string(),
--- a/crates/mintlb-control/src/controller/knowledge.rs
+++ b/crates/mintlb-control/src/controller/register/register_cache.rs
@@ -6,23 +6,23 @@
 
 /// What the process knows of the register.
 #[derive(Debug, Default)]
-pub struct Knowledge {
+pub struct RegisterCache {
     /// The newest value known to be chosen.
     chosen: Option<AcceptedValue>,
     /// The newest set heard of from others, or the one that the replica's disk held: whom to ask until a chosen value is
     /// known. It may never have been chosen.
     hint: Option<ReplicaSet>,
     /// The highest ballot heard of.
-    floor: Ballot,
+    ballot_floor: Ballot,
 }
 
-impl Knowledge {
+impl RegisterCache {
     /// Nothing is known but what the replica here accepted last, which may not be chosen.
-    pub fn stored(accepted: Option<AcceptedValue>) -> Knowledge {
+    pub fn stored(accepted: Option<AcceptedValue>) -> RegisterCache {
         let hint = accepted.map(|accepted| accepted.state.replicas.clone());
-        Knowledge {
+        RegisterCache {
             hint,
-            ..Knowledge::default()
+            ..RegisterCache::default()
         }
     }
 
@@ -50,7 +50,7 @@
 
     /// Takes note of a chosen value that a majority has told of just now; whether it is newer than the one known, and the
     /// epoch of the set known before. What was only heard of is forgotten, as it may never have been chosen.
-    pub fn learn(&mut self, accepted: &AcceptedValue) -> Option<u64> {
+    pub fn record_chosen(&mut self, accepted: &AcceptedValue) -> Option<u64> {
         self.hint = None;
         if self
             .chosen
@@ -64,12 +64,12 @@
     }
 
     /// The highest ballot heard of: proposals begin above it.
-    pub fn floor(&self) -> Ballot {
-        self.floor
+    pub fn ballot_floor(&self) -> Ballot {
+        self.ballot_floor
     }
 
     /// A higher ballot may have been heard of.
-    pub fn raise_floor(&mut self, seen: Ballot) {
-        self.floor = self.floor.max(seen);
+    pub fn raise_ballot_floor(&mut self, seen: Ballot) {
+        self.ballot_floor = self.ballot_floor.max(seen);
     }
 }
--- a/crates/mintlb-control/src/controller/reload.rs
+++ b/crates/mintlb-control/src/controller/settings_reload.rs
@@ -1,6 +1,6 @@
 //! Settings that have changed, with a signal or without one.
 
-use super::Controller;
+use crate::controller::Controller;
 use mintlb_common::settings::{NodeSettings, SETTINGS_VARIABLE};
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
@@ -9,7 +9,7 @@
 use tokio::time::{MissedTickBehavior, interval};
 
 /// How often the file's time is looked at.
-const LOOK_EVERY: Duration = Duration::from_secs(2);
+const POLL_INTERVAL: Duration = Duration::from_secs(2);
 
 /// Watches the settings file for the life of the process.
 pub async fn run(controller: Arc<Controller>) {
@@ -19,20 +19,20 @@
     let Ok(mut hangup) = signal(SignalKind::hangup()) else {
         return;
     };
-    let mut looks = interval(LOOK_EVERY);
-    looks.set_missed_tick_behavior(MissedTickBehavior::Delay);
-    let mut seen = changed_at(&path);
+    let mut poll = interval(POLL_INTERVAL);
+    poll.set_missed_tick_behavior(MissedTickBehavior::Delay);
+    let mut last_modified = modified_at(&path);
     loop {
-        let told = tokio::select! { _ = hangup.recv() => true, _ = looks.tick() => false };
-        let now = changed_at(&path);
-        if told || now != seen {
-            seen = now;
+        let signalled = tokio::select! { _ = hangup.recv() => true, _ = poll.tick() => false };
+        let now = modified_at(&path);
+        if signalled || now != last_modified {
+            last_modified = now;
             read(&controller, &path);
         }
     }
 }
 
-fn changed_at(path: &Path) -> Option<SystemTime> {
+fn modified_at(path: &Path) -> Option<SystemTime> {
     std::fs::metadata(path).ok()?.modified().ok()
 }
 
--- a/crates/mintlb-control/src/controller/duty_messages.rs
+++ b/crates/mintlb-control/src/controller/singleton/messages.rs
@@ -1,12 +1,12 @@
 //! What controllers say to each other on the channel of the duties.
 
-use super::ping_state::{Ping, Pong};
+use crate::controller::contact::ping_state::{Ping, Pong};
 use bytes::Bytes;
 use minicbor::{Decode, Encode};
 
 /// A call between controllers.
 #[derive(Debug, Encode, Decode)]
-pub enum DutyCall {
+pub enum SingletonRequest {
     /// I run.
     #[n(0)]
     Ping(#[n(0)] Ping),
@@ -19,12 +19,12 @@
     },
     /// The operator's call on the retirement of a store, passed on by a controller that does not hear the stores.
     #[n(2)]
-    Retire(#[n(0)] RetireCall),
+    Retire(#[n(0)] RetirementRequest),
 }
 
-/// The answer to a [`DutyCall`].
+/// The answer to a [`SingletonRequest`].
 #[derive(Debug, Encode, Decode)]
-pub enum DutyAnswer {
+pub enum SingletonResponse {
     /// I run as well.
     #[n(0)]
     Pong(#[n(0)] Pong),
@@ -40,12 +40,12 @@
     },
     /// What to answer to the operator.
     #[n(3)]
-    Retire(#[n(0)] RetireAnswer),
+    Retire(#[n(0)] RetirementStatus),
 }
 
 /// The operator's call on the retirement of a store, as it is passed on.
 #[derive(Clone, Debug, Encode, Decode)]
-pub struct RetireCall {
+pub struct RetirementRequest {
     /// The machine's name.
     #[n(0)]
     pub node_name: String,
@@ -57,7 +57,7 @@
 /// What the operator is answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 #[cbor(index_only)]
-pub enum RetireAnswer {
+pub enum RetirementStatus {
     /// The order stands.
     #[n(0)]
     Ordered,
--- a/crates/mintlb-control/src/controller/duties.rs
+++ b/crates/mintlb-control/src/controller/singleton/mod.rs
@@ -2,11 +2,15 @@
 //! set, and ends the records of workers that no controller hears any more. Every replica listens to the stores'
 //! heartbeats, so that any can take the duties over.
 
-use super::Controller;
-use super::duty_messages::{DutyAnswer, DutyCall, encoded};
-use super::membership;
-use super::orphans::{Orphans, id_hash};
-use super::ping_state::{PingState, STEP};
+pub mod messages;
+pub mod retirement;
+pub mod service;
+
+use crate::controller::Controller;
+use crate::controller::contact::ping_state::{PingState, STEP};
+use crate::controller::register::membership;
+use crate::controller::singleton::messages::{SingletonRequest, SingletonResponse, encoded};
+use crate::controller::workers::unclaimed_workers::{UnclaimedWorkers, id_hash};
 use mintlb_batch::heartbeat::StoreHeartbeat;
 use mintlb_batch::placement_planner::{StoreTable, StoreView, plan};
 use mintlb_common::placement::Placement;
@@ -24,33 +28,33 @@
 use tokio::time::{Instant, sleep, timeout};
 
 /// Between two looks at the placement at least.
-const LEAST_PAUSE: Duration = Duration::from_millis(20);
+const MIN_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 /// How long a change of the register for a duty may take.
-const CHANGE_WITHIN: Duration = Duration::from_millis(700);
+const CHANGE_TIMEOUT: Duration = Duration::from_millis(700);
 /// How long a read of the register for a duty may take.
-const READ_WITHIN: Duration = Duration::from_millis(200);
+const READ_TIMEOUT: Duration = Duration::from_millis(200);
 /// How long another controller may take to say which workers call it.
-const WORKERS_WITHIN: Duration = Duration::from_millis(600);
+const WORKER_LIST_TIMEOUT: Duration = Duration::from_millis(600);
 /// How often workers without a controller are looked for.
-const ORPHANS_EVERY: Duration = Duration::from_secs(5);
+const UNCLAIMED_SCAN_INTERVAL: Duration = Duration::from_secs(5);
 
 /// The state behind the duties.
-pub struct Duties {
+pub struct Singleton {
     pings: Mutex<PingState>,
     stores: Mutex<StoreTable>,
-    begun: Instant,
-    news: Notify,
+    started_at: Instant,
+    newer_record: Notify,
 }
 
-impl Duties {
-    /// Nothing is known yet. `draw` is a random number of this life of the process.
-    pub fn new(own: Option<ReplicaId>, local_address: SocketAddr, draw: u64) -> Duties {
+impl Singleton {
+    /// Nothing is known yet. `random_seed` is a random number of this life of the process.
+    pub fn new(own: Option<ReplicaId>, local_address: SocketAddr, random_seed: u64) -> Singleton {
         let now = Instant::now();
-        Duties {
-            pings: Mutex::new(PingState::new(now, own, local_address, draw)),
+        Singleton {
+            pings: Mutex::new(PingState::new(now, own, local_address, random_seed)),
             stores: Mutex::new(StoreTable::new(Duration::ZERO)),
-            begun: now,
-            news: Notify::new(),
+            started_at: now,
+            newer_record: Notify::new(),
         }
     }
 
@@ -61,12 +65,14 @@
 
     /// What is known of the stores under a placement.
     pub fn store_view(&self, placement: &Placement) -> StoreView {
-        self.stores.lock().view(placement, self.begun.elapsed())
+        self.stores
+            .lock()
+            .view(placement, self.started_at.elapsed())
     }
 
     /// Replicas that have long been silent.
-    pub fn silent_replicas(&self, set: &ReplicaSet) -> Vec<ReplicaId> {
-        self.pings().peers.silent(Instant::now(), set)
+    pub fn unresponsive_replicas(&self, set: &ReplicaSet) -> Vec<ReplicaId> {
+        self.pings().peers.unresponsive(Instant::now(), set)
     }
 
     /// Whether this process is in contact with a majority of the set now. `majority_at` is when the newest round of the
@@ -75,7 +81,7 @@
         let peers = &mut self.pings().peers;
         majority_at
             .into_iter()
-            .for_each(|at| peers.majority_reached(at));
+            .for_each(|at| peers.record_majority_round(at));
         peers.is_in_contact(Instant::now(), set)
     }
 
@@ -90,24 +96,28 @@
         let peers = &mut self.pings().peers;
         majority_at
             .into_iter()
-            .for_each(|at| peers.majority_reached(at));
+            .for_each(|at| peers.record_majority_round(at));
         peers.step(now, set);
-        peers.held(now, set)
+        peers.leader_epoch(now, set)
     }
 
     /// The epoch under which this process has the duties now.
     pub fn held(&self, set: &ReplicaSet) -> Option<u64> {
-        self.pings().peers.held(Instant::now(), set)
+        self.pings().peers.leader_epoch(Instant::now(), set)
     }
 
     /// Lets the duties be looked at now.
     pub fn wake(&self) {
-        self.news.notify_one();
+        self.newer_record.notify_one();
     }
 
     /// Notes a store's heartbeat.
-    pub fn note_store(&self, heartbeat: StoreHeartbeat) {
-        if self.stores.lock().note(heartbeat, self.begun.elapsed()) {
+    pub fn record_store_heartbeat(&self, heartbeat: StoreHeartbeat) {
+        if self
+            .stores
+            .lock()
+            .note(heartbeat, self.started_at.elapsed())
+        {
             self.wake();
         }
     }
@@ -119,34 +129,36 @@
 
 /// Does the duties while they fall to this process, for its life.
 pub async fn run(controller: Arc<Controller>) {
-    let mut orphans = (None, Orphans::default());
-    let mut orphans_at = Instant::now();
+    let mut unclaimed_workers = (None, UnclaimedWorkers::default());
+    let mut next_unclaimed_scan = Instant::now();
     loop {
-        timeout(STEP, controller.duties.news.notified()).await.ok();
-        let holds = controller.duty_epoch();
-        if orphans.0 != holds {
-            orphans = (holds, Orphans::default());
-            orphans_at = Instant::now() + ORPHANS_EVERY;
+        timeout(STEP, controller.singleton.newer_record.notified())
+            .await
+            .ok();
+        let leader_epoch = controller.leader_epoch();
+        if unclaimed_workers.0 != leader_epoch {
+            unclaimed_workers = (leader_epoch, UnclaimedWorkers::default());
+            next_unclaimed_scan = Instant::now() + UNCLAIMED_SCAN_INTERVAL;
         }
-        if let Some(epoch) = holds {
-            keep_up(&controller).await;
-            if controller.has_duties(epoch) {
+        if let Some(epoch) = leader_epoch {
+            refresh_placement(&controller).await;
+            if controller.is_leader(epoch) {
                 place_shards(&controller).await;
             }
-            if controller.has_duties(epoch) {
-                remove_silent_replica(&controller).await;
+            if controller.is_leader(epoch) {
+                remove_unresponsive_replica(&controller).await;
             }
-            if Instant::now() >= orphans_at {
-                orphans_at = Instant::now() + ORPHANS_EVERY;
-                end_orphans(&controller, &mut orphans.1, epoch).await;
+            if Instant::now() >= next_unclaimed_scan {
+                next_unclaimed_scan = Instant::now() + UNCLAIMED_SCAN_INTERVAL;
+                expire_unclaimed_workers(&controller, &mut unclaimed_workers.1, epoch).await;
             }
         }
-        sleep(LEAST_PAUSE).await;
+        sleep(MIN_CHECK_INTERVAL).await;
     }
 }
 
 /// Reads the register if another controller has written a newer placement than the one known here.
-async fn keep_up(controller: &Controller) {
+async fn refresh_placement(controller: &Controller) {
     let published = controller
         .gossip
         .get(PLACEMENT)
@@ -158,7 +170,7 @@
     if published > known {
         controller
             .register
-            .read_once(Instant::now() + READ_WITHIN)
+            .read_once(Instant::now() + READ_TIMEOUT)
             .await;
     }
 }
@@ -169,7 +181,7 @@
         return;
     };
     let placement = &chosen.state.placement;
-    let view = controller.duties.store_view(placement);
+    let view = controller.singleton.store_view(placement);
     let tolerance = controller.settings().fault_tolerance.machines;
     let Some(next) = plan(placement, &view, tolerance) else {
         return;
@@ -177,7 +189,7 @@
     let epoch = next.epoch;
     match controller
         .register
-        .change(Change::SetPlacement(next), CHANGE_WITHIN)
+        .change(Change::SetPlacement(next), CHANGE_TIMEOUT)
         .await
     {
         Ok(outcome) if outcome.change.is_applied() => log::info!("duties: placement epoch {epoch}"),
@@ -187,7 +199,7 @@
 }
 
 /// Takes one long silent replica out of a set that is larger than it has to be.
-async fn remove_silent_replica(controller: &Controller) {
+async fn remove_unresponsive_replica(controller: &Controller) {
     let Some(chosen) = controller.register.chosen() else {
         return;
     };
@@ -196,44 +208,54 @@
     if set.is_joint() || set.current.len() <= min_replicas {
         return;
     }
-    let Some(id) = controller.duties.silent_replicas(set).first().copied() else {
+    let Some(id) = controller
+        .singleton
+        .unresponsive_replicas(set)
+        .first()
+        .copied()
+    else {
         return;
     };
     let change = Change::RemoveReplica { id, min_replicas };
-    if let Ok(outcome) = controller.register.change(change, CHANGE_WITHIN).await
+    if let Ok(outcome) = controller.register.change(change, CHANGE_TIMEOUT).await
         && outcome.change == ChangeOutcome::Applied
     {
         log::info!("duties: a silent replica was taken out of the set");
-        membership::settle(controller).await;
+        membership::complete_reconfiguration(controller).await;
     }
 }
 
 /// Ends the records of workers that no controller has heard for long.
-async fn end_orphans(controller: &Arc<Controller>, orphans: &mut Orphans, epoch: u64) {
+async fn expire_unclaimed_workers(
+    controller: &Arc<Controller>,
+    unclaimed_workers: &mut UnclaimedWorkers,
+    epoch: u64,
+) {
     let own: Vec<u32> = controller.registry.lock().ids().map(id_hash).collect();
     let mut claimed: FxHashSet<u32> = own.into_iter().collect();
-    let body = encoded(&DutyCall::Workers { epoch });
+    let body = encoded(&SingletonRequest::Workers { epoch });
     let mut calls = JoinSet::new();
-    for address in controller.duties.live_addresses() {
+    for address in controller.singleton.live_addresses() {
         let (transport, body) = (controller.transport.clone(), body.clone());
         calls.spawn(async move {
             transport
-                .call(address, Channel::Control, body, WORKERS_WITHIN)
+                .call(address, Channel::Control, body, WORKER_LIST_TIMEOUT)
                 .await
         });
     }
     while let Some(answer) = calls.join_next().await {
         let answer = answer.ok().and_then(Result::ok);
         match answer.and_then(|answer| minicbor::decode(&answer).ok()) {
-            Some(DutyAnswer::Workers(workers)) => claimed.extend(workers),
+            Some(SingletonResponse::Workers(workers)) => claimed.extend(workers),
             // Without the word of all of them nobody is an orphan.
             _ => return,
         }
     }
-    if !controller.has_duties(epoch) {
+    if !controller.is_leader(epoch) {
         return;
     }
-    for record in orphans.look(Instant::now(), &controller.gossip.snapshot(), &claimed) {
+    for record in unclaimed_workers.expired(Instant::now(), &controller.gossip.snapshot(), &claimed)
+    {
         log::info!(
             "duties: no controller hears the worker {}",
             record.instance_id
--- a/crates/mintlb-control/src/controller/retirement.rs
+++ b/crates/mintlb-control/src/controller/singleton/retirement.rs
@@ -1,7 +1,7 @@
 //! Carries out the operator's calls on the retirement of stores, at a controller that hears the stores.
 
-use super::Controller;
-use super::duty_messages::{RetireAnswer, RetireCall};
+use crate::controller::Controller;
+use crate::controller::singleton::messages::{RetirementRequest, RetirementStatus};
 use mintlb_batch::placement_planner::{
     LIVE, Retirement, RetirementOrder, StoreView, order_retirement, retirement,
 };
@@ -12,37 +12,46 @@
 use tokio::time::Instant;
 
 /// The operator calls another controller after a second.
-pub const ANSWER_WITHIN: Duration = Duration::from_millis(850);
+pub const RESPONSE_TIMEOUT: Duration = Duration::from_millis(850);
 /// How long the newest placement may take to be read.
-const READ_WITHIN: Duration = Duration::from_millis(400);
+const READ_TIMEOUT: Duration = Duration::from_millis(400);
 /// After a cut or a pause the stores are listened to for so long before anything is said of them: two periods of their
 /// heartbeats.
-const LISTENS_FIRST: Duration = Duration::from_millis(900);
+const MIN_CONTACT: Duration = Duration::from_millis(900);
 
 /// Carries out a call by what this process knows of the stores.
-pub async fn carry_out(controller: &Arc<Controller>, call: &RetireCall) -> RetireAnswer {
-    let deadline = Instant::now() + ANSWER_WITHIN;
+pub async fn handle_retirement(
+    controller: &Arc<Controller>,
+    call: &RetirementRequest,
+) -> RetirementStatus {
+    let deadline = Instant::now() + RESPONSE_TIMEOUT;
     let tolerance = controller.settings().fault_tolerance.machines;
     loop {
         if !controller.is_in_contact() {
-            return RetireAnswer::Unavailable;
+            return RetirementStatus::Unavailable;
         }
         let left = deadline.saturating_duration_since(Instant::now());
-        let Ok(chosen) = controller.register.read(left.min(READ_WITHIN)).await else {
-            return RetireAnswer::Unavailable;
+        let Ok(chosen) = controller.register.read(left.min(READ_TIMEOUT)).await else {
+            return RetirementStatus::Unavailable;
         };
         let placement = &chosen.state.placement;
-        let view = controller.duties.store_view(placement);
-        let has_listened = controller.in_contact_for() >= LISTENS_FIRST;
+        let view = controller.singleton.store_view(placement);
+        let has_current_heartbeats = controller.in_contact_for() >= MIN_CONTACT;
         if !call.begin {
-            return progress(placement, &view, &call.node_name, tolerance, has_listened);
+            return progress(
+                placement,
+                &view,
+                &call.node_name,
+                tolerance,
+                has_current_heartbeats,
+            );
         }
         let next = match order_retirement(placement, &view, &call.node_name, tolerance) {
-            RetirementOrder::AlreadyStarted => return RetireAnswer::Ordered,
-            RetirementOrder::NotFound => return RetireAnswer::Unknown,
-            _ if !has_listened => return RetireAnswer::Unavailable,
-            RetirementOrder::TooFewStores => return RetireAnswer::TooFew,
-            RetirementOrder::Unavailable => return RetireAnswer::Unavailable,
+            RetirementOrder::AlreadyStarted => return RetirementStatus::Ordered,
+            RetirementOrder::NotFound => return RetirementStatus::Unknown,
+            _ if !has_current_heartbeats => return RetirementStatus::Unavailable,
+            RetirementOrder::TooFewStores => return RetirementStatus::TooFew,
+            RetirementOrder::Unavailable => return RetirementStatus::Unavailable,
             RetirementOrder::Start(next) => next,
         };
         let left = deadline.saturating_duration_since(Instant::now());
@@ -51,10 +60,10 @@
             .change(Change::SetPlacement(next), left)
             .await
         {
-            Ok(outcome) if outcome.change.is_applied() => return RetireAnswer::Ordered,
+            Ok(outcome) if outcome.change.is_applied() => return RetirementStatus::Ordered,
             // The placement has changed in between.
             Ok(_) => (),
-            Err(_) => return RetireAnswer::Unavailable,
+            Err(_) => return RetirementStatus::Unavailable,
         }
     }
 }
@@ -66,19 +75,21 @@
     view: &StoreView,
     node_name: &str,
     tolerance: usize,
-    has_listened: bool,
-) -> RetireAnswer {
+    has_current_heartbeats: bool,
+) -> RetirementStatus {
     match retirement(placement, view, node_name, tolerance) {
-        Some(Retirement::Completed) if has_listened && hears_primaries(placement, view) => {
-            RetireAnswer::Completed
+        Some(Retirement::Completed)
+            if has_current_heartbeats && all_primaries_live(placement, view) =>
+        {
+            RetirementStatus::Completed
         }
-        Some(Retirement::Completed) => RetireAnswer::Unavailable,
-        Some(Retirement::Running) => RetireAnswer::Running,
-        None => RetireAnswer::Unknown,
+        Some(Retirement::Completed) => RetirementStatus::Unavailable,
+        Some(Retirement::Running) => RetirementStatus::Running,
+        None => RetirementStatus::Unknown,
     }
 }
 
-fn hears_primaries(placement: &Placement, view: &StoreView) -> bool {
+fn all_primaries_live(placement: &Placement, view: &StoreView) -> bool {
     let mut primaries = placement
         .shards
         .iter()
--- /dev/null
+++ b/crates/mintlb-control/src/controller/workers/mod.rs
@@ -0,0 +1,4 @@
+//! The workers that send their heartbeats to this controller, and workers that no controller claims.
+
+pub mod registry;
+pub mod unclaimed_workers;
--- a/crates/mintlb-control/src/controller/registry.rs
+++ b/crates/mintlb-control/src/controller/workers/registry.rs
@@ -9,40 +9,40 @@
 use tokio::time::Instant;
 
 /// Workers that one controller keeps; calls of more are not acknowledged.
-pub const MOST_WORKERS: usize = 20_000;
+pub const MAX_WORKERS: usize = 20_000;
 /// By so much the end of a worker's cold time may move without being news, in ms.
-const WARM_SLACK_MS: u64 = 500;
+const WARM_UP_TOLERANCE_MS: u64 = 500;
 /// A gap of so long between two ticks says that this process was not running: nobody is silent for that reason.
-pub const FROZEN: Duration = Duration::from_millis(1000);
+pub const PROCESS_PAUSE: Duration = Duration::from_millis(1000);
 
 /// What is to be done about a call.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Heard {
+pub enum HeartbeatOutcome {
     /// Nothing new.
-    Nothing,
+    Unchanged,
     /// A later call was heard before, or the worker has ended.
-    Late,
+    Stale,
     /// This has to be published.
     Publish(WorkerRecord),
     /// There are too many workers.
-    TooMany,
+    RegistryFull,
 }
 
 #[derive(Debug)]
-struct Kept {
+struct RegisteredWorker {
     /// As published last by this controller.
     published: WorkerRecord,
     /// Whether a neighbour has confirmed it.
     confirmed: bool,
     /// The highest call sequence heard.
     call_sequence: u64,
-    heard_at: Instant,
+    last_received: Instant,
 }
 
 /// The workers of one controller.
 #[derive(Debug)]
 pub struct Registry {
-    workers: FxHashMap<String, Kept>,
+    workers: FxHashMap<String, RegisteredWorker>,
     silence: Duration,
     ticked_at: Instant,
 }
@@ -58,7 +58,7 @@
     }
 
     /// Sets after which time without a call a worker is silent.
-    pub fn set_silence(&mut self, silence: Duration) {
+    pub fn set_heartbeat_timeout(&mut self, silence: Duration) {
         self.silence = silence;
     }
 
@@ -77,83 +77,83 @@
         self.workers.keys().map(String::as_str)
     }
 
-    /// A worker's call. `in_force` is its record as everybody knows it.
+    /// A worker's call. `current` is its record as everybody knows it.
     pub fn heartbeat(
         &mut self,
         now: Instant,
-        told: WorkerRecord,
-        in_force: Option<&WorkerRecord>,
-    ) -> Heard {
-        let sequence = told.call_sequence;
-        let gone = in_force.is_some_and(|known| known.state == WorkerState::Deregistered);
-        let later = in_force.is_some_and(|known| known.call_sequence > sequence);
+        reported: WorkerRecord,
+        current: Option<&WorkerRecord>,
+    ) -> HeartbeatOutcome {
+        let sequence = reported.call_sequence;
+        let gone = current.is_some_and(|known| known.state == WorkerState::Deregistered);
+        let later = current.is_some_and(|known| known.call_sequence > sequence);
         let repeated = self
             .workers
-            .get(&told.instance_id)
-            .is_some_and(|kept| kept.call_sequence >= sequence);
+            .get(&reported.instance_id)
+            .is_some_and(|worker| worker.call_sequence >= sequence);
         if gone || later || repeated {
             return self
-                .unconfirmed_drain(&told)
-                .map_or(Heard::Late, Heard::Publish);
+                .unconfirmed_draining(&reported)
+                .map_or(HeartbeatOutcome::Stale, HeartbeatOutcome::Publish);
         }
-        if !self.workers.contains_key(&told.instance_id) && self.workers.len() >= MOST_WORKERS {
-            return Heard::TooMany;
+        if !self.workers.contains_key(&reported.instance_id) && self.workers.len() >= MAX_WORKERS {
+            return HeartbeatOutcome::RegistryFull;
         }
-        let old = self.workers.get(&told.instance_id);
-        let own = old.filter(|kept| {
-            in_force.is_some_and(|known| known.version() == kept.published.version())
+        let old = self.workers.get(&reported.instance_id);
+        let own = old.filter(|worker| {
+            current.is_some_and(|known| known.version() == worker.published.version())
         });
-        if let Some(kept) = own
-            && is_same(&kept.published, &told)
-            && (kept.confirmed || told.state != WorkerState::Draining)
+        if let Some(worker) = own
+            && is_unchanged(&worker.published, &reported)
+            && (worker.confirmed || reported.state != WorkerState::Draining)
         {
-            let kept = self.workers.get_mut(&told.instance_id);
-            if let Some(kept) = kept {
-                kept.call_sequence = sequence;
-                kept.heard_at = now;
+            let worker = self.workers.get_mut(&reported.instance_id);
+            if let Some(worker) = worker {
+                worker.call_sequence = sequence;
+                worker.last_received = now;
             }
-            return Heard::Nothing;
+            return HeartbeatOutcome::Unchanged;
         }
-        let kept = Kept {
-            published: told.clone(),
+        let worker = RegisteredWorker {
+            published: reported.clone(),
             confirmed: false,
             call_sequence: sequence,
-            heard_at: now,
+            last_received: now,
         };
-        self.workers.insert(told.instance_id.clone(), kept);
-        Heard::Publish(told)
+        self.workers.insert(reported.instance_id.clone(), worker);
+        HeartbeatOutcome::Publish(reported)
     }
 
     /// The drain of a worker that says again that it drains, if no neighbour has confirmed it yet.
-    fn unconfirmed_drain(&self, told: &WorkerRecord) -> Option<WorkerRecord> {
-        let kept = self
+    fn unconfirmed_draining(&self, reported: &WorkerRecord) -> Option<WorkerRecord> {
+        let worker = self
             .workers
-            .get(&told.instance_id)
-            .filter(|kept| !kept.confirmed)?;
+            .get(&reported.instance_id)
+            .filter(|worker| !worker.confirmed)?;
         let drains = |record: &WorkerRecord| record.state == WorkerState::Draining;
-        (drains(told) && drains(&kept.published)).then(|| kept.published.clone())
+        (drains(reported) && drains(&worker.published)).then(|| worker.published.clone())
     }
 
     /// A neighbour has confirmed this record.
     pub fn confirmed(&mut self, record: &WorkerRecord) {
-        if let Some(kept) = self.workers.get_mut(&record.instance_id)
-            && kept.published == *record
+        if let Some(worker) = self.workers.get_mut(&record.instance_id)
+            && worker.published == *record
         {
-            kept.confirmed = true;
+            worker.confirmed = true;
         }
     }
 
     /// A worker says that it ends. Returns the record to publish.
-    pub fn leave(&mut self, id: &str, in_force: Option<WorkerRecord>) -> WorkerRecord {
-        let kept = self.workers.remove(id).map(|kept| kept.published);
-        let known = in_force.or(kept).unwrap_or_else(|| unknown(id));
+    pub fn leave(&mut self, id: &str, current: Option<WorkerRecord>) -> WorkerRecord {
+        let worker = self.workers.remove(id).map(|worker| worker.published);
+        let known = current.or(worker).unwrap_or_else(|| unknown_worker(id));
         WorkerRecord {
             state: WorkerState::Deregistered,
             ..known
         }
     }
 
-    /// Those that have become silent, as records to publish. `in_force` tells a worker's version as everybody knows it:
+    /// Those that have become silent, as records to publish. `current` tells a worker's version as everybody knows it:
     /// a worker whose record another controller has published since is no longer this one's. Nobody is silent to a
     /// process that stood still, or that is out of contact with a majority of the controllers: its workers may call
     /// others, and it begins to count anew once that is over.
@@ -161,27 +161,27 @@
         &mut self,
         now: Instant,
         in_contact: bool,
-        in_force: impl Fn(&str) -> Option<u64>,
+        current: impl Fn(&str) -> Option<u64>,
     ) -> Vec<WorkerRecord> {
-        let paused = now.saturating_duration_since(self.ticked_at) > FROZEN;
+        let paused = now.saturating_duration_since(self.ticked_at) > PROCESS_PAUSE;
         self.ticked_at = now;
         if paused || !in_contact {
             self.workers
                 .values_mut()
-                .for_each(|kept| kept.heard_at = now);
+                .for_each(|worker| worker.last_received = now);
             return Vec::new();
         }
         let silence = self.silence;
         let mut silent = Vec::new();
-        self.workers.retain(|id, kept| {
-            if now.saturating_duration_since(kept.heard_at) < silence {
+        self.workers.retain(|id, worker| {
+            if now.saturating_duration_since(worker.last_received) < silence {
                 return true;
             }
-            if in_force(id).is_none_or(|version| version <= kept.published.version()) {
+            if current(id).is_none_or(|version| version <= worker.published.version()) {
                 silent.push(WorkerRecord {
                     state: WorkerState::Unresponsive,
-                    call_sequence: kept.call_sequence,
-                    ..kept.published.clone()
+                    call_sequence: worker.call_sequence,
+                    ..worker.published.clone()
                 });
             }
             false
@@ -191,23 +191,27 @@
 }
 
 /// What a worker's call says beyond its record in force, for a controller that does not take the worker in.
-pub fn news(told: WorkerRecord, in_force: Option<&WorkerRecord>) -> Option<WorkerRecord> {
-    let is_news =
-        in_force.is_none_or(|known| known.version() < told.version() && !is_same(known, &told));
-    is_news.then_some(told)
+pub fn newer_record(
+    reported: WorkerRecord,
+    current: Option<&WorkerRecord>,
+) -> Option<WorkerRecord> {
+    let is_newer = current.is_none_or(|known| {
+        known.version() < reported.version() && !is_unchanged(known, &reported)
+    });
+    is_newer.then_some(reported)
 }
 
 /// Whether everything but the call sequence is the same.
-fn is_same(a: &WorkerRecord, b: &WorkerRecord) -> bool {
+fn is_unchanged(a: &WorkerRecord, b: &WorkerRecord) -> bool {
     a.state == b.state
         && a.address == b.address
         && a.service == b.service
         && a.zone == b.zone
         && a.capacity_slots == b.capacity_slots
-        && a.slow_start_until_ms.abs_diff(b.slow_start_until_ms) <= WARM_SLACK_MS
+        && a.slow_start_until_ms.abs_diff(b.slow_start_until_ms) <= WARM_UP_TOLERANCE_MS
 }
 
-fn unknown(id: &str) -> WorkerRecord {
+fn unknown_worker(id: &str) -> WorkerRecord {
     WorkerRecord {
         instance_id: id.to_string(),
         service: String::new(),
--- a/crates/mintlb-control/src/controller/orphans.rs
+++ b/crates/mintlb-control/src/controller/workers/unclaimed_workers.rs
@@ -8,11 +8,11 @@
 use tokio::time::Instant;
 
 /// A worker is an orphan after so long: cuts and restarts of controllers are over by then.
-pub const ORPHANED_AFTER: Duration = Duration::from_secs(12);
+pub const UNCLAIMED_TIMEOUT: Duration = Duration::from_secs(12);
 
 /// Workers that no controller claims, each with its record's version and since when.
 #[derive(Debug, Default)]
-pub struct Orphans {
+pub struct UnclaimedWorkers {
     unclaimed: FxHashMap<String, (u64, Instant)>,
 }
 
@@ -23,9 +23,9 @@
     })
 }
 
-impl Orphans {
+impl UnclaimedWorkers {
     /// One look at the records, with the workers that controllers claim. Returns the records of those that are silent.
-    pub fn look(
+    pub fn expired(
         &mut self,
         now: Instant,
         table: &Table,
@@ -36,7 +36,7 @@
             (!claimed.contains(&id_hash(id))).then_some((id, record))
         });
         let mut unclaimed = FxHashMap::default();
-        let mut orphans = Vec::new();
+        let mut unclaimed_workers = Vec::new();
         for (id, record) in workers {
             let Ok(worker) = minicbor::decode::<WorkerRecord>(&record.body) else {
                 continue;
@@ -52,8 +52,8 @@
                 .get(id)
                 .filter(|(version, _)| *version == record.version);
             let since = before.map_or(now, |(_, since)| *since);
-            if now.saturating_duration_since(since) >= ORPHANED_AFTER {
-                orphans.push(WorkerRecord {
+            if now.saturating_duration_since(since) >= UNCLAIMED_TIMEOUT {
+                unclaimed_workers.push(WorkerRecord {
                     state: WorkerState::Unresponsive,
                     ..worker
                 });
@@ -61,6 +61,6 @@
             unclaimed.insert(id.to_string(), (record.version, since));
         }
         self.unclaimed = unclaimed;
-        orphans
+        unclaimed_workers
     }
 }
--- a/crates/mintlb-control/tests/contact_world/mod.rs
+++ b/crates/mintlb-control/tests/contact_world/mod.rs
@@ -1,8 +1,8 @@
 //! Controllers that ping each other in virtual time, over links that can be cut in one direction and that keep what was
 //! sent meanwhile; processes that stand still and then read what has piled up.
 
-use mintlb_control::controller::contact::LEASE;
-use mintlb_control::controller::ping_state::{Ping, PingState, Pong, STEP};
+use mintlb_control::controller::contact::ping_state::{Ping, PingState, Pong, STEP};
+use mintlb_control::controller::contact::quorum_contact::CONTACT_LEASE;
 use mintlb_register::replica_set::{Replica, ReplicaSet};
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -43,7 +43,7 @@
     linked_at: Vec<Vec<Instant>>,
     nodes: Vec<Node>,
     messages: Vec<InFlight>,
-    dice: u64,
+    rng_state: u64,
     /// What was broken first.
     pub broken: Option<String>,
     /// The most that had the duties at one moment.
@@ -62,7 +62,7 @@
 
 impl World {
     /// So many replicas, and after them so many controllers without one.
-    pub fn new(replicas: usize, others: usize, dice: u64) -> World {
+    pub fn new(replicas: usize, others: usize, rng_state: u64) -> World {
         let now = Instant::now();
         let replica = |place| Replica {
             id: id(place),
@@ -82,7 +82,7 @@
                 now,
                 own,
                 address(place),
-                dice.wrapping_mul(place as u64 + 7),
+                rng_state.wrapping_mul(place as u64 + 7),
             );
             let next_step = now + TICK * (place as u32 * 7 % 30);
             Node {
@@ -99,7 +99,7 @@
             linked_at: vec![vec![now; count]; count],
             nodes: (0..count).map(node).collect(),
             messages: Vec::new(),
-            dice: dice | 1,
+            rng_state: rng_state | 1,
             broken: None,
             most_holders: 0,
             in_contact: 0,
@@ -137,11 +137,11 @@
 
     /// Who has the duties now.
     pub fn holders(&self) -> Vec<usize> {
-        let holds = |place: &usize| {
+        let leader_epoch = |place: &usize| {
             let node = &self.nodes[*place];
-            !node.frozen && node.state.peers.held(self.now, &self.set).is_some()
+            !node.frozen && node.state.peers.leader_epoch(self.now, &self.set).is_some()
         };
-        (0..self.count()).filter(holds).collect()
+        (0..self.count()).filter(leader_epoch).collect()
     }
 
     /// Goes on for a while.
@@ -211,7 +211,7 @@
         node.next_step = now + STEP;
         node.steps += 1;
         let mut pings = Vec::new();
-        if node.state.votes(&set) || node.steps.is_multiple_of(2) {
+        if node.state.is_member(&set) || node.steps.is_multiple_of(2) {
             for target in node.state.targets(now, &set) {
                 pings.push((target, node.state.ping(now, target, &set)));
             }
@@ -235,10 +235,10 @@
 
     /// A number from 0 to below `most` (xorshift).
     pub fn roll(&mut self, most: u64) -> u64 {
-        self.dice ^= self.dice << 13;
-        self.dice ^= self.dice >> 7;
-        self.dice ^= self.dice << 17;
-        (self.dice >> 20) % most
+        self.rng_state ^= self.rng_state << 13;
+        self.rng_state ^= self.rng_state >> 7;
+        self.rng_state ^= self.rng_state << 17;
+        (self.rng_state >> 20) % most
     }
 
     /// Who says that it is in contact could reach a majority there and back within the lease; who has the duties is in
@@ -249,10 +249,11 @@
         }
         let (now, peers) = (self.now, &self.nodes[place].state.peers);
         let in_contact = peers.is_in_contact(now, &self.set);
-        let has_more =
-            peers.held(now, &self.set).is_some() || !peers.silent(now, &self.set).is_empty();
-        let lately =
-            |at: Instant| now.saturating_duration_since(at) < LEASE + TICK * MOST_DELAY as u32;
+        let has_more = peers.leader_epoch(now, &self.set).is_some()
+            || !peers.unresponsive(now, &self.set).is_empty();
+        let lately = |at: Instant| {
+            now.saturating_duration_since(at) < CONTACT_LEASE + TICK * MOST_DELAY as u32
+        };
         let reachable = |other: u64| {
             let other = (other - 100) as usize;
             other == place
--- a/crates/mintlb-control/tests/controller_vote_store.rs
+++ b/crates/mintlb-control/tests/controller_acceptor_storage.rs
@@ -1,6 +1,6 @@
 //! The file behind a replica: what it keeps, and what becomes of a torn one.
 
-use mintlb_control::controller::vote_store::{FILE, VoteStore};
+use mintlb_control::controller::register::acceptor_storage::{AcceptorStorage, FILE};
 use mintlb_register::acceptor::DurableWrite;
 use mintlb_register::ballot::Ballot;
 use mintlb_register::message::AcceptedValue;
@@ -34,14 +34,14 @@
 }
 
 /// Waits for a sync on the calling thread.
-fn synced(store: &VoteStore, sync: DurableWrite) {
+fn synced(store: &AcceptorStorage, sync: DurableWrite) {
     store.sync(sync).blocking_recv().unwrap();
 }
 
 #[test]
 fn identity_promise_and_value_are_kept() {
     let folder = tempfile::tempdir().unwrap();
-    let opened = VoteStore::open(folder.path(), 41).unwrap();
+    let opened = AcceptorStorage::open(folder.path(), 41).unwrap();
     assert_eq!((opened.id, opened.vote.accepted), (41, None));
     synced(&opened.store, DurableWrite::Promise(ballot(3)));
     synced(&opened.store, DurableWrite::Accepted(accepted(3)));
@@ -49,7 +49,7 @@
     synced(&opened.store, DurableWrite::Nothing);
     assert!(!opened.store.is_busy());
     drop(opened.store);
-    let again = VoteStore::open(folder.path(), 99).unwrap();
+    let again = AcceptorStorage::open(folder.path(), 99).unwrap();
     assert_eq!(
         again.id, 41,
         "the identity offered to an existing file is not taken"
@@ -63,17 +63,17 @@
 #[test]
 fn a_file_that_another_process_has_open_is_left_alone() {
     let folder = tempfile::tempdir().unwrap();
-    let opened = VoteStore::open(folder.path(), 41).unwrap();
-    assert!(VoteStore::open(folder.path(), 42).is_err());
+    let opened = AcceptorStorage::open(folder.path(), 41).unwrap();
+    assert!(AcceptorStorage::open(folder.path(), 42).is_err());
     synced(&opened.store, DurableWrite::Promise(ballot(3)));
     drop(opened.store);
-    assert_eq!(VoteStore::open(folder.path(), 43).unwrap().id, 41);
+    assert_eq!(AcceptorStorage::open(folder.path(), 43).unwrap().id, 41);
 }
 
 #[test]
 fn what_waits_is_written_together_and_in_order() {
     let folder = tempfile::tempdir().unwrap();
-    let opened = VoteStore::open(folder.path(), 41).unwrap();
+    let opened = AcceptorStorage::open(folder.path(), 41).unwrap();
     let waiting: Vec<_> = (1..=50)
         .map(|counter| match counter % 2 {
             0 => opened.store.sync(DurableWrite::Promise(ballot(counter))),
@@ -84,7 +84,7 @@
         .into_iter()
         .for_each(|sync| sync.blocking_recv().unwrap());
     drop(opened.store);
-    let again = VoteStore::open(folder.path(), 99).unwrap();
+    let again = AcceptorStorage::open(folder.path(), 99).unwrap();
     assert_eq!(
         (again.vote.promised, again.vote.accepted),
         (ballot(50), Some(accepted(49)))
@@ -95,7 +95,7 @@
 fn a_file_that_is_not_whole_is_put_aside_and_the_replica_begins_anew() {
     let folder = tempfile::tempdir().unwrap();
     std::fs::write(folder.path().join(FILE), b"torn").unwrap();
-    let opened = VoteStore::open(folder.path(), 42).unwrap();
+    let opened = AcceptorStorage::open(folder.path(), 42).unwrap();
     assert_eq!((opened.id, opened.vote.accepted), (42, None));
     assert!(folder.path().join("register.redb.unreadable").exists());
 }
@@ -104,6 +104,6 @@
 fn a_file_that_was_never_finished_is_made_again() {
     let folder = tempfile::tempdir().unwrap();
     std::fs::write(folder.path().join("register.redb.new"), b"half").unwrap();
-    let opened = VoteStore::open(folder.path(), 43).unwrap();
+    let opened = AcceptorStorage::open(folder.path(), 43).unwrap();
     assert_eq!(opened.id, 43);
 }
--- a/crates/mintlb-control/tests/controller_catch_up.rs
+++ b/crates/mintlb-control/tests/controller_catch_up.rs
@@ -1,7 +1,7 @@
 //! A replica that has missed changes catches up.
 
-use mintlb_control::controller::replica::LocalReplica;
-use mintlb_control::controller::vote_store::VoteStore;
+use mintlb_control::controller::register::acceptor_storage::AcceptorStorage;
+use mintlb_control::controller::register::local_replica::LocalReplica;
 use mintlb_register::ballot::Ballot;
 use mintlb_register::message::{AcceptedValue, Reply, Request, RequestBody};
 use mintlb_register::replica_set::{Replica, ReplicaId};
@@ -44,7 +44,12 @@
 fn a_replica_that_missed_hundreds_of_changes_holds_the_newest_at_once() {
     for missed_from in [1, 100, 499] {
         let folder = tempfile::tempdir().unwrap();
-        let open = || LocalReplica::new(VoteStore::open(folder.path(), 7).unwrap(), identity(7));
+        let open = || {
+            LocalReplica::new(
+                AcceptorStorage::open(folder.path(), 7).unwrap(),
+                identity(7),
+            )
+        };
         let replica = open();
         wait(replica.catch_up(&chosen(missed_from, 7)));
         wait(replica.catch_up(&chosen(500, 7)));
@@ -62,7 +67,10 @@
 #[test]
 fn catching_up_breaks_no_promise_and_is_for_members_alone() {
     let folder = tempfile::tempdir().unwrap();
-    let replica = LocalReplica::new(VoteStore::open(folder.path(), 7).unwrap(), identity(7));
+    let replica = LocalReplica::new(
+        AcceptorStorage::open(folder.path(), 7).unwrap(),
+        identity(7),
+    );
     wait(replica.catch_up(&chosen(5, 8)));
     assert_eq!(replica.accepted(), None, "another's set");
     let promised = Ballot {
@@ -82,7 +90,7 @@
         "a chosen value, though a higher ballot was promised"
     );
     drop(replica);
-    let opened = VoteStore::open(folder.path(), 7).unwrap();
+    let opened = AcceptorStorage::open(folder.path(), 7).unwrap();
     assert_eq!(
         (opened.vote.promised, opened.vote.accepted),
         (promised, Some(chosen(8, 7))),
--- a/crates/mintlb-control/tests/controller_cli.rs
+++ b/crates/mintlb-control/tests/controller_cli.rs
@@ -2,7 +2,7 @@
 
 use bpaf::Args;
 use mintlb_common::settings::NodeSettings;
-use mintlb_control::cli::{Verb, faults, parser};
+use mintlb_control::cli::{Verb, parser, validate};
 
 const EDGE: &str = r#"
 node_name = "edge-hba-1"
@@ -27,7 +27,7 @@
 "#;
 
 fn of(settings: &str) -> Vec<String> {
-    faults(&NodeSettings::parse(settings).unwrap())
+    validate(&NodeSettings::parse(settings).unwrap())
 }
 
 #[test]
--- a/crates/mintlb-control/tests/controller_disk_faults.rs
+++ b/crates/mintlb-control/tests/controller_disk_faults.rs
@@ -4,8 +4,8 @@
 mod faulty_disk;
 
 use faulty_disk::{Disk, Mode};
-use mintlb_control::controller::replica::LocalReplica;
-use mintlb_control::controller::vote_store::{QUEUE, VoteStore};
+use mintlb_control::controller::register::acceptor_storage::{AcceptorStorage, MAX_PENDING_SYNCS};
+use mintlb_control::controller::register::local_replica::LocalReplica;
 use mintlb_register::ballot::Ballot;
 use mintlb_register::message::{AcceptedValue, Reply, ReportedValue, Request, RequestBody};
 use mintlb_register::replica_set::Replica;
@@ -16,7 +16,7 @@
 use std::time::{Duration, Instant};
 
 /// Longest wait for anything; only a fault makes it run out.
-const PATIENCE: Duration = Duration::from_secs(30);
+const TEST_TIMEOUT: Duration = Duration::from_secs(30);
 const ID: u64 = 7;
 
 fn ballot(counter: u64) -> Ballot {
@@ -76,7 +76,7 @@
 }
 
 fn replica(disk: &Disk) -> LocalReplica {
-    LocalReplica::new(VoteStore::start(disk.opener()).unwrap(), identity())
+    LocalReplica::new(AcceptorStorage::start(disk.opener()).unwrap(), identity())
 }
 
 /// Waits for an answer on this thread.
@@ -86,7 +86,7 @@
         .build()
         .unwrap();
     runtime.block_on(async {
-        tokio::time::timeout(PATIENCE, replica.answer(request))
+        tokio::time::timeout(TEST_TIMEOUT, replica.answer(request))
             .await
             .unwrap()
     })
@@ -94,7 +94,7 @@
 
 /// Asks until there is an answer.
 fn answer_at_last(replica: &LocalReplica, request: Request) -> Reply {
-    let until = Instant::now() + PATIENCE;
+    let until = Instant::now() + TEST_TIMEOUT;
     loop {
         match answer(replica, request.clone()) {
             Some(reply) => return reply,
@@ -190,7 +190,7 @@
 }
 
 /// Begins a call; it is pending.
-fn begun<'a>(
+fn started_at<'a>(
     replica: &'a LocalReplica,
     request: Request,
 ) -> std::pin::Pin<Box<dyn Future<Output = Option<Reply>> + 'a>> {
@@ -206,10 +206,10 @@
     let replica = replica(&disk);
     answer(&replica, accept(1));
     disk.set(Mode::Hangs);
-    let first = begun(&replica, accept(2));
+    let first = started_at(&replica, accept(2));
     disk.wait_until_it_hangs();
-    let waiting: Vec<_> = (1..QUEUE as u64)
-        .map(|i| begun(&replica, prepare(i + 2)))
+    let waiting: Vec<_> = (1..MAX_PENDING_SYNCS as u64)
+        .map(|i| started_at(&replica, prepare(i + 2)))
         .collect();
     let over = Box::pin(replica.answer(prepare(9000)))
         .as_mut()
@@ -247,9 +247,11 @@
     let disk = Disk::with_replica(ID);
     let replica = replica(&disk);
     disk.set(Mode::Hangs);
-    let first = begun(&replica, accept(2));
+    let first = started_at(&replica, accept(2));
     disk.wait_until_it_hangs();
-    let waiting: Vec<_> = (1..QUEUE).map(|_| begun(&replica, read())).collect();
+    let waiting: Vec<_> = (1..MAX_PENDING_SYNCS)
+        .map(|_| started_at(&replica, read()))
+        .collect();
     assert_eq!(answer(&replica, accept(50)), None);
     disk.set(Mode::Good);
     drop((first, waiting));
--- a/crates/mintlb-control/tests/controller_fleet.rs
+++ b/crates/mintlb-control/tests/controller_fleet.rs
@@ -3,10 +3,10 @@
 mod controllers;
 
 use axum::http::{Method, StatusCode};
-use controllers::{Fleet, PATIENCE};
+use controllers::{Fleet, TEST_TIMEOUT};
 use mintlb_common::record::{CONFIGURATION, WorkerRecord, WorkerState};
-use mintlb_control::controller::contact::LEASE;
-use mintlb_control::controller::membership;
+use mintlb_control::controller::contact::quorum_contact::CONTACT_LEASE;
+use mintlb_control::controller::register::membership;
 use mintlb_register::replica_set::{ReplicaId, ReplicaSet};
 
 fn configuration(version: u64) -> String {
@@ -145,7 +145,7 @@
     let state = |place: usize| {
         fleet
             .at(place)
-            .worker_in_force("i-1")
+            .current_worker_record("i-1")
             .map(|worker| worker.state)
     };
     assert_eq!(state(1), Some(WorkerState::Draining));
@@ -188,7 +188,7 @@
 
 /// Calls until the answer is this one.
 fn until(expected: StatusCode, call: impl Fn(u64) -> StatusCode) {
-    let give_up = std::time::Instant::now() + PATIENCE;
+    let give_up = std::time::Instant::now() + TEST_TIMEOUT;
     let mut seen = Vec::new();
     for number in 0.. {
         let status = call(number);
@@ -252,7 +252,12 @@
         (status, text.starts_with("M444")),
         (StatusCode::SERVICE_UNAVAILABLE, true)
     );
-    let state = |id: &str| fleet.at(2).worker_in_force(id).map(|worker| worker.state);
+    let state = |id: &str| {
+        fleet
+            .at(2)
+            .current_worker_record(id)
+            .map(|worker| worker.state)
+    };
     assert_eq!(
         state("i-1"),
         Some(WorkerState::InService),
@@ -297,13 +302,15 @@
             scope.spawn(move || fleet.call(2, method, "/v1/instances/i-2", None, &body))
         });
         // The others go on until its lease is over.
-        let begun = std::time::Instant::now();
-        until(StatusCode::OK, |number| match begun.elapsed() > LEASE {
-            true => StatusCode::OK,
-            false => match beat(0, "in_service", 1000 + number) {
-                StatusCode::OK => StatusCode::ACCEPTED,
-                status => status,
-            },
+        let started_at = std::time::Instant::now();
+        until(StatusCode::OK, |number| {
+            match started_at.elapsed() > CONTACT_LEASE {
+                true => StatusCode::OK,
+                false => match beat(0, "in_service", 1000 + number) {
+                    StatusCode::OK => StatusCode::ACCEPTED,
+                    status => status,
+                },
+            }
         });
         drop(thaw);
         for call in first {
@@ -419,7 +426,7 @@
     }
     fleet.restart(2);
     // Whatever it answers before it has read the register anew, it is not the old one.
-    let give_up = std::time::Instant::now() + PATIENCE;
+    let give_up = std::time::Instant::now() + TEST_TIMEOUT;
     let answer = loop {
         let answer = read_once(&fleet, 2);
         if answer.0 != StatusCode::SERVICE_UNAVAILABLE || std::time::Instant::now() > give_up {
--- a/crates/mintlb-control/tests/controller_registry.rs
+++ b/crates/mintlb-control/tests/controller_registry.rs
@@ -2,7 +2,7 @@
 
 use arbtest::arbtest;
 use mintlb_common::record::{WorkerRecord, WorkerState};
-use mintlb_control::controller::registry::{Heard, Registry, news};
+use mintlb_control::controller::workers::registry::{HeartbeatOutcome, Registry, newer_record};
 use std::time::Duration;
 use tokio::time::Instant;
 
@@ -52,15 +52,15 @@
     let mut registry = Registry::new(now, SILENCE);
     assert_eq!(
         registry.heartbeat(now, in_service(1), None),
-        Heard::Publish(in_service(1))
+        HeartbeatOutcome::Publish(in_service(1))
     );
     assert_eq!(
         registry.heartbeat(now, in_service(2), Some(&in_service(1))),
-        Heard::Nothing
+        HeartbeatOutcome::Unchanged
     );
     assert_eq!(
         registry.heartbeat(now, draining(3), Some(&in_service(1))),
-        Heard::Publish(draining(3))
+        HeartbeatOutcome::Publish(draining(3))
     );
     let moved = WorkerRecord {
         address: "10.128.0.9:9090".to_string(),
@@ -68,7 +68,7 @@
     };
     assert_eq!(
         registry.heartbeat(now, moved.clone(), Some(&draining(3))),
-        Heard::Publish(moved)
+        HeartbeatOutcome::Publish(moved)
     );
 }
 
@@ -79,12 +79,12 @@
     registry.heartbeat(now, draining(1), None);
     assert_eq!(
         registry.heartbeat(now, draining(2), Some(&draining(1))),
-        Heard::Publish(draining(2))
+        HeartbeatOutcome::Publish(draining(2))
     );
     registry.confirmed(&draining(2));
     assert_eq!(
         registry.heartbeat(now, draining(3), Some(&draining(2))),
-        Heard::Nothing
+        HeartbeatOutcome::Unchanged
     );
 }
 
@@ -95,12 +95,12 @@
     registry.heartbeat(now, draining(5), None);
     assert_eq!(
         registry.heartbeat(now, in_service(4), Some(&draining(5))),
-        Heard::Late
+        HeartbeatOutcome::Stale
     );
     let mut other = Registry::new(now, SILENCE);
     assert_eq!(
         other.heartbeat(now, in_service(4), Some(&draining(5))),
-        Heard::Late
+        HeartbeatOutcome::Stale
     );
 }
 
@@ -116,7 +116,7 @@
     );
     assert_eq!(
         registry.heartbeat(now, in_service(9), Some(&gone)),
-        Heard::Late
+        HeartbeatOutcome::Stale
     );
 }
 
@@ -125,7 +125,7 @@
     let now = Instant::now();
     let mut registry = Registry::new(now, SILENCE);
     let heard = registry.heartbeat(now, in_service(7), Some(&in_service(2)));
-    assert_eq!(heard, Heard::Publish(in_service(7)));
+    assert_eq!(heard, HeartbeatOutcome::Publish(in_service(7)));
     let silent_at_the_other = call("i-1", 6, WorkerState::Unresponsive);
     assert!(in_service(7).version() > silent_at_the_other.version());
 }
@@ -186,11 +186,11 @@
     registry.heartbeat(now, cold(1, 10_000), None);
     assert_eq!(
         registry.heartbeat(now, cold(2, 10_300), Some(&cold(1, 10_000))),
-        Heard::Nothing
+        HeartbeatOutcome::Unchanged
     );
     assert_eq!(
         registry.heartbeat(now, cold(3, 0), Some(&cold(1, 10_000))),
-        Heard::Publish(cold(3, 0))
+        HeartbeatOutcome::Publish(cold(3, 0))
     );
 }
 
@@ -216,7 +216,8 @@
         while !calls.is_empty() {
             let (told, at) = calls.remove(u.choose_index(calls.len())?);
             highest = highest.max(told.call_sequence);
-            if let Heard::Publish(record) = controllers[at].heartbeat(now, told, in_force.as_ref())
+            if let HeartbeatOutcome::Publish(record) =
+                controllers[at].heartbeat(now, told, in_force.as_ref())
                 && in_force
                     .as_ref()
                     .is_none_or(|known| known.version() < record.version())
@@ -283,42 +284,52 @@
     registry.heartbeat(now, draining(3), Some(&in_service(1)));
     assert_eq!(
         registry.heartbeat(now, draining(3), Some(&draining(3))),
-        Heard::Publish(draining(3))
+        HeartbeatOutcome::Publish(draining(3))
     );
     assert_eq!(
         registry.heartbeat(now, draining(2), Some(&draining(3))),
-        Heard::Publish(draining(3))
+        HeartbeatOutcome::Publish(draining(3))
     );
     assert_eq!(
         registry.heartbeat(now, in_service(2), Some(&draining(3))),
-        Heard::Late
+        HeartbeatOutcome::Stale
     );
     registry.confirmed(&draining(3));
     assert_eq!(
         registry.heartbeat(now, draining(3), Some(&draining(3))),
-        Heard::Late
+        HeartbeatOutcome::Stale
     );
 }
 
 #[test]
 fn out_of_contact_only_what_is_new_and_later_is_told() {
-    assert_eq!(news(in_service(3), None), Some(in_service(3)));
+    assert_eq!(newer_record(in_service(3), None), Some(in_service(3)));
     assert_eq!(
-        news(in_service(3), Some(&in_service(2))),
+        newer_record(in_service(3), Some(&in_service(2))),
         None,
         "the same but for its number"
     );
-    assert_eq!(news(draining(3), Some(&in_service(2))), Some(draining(3)));
-    assert_eq!(news(in_service(2), Some(&draining(3))), None, "late");
+    assert_eq!(
+        newer_record(draining(3), Some(&in_service(2))),
+        Some(draining(3))
+    );
+    assert_eq!(
+        newer_record(in_service(2), Some(&draining(3))),
+        None,
+        "late"
+    );
     let silent = call("i-1", 2, WorkerState::Unresponsive);
     assert_eq!(
-        news(in_service(2), Some(&silent)),
+        newer_record(in_service(2), Some(&silent)),
         None,
         "the call that was followed by silence"
     );
-    assert_eq!(news(in_service(3), Some(&silent)), Some(in_service(3)));
     assert_eq!(
-        news(
+        newer_record(in_service(3), Some(&silent)),
+        Some(in_service(3))
+    );
+    assert_eq!(
+        newer_record(
             in_service(9),
             Some(&call("i-1", 2, WorkerState::Deregistered))
         ),
--- a/crates/mintlb-control/tests/controller_retirement.rs
+++ b/crates/mintlb-control/tests/controller_retirement.rs
@@ -3,8 +3,8 @@
 use mintlb_batch::heartbeat::ShardReport;
 use mintlb_batch::placement_planner::{LIVE, StoreStatus, StoreView};
 use mintlb_common::placement::{Placement, ShardAssignment, StoreEntry};
-use mintlb_control::controller::duty_messages::RetireAnswer;
-use mintlb_control::controller::retirement::progress;
+use mintlb_control::controller::singleton::messages::RetirementStatus;
+use mintlb_control::controller::singleton::retirement::progress;
 use std::time::Duration;
 
 fn entry(id: u64, retiring: bool) -> StoreEntry {
@@ -68,12 +68,12 @@
     let fresh = view(LIVE - Duration::from_millis(1));
     assert_eq!(
         progress(&placement(), &fresh, "storage-1", 1, true),
-        RetireAnswer::Completed
+        RetirementStatus::Completed
     );
     let stale = view(LIVE);
     assert_eq!(
         progress(&placement(), &stale, "storage-1", 1, true),
-        RetireAnswer::Unavailable
+        RetirementStatus::Unavailable
     );
 }
 
@@ -82,14 +82,14 @@
     let fresh = view(Duration::ZERO);
     assert_eq!(
         progress(&placement(), &fresh, "storage-1", 1, false),
-        RetireAnswer::Unavailable
+        RetirementStatus::Unavailable
     );
     assert_eq!(
         progress(&placement(), &fresh, "storage-7", 1, false),
-        RetireAnswer::Unknown
+        RetirementStatus::Unknown
     );
     assert_eq!(
         progress(&placement(), &StoreView::default(), "storage-1", 1, false),
-        RetireAnswer::Running
+        RetirementStatus::Running
     );
 }
--- a/crates/mintlb-control/tests/controller_orphans.rs
+++ b/crates/mintlb-control/tests/controller_unclaimed_workers.rs
@@ -1,7 +1,9 @@
 //! Workers that no controller hears.
 
 use mintlb_common::record::{WorkerRecord, WorkerState};
-use mintlb_control::controller::orphans::{ORPHANED_AFTER, Orphans, id_hash};
+use mintlb_control::controller::workers::unclaimed_workers::{
+    UNCLAIMED_TIMEOUT, UnclaimedWorkers, id_hash,
+};
 use mintlb_gossip::table::RecordStore;
 use rustc_hash::FxHashSet;
 use std::time::Duration;
@@ -23,7 +25,7 @@
 struct World {
     now: Instant,
     records: RecordStore,
-    orphans: Orphans,
+    unclaimed_workers: UnclaimedWorkers,
 }
 
 impl World {
@@ -31,7 +33,7 @@
         World {
             now: Instant::now(),
             records: RecordStore::default(),
-            orphans: Orphans::default(),
+            unclaimed_workers: UnclaimedWorkers::default(),
         }
     }
 
@@ -39,10 +41,11 @@
         self.records.apply_local(self.now, record.to_record());
     }
 
-    fn look(&mut self, after: Duration, claimed: &[&str]) -> Vec<WorkerRecord> {
+    fn expired(&mut self, after: Duration, claimed: &[&str]) -> Vec<WorkerRecord> {
         self.now += after;
         let claimed: FxHashSet<u32> = claimed.iter().map(|id| id_hash(id)).collect();
-        self.orphans.look(self.now, self.records.table(), &claimed)
+        self.unclaimed_workers
+            .expired(self.now, self.records.table(), &claimed)
     }
 }
 
@@ -51,10 +54,10 @@
     let mut world = World::new();
     world.publish(worker("a", 3, WorkerState::InService));
     world.publish(worker("b", 3, WorkerState::InService));
-    assert!(world.look(Duration::ZERO, &["b"]).is_empty());
-    assert!(world.look(ORPHANED_AFTER / 2, &["b"]).is_empty());
+    assert!(world.expired(Duration::ZERO, &["b"]).is_empty());
+    assert!(world.expired(UNCLAIMED_TIMEOUT / 2, &["b"]).is_empty());
     assert_eq!(
-        world.look(ORPHANED_AFTER / 2, &["b"]),
+        world.expired(UNCLAIMED_TIMEOUT / 2, &["b"]),
         [worker("a", 3, WorkerState::Unresponsive)]
     );
 }
@@ -63,18 +66,18 @@
 fn a_worker_that_is_claimed_or_published_again_is_none() {
     let mut world = World::new();
     world.publish(worker("a", 3, WorkerState::InService));
-    world.look(Duration::ZERO, &[]);
-    world.look(ORPHANED_AFTER / 2, &["a"]);
+    world.expired(Duration::ZERO, &[]);
+    world.expired(UNCLAIMED_TIMEOUT / 2, &["a"]);
     assert!(
-        world.look(ORPHANED_AFTER / 2, &[]).is_empty(),
+        world.expired(UNCLAIMED_TIMEOUT / 2, &[]).is_empty(),
         "the time begins anew"
     );
     world.publish(worker("a", 4, WorkerState::InService));
     assert!(
-        world.look(ORPHANED_AFTER, &[]).is_empty(),
+        world.expired(UNCLAIMED_TIMEOUT, &[]).is_empty(),
         "it has called since"
     );
-    assert_eq!(world.look(ORPHANED_AFTER, &[]).len(), 1);
+    assert_eq!(world.expired(UNCLAIMED_TIMEOUT, &[]).len(), 1);
 }
 
 #[test]
@@ -82,6 +85,6 @@
     let mut world = World::new();
     world.publish(worker("a", 3, WorkerState::Unresponsive));
     world.publish(worker("b", 3, WorkerState::Deregistered));
-    world.look(Duration::ZERO, &[]);
-    assert!(world.look(ORPHANED_AFTER, &[]).is_empty());
+    world.expired(Duration::ZERO, &[]);
+    assert!(world.expired(UNCLAIMED_TIMEOUT, &[]).is_empty());
 }
--- a/crates/mintlb-control/tests/controller_worker_records.rs
+++ b/crates/mintlb-control/tests/controller_worker_records.rs
@@ -5,7 +5,7 @@
 use arbtest::arbitrary::{Result, Unstructured};
 use arbtest::arbtest;
 use mintlb_common::record::{WorkerRecord, WorkerState};
-use mintlb_control::controller::registry::{Heard, Registry};
+use mintlb_control::controller::workers::registry::{HeartbeatOutcome, Registry};
 use std::time::Duration;
 use tokio::time::Instant;
 
@@ -100,7 +100,7 @@
                     .heartbeat(self.now, told, in_force.as_ref());
                 let drains = state == WorkerState::Draining && controller.told.is_none();
                 controller.told = if drains { Some(state) } else { controller.told };
-                if let Heard::Publish(record) = heard {
+                if let HeartbeatOutcome::Publish(record) = heard {
                     Some(record)
                 } else {
                     None
--- a/crates/mintlb-control/tests/controllers/mod.rs
+++ b/crates/mintlb-control/tests/controllers/mod.rs
@@ -5,7 +5,7 @@
 use axum::http::{Method, Request, StatusCode};
 use mintlb_common::record::{REPLICAS, Record};
 use mintlb_common::settings::NodeSettings;
-use mintlb_control::controller::vote_store::FILE;
+use mintlb_control::controller::register::acceptor_storage::FILE;
 use mintlb_control::controller::{Controller, http, start};
 use mintlb_gossip::GossipService;
 use mintlb_register::replica_set::ReplicaSet;
@@ -18,10 +18,10 @@
 use tower_service::Service;
 
 /// How long the operator repeats a call.
-const OPERATOR_PATIENCE: std::time::Duration = std::time::Duration::from_secs(10);
+const OPERATOR_TIMEOUT: std::time::Duration = std::time::Duration::from_secs(10);
 
 /// Longest wait for anything; only a fault makes it run out.
-pub const PATIENCE: Duration = Duration::from_secs(30);
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(30);
 
 static NEXT_PORT: AtomicU16 = AtomicU16::new(0);
 
@@ -153,7 +153,7 @@
             }
         }));
         finding
-            .recv_timeout(PATIENCE)
+            .recv_timeout(TEST_TIMEOUT)
             .expect("the record does not come");
     }
 
@@ -179,13 +179,13 @@
             .unwrap()
             .send(Job::Call(Box::new(Call { request, answer })))
             .unwrap();
-        answered.recv_timeout(PATIENCE).expect("no answer")
+        answered.recv_timeout(TEST_TIMEOUT).expect("no answer")
     }
 
     /// Replaces the configuration, as an operator does: a call without a clear answer is repeated, for as long as he
     /// does that.
     pub fn configure(&self, place: usize, base: u64, body: &str) -> StatusCode {
-        let until = std::time::Instant::now() + OPERATOR_PATIENCE;
+        let until = std::time::Instant::now() + OPERATOR_TIMEOUT;
         loop {
             let (status, _) = self.call(place, Method::PUT, "/v1/configuration", Some(base), body);
             if status != StatusCode::SERVICE_UNAVAILABLE || std::time::Instant::now() >= until {
@@ -218,7 +218,9 @@
                 }
             });
         });
-        let controller = starting.recv_timeout(PATIENCE).expect("it does not start");
+        let controller = starting
+            .recv_timeout(TEST_TIMEOUT)
+            .expect("it does not start");
         Process {
             jobs: Some(jobs),
             thread: Some(thread),
--- a/crates/mintlb-control/tests/faulty_disk/mod.rs
+++ b/crates/mintlb-control/tests/faulty_disk/mod.rs
@@ -1,8 +1,8 @@
 //! A disk in memory below redb: full, failing at a sync, hanging, without power.
 
 use mintlb_control::controller::ControllerError;
-use mintlb_control::controller::vote_file::{self, Contents};
-use mintlb_control::controller::vote_store::Opener;
+use mintlb_control::controller::register::acceptor_file::{self, Contents};
+use mintlb_control::controller::register::acceptor_storage::Opener;
 use mintlb_register::acceptor::AcceptorState;
 use parking_lot::{Condvar, Mutex};
 use redb::StorageBackend;
@@ -54,10 +54,10 @@
             hanging: 0,
         };
         let disk = Disk(Arc::new((Mutex::new(bytes), Condvar::new())));
-        let database = vote_file::builder()
+        let database = acceptor_file::builder()
             .create_with_backend(disk.clone())
             .unwrap();
-        vote_file::rewrite(
+        acceptor_file::rewrite(
             &database,
             &Contents {
                 id,
@@ -72,7 +72,7 @@
     pub fn opener(&self) -> Opener {
         let disk = self.clone();
         Box::new(move || {
-            let opened = vote_file::builder().create_with_backend(disk.clone());
+            let opened = acceptor_file::builder().create_with_backend(disk.clone());
             opened.map_err(|error| ControllerError::Database(error.to_string()))
         })
     }
--- a/crates/mintlb-simulation/src/controller/configuration.rs
+++ b/crates/mintlb-simulation/src/controller/configuration.rs
@@ -1,4 +1,4 @@
-//! The operator's calls; mirrors `controller/configuration_api.rs` and `controller/publisher.rs`.
+//! The operator's calls; mirrors `controller/http/configuration_api.rs` and `controller/register/publisher.rs`.
 
 use super::Controller;
 use super::duties::TOLERANCE;
--- a/crates/mintlb-simulation/src/controller/duties.rs
+++ b/crates/mintlb-simulation/src/controller/duties.rs
@@ -1,4 +1,4 @@
-//! A controller's pings and duties; mirrors `controller/duties.rs` and `controller/pings.rs` around the product's
+//! A controller's pings and duties; mirrors `controller/singleton/mod.rs` and `controller/contact/pings.rs` around the product's
 //! `PingState`.
 
 use super::Controller;
@@ -9,7 +9,7 @@
 use mintlb_batch::heartbeat::StoreHeartbeat;
 use mintlb_batch::placement_planner::{StoreTable, StoreView};
 use mintlb_common::placement::Placement;
-use mintlb_control::controller::ping_state::{Ping, PingState, Pong, STEP};
+use mintlb_control::controller::contact::ping_state::{Ping, PingState, Pong, STEP};
 use mintlb_register::change::{Change, ChangeOutcome};
 use mintlb_register::replica_set::{ReplicaId, ReplicaSet};
 use std::net::SocketAddr;
@@ -81,7 +81,7 @@
 
     /// Replicas that have long been silent.
     pub fn silent(&self, context: &Context, set: &ReplicaSet) -> Vec<ReplicaId> {
-        self.pings.peers.silent(context.instant, set)
+        self.pings.peers.unresponsive(context.instant, set)
     }
 }
 
@@ -101,7 +101,7 @@
         self.register
             .majority_at()
             .into_iter()
-            .for_each(|at| peers.majority_reached(at));
+            .for_each(|at| peers.record_majority_round(at));
         peers.is_in_contact(context.instant, set)
     }
 
@@ -117,7 +117,7 @@
     pub(super) fn has_duties(&self, context: &Context) -> bool {
         self.register
             .set()
-            .and_then(|set| self.duties.pings.peers.held(context.instant, set))
+            .and_then(|set| self.duties.pings.peers.leader_epoch(context.instant, set))
             .is_some()
     }
 
@@ -135,16 +135,17 @@
         let Some(set) = self.register.set().cloned() else {
             return;
         };
-        if self.duties.pings.votes(&set) || self.duties.steps.is_multiple_of(STEPS_WITHOUT_VOTE) {
+        if self.duties.pings.is_member(&set) || self.duties.steps.is_multiple_of(STEPS_WITHOUT_VOTE)
+        {
             self.ping(context, &set);
         }
         let peers = &mut self.duties.pings.peers;
         self.register
             .majority_at()
             .into_iter()
-            .for_each(|at| peers.majority_reached(at));
+            .for_each(|at| peers.record_majority_round(at));
         peers.step(context.instant, &set);
-        let held = peers.held(context.instant, &set);
+        let held = peers.leader_epoch(context.instant, &set);
         if held != self.duties.held {
             self.duties.held = held;
             context
--- a/crates/mintlb-simulation/src/controller/membership.rs
+++ b/crates/mintlb-simulation/src/controller/membership.rs
@@ -1,4 +1,4 @@
-//! How a controller keeps in touch with the register; mirrors `controller/membership.rs`. The campaign among seeds
+//! How a controller keeps in touch with the register; mirrors `controller/register/membership.rs`. The campaign among seeds
 //! without a disk is left out: every controller of the model has one.
 
 use super::Controller;
--- a/crates/mintlb-simulation/src/controller/placing.rs
+++ b/crates/mintlb-simulation/src/controller/placing.rs
@@ -1,4 +1,4 @@
-//! The placement duty and the retirement of stores; mirrors `controller/duties.rs` and `controller/retirement.rs`
+//! The placement duty and the retirement of stores; mirrors `controller/singleton/mod.rs` and `controller/singleton/retirement.rs`
 //! around the product's planner.
 
 use super::Controller;
@@ -11,8 +11,8 @@
 use mintlb_batch::placement_planner::{RetirementOrder, order_retirement, plan};
 use mintlb_common::placement::Placement;
 use mintlb_common::record::PLACEMENT;
-use mintlb_control::controller::duty_messages::RetireAnswer;
-use mintlb_control::controller::retirement::progress;
+use mintlb_control::controller::singleton::messages::RetirementStatus;
+use mintlb_control::controller::singleton::retirement::progress;
 use mintlb_register::change::Change;
 use mintlb_register::state::ControlState;
 use std::time::Duration;
@@ -122,12 +122,12 @@
                 }
             },
             false => match progress(placement, &view, &node, TOLERANCE, has_listened) {
-                RetireAnswer::Completed => Told::Retiring { completed: true },
-                RetireAnswer::Unknown => Told::Refused,
+                RetirementStatus::Completed => Told::Retiring { completed: true },
+                RetirementStatus::Unknown => Told::Refused,
                 _ if context.planted == Planted::LeavingNotWaitedFor => {
                     Told::Retiring { completed: true }
                 }
-                RetireAnswer::Running => Told::Retiring { completed: false },
+                RetirementStatus::Running => Told::Retiring { completed: false },
                 _ => Told::Unavailable,
             },
         };
--- a/crates/mintlb-simulation/src/controller/vote.rs
+++ b/crates/mintlb-simulation/src/controller/vote.rs
@@ -1,4 +1,4 @@
-//! A controller's replica with its disk; mirrors `controller/replica.rs` and `controller/vote_store.rs`: an answer
+//! A controller's replica with its disk; mirrors `controller/register/local_replica.rs` and `controller/register/acceptor_storage.rs`: an answer
 //! waits for the commit of all that was asked for before it, and what waits is committed at once.
 
 use crate::context::{Caller, Context, Timer};
--- a/crates/mintlb-simulation/src/controller/workers.rs
+++ b/crates/mintlb-simulation/src/controller/workers.rs
@@ -1,4 +1,4 @@
-//! The workers' calls; mirrors `controller/instance_api.rs` and the watch over workers in `controller/mod.rs`, around
+//! The workers' calls; mirrors `controller/http/instance_api.rs` and the watch over workers in `controller/mod.rs`, around
 //! the product's `Registry`.
 
 use super::Controller;
@@ -6,7 +6,7 @@
 use crate::message::Told;
 use crate::planted::Planted;
 use mintlb_common::record::{WORKER_PREFIX, WorkerRecord, WorkerState};
-use mintlb_control::controller::registry::{Heard, news};
+use mintlb_control::controller::workers::registry::{HeartbeatOutcome, newer_record};
 use std::time::Duration;
 
 /// How long the acknowledgement of a drain or an end may wait for a neighbour.
@@ -21,7 +21,7 @@
     pub(super) fn heartbeat(&mut self, context: &mut Context, ask: u64, told: WorkerRecord) {
         let in_force = self.worker_in_force(&told.instance_id);
         if !self.is_in_contact(context) {
-            if let Some(record) = news(told, in_force.as_ref()) {
+            if let Some(record) = newer_record(told, in_force.as_ref()) {
                 self.publish_worker(context, &record);
             }
             return context.out.push(Out::Tell(ask, Told::Unavailable));
@@ -30,13 +30,15 @@
             .registry
             .heartbeat(context.instant, told, in_force.as_ref())
         {
-            Heard::Nothing | Heard::Late => context.out.push(Out::Tell(ask, Told::Done)),
-            Heard::TooMany => context.out.push(Out::Tell(ask, Told::Unavailable)),
-            Heard::Publish(record) if record.state == WorkerState::InService => {
+            HeartbeatOutcome::Unchanged | HeartbeatOutcome::Stale => {
+                context.out.push(Out::Tell(ask, Told::Done))
+            }
+            HeartbeatOutcome::RegistryFull => context.out.push(Out::Tell(ask, Told::Unavailable)),
+            HeartbeatOutcome::Publish(record) if record.state == WorkerState::InService => {
                 self.publish_worker(context, &record);
                 context.out.push(Out::Tell(ask, Told::Done));
             }
-            Heard::Publish(record) => self.publish_confirmed(context, ask, record),
+            HeartbeatOutcome::Publish(record) => self.publish_confirmed(context, ask, record),
         }
     }
 
--- a/crates/mintlb-simulation/src/world/workers.rs
+++ b/crates/mintlb-simulation/src/world/workers.rs
@@ -6,7 +6,7 @@
 use crate::message::Told;
 use crate::worker::PATIENCE;
 use mintlb_common::record::{WORKER_PREFIX, WorkerRecord, WorkerState};
-use mintlb_control::controller::contact::LEASE;
+use mintlb_control::controller::contact::quorum_contact::CONTACT_LEASE;
 use std::time::Duration;
 
 /// `drain_ms`.
@@ -76,7 +76,7 @@
         let machine = &self.machines[controller];
         let was_cut = machine
             .cut_at
-            .is_some_and(|at| at + LEASE + PATIENCE > self.now);
+            .is_some_and(|at| at + CONTACT_LEASE + PATIENCE > self.now);
         self.checks.counts.drains += 1;
         if was_cut {
             return;
