--- a/crates/mintlb-common/src/configuration/validation.rs
+++ b/crates/mintlb-common/src/configuration/validation.rs
@@ -1,120 +1,69 @@
-//! All faults of a configuration by the paths of their fields, with the validators of `schematic`.
+//! Validation of a parsed configuration, up to the first violation.
+//!
+//! The rules are those of [`super::field_validators`]: the tests check that both accept the same documents.
 
-use super::{
-    ConfigurationError, PartialConfiguration, PartialRoute, PartialService, PartialWeightedService,
-};
-use schematic::{ConfigError, PartialConfig, Path, PathSegment, ValidateError, ValidateResult};
+use super::{Configuration, ConfigurationError, FieldViolation, Route};
 use std::collections::HashSet;
 
-/// Looks for all faults.
-pub(super) fn find(json: &[u8]) -> Result<(), ConfigurationError> {
-    let partial: PartialConfiguration = serde_json::from_slice(json)
-        .map_err(|error| ConfigurationError::Unreadable(error.to_string()))?;
-    match partial.validate(&(), true) {
-        Ok(()) => Ok(()),
-        Err(ConfigError::Validator { error, .. }) => {
-            let named = |fault: &ValidateError| format!("{}: {}", fault.path, fault.message);
-            Err(ConfigurationError::InvalidFields {
-                violations: error.errors.iter().map(named).collect(),
-            })
-        }
-        Err(error) => Err(ConfigurationError::Unreadable(error.to_string())),
-    }
-}
+/// A violated rule of a route: the field's name and the reason.
+type RouteViolation = (&'static str, &'static str);
 
-/// No two routes share host and prefix.
-pub(super) fn unique_places(
-    routes: &[PartialRoute],
-    _: &PartialConfiguration,
-    _: &(),
-    _: bool,
-) -> ValidateResult {
-    let mut places = HashSet::new();
-    for (i, route) in routes.iter().enumerate() {
-        let host = route
-            .host_name
-            .as_deref()
-            .unwrap_or_default()
-            .to_ascii_lowercase();
-        if !places.insert((host, route.path_prefix.as_deref().unwrap_or_default())) {
-            let reason = "another route has this host and prefix";
-            return Err(ValidateError::with_path(reason, at(i, "path_prefix")));
+/// Checks all rules.
+pub(super) fn check(configuration: &Configuration) -> Result<(), ConfigurationError> {
+    let services: HashSet<&str> = configuration
+        .service_list
+        .iter()
+        .map(|service| service.name.as_str())
+        .collect();
+    let mut locations = HashSet::new();
+    for (index, route) in configuration.route_list.iter().enumerate() {
+        let location = (
+            route.host_name.to_ascii_lowercase(),
+            route.path_prefix.as_str(),
+        );
+        let is_unique = locations.insert(location);
+        if let Some((field, reason)) = route_violation(route, is_unique, &services) {
+            return Err(ConfigurationError::Invalid(FieldViolation {
+                field: format!("route_list[{index}].{field}"),
+                reason: reason.to_string(),
+            }));
         }
     }
     Ok(())
 }
 
-/// Every service that a route names is there.
-pub(super) fn known_services(
-    services: &[PartialService],
-    configuration: &PartialConfiguration,
-    _: &(),
-    _: bool,
-) -> ValidateResult {
-    let known: HashSet<&str> = services
-        .iter()
-        .filter_map(|service| service.name.as_deref())
-        .collect();
-    let routes = configuration.route_list.iter().flatten();
-    let unknown = routes
-        .flat_map(named_services)
-        .find(|name| !known.contains(name));
-    match unknown {
-        Some(name) => Err(ValidateError::new(format!(
-            "a route names {name:?}, which is not there"
-        ))),
-        None => Ok(()),
+fn route_violation(
+    route: &Route,
+    is_unique: bool,
+    services: &HashSet<&str>,
+) -> Option<RouteViolation> {
+    if !is_unique {
+        return Some(("path_prefix", "another route has this host and prefix"));
     }
-}
-
-fn named_services(route: &PartialRoute) -> impl Iterator<Item = &str> {
-    let split = route.traffic_split.iter().flatten();
-    let single = route
-        .target_service
-        .as_deref()
-        .filter(|_| route.traffic_split.iter().flatten().count() == 0);
-    single
-        .into_iter()
-        .chain(split.filter_map(|part| part.target_service.as_deref()))
-}
-
-/// A prefix begins and ends with a slash.
-pub(super) fn path_prefix(prefix: &str, _: &PartialRoute, _: &(), _: bool) -> ValidateResult {
-    match prefix.starts_with('/') && prefix.ends_with('/') {
-        true => Ok(()),
-        false => Err(ValidateError::new("has to begin and end with a slash")),
+    if !route.path_prefix.starts_with('/') || !route.path_prefix.ends_with('/') {
+        return Some(("path_prefix", "has to begin and end with a slash"));
     }
-}
-
-/// A timeout is above 0.
-pub(super) fn timeout(timeout_ms: &u64, _: &PartialRoute, _: &(), _: bool) -> ValidateResult {
-    if *timeout_ms == 0 {
-        Err(ValidateError::new("is 0"))
-    } else {
-        Ok(())
+    if route.timeout_ms == Some(0) {
+        return Some(("timeout_ms", "is 0"));
     }
-}
-
-/// The weights are numbers from 0 and do not sum to 0.
-pub(super) fn sides_with_weight(
-    split: &[PartialWeightedService],
-    _: &PartialRoute,
-    _: &(),
-    _: bool,
-) -> ValidateResult {
-    let weights = || split.iter().map(|part| part.weight.unwrap_or_default());
-    if let Some(i) = weights().position(|weight| !weight.is_finite() || weight < 0.0) {
-        return Err(ValidateError::with_path("is no share", at(i, "weight")));
+    if route
+        .targets()
+        .any(|(service, _)| !services.contains(service))
+    {
+        return Some(("target_service", "there is no such service"));
     }
-    match split.is_empty() || weights().sum::<f64>() > 0.0 {
-        true => Ok(()),
-        false => Err(ValidateError::new("the weights sum to 0")),
+    if !has_valid_weights(route) {
+        return Some(("traffic_split", "the weights sum to 0"));
     }
+    None
 }
 
-fn at(index: usize, field: &str) -> Path {
-    Path::new(vec![
-        PathSegment::Index(index),
-        PathSegment::Key(field.to_string()),
-    ])
+/// Whether all weights are finite and not negative, and their sum is positive; a route without any target has none.
+fn has_valid_weights(route: &Route) -> bool {
+    let is_valid = |weight: f64| weight.is_finite() && weight >= 0.0;
+    let are_valid = route
+        .traffic_split
+        .iter()
+        .all(|target| is_valid(target.weight));
+    are_valid && route.targets().map(|(_, weight)| weight).sum::<f64>() > 0.0
 }
--- a/crates/mintlb-common/src/lib.rs
+++ b/crates/mintlb-common/src/lib.rs
@@ -1,12 +1,12 @@
-//! What both programs of the serving tier share.
+//! What the programs of the serving tier share.
 //!
 //! - [`settings`]: the settings file of a process.
-//! - [`configuration`]: the operator's configuration, read and checked.
-//! - [`record`]: the versioned records that the overlay brings to every process.
-//! - [`incarnation`]: the identity of one life of a process.
-//! - [`placement`]: which stores hold which shard.
-//! - [`signals`]: the platform's signals.
+//! - [`configuration`]: the operator's configuration, parsed and validated.
+//! - [`record`]: the versioned records that gossip replicates to every process.
+//! - [`incarnation`]: the identity of one run of a process.
+//! - [`placement`]: the assignment of shards to stores.
 //! - [`transport`]: framed messages between the tier's own processes.
+//! - [`signals`]: the signals of the platform.
 //! - [`logging`]: the log of a process.
 
 pub mod configuration;
--- a/crates/mintlb-common/src/logging.rs
+++ b/crates/mintlb-common/src/logging.rs
@@ -1,18 +1,27 @@
-//! The log of a process: short lines to standard error, each with the prefix of the part that wrote it.
+//! The log of a process: short lines on standard error, each with the prefix of the component that wrote it.
 
-use flexi_logger::{DeferredNow, Logger, LoggerHandle};
+use flexi_logger::{DeferredNow, FlexiLoggerError, Logger, LoggerHandle};
 use log::Record;
 use std::io::Write;
 
-/// Starts the log with this level (`info`, `debug`, ...). The log ends when the handle is dropped.
-pub fn start(level: &str) -> Result<LoggerHandle, flexi_logger::FlexiLoggerError> {
+/// Starts logging at this level (`info`, `debug`, ...), until the handle is dropped.
+///
+/// # Errors
+///
+/// If the level is not a valid specification, or a logger is already set.
+pub fn start(level: &str) -> Result<LoggerHandle, FlexiLoggerError> {
     Logger::try_with_str(level)?
         .log_to_stderr()
-        .format(line)
+        .format(write_record)
         .start()
 }
 
-/// One line: the level's first letter, then the text, which begins with its part's prefix.
-fn line(out: &mut dyn Write, _now: &mut DeferredNow, record: &Record) -> std::io::Result<()> {
-    write!(out, "{} {}", &record.level().as_str()[..1], record.args())
+/// Writes the initial letter of the level and the text, which begins with the component's prefix.
+fn write_record(
+    out: &mut dyn Write,
+    _now: &mut DeferredNow,
+    record: &Record,
+) -> std::io::Result<()> {
+    let level_initial = &record.level().as_str()[..1];
+    write!(out, "{level_initial} {}", record.args())
 }
--- a/crates/mintlb-common/src/placement.rs
+++ b/crates/mintlb-common/src/placement.rs
@@ -1,74 +1,80 @@
-//! Which stores hold which shard of the lots. The placement lies in the control plane's register, is changed there by
-//! the controller that has the duty, and is brought to every process as the record `placement`.
+//! The placement of shards on stores.
+//!
+//! Batch jobs are divided into shards by host. The placement is kept in the control plane's register, is changed there by
+//! the controller that holds the singleton role, and reaches every process as the record [`crate::record::PLACEMENT`].
 
 use minicbor::{Decode, Encode};
 
-/// The number of shards, fixed for the life of a tier.
+/// The number of shards, fixed for the lifetime of a tier.
 pub const SHARD_COUNT: u32 = 16;
 
-/// Identifies a store with its disk: an emptied disk is another store.
+/// Identifies a store together with its disk: with an emptied disk it is another store.
 pub type StoreId = u64;
 
-/// The agreed placement; each change raises `epoch` by one.
+/// The agreed placement; each change increments `epoch`.
 #[derive(Clone, Debug, Default, PartialEq, Encode, Decode)]
 pub struct Placement {
-    /// Version of the whole placement.
+    /// Version of the placement.
     #[n(0)]
     pub epoch: u64,
     /// The stores in use.
     #[n(1)]
     pub stores: Vec<StoreEntry>,
-    /// One assignment a shard, by shard number; empty until the first stores are known.
+    /// The assignment of each shard, by shard number; empty until the first stores are known.
     #[n(2)]
     pub shards: Vec<ShardAssignment>,
 }
 
-/// A store as the placement knows it.
+/// A store in the placement.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub struct StoreEntry {
-    /// The store's identity, drawn when its disk was first used.
+    /// The identity of the store, generated at the first use of its disk.
     #[n(0)]
     pub id: StoreId,
-    /// The machine's name (`node_name`).
+    /// The name of the machine (`node_name` in its settings).
     #[n(1)]
     pub node_name: String,
-    /// Address of its transport, as IP:PORT.
+    /// The internal address, as IP:PORT.
     #[n(2)]
     pub address: String,
-    /// Its zone.
+    /// The zone of the machine.
     #[n(3)]
     pub zone: String,
-    /// It is to be emptied (or is, once no shard names it).
+    /// Whether the store is being decommissioned: it loses its shards one by one until none names it.
     #[n(4)]
     pub retiring: bool,
 }
 
-/// Who holds a shard.
+/// The replicas of a shard.
 #[derive(Clone, Debug, Default, PartialEq, Encode, Decode)]
 pub struct ShardAssignment {
-    /// Rises with each change of this shard; stores refuse what carries a lower one.
+    /// Version of this assignment; stores reject messages of a lower epoch.
     #[n(0)]
     pub epoch: u64,
-    /// The replicas that hold it, the primary first.
+    /// The replicas, the primary first.
     #[n(1)]
     pub replicas: Vec<StoreId>,
-    /// The replicas of the settled epoch, its primary first, that a new primary has to read from, until it has
-    /// reported that it is in charge; empty after that.
+    /// The replicas of the last active epoch, its primary first. A new primary has to read from them until it has reported
+    /// that it is active; empty after that.
     #[n(2)]
     pub previous: Vec<StoreId>,
-    /// While `previous` is not empty: the epoch of the last assignment that had none. Nothing was told to anybody in a
-    /// later one, so a log that holds an entry of a later epoch holds all that was told. `None`: not known.
+    /// While `previous` is not empty, the epoch of the last assignment with an active primary. Nothing was acknowledged in
+    /// a later epoch, so a log with an entry of a later epoch is complete: it has every acknowledged entry. `None` if
+    /// unknown.
     #[n(3)]
     pub last_active_epoch: Option<u64>,
 }
 
 impl Placement {
-    /// The shard of all lots of a host.
+    /// The shard of all batch jobs of a host: its lower-case name, hashed with FNV-1a.
     pub fn shard_of(host: &str) -> u32 {
-        let hash = host.bytes().fold(0xcbf2_9ce4_8422_2325_u64, |hash, byte| {
-            (hash ^ u64::from(byte.to_ascii_lowercase())).wrapping_mul(0x0100_0000_01b3)
+        const FNV_OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
+        const FNV_PRIME: u64 = 0x0100_0000_01b3;
+        let hash = host.bytes().fold(FNV_OFFSET_BASIS, |hash, byte| {
+            (hash ^ u64::from(byte.to_ascii_lowercase())).wrapping_mul(FNV_PRIME)
         });
-        ((hash ^ (hash >> 32)) % u64::from(SHARD_COUNT)) as u32
+        let folded = hash ^ (hash >> 32);
+        (folded % u64::from(SHARD_COUNT)) as u32
     }
 
     /// The store with this identity.
--- a/crates/mintlb-common/src/signals.rs
+++ b/crates/mintlb-common/src/signals.rs
@@ -1,18 +1,24 @@
-//! The platform's signals. They are to be caught before anything else is done, or one that comes early ends the process.
+//! The signals of the platform. They have to be handled before anything else is started: a signal that arrives earlier ends
+//! the process.
 
 use std::io;
 use tokio::signal::unix::{Signal, SignalKind, signal};
 
-/// The signals that a process of the tier takes.
+/// The handled signals of a process.
 pub struct Signals {
     terminate: Signal,
     interrupt: Signal,
-    /// Kept so that a change of the settings never ends a process that takes them at its next start.
+    /// Handled only so that SIGHUP, sent after a change of the settings, does not end a process that reads them at its next
+    /// start.
     _hangup: Signal,
 }
 
 impl Signals {
-    /// Catches them from now on, on the current runtime.
+    /// Handles the signals from now on, on the current runtime.
+    ///
+    /// # Errors
+    ///
+    /// If a handler can't be installed.
     pub fn install() -> io::Result<Signals> {
         Ok(Signals {
             terminate: signal(SignalKind::terminate())?,
@@ -21,8 +27,11 @@
         })
     }
 
-    /// Resolves when the process is told to stop.
+    /// Resolves when SIGTERM or SIGINT arrives.
     pub async fn shutdown_requested(&mut self) {
-        tokio::select! { _ = self.terminate.recv() => (), _ = self.interrupt.recv() => () }
+        tokio::select! {
+            _ = self.terminate.recv() => (),
+            _ = self.interrupt.recv() => (),
+        }
     }
 }
--- a/crates/mintlb-common/tests/configuration.rs
+++ b/crates/mintlb-common/tests/configuration.rs
@@ -81,11 +81,11 @@
         let cut = &WIRE.as_bytes()[..end];
         assert!(matches!(
             Configuration::parse(cut),
-            Err(ConfigurationError::Unreadable(_))
+            Err(ConfigurationError::Malformed { .. })
         ));
         assert!(matches!(
             Configuration::parse_from_operator(cut),
-            Err(ConfigurationError::Unreadable(_))
+            Err(ConfigurationError::Malformed { .. })
         ));
     }
 }
--- a/crates/mintlb-common/tests/settings.rs
+++ b/crates/mintlb-common/tests/settings.rs
@@ -92,7 +92,7 @@
     ];
     for (good, bad, field) in wrong {
         let error = NodeSettings::parse(&EDGE.replace(good, bad)).unwrap_err();
-        assert!(error.contains(field), "{bad:?}: {error}");
+        assert!(error.to_string().contains(field), "{bad:?}: {error}");
     }
 }
 
--- a/crates/mintlb-control/src/store/mod.rs
+++ b/crates/mintlb-control/src/store/mod.rs
@@ -114,7 +114,7 @@
     let replica_settings = ReplicaSettings {
         own: disk.id(),
         tolerance: settings.fault_tolerance.machines,
-        status: Duration::from_secs_f64(settings.bounds.status_s.clamp(0.0, 1e9)),
+        status: settings.bounds.status_retention(),
     };
     let (committed, commits) = tokio::sync::mpsc::unbounded_channel();
     let writer = Writer::start(disk.clone(), committed)?;
--- a/crates/mintlb-dispatcher/src/front.rs
+++ b/crates/mintlb-dispatcher/src/front.rs
@@ -411,8 +411,8 @@
 
 /// When a connection is closed if nothing more comes.
 fn due(seen: &Seen, limits: &ClientLimits) -> Instant {
-    let idle = Duration::from_millis(limits.idle_timeout_ms) + IDLE_MARGIN;
-    let head = Duration::from_millis(limits.header_timeout_ms);
+    let idle = limits.idle_timeout() + IDLE_MARGIN;
+    let head = limits.header_timeout();
     match seen.phase() {
         Phase::Coming(since) if seen.is_busy() => since + head + BODY_TIME,
         Phase::Coming(since) | Phase::Idle(since) => since + idle,
