--- a/crates/mintlb-common/tests/wire_fixtures.rs
+++ b/crates/mintlb-common/tests/wire_fixtures.rs
@@ -71,13 +71,13 @@
             regions: 3,
         },
         bounds: Bounds {
-            contact_ms: 3101,
+            stabilization_ms: 3101,
             ack_ms: 4102,
             drain_ms: 2103,
             grace_period_s: 8.5,
             config_apply_ms: 2104,
-            pass_ms: 125,
-            status_s: 121.5,
+            event_forwarding_ms: 125,
+            status_retention_s: 121.5,
             cancel_ms: 3106,
             batch_visibility_ms: 1107,
             quota_overage: 0.25,
@@ -115,13 +115,13 @@
         }
     );
     let bounds = Bounds {
-        contact_ms: 3000,
+        stabilization_ms: 3000,
         ack_ms: 4000,
         drain_ms: 2000,
         grace_period_s: 8.0,
         config_apply_ms: 2000,
-        pass_ms: 120,
-        status_s: 120.0,
+        event_forwarding_ms: 120,
+        status_retention_s: 120.0,
         cancel_ms: 3000,
         batch_visibility_ms: 1000,
         quota_overage: 0.1,
