--- a/crates/mintlb-control/tests/controller_wire_fixtures.rs
+++ b/crates/mintlb-control/tests/controller_wire_fixtures.rs
@@ -10,13 +10,13 @@
 use fixture::{Fixtures, path};
 use mintlb_common::placement::{Placement, ShardAssignment, StoreEntry};
 use mintlb_common::transport::{Channel, ResponseFuture, Service, Transport};
-use mintlb_control::controller::duty_messages::{
-    DutyAnswer, DutyCall, RetireAnswer, RetireCall, encoded,
-};
-use mintlb_control::controller::ping_state::{Ping, Pong, Status};
+use mintlb_control::controller::contact::ping_state::{Ping, Pong, Status};
 use mintlb_control::controller::register::Register;
-use mintlb_control::controller::replica::LocalReplica;
-use mintlb_control::controller::vote_store::{FILE, VoteStore};
+use mintlb_control::controller::register::acceptor_storage::{AcceptorStorage, FILE};
+use mintlb_control::controller::register::local_replica::LocalReplica;
+use mintlb_control::controller::singleton::messages::{
+    RetirementRequest, RetirementStatus, SingletonRequest, SingletonResponse, encoded,
+};
 use mintlb_register::acceptor::DurableWrite;
 use mintlb_register::applied_history::AppliedHistory;
 use mintlb_register::ballot::Ballot;
@@ -108,15 +108,15 @@
     let full = Status {
         replica: Some(51),
         epoch: 52,
-        first: Some(53),
+        preferred_leader: Some(53),
     };
     let least = Status {
         replica: None,
         epoch: 54,
-        first: None,
+        preferred_leader: None,
     };
     let retire = |begin| {
-        DutyCall::Retire(RetireCall {
+        SingletonRequest::Retire(RetirementRequest {
             node_name: "disk-21".to_string(),
             begin,
         })
@@ -124,21 +124,21 @@
     let calls = [
         (
             "ping",
-            DutyCall::Ping(Ping {
+            SingletonRequest::Ping(Ping {
                 status: full,
                 echo: Some(55),
             }),
         ),
         (
             "ping-least",
-            DutyCall::Ping(Ping {
+            SingletonRequest::Ping(Ping {
                 status: least,
                 echo: None,
             }),
         ),
         (
             "ping-first",
-            DutyCall::Ping(Ping {
+            SingletonRequest::Ping(Ping {
                 status: Status {
                     replica: None,
                     ..full
@@ -146,7 +146,7 @@
                 echo: Some(55),
             }),
         ),
-        ("workers", DutyCall::Workers { epoch: 56 }),
+        ("workers", SingletonRequest::Workers { epoch: 56 }),
         ("retire-begin", retire(true)),
         ("retire-ask", retire(false)),
     ];
@@ -162,42 +162,57 @@
     let full = Status {
         replica: Some(51),
         epoch: 52,
-        first: Some(53),
+        preferred_leader: Some(53),
     };
     let least = Status {
         replica: None,
         epoch: 54,
-        first: None,
+        preferred_leader: None,
     };
     let answers = [
         (
             "pong",
-            DutyAnswer::Pong(Pong {
+            SingletonResponse::Pong(Pong {
                 status: full,
                 stamp: 57,
             }),
         ),
         (
             "pong-least",
-            DutyAnswer::Pong(Pong {
+            SingletonResponse::Pong(Pong {
                 status: least,
                 stamp: 57,
             }),
         ),
-        ("workers", DutyAnswer::Workers(vec![1, 70_000, u32::MAX])),
-        ("workers-none", DutyAnswer::Workers(Vec::new())),
-        ("stale", DutyAnswer::Stale { epoch: 58 }),
-        ("retire-ordered", DutyAnswer::Retire(RetireAnswer::Ordered)),
-        ("retire-running", DutyAnswer::Retire(RetireAnswer::Running)),
+        (
+            "workers",
+            SingletonResponse::Workers(vec![1, 70_000, u32::MAX]),
+        ),
+        ("workers-none", SingletonResponse::Workers(Vec::new())),
+        ("stale", SingletonResponse::Stale { epoch: 58 }),
+        (
+            "retire-ordered",
+            SingletonResponse::Retire(RetirementStatus::Ordered),
+        ),
+        (
+            "retire-running",
+            SingletonResponse::Retire(RetirementStatus::Running),
+        ),
         (
             "retire-completed",
-            DutyAnswer::Retire(RetireAnswer::Completed),
+            SingletonResponse::Retire(RetirementStatus::Completed),
+        ),
+        (
+            "retire-unknown",
+            SingletonResponse::Retire(RetirementStatus::Unknown),
+        ),
+        (
+            "retire-too-few",
+            SingletonResponse::Retire(RetirementStatus::TooFew),
         ),
-        ("retire-unknown", DutyAnswer::Retire(RetireAnswer::Unknown)),
-        ("retire-too-few", DutyAnswer::Retire(RetireAnswer::TooFew)),
         (
             "retire-unavailable",
-            DutyAnswer::Retire(RetireAnswer::Unavailable),
+            SingletonResponse::Retire(RetirementStatus::Unavailable),
         ),
     ];
     for (name, answer) in answers {
@@ -241,7 +256,7 @@
     let folder = tempfile::tempdir().unwrap();
     place_file(folder.path());
     check_tables(&folder.path().join("register.redb"));
-    let opened = VoteStore::open(folder.path(), 99).unwrap();
+    let opened = AcceptorStorage::open(folder.path(), 99).unwrap();
     assert_eq!(opened.id, ID);
     assert_eq!(opened.vote.promised, ballot(8));
     assert_eq!(opened.vote.accepted, Some(accepted()));
@@ -264,7 +279,7 @@
 
 /// Makes the register's file as a controller does.
 fn make_file(directory: &Path) {
-    let opened = VoteStore::open(directory, ID).unwrap();
+    let opened = AcceptorStorage::open(directory, ID).unwrap();
     for sync in [
         DurableWrite::Promise(ballot(3)),
         DurableWrite::Accepted(accepted()),
@@ -293,7 +308,10 @@
     let folder = tempfile::tempdir().unwrap();
     place_file(folder.path());
     let (with_disk, without, caller) = (transport().await, transport().await, transport().await);
-    let local = LocalReplica::new(VoteStore::open(folder.path(), 99).unwrap(), replica(ID));
+    let local = LocalReplica::new(
+        AcceptorStorage::open(folder.path(), 99).unwrap(),
+        replica(ID),
+    );
     let _registers = (
         Register::start(with_disk.clone(), Some(Arc::new(local)), 1, true),
         Register::start(without.clone(), None, 2, true),
@@ -335,7 +353,10 @@
     let mut fixtures = Fixtures::read("register_channel.txt");
     let folder = tempfile::tempdir().unwrap();
     place_file(folder.path());
-    let local = LocalReplica::new(VoteStore::open(folder.path(), 99).unwrap(), replica(ID));
+    let local = LocalReplica::new(
+        AcceptorStorage::open(folder.path(), 99).unwrap(),
+        replica(ID),
+    );
     let (own, reader, seed) = (transport().await, transport().await, transport().await);
     let register = Register::start(own, Some(Arc::new(local)), 1, true);
     let answers = [
@@ -357,8 +378,8 @@
     assert_eq!(status.replica_set, Some(ReplicaSet::bootstrap(replica(42))));
     let status = register.status_of(to, WAIT).await.unwrap();
     assert_eq!((status.has_disk, status.replica_set), (false, None));
-    assert!(register.ask_grant(to, WAIT).await);
-    assert!(!register.ask_grant(to, WAIT).await);
+    assert!(register.request_bootstrap_grant(to, WAIT).await);
+    assert!(!register.request_bootstrap_grant(to, WAIT).await);
     let register = Register::start(reader, None, 2, false);
     register.hint(ReplicaSet::bootstrap(Replica {
         address: to.to_string(),
