--- a/crates/mintlb-batch/src/client.rs
+++ b/crates/mintlb-batch/src/client.rs
@@ -72,15 +72,15 @@
         calls::end(self, host, job_id).await
     }
 
-    /// Up to `most` items that nobody runs, for `owner` to run. Asks a few stores that may have some.
-    pub async fn lease(&self, owner: DispatcherId, most: usize) -> Vec<LeasedItem> {
-        calls::lease(self, owner, most).await
+    /// Up to `max_items` items that nobody runs, for `owner` to run. Asks a few stores that may have some.
+    pub async fn lease(&self, owner: DispatcherId, max_items: usize) -> Vec<LeasedItem> {
+        calls::lease(self, owner, max_items).await
     }
 
     /// Renews the leases of the items that `owner` still runs; call it each second. Returns those it is to
     /// stop.
-    pub async fn renew(&self, owner: DispatcherId, held: Vec<LeasedJob>) -> Vec<LeasedJob> {
-        calls::renew(self, owner, held).await
+    pub async fn renew(&self, owner: DispatcherId, leased: Vec<LeasedJob>) -> Vec<LeasedJob> {
+        calls::renew(self, owner, leased).await
     }
 
     /// Records the result of an item. True if it is kept (this one or an earlier one) or no longer wanted, as
--- a/crates/mintlb-batch/src/client/calls.rs
+++ b/crates/mintlb-batch/src/client/calls.rs
@@ -11,27 +11,27 @@
 use tokio::time::{sleep, timeout_at};
 
 /// Between two tries, while the primary is not in charge or out of reach.
-const PAUSE: Duration = Duration::from_millis(60);
+const RETRY_PAUSE: Duration = Duration::from_millis(60);
 /// The longest that one try waits for its answer.
-const TRY: Duration = Duration::from_millis(1200);
+const ATTEMPT_TIMEOUT: Duration = Duration::from_millis(1200);
 /// All tries of a read, a body or an end together, beside the time that a read waits for a result.
-const SHORT: Duration = Duration::from_millis(1300);
+const READ_TIMEOUT: Duration = Duration::from_millis(1300);
 /// All tries of a record together.
-const RECORD: Duration = Duration::from_millis(4000);
+const RECORD_TIMEOUT: Duration = Duration::from_millis(4000);
 /// How long a lease, a renewal or a release may take at one store.
-const LEASE: Duration = Duration::from_millis(500);
+const LEASE_TIMEOUT: Duration = Duration::from_millis(500);
 /// How often a store without known open items is asked for some.
-const ASK_AGAIN: Duration = Duration::from_millis(1000);
+const IDLE_STORE_INTERVAL: Duration = Duration::from_millis(1000);
 /// Most calls of one lease.
-const MOST_ASKED: usize = 4;
+const MAX_STORES_PER_LEASE: usize = 4;
 
 /// The answer of a try.
-enum Try {
+enum Attempt {
     Answered(StoreResponse, Bytes),
     /// Nothing was or will be done.
-    NotDone,
+    NotExecuted,
     /// It may have been done.
-    Unclear,
+    Indeterminate,
 }
 
 /// The primary of a host's shard and the shard's epoch.
@@ -42,19 +42,19 @@
     Some((address, placement.shards.get(shard as usize)?.epoch))
 }
 
-async fn call_once(client: &BatchClient, to: SocketAddr, body: Bytes, within: Duration) -> Try {
+async fn call_once(client: &BatchClient, to: SocketAddr, body: Bytes, within: Duration) -> Attempt {
     match client
         .transport
         .call(to, Channel::Batch, body, within)
         .await
     {
         Ok(bytes) => match framing::decode::<StoreResponse>(&bytes) {
-            Some((StoreResponse::NotPrimary, _)) => Try::NotDone,
-            Some((StoreResponse::Indeterminate, _)) | None => Try::Unclear,
-            Some((answer, raw)) => Try::Answered(answer, raw),
+            Some((StoreResponse::NotPrimary, _)) => Attempt::NotExecuted,
+            Some((StoreResponse::Indeterminate, _)) | None => Attempt::Indeterminate,
+            Some((answer, raw)) => Attempt::Answered(answer, raw),
         },
-        Err(CallError::NotUnderstood | CallError::Replaced) => Try::NotDone,
-        Err(CallError::TimedOut | CallError::Unreachable) => Try::Unclear,
+        Err(CallError::NotUnderstood | CallError::Replaced) => Attempt::NotExecuted,
+        Err(CallError::TimedOut | CallError::Unreachable) => Attempt::Indeterminate,
     }
 }
 
@@ -75,11 +75,11 @@
             return None;
         }
         if let Some((to, _)) = primary(client, host)
-            && let Try::Answered(answer, raw) = call_once(client, to, body.clone(), left).await
+            && let Attempt::Answered(answer, raw) = call_once(client, to, body.clone(), left).await
         {
             return Some((answer, raw));
         }
-        sleep(PAUSE.min(until.saturating_duration_since(Instant::now()))).await;
+        sleep(RETRY_PAUSE.min(until.saturating_duration_since(Instant::now()))).await;
     }
 }
 
@@ -117,12 +117,12 @@
         job: head,
     };
     // Once a try came out unclear it may be carried out at any time, so that only "accepted" can be believed.
-    let mut unclear = false;
+    let mut may_have_executed = false;
     let mut body = Bytes::new();
     loop {
         let left = until.saturating_duration_since(Instant::now());
         if left.is_zero() {
-            return if unclear {
+            return if may_have_executed {
                 SubmitOutcome::Indeterminate
             } else {
                 SubmitOutcome::Rejected
@@ -138,27 +138,27 @@
                 };
                 submit = back;
             }
-            match call_once(client, to, body.clone(), left.min(TRY)).await {
-                Try::Answered(StoreResponse::Accepted { leased }, _) => {
+            match call_once(client, to, body.clone(), left.min(ATTEMPT_TIMEOUT)).await {
+                Attempt::Answered(StoreResponse::Accepted { leased }, _) => {
                     return SubmitOutcome::Accepted {
                         items_leased: leased,
                     };
                 }
-                Try::Answered(StoreResponse::Conflict, _) => return SubmitOutcome::Conflict,
-                Try::Answered(StoreResponse::QuotaExceeded, _) if !unclear => {
+                Attempt::Answered(StoreResponse::Conflict, _) => return SubmitOutcome::Conflict,
+                Attempt::Answered(StoreResponse::QuotaExceeded, _) if !may_have_executed => {
                     return SubmitOutcome::QuotaExceeded;
                 }
-                Try::Answered(StoreResponse::DiskFull, _) if !unclear => {
+                Attempt::Answered(StoreResponse::DiskFull, _) if !may_have_executed => {
                     return SubmitOutcome::Rejected;
                 }
-                Try::Answered(StoreResponse::QuotaExceeded | StoreResponse::DiskFull, _) => {
+                Attempt::Answered(StoreResponse::QuotaExceeded | StoreResponse::DiskFull, _) => {
                     return SubmitOutcome::Indeterminate;
                 }
-                Try::Answered(..) | Try::Unclear => unclear = true,
-                Try::NotDone => (),
+                Attempt::Answered(..) | Attempt::Indeterminate => may_have_executed = true,
+                Attempt::NotExecuted => (),
             }
         }
-        sleep(PAUSE.min(until.saturating_duration_since(Instant::now()))).await;
+        sleep(RETRY_PAUSE.min(until.saturating_duration_since(Instant::now()))).await;
     }
 }
 
@@ -170,7 +170,7 @@
     wait: Duration,
     max_bytes: usize,
 ) -> ReadOutcome {
-    let until = Instant::now() + wait + SHORT;
+    let until = Instant::now() + wait + READ_TIMEOUT;
     let call = StoreRequest::Read(messages::Read {
         job: name(host, job_id),
         start_after,
@@ -178,13 +178,13 @@
         max_bytes: max_bytes as u64,
     });
     match call_host(client, host, encode_call(&call, &[]), until).await {
-        Some((StoreResponse::Page(page), raw)) => listed(page, raw),
+        Some((StoreResponse::Page(page), raw)) => results(page, raw),
         Some((StoreResponse::NotFound, _)) => ReadOutcome::NotFound,
         _ => ReadOutcome::Unavailable,
     }
 }
 
-fn listed(page: messages::Page, mut raw: Bytes) -> ReadOutcome {
+fn results(page: messages::Page, mut raw: Bytes) -> ReadOutcome {
     if page.results.iter().map(|result| result.length).sum::<u64>() != raw.len() as u64 {
         return ReadOutcome::Unavailable;
     }
@@ -211,7 +211,7 @@
         item: instance_id.to_string(),
     };
     let body = encode_call(&StoreRequest::Body(item), &[]);
-    match call_host(client, host, body, Instant::now() + SHORT).await {
+    match call_host(client, host, body, Instant::now() + READ_TIMEOUT).await {
         Some((StoreResponse::Body, raw)) => match ItemPayload::decode(&raw) {
             Some((_, body)) => BodyOutcome::Body(body),
             None => BodyOutcome::Unavailable,
@@ -223,7 +223,7 @@
 
 pub(super) async fn end(client: &BatchClient, host: &str, job_id: &str) -> EndOutcome {
     let body = encode_call(&StoreRequest::End(name(host, job_id)), &[]);
-    match call_host(client, host, body, Instant::now() + SHORT).await {
+    match call_host(client, host, body, Instant::now() + READ_TIMEOUT).await {
         Some((StoreResponse::Ended, _)) => EndOutcome::Ended,
         Some((StoreResponse::NotFound, _)) => EndOutcome::NotFound,
         _ => EndOutcome::Unavailable,
@@ -247,7 +247,7 @@
         state,
     });
     let body = encode_call(&call, &[&text]);
-    let answer = call_host(client, host, body, Instant::now() + RECORD).await;
+    let answer = call_host(client, host, body, Instant::now() + RECORD_TIMEOUT).await;
     matches!(
         answer,
         Some((StoreResponse::Recorded | StoreResponse::NotFound, _))
@@ -278,12 +278,12 @@
 pub(super) async fn lease(
     client: &BatchClient,
     owner: DispatcherId,
-    most: usize,
+    max_items: usize,
 ) -> Vec<LeasedItem> {
     let mut leased = Vec::new();
     let stores = stores_to_ask(client, owner);
-    for (store, address) in stores.into_iter().take(MOST_ASKED) {
-        let left = most.saturating_sub(leased.len());
+    for (store, address) in stores.into_iter().take(MAX_STORES_PER_LEASE) {
+        let left = max_items.saturating_sub(leased.len());
         if left == 0 {
             break;
         }
@@ -291,9 +291,9 @@
             owner,
             max_items: left as u32,
         });
-        let answer = call_once(client, address, encode_call(&call, &[]), LEASE).await;
+        let answer = call_once(client, address, encode_call(&call, &[]), LEASE_TIMEOUT).await;
         let got = match answer {
-            Try::Answered(StoreResponse::Leased(heads), raw) => leased_items(heads, raw),
+            Attempt::Answered(StoreResponse::Leased(heads), raw) => leased_items(heads, raw),
             _ => Vec::new(),
         };
         // As long as a store gives something it is asked again at once.
@@ -313,7 +313,7 @@
     let mut open = client.open.lock();
     open.retain(|id, _| stores.iter().any(|(store, _)| store == id));
     let waiting = |id: StoreId| match open.get(&id) {
-        Some((asked, 0)) if now.duration_since(*asked) < ASK_AGAIN => None,
+        Some((asked_at, 0)) if now.duration_since(*asked_at) < IDLE_STORE_INTERVAL => None,
         Some((_, count)) => Some(*count),
         None => Some(0),
     };
@@ -356,11 +356,11 @@
 pub(super) async fn renew(
     client: &BatchClient,
     owner: DispatcherId,
-    held: Vec<LeasedJob>,
+    leased: Vec<LeasedJob>,
 ) -> Vec<LeasedJob> {
     let placement = (client.placement)();
     let mut by_store: FxHashMap<(StoreId, SocketAddr), Vec<LeasedItems>> = FxHashMap::default();
-    for job in held {
+    for job in leased {
         let store = placement.primary(Placement::shard_of(&job.host));
         if let Some(address) = store.and_then(|store| Some((store.id, store.address.parse().ok()?)))
         {
@@ -378,13 +378,17 @@
             by_store.entry(address).or_default().push(job);
         }
     }
-    let until = Instant::now() + LEASE;
+    let until = Instant::now() + LEASE_TIMEOUT;
     let calls: Vec<_> = by_store
         .into_iter()
         .map(|((store, address), jobs)| {
             let body = encode_call(&StoreRequest::Renew(Renew { owner, jobs }), &[]);
             let transport = client.transport.clone();
-            let call = async move { transport.call(address, Channel::Batch, body, LEASE).await };
+            let call = async move {
+                transport
+                    .call(address, Channel::Batch, body, LEASE_TIMEOUT)
+                    .await
+            };
             (store, tokio::spawn(call))
         })
         .collect();
@@ -412,12 +416,16 @@
 
 pub(super) async fn release(client: &BatchClient, owner: DispatcherId) {
     let body = encode_call(&StoreRequest::Release(owner), &[]);
-    let until = Instant::now() + LEASE;
+    let until = Instant::now() + LEASE_TIMEOUT;
     let stores = primaries(&(client.placement)()).into_iter();
     let calls: Vec<_> = stores
         .map(|(_, address)| {
             let (transport, body) = (client.transport.clone(), body.clone());
-            tokio::spawn(async move { transport.call(address, Channel::Batch, body, LEASE).await })
+            tokio::spawn(async move {
+                transport
+                    .call(address, Channel::Batch, body, LEASE_TIMEOUT)
+                    .await
+            })
         })
         .collect();
     for call in calls {
--- a/crates/mintlb-batch/src/log_index.rs
+++ b/crates/mintlb-batch/src/epoch_history.rs
@@ -32,7 +32,7 @@
 
 /// The epochs of a whole log.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Encode, Decode)]
-pub struct LogIndex {
+pub struct EpochHistory {
     /// Rising in `first` and in `epoch`.
     #[n(0)]
     runs: Vec<EpochRun>,
@@ -41,7 +41,7 @@
     last: u64,
 }
 
-impl LogIndex {
+impl EpochHistory {
     /// The last index; 0 if the log is empty.
     pub fn last(&self) -> u64 {
         self.last
@@ -111,7 +111,7 @@
     }
 
     /// The last index up to which both logs are equal.
-    pub fn common(&self, other: &LogIndex) -> u64 {
+    pub fn common(&self, other: &EpochHistory) -> u64 {
         let shorter = self.last.min(other.last);
         let equal = |index: u64| self.epoch_at(index) == other.epoch_at(index);
         if equal(shorter) {
--- a/crates/mintlb-batch/src/framing.rs
+++ b/crates/mintlb-batch/src/framing.rs
@@ -6,11 +6,12 @@
 
 /// The head as bytes, followed by the raw parts in order.
 pub fn encode<H: Encode<()>>(head: &H, raw: &[&[u8]]) -> Bytes {
-    let raw_length: usize = raw.iter().map(|part| part.len()).sum();
+    let raw_length: usize = raw.iter().map(|chunk| chunk.len()).sum();
     let mut writer = Writer(BytesMut::with_capacity(256 + raw_length));
     // Writing into memory does not fail, and all heads are plain data.
     minicbor::encode(head, &mut writer).ok();
-    raw.iter().for_each(|part| writer.0.extend_from_slice(part));
+    raw.iter()
+        .for_each(|chunk| writer.0.extend_from_slice(chunk));
     writer.0.freeze()
 }
 
--- a/crates/mintlb-batch/src/heartbeat.rs
+++ b/crates/mintlb-batch/src/heartbeat.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 /// How often a store tells; at once when a shard's report changes.
-pub const HEARTBEAT: Duration = Duration::from_millis(400);
+pub const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(400);
 
 /// A store and what it knows of the shards whose primary it is.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
--- a/crates/mintlb-batch/src/job_table.rs
+++ b/crates/mintlb-batch/src/job_table.rs
@@ -12,11 +12,11 @@
 pub type Timestamp = Duration;
 
 /// A finished lot is dropped so long after the time for which it has to be readable.
-const DROP_AFTER: Duration = Duration::from_secs(10);
+const FINISHED_JOB_GRACE: Duration = Duration::from_secs(10);
 /// A lot that nobody finishes is dropped so long after its items could be given up and its results read.
-const ABANDONED_AFTER: Duration = Duration::from_secs(120);
+const ABANDONED_JOB_GRACE: Duration = Duration::from_secs(120);
 /// Bytes that an item's text is taken to have while none of its lot is there.
-const USUAL_TEXT: u64 = 2 << 10;
+const DEFAULT_RESULT_BYTES: u64 = 2 << 10;
 
 /// All lots of a shard.
 #[derive(Clone, Debug, Default)]
@@ -24,16 +24,16 @@
     by_name: FxHashMap<JobName, u64>,
     jobs: BTreeMap<u64, BatchJob>,
     /// Entries that lie on disk, by index.
-    entries: BTreeMap<u64, Kept>,
+    entries: BTreeMap<u64, StoredEntry>,
     /// Tokens of each route that wait.
-    waiting: FxHashMap<String, u64>,
+    queued_tokens_by_route: FxHashMap<String, u64>,
     /// Lots with items that wait, the one due first in front.
-    open: BTreeSet<(u64, u64)>,
+    open_by_due_time: BTreeSet<(u64, u64)>,
     /// Lots that got finished or ended since the last sweep, whose payloads are still there.
-    to_strip: BTreeSet<u64>,
+    strip_candidates: BTreeSet<u64>,
     /// Entries of no lot that is there: they are not needed once they are committed.
-    of_no_lot: BTreeSet<u64>,
-    bytes: u64,
+    unreferenced: BTreeSet<u64>,
+    disk_bytes: u64,
 }
 
 /// A lot.
@@ -46,19 +46,19 @@
     /// Its times and limits.
     pub terms: JobTerms,
     /// Its items.
-    pub items: Vec<Item>,
+    pub items: Vec<JobItem>,
     /// What is listed, by position.
-    pub listed: Vec<Listed>,
+    pub results: Vec<RecordedResult>,
     /// The index of the entry that ended it.
     pub ended: Option<u64>,
     /// Its payloads lie on disk.
     pub has_payloads: bool,
-    since: Timestamp,
+    applied_at: Timestamp,
 }
 
 /// An item of a lot.
 #[derive(Clone, Debug)]
-pub struct Item {
+pub struct JobItem {
     /// Its `instance_id`.
     pub id: Box<str>,
     /// Its tokens.
@@ -71,7 +71,7 @@
 
 /// A listed item.
 #[derive(Clone, Copy, Debug)]
-pub struct Listed {
+pub struct RecordedResult {
     /// The index of the result's entry.
     pub index: u64,
     /// The item's place in the lot.
@@ -83,13 +83,13 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Kept {
+struct StoredEntry {
     length: u64,
-    kind: Kind,
+    kind: EntryKind,
 }
 
 #[derive(Clone, Copy, Debug)]
-enum Kind {
+enum EntryKind {
     /// Begins an epoch, or belongs to a lot that is no longer there.
     Other,
     Accepted,
@@ -103,7 +103,7 @@
 
 /// What can go from the disk.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Sweep {
+pub struct Reclaimable {
     /// Entries whose payloads are no longer needed.
     pub strip: Vec<u64>,
     /// Entries that are no longer needed.
@@ -112,14 +112,14 @@
 
 impl BatchJob {
     /// How many results are committed.
-    pub fn committed_results(&self, committed: u64) -> usize {
-        self.listed
-            .partition_point(|listed| listed.index <= committed)
+    pub fn committed_results(&self, commit_index: u64) -> usize {
+        self.results
+            .partition_point(|results| results.index <= commit_index)
     }
 
     /// Whether nothing of it waits any more.
     pub fn is_done(&self) -> bool {
-        self.ended.is_some() || self.listed.len() == self.items.len()
+        self.ended.is_some() || self.results.len() == self.items.len()
     }
 
     /// The place of an item.
@@ -134,7 +134,7 @@
     }
 
     /// Items that are not listed, unless it is ended.
-    pub fn waiting_items(&self) -> impl Iterator<Item = (u32, &Item)> {
+    pub fn pending_items(&self) -> impl Iterator<Item = (u32, &JobItem)> {
         let items = if self.ended.is_some() {
             &[][..]
         } else {
@@ -147,16 +147,16 @@
             .map(|(i, item)| (i as u32, item))
     }
 
-    fn waiting_tokens(&self) -> u64 {
-        self.waiting_items().map(|(_, item)| item.tokens).sum()
+    fn queued_tokens(&self) -> u64 {
+        self.pending_items().map(|(_, item)| item.tokens).sum()
     }
 
-    fn texts_to_come(&self) -> u64 {
-        let texts: u64 = self.listed.iter().map(|listed| listed.length).sum();
+    fn expected_result_bytes(&self) -> u64 {
+        let texts: u64 = self.results.iter().map(|results| results.length).sum();
         let each = texts
-            .checked_div(self.listed.len() as u64)
-            .unwrap_or(USUAL_TEXT);
-        each * (self.items.len() - self.listed.len()) as u64
+            .checked_div(self.results.len() as u64)
+            .unwrap_or(DEFAULT_RESULT_BYTES);
+        each * (self.items.len() - self.results.len()) as u64
     }
 
     /// When it is due, Unix time in ms.
@@ -171,8 +171,11 @@
     }
 
     /// The index of its last entry: it is settled once that is committed.
-    fn last_index(&self, own: u64) -> u64 {
-        let last_result = self.listed.last().map_or(own, |listed| listed.index);
+    fn last_index(&self, store_id: u64) -> u64 {
+        let last_result = self
+            .results
+            .last()
+            .map_or(store_id, |results| results.index);
         last_result.max(self.ended.unwrap_or(0))
     }
 }
@@ -180,12 +183,14 @@
 impl JobTable {
     /// Bytes of all entries on disk.
     pub fn bytes(&self) -> u64 {
-        self.bytes
+        self.disk_bytes
     }
 
     /// Bytes that the texts of items that wait may take: as much as those of their lot that are there.
-    pub fn texts_to_come(&self) -> u64 {
-        self.open().map(|(_, job)| job.texts_to_come()).sum()
+    pub fn expected_result_bytes(&self) -> u64 {
+        self.open()
+            .map(|(_, job)| job.expected_result_bytes())
+            .sum()
     }
 
     /// A lot by its name, with the index of its entry.
@@ -201,55 +206,61 @@
 
     /// Lots with items that wait, the one due first in front.
     pub fn open(&self) -> impl Iterator<Item = (u64, &BatchJob)> {
-        self.open
+        self.open_by_due_time
             .iter()
             .filter_map(|(_, index)| self.jobs.get(index).map(|job| (*index, job)))
     }
 
     /// All lots by the index of their entries.
-    pub fn all(&self) -> impl Iterator<Item = (u64, &BatchJob)> {
+    pub fn iter(&self) -> impl Iterator<Item = (u64, &BatchJob)> {
         self.jobs.iter().map(|(index, job)| (*index, job))
     }
 
     /// Tokens of a route that wait.
-    pub fn waiting_tokens(&self, route: &str) -> u64 {
-        self.waiting.get(route).copied().unwrap_or(0)
+    pub fn queued_tokens(&self, route: &str) -> u64 {
+        self.queued_tokens_by_route.get(route).copied().unwrap_or(0)
     }
 
     /// Entries on disk behind an index, with their bytes.
     pub fn entries_after(&self, index: u64) -> impl Iterator<Item = (u64, u64)> {
         self.entries
             .range(index + 1..)
-            .map(|(index, kept)| (*index, kept.length))
+            .map(|(index, stored)| (*index, stored.length))
     }
 
     /// Applies the entry at the end of the log. `length` is what it takes on disk, `raw` the part behind its
     /// head.
     pub fn apply(&mut self, index: u64, entry: &Entry, length: u64, raw: u64, now: Timestamp) {
         let kind = match entry {
-            Entry::EpochStart => Kind::Other,
+            Entry::EpochStart => EntryKind::Other,
             Entry::Accepted(head) => self.apply_accepted(index, head, raw, now),
             Entry::Result { job, item, state } => {
                 self.apply_result(index, *job, *item, *state, length)
             }
             Entry::Ended { job } => self.apply_ended(index, *job),
         };
-        if matches!(kind, Kind::Other) {
-            self.of_no_lot.insert(index);
+        if matches!(kind, EntryKind::Other) {
+            self.unreferenced.insert(index);
         }
-        self.bytes += length;
-        self.entries.insert(index, Kept { length, kind });
+        self.disk_bytes += length;
+        self.entries.insert(index, StoredEntry { length, kind });
     }
 
-    fn apply_accepted(&mut self, index: u64, head: &JobHeader, raw: u64, now: Timestamp) -> Kind {
+    fn apply_accepted(
+        &mut self,
+        index: u64,
+        head: &JobHeader,
+        raw: u64,
+        now: Timestamp,
+    ) -> EntryKind {
         let name = JobName {
             host: head.host.clone(),
             id: head.id.clone(),
         };
-        let items: Vec<Item> = head
+        let items: Vec<JobItem> = head
             .items
             .iter()
-            .map(|item| Item {
+            .map(|item| JobItem {
                 id: item.id.as_str().into(),
                 tokens: item.tokens,
                 length: item.length,
@@ -262,76 +273,87 @@
             route: head.route.clone(),
             terms: head.terms,
             items,
-            listed: Vec::new(),
+            results: Vec::new(),
             ended: None,
             has_payloads: raw == payload_bytes,
-            since: now,
+            applied_at: now,
         };
-        *self.waiting.entry(job.route.clone()).or_default() += job.waiting_tokens();
+        *self
+            .queued_tokens_by_route
+            .entry(job.route.clone())
+            .or_default() += job.queued_tokens();
         if !job.is_done() {
-            self.open.insert((job.due_at_ms(), index));
+            self.open_by_due_time.insert((job.due_at_ms(), index));
         }
         self.by_name.insert(name, index);
         self.jobs.insert(index, job);
-        Kind::Accepted
+        EntryKind::Accepted
     }
 
     fn apply_result(
         &mut self,
         index: u64,
-        number: u64,
+        job_index: u64,
         item: u32,
         state: ItemState,
         length: u64,
-    ) -> Kind {
-        let Some(job) = self.jobs.get_mut(&number) else {
-            return Kind::Other;
+    ) -> EntryKind {
+        let Some(job) = self.jobs.get_mut(&job_index) else {
+            return EntryKind::Other;
         };
-        let position = job.listed.len() as u32;
+        let position = job.results.len() as u32;
         let ended = job.ended.is_some();
         let due = job.due_at_ms();
-        let Some(place) = job
+        let Some(job_item) = job
             .items
             .get_mut(item as usize)
             .filter(|item| item.position.is_none())
         else {
-            return Kind::Other;
+            return EntryKind::Other;
         };
-        place.position = Some(position);
-        let tokens = if ended { 0 } else { place.tokens };
-        job.listed.push(Listed {
+        job_item.position = Some(position);
+        let tokens = if ended { 0 } else { job_item.tokens };
+        job.results.push(RecordedResult {
             index,
             item,
             state,
             length,
         });
         if job.is_done() {
-            self.open.remove(&(due, number));
-            self.to_strip.insert(number);
+            self.open_by_due_time.remove(&(due, job_index));
+            self.strip_candidates.insert(job_index);
         }
-        Self::take(&mut self.waiting, &job.route, tokens);
-        Kind::Result { job: number }
+        Self::subtract_queued(&mut self.queued_tokens_by_route, &job.route, tokens);
+        EntryKind::Result { job: job_index }
     }
 
-    fn apply_ended(&mut self, index: u64, number: u64) -> Kind {
-        let Some(job) = self.jobs.get_mut(&number).filter(|job| job.ended.is_none()) else {
-            return Kind::Other;
+    fn apply_ended(&mut self, index: u64, job_index: u64) -> EntryKind {
+        let Some(job) = self
+            .jobs
+            .get_mut(&job_index)
+            .filter(|job| job.ended.is_none())
+        else {
+            return EntryKind::Other;
         };
-        let tokens = job.waiting_tokens();
+        let tokens = job.queued_tokens();
         job.ended = Some(index);
-        self.open.remove(&(job.due_at_ms(), number));
-        self.to_strip.insert(number);
-        Self::take(&mut self.waiting, &job.route, tokens);
-        Kind::Ended { job: number }
-    }
-
-    fn take(waiting: &mut FxHashMap<String, u64>, route: &str, tokens: u64) {
-        let Some(sum) = waiting.get_mut(route) else {
+        self.open_by_due_time.remove(&(job.due_at_ms(), job_index));
+        self.strip_candidates.insert(job_index);
+        Self::subtract_queued(&mut self.queued_tokens_by_route, &job.route, tokens);
+        EntryKind::Ended { job: job_index }
+    }
+
+    fn subtract_queued(
+        queued_tokens_by_route: &mut FxHashMap<String, u64>,
+        route: &str,
+        tokens: u64,
+    ) {
+        let Some(sum) = queued_tokens_by_route.get_mut(route) else {
             return;
         };
         *sum = sum.saturating_sub(tokens);
         if *sum == 0 {
-            waiting.remove(route);
+            queued_tokens_by_route.remove(route);
         }
     }
 
@@ -342,159 +364,177 @@
             .last_entry()
             .filter(|entry| *entry.key() > last)
         {
-            let (index, kept) = entry.remove_entry();
-            self.bytes -= kept.length;
-            match kept.kind {
-                Kind::Other => _ = self.of_no_lot.remove(&index),
-                Kind::Accepted => self.forget(index),
-                Kind::Result { job } => self.undo_result(job),
-                Kind::Ended { job } => self.undo_ended(job),
+            let (index, stored) = entry.remove_entry();
+            self.disk_bytes -= stored.length;
+            match stored.kind {
+                EntryKind::Other => _ = self.unreferenced.remove(&index),
+                EntryKind::Accepted => self.forget(index),
+                EntryKind::Result { job } => self.undo_result(job),
+                EntryKind::Ended { job } => self.undo_ended(job),
             }
         }
     }
 
-    fn undo_result(&mut self, number: u64) {
-        let Some(job) = self.jobs.get_mut(&number) else {
+    fn undo_result(&mut self, job_index: u64) {
+        let Some(job) = self.jobs.get_mut(&job_index) else {
             return;
         };
-        let Some(listed) = job.listed.pop() else {
+        let Some(results) = job.results.pop() else {
             return;
         };
-        let item = &mut job.items[listed.item as usize];
+        let item = &mut job.items[results.item as usize];
         item.position = None;
         if job.ended.is_none() {
-            *self.waiting.entry(job.route.clone()).or_default() += item.tokens;
-            self.open.insert((job.due_at_ms(), number));
-            self.to_strip.remove(&number);
+            *self
+                .queued_tokens_by_route
+                .entry(job.route.clone())
+                .or_default() += item.tokens;
+            self.open_by_due_time.insert((job.due_at_ms(), job_index));
+            self.strip_candidates.remove(&job_index);
         }
     }
 
-    fn undo_ended(&mut self, number: u64) {
-        let Some(job) = self.jobs.get_mut(&number) else {
+    fn undo_ended(&mut self, job_index: u64) {
+        let Some(job) = self.jobs.get_mut(&job_index) else {
             return;
         };
         job.ended = None;
         if !job.is_done() {
-            *self.waiting.entry(job.route.clone()).or_default() += job.waiting_tokens();
-            self.open.insert((job.due_at_ms(), number));
-            self.to_strip.remove(&number);
+            *self
+                .queued_tokens_by_route
+                .entry(job.route.clone())
+                .or_default() += job.queued_tokens();
+            self.open_by_due_time.insert((job.due_at_ms(), job_index));
+            self.strip_candidates.remove(&job_index);
         }
     }
 
-    fn forget(&mut self, number: u64) {
-        let Some(job) = self.jobs.remove(&number) else {
+    fn forget(&mut self, job_index: u64) {
+        let Some(job) = self.jobs.remove(&job_index) else {
             return;
         };
-        Self::take(&mut self.waiting, &job.route, job.waiting_tokens());
-        self.open.remove(&(job.due_at_ms(), number));
-        self.to_strip.remove(&number);
-        if self.by_name.get(&job.name) == Some(&number) {
+        Self::subtract_queued(
+            &mut self.queued_tokens_by_route,
+            &job.route,
+            job.queued_tokens(),
+        );
+        self.open_by_due_time.remove(&(job.due_at_ms(), job_index));
+        self.strip_candidates.remove(&job_index);
+        if self.by_name.get(&job.name) == Some(&job_index) {
             self.by_name.remove(&job.name);
         }
     }
 
     /// What can go from the disk: payloads of lots that are done, lots that need not be readable any more.
-    /// `status` is how long a lot has to be readable. Goes by the time since the lot was applied in this
+    /// `result_retention` is how long a lot has to be readable. Goes by the time since the lot was applied in this
     /// process, so that neither a step of the clock nor a restart makes anything go early.
-    pub fn sweep(&mut self, committed: u64, status: Duration, now: Timestamp) -> Sweep {
-        let mut sweep = Sweep::default();
-        self.strip_done(committed, &mut sweep);
+    pub fn sweep(
+        &mut self,
+        commit_index: u64,
+        result_retention: Duration,
+        now: Timestamp,
+    ) -> Reclaimable {
+        let mut sweep = Reclaimable::default();
+        self.strip_done(commit_index, &mut sweep);
         let expired: Vec<u64> = self
             .jobs
             .iter()
-            .filter(|(index, job)| job.last_index(**index) <= committed)
+            .filter(|(index, job)| job.last_index(**index) <= commit_index)
             .filter(|(_, job)| {
-                let keep = match job.is_done() {
-                    true => status + DROP_AFTER,
+                let retention = match job.is_done() {
+                    true => result_retention + FINISHED_JOB_GRACE,
                     false => {
-                        status + ABANDONED_AFTER + Duration::from_millis(job.terms.retention_ms)
+                        result_retention
+                            + ABANDONED_JOB_GRACE
+                            + Duration::from_millis(job.terms.retention_ms)
                     }
                 };
-                now.saturating_sub(job.since) > keep
+                now.saturating_sub(job.applied_at) > retention
             })
             .map(|(index, _)| *index)
             .collect();
         expired
             .into_iter()
-            .for_each(|number| self.drop_lot(number, &mut sweep.remove));
-        let behind = self.of_no_lot.split_off(&(committed + 1));
+            .for_each(|job_index| self.drop_job(job_index, &mut sweep.remove));
+        let behind = self.unreferenced.split_off(&(commit_index + 1));
         sweep
             .remove
-            .extend(std::mem::replace(&mut self.of_no_lot, behind));
+            .extend(std::mem::replace(&mut self.unreferenced, behind));
         self.remove_entries(&mut sweep.remove);
         sweep
     }
 
     /// Drops the lots up to an index that are not among these; returns the entries to be removed.
-    pub fn drop_all_but(&mut self, numbers: &[u64], through: u64) -> Vec<u64> {
-        let kept: BTreeSet<u64> = numbers.iter().copied().collect();
-        let gone: Vec<u64> = self
+    pub fn drop_jobs_except(&mut self, numbers: &[u64], through: u64) -> Vec<u64> {
+        let stored: BTreeSet<u64> = numbers.iter().copied().collect();
+        let dropped: Vec<u64> = self
             .jobs
             .range(..=through)
-            .map(|(number, _)| *number)
-            .filter(|n| !kept.contains(n))
+            .map(|(job_index, _)| *job_index)
+            .filter(|n| !stored.contains(n))
             .collect();
         let mut remove = Vec::new();
-        gone.into_iter()
-            .for_each(|number| self.drop_lot(number, &mut remove));
+        dropped
+            .into_iter()
+            .for_each(|job_index| self.drop_job(job_index, &mut remove));
         self.remove_entries(&mut remove);
         remove
     }
 
     /// All lots up to an index, by the index of their entries.
-    pub fn numbers_through(&self, through: u64) -> Vec<u64> {
+    pub fn job_indexes_through(&self, through: u64) -> Vec<u64> {
         self.jobs
             .range(..=through)
-            .map(|(number, _)| *number)
+            .map(|(job_index, _)| *job_index)
             .collect()
     }
 
     /// Drops a lot; adds its entries to `remove`.
-    fn drop_lot(&mut self, number: u64, remove: &mut Vec<u64>) {
-        let Some(job) = self.jobs.get(&number) else {
+    fn drop_job(&mut self, job_index: u64, remove: &mut Vec<u64>) {
+        let Some(job) = self.jobs.get(&job_index) else {
             return;
         };
         remove.extend(
-            job.listed
+            job.results
                 .iter()
-                .map(|listed| listed.index)
+                .map(|results| results.index)
                 .chain(job.ended)
-                .chain([number]),
+                .chain([job_index]),
         );
-        self.forget(number);
+        self.forget(job_index);
     }
 
     fn remove_entries(&mut self, indexes: &mut [u64]) {
         for index in indexes.iter() {
-            let kept = self.entries.remove(index);
-            self.bytes -= kept.map_or(0, |kept| kept.length);
+            let stored = self.entries.remove(index);
+            self.disk_bytes -= stored.map_or(0, |stored| stored.length);
         }
         indexes.sort_unstable();
     }
 
-    fn strip_done(&mut self, committed: u64, sweep: &mut Sweep) {
-        let settled: Vec<u64> = self
-            .to_strip
+    fn strip_done(&mut self, commit_index: u64, sweep: &mut Reclaimable) {
+        let finished: Vec<u64> = self
+            .strip_candidates
             .iter()
             .copied()
-            .filter(|number| {
+            .filter(|job_index| {
                 self.jobs
-                    .get(number)
-                    .is_none_or(|job| job.last_index(*number) <= committed)
+                    .get(job_index)
+                    .is_none_or(|job| job.last_index(*job_index) <= commit_index)
             })
             .collect();
-        for number in settled {
-            self.to_strip.remove(&number);
-            let Some(job) = self.jobs.get_mut(&number).filter(|job| job.has_payloads) else {
+        for job_index in finished {
+            self.strip_candidates.remove(&job_index);
+            let Some(job) = self.jobs.get_mut(&job_index).filter(|job| job.has_payloads) else {
                 continue;
             };
             job.has_payloads = false;
             let payload_bytes = job.payload_bytes();
-            if let Some(kept) = self.entries.get_mut(&number) {
-                kept.length -= payload_bytes;
-                self.bytes -= payload_bytes;
+            if let Some(stored) = self.entries.get_mut(&job_index) {
+                stored.length -= payload_bytes;
+                self.disk_bytes -= payload_bytes;
             }
-            sweep.strip.push(number);
+            sweep.strip.push(job_index);
         }
     }
 
--- a/crates/mintlb-batch/src/leases.rs
+++ b/crates/mintlb-batch/src/leases.rs
@@ -7,13 +7,13 @@
 use std::time::Duration;
 
 /// A lease that was not renewed for so long is open to others.
-pub const LEASE: Duration = Duration::from_millis(3000);
+pub const LEASE_DURATION: Duration = Duration::from_millis(3000);
 
 /// The leases of a shard's items.
 #[derive(Clone, Debug, Default)]
 pub struct Leases {
     /// Before this time, nothing is open: holders may still renew what an earlier primary granted.
-    quiet_until: Timestamp,
+    grants_paused_until: Timestamp,
     jobs: FxHashMap<u64, JobLeases>,
 }
 
@@ -34,7 +34,7 @@
 
 impl ItemLease {
     fn is_live(&self, now: Timestamp) -> bool {
-        self.owner != 0 && now.saturating_sub(self.renewed) < LEASE
+        self.owner != 0 && now.saturating_sub(self.renewed) < LEASE_DURATION
     }
 }
 
@@ -65,11 +65,11 @@
 
     /// Nothing is open until holders had the time to renew.
     pub fn pause(&mut self, now: Timestamp) {
-        self.quiet_until = now + LEASE;
+        self.grants_paused_until = now + LEASE_DURATION;
     }
 
     /// The holder is to run all items of a new lot.
-    pub fn grant_all(&mut self, number: u64, items: usize, owner: DispatcherId, now: Timestamp) {
+    pub fn grant_all(&mut self, job_index: u64, items: usize, owner: DispatcherId, now: Timestamp) {
         let leases = vec![
             ItemLease {
                 owner,
@@ -78,12 +78,12 @@
             };
             items
         ];
-        self.jobs.insert(number, JobLeases { items: leases });
+        self.jobs.insert(job_index, JobLeases { items: leases });
     }
 
     /// Whether this holder has all items of a lot.
-    pub fn holds_all(&self, number: u64, job: &BatchJob, owner: DispatcherId) -> bool {
-        let Some(leases) = self.jobs.get(&number) else {
+    pub fn owns_all(&self, job_index: u64, job: &BatchJob, owner: DispatcherId) -> bool {
+        let Some(leases) = self.jobs.get(&job_index) else {
             return false;
         };
         (0..job.items.len()).all(|item| leases.of(item as u32).owner == owner)
@@ -92,13 +92,13 @@
     /// Renews the holder's leases of a lot; returns the items that are not its any more.
     pub fn renew(
         &mut self,
-        number: u64,
+        job_index: u64,
         job: &BatchJob,
         items: &[u32],
         owner: DispatcherId,
         now: Timestamp,
     ) -> Vec<u32> {
-        let leases = self.jobs.entry(number).or_default();
+        let leases = self.jobs.entry(job_index).or_default();
         let mut lost = Vec::new();
         for &item in items {
             let waits = job.ended.is_none()
@@ -117,17 +117,17 @@
     }
 
     /// A holder tells how often an item has failed so far.
-    pub fn failed(&mut self, number: u64, job: &BatchJob, item: u32, count: u32) {
+    pub fn failed(&mut self, job_index: u64, job: &BatchJob, item: u32, count: u32) {
         if (item as usize) < job.items.len() {
-            let lease = self.jobs.entry(number).or_default().entry(item);
+            let lease = self.jobs.entry(job_index).or_default().entry(item);
             lease.failures = lease.failures.max(count);
         }
     }
 
     /// How often an item has failed so far, as far as its holders told this primary.
-    pub fn failures(&self, number: u64, item: u32) -> u32 {
+    pub fn failures(&self, job_index: u64, item: u32) -> u32 {
         self.jobs
-            .get(&number)
+            .get(&job_index)
             .map_or(0, |leases| leases.of(item).failures)
     }
 
@@ -142,34 +142,37 @@
     pub fn open_items<'a>(
         &'a self,
         jobs: &'a JobTable,
-        committed: u64,
+        commit_index: u64,
         now: Timestamp,
     ) -> impl Iterator<Item = (u64, u32)> + 'a {
-        let quiet = now < self.quiet_until;
+        let paused = now < self.grants_paused_until;
         let open = jobs
             .open()
-            .filter(move |(number, _)| !quiet && *number <= committed);
-        open.flat_map(move |(number, job)| {
-            let leases = self.jobs.get(&number);
+            .filter(move |(job_index, _)| !paused && *job_index <= commit_index);
+        open.flat_map(move |(job_index, job)| {
+            let leases = self.jobs.get(&job_index);
             let is_open = move |item: u32| match leases {
                 None => true,
                 Some(leases) => !leases.of(item).is_live(now),
             };
-            job.waiting_items()
+            job.pending_items()
                 .map(|(item, _)| item)
                 .filter(move |item| is_open(*item))
-                .map(move |i| (number, i))
+                .map(move |i| (job_index, i))
         })
     }
 
     /// Leases one item.
-    pub fn grant(&mut self, number: u64, item: u32, owner: DispatcherId, now: Timestamp) {
-        self.jobs.entry(number).or_default().set(item, owner, now);
+    pub fn grant(&mut self, job_index: u64, item: u32, owner: DispatcherId, now: Timestamp) {
+        self.jobs
+            .entry(job_index)
+            .or_default()
+            .set(item, owner, now);
     }
 
     /// Forgets leases of lots that are done.
     pub fn sweep(&mut self, jobs: &JobTable) {
         self.jobs
-            .retain(|number, _| jobs.get(*number).is_some_and(|job| !job.is_done()));
+            .retain(|job_index, _| jobs.get(*job_index).is_some_and(|job| !job.is_done()));
     }
 }
--- a/crates/mintlb-batch/src/lib.rs
+++ b/crates/mintlb-batch/src/lib.rs
@@ -4,7 +4,7 @@
 //! - [`messages`]: calls of dispatchers to stores, and their answers.
 //! - [`peer`]: messages between the replicas of a shard.
 //! - [`entry`]: entries of a shard's log.
-//! - [`log_index`]: which epoch wrote which part of a log, and how two logs compare.
+//! - [`epoch_history`]: which epoch wrote which part of a log, and how two logs compare.
 //! - [`job_table`]: the lots of one shard, built from its log: items, results, quota.
 //! - [`leases`]: who runs which item.
 //! - [`replica`]: one shard at one store: follower, takeover, primary. Pure.
@@ -14,11 +14,11 @@
 
 pub mod client;
 pub mod entry;
+pub mod epoch_history;
 pub mod framing;
 pub mod heartbeat;
 pub mod job_table;
 pub mod leases;
-pub mod log_index;
 pub mod messages;
 pub mod peer;
 pub mod placement_planner;
--- a/crates/mintlb-batch/src/messages.rs
+++ b/crates/mintlb-batch/src/messages.rs
@@ -187,7 +187,7 @@
     Leased(#[n(0)] Vec<LeasedItemHeader>),
     /// The leases are renewed but for some.
     #[n(11)]
-    Renewed(#[n(0)] Renewed),
+    Renewed(#[n(0)] RenewResult),
     /// The result is kept, or another one before it, or the lot is ended.
     #[n(12)]
     Recorded,
@@ -256,7 +256,7 @@
 
 /// What became of leases.
 #[derive(Clone, Debug, Default, PartialEq, Encode, Decode)]
-pub struct Renewed {
+pub struct RenewResult {
     /// Items that the holder is to stop: listed, leased to another, or of an ended or unknown lot.
     #[n(0)]
     pub lost: Vec<LeasedItems>,
--- a/crates/mintlb-batch/src/peer.rs
+++ b/crates/mintlb-batch/src/peer.rs
@@ -1,7 +1,7 @@
 //! Messages between the replicas of a shard: notices on [`mintlb_common::transport::Channel::Batch`], each a
 //! [`crate::framing`] head; entries are raw behind it. A lost one is made good by the sender's next one.
 
-use crate::log_index::{EpochRun, LogIndex, LogPosition};
+use crate::epoch_history::{EpochHistory, EpochRun, LogPosition};
 use minicbor::{Decode, Encode};
 use mintlb_common::placement::StoreId;
 
@@ -46,7 +46,7 @@
     Diverged {
         /// Its log.
         #[n(0)]
-        log: LogIndex,
+        log: EpochHistory,
         /// `sent_at` of the message that is answered.
         #[n(1)]
         echo: u64,
@@ -62,7 +62,7 @@
     EpochAck {
         /// Its log.
         #[n(0)]
-        log: LogIndex,
+        log: EpochHistory,
     },
     /// A new primary lacks what lies behind this index.
     #[n(6)]
@@ -93,7 +93,7 @@
     pub entries: Vec<EntryLength>,
     /// Up to here the primary's log is committed.
     #[n(4)]
-    pub committed: u64,
+    pub commit_index: u64,
     /// The primary's clock, given back by the answer.
     #[n(5)]
     pub sent_at: u64,
--- a/crates/mintlb-batch/src/placement_planner.rs
+++ b/crates/mintlb-batch/src/placement_planner.rs
@@ -17,9 +17,9 @@
 use std::time::Duration;
 
 /// A store that was silent for less counts as live.
-pub const LIVE: Duration = Duration::from_millis(1000);
+pub const LIVE_TIMEOUT: Duration = Duration::from_millis(1000);
 /// A primary that was silent for so long is replaced by another replica.
-const PRIMARY_DEAD: Duration = Duration::from_millis(1300);
+const PRIMARY_TIMEOUT: Duration = Duration::from_millis(1300);
 /// The first placement waits so long after the first heartbeat,
 const FIRST_WAIT: Duration = Duration::from_millis(800);
 /// and so long after a store was first heard of,
@@ -27,11 +27,11 @@
 /// but no longer than this.
 const LONGEST_FIRST_WAIT: Duration = Duration::from_millis(2500);
 /// A primary that does not get in charge for so long is replaced by another replica.
-const TAKEOVER_PATIENCE: Duration = Duration::from_millis(3500);
+const TAKEOVER_TIMEOUT: Duration = Duration::from_millis(3500);
 /// A store that no shard names is forgotten when silent for so long.
-const FORGET: Duration = Duration::from_secs(10);
+const FORGET_AFTER: Duration = Duration::from_secs(10);
 /// The same for one that was emptied.
-const FORGET_RETIRED: Duration = Duration::from_secs(600);
+const FORGET_RETIRED_AFTER: Duration = Duration::from_secs(600);
 /// The next placement, if there is something to change.
 pub fn plan(current: &Placement, view: &StoreView, tolerance: usize) -> Option<Placement> {
     let mut next = Placement {
@@ -103,16 +103,16 @@
         .flat_map(|shard| shard.replicas.iter().chain(&shard.previous))
         .copied()
         .collect();
-    let gone = |entry: &StoreEntry| {
-        let patience = if entry.retiring {
-            FORGET_RETIRED
+    let expired = |entry: &StoreEntry| {
+        let timeout = if entry.retiring {
+            FORGET_RETIRED_AFTER
         } else {
-            FORGET
+            FORGET_AFTER
         };
-        view.since_heartbeat(entry.id) >= patience || (!entry.retiring && view.is_replaced(entry))
+        view.since_heartbeat(entry.id) >= timeout || (!entry.retiring && view.is_replaced(entry))
     };
     next.stores
-        .retain(|entry| named.contains(&entry.id) || !gone(entry));
+        .retain(|entry| named.contains(&entry.id) || !expired(entry));
 }
 
 /// A store that was not known. With an emptied disk the machine is still to be taken away if that was ordered.
@@ -168,7 +168,7 @@
     }
 
     fn is_live(&self, id: StoreId) -> bool {
-        self.view.since_heartbeat(id) < LIVE
+        self.view.since_heartbeat(id) < LIVE_TIMEOUT
     }
 
     fn plan_shard(&mut self, shard: usize) {
@@ -185,8 +185,8 @@
             return;
         }
         let leaves = self.view.is_draining(primary);
-        let dead = self.view.since_heartbeat(primary) >= PRIMARY_DEAD || leaves && active;
-        let stuck = !active && self.view.inactive_for(shard, assignment.epoch) >= TAKEOVER_PATIENCE;
+        let dead = self.view.since_heartbeat(primary) >= PRIMARY_TIMEOUT || leaves && active;
+        let stuck = !active && self.view.inactive_for(shard, assignment.epoch) >= TAKEOVER_TIMEOUT;
         if !active && self.lacks_quorum(&assignment) && self.choose_anew(shard, &assignment, false)
         {
             return;
@@ -213,15 +213,16 @@
     fn replace_primary(&mut self, shard: usize, assignment: &ShardAssignment) {
         let caught_up = self.view.last_caught_up(shard);
         let primary = assignment.replicas[0];
-        let places = assignment.replicas.iter().skip(1).enumerate();
-        let others = places.filter(|(_, id)| self.is_live(**id) && !self.view.is_draining(**id));
-        let chosen = others.min_by_key(|(place, id)| {
+        let candidates = assignment.replicas.iter().skip(1).enumerate();
+        let others =
+            candidates.filter(|(_, id)| self.is_live(**id) && !self.view.is_draining(**id));
+        let chosen = others.min_by_key(|(rank, id)| {
             let behind = !caught_up.contains(id) && !assignment.previous.contains(id);
             (
                 self.is_retiring(**id),
                 behind,
                 self.primaries_of(**id),
-                *place,
+                *rank,
             )
         });
         let Some((_, &chosen)) = chosen else { return };
@@ -276,7 +277,7 @@
                 .filter(|(_, assignment)| assignment.replicas.first() == Some(id))
                 .count()
         };
-        let least = (0..replicas.len()).min_by_key(|place| (load(&replicas[*place]), *place));
+        let least = (0..replicas.len()).min_by_key(|rank| (load(&replicas[*rank]), *rank));
         if let Some(least) = least {
             replicas.swap(0, least);
         }
--- a/crates/mintlb-batch/src/placement_planner/members.rs
+++ b/crates/mintlb-batch/src/placement_planner/members.rs
@@ -5,13 +5,13 @@
 use std::time::Duration;
 
 /// A replica that was silent for so long is replaced when its shard could not lose another one.
-const REPLICA_DEAD: Duration = Duration::from_millis(2000);
+const REPLICA_TIMEOUT: Duration = Duration::from_millis(2000);
 /// The same while its shard could and no other store has come since: a machine that comes back soon has its copy still.
-const REPLICA_DEAD_AT_EASE: Duration = Duration::from_millis(7000);
+const REDUNDANT_REPLICA_TIMEOUT: Duration = Duration::from_millis(7000);
 /// A store that was first heard of so lately may be there to replace one that leaves.
 const NEW_STORE: Duration = Duration::from_secs(60);
 /// Shards that one store fills up with at a time, while no copy is missing.
-const MOST_FILLING: usize = 4;
+const MAX_CONCURRENT_FILLS: usize = 4;
 
 impl Planner<'_> {
     /// Whether too few replicas are left to commit anything: the others are silent for long, or their disks are
@@ -20,7 +20,7 @@
         let left = assignment
             .replicas
             .iter()
-            .filter(|id| !self.is_lost(**id, REPLICA_DEAD))
+            .filter(|id| !self.is_lost(**id, REPLICA_TIMEOUT))
             .count();
         left <= self.tolerance
     }
@@ -103,7 +103,7 @@
         };
         let candidate = self
             .candidate(shard, replicas)
-            .filter(|id| self.is_new(*id) || self.is_held_back(*id));
+            .filter(|id| self.is_new(*id) || self.is_kept_for_quorum(*id));
         let mut changed = replace(replicas, draining, candidate);
         let is_good = |id: &StoreId| {
             self.is_live(*id) && !self.view.is_draining(*id) && caught_up.contains(id)
@@ -113,15 +113,15 @@
         if good.is_empty() || candidate.is_none() && !may_shrink {
             return false;
         }
-        if let Some(place) = changed.iter().position(|id| good.contains(id)) {
-            changed.swap(0, place);
+        if let Some(rank) = changed.iter().position(|id| good.contains(id)) {
+            changed.swap(0, rank);
         }
         self.change(shard, assignment, changed);
         true
     }
 
     /// Whether a store is to be emptied but can't be spared yet.
-    fn is_held_back(&self, id: StoreId) -> bool {
+    fn is_kept_for_quorum(&self, id: StoreId) -> bool {
         self.next
             .store(id)
             .is_some_and(|entry| entry.retiring && !self.is_emptied(entry))
@@ -151,7 +151,7 @@
         // First of all a copy that is missing, then one that is to move.
         let lost = replicas
             .iter()
-            .find(|id| self.is_lost(**id, self.patience(**id, at_ease)));
+            .find(|id| self.is_lost(**id, self.timeout(**id, at_ease)));
         let draining = lost
             .or(replicas.iter().find(|id| self.is_retiring(**id)))
             .copied();
@@ -160,7 +160,7 @@
         // more.
         let is_missing =
             draining.is_some_and(|id| !self.is_live(id)) || replicas.len() < self.size();
-        if !is_missing && candidate.is_some_and(|id| self.filling(id) >= MOST_FILLING) {
+        if !is_missing && candidate.is_some_and(|id| self.filling(id) >= MAX_CONCURRENT_FILLS) {
             return;
         }
         let stays =
@@ -168,7 +168,7 @@
         let changed = match (draining, candidate) {
             // One that is lost makes no quorum: beside its successor it would only be one more that can't be read.
             (Some(draining), Some(candidate))
-                if stays(draining) || self.is_lost(draining, REPLICA_DEAD) =>
+                if stays(draining) || self.is_lost(draining, REPLICA_TIMEOUT) =>
             {
                 Some(replace(replicas, draining, Some(candidate)))
             }
@@ -190,8 +190,8 @@
         };
         let Some(mut changed) = changed else { return };
         // The primary has to be one with the whole log.
-        if let Some(place) = changed.iter().position(|id| good.contains(id)) {
-            changed.swap(0, place);
+        if let Some(rank) = changed.iter().position(|id| good.contains(id)) {
+            changed.swap(0, rank);
         }
         self.change(shard, assignment, changed);
     }
@@ -203,20 +203,20 @@
     }
 
     /// How long a replica may be silent before its copy is made anew.
-    fn patience(&self, id: StoreId, at_ease: bool) -> Duration {
+    fn timeout(&self, id: StoreId, at_ease: bool) -> Duration {
         if at_ease && !self.has_successor(id) {
-            REPLICA_DEAD_AT_EASE
+            REDUNDANT_REPLICA_TIMEOUT
         } else {
-            REPLICA_DEAD
+            REPLICA_TIMEOUT
         }
     }
 
     /// Whether its disk is lost, or it was silent for so long.
-    fn is_lost(&self, id: StoreId, patience: Duration) -> bool {
+    fn is_lost(&self, id: StoreId, timeout: Duration) -> bool {
         self.next
             .store(id)
             .is_none_or(|entry| self.view.is_replaced(entry))
-            || self.view.since_heartbeat(id) >= patience
+            || self.view.since_heartbeat(id) >= timeout
     }
 
     /// Without a store to take its place, a silent replica stays: it may come back. A retiring one has to go, one
@@ -233,12 +233,12 @@
     /// Whether a silent store was told to stop, or another one came after its last word.
     fn has_successor(&self, id: StoreId) -> bool {
         let since_heartbeat = self.view.since_heartbeat(id);
-        let came_after = self.usable().any(|entry| {
+        let newer_store = self.usable().any(|entry| {
             self.view
                 .store(entry.id)
                 .is_some_and(|store| store.known_for <= since_heartbeat)
         });
-        since_heartbeat >= REPLICA_DEAD && (self.view.is_draining(id) || came_after)
+        since_heartbeat >= REPLICA_TIMEOUT && (self.view.is_draining(id) || newer_store)
     }
 
     /// The usable store that suits best as one more replica: of a zone with few of them, with few shards.
--- a/crates/mintlb-batch/src/placement_planner/retirement.rs
+++ b/crates/mintlb-batch/src/placement_planner/retirement.rs
@@ -1,12 +1,12 @@
 //! Emptying a store on the operator's order.
 
-use super::LIVE;
+use super::LIVE_TIMEOUT;
 use super::view::StoreView;
 use mintlb_common::placement::{Placement, StoreEntry, StoreId};
 use std::time::Duration;
 
 /// A store that was silent for less can take over from the one that is emptied.
-const COUNTS: Duration = Duration::from_millis(3000);
+const CANDIDATE_TIMEOUT: Duration = Duration::from_millis(3000);
 
 /// What is answered to an order to empty a store.
 #[derive(Clone, Debug, PartialEq)]
@@ -52,7 +52,9 @@
         return RetirementOrder::AlreadyStarted;
     }
     let stays = |entry: &&StoreEntry| {
-        entry.node_name != node_name && !entry.retiring && view.since_heartbeat(entry.id) < COUNTS
+        entry.node_name != node_name
+            && !entry.retiring
+            && view.since_heartbeat(entry.id) < CANDIDATE_TIMEOUT
     };
     let leaves = |entry: &&StoreEntry| view.is_draining(entry.id);
     let staying: Vec<&StoreEntry> = current.stores.iter().filter(stays).collect();
@@ -97,7 +99,7 @@
             .any(|s| s.replicas.contains(&id) || s.previous.contains(&id))
     };
     let named = stores.iter().any(|entry| is_named(entry.id));
-    let settled = current
+    let complete = current
         .shards
         .iter()
         .enumerate()
@@ -108,16 +110,18 @@
             let Some(report) = view.report(primary, shard, assignment.epoch) else {
                 return false;
             };
-            let lacks =
-                |id: &StoreId| view.since_heartbeat(*id) < COUNTS && !report.caught_up.contains(id);
-            let stays = |id: &StoreId| view.since_heartbeat(*id) < LIVE && !view.is_draining(*id);
-            let whole = |id: &&StoreId| stays(id) && report.caught_up.contains(id);
+            let lacks = |id: &StoreId| {
+                view.since_heartbeat(*id) < CANDIDATE_TIMEOUT && !report.caught_up.contains(id)
+            };
+            let stays =
+                |id: &StoreId| view.since_heartbeat(*id) < LIVE_TIMEOUT && !view.is_draining(*id);
+            let in_sync = |id: &&StoreId| stays(id) && report.caught_up.contains(id);
             assignment.previous.is_empty()
                 && report.active
                 && !assignment.replicas.iter().any(lacks)
-                && assignment.replicas.iter().filter(whole).count() > tolerance
+                && assignment.replicas.iter().filter(in_sync).count() > tolerance
         });
-    Some(if named || !settled {
+    Some(if named || !complete {
         Retirement::Running
     } else {
         Retirement::Completed
--- a/crates/mintlb-batch/src/placement_planner/view.rs
+++ b/crates/mintlb-batch/src/placement_planner/view.rs
@@ -1,18 +1,18 @@
 //! What a controller knows of the stores from their heartbeats.
 
-use super::LIVE;
+use super::LIVE_TIMEOUT;
 use crate::heartbeat::{ShardReport, StoreHeartbeat};
 use mintlb_common::placement::{Placement, StoreEntry, StoreId};
 use rustc_hash::FxHashMap;
 use std::time::Duration;
 
 /// The most stores a controller keeps in mind.
-const MOST_STORES: usize = 1024;
+const MAX_STORES: usize = 1024;
 /// A store that was silent for so long is forgotten.
-const FORGET: Duration = Duration::from_secs(900);
+const FORGET_AFTER: Duration = Duration::from_secs(900);
 
 /// Who did not look for so long does not know whether a shard was in charge meanwhile.
-const LOOKED_AWAY: Duration = Duration::from_millis(1500);
+const MAX_VIEW_GAP: Duration = Duration::from_millis(1500);
 
 /// Collects heartbeats. Times are of the process's steady clock.
 #[derive(Clone, Debug)]
@@ -97,9 +97,9 @@
     }
 
     /// Notes a heartbeat. True if what it says of shards is new.
-    pub fn note(&mut self, heartbeat: StoreHeartbeat, now: Duration) -> bool {
+    pub fn record_heartbeat(&mut self, heartbeat: StoreHeartbeat, now: Duration) -> bool {
         self.stores
-            .retain(|_, contact| now.saturating_sub(contact.last) < FORGET);
+            .retain(|_, contact| now.saturating_sub(contact.last) < FORGET_AFTER);
         for report in heartbeat.shards.iter().filter(|report| report.active) {
             let known = self.caught_up.entry(report.shard).or_default();
             if report.epoch >= known.epoch {
@@ -110,11 +110,11 @@
             }
         }
         if let Some(contact) = self.stores.get_mut(&heartbeat.id) {
-            let news = contact.heartbeat != heartbeat;
+            let changed = contact.heartbeat != heartbeat;
             (contact.heartbeat, contact.last) = (heartbeat, now);
-            return news;
+            return changed;
         }
-        if self.stores.len() < MOST_STORES {
+        if self.stores.len() < MAX_STORES {
             self.stores.insert(
                 heartbeat.id,
                 StoreContact {
@@ -151,7 +151,7 @@
                 .collect(),
         };
         view.stores.sort_by_key(|store| store.id);
-        if now.saturating_sub(self.viewed) > LOOKED_AWAY {
+        if now.saturating_sub(self.viewed) > MAX_VIEW_GAP {
             self.shards.clear();
         }
         self.viewed = now;
@@ -203,7 +203,7 @@
     pub fn live(&self) -> impl Iterator<Item = &StoreStatus> {
         self.stores
             .iter()
-            .filter(|store| store.since_heartbeat < LIVE)
+            .filter(|store| store.since_heartbeat < LIVE_TIMEOUT)
     }
 
     /// What the primary of this epoch says of its shard.
@@ -234,7 +234,7 @@
     /// Whether another store has come up at the address of this silent one: its disk is lost.
     pub fn is_replaced(&self, entry: &StoreEntry) -> bool {
         let another = |store: &&StoreStatus| store.address == entry.address && store.id != entry.id;
-        self.since_heartbeat(entry.id) >= LIVE && self.live().any(|store| another(&store))
+        self.since_heartbeat(entry.id) >= LIVE_TIMEOUT && self.live().any(|store| another(&store))
     }
 }
 
--- a/crates/mintlb-batch/src/replica.rs
+++ b/crates/mintlb-batch/src/replica.rs
@@ -2,7 +2,7 @@
 //!
 //! A replica follows the primary of the highest epoch it has promised, or is that primary. Whatever it says
 //! of its log or its promise is said after the disk has it: [`Effect::AfterSync`] comes back through
-//! [`Replica::synced`]. A primary syncs an entry before it sends it to others, so after a restart within its
+//! [`Replica::on_synced`]. A primary syncs an entry before it sends it to others, so after a restart within its
 //! epoch it never gives another entry an index that was seen elsewhere.
 
 mod follower;
@@ -13,10 +13,10 @@
 pub use serving::{LeasePlan, PagePlan, Proposal};
 
 use crate::entry::Entry;
+use crate::epoch_history::EpochHistory;
 use crate::heartbeat::ShardReport;
 use crate::job_table::{JobTable, Timestamp};
 use crate::leases::Leases;
-use crate::log_index::LogIndex;
 use crate::peer::{Append, Envelope, PeerMessage};
 use bytes::Bytes;
 use minicbor::{Decode, Encode};
@@ -26,11 +26,11 @@
 use takeover::Takeover;
 
 /// How often [`Replica::tick`] is to be called.
-pub const TICK: Duration = Duration::from_millis(100);
+pub const TICK_INTERVAL: Duration = Duration::from_millis(100);
 /// A process that was not ticked for so long has slept: what it knew of leases is old.
-const SLEPT: Duration = Duration::from_millis(1000);
+const MAX_TICK_GAP: Duration = Duration::from_millis(1000);
 /// How often a shard is swept.
-const SWEEP: Duration = Duration::from_millis(1000);
+const SWEEP_INTERVAL: Duration = Duration::from_millis(1000);
 
 /// What a shard keeps on disk beside its entries.
 #[derive(Clone, Debug, Default, PartialEq, Encode, Decode)]
@@ -40,10 +40,10 @@
     pub current_epoch: u64,
     /// The epochs of the log.
     #[n(1)]
-    pub log: LogIndex,
+    pub log: EpochHistory,
     /// Up to here the log is known to be committed; may lag.
     #[n(2)]
-    pub committed: u64,
+    pub commit_index: u64,
 }
 
 /// A change on disk. All changes of a replica are made in order.
@@ -68,7 +68,7 @@
 pub enum Effect {
     /// Change the disk.
     Write(DiskWrite),
-    /// Hand this back through [`Replica::synced`] once all writes before it are durable.
+    /// Hand this back through [`Replica::on_synced`] once all writes before it are durable.
     AfterSync(AfterSync),
     /// Send this to a store.
     Send(Envelope),
@@ -118,11 +118,11 @@
 #[derive(Clone, Copy, Debug)]
 pub struct ReplicaSettings {
     /// The store's identity.
-    pub own: StoreId,
+    pub store_id: StoreId,
     /// How many stores may be lost at once (`fault_tolerance.machines`).
     pub tolerance: usize,
     /// How long a lot has to be readable after it was sent (`status_s`).
-    pub status: Duration,
+    pub result_retention: Duration,
 }
 
 /// One shard at one store.
@@ -137,8 +137,8 @@
     assignment: ShardAssignment,
     role: Role,
     effects: Vec<Effect>,
-    ticked: Timestamp,
-    swept: Timestamp,
+    last_tick: Timestamp,
+    last_sweep: Timestamp,
 }
 
 impl Replica {
@@ -164,8 +164,8 @@
             assignment: ShardAssignment::default(),
             role: Role::Follower,
             effects: Vec::new(),
-            ticked: now,
-            swept: now,
+            last_tick: now,
+            last_sweep: now,
         }
     }
 
@@ -192,21 +192,21 @@
         }
         if is_new {
             self.step_down();
-            if assignment.replicas.first() == Some(&self.settings.own) {
+            if assignment.replicas.first() == Some(&self.settings.store_id) {
                 self.begin_epoch(now);
             }
         } else if assignment.previous.is_empty() {
             self.on_epoch_confirmed(now);
         }
-        self.clear_unless_needed();
+        self.clear_if_unassigned();
     }
 
     /// Drops everything if the placement names this store no more. A replica that is counted somewhere has
     /// promised that epoch on disk, so an old placement after a restart does no harm.
-    fn clear_unless_needed(&mut self) {
+    fn clear_if_unassigned(&mut self) {
         let assignment = &self.assignment;
-        let named = assignment.replicas.contains(&self.settings.own)
-            || assignment.previous.contains(&self.settings.own);
+        let named = assignment.replicas.contains(&self.settings.store_id)
+            || assignment.previous.contains(&self.settings.store_id);
         if named || !assignment.previous.is_empty() || assignment.epoch < self.meta.current_epoch {
             return;
         }
@@ -227,8 +227,8 @@
     }
 
     /// A message of another replica, with its raw part.
-    pub fn message(&mut self, envelope: Envelope, raw: Bytes, now: Timestamp) {
-        if envelope.to != self.settings.own {
+    pub fn on_message(&mut self, envelope: Envelope, raw: Bytes, now: Timestamp) {
+        if envelope.to != self.settings.store_id {
             return;
         }
         let Envelope {
@@ -239,10 +239,10 @@
         } = envelope;
         match message {
             PeerMessage::Append(append) => self.on_append(from, epoch, append, raw, now),
-            PeerMessage::NewEpoch => self.on_collect(from, epoch),
+            PeerMessage::NewEpoch => self.on_new_epoch(from, epoch),
             PeerMessage::Fetch { after } => self.on_fetch(from, epoch, after),
             PeerMessage::Fenced => self.on_fenced(epoch),
-            PeerMessage::EpochAck { log } => self.on_collected(from, epoch, log, now),
+            PeerMessage::EpochAck { log } => self.on_epoch_ack(from, epoch, log, now),
             PeerMessage::Fetched(append) => self.on_fetched(from, epoch, append, raw, now),
             PeerMessage::Appended { matched, echo } => {
                 self.on_appended(from, epoch, matched, echo, now)
@@ -252,7 +252,7 @@
     }
 
     /// The disk has what came before this.
-    pub fn synced(&mut self, after: AfterSync, now: Timestamp) {
+    pub fn on_synced(&mut self, after: AfterSync, now: Timestamp) {
         match after {
             AfterSync::Send(envelope) => {
                 // Another promise may have been given since.
@@ -269,17 +269,17 @@
 
     /// Time passes.
     pub fn tick(&mut self, now: Timestamp) {
-        if now.saturating_sub(self.ticked) > SLEPT {
+        if now.saturating_sub(self.last_tick) > MAX_TICK_GAP {
             self.leases.pause(now);
         }
-        self.ticked = now;
+        self.last_tick = now;
         match self.role {
             Role::Follower => (),
             Role::TakingOver(_) => self.tick_takeover(now),
             Role::Primary(_) => self.tick_primary(now),
         }
-        if now.saturating_sub(self.swept) >= SWEEP {
-            self.swept = now;
+        if now.saturating_sub(self.last_sweep) >= SWEEP_INTERVAL {
+            self.last_sweep = now;
             self.sweep(now);
         }
     }
@@ -287,7 +287,7 @@
     fn sweep(&mut self, now: Timestamp) {
         let sweep = self
             .jobs
-            .sweep(self.meta.committed, self.settings.status, now);
+            .sweep(self.meta.commit_index, self.settings.result_retention, now);
         if !sweep.strip.is_empty() {
             self.effects
                 .push(Effect::Write(DiskWrite::Strip(sweep.strip)));
@@ -307,7 +307,7 @@
         Some(ShardReport {
             shard: self.shard,
             epoch: primary.epoch,
-            active: primary.gets_on(self.ticked),
+            active: primary.is_making_progress(self.last_tick),
             caught_up: self.caught_up(primary),
         })
     }
@@ -323,12 +323,12 @@
     }
 
     /// Up to here the log is known to be committed.
-    pub fn committed(&self) -> u64 {
-        self.meta.committed
+    pub fn commit_index(&self) -> u64 {
+        self.meta.commit_index
     }
 
     /// The log's epochs.
-    pub fn log(&self) -> &LogIndex {
+    pub fn log(&self) -> &EpochHistory {
         &self.meta.log
     }
 
@@ -358,7 +358,7 @@
 
     fn envelope(&self, to: StoreId, epoch: u64, message: PeerMessage) -> Envelope {
         Envelope {
-            from: self.settings.own,
+            from: self.settings.store_id,
             to,
             shard: self.shard,
             epoch,
@@ -366,29 +366,29 @@
         }
     }
 
-    /// The part of the own log behind `after`, up to `through`, as far as it fits into `most` bytes, and the
+    /// The part of the own log behind `after`, up to `through`, as far as it fits into `max_bytes` bytes, and the
     /// indexes of its entries.
-    fn part(&self, after: u64, through: u64, most: u64) -> (Append, Vec<u64>) {
+    fn log_after(&self, after: u64, through: u64, max_bytes: u64) -> (Append, Vec<u64>) {
         let mut indexes = Vec::new();
         let (mut bytes, mut end) = (0, through.max(after));
         for (index, length) in self.jobs.entries_after(after) {
             if index > through {
                 break;
             }
-            if bytes + length > most && !indexes.is_empty() {
+            if bytes + length > max_bytes && !indexes.is_empty() {
                 end = index - 1;
                 break;
             }
             bytes += length;
             indexes.push(index);
         }
-        let previous = crate::log_index::LogPosition {
+        let previous = crate::epoch_history::LogPosition {
             epoch: self.meta.log.epoch_at(after).unwrap_or(0),
             index: after,
         };
         let runs = self.meta.log.runs(after + 1, end);
         let left_out = (indexes.len() as u64) < end - after;
-        let jobs = left_out.then(|| self.jobs.numbers_through(end));
+        let jobs = left_out.then(|| self.jobs.job_indexes_through(end));
         let append = Append {
             previous,
             through: end,
--- a/crates/mintlb-batch/src/replica/serving.rs
+++ b/crates/mintlb-batch/src/replica/serving.rs
@@ -4,7 +4,8 @@
 use crate::entry::{Entry, ItemState, JobHeader};
 use crate::job_table::{BatchJob, Timestamp};
 use crate::messages::{
-    DispatcherId, JobName, LeasedItemHeader, LeasedItems, Page, PageResult, Renewed, StoreResponse,
+    DispatcherId, JobName, LeasedItemHeader, LeasedItems, Page, PageResult, RenewResult,
+    StoreResponse,
 };
 use bytes::Bytes;
 
@@ -82,7 +83,7 @@
             id: head.id.clone(),
         };
         if let Some((index, job)) = self.jobs.find(&name) {
-            let leased = self.leases.holds_all(index, job, owner) && !job.is_done();
+            let leased = self.leases.owns_all(index, job, owner) && !job.is_done();
             return Proposal::Compare(index, StoreResponse::Accepted { leased });
         }
         let lengths: u64 = head.items.iter().map(|item| item.length).sum();
@@ -90,7 +91,7 @@
             return Proposal::Done(StoreResponse::NotPrimary);
         }
         let tokens: u64 = head.items.iter().map(|item| item.tokens).sum();
-        let waiting = self.jobs.waiting_tokens(&head.route);
+        let waiting = self.jobs.queued_tokens(&head.route);
         if max_queued_tokens > 0 && waiting.saturating_add(tokens) > max_queued_tokens {
             return Proposal::Done(StoreResponse::QuotaExceeded);
         }
@@ -118,21 +119,21 @@
         if !self.is_serving() {
             return Proposal::Done(StoreResponse::NotPrimary);
         }
-        let Some((number, job)) = self.jobs.find(name) else {
+        let Some((job_index, job)) = self.jobs.find(name) else {
             return Proposal::Done(StoreResponse::NotFound);
         };
-        let Some(place) = job.items.get(item as usize) else {
+        let Some(stored_item) = job.items.get(item as usize) else {
             return Proposal::Done(StoreResponse::NotFound);
         };
-        if let Some(position) = place.position {
-            let index = job.listed[position as usize].index;
+        if let Some(position) = stored_item.position {
+            let index = job.results[position as usize].index;
             return self.pending(index, StoreResponse::Recorded);
         }
         if let Some(index) = job.ended {
             return self.pending(index, StoreResponse::Recorded);
         }
         let entry = Entry::Result {
-            job: number,
+            job: job_index,
             item,
             state,
         };
@@ -145,18 +146,18 @@
         if !self.is_serving() {
             return Proposal::Done(StoreResponse::NotPrimary);
         }
-        let Some((number, job)) = self.jobs.find(name) else {
+        let Some((job_index, job)) = self.jobs.find(name) else {
             return Proposal::Done(StoreResponse::NotFound);
         };
         if let Some(index) = job.ended {
             return self.pending(index, StoreResponse::Ended);
         }
-        let index = self.append_own(&Entry::Ended { job: number }, &[], now);
+        let index = self.append_own(&Entry::Ended { job: job_index }, &[], now);
         Proposal::Pending(index, StoreResponse::Ended)
     }
 
     fn pending(&self, index: u64, answer: StoreResponse) -> Proposal {
-        match index <= self.meta.committed {
+        match index <= self.meta.commit_index {
             true => Proposal::Done(answer),
             false => Proposal::Pending(index, answer),
         }
@@ -166,14 +167,14 @@
     pub fn committed_job(&self, name: &JobName) -> Option<(u64, &BatchJob)> {
         self.jobs
             .find(name)
-            .filter(|(index, _)| *index <= self.meta.committed)
+            .filter(|(index, _)| *index <= self.meta.commit_index)
     }
 
     /// Committed results of a lot from a position on.
     pub fn page(&self, name: &JobName, start_after: u64, max_bytes: u64) -> Option<PagePlan> {
         let (_, job) = self.committed_job(name)?;
-        let committed = job.committed_results(self.meta.committed);
-        let start = (start_after as usize).min(committed);
+        let commit_index = job.committed_results(self.meta.commit_index);
+        let start = (start_after as usize).min(commit_index);
         let mut plan = PagePlan {
             page: Page {
                 total: job.items.len() as u64,
@@ -183,18 +184,18 @@
             entries: Vec::new(),
         };
         let mut bytes = 0;
-        for listed in &job.listed[start..committed] {
-            bytes += listed.length;
+        for results in &job.results[start..commit_index] {
+            bytes += results.length;
             if bytes > max_bytes && !plan.entries.is_empty() {
                 break;
             }
-            let item = job.items[listed.item as usize].id.to_string();
+            let item = job.items[results.item as usize].id.to_string();
             plan.page.results.push(PageResult {
                 item,
-                state: listed.state,
+                state: results.state,
                 length: 0,
             });
-            plan.entries.push(listed.index);
+            plan.entries.push(results.index);
         }
         plan.page.next += plan.entries.len() as u64;
         Some(plan)
@@ -205,19 +206,21 @@
     pub fn payload(&self, name: &JobName, item: &str) -> Option<(u64, std::ops::Range<usize>)> {
         let (index, job) = self.committed_job(name)?;
         let item = job.item(item)?;
-        let listed = job.items[item]
+        let results = job.items[item]
             .position
-            .is_some_and(|position| job.listed[position as usize].index <= self.meta.committed);
-        let ended = job.ended.is_some_and(|ended| ended <= self.meta.committed);
-        (job.has_payloads && !listed && !ended).then(|| (index, job.payload_range(item)))
+            .is_some_and(|position| job.results[position as usize].index <= self.meta.commit_index);
+        let ended = job
+            .ended
+            .is_some_and(|ended| ended <= self.meta.commit_index);
+        (job.has_payloads && !results && !ended).then(|| (index, job.payload_range(item)))
     }
 
-    /// Leases up to `most` items that nobody runs, as far as their payloads fit into `max_bytes`. The
+    /// Leases up to `max_items` items that nobody runs, as far as their payloads fit into `max_bytes`. The
     /// caller has had [`Replica::confirm`] say yes.
     pub fn lease(
         &mut self,
         owner: DispatcherId,
-        most: usize,
+        max_items: usize,
         max_bytes: u64,
         now: Timestamp,
     ) -> Vec<LeasePlan> {
@@ -225,46 +228,46 @@
             return Vec::new();
         }
         let mut bytes = 0;
-        let committed = self.meta.committed;
-        let open = self.leases.open_items(&self.jobs, committed, now);
-        let fits = |(number, item): &(u64, u32)| {
+        let commit_index = self.meta.commit_index;
+        let open = self.leases.open_items(&self.jobs, commit_index, now);
+        let fits = |(job_index, item): &(u64, u32)| {
             bytes += self
                 .jobs
-                .get(*number)
+                .get(*job_index)
                 .map_or(0, |job| job.items[*item as usize].length);
             bytes <= max_bytes
         };
-        let taken: Vec<(u64, u32)> = open.take(most).take_while(fits).collect();
+        let taken: Vec<(u64, u32)> = open.take(max_items).take_while(fits).collect();
         taken
             .into_iter()
-            .filter_map(|(number, item)| self.lease_one(number, item, owner, now))
+            .filter_map(|(job_index, item)| self.lease_one(job_index, item, owner, now))
             .collect()
     }
 
     fn lease_one(
         &mut self,
-        number: u64,
+        job_index: u64,
         item: u32,
         owner: DispatcherId,
         now: Timestamp,
     ) -> Option<LeasePlan> {
-        let job = self.jobs.get(number)?;
-        let place = &job.items[item as usize];
+        let job = self.jobs.get(job_index)?;
+        let stored_item = &job.items[item as usize];
         let head = LeasedItemHeader {
             job: job.name.clone(),
             route: job.route.clone(),
             terms: job.terms,
             index: item,
-            item: place.id.to_string(),
-            tokens: place.tokens,
-            length: place.length,
-            failures: self.leases.failures(number, item),
+            item: stored_item.id.to_string(),
+            tokens: stored_item.tokens,
+            length: stored_item.length,
+            failures: self.leases.failures(job_index, item),
         };
         let range = job.payload_range(item as usize);
-        self.leases.grant(number, item, owner, now);
+        self.leases.grant(job_index, item, owner, now);
         Some(LeasePlan {
             head,
-            entry: number,
+            entry: job_index,
             range,
         })
     }
@@ -273,25 +276,26 @@
     pub fn renew(
         &mut self,
         owner: DispatcherId,
-        held: &LeasedItems,
-        renewed: &mut Renewed,
+        leased: &LeasedItems,
+        renewed: &mut RenewResult,
         now: Timestamp,
     ) {
         if !self.is_serving() {
             return;
         }
-        let lost = match self.jobs.find(&held.job) {
-            Some((number, job)) => {
-                held.failures
+        let lost = match self.jobs.find(&leased.job) {
+            Some((job_index, job)) => {
+                leased
+                    .failures
                     .iter()
-                    .for_each(|(item, count)| self.leases.failed(number, job, *item, *count));
-                self.leases.renew(number, job, &held.items, owner, now)
+                    .for_each(|(item, count)| self.leases.failed(job_index, job, *item, *count));
+                self.leases.renew(job_index, job, &leased.items, owner, now)
             }
-            None => held.items.clone(),
+            None => leased.items.clone(),
         };
         if !lost.is_empty() {
             renewed.lost.push(LeasedItems {
-                job: held.job.clone(),
+                job: leased.job.clone(),
                 items: lost,
                 failures: Vec::new(),
             });
@@ -303,7 +307,7 @@
         self.is_serving()
             && self
                 .leases
-                .open_items(&self.jobs, self.meta.committed, now)
+                .open_items(&self.jobs, self.meta.commit_index, now)
                 .next()
                 .is_some()
     }
@@ -313,7 +317,7 @@
         match self.is_serving() {
             true => self
                 .leases
-                .open_items(&self.jobs, self.meta.committed, now)
+                .open_items(&self.jobs, self.meta.commit_index, now)
                 .count() as u32,
             false => 0,
         }
--- a/crates/mintlb-batch/src/replica/takeover.rs
+++ b/crates/mintlb-batch/src/replica/takeover.rs
@@ -8,18 +8,18 @@
 use super::primary::Primary;
 use super::{AfterSync, DiskWrite, Effect, Replica, Role};
 use crate::entry::Entry;
+use crate::epoch_history::EpochHistory;
 use crate::framing;
 use crate::job_table::Timestamp;
-use crate::log_index::LogIndex;
 use crate::peer::{Append, PeerMessage};
 use bytes::Bytes;
 use mintlb_common::placement::StoreId;
 use std::time::Duration;
 
 /// How often an unanswered question is asked again.
-const ASK_AGAIN: Duration = Duration::from_millis(250);
+const RETRY_INTERVAL: Duration = Duration::from_millis(250);
 /// A source that sent nothing for so long is given up, and the takeover begins anew.
-const SOURCE_PATIENCE: Duration = Duration::from_millis(1500);
+const SOURCE_TIMEOUT: Duration = Duration::from_millis(1500);
 
 /// A takeover under way.
 #[derive(Debug)]
@@ -27,10 +27,10 @@
     /// The epoch to begin.
     pub epoch: u64,
     /// What the previous replicas have, this one included.
-    answers: Vec<(StoreId, LogIndex)>,
+    acks: Vec<(StoreId, EpochHistory)>,
     /// Whose log is taken, up to which index, and when it last sent something.
-    source: Option<(StoreId, LogIndex, Timestamp)>,
-    asked: Timestamp,
+    source: Option<(StoreId, EpochHistory, Timestamp)>,
+    last_request: Timestamp,
 }
 
 impl Replica {
@@ -45,7 +45,7 @@
         if self.assignment.previous.is_empty() {
             // Only at the very first there is nothing to read.
             if epoch == 1 && self.meta.log.last() == 0 {
-                return self.append_begin(now);
+                return self.append_epoch_start(now);
             }
             log::error!(
                 "lots: shard {}: epoch {epoch} was begun by this store, which lacks it",
@@ -56,17 +56,17 @@
         log::info!("lots: shard {}: takes over, epoch {epoch}", self.shard);
         self.role = Role::TakingOver(Takeover {
             epoch,
-            answers: Vec::new(),
+            acks: Vec::new(),
             source: None,
-            asked: now,
+            last_request: now,
         });
         self.effects
             .push(Effect::AfterSync(AfterSync::EpochPersisted(epoch)));
-        self.ask_sources(epoch);
+        self.send_new_epoch(epoch);
     }
 
     /// Asks all that may have what was told.
-    fn ask_sources(&mut self, epoch: u64) {
+    fn send_new_epoch(&mut self, epoch: u64) {
         let mut others = self.assignment.previous.clone();
         others.extend(
             self.assignment
@@ -74,7 +74,10 @@
                 .iter()
                 .filter(|id| !self.assignment.previous.contains(id)),
         );
-        for id in others.into_iter().filter(|id| *id != self.settings.own) {
+        for id in others
+            .into_iter()
+            .filter(|id| *id != self.settings.store_id)
+        {
             let collect = self.envelope(id, epoch, PeerMessage::NewEpoch);
             self.effects.push(Effect::Send(collect));
         }
@@ -82,12 +85,12 @@
 
     pub(super) fn on_epoch_persisted(&mut self, epoch: u64, now: Timestamp) {
         let log = self.meta.log.clone();
-        self.on_collected(self.settings.own, epoch, log, now);
+        self.on_epoch_ack(self.settings.store_id, epoch, log, now);
     }
 
     /// Every committed entry is at `tolerance + 1` of the previous replicas, so all but `tolerance` have to
     /// be read.
-    fn answers_needed(&self) -> usize {
+    fn acks_needed(&self) -> usize {
         self.assignment
             .previous
             .len()
@@ -99,7 +102,7 @@
     /// begun after the settled epoch, from enough of the previous replicas, which have refused the settled epoch's
     /// primary since. And it does if it is the one of that primary: nobody else appended in that epoch, an entry is
     /// on its disk before it is committed, and with its promise it commits nothing more.
-    fn is_whole(&self, from: StoreId, log: &LogIndex) -> bool {
+    fn is_complete(&self, from: StoreId, log: &EpochHistory) -> bool {
         let Some(last_active_epoch) = self.assignment.last_active_epoch else {
             return false;
         };
@@ -108,35 +111,35 @@
             || epoch == last_active_epoch && self.assignment.previous.first() == Some(&from)
     }
 
-    pub(super) fn on_collected(
+    pub(super) fn on_epoch_ack(
         &mut self,
         from: StoreId,
         epoch: u64,
-        log: LogIndex,
+        log: EpochHistory,
         now: Timestamp,
     ) {
-        let needed = self.answers_needed();
+        let needed = self.acks_needed();
         let is_previous = self.assignment.previous.contains(&from);
-        let is_whole = self.is_whole(from, &log);
+        let is_complete = self.is_complete(from, &log);
         let Role::TakingOver(takeover) = &mut self.role else {
             return;
         };
-        if takeover.epoch != epoch || !(is_previous || is_whole) || takeover.source.is_some() {
+        if takeover.epoch != epoch || !(is_previous || is_complete) || takeover.source.is_some() {
             return;
         }
-        takeover.answers.retain(|(id, _)| *id != from);
-        takeover.answers.push((from, log));
-        if takeover.answers.len() < needed && !is_whole {
+        takeover.acks.retain(|(id, _)| *id != from);
+        takeover.acks.push((from, log));
+        if takeover.acks.len() < needed && !is_complete {
             return;
         }
         let best = takeover
-            .answers
+            .acks
             .iter()
             .max_by_key(|(_, log)| log.end())
             .cloned();
         let Some((source, log)) = best else { return };
         if log.end() <= self.meta.log.end() {
-            return self.append_begin(now);
+            return self.append_epoch_start(now);
         }
         takeover.source = Some((source, log, now));
         self.fetch();
@@ -158,7 +161,7 @@
         &mut self,
         from: StoreId,
         epoch: u64,
-        part: Append,
+        append: Append,
         raw: Bytes,
         now: Timestamp,
     ) {
@@ -173,11 +176,11 @@
         }
         *last_received = now;
         let end = log.end();
-        if self.take_part(&part, raw, now).is_err() {
+        if self.apply_append(&append, raw, now).is_err() {
             return;
         }
         match self.meta.log.end() >= end {
-            true => self.append_begin(now),
+            true => self.append_epoch_start(now),
             false => self.fetch(),
         }
     }
@@ -187,33 +190,32 @@
             return;
         };
         let epoch = takeover.epoch;
-        let silent =
-            |last_received: Timestamp| now.saturating_sub(last_received) >= SOURCE_PATIENCE;
+        let silent = |last_received: Timestamp| now.saturating_sub(last_received) >= SOURCE_TIMEOUT;
         if takeover
             .source
             .as_ref()
             .is_some_and(|(_, _, last_received)| silent(*last_received))
         {
             takeover.source = None;
-            takeover.answers.clear();
+            takeover.acks.clear();
             self.effects
                 .push(Effect::AfterSync(AfterSync::EpochPersisted(epoch)));
         }
         let Role::TakingOver(takeover) = &mut self.role else {
             return;
         };
-        if now.saturating_sub(takeover.asked) < ASK_AGAIN {
+        if now.saturating_sub(takeover.last_request) < RETRY_INTERVAL {
             return;
         }
-        takeover.asked = now;
+        takeover.last_request = now;
         match takeover.source {
             Some(_) => self.fetch(),
-            None => self.ask_sources(epoch),
+            None => self.send_new_epoch(epoch),
         }
     }
 
     /// The own log holds all that is committed: the epoch's first entry goes on top.
-    fn append_begin(&mut self, now: Timestamp) {
+    fn append_epoch_start(&mut self, now: Timestamp) {
         let index = self.meta.log.last() + 1;
         let bytes = framing::encode(&Entry::EpochStart, &[]);
         self.meta.log.extend(index, self.assignment.epoch);
@@ -232,7 +234,7 @@
             .replicas
             .iter()
             .copied()
-            .filter(|id| *id != self.settings.own);
+            .filter(|id| *id != self.settings.store_id);
         let through = self.meta.log.last();
         self.role = Role::Primary(Primary::new(epoch, through, followers, now));
         self.leases.restart(now);
--- a/crates/mintlb-batch/tests/dropped_lots.rs
+++ b/crates/mintlb-batch/tests/dropped_lots.rs
@@ -88,7 +88,7 @@
         .as_ref()
         .unwrap()
         .jobs()
-        .waiting_tokens("r")
+        .queued_tokens("r")
 }
 
 /// The third store has two lots as waiting that the others saw done, and dropped, while it was away.
@@ -176,7 +176,7 @@
             let jobs = store.replica.as_ref().unwrap().jobs();
             (
                 store.disk.entries.len(),
-                jobs.all().count(),
+                jobs.iter().count(),
                 jobs.bytes(),
                 jobs.entries_after(0).count(),
             )
--- a/crates/mintlb-batch/tests/fleet/mod.rs
+++ b/crates/mintlb-batch/tests/fleet/mod.rs
@@ -124,7 +124,7 @@
                 placement: self.placement.epoch,
                 draining: machine.draining.is_some(),
             };
-            self.table.note(heartbeat, self.now);
+            self.table.record_heartbeat(heartbeat, self.now);
         }
     }
 
--- a/crates/mintlb-batch/tests/fleet/shards.rs
+++ b/crates/mintlb-batch/tests/fleet/shards.rs
@@ -1,8 +1,8 @@
 //! Shards of the fleet: logs by the place of their last entry, and what was told to be committed.
 
 use super::Fleet;
+use mintlb_batch::epoch_history::LogPosition;
 use mintlb_batch::heartbeat::ShardReport;
-use mintlb_batch::log_index::LogPosition;
 use mintlb_common::placement::{ShardAssignment, StoreId};
 use std::collections::BTreeMap;
 use std::time::Duration;
--- a/crates/mintlb-batch/tests/leases.rs
+++ b/crates/mintlb-batch/tests/leases.rs
@@ -2,7 +2,7 @@
 
 use mintlb_batch::entry::{Entry, ItemHeader, ItemState, JobHeader, JobTerms};
 use mintlb_batch::job_table::{JobTable, Timestamp};
-use mintlb_batch::leases::{LEASE, Leases};
+use mintlb_batch::leases::{LEASE_DURATION, Leases};
 use std::time::Duration;
 
 const LOT: u64 = 1;
@@ -58,15 +58,15 @@
         assert!(renew(&mut leases, &jobs, &[0], ONE, second * at).is_empty());
         assert!(open(&leases, &jobs, second * at).is_empty());
     }
-    assert!(renew(&mut leases, &jobs, &[0], ONE, LEASE).is_empty());
-    assert_eq!(open(&leases, &jobs, LEASE), [1, 2]);
+    assert!(renew(&mut leases, &jobs, &[0], ONE, LEASE_DURATION).is_empty());
+    assert_eq!(open(&leases, &jobs, LEASE_DURATION), [1, 2]);
 }
 
 #[test]
 fn an_item_is_run_by_one_holder_at_a_time() {
     let (mut jobs, mut leases) = (jobs(), Leases::default());
     leases.grant_all(LOT, 3, ONE, Timestamp::ZERO);
-    let almost = LEASE - Duration::from_millis(1);
+    let almost = LEASE_DURATION - Duration::from_millis(1);
     assert_eq!(
         renew(&mut leases, &jobs, &[0, 1], TWO, almost),
         [0, 1],
@@ -74,9 +74,12 @@
     );
     assert!(open(&leases, &jobs, almost).is_empty());
     // Frozen for as long as its lease lasts, it finds that another holds the items now.
-    leases.grant(LOT, 0, TWO, LEASE);
-    assert!(renew(&mut leases, &jobs, &[1], TWO, LEASE).is_empty());
-    assert_eq!(renew(&mut leases, &jobs, &[0, 1, 2], ONE, LEASE), [0, 1]);
+    leases.grant(LOT, 0, TWO, LEASE_DURATION);
+    assert!(renew(&mut leases, &jobs, &[1], TWO, LEASE_DURATION).is_empty());
+    assert_eq!(
+        renew(&mut leases, &jobs, &[0, 1, 2], ONE, LEASE_DURATION),
+        [0, 1]
+    );
     // What is listed is nobody's to run.
     jobs.apply(
         2,
@@ -87,11 +90,11 @@
         },
         1,
         0,
-        LEASE,
+        LEASE_DURATION,
     );
-    assert_eq!(renew(&mut leases, &jobs, &[2], ONE, LEASE), [2]);
+    assert_eq!(renew(&mut leases, &jobs, &[2], ONE, LEASE_DURATION), [2]);
     leases.release(TWO);
-    assert_eq!(open(&leases, &jobs, LEASE), [0, 1]);
+    assert_eq!(open(&leases, &jobs, LEASE_DURATION), [0, 1]);
 }
 
 #[test]
@@ -104,7 +107,7 @@
     leases.failed(LOT, job, 1, 1);
     leases.failed(LOT, job, 900, 1);
     leases.release(ONE);
-    leases.grant(LOT, 1, TWO, LEASE);
+    leases.grant(LOT, 1, TWO, LEASE_DURATION);
     assert_eq!(
         (
             leases.failures(LOT, 1),
--- a/crates/mintlb-batch/tests/model/checks.rs
+++ b/crates/mintlb-batch/tests/model/checks.rs
@@ -95,11 +95,11 @@
         self.leases += 1;
         let ended = self.ended.get(job).is_some_and(|at| *at + OLD <= now);
         assert!(!ended, "an item of an ended lot is leased");
-        let listed = self
+        let results = self
             .results
             .get(job)
             .and_then(|results| results.iter().position(|(id, _)| id == item));
-        let old = listed.and_then(|position| self.read_at.get(&(job.to_string(), position)));
+        let old = results.and_then(|position| self.read_at.get(&(job.to_string(), position)));
         assert!(
             old.is_none_or(|at| *at + OLD > now),
             "an item that was read is leased"
--- a/crates/mintlb-batch/tests/model/machines.rs
+++ b/crates/mintlb-batch/tests/model/machines.rs
@@ -255,7 +255,7 @@
                 placement: 0,
                 draining: store.machine.stops_at.is_some_and(|at| at <= self.now),
             };
-            self.table.note(heartbeat, self.now);
+            self.table.record_heartbeat(heartbeat, self.now);
         }
         if self.now < self.paused_until {
             return;
--- a/crates/mintlb-batch/tests/model/mod.rs
+++ b/crates/mintlb-batch/tests/model/mod.rs
@@ -149,9 +149,9 @@
 
     fn settings(&self, id: StoreId) -> ReplicaSettings {
         ReplicaSettings {
-            own: id,
+            store_id: id,
             tolerance: self.tolerance,
-            status: STATUS,
+            result_retention: STATUS,
         }
     }
 
@@ -199,7 +199,7 @@
                 let replica = store.replica.as_mut().unwrap();
                 after
                     .into_iter()
-                    .for_each(|after| replica.synced(after, self.now));
+                    .for_each(|after| replica.on_synced(after, self.now));
             } else {
                 store.pending.push((writes, after));
             }
@@ -240,7 +240,7 @@
         if let Some(replica) = &mut store.replica {
             follow
                 .into_iter()
-                .for_each(|after| replica.synced(after, self.now));
+                .for_each(|after| replica.on_synced(after, self.now));
         }
         self.act(place);
     }
@@ -267,7 +267,7 @@
         let Some(replica) = &mut self.stores[place].replica else {
             return;
         };
-        replica.message(envelope, raw, self.now);
+        replica.on_message(envelope, raw, self.now);
         self.act(place);
     }
 
@@ -340,7 +340,7 @@
             Proposal::Pending(index, _) => self.stores[place].waiting.push((index, expected)),
             Proposal::Compare(index, _) => {
                 let replica = self.stores[place].replica.as_ref().unwrap();
-                match index <= replica.committed() {
+                match index <= replica.commit_index() {
                     true => self.tell(place, expected),
                     false => self.stores[place].waiting.push((index, expected)),
                 }
--- a/crates/mintlb-batch/tests/model/plays.rs
+++ b/crates/mintlb-batch/tests/model/plays.rs
@@ -127,7 +127,7 @@
             assert!(found.ended.is_some(), "an end is lost");
         }
         let read = model.told.results.get(job).map_or(0, Vec::len);
-        assert!(found.listed.len() >= read, "a result is lost");
+        assert!(found.results.len() >= read, "a result is lost");
         model.read(place, job);
     }
     model.lease(place);
--- a/crates/mintlb-batch/tests/placement.rs
+++ b/crates/mintlb-batch/tests/placement.rs
@@ -79,7 +79,7 @@
                 placement: self.placement.epoch,
                 draining: self.draining.contains(id),
             };
-            self.table.note(heartbeat, self.now);
+            self.table.record_heartbeat(heartbeat, self.now);
         }
         let view = self.table.view(&self.placement, self.now);
         if let Some(next) = plan(&self.placement, &view, self.tolerance) {
@@ -431,7 +431,7 @@
         (says(1, 3, &[1, 3]), [2, 3]),
         (says(2, 4, &[2, 1]), [2, 1]),
     ] {
-        table.note(heartbeat, now);
+        table.record_heartbeat(heartbeat, now);
         assert_eq!(
             table.view(&Placement::default(), now).last_caught_up(0),
             known
--- a/crates/mintlb-batch/tests/takeover.rs
+++ b/crates/mintlb-batch/tests/takeover.rs
@@ -4,7 +4,7 @@
 
 mod model;
 
-use mintlb_batch::messages::{LeasedItems, Renewed};
+use mintlb_batch::messages::{LeasedItems, RenewResult};
 use mintlb_batch::peer::PeerMessage;
 use mintlb_common::placement::{Placement, ShardAssignment};
 use model::Model;
@@ -170,7 +170,7 @@
         assert!(jobs(place).find(&model::name("kept")).is_some());
         assert!(jobs(place).find(&model::name("lost0")).is_none());
     }
-    assert_eq!(jobs(2).waiting_tokens("r"), 30);
+    assert_eq!(jobs(2).queued_tokens("r"), 30);
 }
 
 #[test]
@@ -414,7 +414,7 @@
         items: vec![0, 1, 2],
         failures: vec![(1, 2), (7, 1)],
     };
-    let mut renewed = Renewed::default();
+    let mut renewed = RenewResult::default();
     replica.renew(7, &held, &mut renewed, now);
     assert_eq!(renewed.lost, [], "the holder of the submission");
     replica.release(7);
--- a/crates/mintlb-batch/tests/wire_fixtures.rs
+++ b/crates/mintlb-batch/tests/wire_fixtures.rs
@@ -8,9 +8,9 @@
 use bytes::Bytes;
 use minicbor::{Decode, Encode};
 use mintlb_batch::entry::*;
+use mintlb_batch::epoch_history::{EpochHistory, EpochRun, LogPosition};
 use mintlb_batch::framing;
 use mintlb_batch::heartbeat::*;
-use mintlb_batch::log_index::{EpochRun, LogIndex, LogPosition};
 use mintlb_batch::messages::*;
 use mintlb_batch::peer::*;
 use mintlb_batch::replica::ShardMeta;
@@ -127,8 +127,8 @@
     }
 }
 
-fn log() -> LogIndex {
-    let mut log = LogIndex::default();
+fn log() -> EpochHistory {
+    let mut log = EpochHistory::default();
     log.extend(24, 2);
     log.extend(300, 9);
     log
@@ -161,7 +161,7 @@
                 length: 2,
             },
         ],
-        committed: 280,
+        commit_index: 280,
         sent_at: LONG,
         jobs: Some(vec![7, 260]),
     }
@@ -240,7 +240,7 @@
     check(
         "collected_nothing",
         PeerMessage::EpochAck {
-            log: LogIndex::default(),
+            log: EpochHistory::default(),
         },
         b"",
     );
@@ -364,7 +364,7 @@
     check("leased_nothing", StoreResponse::Leased(Vec::new()), b"");
     check(
         "renewed",
-        StoreResponse::Renewed(Renewed {
+        StoreResponse::Renewed(RenewResult {
             lost: vec![held(vec![(25, 3)])],
             open: 40,
         }),
@@ -372,7 +372,7 @@
     );
     check(
         "renewed_all",
-        StoreResponse::Renewed(Renewed::default()),
+        StoreResponse::Renewed(RenewResult::default()),
         b"",
     );
     check("recorded", StoreResponse::Recorded, b"");
@@ -442,7 +442,7 @@
         ShardMeta {
             current_epoch: 10,
             log: log(),
-            committed: 280,
+            commit_index: 280,
         },
         b"",
     );
--- a/crates/mintlb-control/src/controller/singleton/mod.rs
+++ b/crates/mintlb-control/src/controller/singleton/mod.rs
@@ -116,7 +116,7 @@
         if self
             .stores
             .lock()
-            .note(heartbeat, self.started_at.elapsed())
+            .record_heartbeat(heartbeat, self.started_at.elapsed())
         {
             self.wake();
         }
--- a/crates/mintlb-control/src/controller/singleton/retirement.rs
+++ b/crates/mintlb-control/src/controller/singleton/retirement.rs
@@ -3,7 +3,7 @@
 use crate::controller::Controller;
 use crate::controller::singleton::messages::{RetirementRequest, RetirementStatus};
 use mintlb_batch::placement_planner::{
-    LIVE, Retirement, RetirementOrder, StoreView, order_retirement, retirement,
+    LIVE_TIMEOUT, Retirement, RetirementOrder, StoreView, order_retirement, retirement,
 };
 use mintlb_common::placement::Placement;
 use mintlb_register::change::Change;
@@ -94,5 +94,5 @@
         .shards
         .iter()
         .filter_map(|shard| shard.replicas.first());
-    primaries.all(|primary| view.since_heartbeat(*primary) < LIVE)
+    primaries.all(|primary| view.since_heartbeat(*primary) < LIVE_TIMEOUT)
 }
--- a/crates/mintlb-control/src/store/calls.rs
+++ b/crates/mintlb-control/src/store/calls.rs
@@ -54,7 +54,7 @@
         let clock_offset = Duration::from_millis(draw >> 24);
         let core = Core::new(transport, opened, settings, clock_offset);
         let report_changed = core.report_changed.clone();
-        let own = settings.own;
+        let own = settings.store_id;
         let (core, started, draining) = (Mutex::new(core), Instant::now(), Default::default());
         Arc::new(Store {
             core,
@@ -186,7 +186,7 @@
             let commit = match &proposal {
                 Proposal::Done(_) => None,
                 Proposal::Pending(index, _) | Proposal::Compare(index, _) => {
-                    let committed = core.replica(shard).committed();
+                    let committed = core.replica(shard).commit_index();
                     (*index > committed).then(|| core.wait_commit(shard, *index))
                 }
             };
@@ -240,7 +240,9 @@
         let core = self.core.lock();
         let file = core.disk.file_bytes();
         let jobs = || core.replicas().iter().map(Replica::jobs);
-        let held: u64 = jobs().map(|jobs| jobs.bytes() + jobs.texts_to_come()).sum();
+        let held: u64 = jobs()
+            .map(|jobs| jobs.bytes() + jobs.expected_result_bytes())
+            .sum();
         core.writer.is_full() || !room::fits(held + more, file, self.disk_bytes)
     }
 
@@ -398,7 +400,7 @@
     fn renew(&self, renew: &Renew) -> messages::StoreResponse {
         let mut core = self.core.lock();
         let now = self.now();
-        let mut renewed = messages::Renewed::default();
+        let mut renewed = messages::RenewResult::default();
         for held in &renew.jobs {
             let shard = Placement::shard_of(&held.job.host);
             core.replica(shard)
--- a/crates/mintlb-control/src/store/core.rs
+++ b/crates/mintlb-control/src/store/core.rs
@@ -154,7 +154,7 @@
         if self.suspended || shard >= SHARD_COUNT || (!raw.is_empty() && self.writer.is_full()) {
             return;
         }
-        self.replica(shard).message(envelope, raw, now);
+        self.replica(shard).on_message(envelope, raw, now);
         self.act(shard, now);
     }
 
@@ -164,7 +164,7 @@
             return;
         }
         for (shard, after) in after {
-            self.replica(shard).synced(after, now);
+            self.replica(shard).on_synced(after, now);
             self.act(shard, now);
         }
     }
@@ -264,7 +264,7 @@
             if let Err(at_once) = self.writer.write(shard, writes, after) {
                 at_once
                     .into_iter()
-                    .for_each(|after| self.replica(shard).synced(after, now));
+                    .for_each(|after| self.replica(shard).on_synced(after, now));
             }
         }
     }
--- a/crates/mintlb-control/src/store/driver.rs
+++ b/crates/mintlb-control/src/store/driver.rs
@@ -5,7 +5,7 @@
 use super::disk::{LoadedShards, LotDisk};
 use super::file::DiskError;
 use super::writer::Committed;
-use mintlb_batch::replica::TICK;
+use mintlb_batch::replica::TICK_INTERVAL;
 use mintlb_common::placement::StoreId;
 use std::path::PathBuf;
 use std::sync::Arc;
@@ -33,7 +33,7 @@
 impl Driver {
     /// A driver of a store with its disk and what comes of its commits.
     pub fn new(store: Arc<Store>, disk: LotDisk, commits: UnboundedReceiver<Committed>) -> Driver {
-        let mut ticks = interval(TICK);
+        let mut ticks = interval(TICK_INTERVAL);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         Driver {
             store,
--- a/crates/mintlb-control/src/store/heartbeats.rs
+++ b/crates/mintlb-control/src/store/heartbeats.rs
@@ -2,7 +2,7 @@
 
 use super::calls::Store;
 use mintlb_batch::framing;
-use mintlb_batch::heartbeat::{HEARTBEAT, StoreHeartbeat};
+use mintlb_batch::heartbeat::{HEARTBEAT_INTERVAL, StoreHeartbeat};
 use mintlb_common::record::REPLICAS;
 use mintlb_common::settings::{InternalPort, NodeSettings};
 use mintlb_common::transport::{Channel, Transport};
@@ -27,7 +27,7 @@
     loop {
         if store.is_without_disk() {
             // It is no better than a store that is down, and counts as one.
-            timeout(HEARTBEAT, store.report_changed().notified())
+            timeout(HEARTBEAT_INTERVAL, store.report_changed().notified())
                 .await
                 .ok();
             continue;
@@ -46,7 +46,7 @@
         for controller in controllers(&gossip) {
             transport.notify(controller, Channel::Control, body.clone());
         }
-        timeout(HEARTBEAT, store.report_changed().notified())
+        timeout(HEARTBEAT_INTERVAL, store.report_changed().notified())
             .await
             .ok();
         sleep(LEAST_PAUSE).await;
--- a/crates/mintlb-control/src/store/mod.rs
+++ b/crates/mintlb-control/src/store/mod.rs
@@ -112,9 +112,9 @@
         disk.file_bytes() >> 20
     );
     let replica_settings = ReplicaSettings {
-        own: disk.id(),
+        store_id: disk.id(),
         tolerance: settings.fault_tolerance.machines,
-        status: settings.bounds.status_retention(),
+        result_retention: settings.bounds.status_retention(),
     };
     let (committed, commits) = tokio::sync::mpsc::unbounded_channel();
     let writer = Writer::start(disk.clone(), committed)?;
--- a/crates/mintlb-control/tests/controller_retirement.rs
+++ b/crates/mintlb-control/tests/controller_retirement.rs
@@ -1,7 +1,7 @@
 //! When the end of a store's retirement may be told.
 
 use mintlb_batch::heartbeat::ShardReport;
-use mintlb_batch::placement_planner::{LIVE, StoreStatus, StoreView};
+use mintlb_batch::placement_planner::{LIVE_TIMEOUT, StoreStatus, StoreView};
 use mintlb_common::placement::{Placement, ShardAssignment, StoreEntry};
 use mintlb_control::controller::singleton::messages::RetirementStatus;
 use mintlb_control::controller::singleton::retirement::progress;
@@ -65,12 +65,12 @@
 
 #[test]
 fn it_is_completed_by_what_primaries_said_lately() {
-    let fresh = view(LIVE - Duration::from_millis(1));
+    let fresh = view(LIVE_TIMEOUT - Duration::from_millis(1));
     assert_eq!(
         progress(&placement(), &fresh, "storage-1", 1, true),
         RetirementStatus::Completed
     );
-    let stale = view(LIVE);
+    let stale = view(LIVE_TIMEOUT);
     assert_eq!(
         progress(&placement(), &stale, "storage-1", 1, true),
         RetirementStatus::Unavailable
--- a/crates/mintlb-control/tests/store_disk.rs
+++ b/crates/mintlb-control/tests/store_disk.rs
@@ -5,8 +5,8 @@
 use bytes::Bytes;
 use faulty_file::Disk;
 use mintlb_batch::entry::{Entry, ItemHeader, JobHeader, JobTerms};
+use mintlb_batch::epoch_history::EpochHistory;
 use mintlb_batch::framing;
-use mintlb_batch::log_index::LogIndex;
 use mintlb_batch::replica::{AfterSync, DiskWrite, ShardMeta};
 use mintlb_control::store::disk::LotDisk;
 use mintlb_control::store::file::FILE;
@@ -59,12 +59,12 @@
     let directory = tempfile::tempdir().unwrap();
     let (disk, shards) = open(directory.path());
     assert_eq!((disk.id(), shards.len()), (77, 0));
-    let mut log = LogIndex::default();
+    let mut log = EpochHistory::default();
     log.extend(4, 2);
     let meta = ShardMeta {
         current_epoch: 3,
         log,
-        committed: 2,
+        commit_index: 2,
     };
     let puts = (1..=4).map(|index| (5, DiskWrite::Put(index, begin())));
     let other = [
--- a/crates/mintlb-control/tests/store_disk_fixture.rs
+++ b/crates/mintlb-control/tests/store_disk_fixture.rs
@@ -24,7 +24,7 @@
         format!(
             "shard {shard}: promised {} committed {}",
             replica.current_epoch(),
-            replica.committed()
+            replica.commit_index()
         ),
         format!(
             "shard {shard}: log to {} of epoch {}: {}",
@@ -38,10 +38,10 @@
         ),
         format!(
             "shard {shard}: open {open:?}, {} tokens",
-            replica.jobs().waiting_tokens("route-1")
+            replica.jobs().queued_tokens("route-1")
         ),
     ];
-    for (index, job) in replica.jobs().all() {
+    for (index, job) in replica.jobs().iter() {
         let terms = &job.terms;
         let (sent, target) = (terms.sent_at_ms, terms.completion_target_ms);
         let (retention, attempts) = (terms.retention_ms, terms.max_attempts);
@@ -55,9 +55,9 @@
                 item.id, item.tokens, item.length, item.position
             ));
         }
-        for listed in &job.listed {
-            let completed = listed.state == ItemState::Completed;
-            let (at, item, length) = (listed.index, listed.item, listed.length);
+        for result in &job.results {
+            let completed = result.state == ItemState::Completed;
+            let (at, item, length) = (result.index, result.item, result.length);
             lines.push(format!(
                 "  result {at} of {item}: completed {completed} {length}"
             ));
--- a/crates/mintlb-control/tests/store_fixture/mod.rs
+++ b/crates/mintlb-control/tests/store_fixture/mod.rs
@@ -2,8 +2,8 @@
 
 use bytes::Bytes;
 use mintlb_batch::entry::{Entry, ItemHeader, ItemState, JobHeader, JobTerms};
+use mintlb_batch::epoch_history::EpochHistory;
 use mintlb_batch::framing;
-use mintlb_batch::log_index::LogIndex;
 use mintlb_batch::replica::{DiskWrite, Effect, Replica, ReplicaSettings, ShardMeta};
 use mintlb_control::store::disk::{LoadedShards, LotDisk};
 use redb::{Database, ReadableDatabase, ReadableTable, TableDefinition, TableHandle};
@@ -31,9 +31,9 @@
 pub fn replica(shards: &mut LoadedShards, shard: u32) -> Replica {
     let loaded = shards.remove(&shard).unwrap();
     let settings = ReplicaSettings {
-        own: IDENTITY,
+        store_id: IDENTITY,
         tolerance: 1,
-        status: STATUS,
+        result_retention: STATUS,
     };
     Replica::load(
         shard,
@@ -54,8 +54,8 @@
             .map(|(index, bytes)| (shard, DiskWrite::Put(index, bytes)));
         disk.commit(&rows.collect::<Vec<_>>()).unwrap();
     };
-    let meta = |shard: u32, runs: &[(u64, u64)], current_epoch: u64, committed: u64| {
-        let mut log = LogIndex::default();
+    let meta = |shard: u32, runs: &[(u64, u64)], current_epoch: u64, commit_index: u64| {
+        let mut log = EpochHistory::default();
         runs.iter()
             .for_each(|(through, epoch)| log.extend(*through, *epoch));
         disk.commit(&[(
@@ -63,7 +63,7 @@
             DiskWrite::Meta(ShardMeta {
                 current_epoch,
                 log,
-                committed,
+                commit_index,
             }),
         )])
         .unwrap();
--- a/crates/mintlb-control/tests/store_long_day.rs
+++ b/crates/mintlb-control/tests/store_long_day.rs
@@ -49,9 +49,9 @@
         let (disk, mut shards) =
             LotDisk::open_by(faulty_file::Disk::default().opener(), directory, 7).unwrap();
         let settings = ReplicaSettings {
-            own: disk.id(),
+            store_id: disk.id(),
             tolerance: 0,
-            status: STATUS,
+            result_retention: STATUS,
         };
         let loaded = shards.remove(&SHARD).unwrap_or_default();
         let replica = Replica::load(
@@ -90,7 +90,7 @@
             self.disk.commit(&writes).unwrap();
             after
                 .into_iter()
-                .for_each(|after| self.replica.synced(after, self.now));
+                .for_each(|after| self.replica.on_synced(after, self.now));
         }
     }
 
@@ -141,7 +141,7 @@
 
     fn held(&self) -> Held {
         Held {
-            jobs: self.replica.jobs().all().count(),
+            jobs: self.replica.jobs().iter().count(),
             entries: self.replica.jobs().entries_after(0).count(),
             bytes: self.replica.bytes(),
             file: self.disk.file_bytes(),
@@ -199,7 +199,11 @@
     loop {
         let (jobs, file) = (store.replica.jobs(), store.disk.file_bytes());
         let more = (ITEMS * LARGE) as u64;
-        if !room::fits(jobs.bytes() + jobs.texts_to_come() + more, file, DISK) {
+        if !room::fits(
+            jobs.bytes() + jobs.expected_result_bytes() + more,
+            file,
+            DISK,
+        ) {
             break;
         }
         taken += 1;
--- a/crates/mintlb-control/tests/stores/mod.rs
+++ b/crates/mintlb-control/tests/stores/mod.rs
@@ -46,9 +46,9 @@
             .unwrap();
         let address = transport.local_address();
         let settings = ReplicaSettings {
-            own: disk.id(),
+            store_id: disk.id(),
             tolerance: 1,
-            status: Duration::from_secs(120),
+            result_retention: Duration::from_secs(120),
         };
         let (committed, commits) = tokio::sync::mpsc::unbounded_channel();
         let writer = Writer::start(disk.clone(), committed).unwrap();
--- a/crates/mintlb-simulation/src/controller/duties.rs
+++ b/crates/mintlb-simulation/src/controller/duties.rs
@@ -60,7 +60,8 @@
 
     /// A store has told; whether it is news.
     pub fn note_store(&mut self, context: &Context, heartbeat: StoreHeartbeat) -> bool {
-        self.stores.note(heartbeat, context.now - self.begun)
+        self.stores
+            .record_heartbeat(heartbeat, context.now - self.begun)
     }
 
     /// A controller pings.
--- a/crates/mintlb-simulation/src/store/calls.rs
+++ b/crates/mintlb-simulation/src/store/calls.rs
@@ -87,7 +87,7 @@
         proposal: Proposal,
         submitted: Option<Submitted>,
     ) {
-        let committed = self.replicas[shard as usize].committed();
+        let committed = self.replicas[shard as usize].commit_index();
         match proposal {
             Proposal::Pending(index, _) | Proposal::Compare(index, _) if index > committed => {
                 self.waiting[shard as usize]
--- a/crates/mintlb-simulation/src/store/mod.rs
+++ b/crates/mintlb-simulation/src/store/mod.rs
@@ -12,9 +12,9 @@
 use bytes::Bytes;
 use calls::Waiting;
 use disk::{StoreDisk, Writer};
-use mintlb_batch::heartbeat::{HEARTBEAT, StoreHeartbeat};
+use mintlb_batch::heartbeat::{HEARTBEAT_INTERVAL, StoreHeartbeat};
 use mintlb_batch::peer::{EntryLength, Envelope, PeerMessage};
-use mintlb_batch::replica::{AfterSync, Effect, Replica, ReplicaSettings, TICK};
+use mintlb_batch::replica::{AfterSync, Effect, Replica, ReplicaSettings, TICK_INTERVAL};
 use mintlb_common::placement::{Placement, StoreId};
 use mintlb_common::record::{PLACEMENT, REPLICAS};
 use mintlb_gossip::Role;
@@ -52,9 +52,9 @@
         disk: StoreDisk,
     ) -> Store {
         let settings = ReplicaSettings {
-            own: disk.id,
+            store_id: disk.id,
             tolerance: crate::controller::TOLERANCE,
-            status: STATUS,
+            result_retention: STATUS,
         };
         let replicas = (0..SHARDS).map(|shard| {
             let held = disk.shards.get(&shard).cloned().unwrap_or_default();
@@ -70,7 +70,7 @@
             gossip: Gossip::start(context, Role::Store, name, seeds),
             heartbeat_at: context.now,
         };
-        context.wake(TICK, Timer::Tick);
+        context.wake(TICK_INTERVAL, Timer::Tick);
         store.heartbeat(context);
         store
     }
@@ -127,7 +127,7 @@
                 self.synced(context, after);
             }
             Timer::Tick => {
-                context.wake(TICK, Timer::Tick);
+                context.wake(TICK_INTERVAL, Timer::Tick);
                 for shard in 0..SHARDS {
                     self.replicas[shard as usize].tick(context.now);
                     self.act(context, shard);
@@ -155,7 +155,7 @@
                 _ => (),
             }
         }
-        self.replicas[shard as usize].message(envelope, raw, context.now);
+        self.replicas[shard as usize].on_message(envelope, raw, context.now);
         self.act(context, shard);
     }
 
@@ -184,7 +184,7 @@
 
     fn synced(&mut self, context: &mut Context, after: Vec<(u32, AfterSync)>) {
         for (shard, after) in after {
-            self.replicas[shard as usize].synced(after, context.now);
+            self.replicas[shard as usize].on_synced(after, context.now);
             self.act(context, shard);
         }
     }
@@ -224,7 +224,7 @@
             };
             at_once
                 .into_iter()
-                .for_each(|after| self.replicas[shard as usize].synced(after, context.now));
+                .for_each(|after| self.replicas[shard as usize].on_synced(after, context.now));
         }
     }
 
@@ -282,8 +282,8 @@
 
     /// Tells the controllers that hold the register.
     fn heartbeat(&mut self, context: &mut Context) {
-        self.heartbeat_at = context.now + HEARTBEAT;
-        context.wake(HEARTBEAT, Timer::Heartbeat);
+        self.heartbeat_at = context.now + HEARTBEAT_INTERVAL;
+        context.wake(HEARTBEAT_INTERVAL, Timer::Heartbeat);
         let set = self.gossip.get(REPLICAS);
         let set = set.and_then(|record| minicbor::decode::<ReplicaSet>(&record.body).ok());
         let heartbeat = StoreHeartbeat {
