--- a/crates/mintlb-common/tests/settings.rs
+++ b/crates/mintlb-common/tests/settings.rs
@@ -1,6 +1,8 @@
-//! The settings file: what is taken, what is passed over, what is refused and how it is named.
+//! Loading of the settings file: defaults, ignored fields, and the naming of what is invalid.
 
 use mintlb_common::settings::{InternalPort, NodeSettings};
+use std::path::Path;
+use std::time::Duration;
 
 const EDGE: &str = r#"
 node_name = "edge-hba-1"
@@ -33,7 +35,7 @@
 "#;
 
 #[test]
-fn a_whole_file_is_read_and_unknown_fields_are_passed_over() {
+fn a_complete_file_is_parsed_and_unknown_fields_are_ignored() {
     let settings = NodeSettings::parse(EDGE).unwrap();
     assert_eq!(settings.node_name, "edge-hba-1");
     assert_eq!(settings.bounds.drain_ms, 2500);
@@ -45,7 +47,7 @@
 }
 
 #[test]
-fn what_the_file_leaves_out_has_its_default() {
+fn missing_optional_fields_have_their_defaults() {
     let settings = NodeSettings::parse(EDGE).unwrap();
     assert_eq!(settings.bounds.config_apply_ms, 2000);
     assert_eq!(settings.limits.disk_mb, None);
@@ -64,8 +66,21 @@
 }
 
 #[test]
-fn a_wrong_field_is_refused_by_its_name() {
-    let wrong = [
+fn the_heartbeat_timeout_is_three_intervals_and_half_a_second() {
+    let settings = NodeSettings::parse(EDGE).unwrap();
+    assert_eq!(settings.heartbeat_timeout(), Duration::from_millis(4100));
+}
+
+#[test]
+fn the_status_retention_is_not_negative() {
+    let text = EDGE.replace("drain_ms = 2500", "status_s = -1.0");
+    let settings = NodeSettings::parse(&text).unwrap();
+    assert_eq!(settings.bounds.status_retention(), Duration::ZERO);
+}
+
+#[test]
+fn an_invalid_field_is_named_by_its_key() {
+    let invalid = [
         (
             "heartbeat_ms = 1200",
             "heartbeat_ms = \"soon\"",
@@ -90,14 +105,16 @@
         ),
         ("machines = 1", "machines = -1", "machines"),
     ];
-    for (good, bad, field) in wrong {
-        let error = NodeSettings::parse(&EDGE.replace(good, bad)).unwrap_err();
-        assert!(error.to_string().contains(field), "{bad:?}: {error}");
+    for (valid, invalid, key) in invalid {
+        let text = EDGE.replace(valid, invalid);
+        let error = NodeSettings::parse(&text).unwrap_err().to_string();
+        assert!(error.contains(key), "{invalid:?}: {error}");
     }
 }
 
 #[test]
-fn a_file_that_is_not_there_is_named() {
-    let error = NodeSettings::read(std::path::Path::new("/nowhere/node.toml")).unwrap_err();
-    assert!(error.to_string().contains("/nowhere/node.toml"), "{error}");
+fn a_missing_file_is_named_by_its_path() {
+    let path = "/nowhere/node.toml";
+    let error = NodeSettings::read(Path::new(path)).unwrap_err();
+    assert!(error.to_string().contains(path), "{error}");
 }
--- a/crates/mintlb-common/tests/transport_rejections.rs
+++ b/crates/mintlb-common/tests/transport_rejections.rs
@@ -1,108 +1,177 @@
-//! What can't be taken ends its connection, is counted by kind and sender, and harms nobody else.
+//! Invalid input ends its connection, is counted by reason and sender, and affects nothing else.
 
-mod messages;
+mod support;
 
 use bytes::Bytes;
-use messages::{ANSWER, NOTICE, REQUEST, WAIT, Wire, listener, next, notice, process};
 use mintlb_common::transport::rejections::{OTHER_SENDERS, RejectionCounts};
-use mintlb_common::transport::{CallError, Channel, MAX_MESSAGE_BYTES, Rejection};
+use mintlb_common::transport::{CallError, Channel, MAX_MESSAGE_BYTES, Rejection, Transport};
 use std::net::SocketAddr;
+use support::{
+    Dialer, NOTIFICATION, REQUEST, RESPONSE, RawPeer, STEP_TIMEOUT, bind_listener, next_event,
+    notification, start_process,
+};
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpStream;
 
-fn head(length: u32, kind: u8) -> Vec<u8> {
-    let mut head = length.to_be_bytes().to_vec();
-    head.extend([Channel::Batch as u8, kind]);
-    head.extend(7_u64.to_be_bytes());
-    head
+const UNKNOWN_KINDS: [u8; 2] = [3, 255];
+
+/// The number of counters that [`RejectionCounts`] holds.
+const COUNTER_CAPACITY: u64 = 256;
+
+/// The header of a frame.
+fn header(body_bytes: u32, kind: u8) -> Vec<u8> {
+    let mut header = body_bytes.to_be_bytes().to_vec();
+    header.extend([Channel::Batch as u8, kind]);
+    header.extend(7_u64.to_be_bytes());
+    header
 }
 
-#[tokio::test]
-async fn frames_that_can_not_be_read_cost_nobody_else_anything() {
-    let (a, mut sees) = process().await;
-    let (good, bad) = (listener().await.1, listener().await.1);
-    let (mut wire, _) = Wire::dial(a.local_address(), good, 1, 0).await;
-    let unreadable = [
-        head(MAX_MESSAGE_BYTES as u32 + 1, NOTICE),
-        head(u32::MAX, REQUEST),
-        head(0, 3),
-        head(0, 255),
+/// Input from this sender was rejected once, for this reason and no other.
+#[track_caller]
+fn assert_only_rejection(process: &Transport, rejection: Rejection, sender: SocketAddr) {
+    let reasons = [
+        Rejection::InvalidHandshake,
+        Rejection::Malformed,
+        Rejection::WrongIncarnation,
+        Rejection::StaleIncarnation,
+        Rejection::UnexpectedFrame,
     ];
-    for (round, bytes) in unreadable.into_iter().enumerate() {
-        let (mut stranger, _) = Wire::dial(a.local_address(), bad, 1, 0).await;
-        stranger.0.write_all(&bytes).await.unwrap();
-        stranger.closed().await;
+    for reason in reasons {
+        let expected = u64::from(reason == rejection);
         assert_eq!(
-            a.rejection_count(Rejection::Malformed, bad),
-            round as u64 + 1
+            process.rejection_count(reason, sender),
+            expected,
+            "{reason}"
         );
-        wire.write(NOTICE, 0, "good").await;
-        assert_eq!(next(&mut sees).await, notice(good, "good"));
     }
-    assert_eq!(a.rejection_count(Rejection::Malformed, good), 0);
 }
 
 #[tokio::test]
-async fn each_kind_is_counted_by_its_sender() {
-    let (a, _sees) = process().await;
-    let (listener, there) = listener().await;
-    let own = a.incarnation().number();
-    let (wire, _) = Wire::dial(a.local_address(), there, 2, own ^ 1).await;
-    wire.closed().await;
-    assert_eq!(a.rejection_count(Rejection::WrongIncarnation, there), 1);
-    let (mut wire, _) = Wire::dial(a.local_address(), there, 2, own).await;
-    wire.write(ANSWER, 1, "to nothing").await;
-    wire.closed().await;
-    assert_eq!(a.rejection_count(Rejection::UnexpectedFrame, there), 1);
-    // The second life answers when it is asked, so the first has ended.
-    let answers = tokio::spawn(async move { Wire::accept(&listener, 2).await });
-    let (wire, _) = Wire::dial(a.local_address(), there, 1, own).await;
-    wire.closed().await;
-    assert_eq!(a.rejection_count(Rejection::StaleIncarnation, there), 1);
-    answers.abort();
-    let mut stranger = TcpStream::connect(a.local_address()).await.unwrap();
-    let from = SocketAddr::new(stranger.local_addr().unwrap().ip(), 0);
-    stranger
+async fn malformed_frames_affect_no_other_connection() {
+    let (process, mut events) = start_process().await;
+    let (_good_listener, good) = bind_listener().await;
+    let (_bad_listener, bad) = bind_listener().await;
+    let (mut connection, _) = Dialer::at(good).dial(process.local_address()).await;
+    let malformed = [
+        header(MAX_MESSAGE_BYTES as u32 + 1, NOTIFICATION),
+        header(u32::MAX, REQUEST),
+        header(0, UNKNOWN_KINDS[0]),
+        header(0, UNKNOWN_KINDS[1]),
+    ];
+    for (count, bytes) in (1..).zip(malformed) {
+        let (mut offender, _) = Dialer::at(bad).dial(process.local_address()).await;
+        offender.0.write_all(&bytes).await.unwrap();
+        offender.expect_closed().await;
+        assert_eq!(process.rejection_count(Rejection::Malformed, bad), count);
+        connection.write(NOTIFICATION, 0, "good").await;
+        assert_eq!(next_event(&mut events).await, notification(good, "good"));
+    }
+    assert_eq!(process.rejection_count(Rejection::Malformed, good), 0);
+}
+
+#[tokio::test]
+async fn messages_for_another_incarnation_are_counted() {
+    let (process, _events) = start_process().await;
+    let (_listener, peer) = bind_listener().await;
+    let other = process.incarnation().number() ^ 1;
+    let dialer = Dialer::at(peer).with_incarnation(2).expecting(other);
+    let (connection, _) = dialer.dial(process.local_address()).await;
+    connection.expect_closed().await;
+    assert_only_rejection(&process, Rejection::WrongIncarnation, peer);
+}
+
+#[tokio::test]
+async fn a_response_without_a_request_is_counted() {
+    let (process, _events) = start_process().await;
+    let (_listener, peer) = bind_listener().await;
+    let own = process.incarnation().number();
+    let dialer = Dialer::at(peer).with_incarnation(2).expecting(own);
+    let (mut connection, _) = dialer.dial(process.local_address()).await;
+    connection.write(RESPONSE, 1, "without a request").await;
+    connection.expect_closed().await;
+    assert_only_rejection(&process, Rejection::UnexpectedFrame, peer);
+}
+
+#[tokio::test]
+async fn a_stale_incarnation_is_counted() {
+    let (process, _events) = start_process().await;
+    let (listener, peer) = bind_listener().await;
+    let own = process.incarnation().number();
+    let dialer = Dialer::at(peer).expecting(own);
+    let (_current, _) = dialer
+        .with_incarnation(2)
+        .dial(process.local_address())
+        .await;
+    // The second incarnation replies to the query, so the first has ended.
+    let replies = tokio::spawn(async move { RawPeer::accept(&listener, 2).await });
+    let (stale, _) = dialer
+        .with_incarnation(1)
+        .dial(process.local_address())
+        .await;
+    stale.expect_closed().await;
+    assert_only_rejection(&process, Rejection::StaleIncarnation, peer);
+    replies.abort();
+}
+
+#[tokio::test]
+async fn a_handshake_of_another_version_is_counted_by_host() {
+    let (process, _events) = start_process().await;
+    let mut stream = TcpStream::connect(process.local_address()).await.unwrap();
+    let host = SocketAddr::new(stream.local_addr().unwrap().ip(), 0);
+    stream
         .write_all(b"mintl1 is an earlier version of it.")
         .await
         .unwrap();
-    Wire(stranger).closed().await;
-    assert_eq!(a.rejection_count(Rejection::InvalidHandshake, from), 1);
+    RawPeer(stream).expect_closed().await;
+    assert_only_rejection(&process, Rejection::InvalidHandshake, host);
 }
 
 #[tokio::test]
-async fn a_call_to_another_version_ends_at_once() {
-    let (a, _sees) = process().await;
-    let (listener, there) = listener().await;
-    let answers = tokio::spawn(async move {
+async fn a_call_to_another_version_fails_at_once() {
+    let (process, _events) = start_process().await;
+    let (listener, peer) = bind_listener().await;
+    let replies = tokio::spawn(async move {
         let (mut stream, _) = listener.accept().await.unwrap();
         stream.write_all(b"mintl1 and more").await.unwrap();
         stream
     });
-    let call = a
-        .call(there, Channel::Batch, Bytes::from_static(b"call"), WAIT)
-        .await;
-    assert_eq!(call, Err(CallError::Unreachable));
-    assert_eq!(a.rejection_count(Rejection::InvalidHandshake, there), 1);
-    drop(answers.await);
+    let body = Bytes::from_static(b"call");
+    let outcome = process.call(peer, Channel::Batch, body, STEP_TIMEOUT).await;
+    assert_eq!(outcome, Err(CallError::Unreachable));
+    assert_only_rejection(&process, Rejection::InvalidHandshake, peer);
+    drop(replies.await);
+}
+
+fn sender(port: u16) -> SocketAddr {
+    SocketAddr::from(([10, 0, 0, 1], port))
+}
+
+/// Counts 100 malformed messages of one sender. Returns the counts that are to be logged.
+fn count_malformed(counts: &mut RejectionCounts) -> Vec<u64> {
+    (0..100)
+        .filter_map(|_| counts.increment(Rejection::Malformed, sender(1)))
+        .collect()
+}
+
+#[test]
+fn rejections_are_logged_at_powers_of_two() {
+    let logged = count_malformed(&mut RejectionCounts::default());
+    assert_eq!(logged, [1, 2, 4, 8, 16, 32, 64]);
 }
 
 #[test]
-fn counts_are_bounded_and_told_at_powers_of_two() {
-    let mut rejections = RejectionCounts::default();
-    let sender = |port| SocketAddr::from(([10, 0, 0, 1], port));
-    let told: Vec<_> = (0..100)
-        .filter_map(|_| rejections.increment(Rejection::Malformed, sender(1)))
-        .collect();
-    assert_eq!(told, [1, 2, 4, 8, 16, 32, 64]);
-    for port in 2..2000 {
-        rejections.increment(Rejection::UnexpectedFrame, sender(port));
+fn rejection_counters_are_bounded() {
+    let mut counts = RejectionCounts::default();
+    count_malformed(&mut counts);
+    let ports = 2..2000;
+    for port in ports.clone() {
+        counts.increment(Rejection::UnexpectedFrame, sender(port));
     }
-    assert_eq!(rejections.get(Rejection::UnexpectedFrame, sender(2)), 1);
-    assert_eq!(rejections.get(Rejection::UnexpectedFrame, sender(1999)), 0);
-    assert_eq!(
-        rejections.get(Rejection::UnexpectedFrame, OTHER_SENDERS),
-        1998 - 255
-    );
-    assert_eq!(rejections.get(Rejection::Malformed, sender(1)), 100);
+    let count = |sender| counts.get(Rejection::UnexpectedFrame, sender);
+    assert_eq!(count(sender(2)), 1);
+    assert_eq!(count(sender(1999)), 0);
+    // One counter is that of the malformed messages.
+    let own_counters = COUNTER_CAPACITY - 1;
+    assert_eq!(count(OTHER_SENDERS), ports.len() as u64 - own_counters);
+    assert_eq!(counts.get(Rejection::Malformed, sender(1)), 100);
 }
--- a/crates/mintlb-common/tests/wire_fixtures.rs
+++ b/crates/mintlb-common/tests/wire_fixtures.rs
@@ -1,14 +1,14 @@
-//! What the outside writes for this crate and what it writes for others: the settings file, the operator's
-//! configuration, the bodies of records, the bytes on a connection. Processes of different releases read them from each
-//! other, so that no release may change them. What the program writes was taken from it before its names were changed;
-//! what it reads (the two files, the other side of a connection) is written by hand and was read by that program.
+//! The bytes and texts that cross the boundary of this package: the settings file, the operator's configuration, the bodies
+//! of records, the bytes on a connection. Processes of different releases exchange them, so no release may change them.
+//!
+//! The fixtures of what the program writes were taken from it before its names were changed; those of what it reads (the
+//! two files, the other side of a connection) are written by hand, and that program could read them.
 
 mod fixture;
-mod messages;
+mod support;
 
 use bytes::Bytes;
 use fixture::{Fixtures, hex, path};
-use messages::{WAIT, listener, next, notice, process};
 use mintlb_common::configuration::{
     ClientLimits, Configuration, Engine, Route, RouteType, Service, WeightedService,
 };
@@ -22,6 +22,7 @@
 };
 use mintlb_common::transport::Channel;
 use std::net::SocketAddr;
+use support::{STEP_TIMEOUT, bind_listener, next_event, notification, start_process};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 use tokio::time::timeout;
@@ -98,7 +99,7 @@
 }
 
 #[test]
-fn the_settings_file_with_the_fewest_keys() {
+fn the_settings_file_with_the_required_keys_only() {
     let read = NodeSettings::read(&path("boot_least.toml")).unwrap();
     assert!(!read.first_start && !read.counts_toward_quorum && read.zones.is_empty());
     assert_eq!(
@@ -131,7 +132,7 @@
 }
 
 /// A route with the required keys only.
-fn least_route(name: &str, path_prefix: &str, route_type: RouteType) -> Route {
+fn minimal_route(name: &str, path_prefix: &str, route_type: RouteType) -> Route {
     Route {
         name: name.to_string(),
         host_name: "two.example".to_string(),
@@ -154,11 +155,11 @@
 
 #[test]
 fn the_configuration_with_every_key() {
-    let part = |service: &str, weight| WeightedService {
+    let weighted = |service: &str, weight| WeightedService {
         target_service: service.to_string(),
         weight,
     };
-    let whole = Route {
+    let complete = Route {
         name: "r-one".to_string(),
         host_name: "one.example".to_string(),
         path_prefix: "/one/".to_string(),
@@ -167,7 +168,7 @@
         target_latency_ms: 302,
         priority: 3,
         target_service: Some("huvo".to_string()),
-        traffic_split: vec![part("huvo", 90.5), part("wuno", 9.5)],
+        traffic_split: vec![weighted("huvo", 90.5), weighted("wuno", 9.5)],
         max_attempts: 4,
         session_affinity: true,
         resumable: true,
@@ -190,10 +191,10 @@
     let expected = Configuration {
         config_version: 9,
         route_list: vec![
-            whole,
-            least_route("r-two", "/two/", RouteType::Idempotent),
-            least_route("r-three", "/", RouteType::NonIdempotent),
-            least_route("r-four", "/four/", RouteType::Batch),
+            complete,
+            minimal_route("r-two", "/two/", RouteType::Idempotent),
+            minimal_route("r-three", "/", RouteType::NonIdempotent),
+            minimal_route("r-four", "/four/", RouteType::Batch),
         ],
         service_list: vec![
             service("huvo", Some("/health"), 320, Some(engine)),
@@ -226,7 +227,7 @@
 }
 
 #[test]
-fn the_names_of_route_types_are_written_as_they_are_read() {
+fn route_types_are_serialized_by_their_json_names() {
     let types = [
         RouteType::Idempotent,
         RouteType::NonIdempotent,
@@ -245,12 +246,12 @@
 }
 
 #[test]
-fn the_operator_is_told_of_faults_by_the_names_of_the_keys() {
+fn violations_are_reported_by_json_key() {
     let json = text("faulty.json");
-    let told = Configuration::parse_from_operator(json.as_bytes())
+    let reported = Configuration::parse_from_operator(json.as_bytes())
         .unwrap_err()
         .to_string();
-    assert_eq!(told, text("faulty.txt").trim_end());
+    assert_eq!(reported, text("faulty.txt").trim_end());
     let first = Configuration::parse(json.as_bytes())
         .unwrap_err()
         .to_string();
@@ -274,7 +275,7 @@
 }
 
 #[test]
-fn records() {
+fn worker_records() {
     let keys = [
         CONFIGURATION,
         PLACEMENT,
@@ -329,7 +330,7 @@
         previous: vec![22],
         last_active_epoch: Some(7),
     };
-    let settled = ShardAssignment {
+    let active = ShardAssignment {
         epoch: 9,
         replicas: vec![22],
         previous: vec![],
@@ -339,7 +340,7 @@
     fixtures.check("store", &store(21, false));
     fixtures.check("store-retiring", &store(22, true));
     fixtures.check("shard-joint", &joint);
-    fixtures.check("shard-settled", &settled);
+    fixtures.check("shard-settled", &active);
     fixtures.check("empty", &Placement::default());
     let stores = vec![store(21, false), store(22, true)];
     fixtures.check(
@@ -347,14 +348,14 @@
         &Placement {
             epoch: 70_000,
             stores,
-            shards: vec![joint, settled],
+            shards: vec![joint, active],
         },
     );
     fixtures.done();
 }
 
 #[test]
-fn the_shards_of_hosts() {
+fn hosts_keep_their_shards() {
     assert_eq!(SHARD_COUNT, 16);
     let shards = ["one.example", "TWO.example", "ficu95.example", ""].map(Placement::shard_of);
     assert_eq!(text("shards.txt").trim_end(), format!("{shards:?}"));
@@ -363,45 +364,57 @@
 /// The next bytes on a connection.
 async fn read(stream: &mut TcpStream, count: usize) -> Vec<u8> {
     let mut bytes = vec![0; count];
-    timeout(WAIT, stream.read_exact(&mut bytes))
+    timeout(STEP_TIMEOUT, stream.read_exact(&mut bytes))
         .await
         .expect("too few bytes")
         .unwrap();
     bytes
 }
 
-/// Replaces what is drawn anew in each run by zeros, after a comparison.
-fn blanked(mut bytes: Vec<u8>, at: usize, drawn: &[u8]) -> Vec<u8> {
-    let place = &mut bytes[at..at + drawn.len()];
-    assert_eq!(place, drawn);
-    place.fill(0);
+/// Compares the bytes that differ in each run with the expected ones, and replaces them by zeros.
+fn zeroed(mut bytes: Vec<u8>, offset: usize, expected: &[u8]) -> Vec<u8> {
+    let field = &mut bytes[offset..offset + expected.len()];
+    assert_eq!(field, expected);
+    field.fill(0);
     bytes
 }
 
-/// Reads a greeting of this process, without its port and its incarnation.
-async fn greeting(stream: &mut TcpStream, own: SocketAddr, incarnation: Incarnation) -> Vec<u8> {
-    let bytes = blanked(read(stream, 29).await, 11, &own.port().to_be_bytes());
-    blanked(bytes, 13, &incarnation.number().to_be_bytes())
+/// Reads a handshake of this process, with its port and incarnation replaced by zeros.
+async fn read_handshake(
+    stream: &mut TcpStream,
+    address: SocketAddr,
+    incarnation: Incarnation,
+) -> Vec<u8> {
+    let bytes = zeroed(read(stream, 29).await, 11, &address.port().to_be_bytes());
+    zeroed(bytes, 13, &incarnation.number().to_be_bytes())
 }
 
 #[tokio::test]
-async fn what_the_dialling_side_writes() {
+async fn bytes_written_by_the_dialing_side() {
     let mut fixtures = Fixtures::read("transport.txt");
-    let (a, _sees) = process().await;
-    let (own, life) = (a.local_address(), a.incarnation());
-    let (listener, there) = listener().await;
-    assert!(a.notify(there, Channel::Gossip, Bytes::from_static(b"notice")));
+    let (process, _events) = start_process().await;
+    let (address, incarnation) = (process.local_address(), process.incarnation());
+    let (listener, peer) = bind_listener().await;
+    assert!(process.notify(peer, Channel::Gossip, Bytes::from_static(b"notice")));
     let (mut stream, _) = listener.accept().await.unwrap();
-    fixtures.same("greeting", &greeting(&mut stream, own, life).await);
+    fixtures.same(
+        "greeting",
+        &read_handshake(&mut stream, address, incarnation).await,
+    );
     fixtures.same("notice-overlay", &read(&mut stream, 20).await);
     stream
         .write_all(&fixtures.take("reply-of-another"))
         .await
         .unwrap();
-    let caller = a.clone();
+    let caller = process.clone();
     let call = tokio::spawn(async move {
         caller
-            .call(there, Channel::Register, Bytes::from_static(b"call"), WAIT)
+            .call(
+                peer,
+                Channel::Register,
+                Bytes::from_static(b"call"),
+                STEP_TIMEOUT,
+            )
             .await
     });
     fixtures.same("call-register", &read(&mut stream, 18).await);
@@ -410,42 +423,51 @@
         .await
         .unwrap();
     assert_eq!(call.await.unwrap(), Ok(Bytes::from_static(b"answer")));
-    assert!(a.notify(there, Channel::Control, Bytes::new()));
+    assert!(process.notify(peer, Channel::Control, Bytes::new()));
     fixtures.same("notice-duties", &read(&mut stream, 14).await);
-    // The next connection is meant for the life that has answered.
+    // The next connection is meant for the incarnation that has replied.
     drop(stream);
     let (mut stream, _) = loop {
-        a.notify(there, Channel::Batch, Bytes::from_static(b"lots"));
-        if let Ok(accepted) = timeout(WAIT / 100, listener.accept()).await {
+        process.notify(peer, Channel::Batch, Bytes::from_static(b"lots"));
+        if let Ok(accepted) = timeout(STEP_TIMEOUT / 100, listener.accept()).await {
             break accepted.unwrap();
         }
     };
-    fixtures.same("greeting-expected", &greeting(&mut stream, own, life).await);
+    fixtures.same(
+        "greeting-expected",
+        &read_handshake(&mut stream, address, incarnation).await,
+    );
     fixtures.same("notice-lots", &read(&mut stream, 18).await);
-    // Another life dials from there: it is asked who is there.
-    let mut other = TcpStream::connect(own).await.unwrap();
-    let SocketAddr::V4(from) = there else {
+    // Another incarnation dials with that address, which is then queried.
+    let mut other = TcpStream::connect(address).await.unwrap();
+    let SocketAddr::V4(from) = peer else {
         panic!("no IPv4 address")
     };
-    let mut dialled = fixtures.take("greeting-of-another");
-    dialled[7..11].copy_from_slice(&from.ip().octets());
-    dialled[11..13].copy_from_slice(&from.port().to_be_bytes());
-    other.write_all(&dialled).await.unwrap();
-    let (mut asked, _) = timeout(WAIT, listener.accept()).await.unwrap().unwrap();
-    fixtures.same("greeting-question", &greeting(&mut asked, own, life).await);
+    let mut handshake = fixtures.take("greeting-of-another");
+    handshake[7..11].copy_from_slice(&from.ip().octets());
+    handshake[11..13].copy_from_slice(&from.port().to_be_bytes());
+    other.write_all(&handshake).await.unwrap();
+    let (mut query, _) = timeout(STEP_TIMEOUT, listener.accept())
+        .await
+        .unwrap()
+        .unwrap();
+    fixtures.same(
+        "greeting-question",
+        &read_handshake(&mut query, address, incarnation).await,
+    );
     fixtures.done();
 }
 
 #[tokio::test]
-async fn what_the_accepting_side_reads_and_writes() {
+async fn bytes_read_and_written_by_the_accepting_side() {
     let mut fixtures = Fixtures::read("transport_accepted.txt");
-    let (a, mut sees) = process().await;
-    let mut stream = TcpStream::connect(a.local_address()).await.unwrap();
+    let (process, mut events) = start_process().await;
+    let mut stream = TcpStream::connect(process.local_address()).await.unwrap();
     stream.write_all(&fixtures.take("greeting")).await.unwrap();
-    let reply = blanked(
+    let reply = zeroed(
         read(&mut stream, 14).await,
         6,
-        &a.incarnation().number().to_be_bytes(),
+        &process.incarnation().number().to_be_bytes(),
     );
     fixtures.same("reply", &reply);
     stream
@@ -453,12 +475,12 @@
         .await
         .unwrap();
     assert_eq!(
-        next(&mut sees).await,
-        notice("127.0.0.1:1".parse().unwrap(), "notice")
+        next_event(&mut events).await,
+        notification("127.0.0.1:1".parse().unwrap(), "notice")
     );
     stream.write_all(&fixtures.take("call-lots")).await.unwrap();
-    let answer = read(&mut stream, 22).await;
-    fixtures.same("answer-lots", &answer);
-    assert!(hex(&answer).ends_with(&hex(b"callcall")));
+    let response = read(&mut stream, 22).await;
+    fixtures.same("answer-lots", &response);
+    assert!(hex(&response).ends_with(&hex(b"callcall")));
     fixtures.done();
 }
