--- a/crates/mintlb-batch/src/client/calls.rs
+++ b/crates/mintlb-batch/src/client/calls.rs
@@ -6,7 +6,7 @@
 use crate::messages::{
     self, ItemName, JobName, LeasedItems, Record, Renew, StoreRequest, StoreResponse, Submit,
 };
-use mintlb_common::transport::{CallError, Channel};
+use mintlb_common::transport::Channel;
 use std::net::SocketAddr;
 use tokio::time::{sleep, timeout_at};
 
@@ -53,8 +53,8 @@
             Some((StoreResponse::Indeterminate, _)) | None => Attempt::Indeterminate,
             Some((answer, raw)) => Attempt::Answered(answer, raw),
         },
-        Err(CallError::NotUnderstood | CallError::Replaced) => Attempt::NotExecuted,
-        Err(CallError::TimedOut | CallError::Unreachable) => Attempt::Indeterminate,
+        Err(error) if error.may_have_executed() => Attempt::Indeterminate,
+        Err(_) => Attempt::NotExecuted,
     }
 }
 
