--- a/crates/mintlb-control/src/controller/mod.rs
+++ b/crates/mintlb-control/src/controller/mod.rs
@@ -213,14 +213,14 @@
     let random_seed =
         RandomState::new().hash_one((own, &settings.node_name, std::time::SystemTime::now()));
     let identity = Replica {
-        id: 0,
+        id: ReplicaId::default(),
         address: own.to_string(),
         node_name: settings.node_name.clone(),
         zone: settings.zone.clone(),
     };
     let replica = match &settings.data_directory {
         Some(directory) => {
-            let opened = AcceptorStorage::open(directory, mix64(random_seed))?;
+            let opened = AcceptorStorage::open(directory, ReplicaId(mix64(random_seed)))?;
             Some(Arc::new(LocalReplica::new(opened, identity)))
         }
         None => None,
--- a/crates/mintlb-control/tests/contact_world/mod.rs
+++ b/crates/mintlb-control/tests/contact_world/mod.rs
@@ -3,7 +3,7 @@
 
 use mintlb_control::controller::contact::ping_state::{Ping, PingState, Pong, STEP};
 use mintlb_control::controller::contact::quorum_contact::CONTACT_LEASE;
-use mintlb_register::replica_set::{Replica, ReplicaSet};
+use mintlb_register::replica_set::{Replica, ReplicaId, ReplicaSet};
 use std::net::SocketAddr;
 use std::time::Duration;
 use tokio::time::Instant;
@@ -65,7 +65,7 @@
     pub fn new(replicas: usize, others: usize, rng_state: u64) -> World {
         let now = Instant::now();
         let replica = |place| Replica {
-            id: id(place),
+            id: ReplicaId(id(place)),
             address: address(place).to_string(),
             node_name: format!("edge-{place}"),
             zone: String::new(),
@@ -77,7 +77,7 @@
         };
         let count = replicas + others;
         let node = |place: usize| {
-            let own = (place < replicas).then(|| id(place));
+            let own = (place < replicas).then(|| ReplicaId(id(place)));
             let state = PingState::new(
                 now,
                 own,
@@ -254,8 +254,8 @@
         let lately = |at: Instant| {
             now.saturating_duration_since(at) < CONTACT_LEASE + TICK * MOST_DELAY as u32
         };
-        let reachable = |other: u64| {
-            let other = (other - 100) as usize;
+        let reachable = |other: ReplicaId| {
+            let other = (other.0 - 100) as usize;
             other == place
                 || (lately(self.linked_at[place][other]) && lately(self.linked_at[other][place]))
         };
--- a/crates/mintlb-control/tests/controller_acceptor_storage.rs
+++ b/crates/mintlb-control/tests/controller_acceptor_storage.rs
@@ -4,7 +4,7 @@
 use mintlb_register::acceptor::DurableWrite;
 use mintlb_register::ballot::Ballot;
 use mintlb_register::message::AcceptedValue;
-use mintlb_register::replica_set::Replica;
+use mintlb_register::replica_set::{Replica, ReplicaId};
 use mintlb_register::state::ControlState;
 use std::sync::Arc;
 
@@ -18,7 +18,7 @@
 fn accepted(counter: u64) -> AcceptedValue {
     let address = "10.0.0.1:7661".to_string();
     let replica = Replica {
-        id: 1,
+        id: ReplicaId(1),
         address,
         node_name: "edge-1".to_string(),
         zone: "z".to_string(),
@@ -41,17 +41,18 @@
 #[test]
 fn identity_promise_and_value_are_kept() {
     let folder = tempfile::tempdir().unwrap();
-    let opened = AcceptorStorage::open(folder.path(), 41).unwrap();
-    assert_eq!((opened.id, opened.vote.accepted), (41, None));
+    let opened = AcceptorStorage::open(folder.path(), ReplicaId(41)).unwrap();
+    assert_eq!((opened.id, opened.vote.accepted), (ReplicaId(41), None));
     synced(&opened.store, DurableWrite::Promise(ballot(3)));
     synced(&opened.store, DurableWrite::Accepted(accepted(3)));
     synced(&opened.store, DurableWrite::Promise(ballot(5)));
     synced(&opened.store, DurableWrite::Nothing);
     assert!(!opened.store.is_busy());
     drop(opened.store);
-    let again = AcceptorStorage::open(folder.path(), 99).unwrap();
+    let again = AcceptorStorage::open(folder.path(), ReplicaId(99)).unwrap();
     assert_eq!(
-        again.id, 41,
+        again.id,
+        ReplicaId(41),
         "the identity offered to an existing file is not taken"
     );
     assert_eq!(
@@ -63,17 +64,22 @@
 #[test]
 fn a_file_that_another_process_has_open_is_left_alone() {
     let folder = tempfile::tempdir().unwrap();
-    let opened = AcceptorStorage::open(folder.path(), 41).unwrap();
-    assert!(AcceptorStorage::open(folder.path(), 42).is_err());
+    let opened = AcceptorStorage::open(folder.path(), ReplicaId(41)).unwrap();
+    assert!(AcceptorStorage::open(folder.path(), ReplicaId(42)).is_err());
     synced(&opened.store, DurableWrite::Promise(ballot(3)));
     drop(opened.store);
-    assert_eq!(AcceptorStorage::open(folder.path(), 43).unwrap().id, 41);
+    assert_eq!(
+        AcceptorStorage::open(folder.path(), ReplicaId(43))
+            .unwrap()
+            .id,
+        ReplicaId(41)
+    );
 }
 
 #[test]
 fn what_waits_is_written_together_and_in_order() {
     let folder = tempfile::tempdir().unwrap();
-    let opened = AcceptorStorage::open(folder.path(), 41).unwrap();
+    let opened = AcceptorStorage::open(folder.path(), ReplicaId(41)).unwrap();
     let waiting: Vec<_> = (1..=50)
         .map(|counter| match counter % 2 {
             0 => opened.store.sync(DurableWrite::Promise(ballot(counter))),
@@ -84,7 +90,7 @@
         .into_iter()
         .for_each(|sync| sync.blocking_recv().unwrap());
     drop(opened.store);
-    let again = AcceptorStorage::open(folder.path(), 99).unwrap();
+    let again = AcceptorStorage::open(folder.path(), ReplicaId(99)).unwrap();
     assert_eq!(
         (again.vote.promised, again.vote.accepted),
         (ballot(50), Some(accepted(49)))
@@ -95,8 +101,8 @@
 fn a_file_that_is_not_whole_is_put_aside_and_the_replica_begins_anew() {
     let folder = tempfile::tempdir().unwrap();
     std::fs::write(folder.path().join(FILE), b"torn").unwrap();
-    let opened = AcceptorStorage::open(folder.path(), 42).unwrap();
-    assert_eq!((opened.id, opened.vote.accepted), (42, None));
+    let opened = AcceptorStorage::open(folder.path(), ReplicaId(42)).unwrap();
+    assert_eq!((opened.id, opened.vote.accepted), (ReplicaId(42), None));
     assert!(folder.path().join("register.redb.unreadable").exists());
 }
 
@@ -104,6 +110,6 @@
 fn a_file_that_was_never_finished_is_made_again() {
     let folder = tempfile::tempdir().unwrap();
     std::fs::write(folder.path().join("register.redb.new"), b"half").unwrap();
-    let opened = AcceptorStorage::open(folder.path(), 43).unwrap();
-    assert_eq!(opened.id, 43);
+    let opened = AcceptorStorage::open(folder.path(), ReplicaId(43)).unwrap();
+    assert_eq!(opened.id, ReplicaId(43));
 }
--- a/crates/mintlb-control/tests/controller_catch_up.rs
+++ b/crates/mintlb-control/tests/controller_catch_up.rs
@@ -46,21 +46,25 @@
         let folder = tempfile::tempdir().unwrap();
         let open = || {
             LocalReplica::new(
-                AcceptorStorage::open(folder.path(), 7).unwrap(),
-                identity(7),
+                AcceptorStorage::open(folder.path(), ReplicaId(7)).unwrap(),
+                identity(ReplicaId(7)),
             )
         };
         let replica = open();
-        wait(replica.catch_up(&chosen(missed_from, 7)));
-        wait(replica.catch_up(&chosen(500, 7)));
-        wait(replica.catch_up(&chosen(499, 7)));
+        wait(replica.catch_up(&chosen(missed_from, ReplicaId(7))));
+        wait(replica.catch_up(&chosen(500, ReplicaId(7))));
+        wait(replica.catch_up(&chosen(499, ReplicaId(7))));
         assert_eq!(
             replica.accepted(),
-            Some(chosen(500, 7)),
+            Some(chosen(500, ReplicaId(7))),
             "nothing older over something newer"
         );
         drop(replica);
-        assert_eq!(open().accepted(), Some(chosen(500, 7)), "it is on disk");
+        assert_eq!(
+            open().accepted(),
+            Some(chosen(500, ReplicaId(7))),
+            "it is on disk"
+        );
     }
 }
 
@@ -68,10 +72,10 @@
 fn catching_up_breaks_no_promise_and_is_for_members_alone() {
     let folder = tempfile::tempdir().unwrap();
     let replica = LocalReplica::new(
-        AcceptorStorage::open(folder.path(), 7).unwrap(),
-        identity(7),
+        AcceptorStorage::open(folder.path(), ReplicaId(7)).unwrap(),
+        identity(ReplicaId(7)),
     );
-    wait(replica.catch_up(&chosen(5, 8)));
+    wait(replica.catch_up(&chosen(5, ReplicaId(8))));
     assert_eq!(replica.accepted(), None, "another's set");
     let promised = Ballot {
         counter: 9,
@@ -81,19 +85,22 @@
         ballot: promised,
         known: None,
     };
-    let reply = wait(replica.answer(Request { target: 7, body }));
+    let reply = wait(replica.answer(Request {
+        target: ReplicaId(7),
+        body,
+    }));
     assert!(matches!(reply, Some(Reply::Promise { .. })), "{reply:?}");
-    wait(replica.catch_up(&chosen(8, 7)));
+    wait(replica.catch_up(&chosen(8, ReplicaId(7))));
     assert_eq!(
         replica.accepted(),
-        Some(chosen(8, 7)),
+        Some(chosen(8, ReplicaId(7))),
         "a chosen value, though a higher ballot was promised"
     );
     drop(replica);
-    let opened = AcceptorStorage::open(folder.path(), 7).unwrap();
+    let opened = AcceptorStorage::open(folder.path(), ReplicaId(7)).unwrap();
     assert_eq!(
         (opened.vote.promised, opened.vote.accepted),
-        (promised, Some(chosen(8, 7))),
+        (promised, Some(chosen(8, ReplicaId(7)))),
         "the promise holds"
     );
 }
--- a/crates/mintlb-control/tests/controller_disk_faults.rs
+++ b/crates/mintlb-control/tests/controller_disk_faults.rs
@@ -8,7 +8,7 @@
 use mintlb_control::controller::register::local_replica::LocalReplica;
 use mintlb_register::ballot::Ballot;
 use mintlb_register::message::{AcceptedValue, Reply, ReportedValue, Request, RequestBody};
-use mintlb_register::replica_set::Replica;
+use mintlb_register::replica_set::{Replica, ReplicaId};
 use mintlb_register::state::ControlState;
 use std::future::Future;
 use std::sync::Arc;
@@ -29,7 +29,7 @@
 fn identity() -> Replica {
     let address = "10.0.0.1:7661".to_string();
     Replica {
-        id: ID,
+        id: ReplicaId(ID),
         address,
         node_name: "edge-1".to_string(),
         zone: "z".to_string(),
@@ -51,7 +51,7 @@
 
 fn prepare(counter: u64) -> Request {
     Request {
-        target: ID,
+        target: ReplicaId(ID),
         body: RequestBody::Prepare {
             ballot: ballot(counter),
             known: None,
@@ -61,7 +61,7 @@
 
 fn accept(counter: u64) -> Request {
     Request {
-        target: ID,
+        target: ReplicaId(ID),
         body: RequestBody::Accept {
             proposed: value(counter, 100),
         },
@@ -70,7 +70,7 @@
 
 fn read() -> Request {
     Request {
-        target: ID,
+        target: ReplicaId(ID),
         body: RequestBody::Read { known: None },
     }
 }
@@ -271,7 +271,7 @@
         answer(
             &replica,
             Request {
-                target: ID,
+                target: ReplicaId(ID),
                 body: RequestBody::Accept { proposed },
             },
         )
--- a/crates/mintlb-control/tests/controller_quorum_contact.rs
+++ b/crates/mintlb-control/tests/controller_quorum_contact.rs
@@ -2,7 +2,7 @@
 
 use mintlb_control::controller::contact::echo_clock::EchoClock;
 use mintlb_control::controller::contact::quorum_contact::{CONTACT_LEASE, QuorumContact};
-use mintlb_register::replica_set::{Replica, ReplicaSet};
+use mintlb_register::replica_set::{Replica, ReplicaId, ReplicaSet};
 use std::time::Duration;
 use tokio::time::Instant;
 
@@ -10,7 +10,7 @@
 
 fn replicas(ids: &[u64]) -> Vec<Replica> {
     let replica = |id: &u64| Replica {
-        id: *id,
+        id: ReplicaId(*id),
         address: format!("10.0.0.{id}:7661"),
         node_name: format!("edge-{id}"),
         zone: String::new(),
@@ -29,10 +29,10 @@
 #[test]
 fn a_majority_is_needed_and_the_own_replica_counts() {
     let now = Instant::now();
-    let mut contact = QuorumContact::new(Some(1));
+    let mut contact = QuorumContact::new(Some(ReplicaId(1)));
     assert!(contact.is_valid(now, &set(&[1])), "alone in its set");
     assert!(!contact.is_valid(now, &set(&[1, 2, 3])));
-    contact.record_acknowledgement(2, now);
+    contact.record_acknowledgement(ReplicaId(2), now);
     assert!(contact.is_valid(now, &set(&[1, 2, 3])));
     assert!(!contact.is_valid(now, &set(&[1, 2, 3, 4])));
 }
@@ -41,31 +41,31 @@
 fn without_a_replica_a_majority_of_the_others_is_needed() {
     let now = Instant::now();
     let mut contact = QuorumContact::new(None);
-    contact.record_acknowledgement(2, now);
+    contact.record_acknowledgement(ReplicaId(2), now);
     assert!(!contact.is_valid(now, &set(&[1, 2, 3])));
-    contact.record_acknowledgement(3, now);
+    contact.record_acknowledgement(ReplicaId(3), now);
     assert!(contact.is_valid(now, &set(&[1, 2, 3])));
 }
 
 #[test]
 fn while_the_set_changes_a_majority_of_both_sides_is_needed() {
     let now = Instant::now();
-    let mut contact = QuorumContact::new(Some(1));
-    contact.record_acknowledgement(2, now);
+    let mut contact = QuorumContact::new(Some(ReplicaId(1)));
+    contact.record_acknowledgement(ReplicaId(2), now);
     let joint = ReplicaSet {
         previous: replicas(&[1, 4, 5]),
         ..set(&[1, 2, 3])
     };
     assert!(!contact.is_valid(now, &joint));
-    contact.record_acknowledgement(4, now);
+    contact.record_acknowledgement(ReplicaId(4), now);
     assert!(contact.is_valid(now, &joint));
 }
 
 #[test]
 fn the_lease_runs_from_the_sending_and_ends_by_itself() {
     let sent_at = Instant::now();
-    let mut contact = QuorumContact::new(Some(1));
-    contact.record_acknowledgement(2, sent_at);
+    let mut contact = QuorumContact::new(Some(ReplicaId(1)));
+    contact.record_acknowledgement(ReplicaId(2), sent_at);
     assert!(contact.is_valid(sent_at + CONTACT_LEASE - MOMENT, &set(&[1, 2, 3])));
     assert!(!contact.is_valid(sent_at + CONTACT_LEASE, &set(&[1, 2, 3])));
     contact.record_majority_round(sent_at + MOMENT);
@@ -76,9 +76,9 @@
 #[test]
 fn an_answer_that_is_read_late_proves_no_more_than_an_early_one() {
     let sent_at = Instant::now();
-    let mut contact = QuorumContact::new(Some(1));
-    contact.record_acknowledgement(2, sent_at + CONTACT_LEASE);
-    contact.record_acknowledgement(2, sent_at);
+    let mut contact = QuorumContact::new(Some(ReplicaId(1)));
+    contact.record_acknowledgement(ReplicaId(2), sent_at + CONTACT_LEASE);
+    contact.record_acknowledgement(ReplicaId(2), sent_at);
     contact.record_majority_round(sent_at);
     assert!(contact.is_valid(sent_at + CONTACT_LEASE * 2 - MOMENT, &set(&[1, 2, 3])));
     assert!(!contact.is_valid(sent_at + CONTACT_LEASE * 2, &set(&[1, 2, 3])));
--- a/crates/mintlb-control/tests/controller_register_cache.rs
+++ b/crates/mintlb-control/tests/controller_register_cache.rs
@@ -3,7 +3,7 @@
 use mintlb_control::controller::register::register_cache::RegisterCache;
 use mintlb_register::ballot::Ballot;
 use mintlb_register::message::AcceptedValue;
-use mintlb_register::replica_set::{Replica, ReplicaSet};
+use mintlb_register::replica_set::{Replica, ReplicaId, ReplicaSet};
 use mintlb_register::state::ControlState;
 use std::sync::Arc;
 
@@ -11,7 +11,7 @@
     let replica = |id: &u64| {
         let address = format!("10.0.0.{id}:7661");
         Replica {
-            id: *id,
+            id: ReplicaId(*id),
             address,
             node_name: format!("edge-{id}"),
             zone: "z".to_string(),
--- a/crates/mintlb-control/tests/controller_wire_fixtures.rs
+++ b/crates/mintlb-control/tests/controller_wire_fixtures.rs
@@ -21,7 +21,7 @@
 use mintlb_register::applied_history::AppliedHistory;
 use mintlb_register::ballot::Ballot;
 use mintlb_register::message::AcceptedValue;
-use mintlb_register::replica_set::{Replica, ReplicaSet};
+use mintlb_register::replica_set::{Replica, ReplicaId, ReplicaSet};
 use mintlb_register::state::ControlState;
 use parking_lot::Mutex;
 use redb::{Database, ReadableDatabase, ReadableTable, TableDefinition, TableHandle};
@@ -47,7 +47,7 @@
 fn replica(id: u64) -> Replica {
     let address = format!("10.{id}.0.35:7661");
     Replica {
-        id,
+        id: ReplicaId(id),
         address,
         node_name: format!("edge-{id}"),
         zone: format!("zone-{id}"),
@@ -106,9 +106,9 @@
 fn calls_of_the_duties() {
     let mut fixtures = Fixtures::read("duty_calls.txt");
     let full = Status {
-        replica: Some(51),
+        replica: Some(ReplicaId(51)),
         epoch: 52,
-        preferred_leader: Some(53),
+        preferred_leader: Some(ReplicaId(53)),
     };
     let least = Status {
         replica: None,
@@ -160,9 +160,9 @@
 fn answers_of_the_duties() {
     let mut fixtures = Fixtures::read("duty_answers.txt");
     let full = Status {
-        replica: Some(51),
+        replica: Some(ReplicaId(51)),
         epoch: 52,
-        preferred_leader: Some(53),
+        preferred_leader: Some(ReplicaId(53)),
     };
     let least = Status {
         replica: None,
@@ -256,8 +256,8 @@
     let folder = tempfile::tempdir().unwrap();
     place_file(folder.path());
     check_tables(&folder.path().join("register.redb"));
-    let opened = AcceptorStorage::open(folder.path(), 99).unwrap();
-    assert_eq!(opened.id, ID);
+    let opened = AcceptorStorage::open(folder.path(), ReplicaId(99)).unwrap();
+    assert_eq!(opened.id, ReplicaId(ID));
     assert_eq!(opened.vote.promised, ballot(8));
     assert_eq!(opened.vote.accepted, Some(accepted()));
     opened
@@ -279,7 +279,7 @@
 
 /// Makes the register's file as a controller does.
 fn make_file(directory: &Path) {
-    let opened = AcceptorStorage::open(directory, ID).unwrap();
+    let opened = AcceptorStorage::open(directory, ReplicaId(ID)).unwrap();
     for sync in [
         DurableWrite::Promise(ballot(3)),
         DurableWrite::Accepted(accepted()),
@@ -309,7 +309,7 @@
     place_file(folder.path());
     let (with_disk, without, caller) = (transport().await, transport().await, transport().await);
     let local = LocalReplica::new(
-        AcceptorStorage::open(folder.path(), 99).unwrap(),
+        AcceptorStorage::open(folder.path(), ReplicaId(99)).unwrap(),
         replica(ID),
     );
     let _registers = (
@@ -354,7 +354,7 @@
     let folder = tempfile::tempdir().unwrap();
     place_file(folder.path());
     let local = LocalReplica::new(
-        AcceptorStorage::open(folder.path(), 99).unwrap(),
+        AcceptorStorage::open(folder.path(), ReplicaId(99)).unwrap(),
         replica(ID),
     );
     let (own, reader, seed) = (transport().await, transport().await, transport().await);
--- a/crates/mintlb-control/tests/faulty_disk/mod.rs
+++ b/crates/mintlb-control/tests/faulty_disk/mod.rs
@@ -4,6 +4,7 @@
 use mintlb_control::controller::register::acceptor_file::{self, Contents};
 use mintlb_control::controller::register::acceptor_storage::Opener;
 use mintlb_register::acceptor::AcceptorState;
+use mintlb_register::replica_set::ReplicaId;
 use parking_lot::{Condvar, Mutex};
 use redb::StorageBackend;
 use std::io::{Error, ErrorKind};
@@ -60,7 +61,7 @@
         acceptor_file::rewrite(
             &database,
             &Contents {
-                id,
+                id: ReplicaId(id),
                 vote: AcceptorState::default(),
             },
         )
--- a/crates/mintlb-register/src/replica_set.rs
+++ b/crates/mintlb-register/src/replica_set.rs
@@ -1,9 +1,18 @@
 //! Replicas and the sets that they form.
 
 use minicbor::{Decode, Encode};
+use std::fmt;
 
 /// Identifies a replica with its disk: an emptied disk is another replica.
-pub type ReplicaId = u64;
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
+#[cbor(transparent)]
+pub struct ReplicaId(#[n(0)] pub u64);
+
+impl fmt::Display for ReplicaId {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        self.0.fmt(f)
+    }
+}
 
 /// A controller that holds a copy of the register.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
--- a/crates/mintlb-register/tests/bootstrap.rs
+++ b/crates/mintlb-register/tests/bootstrap.rs
@@ -2,12 +2,12 @@
 
 use arbtest::arbtest;
 use mintlb_register::bootstrap::{Bootstrap, BootstrapStep, BootstrapVote, SeedStatus};
-use mintlb_register::replica_set::{Replica, ReplicaSet};
+use mintlb_register::replica_set::{Replica, ReplicaId, ReplicaSet};
 
 fn set() -> ReplicaSet {
     let address = "10.0.0.1:7661".to_string();
     ReplicaSet::bootstrap(Replica {
-        id: 1,
+        id: ReplicaId(1),
         address,
         node_name: "edge-1".to_string(),
         zone: "z".to_string(),
@@ -101,9 +101,11 @@
 #[test]
 fn a_seed_grants_it_to_one_process_for_good() {
     let mut grant = BootstrapVote::default();
-    assert!(!grant.grant(5, false, false) && !grant.grant(5, true, true));
+    assert!(!grant.grant(ReplicaId(5), false, false) && !grant.grant(ReplicaId(5), true, true));
     assert!(
-        grant.grant(5, true, false) && !grant.grant(6, true, false) && grant.grant(5, true, false)
+        grant.grant(ReplicaId(5), true, false)
+            && !grant.grant(ReplicaId(6), true, false)
+            && grant.grant(ReplicaId(5), true, false)
     );
 }
 
@@ -119,7 +121,7 @@
         for _ in 0..u.int_in_range(1..=30)? {
             let candidate = u.int_in_range(0..=2)?;
             if let Some(grant) = grants.get_mut(got[candidate])
-                && grant.grant(candidate as u64, true, false)
+                && grant.grant(ReplicaId(candidate as u64), true, false)
             {
                 got[candidate] += 1;
             }
--- a/crates/mintlb-register/tests/change.rs
+++ b/crates/mintlb-register/tests/change.rs
@@ -8,7 +8,7 @@
 use mintlb_register::change::{Change, ChangeOutcome};
 use mintlb_register::message::{AcceptedValue, Reply};
 use mintlb_register::quorum_read::{QuorumRead, ReadProgress};
-use mintlb_register::replica_set::Replica;
+use mintlb_register::replica_set::{Replica, ReplicaId};
 use replicas::{Replicas, configuration, replica};
 use std::sync::Arc;
 
@@ -148,7 +148,7 @@
             state: Arc::new(state),
         }),
     };
-    replicas.acceptors[0] = Acceptor::new(1, vote);
+    replicas.acceptors[0] = Acceptor::new(ReplicaId(1), vote);
     replicas.silent = vec![3];
     let outcome = replicas.change(configuration(0, 9, "late")).unwrap();
     assert_eq!(outcome.change, ChangeOutcome::StaleBase);
@@ -201,7 +201,7 @@
     let mut replicas = Replicas::settled(3);
     replicas.silent = vec![2];
     let replacement = Replica {
-        id: 5,
+        id: ReplicaId(5),
         ..replica(2)
     };
     let join = Change::AddReplica {
@@ -231,14 +231,17 @@
         Some(ChangeOutcome::SetFull)
     );
     replicas.silent = vec![3];
-    assert_eq!(replicas.answer(join(vec![3])), Some(ChangeOutcome::Applied));
-    let members: Vec<u64> = replicas
+    assert_eq!(
+        replicas.answer(join(vec![ReplicaId(3)])),
+        Some(ChangeOutcome::Applied)
+    );
+    let members: Vec<ReplicaId> = replicas
         .rule()
         .current
         .iter()
         .map(|replica| replica.id)
         .collect();
-    assert_eq!(members, [1, 2, 6]);
+    assert_eq!(members, [1, 2, 6].map(ReplicaId));
 }
 
 #[test]
@@ -247,7 +250,7 @@
     replicas.silent = vec![3];
     let join = Change::AddReplica {
         replica: replica(6),
-        unresponsive: vec![3],
+        unresponsive: vec![ReplicaId(3)],
         max_replicas: 9,
     };
     assert_eq!(replicas.answer(join), Some(ChangeOutcome::Applied));
@@ -262,17 +265,20 @@
         id,
         min_replicas: 3,
     };
-    assert_eq!(replicas.answer(leave(4)), Some(ChangeOutcome::Applied));
+    assert_eq!(
+        replicas.answer(leave(ReplicaId(4))),
+        Some(ChangeOutcome::Applied)
+    );
     assert_eq!(
         replicas.answer(Change::LeaveJoint),
         Some(ChangeOutcome::Applied)
     );
     assert_eq!(
-        replicas.answer(leave(4)),
+        replicas.answer(leave(ReplicaId(4))),
         Some(ChangeOutcome::AlreadyApplied)
     );
     assert_eq!(
-        replicas.answer(leave(3)),
+        replicas.answer(leave(ReplicaId(3))),
         Some(ChangeOutcome::TooFewReplicas)
     );
 }
@@ -283,7 +289,10 @@
     let old = replicas.rule();
     for id in [5, 6] {
         let at = id - 4;
-        let newcomer = Replica { id, ..replica(at) };
+        let newcomer = Replica {
+            id: ReplicaId(id),
+            ..replica(at)
+        };
         replicas.answer(Change::AddReplica {
             replica: newcomer,
             unresponsive: Vec::new(),
@@ -301,7 +310,7 @@
             ReadProgress::Send(messages) => {
                 progress = ReadProgress::Inconclusive;
                 for (to, request) in messages {
-                    let silent = replicas.silent.contains(&to.id);
+                    let silent = replicas.silent.contains(&to.id.0);
                     let acceptor = replicas
                         .acceptors
                         .iter_mut()
@@ -345,11 +354,17 @@
 
 #[test]
 fn a_replica_answers_for_its_own_identity_alone() {
-    let mut acceptor = Acceptor::new(7, AcceptorState::default());
+    let mut acceptor = Acceptor::new(ReplicaId(7), AcceptorState::default());
     let body = mintlb_register::message::RequestBody::Read { known: None };
-    let answered = acceptor.handle(mintlb_register::message::Request { target: 2, body });
+    let answered = acceptor.handle(mintlb_register::message::Request {
+        target: ReplicaId(2),
+        body,
+    });
     assert_eq!(
         (answered.durable_write, answered.reply),
-        (DurableWrite::Nothing, Reply::WrongReplica { id: 7 })
+        (
+            DurableWrite::Nothing,
+            Reply::WrongReplica { id: ReplicaId(7) }
+        )
     );
 }
--- a/crates/mintlb-register/tests/cluster/mod.rs
+++ b/crates/mintlb-register/tests/cluster/mod.rs
@@ -54,7 +54,7 @@
 impl Cluster {
     /// Replicas 1 to `size` with configuration 1, held by all.
     pub fn settled(size: u64) -> Cluster {
-        let current: Vec<Replica> = (1..=size).map(|id| replica(id, id)).collect();
+        let current: Vec<Replica> = (1..=size).map(|id| replica(ReplicaId(id), id)).collect();
         let replicas = ReplicaSet {
             epoch: 1,
             previous: Vec::new(),
@@ -80,6 +80,7 @@
         };
         Cluster {
             acceptors: (1..=size)
+                .map(ReplicaId)
                 .map(|id| (id, Acceptor::new(id, vote.clone())))
                 .collect(),
             addresses: current
--- a/crates/mintlb-register/tests/days/machine.rs
+++ b/crates/mintlb-register/tests/days/machine.rs
@@ -78,12 +78,12 @@
             promised: value.ballot,
             accepted: Some(value.clone()),
         };
-        let acceptor = Acceptor::new(at as u64 + 1, vote.clone());
+        let acceptor = Acceptor::new(ReplicaId(at as u64 + 1), vote.clone());
         Machine {
             durable: vote,
             acceptor,
             known: Some(value),
-            ..Machine::empty(address(at), 0)
+            ..Machine::empty(address(at), ReplicaId(0))
         }
     }
 
@@ -99,7 +99,7 @@
             hint: None,
             floor: Ballot::default(),
             life: 0,
-            is_up: id == 0,
+            is_up: id == ReplicaId(0),
             is_gone: false,
             stopping: false,
             frozen_until: 0,
--- a/crates/mintlb-register/tests/days/mod.rs
+++ b/crates/mintlb-register/tests/days/mod.rs
@@ -122,7 +122,7 @@
     /// A settled register on so many machines.
     pub fn new(seed: u64, tolerated_failures: usize, size: usize, planted: Planted) -> Day {
         let current: Vec<_> = (0..size)
-            .map(|at| replica(at as u64 + 1, &machine::address(at)))
+            .map(|at| replica(ReplicaId(at as u64 + 1), &machine::address(at)))
             .collect();
         let replicas = ReplicaSet {
             epoch: 1,
--- a/crates/mintlb-register/tests/days/troubles.rs
+++ b/crates/mintlb-register/tests/days/troubles.rs
@@ -4,6 +4,7 @@
 use super::{CATCH_UP, Day, Event, Planted};
 use mintlb_register::acceptor::{Acceptor, AcceptorState};
 use mintlb_register::change::Change;
+use mintlb_register::replica_set::ReplicaId;
 
 impl Day {
     /// Machines that count as lost now, or will before this trouble is over.
@@ -82,7 +83,7 @@
         let machine = &mut self.machines[at];
         let id = match self.planted {
             Planted::KeepsIdentityOnEmptyDisk => machine.acceptor.id(),
-            _ => id,
+            _ => ReplicaId(id),
         };
         machine.durable = AcceptorState::default();
         machine.hint = None;
@@ -156,7 +157,7 @@
             .map(|at| self.machines[at].address.clone());
         let address = reused.unwrap_or_else(|| address(self.machines.len()));
         let id = self.fresh();
-        self.machines.push(Machine::empty(address, id));
+        self.machines.push(Machine::empty(address, ReplicaId(id)));
         self.machines.len() - 1
     }
 
--- a/crates/mintlb-register/tests/exhaustion.rs
+++ b/crates/mintlb-register/tests/exhaustion.rs
@@ -15,9 +15,9 @@
 /// States looked at, at most.
 const MOST_STATES: usize = 30_000;
 /// The replica whose disk may be lost.
-const OLD: ReplicaId = 3;
+const OLD: ReplicaId = ReplicaId(3);
 /// What it comes back as.
-const NEW: ReplicaId = 4;
+const NEW: ReplicaId = ReplicaId(4);
 
 /// Which orders are looked at.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -61,7 +61,7 @@
     ReplicaSet {
         epoch: 1,
         previous: Vec::new(),
-        current: (1..=3).map(replica).collect(),
+        current: (1..=3).map(ReplicaId).map(replica).collect(),
     }
 }
 
@@ -81,7 +81,9 @@
             accepted: Some(AcceptedValue { ballot, state }),
         };
         let mut search = Search {
-            acceptors: (1..=3).map(|id| Acceptor::new(id, vote.clone())).collect(),
+            acceptors: (1..=3)
+                .map(|id| Acceptor::new(ReplicaId(id), vote.clone()))
+                .collect(),
             proposals: Vec::new(),
             messages: Vec::new(),
             retries: Vec::new(),
@@ -136,7 +138,7 @@
     fn lose_disk(&mut self, keeps_identity: bool) {
         self.is_lost = true;
         let id = if keeps_identity { OLD } else { NEW };
-        self.acceptors[OLD as usize - 1] = Acceptor::new(id, AcceptorState::default());
+        self.acceptors[OLD.0 as usize - 1] = Acceptor::new(id, AcceptorState::default());
         self.propose(Change::AddReplica {
             replica: replica(id),
             unresponsive: Vec::new(),
@@ -272,8 +274,13 @@
             continue;
         }
         if let Some(acknowledged) = state.acknowledged {
-            for by in [vec![1, 2, 3, 4], vec![1, 3, 4], vec![2, 3, 4], vec![1, 2]] {
-                let found = state.found(&by);
+            for by in [
+                vec![1_u64, 2, 3, 4],
+                vec![1, 3, 4],
+                vec![2, 3, 4],
+                vec![1, 2],
+            ] {
+                let found = state.found(&by.iter().copied().map(ReplicaId).collect::<Vec<_>>());
                 if found.is_some_and(|found| found != acknowledged) {
                     return Err(format!(
                         "after {} states: {acknowledged} was acknowledged, {found:?} is found by {by:?}",
--- a/crates/mintlb-register/tests/replicas/mod.rs
+++ b/crates/mintlb-register/tests/replicas/mod.rs
@@ -5,7 +5,7 @@
 use mintlb_register::change::{Change, ChangeOutcome};
 use mintlb_register::message::{AcceptedValue, Request, RequestBody};
 use mintlb_register::proposal::{Effects, Input, Proposal, ProposalOutcome};
-use mintlb_register::replica_set::{Replica, ReplicaSet};
+use mintlb_register::replica_set::{Replica, ReplicaId, ReplicaSet};
 use mintlb_register::state::ControlState;
 use std::sync::Arc;
 
@@ -25,7 +25,7 @@
 pub fn replica(id: u64) -> Replica {
     let address = format!("10.0.0.{id}:7661");
     Replica {
-        id,
+        id: ReplicaId(id),
         address,
         node_name: format!("edge-{id}"),
         zone: format!("z{id}"),
@@ -65,7 +65,9 @@
             },
             false => AcceptorState::default(),
         };
-        let acceptors = (1..=9).map(|id| Acceptor::new(id, vote(id))).collect();
+        let acceptors = (1..=9)
+            .map(|id| Acceptor::new(ReplicaId(id), vote(id)))
+            .collect();
         Replicas {
             acceptors,
             silent: Vec::new(),
@@ -98,14 +100,14 @@
         let at = self
             .acceptors
             .iter_mut()
-            .find(|acceptor| acceptor.id() == to)
+            .find(|acceptor| acceptor.id() == ReplicaId(to))
             .unwrap();
         let reply = at.handle(request).reply;
         if is_round_two && self.lost_answers > 0 {
             self.lost_answers -= 1;
             return None;
         }
-        Some(Input::Reply(to, reply))
+        Some(Input::Reply(ReplicaId(to), reply))
     }
 
     /// The outcome of a change, or `None` if it has none after many attempts.
@@ -116,7 +118,7 @@
         for _ in 0..20 {
             let mut replies = Vec::new();
             for (to, request) in std::mem::take(&mut effects).send {
-                replies.extend(self.send(to.id, request));
+                replies.extend(self.send(to.id.0, request));
             }
             if replies.is_empty() {
                 replies.push(Input::Timer);
--- a/crates/mintlb-register/tests/set_changes.rs
+++ b/crates/mintlb-register/tests/set_changes.rs
@@ -43,7 +43,7 @@
 fn steps(operation: Operation, tolerated_failures: usize, size: usize) -> Vec<Step> {
     let (old, new) = (size as u64, 100);
     let leave = || Change::RemoveReplica {
-        id: old,
+        id: ReplicaId(old),
         min_replicas: 2 * tolerated_failures + 1,
     };
     let step = |change, further| Step {
@@ -53,25 +53,25 @@
     };
     let lost = |further| Step {
         change: None,
-        ends: Some(old),
+        ends: Some(ReplicaId(old)),
         further,
     };
     let (one_less, all) = (tolerated_failures - 1, tolerated_failures);
     match operation {
         Operation::Wipe => vec![
             lost(one_less),
-            step(join(new, old), one_less),
+            step(join(ReplicaId(new), old), one_less),
             step(Change::LeaveJoint, all),
         ],
         Operation::Replace => vec![
             lost(one_less),
-            step(join(new, 50), one_less),
+            step(join(ReplicaId(new), 50), one_less),
             step(Change::LeaveJoint, one_less),
             step(leave(), one_less),
             step(Change::LeaveJoint, all),
         ],
         Operation::PlannedReplace => vec![
-            step(join(new, 50), one_less),
+            step(join(ReplicaId(new), 50), one_less),
             step(Change::LeaveJoint, all),
             step(leave(), all),
             step(Change::LeaveJoint, all),
@@ -126,7 +126,7 @@
     }
     for (place, id) in lost.iter().enumerate() {
         let address = cluster.address_of(*id);
-        let change = join(200 + place as u64, address);
+        let change = join(ReplicaId(200 + place as u64), address);
         cluster
             .change(change)
             .ok_or("a lost disk's successor does not join")?;
@@ -174,7 +174,8 @@
                 let steps = steps(operation, tolerated_failures, size);
                 for last in 0..steps.len() {
                     let played = &steps[..=last];
-                    let members: Vec<u64> = (1..=size as u64)
+                    let members: Vec<ReplicaId> = (1..=size as u64)
+                        .map(ReplicaId)
                         .filter(|id| !played.iter().any(|step| step.ends == Some(*id)))
                         .collect();
                     for lost in choices(&members, played[last].further) {
@@ -204,17 +205,17 @@
         let size = 2 * tolerated_failures + 1;
         let joined = [
             Step {
-                change: Some(join(100, 50)),
+                change: Some(join(ReplicaId(100), 50)),
                 ends: None,
                 further: 0,
             },
             Step {
                 change: Some(Change::LeaveJoint),
-                ends: Some(size as u64),
+                ends: Some(ReplicaId(size as u64)),
                 further: 0,
             },
         ];
-        let lost: Vec<u64> = (1..=tolerated_failures as u64).collect();
+        let lost: Vec<ReplicaId> = (1..=tolerated_failures as u64).map(ReplicaId).collect();
         let result = outcome(
             Cluster::settled(size as u64),
             &joined,
@@ -236,16 +237,16 @@
             tolerated_failures: 1,
             durability_suffices: false,
         },
-        join(101, 51),
+        join(ReplicaId(101), 51),
         Change::RemoveReplica {
-            id: 1,
+            id: ReplicaId(1),
             min_replicas: 3,
         },
     ];
     for change in after {
         let mut cluster = Cluster::settled(3);
         let joint = cluster
-            .change(join(100, 50))
+            .change(join(ReplicaId(100), 50))
             .unwrap()
             .chosen
             .state
@@ -272,10 +273,10 @@
 fn a_disk_lost_twice_in_a_row_joins_again() {
     for size in 3..=MOST {
         let mut cluster = Cluster::settled(size as u64);
-        cluster.lose(size as u64);
-        cluster.change(join(100, size as u64)).unwrap();
-        cluster.lose(100);
-        cluster.change(join(101, size as u64)).unwrap();
+        cluster.lose(ReplicaId(size as u64));
+        cluster.change(join(ReplicaId(100), size as u64)).unwrap();
+        cluster.lose(ReplicaId(100));
+        cluster.change(join(ReplicaId(101), size as u64)).unwrap();
         let settled = cluster
             .change(Change::LeaveJoint)
             .unwrap()
@@ -284,7 +285,10 @@
             .replicas
             .clone();
         assert_eq!((settled.current.len(), settled.is_joint()), (size, false));
-        assert!(settled.current_replica(101).is_some() && settled.current_replica(100).is_none());
+        assert!(
+            settled.current_replica(ReplicaId(101)).is_some()
+                && settled.current_replica(ReplicaId(100)).is_none()
+        );
     }
 }
 
--- a/crates/mintlb-register/tests/wire_fixtures.rs
+++ b/crates/mintlb-register/tests/wire_fixtures.rs
@@ -10,7 +10,7 @@
 use mintlb_register::applied_history::{AppliedHistory, HistoryLookup};
 use mintlb_register::ballot::Ballot;
 use mintlb_register::message::{AcceptedValue, Reply, ReportedValue, Request, RequestBody};
-use mintlb_register::replica_set::{Replica, ReplicaSet};
+use mintlb_register::replica_set::{Replica, ReplicaId, ReplicaSet};
 use mintlb_register::state::ControlState;
 use std::sync::Arc;
 
@@ -25,7 +25,7 @@
 
 fn replica(id: u64) -> Replica {
     Replica {
-        id,
+        id: ReplicaId(id),
         address: format!("10.{id}.0.35:7661"),
         node_name: format!("edge-{id}"),
         zone: format!("zone-{id}"),
@@ -151,8 +151,15 @@
 #[test]
 fn requests() {
     let mut fixtures = Fixtures::read("requests.txt");
-    let mut check =
-        |name: &str, body: RequestBody| fixtures.check(name, &Request { target: 77, body });
+    let mut check = |name: &str, body: RequestBody| {
+        fixtures.check(
+            name,
+            &Request {
+                target: ReplicaId(77),
+                body,
+            },
+        )
+    };
     check(
         "prepare",
         RequestBody::Prepare {
@@ -214,6 +221,6 @@
             promised: ballot(8),
         },
     );
-    fixtures.check("stranger", &Reply::WrongReplica { id: 78 });
+    fixtures.check("stranger", &Reply::WrongReplica { id: ReplicaId(78) });
     fixtures.done();
 }
--- a/crates/mintlb-register/tests/world/mod.rs
+++ b/crates/mintlb-register/tests/world/mod.rs
@@ -121,13 +121,13 @@
         let machines: Vec<Machine> = (0..size)
             .map(|i| Machine {
                 address: format!("10.0.0.{i}:7661"),
-                acceptor: Acceptor::new(i as u64 + 1, AcceptorState::default()),
+                acceptor: Acceptor::new(ReplicaId(i as u64 + 1), AcceptorState::default()),
                 durable: AcceptorState::default(),
                 unsynced: VecDeque::new(),
                 has_lost_disk: false,
             })
             .collect();
-        let founder = replica(1, &machines[0].address);
+        let founder = replica(ReplicaId(1), &machines[0].address);
         let ballot = Ballot {
             counter: 1,
             proposer: 1,
@@ -156,7 +156,7 @@
             accepted: Some(newest),
         };
         world.machines[0].durable = vote.clone();
-        world.machines[0].acceptor = Acceptor::new(1, vote);
+        world.machines[0].acceptor = Acceptor::new(ReplicaId(1), vote);
         world
     }
 
@@ -433,7 +433,7 @@
             Planted::KeepsIdentityOnEmptyDisk => id,
             _ => {
                 self.lost.push(id);
-                self.next_number
+                ReplicaId(self.next_number)
             }
         };
         self.counts.disks += 1;
@@ -578,7 +578,7 @@
         self.send(Message::Reply {
             actor,
             from: target,
-            reply: Reply::WrongReplica { id: 0 },
+            reply: Reply::WrongReplica { id: ReplicaId(0) },
         });
     }
 
--- a/crates/mintlb-simulation/src/world/ending.rs
+++ b/crates/mintlb-simulation/src/world/ending.rs
@@ -111,7 +111,7 @@
             return;
         };
         let set = &state.replicas;
-        let identities: Vec<u64> = set.members().map(|replica| replica.id).collect();
+        let identities: Vec<u64> = set.members().map(|replica| replica.id.0).collect();
         if set.is_joint() || identities.len() != self.tier.controllers {
             let what = format!("the set is {identities:?}, joint: {}", set.is_joint());
             self.checks.violates("P3", self.now, what);
--- a/crates/mintlb-simulation/src/world/faults.rs
+++ b/crates/mintlb-simulation/src/world/faults.rs
@@ -6,6 +6,7 @@
 use crate::planted::Planted;
 use crate::process::{Disk, Role};
 use crate::store::disk::StoreDisk;
+use mintlb_register::replica_set::ReplicaId;
 use std::time::Duration;
 
 /// What ends with a fault.
@@ -198,7 +199,7 @@
         let new_id = self.draw_identity();
         match &mut self.machines[machine].disk {
             Disk::Vote(disk) => {
-                let id = if keeps { disk.id } else { new_id };
+                let id = if keeps { disk.id } else { ReplicaId(new_id) };
                 *disk = VoteDisk {
                     id,
                     ..VoteDisk::default()
@@ -251,7 +252,7 @@
     pub(super) fn new_disk(&mut self, role: Role) -> Disk {
         match role {
             Role::Controller => Disk::Vote(VoteDisk {
-                id: self.draw_identity(),
+                id: ReplicaId(self.draw_identity()),
                 ..VoteDisk::default()
             }),
             Role::Store => Disk::Lots(StoreDisk {
