--- a/crates/mintlb-batch/src/client.rs
+++ b/crates/mintlb-batch/src/client.rs
@@ -95,7 +95,7 @@
     }
 
     /// Whether a shard of this host has a primary at all, as far as the placement says.
-    pub fn is_placed(&self, host: &str) -> bool {
+    pub fn has_primary(&self, host: &str) -> bool {
         (self.placement)()
             .primary(Placement::shard_of(host))
             .is_some()
--- a/crates/mintlb-batch/src/placement_planner.rs
+++ b/crates/mintlb-batch/src/placement_planner.rs
@@ -5,12 +5,14 @@
 //! A shard changes one step at a time: a change names the old replicas as `previous`; the new primary reads
 //! from them and reports that it is in charge; then `previous` is cleared, and the next change may follow.
 
+mod decommission;
 mod members;
-mod retirement;
 mod view;
 
-pub use retirement::{Retirement, RetirementOrder, order_retirement, retirement};
-pub use view::{ShardView, StoreStatus, StoreTable, StoreView};
+pub use decommission::{
+    DecommissionStart, DecommissionStatus, decommission_status, start_decommission,
+};
+pub use view::{ClusterSnapshot, ShardActivity, StoreStatus, StoreTable};
 
 use mintlb_common::placement::{Placement, SHARD_COUNT, ShardAssignment, StoreEntry, StoreId};
 use std::collections::BTreeMap;
@@ -33,7 +35,7 @@
 /// The same for one that was emptied.
 const FORGET_RETIRED_AFTER: Duration = Duration::from_secs(600);
 /// The next placement, if there is something to change.
-pub fn plan(current: &Placement, view: &StoreView, tolerance: usize) -> Option<Placement> {
+pub fn plan(current: &Placement, view: &ClusterSnapshot, tolerance: usize) -> Option<Placement> {
     let mut next = Placement {
         epoch: current.epoch + 1,
         ..current.clone()
@@ -54,10 +56,14 @@
     (next.stores != current.stores || next.shards != current.shards).then_some(next)
 }
 
-fn first_placement(mut next: Placement, view: &StoreView, tolerance: usize) -> Option<Placement> {
-    let live: Vec<&StoreStatus> = view.live().collect();
-    let oldest = live.iter().map(|store| store.known_for).max()?;
-    let newest = live.iter().map(|store| store.known_for).min()?;
+fn first_placement(
+    mut next: Placement,
+    view: &ClusterSnapshot,
+    tolerance: usize,
+) -> Option<Placement> {
+    let live: Vec<&StoreStatus> = view.live_stores().collect();
+    let oldest = live.iter().map(|store| store.since_first_heartbeat).max()?;
+    let newest = live.iter().map(|store| store.since_first_heartbeat).min()?;
     let waited_enough = oldest >= FIRST_WAIT && newest >= NEWEST_WAIT;
     if live.len() <= tolerance || !(waited_enough || oldest >= LONGEST_FIRST_WAIT) {
         return None;
@@ -90,8 +96,8 @@
 }
 
 /// Takes live stores in, keeps their addresses up to date and forgets those that are gone.
-fn update_stores(next: &mut Placement, view: &StoreView) {
-    for store in view.live() {
+fn update_stores(next: &mut Placement, view: &ClusterSnapshot) {
+    for store in view.live_stores() {
         match next.stores.iter_mut().find(|entry| entry.id == store.id) {
             Some(entry) => entry.address.clone_from(&store.address),
             None => next.stores.push(new_entry(next, store)),
@@ -104,12 +110,13 @@
         .copied()
         .collect();
     let expired = |entry: &StoreEntry| {
-        let timeout = if entry.retiring {
+        let timeout = if entry.decommissioning {
             FORGET_RETIRED_AFTER
         } else {
             FORGET_AFTER
         };
-        view.since_heartbeat(entry.id) >= timeout || (!entry.retiring && view.is_replaced(entry))
+        view.since_heartbeat(entry.id) >= timeout
+            || (!entry.decommissioning && view.is_replaced(entry))
     };
     next.stores
         .retain(|entry| named.contains(&entry.id) || !expired(entry));
@@ -118,17 +125,19 @@
 /// A store that was not known. With an emptied disk the machine is still to be taken away if that was ordered.
 fn new_entry(next: &Placement, store: &StoreStatus) -> StoreEntry {
     let is_ordered = |entry: &StoreEntry| {
-        entry.retiring && entry.node_name == store.node_name && entry.address == store.address
+        entry.decommissioning
+            && entry.node_name == store.node_name
+            && entry.address == store.address
     };
     StoreEntry {
-        retiring: next.stores.iter().any(is_ordered),
+        decommissioning: next.stores.iter().any(is_ordered),
         ..store.entry()
     }
 }
 
 struct Planner<'a> {
     next: Placement,
-    view: &'a StoreView,
+    view: &'a ClusterSnapshot,
     tolerance: usize,
 }
 
@@ -143,17 +152,18 @@
         self.next
             .stores
             .iter()
-            .filter(|entry| self.is_live(entry.id) && !self.is_emptied(entry))
+            .filter(|entry| self.is_live(entry.id) && !self.can_be_drained(entry))
     }
 
     /// Whether a store is to be emptied, and can be: the others are enough to commit.
-    fn is_emptied(&self, entry: &StoreEntry) -> bool {
-        entry.retiring && self.staying().count() > self.tolerance
+    fn can_be_drained(&self, entry: &StoreEntry) -> bool {
+        entry.decommissioning && self.staying().count() > self.tolerance
     }
 
     /// Live stores that nobody is to take away.
     fn staying(&self) -> impl Iterator<Item = &StoreEntry> {
-        let stays = |entry: &&StoreEntry| !entry.retiring && !self.view.is_draining(entry.id);
+        let stays =
+            |entry: &&StoreEntry| !entry.decommissioning && !self.view.is_draining(entry.id);
         self.next
             .stores
             .iter()
@@ -161,10 +171,10 @@
             .filter(|entry| self.is_live(entry.id))
     }
 
-    fn is_retiring(&self, id: StoreId) -> bool {
+    fn is_decommissioning(&self, id: StoreId) -> bool {
         self.next
             .store(id)
-            .is_none_or(|entry| self.is_emptied(entry))
+            .is_none_or(|entry| self.can_be_drained(entry))
     }
 
     fn is_live(&self, id: StoreId) -> bool {
@@ -219,7 +229,7 @@
         let chosen = others.min_by_key(|(rank, id)| {
             let behind = !caught_up.contains(id) && !assignment.previous.contains(id);
             (
-                self.is_retiring(**id),
+                self.is_decommissioning(**id),
                 behind,
                 self.primaries_of(**id),
                 *rank,
--- a/crates/mintlb-batch/src/placement_planner/retirement.rs
+++ b/crates/mintlb-batch/src/placement_planner/decommission.rs
@@ -1,7 +1,7 @@
 //! Emptying a store on the operator's order.
 
 use super::LIVE_TIMEOUT;
-use super::view::StoreView;
+use super::view::ClusterSnapshot;
 use mintlb_common::placement::{Placement, StoreEntry, StoreId};
 use std::time::Duration;
 
@@ -10,7 +10,7 @@
 
 /// What is answered to an order to empty a store.
 #[derive(Clone, Debug, PartialEq)]
-pub enum RetirementOrder {
+pub enum DecommissionStart {
     /// Write this placement into the register, then answer 200.
     Start(Placement),
     /// It is under way or completed already: answer 200.
@@ -25,44 +25,44 @@
 
 /// How far a store is emptied.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Retirement {
+pub enum DecommissionStatus {
     /// Shards still lie on it, or lack replicas without it.
-    Running,
+    InProgress,
     /// It can be taken away with its disk.
-    Completed,
+    Decommissioned,
 }
 
 /// Begins to empty the store on this machine.
-pub fn order_retirement(
+pub fn start_decommission(
     current: &Placement,
-    view: &StoreView,
+    view: &ClusterSnapshot,
     node_name: &str,
     tolerance: usize,
-) -> RetirementOrder {
+) -> DecommissionStart {
     let of_node = |entry: &&StoreEntry| entry.node_name == node_name;
     if !current.stores.iter().any(|entry| of_node(&entry)) {
-        return RetirementOrder::NotFound;
+        return DecommissionStart::NotFound;
     }
     if current
         .stores
         .iter()
         .filter(of_node)
-        .all(|entry| entry.retiring)
+        .all(|entry| entry.decommissioning)
     {
-        return RetirementOrder::AlreadyStarted;
+        return DecommissionStart::AlreadyStarted;
     }
     let stays = |entry: &&StoreEntry| {
         entry.node_name != node_name
-            && !entry.retiring
+            && !entry.decommissioning
             && view.since_heartbeat(entry.id) < CANDIDATE_TIMEOUT
     };
     let leaves = |entry: &&StoreEntry| view.is_draining(entry.id);
     let staying: Vec<&StoreEntry> = current.stores.iter().filter(stays).collect();
     if staying.len() <= tolerance {
-        return RetirementOrder::TooFewStores;
+        return DecommissionStart::TooFewStores;
     }
     if staying.iter().filter(|entry| !leaves(entry)).count() <= tolerance {
-        return RetirementOrder::Unavailable;
+        return DecommissionStart::Unavailable;
     }
     let mut next = Placement {
         epoch: current.epoch + 1,
@@ -71,23 +71,23 @@
     next.stores
         .iter_mut()
         .filter(|entry| entry.node_name == node_name)
-        .for_each(|entry| entry.retiring = true);
-    RetirementOrder::Start(next)
+        .for_each(|entry| entry.decommissioning = true);
+    DecommissionStart::Start(next)
 }
 
 /// How far the store on this machine is emptied; `None` if there is no such order. It is completed only while more than
 /// `tolerance` live replicas of each shard, none of them told to stop, have caught up without it: then any `tolerance` of
 /// them may be lost.
-pub fn retirement(
+pub fn decommission_status(
     current: &Placement,
-    view: &StoreView,
+    view: &ClusterSnapshot,
     node_name: &str,
     tolerance: usize,
-) -> Option<Retirement> {
+) -> Option<DecommissionStatus> {
     let stores: Vec<&StoreEntry> = current
         .stores
         .iter()
-        .filter(|entry| entry.node_name == node_name && entry.retiring)
+        .filter(|entry| entry.node_name == node_name && entry.decommissioning)
         .collect();
     if stores.is_empty() {
         return None;
@@ -122,8 +122,8 @@
                 && assignment.replicas.iter().filter(in_sync).count() > tolerance
         });
     Some(if named || !complete {
-        Retirement::Running
+        DecommissionStatus::InProgress
     } else {
-        Retirement::Completed
+        DecommissionStatus::Decommissioned
     })
 }
--- a/crates/mintlb-batch/src/placement_planner/members.rs
+++ b/crates/mintlb-batch/src/placement_planner/members.rs
@@ -65,7 +65,7 @@
     /// Live stores that may have the shard's log, those first that are sure to be of use.
     fn live_sources(&self, assignment: &ShardAssignment, size: usize) -> Vec<StoreId> {
         let suits = |id: &&StoreId| {
-            self.is_live(**id) && !self.is_retiring(**id) && !self.view.is_draining(**id)
+            self.is_live(**id) && !self.is_decommissioning(**id) && !self.view.is_draining(**id)
         };
         let previous: Vec<StoreId> = assignment.previous.iter().filter(suits).copied().collect();
         let current: Vec<StoreId> = assignment.replicas.iter().filter(suits).copied().collect();
@@ -96,7 +96,7 @@
     ) -> bool {
         let replicas = &assignment.replicas;
         let leaves = |id: &&StoreId| {
-            self.is_live(**id) && self.view.is_draining(**id) && !self.is_retiring(**id)
+            self.is_live(**id) && self.view.is_draining(**id) && !self.is_decommissioning(**id)
         };
         let Some(draining) = replicas.iter().find(leaves).copied() else {
             return false;
@@ -124,13 +124,13 @@
     fn is_kept_for_quorum(&self, id: StoreId) -> bool {
         self.next
             .store(id)
-            .is_some_and(|entry| entry.retiring && !self.is_emptied(entry))
+            .is_some_and(|entry| entry.decommissioning && !self.can_be_drained(entry))
     }
 
     fn is_new(&self, id: StoreId) -> bool {
         self.view
             .store(id)
-            .is_some_and(|store| store.known_for < NEW_STORE)
+            .is_some_and(|store| store.since_first_heartbeat < NEW_STORE)
     }
 
     /// Brings the set to its size, without dead and retiring stores, as far as that takes nothing that is
@@ -153,7 +153,7 @@
             .iter()
             .find(|id| self.is_lost(**id, self.timeout(**id, at_ease)));
         let draining = lost
-            .or(replicas.iter().find(|id| self.is_retiring(**id)))
+            .or(replicas.iter().find(|id| self.is_decommissioning(**id)))
             .copied();
         let candidate = self.candidate(shard, replicas);
         // A copy that is missing is made good at once: the next loss may come as soon as the new store counts no
@@ -227,7 +227,7 @@
             .next
             .store(draining)
             .is_none_or(|entry| self.view.is_replaced(entry));
-        self.is_retiring(draining) || replaced || self.has_successor(draining)
+        self.is_decommissioning(draining) || replaced || self.has_successor(draining)
     }
 
     /// Whether a silent store was told to stop, or another one came after its last word.
@@ -236,7 +236,7 @@
         let newer_store = self.usable().any(|entry| {
             self.view
                 .store(entry.id)
-                .is_some_and(|store| store.known_for <= since_heartbeat)
+                .is_some_and(|store| store.since_first_heartbeat <= since_heartbeat)
         });
         since_heartbeat >= REPLICA_TIMEOUT && (self.view.is_draining(id) || newer_store)
     }
@@ -250,7 +250,7 @@
         let best = others.min_by_key(|entry: &&StoreEntry| {
             let live = replicas
                 .iter()
-                .filter(|id| self.is_live(**id) && !self.is_retiring(**id));
+                .filter(|id| self.is_live(**id) && !self.is_decommissioning(**id));
             let of_zone = live
                 .filter(|id| zone_of(id) == Some(entry.zone.as_str()))
                 .count();
--- a/crates/mintlb-batch/src/placement_planner/view.rs
+++ b/crates/mintlb-batch/src/placement_planner/view.rs
@@ -20,7 +20,7 @@
     since: Duration,
     stores: FxHashMap<StoreId, StoreContact>,
     /// By shard: the epoch, since when it is known, and whether it has been in charge.
-    shards: Vec<ShardView>,
+    shards: Vec<ShardActivity>,
     /// By shard: the replicas that were last reported to be caught up, by the primary of the highest epoch.
     caught_up: FxHashMap<u32, CaughtUp>,
     /// When the shards were last looked at.
@@ -43,7 +43,7 @@
 
 /// How long a shard's epoch is known without its primary being in charge.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct ShardView {
+pub struct ShardActivity {
     /// The epoch.
     pub epoch: u64,
     /// Since when its primary is not in charge.
@@ -52,11 +52,11 @@
 
 /// What is known of the stores at a moment.
 #[derive(Clone, Debug, Default)]
-pub struct StoreView {
+pub struct ClusterSnapshot {
     /// The stores heard of.
     pub stores: Vec<StoreStatus>,
     /// How long heartbeats have been listened to: a store never heard of is silent for as long.
-    pub watched: Duration,
+    pub observed_for: Duration,
     /// By shard, its epoch and for how long its primary is not in charge.
     pub inactive: Vec<(u64, Duration)>,
     /// By shard, the replicas that were last reported to be caught up.
@@ -77,7 +77,7 @@
     /// Since its last heartbeat.
     pub since_heartbeat: Duration,
     /// Since its first heartbeat.
-    pub known_for: Duration,
+    pub since_first_heartbeat: Duration,
     /// What it said of the shards whose primary it is.
     pub reports: Vec<ShardReport>,
     /// It was told to stop.
@@ -129,20 +129,20 @@
     }
 
     /// What is known now, under the placement in force.
-    pub fn view(&mut self, current: &Placement, now: Duration) -> StoreView {
+    pub fn snapshot(&mut self, current: &Placement, now: Duration) -> ClusterSnapshot {
         let stores = self.stores.values().map(|contact| StoreStatus {
             id: contact.heartbeat.id,
             node_name: contact.heartbeat.node_name.clone(),
             address: contact.heartbeat.address.clone(),
             zone: contact.heartbeat.zone.clone(),
             since_heartbeat: now.saturating_sub(contact.last),
-            known_for: now.saturating_sub(contact.first),
+            since_first_heartbeat: now.saturating_sub(contact.first),
             reports: contact.heartbeat.shards.clone(),
             draining: contact.heartbeat.draining,
         });
-        let mut view = StoreView {
+        let mut view = ClusterSnapshot {
             stores: stores.collect(),
-            watched: now.saturating_sub(self.since),
+            observed_for: now.saturating_sub(self.since),
             inactive: Vec::new(),
             caught_up: self
                 .caught_up
@@ -156,7 +156,7 @@
         }
         self.viewed = now;
         self.shards
-            .resize(current.shards.len(), ShardView::default());
+            .resize(current.shards.len(), ShardActivity::default());
         for (shard, (known, assignment)) in self.shards.iter_mut().zip(&current.shards).enumerate()
         {
             let primary = assignment.replicas.first().copied().unwrap_or(0);
@@ -164,7 +164,7 @@
                 .report(primary, shard, assignment.epoch)
                 .is_some_and(|report| report.active);
             if known.epoch != assignment.epoch {
-                *known = ShardView {
+                *known = ShardActivity {
                     epoch: assignment.epoch,
                     inactive_since: None,
                 };
@@ -182,7 +182,7 @@
     }
 }
 
-impl StoreView {
+impl ClusterSnapshot {
     /// A store that was heard of.
     pub fn store(&self, id: StoreId) -> Option<&StoreStatus> {
         self.stores.iter().find(|store| store.id == id)
@@ -191,7 +191,7 @@
     /// How long a store has been silent.
     pub fn since_heartbeat(&self, id: StoreId) -> Duration {
         self.store(id)
-            .map_or(self.watched, |store| store.since_heartbeat)
+            .map_or(self.observed_for, |store| store.since_heartbeat)
     }
 
     /// Whether a store was told to stop.
@@ -200,7 +200,7 @@
     }
 
     /// Stores that are heard of.
-    pub fn live(&self) -> impl Iterator<Item = &StoreStatus> {
+    pub fn live_stores(&self) -> impl Iterator<Item = &StoreStatus> {
         self.stores
             .iter()
             .filter(|store| store.since_heartbeat < LIVE_TIMEOUT)
@@ -234,7 +234,8 @@
     /// Whether another store has come up at the address of this silent one: its disk is lost.
     pub fn is_replaced(&self, entry: &StoreEntry) -> bool {
         let another = |store: &&StoreStatus| store.address == entry.address && store.id != entry.id;
-        self.since_heartbeat(entry.id) >= LIVE_TIMEOUT && self.live().any(|store| another(&store))
+        self.since_heartbeat(entry.id) >= LIVE_TIMEOUT
+            && self.live_stores().any(|store| another(&store))
     }
 }
 
@@ -246,7 +247,7 @@
             node_name: self.node_name.clone(),
             address: self.address.clone(),
             zone: self.zone.clone(),
-            retiring: false,
+            decommissioning: false,
         }
     }
 }
--- a/crates/mintlb-batch/tests/client.rs
+++ b/crates/mintlb-batch/tests/client.rs
@@ -82,7 +82,7 @@
         node_name: String::new(),
         address: String::new(),
         zone: String::new(),
-        retiring: false,
+        decommissioning: false,
     }
 }
 
--- a/crates/mintlb-batch/tests/fleet/mod.rs
+++ b/crates/mintlb-batch/tests/fleet/mod.rs
@@ -8,7 +8,8 @@
 use machines::Machine;
 use mintlb_batch::heartbeat::StoreHeartbeat;
 use mintlb_batch::placement_planner::{
-    Retirement, RetirementOrder, StoreTable, order_retirement, plan, retirement,
+    DecommissionStart, DecommissionStatus, StoreTable, decommission_status, plan,
+    start_decommission,
 };
 use mintlb_common::placement::{Placement, StoreId};
 use shards::Shard;
@@ -37,7 +38,7 @@
     /// The controller with the duty does nothing until then.
     pub paused_until: Duration,
     /// Nodes that are to be emptied.
-    pub retiring: Vec<String>,
+    pub decommissioning: Vec<String>,
     pub next_id: StoreId,
     /// Nobody calls: a primary does not notice that it can't commit.
     pub idle: bool,
@@ -58,7 +59,7 @@
             table: StoreTable::new(now),
             shards: Vec::new(),
             paused_until: Duration::ZERO,
-            retiring: Vec::new(),
+            decommissioning: Vec::new(),
             next_id: 1,
             idle: false,
             changes: 0,
@@ -87,7 +88,7 @@
         self.move_shards();
         self.tell_controllers();
         if self.now >= self.paused_until {
-            let view = self.table.view(&self.placement, self.now);
+            let view = self.table.snapshot(&self.placement, self.now);
             if let Some(next) = plan(&self.placement, &view, self.tolerance) {
                 self.changes += 1;
                 self.set_placement(next);
@@ -131,30 +132,32 @@
     /// Orders that the machine at this place is emptied; false if too few would be left.
     pub fn retire(&mut self, place: usize) -> bool {
         let node = self.machines[place].node();
-        let view = self.table.view(&self.placement, self.now);
-        match order_retirement(&self.placement, &view, &node, self.tolerance) {
-            RetirementOrder::Start(next) => self.set_placement(next),
-            RetirementOrder::AlreadyStarted => (),
-            RetirementOrder::TooFewStores
-            | RetirementOrder::Unavailable
-            | RetirementOrder::NotFound => {
+        let view = self.table.snapshot(&self.placement, self.now);
+        match start_decommission(&self.placement, &view, &node, self.tolerance) {
+            DecommissionStart::Start(next) => self.set_placement(next),
+            DecommissionStart::AlreadyStarted => (),
+            DecommissionStart::TooFewStores
+            | DecommissionStart::Unavailable
+            | DecommissionStart::NotFound => {
                 return false;
             }
         }
         self.note(format!("{node} is to be emptied"));
-        self.retiring.push(node);
+        self.decommissioning.push(node);
         true
     }
 
     /// Machines that are emptied are taken away, with their disks.
     fn finish_retirements(&mut self) {
-        let view = self.table.view(&self.placement, self.now);
+        let view = self.table.snapshot(&self.placement, self.now);
         let (placement, tolerance) = (&self.placement, self.tolerance);
         let done = |node: &&String| {
-            retirement(placement, &view, node, tolerance) == Some(Retirement::Completed)
+            decommission_status(placement, &view, node, tolerance)
+                == Some(DecommissionStatus::Decommissioned)
         };
-        let completed: Vec<String> = self.retiring.iter().filter(done).cloned().collect();
-        self.retiring.retain(|node| !completed.contains(node));
+        let completed: Vec<String> = self.decommissioning.iter().filter(done).cloned().collect();
+        self.decommissioning
+            .retain(|node| !completed.contains(node));
         for machine in self
             .machines
             .iter_mut()
@@ -186,7 +189,7 @@
     pub fn check_sizes(&self) {
         let live = self.machines.iter().filter(|machine| machine.is_up());
         let usable = live
-            .filter(|machine| !self.retiring.contains(&machine.node()))
+            .filter(|machine| !self.decommissioning.contains(&machine.node()))
             .count();
         for assignment in &self.placement.shards {
             let up = |id: &StoreId| {
--- a/crates/mintlb-batch/tests/model/machines.rs
+++ b/crates/mintlb-batch/tests/model/machines.rs
@@ -3,7 +3,7 @@
 use super::{Disk, Model, START};
 use mintlb_batch::heartbeat::StoreHeartbeat;
 use mintlb_batch::placement_planner::{
-    Retirement, RetirementOrder, order_retirement, plan, retirement,
+    DecommissionStart, DecommissionStatus, decommission_status, plan, start_decommission,
 };
 use mintlb_common::placement::{Placement, ShardAssignment, StoreId};
 use std::time::Duration;
@@ -160,13 +160,13 @@
     pub fn retire(&mut self, place: usize) -> bool {
         let node = self.stores[place].machine.node();
         let current = self.placements.last().unwrap().clone();
-        let view = self.table.view(&current, self.now);
-        let order = order_retirement(&current, &view, &node, self.tolerance);
-        let RetirementOrder::Start(next) = order else {
+        let view = self.table.snapshot(&current, self.now);
+        let order = start_decommission(&current, &view, &node, self.tolerance);
+        let DecommissionStart::Start(next) = order else {
             return false;
         };
         self.placements.push(next);
-        self.retiring.push(node);
+        self.decommissioning.push(node);
         true
     }
 
@@ -261,7 +261,7 @@
             return;
         }
         let current = self.placements.last().unwrap().clone();
-        let view = self.table.view(&current, self.now);
+        let view = self.table.snapshot(&current, self.now);
         if let Some(mut next) = plan(&current, &view, self.tolerance) {
             // One shard is enough here.
             next.shards.truncate(1);
@@ -276,13 +276,15 @@
     /// Stores that are emptied are taken away with their disks.
     fn finish_retirements(&mut self) {
         let current: Placement = self.placements.last().unwrap().clone();
-        let view = self.table.view(&current, self.now);
-        for node in self.retiring.clone() {
-            if retirement(&current, &view, &node, self.tolerance) != Some(Retirement::Completed) {
+        let view = self.table.snapshot(&current, self.now);
+        for node in self.decommissioning.clone() {
+            if decommission_status(&current, &view, &node, self.tolerance)
+                != Some(DecommissionStatus::Decommissioned)
+            {
                 continue;
             }
             self.note(format!("{node} is emptied and taken away"));
-            self.retiring.retain(|other| *other != node);
+            self.decommissioning.retain(|other| *other != node);
             for place in 0..self.stores.len() {
                 if self.stores[place].machine.node() == node {
                     self.crash(place);
--- a/crates/mintlb-batch/tests/model/mod.rs
+++ b/crates/mintlb-batch/tests/model/mod.rs
@@ -83,7 +83,7 @@
     /// Disks that were lost, and when.
     pub lost_disks: BTreeMap<StoreId, Duration>,
     /// Nodes that are to be emptied.
-    pub retiring: Vec<String>,
+    pub decommissioning: Vec<String>,
     /// A lot was accepted since this was last cleared.
     pub accepted_now: bool,
     pub catch_up: Duration,
@@ -111,7 +111,7 @@
             table: StoreTable::new(now),
             told: Told::default(),
             lost_disks: BTreeMap::new(),
-            retiring: Vec::new(),
+            decommissioning: Vec::new(),
             accepted_now: false,
             catch_up: Duration::from_secs(if tolerance == 1 { 5 } else { 6 }),
             idle: false,
--- a/crates/mintlb-batch/tests/placement.rs
+++ b/crates/mintlb-batch/tests/placement.rs
@@ -2,7 +2,8 @@
 
 use mintlb_batch::heartbeat::{ShardReport, StoreHeartbeat};
 use mintlb_batch::placement_planner::{
-    Retirement, RetirementOrder, StoreTable, order_retirement, plan, primaries, retirement,
+    DecommissionStart, DecommissionStatus, StoreTable, decommission_status, plan, primaries,
+    start_decommission,
 };
 use mintlb_common::placement::{Placement, StoreId};
 use std::collections::{BTreeMap, BTreeSet};
@@ -81,7 +82,7 @@
             };
             self.table.record_heartbeat(heartbeat, self.now);
         }
-        let view = self.table.view(&self.placement, self.now);
+        let view = self.table.snapshot(&self.placement, self.now);
         if let Some(next) = plan(&self.placement, &view, self.tolerance) {
             self.check(&next);
             self.changes += 1;
@@ -273,34 +274,43 @@
     tier.settle();
 }
 
-fn retire(tier: &mut Tier, node: &str) -> RetirementOrder {
-    let view = tier.table.view(&tier.placement, tier.now);
-    let order = order_retirement(&tier.placement, &view, node, tier.tolerance);
-    if let RetirementOrder::Start(next) = &order {
+fn retire(tier: &mut Tier, node: &str) -> DecommissionStart {
+    let view = tier.table.snapshot(&tier.placement, tier.now);
+    let order = start_decommission(&tier.placement, &view, node, tier.tolerance);
+    if let DecommissionStart::Start(next) = &order {
         tier.placement = next.clone();
     }
     order
 }
 
-fn state(tier: &mut Tier, node: &str) -> Option<Retirement> {
-    let view = tier.table.view(&tier.placement, tier.now);
-    retirement(&tier.placement, &view, node, tier.tolerance)
+fn state(tier: &mut Tier, node: &str) -> Option<DecommissionStatus> {
+    let view = tier.table.snapshot(&tier.placement, tier.now);
+    decommission_status(&tier.placement, &view, node, tier.tolerance)
 }
 
 #[test]
 fn a_retired_store_is_emptied_first() {
     let mut tier = Tier::new(&["a", "b", "c", "a"], 1);
     tier.settle();
-    assert_eq!(retire(&mut tier, "nobody"), RetirementOrder::NotFound);
+    assert_eq!(retire(&mut tier, "nobody"), DecommissionStart::NotFound);
     assert_eq!(state(&mut tier, "node-1"), None);
     assert!(matches!(
         retire(&mut tier, "node-1"),
-        RetirementOrder::Start(_)
+        DecommissionStart::Start(_)
     ));
-    assert_eq!(retire(&mut tier, "node-1"), RetirementOrder::AlreadyStarted);
-    assert_eq!(state(&mut tier, "node-1"), Some(Retirement::Running));
+    assert_eq!(
+        retire(&mut tier, "node-1"),
+        DecommissionStart::AlreadyStarted
+    );
+    assert_eq!(
+        state(&mut tier, "node-1"),
+        Some(DecommissionStatus::InProgress)
+    );
     tier.settle();
-    assert_eq!(state(&mut tier, "node-1"), Some(Retirement::Completed));
+    assert_eq!(
+        state(&mut tier, "node-1"),
+        Some(DecommissionStatus::Decommissioned)
+    );
     assert_eq!(tier.holds(1), 0);
     assert!(
         tier.placement
@@ -311,7 +321,10 @@
     // Taken away, it is remembered for a while.
     tier.live.remove(&1);
     tier.settle();
-    assert_eq!(state(&mut tier, "node-1"), Some(Retirement::Completed));
+    assert_eq!(
+        state(&mut tier, "node-1"),
+        Some(DecommissionStatus::Decommissioned)
+    );
 }
 
 #[test]
@@ -320,17 +333,20 @@
     tier.settle();
     assert!(matches!(
         retire(&mut tier, "node-2"),
-        RetirementOrder::Start(_)
+        DecommissionStart::Start(_)
     ));
     tier.settle();
-    assert_eq!(state(&mut tier, "node-2"), Some(Retirement::Completed));
+    assert_eq!(
+        state(&mut tier, "node-2"),
+        Some(DecommissionStatus::Decommissioned)
+    );
     assert!(
         tier.placement
             .shards
             .iter()
             .all(|shard| shard.replicas.len() == 2)
     );
-    assert_eq!(retire(&mut tier, "node-1"), RetirementOrder::TooFewStores);
+    assert_eq!(retire(&mut tier, "node-1"), DecommissionStart::TooFewStores);
 }
 
 #[test]
@@ -339,11 +355,11 @@
     tier.settle();
     tier.draining.insert(3);
     tier.run(STEP);
-    assert_eq!(retire(&mut tier, "node-2"), RetirementOrder::Unavailable);
+    assert_eq!(retire(&mut tier, "node-2"), DecommissionStart::Unavailable);
     tier.draining.clear();
     tier.run(STEP);
     assert!(
-        matches!(retire(&mut tier, "node-2"), RetirementOrder::Start(_)),
+        matches!(retire(&mut tier, "node-2"), DecommissionStart::Start(_)),
         "it was a restart"
     );
 }
@@ -358,13 +374,13 @@
     tier.run(Duration::from_secs(30));
     assert_eq!(
         state(&mut tier, &format!("node-{retired}")),
-        Some(Retirement::Running)
+        Some(DecommissionStatus::InProgress)
     );
     tier.slow.clear();
     tier.settle();
     assert_eq!(
         state(&mut tier, &format!("node-{retired}")),
-        Some(Retirement::Completed)
+        Some(DecommissionStatus::Decommissioned)
     );
 }
 
@@ -378,7 +394,10 @@
     tier.add(33, &zone, &node);
     tier.settle();
     assert_eq!(tier.holds(33), 0, "{:?}", tier.placement);
-    assert_eq!(state(&mut tier, "node-3"), Some(Retirement::Completed));
+    assert_eq!(
+        state(&mut tier, "node-3"),
+        Some(DecommissionStatus::Decommissioned)
+    );
 }
 
 #[test]
@@ -393,7 +412,10 @@
     tier.live.remove(&partner);
     tier.idle = true;
     tier.run(Duration::from_millis(3500));
-    assert_eq!(state(&mut tier, "node-3"), Some(Retirement::Running));
+    assert_eq!(
+        state(&mut tier, "node-3"),
+        Some(DecommissionStatus::InProgress)
+    );
 }
 
 #[test]
@@ -433,7 +455,7 @@
     ] {
         table.record_heartbeat(heartbeat, now);
         assert_eq!(
-            table.view(&Placement::default(), now).last_caught_up(0),
+            table.snapshot(&Placement::default(), now).last_caught_up(0),
             known
         );
     }
@@ -447,12 +469,14 @@
     // Not in charge for a moment; then another controller looks after the shards.
     let mut table = StoreTable::new(tier.now);
     assert_eq!(
-        table.view(&tier.placement, tier.now).inactive_for(0, epoch),
+        table
+            .snapshot(&tier.placement, tier.now)
+            .inactive_for(0, epoch),
         Duration::ZERO
     );
-    let later = table.view(&tier.placement, tier.now + STEP);
+    let later = table.snapshot(&tier.placement, tier.now + STEP);
     assert_eq!(later.inactive_for(0, epoch), STEP);
-    let much_later = table.view(&tier.placement, tier.now + Duration::from_secs(60));
+    let much_later = table.snapshot(&tier.placement, tier.now + Duration::from_secs(60));
     assert_eq!(much_later.inactive_for(0, epoch), Duration::ZERO);
 }
 
--- a/crates/mintlb-batch/tests/placement_losses.rs
+++ b/crates/mintlb-batch/tests/placement_losses.rs
@@ -236,7 +236,7 @@
         5 => fleet.replace(place, time / u.int_in_range(1..=5)?),
         6 => fleet.replace_planned(place, time),
         7 => fleet.restart(place),
-        8 if fleet.lost() == 0 && fleet.retiring.is_empty() => _ = fleet.retire(place),
+        8 if fleet.lost() == 0 && fleet.decommissioning.is_empty() => _ = fleet.retire(place),
         9 if fleet.machines.len() < 9 => _ = fleet.add_machine(),
         _ => (),
     }
--- a/crates/mintlb-batch/tests/shard_losses.rs
+++ b/crates/mintlb-batch/tests/shard_losses.rs
@@ -56,7 +56,7 @@
         }
         8 => model.replace_planned(place, time),
         9 => model.stores[place].machine.stops_at = Some(model.now),
-        10 if model.lost() == 0 && model.retiring.is_empty() => _ = model.retire(place),
+        10 if model.lost() == 0 && model.decommissioning.is_empty() => _ = model.retire(place),
         _ => {
             model.idle = false;
             // The machine that has just said that it has the lot, or any other.
--- a/crates/mintlb-common/src/placement.rs
+++ b/crates/mintlb-common/src/placement.rs
@@ -42,7 +42,7 @@
     pub zone: String,
     /// Whether the store is being decommissioned: it loses its shards one by one until none names it.
     #[n(4)]
-    pub retiring: bool,
+    pub decommissioning: bool,
 }
 
 /// The replicas of a shard.
--- a/crates/mintlb-common/tests/wire_fixtures.rs
+++ b/crates/mintlb-common/tests/wire_fixtures.rs
@@ -317,12 +317,12 @@
 
 #[test]
 fn placements() {
-    let store = |id: u64, retiring| StoreEntry {
+    let store = |id: u64, decommissioning| StoreEntry {
         id,
         node_name: format!("disk-{id}"),
         address: format!("10.{id}.0.36:7662"),
         zone: format!("zone-{id}"),
-        retiring,
+        decommissioning,
     };
     let joint = ShardAssignment {
         epoch: 8,
--- a/crates/mintlb-control/src/controller/singleton/mod.rs
+++ b/crates/mintlb-control/src/controller/singleton/mod.rs
@@ -12,7 +12,7 @@
 use crate::controller::singleton::messages::{SingletonRequest, SingletonResponse, encoded};
 use crate::controller::workers::unclaimed_workers::{UnclaimedWorkers, id_hash};
 use mintlb_batch::heartbeat::StoreHeartbeat;
-use mintlb_batch::placement_planner::{StoreTable, StoreView, plan};
+use mintlb_batch::placement_planner::{ClusterSnapshot, StoreTable, plan};
 use mintlb_common::placement::Placement;
 use mintlb_common::record::PLACEMENT;
 use mintlb_common::transport::Channel;
@@ -64,10 +64,10 @@
     }
 
     /// What is known of the stores under a placement.
-    pub fn store_view(&self, placement: &Placement) -> StoreView {
+    pub fn store_view(&self, placement: &Placement) -> ClusterSnapshot {
         self.stores
             .lock()
-            .view(placement, self.started_at.elapsed())
+            .snapshot(placement, self.started_at.elapsed())
     }
 
     /// Replicas that have long been silent.
--- a/crates/mintlb-control/src/controller/singleton/retirement.rs
+++ b/crates/mintlb-control/src/controller/singleton/retirement.rs
@@ -3,7 +3,8 @@
 use crate::controller::Controller;
 use crate::controller::singleton::messages::{RetirementRequest, RetirementStatus};
 use mintlb_batch::placement_planner::{
-    LIVE_TIMEOUT, Retirement, RetirementOrder, StoreView, order_retirement, retirement,
+    ClusterSnapshot, DecommissionStart, DecommissionStatus, LIVE_TIMEOUT, decommission_status,
+    start_decommission,
 };
 use mintlb_common::placement::Placement;
 use mintlb_register::change::Change;
@@ -46,13 +47,13 @@
                 has_current_heartbeats,
             );
         }
-        let next = match order_retirement(placement, &view, &call.node_name, tolerance) {
-            RetirementOrder::AlreadyStarted => return RetirementStatus::Ordered,
-            RetirementOrder::NotFound => return RetirementStatus::Unknown,
+        let next = match start_decommission(placement, &view, &call.node_name, tolerance) {
+            DecommissionStart::AlreadyStarted => return RetirementStatus::Ordered,
+            DecommissionStart::NotFound => return RetirementStatus::Unknown,
             _ if !has_current_heartbeats => return RetirementStatus::Unavailable,
-            RetirementOrder::TooFewStores => return RetirementStatus::TooFew,
-            RetirementOrder::Unavailable => return RetirementStatus::Unavailable,
-            RetirementOrder::Start(next) => next,
+            DecommissionStart::TooFewStores => return RetirementStatus::TooFew,
+            DecommissionStart::Unavailable => return RetirementStatus::Unavailable,
+            DecommissionStart::Start(next) => next,
         };
         let left = deadline.saturating_duration_since(Instant::now());
         match controller
@@ -72,24 +73,24 @@
 /// process that has listened for long enough.
 pub fn progress(
     placement: &Placement,
-    view: &StoreView,
+    view: &ClusterSnapshot,
     node_name: &str,
     tolerance: usize,
     has_current_heartbeats: bool,
 ) -> RetirementStatus {
-    match retirement(placement, view, node_name, tolerance) {
-        Some(Retirement::Completed)
+    match decommission_status(placement, view, node_name, tolerance) {
+        Some(DecommissionStatus::Decommissioned)
             if has_current_heartbeats && all_primaries_live(placement, view) =>
         {
             RetirementStatus::Completed
         }
-        Some(Retirement::Completed) => RetirementStatus::Unavailable,
-        Some(Retirement::Running) => RetirementStatus::Running,
+        Some(DecommissionStatus::Decommissioned) => RetirementStatus::Unavailable,
+        Some(DecommissionStatus::InProgress) => RetirementStatus::Running,
         None => RetirementStatus::Unknown,
     }
 }
 
-fn all_primaries_live(placement: &Placement, view: &StoreView) -> bool {
+fn all_primaries_live(placement: &Placement, view: &ClusterSnapshot) -> bool {
     let mut primaries = placement
         .shards
         .iter()
--- a/crates/mintlb-control/tests/controller_retirement.rs
+++ b/crates/mintlb-control/tests/controller_retirement.rs
@@ -1,20 +1,20 @@
 //! When the end of a store's retirement may be told.
 
 use mintlb_batch::heartbeat::ShardReport;
-use mintlb_batch::placement_planner::{LIVE_TIMEOUT, StoreStatus, StoreView};
+use mintlb_batch::placement_planner::{ClusterSnapshot, LIVE_TIMEOUT, StoreStatus};
 use mintlb_common::placement::{Placement, ShardAssignment, StoreEntry};
 use mintlb_control::controller::singleton::messages::RetirementStatus;
 use mintlb_control::controller::singleton::retirement::progress;
 use std::time::Duration;
 
-fn entry(id: u64, retiring: bool) -> StoreEntry {
+fn entry(id: u64, decommissioning: bool) -> StoreEntry {
     let (node_name, address) = (format!("storage-{id}"), format!("10.0.1.{id}:7662"));
     StoreEntry {
         id,
         node_name,
         address,
         zone: String::new(),
-        retiring,
+        decommissioning,
     }
 }
 
@@ -40,7 +40,7 @@
 }
 
 /// The primary of the shard has reported, and was last heard so long ago.
-fn view(since_heartbeat: Duration) -> StoreView {
+fn view(since_heartbeat: Duration) -> ClusterSnapshot {
     let report = ShardReport {
         shard: 0,
         epoch: 4,
@@ -57,9 +57,9 @@
         id,
         ..StoreStatus::default()
     };
-    StoreView {
+    ClusterSnapshot {
         stores: vec![primary, other(3), other(4)],
-        ..StoreView::default()
+        ..ClusterSnapshot::default()
     }
 }
 
@@ -89,7 +89,13 @@
         RetirementStatus::Unknown
     );
     assert_eq!(
-        progress(&placement(), &StoreView::default(), "storage-1", 1, false),
+        progress(
+            &placement(),
+            &ClusterSnapshot::default(),
+            "storage-1",
+            1,
+            false
+        ),
         RetirementStatus::Running
     );
 }
--- a/crates/mintlb-control/tests/controller_wire_fixtures.rs
+++ b/crates/mintlb-control/tests/controller_wire_fixtures.rs
@@ -63,7 +63,7 @@
         node_name: "disk-21".to_string(),
         address: "10.21.0.36:7662".to_string(),
         zone: "zone-21".to_string(),
-        retiring: true,
+        decommissioning: true,
     };
     let shard = ShardAssignment {
         epoch: 8,
--- a/crates/mintlb-control/tests/stores/mod.rs
+++ b/crates/mintlb-control/tests/stores/mod.rs
@@ -78,7 +78,7 @@
         node_name: format!("store-{}", node.id),
         address: node.address.to_string(),
         zone: "z".to_string(),
-        retiring: false,
+        decommissioning: false,
     });
     let last_active_epoch = Some(epoch - 1);
     let shard = ShardAssignment {
--- a/crates/mintlb-register/tests/wire_fixtures.rs
+++ b/crates/mintlb-register/tests/wire_fixtures.rs
@@ -49,12 +49,12 @@
 }
 
 fn placement() -> Placement {
-    let store = |id: u64, retiring| StoreEntry {
+    let store = |id: u64, decommissioning| StoreEntry {
         id,
         node_name: format!("disk-{id}"),
         address: format!("10.{id}.0.36:7662"),
         zone: format!("zone-{id}"),
-        retiring,
+        decommissioning,
     };
     Placement {
         epoch: 70_000,
--- a/crates/mintlb-simulation/src/controller/duties.rs
+++ b/crates/mintlb-simulation/src/controller/duties.rs
@@ -7,7 +7,7 @@
 use crate::message::Call;
 use crate::planted::Planted;
 use mintlb_batch::heartbeat::StoreHeartbeat;
-use mintlb_batch::placement_planner::{StoreTable, StoreView};
+use mintlb_batch::placement_planner::{ClusterSnapshot, StoreTable};
 use mintlb_common::placement::Placement;
 use mintlb_control::controller::contact::ping_state::{Ping, PingState, Pong, STEP};
 use mintlb_register::change::{Change, ChangeOutcome};
@@ -54,8 +54,8 @@
     }
 
     /// What is known of the stores under a placement.
-    pub fn store_view(&mut self, context: &Context, placement: &Placement) -> StoreView {
-        self.stores.view(placement, context.now - self.begun)
+    pub fn store_view(&mut self, context: &Context, placement: &Placement) -> ClusterSnapshot {
+        self.stores.snapshot(placement, context.now - self.begun)
     }
 
     /// A store has told; whether it is news.
--- a/crates/mintlb-simulation/src/controller/placing.rs
+++ b/crates/mintlb-simulation/src/controller/placing.rs
@@ -8,7 +8,7 @@
 use crate::message::Told;
 use crate::planted::Planted;
 use crate::store::SHARDS;
-use mintlb_batch::placement_planner::{RetirementOrder, order_retirement, plan};
+use mintlb_batch::placement_planner::{DecommissionStart, plan, start_decommission};
 use mintlb_common::placement::Placement;
 use mintlb_common::record::PLACEMENT;
 use mintlb_control::controller::singleton::messages::RetirementStatus;
@@ -105,13 +105,13 @@
         let view = self.duties.store_view(context, placement);
         let has_listened = self.in_contact_for(context) >= LISTENS_FIRST;
         let told = match begin {
-            true => match order_retirement(placement, &view, &node, TOLERANCE) {
-                RetirementOrder::AlreadyStarted => Told::Retiring { completed: false },
-                RetirementOrder::NotFound => Told::Refused,
+            true => match start_decommission(placement, &view, &node, TOLERANCE) {
+                DecommissionStart::AlreadyStarted => Told::Retiring { completed: false },
+                DecommissionStart::NotFound => Told::Refused,
                 _ if !has_listened => Told::Unavailable,
-                RetirementOrder::TooFewStores => Told::Refused,
-                RetirementOrder::Unavailable => Told::Unavailable,
-                RetirementOrder::Start(next) => {
+                DecommissionStart::TooFewStores => Told::Refused,
+                DecommissionStart::Unavailable => Told::Unavailable,
+                DecommissionStart::Start(next) => {
                     let change = Change::SetPlacement(next);
                     return self.change(
                         context,
