--- a/crates/mintlb-control/src/store/calls.rs
+++ b/crates/mintlb-control/src/store/calls.rs
@@ -1,9 +1,9 @@
 //! Dispatchers' calls, answered by the primaries among this store's replicas.
 
-use super::core::Core;
+use super::capacity;
+use super::commit_queue::OpenedStorage;
 use super::disk::LoadedShards;
-use super::room;
-use super::writer::Opened;
+use super::shard_host::ShardHost;
 use bytes::Bytes;
 use mintlb_batch::entry::Entry;
 use mintlb_batch::framing;
@@ -23,16 +23,16 @@
 use tokio::time::{Instant, timeout, timeout_at};
 
 /// How long an answer waits for its commit.
-const COMMIT: Duration = Duration::from_millis(3000);
+const COMMIT_TIMEOUT: Duration = Duration::from_millis(3000);
 /// How long an answer waits until the followers have confirmed that nobody has taken over.
-const CONFIRM: Duration = Duration::from_millis(700);
+const CONFIRMATION_TIMEOUT: Duration = Duration::from_millis(700);
 /// The longest that a reader waits for a result.
-const LONGEST_READ: Duration = Duration::from_millis(5000);
+const MAX_READ_WAIT: Duration = Duration::from_millis(5000);
 /// The most bytes of payloads in one lease.
-const LEASE_BYTES: u64 = 1 << 20;
+const MAX_LEASE_PAYLOAD_BYTES: u64 = 1 << 20;
 /// The store. Messages and calls come in as [`Service`].
 pub struct Store {
-    core: Mutex<Core>,
+    shard_host: Mutex<ShardHost>,
     own: StoreId,
     started: Instant,
     /// The steady clock of a process begins at a time of its own, so that no other process's answers fit.
@@ -46,18 +46,19 @@
     /// A store with what its disk held.
     pub fn new(
         transport: Arc<Transport>,
-        opened: Opened,
+        opened: OpenedStorage,
         settings: ReplicaSettings,
         disk_bytes: u64,
-        draw: u64,
+        random_seed: u64,
     ) -> Arc<Store> {
-        let clock_offset = Duration::from_millis(draw >> 24);
-        let core = Core::new(transport, opened, settings, clock_offset);
-        let report_changed = core.report_changed.clone();
+        let clock_offset = Duration::from_millis(random_seed >> 24);
+        let shard_host = ShardHost::new(transport, opened, settings, clock_offset);
+        let report_changed = shard_host.report_changed.clone();
         let own = settings.store_id;
-        let (core, started, draining) = (Mutex::new(core), Instant::now(), Default::default());
+        let (shard_host, started, draining) =
+            (Mutex::new(shard_host), Instant::now(), Default::default());
         Arc::new(Store {
-            core,
+            shard_host,
             own,
             started,
             clock_offset,
@@ -78,8 +79,8 @@
 
     /// What the controllers are told, and the placement it goes by.
     pub fn report(&self) -> (Vec<ShardReport>, u64) {
-        let core = self.core.lock();
-        (core.reports(), core.placement().epoch)
+        let shard_host = self.shard_host.lock();
+        (shard_host.reports(), shard_host.placement().epoch)
     }
 
     /// Told when the report has changed.
@@ -88,26 +89,28 @@
     }
 
     /// Goes by this placement from now on.
-    pub fn set_placement(&self, placement: Placement) {
-        self.core.lock().set_placement(placement, self.now());
+    pub fn apply_placement(&self, placement: Placement) {
+        self.shard_host
+            .lock()
+            .apply_placement(placement, self.now());
     }
 
     /// What follows a commit.
     pub fn synced(&self, after: Vec<(u32, AfterSync)>) {
-        self.core.lock().synced(after, self.now());
+        self.shard_host.lock().synced(after, self.now());
     }
 
     /// Time passes.
     pub fn tick(&self) {
-        self.core.lock().tick(self.now());
+        self.shard_host.lock().tick(self.now());
     }
 
     /// A commit failed: lets go of the file, and says and promises nothing until [`Store::resume`].
     pub fn suspend(&self) {
         let disk = {
-            let mut core = self.core.lock();
-            core.suspend(self.now());
-            core.disk.clone()
+            let mut shard_host = self.shard_host.lock();
+            shard_host.suspend(self.now());
+            shard_host.disk.clone()
         };
         disk.close();
         self.report_changed.notify_one();
@@ -115,22 +118,24 @@
 
     /// Goes on with what the file held when it was opened again.
     pub fn resume(&self, shards: LoadedShards) {
-        self.core.lock().resume(shards, self.now());
+        self.shard_host.lock().resume(shards, self.now());
         self.report_changed.notify_one();
     }
 
     /// Whether the disk has failed or answers nothing: others are to take this store for silent.
     pub fn is_without_disk(&self) -> bool {
-        self.core.lock().is_without_disk(std::time::Instant::now())
+        self.shard_host
+            .lock()
+            .is_without_disk(std::time::Instant::now())
     }
 
     /// Whether the disk has failed and could not be opened again yet.
     pub fn is_suspended(&self) -> bool {
-        self.core.lock().is_suspended()
+        self.shard_host.lock().is_suspended()
     }
 
     /// Lets the controllers know that this store was told to stop, so that its shards get other primaries.
-    pub fn leave(&self) {
+    pub fn start_draining(&self) {
         self.draining.store(true, Relaxed);
         self.report_changed.notify_one();
     }
@@ -142,19 +147,19 @@
 
     /// Whether other stores still need this one: it is the primary of a shard, or a shard is moved away from it and
     /// its copy may have to be read.
-    pub fn is_needed(&self) -> bool {
-        let core = self.core.lock();
-        let is_read = core
+    pub fn has_shards_to_hand_over(&self) -> bool {
+        let shard_host = self.shard_host.lock();
+        let is_read = shard_host
             .placement()
             .shards
             .iter()
             .any(|shard| shard.previous.contains(&self.own));
-        is_read || core.replicas().iter().any(Replica::is_primary)
+        is_read || shard_host.replicas().iter().any(Replica::is_primary)
     }
 
     /// Lots that readers wait for.
-    pub fn lots_waited_for(&self) -> usize {
-        self.core.lock().lots_waited_for()
+    pub fn jobs_with_waiting_readers(&self) -> usize {
+        self.shard_host.lock().jobs_with_waiting_readers()
     }
 
     async fn call(self: Arc<Self>, call: StoreRequest, raw: Bytes) -> Bytes {
@@ -171,30 +176,30 @@
         framing::encode(&answer, &[])
     }
 
-    /// Makes a change and waits until it is committed. `look` sees the core after the change.
+    /// Makes a change and waits until it is committed. `try_read` sees the core after the change.
     async fn propose(
         &self,
         shard: u32,
         change: impl FnOnce(&mut Replica, Timestamp) -> Proposal,
-        look: impl FnOnce(&mut Core, &Proposal),
+        try_read: impl FnOnce(&mut ShardHost, &Proposal),
     ) -> Proposal {
         let (proposal, commit) = {
-            let mut core = self.core.lock();
+            let mut shard_host = self.shard_host.lock();
             let now = self.now();
-            let proposal = change(core.replica(shard), now);
-            look(&mut core, &proposal);
+            let proposal = change(shard_host.replica(shard), now);
+            try_read(&mut shard_host, &proposal);
             let commit = match &proposal {
                 Proposal::Done(_) => None,
                 Proposal::Pending(index, _) | Proposal::Compare(index, _) => {
-                    let committed = core.replica(shard).commit_index();
-                    (*index > committed).then(|| core.wait_commit(shard, *index))
+                    let committed = shard_host.replica(shard).commit_index();
+                    (*index > committed).then(|| shard_host.wait_for_commit(shard, *index))
                 }
             };
-            core.act(shard, now);
+            shard_host.run_effects(shard, now);
             (proposal, commit)
         };
         if let Some(commit) = commit
-            && !is_told(commit).await
+            && !await_commit(commit).await
         {
             return Proposal::Done(messages::StoreResponse::Indeterminate);
         }
@@ -219,7 +224,11 @@
         match self.propose(shard, change, |_, _| ()).await {
             Proposal::Done(answer) | Proposal::Pending(_, answer) => answer,
             Proposal::Compare(index, answer) => {
-                let stored = self.core.lock().read(shard, &[index]).unwrap_or_default();
+                let stored = self
+                    .shard_host
+                    .lock()
+                    .read(shard, &[index])
+                    .unwrap_or_default();
                 let entry = stored
                     .first()
                     .and_then(|(_, bytes)| framing::decode::<Entry>(bytes));
@@ -237,13 +246,13 @@
     }
 
     fn is_disk_full(&self, more: u64) -> bool {
-        let core = self.core.lock();
-        let file = core.disk.file_bytes();
-        let jobs = || core.replicas().iter().map(Replica::jobs);
-        let held: u64 = jobs()
+        let shard_host = self.shard_host.lock();
+        let file = shard_host.disk.file_bytes();
+        let jobs = || shard_host.replicas().iter().map(Replica::jobs);
+        let leased: u64 = jobs()
             .map(|jobs| jobs.bytes() + jobs.expected_result_bytes())
             .sum();
-        core.writer.is_full() || !room::fits(held + more, file, self.disk_bytes)
+        shard_host.commit_queue.is_full() || !capacity::fits(leased + more, file, self.disk_bytes)
     }
 
     async fn end(&self, job: JobName) -> messages::StoreResponse {
@@ -251,7 +260,7 @@
         let proposal = self
             .propose(shard, |replica, now| replica.end(&job, now), |_, _| ())
             .await;
-        self.sure(shard, proposal).await
+        self.confirm_not_found(shard, proposal).await
     }
 
     async fn record(&self, record: Record, raw: Bytes) -> messages::StoreResponse {
@@ -259,24 +268,26 @@
         let change = |replica: &mut Replica, now| {
             replica.record(&record.job, record.item, record.state, &raw, now)
         };
-        let look = |core: &mut Core, proposal: &Proposal| {
-            let job = core
+        let try_read = |shard_host: &mut ShardHost, proposal: &Proposal| {
+            let job = shard_host
                 .replica(shard)
                 .jobs()
                 .find(&record.job)
                 .map(|(number, _)| number);
             if let (Proposal::Pending(index, _), Some(job)) = (proposal, job) {
-                core.result_on_its_way(shard, *index, job);
+                shard_host.track_pending_result(shard, *index, job);
             }
         };
-        let proposal = self.propose(shard, change, look).await;
-        self.sure(shard, proposal).await
+        let proposal = self.propose(shard, change, try_read).await;
+        self.confirm_not_found(shard, proposal).await
     }
 
     /// The answer of a proposal; that a lot is not known has to be confirmed.
-    async fn sure(&self, shard: u32, proposal: Proposal) -> messages::StoreResponse {
+    async fn confirm_not_found(&self, shard: u32, proposal: Proposal) -> messages::StoreResponse {
         match proposal {
-            Proposal::Done(messages::StoreResponse::NotFound) if !self.confirmed(shard).await => {
+            Proposal::Done(messages::StoreResponse::NotFound)
+                if !self.confirm_primary(shard).await =>
+            {
                 messages::StoreResponse::Indeterminate
             }
             Proposal::Done(answer)
@@ -286,23 +297,23 @@
     }
 
     /// Whether this is still the primary in charge, as enough followers have said a moment ago.
-    async fn confirmed(&self, shard: u32) -> bool {
-        let until = Instant::now() + CONFIRM;
+    async fn confirm_primary(&self, shard: u32) -> bool {
+        let until = Instant::now() + CONFIRMATION_TIMEOUT;
         loop {
-            let sign = {
-                let mut core = self.core.lock();
+            let confirmation = {
+                let mut shard_host = self.shard_host.lock();
                 let now = self.now();
-                if !core.replica(shard).is_serving() {
+                if !shard_host.replica(shard).is_serving() {
                     return false;
                 }
-                if core.replica(shard).confirm(now) {
+                if shard_host.replica(shard).confirm(now) {
                     return true;
                 }
-                let sign = core.wait_confirmation(shard);
-                core.act(shard, now);
-                sign
+                let confirmation = shard_host.wait_for_confirmation(shard);
+                shard_host.run_effects(shard, now);
+                confirmation
             };
-            if timeout_at(until, sign).await.is_err() {
+            if timeout_at(until, confirmation).await.is_err() {
                 return false;
             }
         }
@@ -310,38 +321,38 @@
 
     async fn read(&self, read: messages::Read) -> Bytes {
         let shard = Placement::shard_of(&read.job.host);
-        let until = Instant::now() + Duration::from_millis(read.wait_ms).min(LONGEST_READ);
+        let until = Instant::now() + Duration::from_millis(read.wait_ms).min(MAX_READ_WAIT);
         loop {
-            match self.look(shard, &read, Instant::now() < until) {
-                Look::Answer(bytes) => return bytes,
-                Look::Nothing(page) => return self.nothing_there(shard, page).await,
-                Look::Wait(next) => timeout_at(until, next).await.ok(),
+            match self.try_read(shard, &read, Instant::now() < until) {
+                ReadAttempt::Answer(bytes) => return bytes,
+                ReadAttempt::Nothing(page) => return self.confirm_empty(shard, page).await,
+                ReadAttempt::Wait(next) => timeout_at(until, next).await.ok(),
             };
         }
     }
 
-    fn look(&self, shard: u32, read: &messages::Read, may_wait: bool) -> Look {
-        let mut core = self.core.lock();
-        if !core.replica(shard).is_serving() {
-            return Look::Answer(framing::encode(&messages::StoreResponse::NotPrimary, &[]));
+    fn try_read(&self, shard: u32, read: &messages::Read, may_wait: bool) -> ReadAttempt {
+        let mut shard_host = self.shard_host.lock();
+        if !shard_host.replica(shard).is_serving() {
+            return ReadAttempt::Answer(framing::encode(&messages::StoreResponse::NotPrimary, &[]));
         }
-        let plan = core
+        let plan = shard_host
             .replica(shard)
             .page(&read.job, read.start_after, read.max_bytes);
         if let Some(plan) = plan.as_ref().filter(|plan| !plan.entries.is_empty()) {
-            return Look::Answer(page(&core, shard, plan));
+            return ReadAttempt::Answer(page(&shard_host, shard, plan));
         }
-        match core.replica(shard).committed_job(&read.job) {
-            Some((number, job)) if may_wait && may_get_more(job, read.start_after) => {
-                Look::Wait(core.wait_result(shard, number))
+        match shard_host.replica(shard).committed_job(&read.job) {
+            Some((number, job)) if may_wait && may_have_more_results(job, read.start_after) => {
+                ReadAttempt::Wait(shard_host.wait_for_result(shard, number))
             }
-            _ => Look::Nothing(plan.map(|plan| plan.page)),
+            _ => ReadAttempt::Nothing(plan.map(|plan| plan.page)),
         }
     }
 
     /// An empty page, or that the lot is not known: both have to be confirmed.
-    async fn nothing_there(&self, shard: u32, page: Option<messages::Page>) -> Bytes {
-        let answer = match (self.confirmed(shard).await, page) {
+    async fn confirm_empty(&self, shard: u32, page: Option<messages::Page>) -> Bytes {
+        let answer = match (self.confirm_primary(shard).await, page) {
             (false, _) => messages::StoreResponse::Indeterminate,
             (true, Some(page)) => messages::StoreResponse::Page(page),
             (true, None) => messages::StoreResponse::NotFound,
@@ -352,42 +363,44 @@
     async fn body(&self, item: ItemName) -> Bytes {
         let shard = Placement::shard_of(&item.job.host);
         {
-            let mut core = self.core.lock();
-            if !core.replica(shard).is_serving() {
+            let mut shard_host = self.shard_host.lock();
+            if !shard_host.replica(shard).is_serving() {
                 return framing::encode(&messages::StoreResponse::NotPrimary, &[]);
             }
-            if let Some((entry, range)) = core.replica(shard).payload(&item.job, &item.item) {
-                let stored = core.read(shard, &[entry]).unwrap_or_default();
-                let payload = stored.first().and_then(|(_, bytes)| raw_part(bytes, range));
+            if let Some((entry, range)) = shard_host.replica(shard).payload(&item.job, &item.item) {
+                let stored = shard_host.read(shard, &[entry]).unwrap_or_default();
+                let payload = stored
+                    .first()
+                    .and_then(|(_, bytes)| payload_at(bytes, range));
                 return match payload {
                     Some(payload) => framing::encode(&messages::StoreResponse::Body, &[&payload]),
                     None => framing::encode(&messages::StoreResponse::Indeterminate, &[]),
                 };
             }
         }
-        self.nothing_there(shard, None).await
+        self.confirm_empty(shard, None).await
     }
 
     fn lease(&self, lease: &Lease) -> Bytes {
-        let mut core = self.core.lock();
+        let mut shard_host = self.shard_host.lock();
         let now = self.now();
-        let (mut left, mut bytes) = (lease.max_items as usize, LEASE_BYTES);
+        let (mut remaining_items, mut bytes) = (lease.max_items as usize, MAX_LEASE_PAYLOAD_BYTES);
         let (mut heads, mut payloads) = (Vec::new(), Vec::new());
         for shard in 0..SHARD_COUNT {
-            if left == 0 || bytes == 0 {
+            if remaining_items == 0 || bytes == 0 {
                 break;
             }
             // One that may have been followed by another primary has nothing to give: it would not know of
             // ends.
-            let replica = core.replica(shard);
+            let replica = shard_host.replica(shard);
             let plans = match replica.has_unleased_items(now) && replica.confirm(now) {
-                true => replica.lease(lease.owner, left, bytes, now),
+                true => replica.lease(lease.owner, remaining_items, bytes, now),
                 false => Vec::new(),
             };
-            core.act(shard, now);
+            shard_host.run_effects(shard, now);
             let entries: Vec<u64> = plans.iter().map(|plan| plan.entry).collect();
-            for (plan, payload) in with_payloads(&core, shard, entries, plans) {
-                left -= 1;
+            for (plan, payload) in with_payloads(&shard_host, shard, entries, plans) {
+                remaining_items -= 1;
                 bytes = bytes.saturating_sub(plan.head.length);
                 heads.push(plan.head);
                 payloads.push(payload);
@@ -398,15 +411,16 @@
     }
 
     fn renew(&self, renew: &Renew) -> messages::StoreResponse {
-        let mut core = self.core.lock();
+        let mut shard_host = self.shard_host.lock();
         let now = self.now();
         let mut renewed = messages::RenewResult::default();
-        for held in &renew.jobs {
-            let shard = Placement::shard_of(&held.job.host);
-            core.replica(shard)
-                .renew(renew.owner, held, &mut renewed, now);
+        for leased in &renew.jobs {
+            let shard = Placement::shard_of(&leased.job.host);
+            shard_host
+                .replica(shard)
+                .renew(renew.owner, leased, &mut renewed, now);
         }
-        renewed.open = core
+        renewed.open = shard_host
             .replicas()
             .iter()
             .map(|replica| replica.open_items(now))
@@ -415,14 +429,14 @@
     }
 
     fn release(&self, owner: messages::DispatcherId) -> messages::StoreResponse {
-        let mut core = self.core.lock();
-        (0..SHARD_COUNT).for_each(|shard| core.replica(shard).release(owner));
+        let mut shard_host = self.shard_host.lock();
+        (0..SHARD_COUNT).for_each(|shard| shard_host.replica(shard).release(owner));
         messages::StoreResponse::Released
     }
 }
 
 /// What a reader gets.
-enum Look {
+enum ReadAttempt {
     /// This.
     Answer(Bytes),
     /// An empty page or none, once that is confirmed.
@@ -432,14 +446,14 @@
 }
 
 /// Whether results may still come at or behind the position.
-fn may_get_more(job: &BatchJob, start_after: u64) -> bool {
+fn may_have_more_results(job: &BatchJob, start_after: u64) -> bool {
     job.ended.is_none() && start_after < job.items.len() as u64
 }
 
 /// A page with its texts.
-fn page(core: &Core, shard: u32, plan: &PagePlan) -> Bytes {
+fn page(shard_host: &ShardHost, shard: u32, plan: &PagePlan) -> Bytes {
     let mut page = plan.page.clone();
-    let stored = core.read(shard, &plan.entries).unwrap_or_default();
+    let stored = shard_host.read(shard, &plan.entries).unwrap_or_default();
     let texts: Vec<Bytes> = stored
         .iter()
         .filter_map(|(_, bytes)| Some(framing::decode::<Entry>(bytes)?.1))
@@ -455,7 +469,7 @@
     framing::encode(&messages::StoreResponse::Page(page), &raw)
 }
 
-fn raw_part(entry: &Bytes, range: std::ops::Range<usize>) -> Option<Bytes> {
+fn payload_at(entry: &Bytes, range: std::ops::Range<usize>) -> Option<Bytes> {
     let (_, raw) = framing::decode::<Entry>(entry)?;
     (range.end <= raw.len()).then(|| raw.slice(range))
 }
@@ -463,13 +477,13 @@
 /// The payloads of leased items; those that can't be read are left out and go to somebody once the lease is
 /// over.
 fn with_payloads(
-    core: &Core,
+    shard_host: &ShardHost,
     shard: u32,
     mut entries: Vec<u64>,
     plans: Vec<LeasePlan>,
 ) -> Vec<(LeasePlan, Bytes)> {
     entries.dedup();
-    let stored = core.read(shard, &entries).unwrap_or_default();
+    let stored = shard_host.read(shard, &entries).unwrap_or_default();
     let raws: Vec<(u64, Bytes)> = stored
         .iter()
         .filter_map(|(index, bytes)| Some((*index, framing::decode::<Entry>(bytes)?.1)))
@@ -484,8 +498,8 @@
         .collect()
 }
 
-async fn is_told(commit: oneshot::Receiver<bool>) -> bool {
-    matches!(timeout(COMMIT, commit).await, Ok(Ok(true)))
+async fn await_commit(commit: oneshot::Receiver<bool>) -> bool {
+    matches!(timeout(COMMIT_TIMEOUT, commit).await, Ok(Ok(true)))
 }
 
 /// [`Service`] needs the store's own handle.
@@ -497,7 +511,7 @@
             return;
         };
         let now = self.0.now();
-        self.0.core.lock().message(envelope, raw, now);
+        self.0.shard_host.lock().message(envelope, raw, now);
     }
 
     fn on_request(&self, _from: SocketAddr, body: Bytes) -> transport::ResponseFuture {
--- a/crates/mintlb-control/src/store/parts.rs
+++ b/crates/mintlb-control/src/store/chunked_entries.rs
@@ -10,30 +10,34 @@
 };
 
 /// Parts of entries by shard, index and place.
-pub(super) const PARTS: TableDefinition<PartKey, &[u8]> = TableDefinition::new("parts");
+pub(super) const ENTRY_CHUNKS: TableDefinition<ChunkKey, &[u8]> = TableDefinition::new("parts");
 /// Whole entries by shard and index, as files of the first version hold them.
-const WHOLE: TableDefinition<(u32, u64), &[u8]> = TableDefinition::new("entries");
+const LEGACY_ENTRIES: TableDefinition<(u32, u64), &[u8]> = TableDefinition::new("entries");
 /// The most bytes of a part.
-const MOST_BYTES: usize = 1000;
+const MAX_CHUNK_BYTES: usize = 1000;
 
-type PartKey = (u32, u64, u16);
-type Parts<'a> = Table<'a, PartKey, &'static [u8]>;
+type ChunkKey = (u32, u64, u16);
+type ChunkTable<'a> = Table<'a, ChunkKey, &'static [u8]>;
 
 /// Carries out a change of a shard's entries.
-pub(super) fn apply(parts: &mut Parts, shard: u32, write: &DiskWrite) -> Result<(), StorageError> {
+pub(super) fn apply(
+    chunks: &mut ChunkTable,
+    shard: u32,
+    write: &DiskWrite,
+) -> Result<(), StorageError> {
     match write {
-        DiskWrite::Put(index, bytes) => put(parts, shard, *index, bytes)?,
-        DiskWrite::Truncate(last) => remove(parts, shard, last + 1, u64::MAX)?,
-        DiskWrite::Clear => remove(parts, shard, 0, u64::MAX)?,
+        DiskWrite::Put(index, bytes) => put(chunks, shard, *index, bytes)?,
+        DiskWrite::Truncate(last) => remove(chunks, shard, last + 1, u64::MAX)?,
+        DiskWrite::Clear => remove(chunks, shard, 0, u64::MAX)?,
         DiskWrite::Remove(indexes) => {
             for index in indexes {
-                remove(parts, shard, *index, *index)?;
+                remove(chunks, shard, *index, *index)?;
             }
         }
         DiskWrite::Strip(indexes) => {
             for index in indexes {
-                if let Some(head) = read(parts, shard, *index)?.and_then(head_of) {
-                    put(parts, shard, *index, &head)?;
+                if let Some(head) = read(chunks, shard, *index)?.and_then(header_of) {
+                    put(chunks, shard, *index, &head)?;
                 }
             }
         }
@@ -42,43 +46,43 @@
     Ok(())
 }
 
-fn put(parts: &mut Parts, shard: u32, index: u64, bytes: &[u8]) -> Result<(), StorageError> {
-    if parts.get((shard, index, 0))?.is_some() {
-        remove(parts, shard, index, index)?;
+fn put(chunks: &mut ChunkTable, shard: u32, index: u64, bytes: &[u8]) -> Result<(), StorageError> {
+    if chunks.get((shard, index, 0))?.is_some() {
+        remove(chunks, shard, index, index)?;
     }
-    let count = bytes.len().div_ceil(MOST_BYTES).max(1);
-    for (place, part) in bytes.chunks(bytes.len().div_ceil(count).max(1)).enumerate() {
-        parts.insert((shard, index, place as u16), part)?;
+    let count = bytes.len().div_ceil(MAX_CHUNK_BYTES).max(1);
+    for (chunk_number, chunk) in bytes.chunks(bytes.len().div_ceil(count).max(1)).enumerate() {
+        chunks.insert((shard, index, chunk_number as u16), chunk)?;
     }
     Ok(())
 }
 
-fn remove(parts: &mut Parts, shard: u32, first: u64, last: u64) -> Result<(), StorageError> {
-    parts.retain_in((shard, first, 0)..=(shard, last, u16::MAX), |_, _| false)
+fn remove(chunks: &mut ChunkTable, shard: u32, first: u64, last: u64) -> Result<(), StorageError> {
+    chunks.retain_in((shard, first, 0)..=(shard, last, u16::MAX), |_, _| false)
 }
 
 /// A whole entry, if it is there.
 pub(super) fn read(
-    parts: &impl ReadableTable<PartKey, &'static [u8]>,
+    chunks: &impl ReadableTable<ChunkKey, &'static [u8]>,
     shard: u32,
     index: u64,
 ) -> Result<Option<Bytes>, StorageError> {
     let mut entry = BytesMut::new();
-    for part in parts.range((shard, index, 0)..=(shard, index, u16::MAX))? {
-        entry.extend_from_slice(part?.1.value());
+    for chunk in chunks.range((shard, index, 0)..=(shard, index, u16::MAX))? {
+        entry.extend_from_slice(chunk?.1.value());
     }
     Ok((!entry.is_empty()).then(|| entry.freeze()))
 }
 
 /// All entries in order, by shard and index.
 pub(super) fn read_all<E: From<StorageError>>(
-    parts: &impl ReadableTable<PartKey, &'static [u8]>,
+    chunks: &impl ReadableTable<ChunkKey, &'static [u8]>,
     mut each: impl FnMut(u32, u64, &[u8]) -> Result<(), E>,
 ) -> Result<(), E> {
     let mut entry: Vec<u8> = Vec::new();
     let mut current = None;
-    for part in parts.iter()? {
-        let (key, bytes) = part?;
+    for chunk in chunks.iter()? {
+        let (key, bytes) = chunk?;
         let (shard, index, _) = key.value();
         if let Some((shard, index)) = current
             .replace((shard, index))
@@ -96,27 +100,27 @@
 }
 
 /// Brings a file of the first version to the one of now, all at once.
-pub(super) fn convert(database: &Database) -> Result<(), redb::Error> {
-    match database.begin_read()?.open_table(WHOLE) {
+pub(super) fn migrate_legacy_entries(database: &Database) -> Result<(), redb::Error> {
+    match database.begin_read()?.open_table(LEGACY_ENTRIES) {
         Ok(_) => (),
         Err(TableError::TableDoesNotExist(_)) => return Ok(()),
         Err(error) => return Err(error.into()),
     }
     let transaction = database.begin_write()?;
     {
-        let whole = transaction.open_table(WHOLE)?;
-        let mut parts = transaction.open_table(PARTS)?;
-        for row in whole.iter()? {
+        let legacy = transaction.open_table(LEGACY_ENTRIES)?;
+        let mut chunks = transaction.open_table(ENTRY_CHUNKS)?;
+        for row in legacy.iter()? {
             let (key, bytes) = row?;
             let (shard, index) = key.value();
-            put(&mut parts, shard, index, bytes.value())?;
+            put(&mut chunks, shard, index, bytes.value())?;
         }
     }
-    transaction.delete_table(WHOLE)?;
+    transaction.delete_table(LEGACY_ENTRIES)?;
     Ok(transaction.commit()?)
 }
 
-fn head_of(bytes: Bytes) -> Option<Bytes> {
+fn header_of(bytes: Bytes) -> Option<Bytes> {
     let (_, end) = framing::decode_head::<Entry>(&bytes)?;
     Some(bytes.slice(..end))
 }
--- a/crates/mintlb-control/src/store/writer.rs
+++ b/crates/mintlb-control/src/store/commit_queue.rs
@@ -1,7 +1,7 @@
 //! The thread that commits: what waits meanwhile goes into one commit.
 
 use super::StoreError;
-use super::disk::{LoadedShards, LotDisk};
+use super::disk::{LoadedShards, ShardStorage};
 use super::file::DiskError;
 use mintlb_batch::replica::{AfterSync, DiskWrite};
 use parking_lot::{Condvar, Mutex};
@@ -10,83 +10,83 @@
 use tokio::sync::mpsc::UnboundedSender;
 
 /// Small writes wait so long for others to share their commit,
-const LINGER: Duration = Duration::from_millis(6);
+const GROUP_COMMIT_DELAY: Duration = Duration::from_millis(6);
 /// until there are so many bytes.
-const WORTH_A_COMMIT: usize = 64 << 10;
+const GROUP_COMMIT_BYTES: usize = 64 << 10;
 /// Writes that wait for a commit take no more than this; the store takes nothing new meanwhile.
-pub const MOST_WAITING: usize = 12 << 20;
+pub const MAX_QUEUED_BYTES: usize = 12 << 20;
 /// A commit that takes so long tells that the disk answers nothing.
-const STALLED: Duration = Duration::from_millis(1500);
+const STALL_TIMEOUT: Duration = Duration::from_millis(1500);
 
 /// An opened file with its thread.
-pub struct Opened {
+pub struct OpenedStorage {
     /// The file.
-    pub disk: LotDisk,
+    pub disk: ShardStorage,
     /// Its thread.
-    pub writer: Writer,
+    pub commit_queue: CommitQueue,
     /// What it held, by shard.
     pub shards: LoadedShards,
 }
 
 /// What follows a commit, by shard, or that it failed.
-pub type Committed = Result<Vec<(u32, AfterSync)>, DiskError>;
+pub type CommitOutcome = Result<Vec<(u32, AfterSync)>, DiskError>;
 
 /// What goes into one commit, and what follows it.
-struct Batch {
+struct CommitBatch {
     writes: Vec<(u32, DiskWrite)>,
     after: Vec<(u32, AfterSync)>,
 }
 
 #[derive(Default)]
-struct Waiting {
+struct QueueState {
     writes: Vec<(u32, DiskWrite)>,
     after: Vec<(u32, AfterSync)>,
     /// What follows the commit under way beside what it was begun with.
-    after_current: Vec<(u32, AfterSync)>,
+    after_commit_in_progress: Vec<(u32, AfterSync)>,
     bytes: usize,
     /// Since when a commit is under way.
-    committing: Option<Instant>,
+    commit_started: Option<Instant>,
     /// A commit failed: nothing is taken until the file has been opened again.
     failed: bool,
 }
 
 /// The thread that commits. Cheap to clone.
 #[derive(Clone)]
-pub struct Writer {
-    shared: Arc<(Mutex<Waiting>, Condvar)>,
+pub struct CommitQueue {
+    shared: Arc<(Mutex<QueueState>, Condvar)>,
 }
 
-impl Writer {
+impl CommitQueue {
     /// Starts the thread. After each commit it says what follows; after a failed one that it failed, and then
-    /// drops all that it is given until [`Writer::resume`].
+    /// drops all that it is given until [`CommitQueue::resume`].
     pub fn start(
-        disk: LotDisk,
-        committed: UnboundedSender<Committed>,
-    ) -> Result<Writer, StoreError> {
-        let writer = Writer {
+        disk: ShardStorage,
+        committed: UnboundedSender<CommitOutcome>,
+    ) -> Result<CommitQueue, StoreError> {
+        let commit_queue = CommitQueue {
             shared: Arc::default(),
         };
-        let worker = writer.clone();
+        let worker = commit_queue.clone();
         std::thread::Builder::new()
             .name("lots-commit".to_string())
-            .spawn(move || worker.work(&disk, &committed))
+            .spawn(move || worker.run(&disk, &committed))
             .map_err(StoreError::System)?;
-        Ok(writer)
+        Ok(commit_queue)
     }
 
-    fn work(&self, disk: &LotDisk, committed: &UnboundedSender<Committed>) {
+    fn run(&self, disk: &ShardStorage, committed: &UnboundedSender<CommitOutcome>) {
         loop {
-            let Batch { writes, mut after } = self.next();
+            let CommitBatch { writes, mut after } = self.next_batch();
             let outcome = disk.commit(&writes);
             drop(writes);
             {
-                let mut waiting = self.shared.0.lock();
-                waiting.committing = None;
-                after.append(&mut waiting.after_current);
+                let mut state = self.shared.0.lock();
+                state.commit_started = None;
+                after.append(&mut state.after_commit_in_progress);
                 if outcome.is_err() {
-                    *waiting = Waiting {
+                    *state = QueueState {
                         failed: true,
-                        ..Waiting::default()
+                        ..QueueState::default()
                     };
                 }
             }
@@ -104,71 +104,71 @@
         self.shared.0.lock().failed = false;
     }
 
-    fn next(&self) -> Batch {
+    fn next_batch(&self) -> CommitBatch {
         let (lock, condition) = &*self.shared;
-        let mut waiting = lock.lock();
-        while waiting.writes.is_empty() {
-            condition.wait(&mut waiting);
+        let mut state = lock.lock();
+        while state.writes.is_empty() {
+            condition.wait(&mut state);
         }
-        let until = Instant::now() + LINGER;
-        while waiting.bytes < WORTH_A_COMMIT
-            && !condition.wait_until(&mut waiting, until).timed_out()
+        let deadline = Instant::now() + GROUP_COMMIT_DELAY;
+        while state.bytes < GROUP_COMMIT_BYTES
+            && !condition.wait_until(&mut state, deadline).timed_out()
         {}
-        waiting.committing = Some(Instant::now());
-        waiting.bytes = 0;
-        Batch {
-            writes: std::mem::take(&mut waiting.writes),
-            after: std::mem::take(&mut waiting.after),
+        state.commit_started = Some(Instant::now());
+        state.bytes = 0;
+        CommitBatch {
+            writes: std::mem::take(&mut state.writes),
+            after: std::mem::take(&mut state.after),
         }
     }
 
     /// Whether nothing is on its way to the disk.
     pub fn is_idle(&self) -> bool {
-        let waiting = self.shared.0.lock();
-        waiting.writes.is_empty() && waiting.committing.is_none()
+        let state = self.shared.0.lock();
+        state.writes.is_empty() && state.commit_started.is_none()
     }
 
     /// Whether a commit has been under way for so long that the disk counts as one that answers nothing.
     pub fn is_stalled(&self, now: Instant) -> bool {
-        let since = self.shared.0.lock().committing;
-        since.is_some_and(|since| now.saturating_duration_since(since) >= STALLED)
+        let since = self.shared.0.lock().commit_started;
+        since.is_some_and(|since| now.saturating_duration_since(since) >= STALL_TIMEOUT)
     }
 
     /// Whether so much waits that nothing new should be taken.
     pub fn is_full(&self) -> bool {
-        self.shared.0.lock().bytes > MOST_WAITING
+        self.shared.0.lock().bytes > MAX_QUEUED_BYTES
     }
 
     /// Has a shard's changes committed together, and says what follows. If nothing has to be waited for, what
     /// follows is given back at once. After a failed commit nothing is done and nothing follows.
-    pub fn write(
+    pub fn enqueue(
         &self,
         shard: u32,
         writes: Vec<DiskWrite>,
         after: Vec<AfterSync>,
     ) -> Result<(), Vec<AfterSync>> {
         let (lock, condition) = &*self.shared;
-        let mut waiting = lock.lock();
-        if waiting.failed {
+        let mut state = lock.lock();
+        if state.failed {
             return Ok(());
         }
-        if writes.is_empty() && waiting.writes.is_empty() && waiting.committing.is_none() {
+        if writes.is_empty() && state.writes.is_empty() && state.commit_started.is_none() {
             return Err(after);
         }
-        let before = waiting.bytes;
-        waiting.bytes += writes.iter().map(bytes_of).sum::<usize>();
-        let enough = before < WORTH_A_COMMIT && waiting.bytes >= WORTH_A_COMMIT;
-        let idle = waiting.writes.is_empty();
-        waiting
+        let before = state.bytes;
+        state.bytes += writes.iter().map(bytes_of).sum::<usize>();
+        let reached_group_size = before < GROUP_COMMIT_BYTES && state.bytes >= GROUP_COMMIT_BYTES;
+        let was_empty = state.writes.is_empty();
+        state
             .writes
             .extend(writes.into_iter().map(|write| (shard, write)));
         let after = after.into_iter().map(|after| (shard, after));
-        match waiting.writes.is_empty() {
-            true => waiting.after_current.extend(after),
-            false => waiting.after.extend(after),
+        match state.writes.is_empty() {
+            true => state.after_commit_in_progress.extend(after),
+            false => state.after.extend(after),
         }
-        if (idle || enough) && !waiting.writes.is_empty() {
-            drop(waiting);
+        if (was_empty || reached_group_size) && !state.writes.is_empty() {
+            drop(state);
             condition.notify_one();
         }
         Ok(())
--- a/crates/mintlb-control/src/store/disk.rs
+++ b/crates/mintlb-control/src/store/disk.rs
@@ -1,10 +1,10 @@
 //! The lots on disk: one redb file, by its tables.
 //!
 //! After a failed commit redb takes nothing more until the file is opened again, and only that tells what the
-//! disk holds: [`LotDisk::close`], then [`LotDisk::reopen`] until the disk takes bytes.
+//! disk holds: [`ShardStorage::close`], then [`ShardStorage::reopen`] until the disk takes bytes.
 
-use super::file::{self, DiskError, OpenDatabase, PROBE, SHARDS, failed};
-use super::parts::{self, PARTS};
+use super::chunked_entries::{self, ENTRY_CHUNKS};
+use super::file::{self, DatabaseOpener, DiskError, PROBE, SHARD_META, disk_error};
 use bytes::Bytes;
 use mintlb_batch::entry::Entry;
 use mintlb_batch::replica::{DiskWrite, ShardMeta};
@@ -20,14 +20,14 @@
 
 /// The file. Cheap to clone.
 #[derive(Clone)]
-pub struct LotDisk {
+pub struct ShardStorage {
     shared: Arc<Shared>,
 }
 
 struct Shared {
     /// None while the disk is given up after a failed commit.
     database: RwLock<Option<Database>>,
-    open: OpenDatabase,
+    open: DatabaseOpener,
     path: PathBuf,
     id: StoreId,
 }
@@ -44,21 +44,24 @@
     pub entries: Vec<(u64, Entry, u64, u64)>,
 }
 
-impl LotDisk {
+impl ShardStorage {
     /// Opens the file, or makes it with a new identity. A file that is damaged is put aside: the store then
     /// begins anew, as one that has lost its disk. One that can't be read or written for another reason, as
-    /// the disk is full, stays: [`DiskError::Refused`] says that it is to be tried again.
-    pub fn open(directory: &Path, new_id: StoreId) -> Result<(LotDisk, LoadedShards), DiskError> {
-        LotDisk::open_by(file::usual_open(), directory, new_id)
+    /// the disk is full, stays: [`DiskError::Unavailable`] says that it is to be tried again.
+    pub fn open(
+        directory: &Path,
+        new_id: StoreId,
+    ) -> Result<(ShardStorage, LoadedShards), DiskError> {
+        ShardStorage::open_by(file::default_opener(), directory, new_id)
     }
 
     /// The same with another way to open a database at a path.
     pub fn open_by(
-        open: OpenDatabase,
+        open: DatabaseOpener,
         directory: &Path,
         new_id: StoreId,
-    ) -> Result<(LotDisk, LoadedShards), DiskError> {
-        let path = directory.join(file::FILE);
+    ) -> Result<(ShardStorage, LoadedShards), DiskError> {
+        let path = directory.join(file::FILE_NAME);
         let loaded = match file::open_existing(&open, &path) {
             Ok(Some(loaded)) => loaded,
             Ok(None) => file::create(&open, directory, new_id)?,
@@ -67,7 +70,7 @@
                     "store: {} can't be read and is put aside: {cause}",
                     path.display()
                 );
-                file::put_aside(directory)?;
+                file::quarantine(directory)?;
                 file::create(&open, directory, new_id)?
             }
             Err(refused) => return Err(refused),
@@ -80,7 +83,7 @@
             id: loaded.id,
         };
         Ok((
-            LotDisk {
+            ShardStorage {
                 shared: Arc::new(shared),
             },
             loaded.shards,
@@ -123,11 +126,11 @@
     /// Committed entries of a shard; those that are not there are left out.
     pub fn read(&self, shard: u32, indexes: &[u64]) -> Result<Vec<(u64, Bytes)>, DiskError> {
         let database = self.shared.database.read();
-        let transaction = opened(&database)?.begin_read().map_err(failed)?;
-        let table = transaction.open_table(PARTS).map_err(failed)?;
+        let transaction = opened(&database)?.begin_read().map_err(disk_error)?;
+        let table = transaction.open_table(ENTRY_CHUNKS).map_err(disk_error)?;
         let mut entries = Vec::with_capacity(indexes.len());
         for index in indexes {
-            if let Some(bytes) = parts::read(&table, shard, *index).map_err(failed)? {
+            if let Some(bytes) = chunked_entries::read(&table, shard, *index).map_err(disk_error)? {
                 entries.push((*index, bytes));
             }
         }
@@ -137,40 +140,42 @@
     /// Makes changes, all or none of them.
     pub fn commit(&self, writes: &[(u32, DiskWrite)]) -> Result<(), DiskError> {
         let database = self.shared.database.read();
-        let transaction = opened(&database)?.begin_write().map_err(failed)?;
+        let transaction = opened(&database)?.begin_write().map_err(disk_error)?;
         {
-            let mut entries = transaction.open_table(PARTS).map_err(failed)?;
+            let mut entries = transaction.open_table(ENTRY_CHUNKS).map_err(disk_error)?;
             let mut metas: BTreeMap<u32, &ShardMeta> = BTreeMap::new();
             for (shard, write) in writes {
                 match write {
                     DiskWrite::Meta(meta) => _ = metas.insert(*shard, meta),
-                    write => parts::apply(&mut entries, *shard, write).map_err(failed)?,
+                    write => {
+                        chunked_entries::apply(&mut entries, *shard, write).map_err(disk_error)?
+                    }
                 }
             }
-            let mut shards = transaction.open_table(SHARDS).map_err(failed)?;
+            let mut shards = transaction.open_table(SHARD_META).map_err(disk_error)?;
             for (shard, meta) in metas {
-                shards.insert(shard, &*encoded(meta)).map_err(failed)?;
+                shards.insert(shard, &*encoded(meta)).map_err(disk_error)?;
             }
         }
-        transaction.commit().map_err(failed)
+        transaction.commit().map_err(disk_error)
     }
 }
 
 fn opened(database: &Option<Database>) -> Result<&Database, DiskError> {
-    database
-        .as_ref()
-        .ok_or_else(|| DiskError::Refused("the file is closed after a failed commit".to_string()))
+    database.as_ref().ok_or_else(|| {
+        DiskError::Unavailable("the file is closed after a failed commit".to_string())
+    })
 }
 
 /// Writes and syncs some bytes, then takes them back.
 fn probe(database: &Database) -> Result<(), DiskError> {
     for bytes in [&[1; PROBE_BYTES][..], &[]] {
-        let transaction = database.begin_write().map_err(failed)?;
+        let transaction = database.begin_write().map_err(disk_error)?;
         transaction
             .open_table(PROBE)
             .and_then(|mut table| Ok(_ = table.insert((), bytes)?))
-            .map_err(failed)?;
-        transaction.commit().map_err(failed)?;
+            .map_err(disk_error)?;
+        transaction.commit().map_err(disk_error)?;
     }
     Ok(())
 }
--- a/crates/mintlb-control/src/store/driver.rs
+++ b/crates/mintlb-control/src/store/driver.rs
@@ -2,9 +2,9 @@
 
 use super::StoreError;
 use super::calls::Store;
-use super::disk::{LoadedShards, LotDisk};
+use super::commit_queue::CommitOutcome;
+use super::disk::{LoadedShards, ShardStorage};
 use super::file::DiskError;
-use super::writer::Committed;
 use mintlb_batch::replica::TICK_INTERVAL;
 use mintlb_common::placement::StoreId;
 use std::path::PathBuf;
@@ -15,24 +15,28 @@
 use tokio::time::{Interval, MissedTickBehavior, interval, sleep};
 
 /// The pause after the file could not be opened,
-const FIRST_PAUSE: Duration = Duration::from_millis(200);
+const INITIAL_BACKOFF: Duration = Duration::from_millis(200);
 /// twice as long after each further time, up to this.
-const LONGEST_PAUSE: Duration = Duration::from_millis(1000);
+const MAX_BACKOFF: Duration = Duration::from_millis(1000);
 
-type Reopening = JoinHandle<Result<LoadedShards, DiskError>>;
+type ReopenTask = JoinHandle<Result<LoadedShards, DiskError>>;
 
 /// What makes a store go on.
 pub struct Driver {
     store: Arc<Store>,
-    disk: LotDisk,
-    commits: UnboundedReceiver<Committed>,
-    reopening: Option<Reopening>,
+    disk: ShardStorage,
+    commits: UnboundedReceiver<CommitOutcome>,
+    reopening: Option<ReopenTask>,
     ticks: Interval,
 }
 
 impl Driver {
     /// A driver of a store with its disk and what comes of its commits.
-    pub fn new(store: Arc<Store>, disk: LotDisk, commits: UnboundedReceiver<Committed>) -> Driver {
+    pub fn new(
+        store: Arc<Store>,
+        disk: ShardStorage,
+        commits: UnboundedReceiver<CommitOutcome>,
+    ) -> Driver {
         let mut ticks = interval(TICK_INTERVAL);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         Driver {
@@ -52,7 +56,7 @@
                 Some(Ok(after)) => self.store.synced(after),
                 _ => self.suspend(),
             },
-            reopened = done(&mut self.reopening) => {
+            reopened = reopen_finished(&mut self.reopening) => {
                 self.reopening = None;
                 self.store.resume(reopened?);
                 log::info!("store: the disk takes bytes again, {} MB of lots", self.disk.file_bytes() >> 20);
@@ -67,13 +71,13 @@
         self.store.suspend();
         let disk = self.disk.clone();
         self.reopening = Some(tokio::spawn(async move {
-            when_possible(move || disk.reopen()).await
+            retry_while_unavailable(move || disk.reopen()).await
         }));
     }
 }
 
 /// The end of reopening; never, if that is not under way.
-async fn done(reopening: &mut Option<Reopening>) -> Result<LoadedShards, DiskError> {
+async fn reopen_finished(reopening: &mut Option<ReopenTask>) -> Result<LoadedShards, DiskError> {
     match reopening {
         Some(reopening) => reopening
             .await
@@ -83,29 +87,29 @@
 }
 
 /// Opens or makes the lots' file, as soon as the disk lets it.
-pub async fn open_when_possible(
+pub async fn open_with_retry(
     directory: PathBuf,
     new_id: StoreId,
-) -> Result<(LotDisk, LoadedShards), DiskError> {
-    when_possible(move || LotDisk::open(&directory, new_id)).await
+) -> Result<(ShardStorage, LoadedShards), DiskError> {
+    retry_while_unavailable(move || ShardStorage::open(&directory, new_id)).await
 }
 
 /// Tries until it is not the disk that refuses.
-async fn when_possible<T: Send + 'static>(
+async fn retry_while_unavailable<T: Send + 'static>(
     attempt: impl Fn() -> Result<T, DiskError> + Send + Sync + 'static,
 ) -> Result<T, DiskError> {
     let attempt = Arc::new(attempt);
-    let mut pause = FIRST_PAUSE;
+    let mut backoff = INITIAL_BACKOFF;
     loop {
         let next = attempt.clone();
         let outcome = spawn_blocking(move || next()).await;
         match outcome.unwrap_or_else(|error| Err(DiskError::Damaged(error.to_string()))) {
-            Err(DiskError::Refused(cause)) => {
+            Err(DiskError::Unavailable(cause)) => {
                 log::warn!("store: the disk does not take bytes: {cause}")
             }
             outcome => return outcome,
         }
-        sleep(pause).await;
-        pause = (pause * 2).min(LONGEST_PAUSE);
+        sleep(backoff).await;
+        backoff = (backoff * 2).min(MAX_BACKOFF);
     }
 }
--- a/crates/mintlb-control/src/store/heartbeats.rs
+++ b/crates/mintlb-control/src/store/heartbeats.rs
@@ -14,7 +14,7 @@
 use tokio::time::{sleep, timeout};
 
 /// Between two heartbeats at least.
-const LEAST_PAUSE: Duration = Duration::from_millis(10);
+const MIN_INTERVAL: Duration = Duration::from_millis(10);
 
 /// Tells for as long as the process runs.
 pub async fn run(
@@ -49,7 +49,7 @@
         timeout(HEARTBEAT_INTERVAL, store.report_changed().notified())
             .await
             .ok();
-        sleep(LEAST_PAUSE).await;
+        sleep(MIN_INTERVAL).await;
     }
 }
 
--- a/crates/mintlb-control/src/store/mod.rs
+++ b/crates/mintlb-control/src/store/mod.rs
@@ -2,26 +2,27 @@
 //! primary of.
 //!
 //! - [`file`]: how the file is made and opened; [`disk`]: its tables; [`parts`]: how entries
-//!   lie in them; [`writer`]: the thread that commits.
+//!   lie in them; [`commit_queue`]: the thread that commits.
 //! - [`driver`]: time, commits, and opening the file again after one has failed.
-//! - [`core`]: the replicas, their effects carried out.
+//! - [`shard_host`]: the replicas, their effects carried out.
 //! - [`calls`]: dispatchers' calls.
-//! - [`recent`]: entries that are still on their way to other replicas.
-//! - [`room`]: how much the disk has room for.
+//! - [`entry_cache`]: entries that are still on their way to other replicas.
+//! - [`capacity`]: how much the disk has room for.
 //! - [`heartbeats`]: what the controllers are told.
 
 pub mod calls;
-pub mod core;
+pub mod capacity;
+mod chunked_entries;
+pub mod commit_queue;
 pub mod disk;
 pub mod driver;
+pub mod entry_cache;
 pub mod file;
 pub mod heartbeats;
-mod parts;
-pub mod recent;
-pub mod room;
-pub mod writer;
+pub mod shard_host;
 
 use calls::{Store, StoreService};
+use commit_queue::{CommitQueue, OpenedStorage};
 use driver::Driver;
 use file::DiskError;
 use mintlb_batch::replica::ReplicaSettings;
@@ -36,17 +37,16 @@
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
-use writer::{Opened, Writer};
 
 /// How long an address that is still taken is tried again.
-const BIND_WITHIN: Duration = Duration::from_secs(5);
+const BIND_TIMEOUT: Duration = Duration::from_secs(5);
 /// The pause between two tries.
-const BIND_PAUSE: Duration = Duration::from_millis(100);
+const BIND_RETRY_INTERVAL: Duration = Duration::from_millis(100);
 /// How long a store that was told to stop goes on at most, until its shards have other primaries and its copies, if
 /// there is a successor, have moved.
-const HAND_OVER: Duration = Duration::from_millis(4000);
+const MAX_HANDOVER_TIME: Duration = Duration::from_millis(4000);
 /// How long it goes on at least: until then it hears whether its copies are moved.
-const LEAST_HAND_OVER: Duration = Duration::from_millis(800);
+const MIN_HANDOVER_TIME: Duration = Duration::from_millis(800);
 
 /// Why the store ended.
 #[derive(Debug, thiserror::Error)]
@@ -56,7 +56,7 @@
     NoDisk,
     /// The folder can't be used.
     #[error("M602 {0}")]
-    Folder(String),
+    Directory(String),
     /// The file was damaged or exchanged while it was in use: as another store it begins anew.
     #[error("M603 the lots' file: {0}")]
     File(DiskError),
@@ -76,7 +76,7 @@
 impl From<DiskError> for StoreError {
     fn from(error: DiskError) -> StoreError {
         match error {
-            DiskError::Folder(cause) => StoreError::Folder(cause),
+            DiskError::Directory(cause) => StoreError::Directory(cause),
             other => StoreError::File(other),
         }
     }
@@ -98,14 +98,14 @@
     let mut signals = Signals::install().map_err(StoreError::System)?;
     let directory = settings.data_directory.clone().ok_or(StoreError::NoDisk)?;
     let own = settings.internal_address(InternalPort::Store);
-    let draw =
+    let random_seed =
         RandomState::new().hash_one((own, &settings.node_name, std::time::SystemTime::now()));
-    let opening = driver::open_when_possible(directory.clone(), draw.max(1));
+    let opening = driver::open_with_retry(directory.clone(), random_seed.max(1));
     let (disk, shards) = tokio::select! {
         opened = opening => opened?,
         () = signals.shutdown_requested() => return Ok(()),
     };
-    let transport = bound(own).await?;
+    let transport = bind_with_retry(own).await?;
     log::info!(
         "store: {:x} at {own}, {} MB of lots",
         disk.id(),
@@ -117,24 +117,24 @@
         result_retention: settings.bounds.status_retention(),
     };
     let (committed, commits) = tokio::sync::mpsc::unbounded_channel();
-    let writer = Writer::start(disk.clone(), committed)?;
-    let opened = Opened {
+    let commit_queue = CommitQueue::start(disk.clone(), committed)?;
+    let opened = OpenedStorage {
         disk: disk.clone(),
-        writer: writer.clone(),
+        commit_queue: commit_queue.clone(),
         shards,
     };
-    let put_aside =
-        std::fs::metadata(directory.join(file::UNREADABLE_FILE)).map_or(0, |meta| meta.len());
+    let quarantined_bytes =
+        std::fs::metadata(directory.join(file::QUARANTINED_FILE)).map_or(0, |meta| meta.len());
     let disk_bytes =
-        (settings.limits.disk_mb.unwrap_or(u64::MAX >> 20) << 20).saturating_sub(put_aside);
+        (settings.limits.disk_mb.unwrap_or(u64::MAX >> 20) << 20).saturating_sub(quarantined_bytes);
     let store = Store::new(
         transport.clone(),
         opened,
         replica_settings,
         disk_bytes,
-        draw,
+        random_seed,
     );
-    let hand_over = HAND_OVER.min(Duration::from_secs_f64(
+    let handover_time = MAX_HANDOVER_TIME.min(Duration::from_secs_f64(
         settings.bounds.grace_period_s.clamp(0.0, 60.0) / 2.0,
     ));
     let gossip = join_gossip(&settings, &transport, &store);
@@ -149,16 +149,18 @@
         }
     }
     log::info!("store: told to stop");
-    store.leave();
-    let told = Instant::now();
-    let has_to_go_on = || {
-        told.elapsed() < LEAST_HAND_OVER.min(hand_over) || store.is_needed() || !writer.is_idle()
+    store.start_draining();
+    let shutdown_started = Instant::now();
+    let handover_unfinished = || {
+        shutdown_started.elapsed() < MIN_HANDOVER_TIME.min(handover_time)
+            || store.has_shards_to_hand_over()
+            || !commit_queue.is_idle()
     };
-    while told.elapsed() < hand_over && has_to_go_on() {
+    while shutdown_started.elapsed() < handover_time && handover_unfinished() {
         driver.step().await?;
     }
     // What is on its way to others gets there.
-    sleep(BIND_PAUSE).await;
+    sleep(BIND_RETRY_INTERVAL).await;
     Ok(())
 }
 
@@ -188,7 +190,7 @@
         }
         let Some(store) = store.upgrade() else { return };
         match minicbor::decode::<Placement>(&record.body) {
-            Ok(placement) => store.set_placement(placement),
+            Ok(placement) => store.apply_placement(placement),
             Err(error) => log::warn!("store: a placement can't be read: {error}"),
         }
     }));
@@ -196,15 +198,15 @@
 }
 
 /// Listens, trying again for a while: the process before may not have let go of the address yet.
-async fn bound(address: SocketAddr) -> Result<Arc<Transport>, StoreError> {
-    let deadline = Instant::now() + BIND_WITHIN;
+async fn bind_with_retry(address: SocketAddr) -> Result<Arc<Transport>, StoreError> {
+    let deadline = Instant::now() + BIND_TIMEOUT;
     loop {
         match Transport::start(address).await {
             Ok(transport) => return Ok(transport),
             Err(cause) if Instant::now() > deadline => {
                 return Err(StoreError::Listen { address, cause });
             }
-            Err(_) => sleep(BIND_PAUSE).await,
+            Err(_) => sleep(BIND_RETRY_INTERVAL).await,
         }
     }
 }
--- a/crates/mintlb-control/src/store/core.rs
+++ b/crates/mintlb-control/src/store/shard_host.rs
@@ -1,8 +1,8 @@
 //! The replicas of all shards, with their effects carried out.
 
-use super::disk::{LoadedShards, LotDisk};
-use super::recent::Recent;
-use super::writer::{Opened, Writer};
+use super::commit_queue::{CommitQueue, OpenedStorage};
+use super::disk::{LoadedShards, ShardStorage};
+use super::entry_cache::EntryCache;
 use bytes::Bytes;
 use mintlb_batch::framing;
 use mintlb_batch::heartbeat::ShardReport;
@@ -19,31 +19,31 @@
 
 /// Calls of a shard that wait.
 #[derive(Default)]
-struct Waiting {
+struct PendingCalls {
     /// For the commit of an index. They are told whether it came about.
-    commits: BTreeMap<u64, Vec<oneshot::Sender<bool>>>,
+    commit_waiters: BTreeMap<u64, Vec<oneshot::Sender<bool>>>,
     /// Results on their way, by index, with their lots.
-    results: VecDeque<(u64, u64)>,
+    pending_results: VecDeque<(u64, u64)>,
     /// Readers of a lot that wait for its next result.
-    readers: FxHashMap<u64, Vec<oneshot::Sender<()>>>,
+    result_waiters: FxHashMap<u64, Vec<oneshot::Sender<()>>>,
     /// Readers that wait for a confirmation.
-    confirmations: Vec<oneshot::Sender<()>>,
+    confirmation_waiters: Vec<oneshot::Sender<()>>,
 }
 
-impl Waiting {
-    fn forget_readers_that_left(&mut self) {
-        self.readers.retain(|_, readers| {
-            readers.retain(|reader| !reader.is_closed());
-            !readers.is_empty()
+impl PendingCalls {
+    fn remove_abandoned_readers(&mut self) {
+        self.result_waiters.retain(|_, result_waiters| {
+            result_waiters.retain(|reader| !reader.is_closed());
+            !result_waiters.is_empty()
         });
     }
 }
 
 /// The replicas and what they need.
-pub struct Core {
+pub struct ShardHost {
     replicas: Vec<Replica>,
-    waiting: Vec<Waiting>,
-    recent: Recent,
+    pending_calls: Vec<PendingCalls>,
+    entry_cache: EntryCache,
     settings: ReplicaSettings,
     /// A commit failed and what is on disk is not known: nothing is promised, told or taken.
     suspended: bool,
@@ -51,61 +51,61 @@
     addresses: FxHashMap<StoreId, SocketAddr>,
     transport: Arc<Transport>,
     /// The file.
-    pub disk: LotDisk,
+    pub disk: ShardStorage,
     /// Its thread.
-    pub writer: Writer,
+    pub commit_queue: CommitQueue,
     /// Told when a report has changed.
     pub report_changed: Arc<Notify>,
 }
 
-impl Core {
+impl ShardHost {
     /// Replicas with what the disk held.
     pub fn new(
         transport: Arc<Transport>,
-        opened: Opened,
+        opened: OpenedStorage,
         settings: ReplicaSettings,
         now: Timestamp,
-    ) -> Core {
-        Core {
-            replicas: load(opened.shards, settings, now),
-            waiting: no_calls(),
-            recent: Recent::default(),
+    ) -> ShardHost {
+        ShardHost {
+            replicas: load_replicas(opened.shards, settings, now),
+            pending_calls: no_pending_calls(),
+            entry_cache: EntryCache::default(),
             settings,
             suspended: false,
             placement: Placement::default(),
             addresses: FxHashMap::default(),
             transport,
             disk: opened.disk,
-            writer: opened.writer,
+            commit_queue: opened.commit_queue,
             report_changed: Arc::new(Notify::new()),
         }
     }
 
     /// What is on disk is not known any more: all calls that wait are answered as unsure, and no replica says
-    /// anything until [`Core::resume`]. To the others it is as if the process had ended.
+    /// anything until [`ShardHost::resume`]. To the others it is as if the process had ended.
     pub fn suspend(&mut self, now: Timestamp) {
         self.suspended = true;
-        self.replicas = load(LoadedShards::new(), self.settings, now);
-        self.waiting = no_calls();
-        self.recent = Recent::default();
+        self.replicas = load_replicas(LoadedShards::new(), self.settings, now);
+        self.pending_calls = no_pending_calls();
+        self.entry_cache = EntryCache::default();
     }
 
     /// Goes on with what the disk holds, like a process that starts.
     pub fn resume(&mut self, shards: LoadedShards, now: Timestamp) {
-        self.replicas = load(shards, self.settings, now);
-        self.writer.resume();
+        self.replicas = load_replicas(shards, self.settings, now);
+        self.commit_queue.resume();
         self.suspended = false;
         for (shard, assignment) in (0..SHARD_COUNT).zip(std::mem::take(&mut self.placement.shards))
         {
             self.replica(shard).set_assignment(&assignment, now);
-            self.act(shard, now);
+            self.run_effects(shard, now);
             self.placement.shards.push(assignment);
         }
     }
 
     /// Whether the disk is of no use at this time: what is on it is not known, or it answers nothing.
     pub fn is_without_disk(&self, now: std::time::Instant) -> bool {
-        self.suspended || self.writer.is_stalled(now)
+        self.suspended || self.commit_queue.is_stalled(now)
     }
 
     /// Whether what is on disk is not known.
@@ -113,7 +113,7 @@
         self.suspended
     }
 
-    /// A shard's replica. Call [`Core::act`] after a change.
+    /// A shard's replica. Call [`ShardHost::run_effects`] after a change.
     pub fn replica(&mut self, shard: u32) -> &mut Replica {
         &mut self.replicas[shard as usize]
     }
@@ -129,7 +129,7 @@
     }
 
     /// Goes by this placement from now on.
-    pub fn set_placement(&mut self, placement: Placement, now: Timestamp) {
+    pub fn apply_placement(&mut self, placement: Placement, now: Timestamp) {
         if placement.epoch <= self.placement.epoch {
             return;
         }
@@ -143,7 +143,7 @@
                 break;
             }
             self.replica(shard).set_assignment(assignment, now);
-            self.act(shard, now);
+            self.run_effects(shard, now);
         }
         self.placement = placement;
     }
@@ -151,11 +151,14 @@
     /// A message of another store's replica.
     pub fn message(&mut self, envelope: Envelope, raw: Bytes, now: Timestamp) {
         let shard = envelope.shard;
-        if self.suspended || shard >= SHARD_COUNT || (!raw.is_empty() && self.writer.is_full()) {
+        if self.suspended
+            || shard >= SHARD_COUNT
+            || (!raw.is_empty() && self.commit_queue.is_full())
+        {
             return;
         }
         self.replica(shard).on_message(envelope, raw, now);
-        self.act(shard, now);
+        self.run_effects(shard, now);
     }
 
     /// What follows a commit.
@@ -165,7 +168,7 @@
         }
         for (shard, after) in after {
             self.replica(shard).on_synced(after, now);
-            self.act(shard, now);
+            self.run_effects(shard, now);
         }
     }
 
@@ -176,11 +179,11 @@
         }
         for shard in 0..SHARD_COUNT {
             self.replica(shard).tick(now);
-            self.act(shard, now);
+            self.run_effects(shard, now);
         }
-        self.waiting
+        self.pending_calls
             .iter_mut()
-            .for_each(Waiting::forget_readers_that_left);
+            .for_each(PendingCalls::remove_abandoned_readers);
     }
 
     /// What the controllers are told.
@@ -189,49 +192,54 @@
     }
 
     /// Waits for the commit of an index; told `false` if it can't be told any more whether it comes about.
-    pub fn wait_commit(&mut self, shard: u32, index: u64) -> oneshot::Receiver<bool> {
-        let (told, receiver) = oneshot::channel();
-        self.waiting[shard as usize]
-            .commits
+    pub fn wait_for_commit(&mut self, shard: u32, index: u64) -> oneshot::Receiver<bool> {
+        let (waiter, receiver) = oneshot::channel();
+        self.pending_calls[shard as usize]
+            .commit_waiters
             .entry(index)
             .or_default()
-            .push(told);
+            .push(waiter);
         receiver
     }
 
     /// Wakes the lot's readers once the result at this index is committed.
-    pub fn result_on_its_way(&mut self, shard: u32, index: u64, job: u64) {
-        self.waiting[shard as usize].results.push_back((index, job));
+    pub fn track_pending_result(&mut self, shard: u32, index: u64, job: u64) {
+        self.pending_calls[shard as usize]
+            .pending_results
+            .push_back((index, job));
     }
 
     /// Waits for the next result of a lot.
-    pub fn wait_result(&mut self, shard: u32, job: u64) -> oneshot::Receiver<()> {
-        let (told, receiver) = oneshot::channel();
-        let readers = self.waiting[shard as usize].readers.entry(job).or_default();
-        readers.retain(|reader| !reader.is_closed());
-        readers.push(told);
+    pub fn wait_for_result(&mut self, shard: u32, job: u64) -> oneshot::Receiver<()> {
+        let (waiter, receiver) = oneshot::channel();
+        let result_waiters = self.pending_calls[shard as usize]
+            .result_waiters
+            .entry(job)
+            .or_default();
+        result_waiters.retain(|reader| !reader.is_closed());
+        result_waiters.push(waiter);
         receiver
     }
 
     /// Lots that readers wait for.
-    pub fn lots_waited_for(&self) -> usize {
-        self.waiting
+    pub fn jobs_with_waiting_readers(&self) -> usize {
+        self.pending_calls
             .iter()
-            .map(|waiting| waiting.readers.len())
+            .map(|pending_calls| pending_calls.result_waiters.len())
             .sum()
     }
 
     /// Waits for a sign of the followers.
-    pub fn wait_confirmation(&mut self, shard: u32) -> oneshot::Receiver<()> {
-        let (told, receiver) = oneshot::channel();
-        let waiting = &mut self.waiting[shard as usize].confirmations;
-        waiting.retain(|reader| !reader.is_closed());
-        waiting.push(told);
+    pub fn wait_for_confirmation(&mut self, shard: u32) -> oneshot::Receiver<()> {
+        let (waiter, receiver) = oneshot::channel();
+        let pending_calls = &mut self.pending_calls[shard as usize].confirmation_waiters;
+        pending_calls.retain(|reader| !reader.is_closed());
+        pending_calls.push(waiter);
         receiver
     }
 
     /// Carries out what a replica asks for.
-    pub fn act(&mut self, shard: u32, now: Timestamp) {
+    pub fn run_effects(&mut self, shard: u32, now: Timestamp) {
         loop {
             let effects = self.replica(shard).take_effects();
             if effects.is_empty() {
@@ -244,25 +252,25 @@
                         if let DiskWrite::Put(index, bytes) = &write
                             && self.replicas[shard as usize].is_primary()
                         {
-                            self.recent.put(shard, *index, bytes.clone());
+                            self.entry_cache.insert(shard, *index, bytes.clone());
                         }
                         writes.push(write);
                     }
                     Effect::AfterSync(next) => after.push(next),
                     Effect::Send(envelope) => self.send(&envelope, &[]),
                     Effect::SendEntries(envelope, indexes) => self.send_entries(envelope, &indexes),
-                    Effect::Committed(through) => self.committed(shard, through),
-                    Effect::Confirmed => self.confirmed(shard),
-                    Effect::SteppedDown => self.stepped_down(shard),
+                    Effect::Committed(through) => self.notify_committed(shard, through),
+                    Effect::Confirmed => self.notify_confirmed(shard),
+                    Effect::SteppedDown => self.abandon_calls(shard),
                     Effect::ReportChanged => self.report_changed.notify_one(),
-                    Effect::Replicated(through) => self.recent.drop_through(shard, through),
+                    Effect::Replicated(through) => self.entry_cache.evict_through(shard, through),
                 }
             }
             if writes.is_empty() && after.is_empty() {
                 continue;
             }
-            if let Err(at_once) = self.writer.write(shard, writes, after) {
-                at_once
+            if let Err(completed) = self.commit_queue.enqueue(shard, writes, after) {
+                completed
                     .into_iter()
                     .for_each(|after| self.replica(shard).on_synced(after, now));
             }
@@ -298,16 +306,16 @@
 
     /// Entries that are on disk. `None` if the disk can't be read.
     pub fn read(&self, shard: u32, indexes: &[u64]) -> Option<Vec<(u64, Bytes)>> {
-        let recent: Vec<(u64, Bytes)> = indexes
+        let entry_cache: Vec<(u64, Bytes)> = indexes
             .iter()
             .map_while(|index| {
-                self.recent
+                self.entry_cache
                     .get(shard, *index)
                     .map(|bytes| (*index, bytes.clone()))
             })
             .collect();
-        if recent.len() == indexes.len() {
-            return Some(recent);
+        if entry_cache.len() == indexes.len() {
+            return Some(entry_cache);
         }
         match self.disk.read(shard, indexes) {
             Ok(entries) => Some(entries),
@@ -318,42 +326,54 @@
         }
     }
 
-    fn committed(&mut self, shard: u32, through: u64) {
-        let waiting = &mut self.waiting[shard as usize];
-        while let Some(first) = waiting
-            .commits
+    fn notify_committed(&mut self, shard: u32, through: u64) {
+        let pending_calls = &mut self.pending_calls[shard as usize];
+        while let Some(first) = pending_calls
+            .commit_waiters
             .first_entry()
             .filter(|entry| *entry.key() <= through)
         {
             first
                 .remove()
                 .into_iter()
-                .for_each(|told| _ = told.send(true));
+                .for_each(|waiter| _ = waiter.send(true));
         }
-        while waiting
-            .results
+        while pending_calls
+            .pending_results
             .front()
             .is_some_and(|(index, _)| *index <= through)
-            && let Some((_, job)) = waiting.results.pop_front()
+            && let Some((_, job)) = pending_calls.pending_results.pop_front()
         {
-            let readers = waiting.readers.remove(&job).unwrap_or_default();
-            readers.into_iter().for_each(|told| _ = told.send(()));
+            let result_waiters = pending_calls
+                .result_waiters
+                .remove(&job)
+                .unwrap_or_default();
+            result_waiters
+                .into_iter()
+                .for_each(|waiter| _ = waiter.send(()));
         }
     }
 
-    fn confirmed(&mut self, shard: u32) {
-        let waiting = std::mem::take(&mut self.waiting[shard as usize].confirmations);
-        waiting.into_iter().for_each(|told| _ = told.send(()));
+    fn notify_confirmed(&mut self, shard: u32) {
+        let pending_calls =
+            std::mem::take(&mut self.pending_calls[shard as usize].confirmation_waiters);
+        pending_calls
+            .into_iter()
+            .for_each(|waiter| _ = waiter.send(()));
     }
 
     /// What waited is answered as unsure, as dropped senders tell.
-    fn stepped_down(&mut self, shard: u32) {
-        self.waiting[shard as usize] = Waiting::default();
-        self.recent.drop_through(shard, u64::MAX);
+    fn abandon_calls(&mut self, shard: u32) {
+        self.pending_calls[shard as usize] = PendingCalls::default();
+        self.entry_cache.evict_through(shard, u64::MAX);
     }
 }
 
-fn load(mut shards: LoadedShards, settings: ReplicaSettings, now: Timestamp) -> Vec<Replica> {
+fn load_replicas(
+    mut shards: LoadedShards,
+    settings: ReplicaSettings,
+    now: Timestamp,
+) -> Vec<Replica> {
     let replicas = (0..SHARD_COUNT).map(|shard| {
         let loaded = shards.remove(&shard).unwrap_or_default();
         Replica::load(
@@ -367,6 +387,6 @@
     replicas.collect()
 }
 
-fn no_calls() -> Vec<Waiting> {
-    (0..SHARD_COUNT).map(|_| Waiting::default()).collect()
+fn no_pending_calls() -> Vec<PendingCalls> {
+    (0..SHARD_COUNT).map(|_| PendingCalls::default()).collect()
 }
--- a/crates/mintlb-control/tests/error_numbers.rs
+++ b/crates/mintlb-control/tests/error_numbers.rs
@@ -17,8 +17,8 @@
 fn errors_are_worded_as_written_down() {
     let address: SocketAddr = "10.0.0.1:7001".parse().unwrap();
     let damaged = || DiskError::Damaged("the cause".to_string());
-    let refused = || DiskError::Refused("the cause".to_string());
-    let folder = || DiskError::Folder("the cause".to_string());
+    let refused = || DiskError::Unavailable("the cause".to_string());
+    let folder = || DiskError::Directory("the cause".to_string());
     let texts = [
         ControllerError::NoAddress.to_string(),
         ControllerError::Listen {
@@ -36,7 +36,7 @@
         ControllerError::Damaged("the cause".to_string()).to_string(),
         Unavailable.to_string(),
         StoreError::NoDisk.to_string(),
-        StoreError::Folder("the cause".to_string()).to_string(),
+        StoreError::Directory("the cause".to_string()).to_string(),
         StoreError::from(folder()).to_string(),
         StoreError::from(damaged()).to_string(),
         StoreError::from(refused()).to_string(),
--- a/crates/mintlb-control/tests/faulty_file/mod.rs
+++ b/crates/mintlb-control/tests/faulty_file/mod.rs
@@ -1,7 +1,7 @@
 //! Files of a disk that may be full, and that may lose power: what was not synced is then kept, lost or torn.
 #![allow(dead_code)]
 
-use mintlb_control::store::file::{CACHE_BYTES, OpenDatabase};
+use mintlb_control::store::file::{CACHE_BYTES, DatabaseOpener};
 use parking_lot::{Condvar, Mutex};
 use redb::backends::FileBackend;
 use redb::{Database, StorageBackend};
@@ -38,7 +38,7 @@
 
 impl Disk {
     /// How a store opens its file on this disk.
-    pub fn opener(&self) -> OpenDatabase {
+    pub fn opener(&self) -> DatabaseOpener {
         let disk = self.clone();
         Arc::new(move |path| {
             let mut options = std::fs::OpenOptions::new();
--- a/crates/mintlb-control/tests/store_cluster.rs
+++ b/crates/mintlb-control/tests/store_cluster.rs
@@ -119,8 +119,8 @@
 
     cluster.nodes[0].task.abort();
     let taken_over = placement(&cluster.nodes, 2, &[1, 2, 0], &[0, 1, 2]);
-    cluster.nodes[1].store.set_placement(taken_over.clone());
-    cluster.nodes[2].store.set_placement(taken_over);
+    cluster.nodes[1].store.apply_placement(taken_over.clone());
+    cluster.nodes[2].store.apply_placement(taken_over);
     cluster.wait_until_active(1, 2).await;
     let settled = placement(&cluster.nodes, 2, &[1, 2, 0], &[]);
     cluster.place(Placement {
@@ -186,7 +186,7 @@
     }
     let mut ticks = tokio::time::interval(Duration::from_millis(10));
     let none = async {
-        while cluster.nodes[0].store.lots_waited_for() > 0 {
+        while cluster.nodes[0].store.jobs_with_waiting_readers() > 0 {
             _ = ticks.tick().await
         }
     };
@@ -194,7 +194,7 @@
     assert!(
         left.is_ok(),
         "{} lots are waited for",
-        cluster.nodes[0].store.lots_waited_for()
+        cluster.nodes[0].store.jobs_with_waiting_readers()
     );
 }
 
@@ -202,16 +202,19 @@
 async fn a_store_is_needed_until_its_copies_have_moved() {
     let cluster = Cluster::start(4).await;
     cluster.place(placement(&cluster.nodes, 1, &[0, 1, 2], &[]));
-    let is_needed = |node: usize| cluster.nodes[node].store.is_needed();
-    assert!(is_needed(0) && !is_needed(2), "the primary is");
+    let has_shards_to_hand_over = |node: usize| cluster.nodes[node].store.has_shards_to_hand_over();
+    assert!(
+        has_shards_to_hand_over(0) && !has_shards_to_hand_over(2),
+        "the primary is"
+    );
     // The third one's copies move to the fourth: while the takeover may have to read it, it goes on.
     cluster.place(placement(&cluster.nodes, 2, &[0, 1, 3], &[0, 1, 2]));
-    assert!(is_needed(2));
+    assert!(has_shards_to_hand_over(2));
     cluster.wait_until_active(0, 2).await;
     let settled = placement(&cluster.nodes, 2, &[0, 1, 3], &[]);
     cluster.place(Placement {
         epoch: 3,
         ..settled
     });
-    assert!(!is_needed(2));
+    assert!(!has_shards_to_hand_over(2));
 }
--- a/crates/mintlb-control/tests/store_disk.rs
+++ b/crates/mintlb-control/tests/store_disk.rs
@@ -8,10 +8,10 @@
 use mintlb_batch::epoch_history::EpochHistory;
 use mintlb_batch::framing;
 use mintlb_batch::replica::{AfterSync, DiskWrite, ShardMeta};
-use mintlb_control::store::disk::LotDisk;
-use mintlb_control::store::file::FILE;
-use mintlb_control::store::room::longest_file;
-use mintlb_control::store::writer::Writer;
+use mintlb_control::store::capacity::max_file_bytes;
+use mintlb_control::store::commit_queue::CommitQueue;
+use mintlb_control::store::disk::ShardStorage;
+use mintlb_control::store::file::FILE_NAME;
 use std::path::Path;
 use std::time::{Duration, Instant};
 
@@ -35,8 +35,8 @@
     framing::encode(&Entry::EpochStart, &[])
 }
 
-fn open(directory: &Path) -> (LotDisk, Vec<(u32, ShardMeta, Vec<u64>)>) {
-    let (disk, shards) = LotDisk::open(directory, 77).unwrap();
+fn open(directory: &Path) -> (ShardStorage, Vec<(u32, ShardMeta, Vec<u64>)>) {
+    let (disk, shards) = ShardStorage::open(directory, 77).unwrap();
     let shards = shards
         .into_iter()
         .map(|(shard, loaded)| {
@@ -84,7 +84,7 @@
     ])
     .unwrap();
     drop(disk);
-    let (disk, shards) = LotDisk::open(directory.path(), 78).unwrap();
+    let (disk, shards) = ShardStorage::open(directory.path(), 78).unwrap();
     assert_eq!(disk.id(), 77, "the identity is drawn once");
     let indexes = |shard: u32| {
         shards
@@ -106,7 +106,7 @@
     assert_eq!(disk.read(0, &[1, 2]).unwrap(), vec![(1, job(&[7; 3000]))]);
     disk.commit(&[(0, DiskWrite::Strip(vec![1, 2]))]).unwrap();
     drop(disk);
-    let (_, shards) = LotDisk::open(directory.path(), 1).unwrap();
+    let (_, shards) = ShardStorage::open(directory.path(), 1).unwrap();
     let (index, entry, length, raw) = &shards[&0].entries[0];
     let (expected, _) = framing::decode::<Entry>(&job(&[7; 3000])).unwrap();
     assert_eq!((*index, entry, *raw), (1, &expected, 0));
@@ -117,8 +117,8 @@
 fn a_damaged_file_is_another_store() {
     let directory = tempfile::tempdir().unwrap();
     drop(open(directory.path()));
-    std::fs::write(directory.path().join(FILE), [1; 20_000]).unwrap();
-    let (disk, shards) = LotDisk::open(directory.path(), 99).unwrap();
+    std::fs::write(directory.path().join(FILE_NAME), [1; 20_000]).unwrap();
+    let (disk, shards) = ShardStorage::open(directory.path(), 99).unwrap();
     assert_eq!((disk.id(), shards.len()), (99, 0));
 }
 
@@ -127,16 +127,16 @@
     let directory = tempfile::tempdir().unwrap();
     let (disk, _) = open(directory.path());
     let (committed, mut commits) = tokio::sync::mpsc::unbounded_channel();
-    let writer = Writer::start(disk.clone(), committed).unwrap();
+    let commit_queue = CommitQueue::start(disk.clone(), committed).unwrap();
     let follows = |through| AfterSync::LogPersisted { epoch: 1, through };
     assert_eq!(
-        writer.write(3, Vec::new(), vec![follows(0)]),
+        commit_queue.enqueue(3, Vec::new(), vec![follows(0)]),
         Err(vec![follows(0)]),
         "nothing to wait for"
     );
     for index in 1..=50 {
-        writer
-            .write(
+        commit_queue
+            .enqueue(
                 3,
                 vec![DiskWrite::Put(index, begin())],
                 vec![follows(index)],
@@ -144,8 +144,8 @@
             .unwrap();
     }
     // It may have nothing to wait for any more.
-    let mut last = writer
-        .write(3, Vec::new(), vec![follows(51)])
+    let mut last = commit_queue
+        .enqueue(3, Vec::new(), vec![follows(51)])
         .err()
         .unwrap_or_default();
     let mut followed = Vec::new();
@@ -169,39 +169,39 @@
 /// Seen on a disk of 130 MB: a file of 34 MB was taken to reach 130, it reached 68 and the next commit failed.
 #[test]
 fn a_file_that_doubles_never_reaches_what_lies_between() {
-    let megabytes = |file: u64, disk: u64| longest_file(file << 20, disk << 20) >> 20;
+    let megabytes = |file: u64, disk: u64| max_file_bytes(file << 20, disk << 20) >> 20;
     assert_eq!(megabytes(34, 130), 68);
     assert_eq!(megabytes(68, 130), 68);
     assert_eq!(megabytes(8, 130), 128);
     assert_eq!(megabytes(140, 130), 140);
-    assert_eq!(longest_file(0, 0), 1);
+    assert_eq!(max_file_bytes(0, 0), 1);
 }
 
 #[tokio::test]
 async fn a_disk_that_answers_nothing_counts_as_gone() {
     let directory = tempfile::tempdir().unwrap();
     let faulty = Disk::default();
-    let (disk, _) = LotDisk::open_by(faulty.opener(), directory.path(), 77).unwrap();
+    let (disk, _) = ShardStorage::open_by(faulty.opener(), directory.path(), 77).unwrap();
     let (committed, mut commits) = tokio::sync::mpsc::unbounded_channel();
-    let writer = Writer::start(disk, committed).unwrap();
+    let commit_queue = CommitQueue::start(disk, committed).unwrap();
     let later = |seconds: u64| Instant::now() + Duration::from_secs(seconds);
-    assert!(!writer.is_stalled(later(60)), "nothing is under way");
+    assert!(!commit_queue.is_stalled(later(60)), "nothing is under way");
     faulty.set_stalled(true);
-    writer
-        .write(3, vec![DiskWrite::Put(1, begin())], Vec::new())
+    commit_queue
+        .enqueue(3, vec![DiskWrite::Put(1, begin())], Vec::new())
         .unwrap();
     // The thread begins it when it likes.
     let stalled = async {
-        while !writer.is_stalled(later(2)) {
+        while !commit_queue.is_stalled(later(2)) {
             tokio::task::yield_now().await;
         }
     };
     let noticed = tokio::time::timeout(Duration::from_secs(5), stalled).await;
     assert!(noticed.is_ok(), "the stall is not noticed");
-    assert!(!writer.is_stalled(Instant::now()));
+    assert!(!commit_queue.is_stalled(Instant::now()));
     faulty.set_stalled(false);
     commits.recv().await.unwrap().unwrap();
-    assert!(!writer.is_stalled(later(60)));
+    assert!(!commit_queue.is_stalled(later(60)));
 }
 
 #[test]
@@ -238,7 +238,7 @@
         let whole: redb::TableDefinition<(u32, u64), &[u8]> = redb::TableDefinition::new("entries");
         let parts: redb::TableDefinition<(u32, u64, u16), &[u8]> =
             redb::TableDefinition::new("parts");
-        let database = redb::Database::open(directory.path().join(FILE)).unwrap();
+        let database = redb::Database::open(directory.path().join(FILE_NAME)).unwrap();
         let transaction = database.begin_write().unwrap();
         transaction.delete_table(parts).unwrap();
         transaction
--- a/crates/mintlb-control/tests/store_disk_fixture.rs
+++ b/crates/mintlb-control/tests/store_disk_fixture.rs
@@ -9,7 +9,7 @@
 
 use mintlb_batch::entry::ItemState;
 use mintlb_batch::replica::Replica;
-use mintlb_control::store::disk::LotDisk;
+use mintlb_control::store::disk::ShardStorage;
 use std::path::Path;
 
 /// What a replica knows of its shard, a line each.
@@ -67,7 +67,7 @@
 }
 
 /// The entries of a shard as the program reads them, with their bytes.
-fn entries(disk: &LotDisk, shard: u32) -> Vec<String> {
+fn entries(disk: &ShardStorage, shard: u32) -> Vec<String> {
     let indexes: Vec<u64> = (0..20).collect();
     let read = disk.read(shard, &indexes).unwrap().into_iter();
     read.map(|(index, bytes)| format!("{shard} {index} {}", store_fixture::hex(&bytes)))
@@ -111,7 +111,7 @@
 #[test]
 fn the_program_finds_its_lots_again() {
     let directory = copied();
-    let (disk, mut shards) = LotDisk::open(directory.path(), 1).unwrap();
+    let (disk, mut shards) = ShardStorage::open(directory.path(), 1).unwrap();
     assert_eq!(
         disk.id(),
         store_fixture::IDENTITY,
@@ -171,7 +171,7 @@
 fn a_damaged_file_is_kept_by_its_name() {
     let directory = tempfile::tempdir().unwrap();
     std::fs::write(directory.path().join("lots.redb"), [1; 20_000]).unwrap();
-    LotDisk::open(directory.path(), 1).unwrap();
+    ShardStorage::open(directory.path(), 1).unwrap();
     let mut names = names(directory.path());
     names.sort();
     assert_eq!(names, ["lots.redb", "lots.redb.unreadable"]);
--- a/crates/mintlb-control/tests/store_faults.rs
+++ b/crates/mintlb-control/tests/store_faults.rs
@@ -7,8 +7,8 @@
 use mintlb_batch::entry::{Entry, ItemState};
 use mintlb_batch::framing;
 use mintlb_batch::replica::DiskWrite;
-use mintlb_control::store::disk::{LoadedShards, LotDisk};
-use mintlb_control::store::file::{DiskError, FILE, UNREADABLE_FILE};
+use mintlb_control::store::disk::{LoadedShards, ShardStorage};
+use mintlb_control::store::file::{DiskError, FILE_NAME, QUARANTINED_FILE};
 use std::collections::BTreeMap;
 use std::path::Path;
 
@@ -39,12 +39,12 @@
 /// A file as a process that was killed leaves it: not closed in order.
 fn killed_store(directory: &Path) -> BTreeMap<u64, u64> {
     let copy = directory.join("copy");
-    let (disk, _) = LotDisk::open(directory, 77).unwrap();
+    let (disk, _) = ShardStorage::open(directory, 77).unwrap();
     disk.commit(&[(SHARD, DiskWrite::Put(1, result(&[7; 3000])))])
         .unwrap();
-    std::fs::copy(directory.join(FILE), &copy).unwrap();
+    std::fs::copy(directory.join(FILE_NAME), &copy).unwrap();
     drop(disk);
-    std::fs::rename(copy, directory.join(FILE)).unwrap();
+    std::fs::rename(copy, directory.join(FILE_NAME)).unwrap();
     BTreeMap::from([(1, result(&[7; 3000]).len() as u64)])
 }
 
@@ -55,17 +55,17 @@
     let disk = Disk::default();
     disk.set_full(true);
     for _ in 0..3 {
-        let refused = LotDisk::open_by(disk.opener(), directory.path(), 99);
+        let refused = ShardStorage::open_by(disk.opener(), directory.path(), 99);
         assert!(
-            matches!(refused, Err(DiskError::Refused(_))),
+            matches!(refused, Err(DiskError::Unavailable(_))),
             "{:?}",
             refused.err()
         );
-        assert!(directory.path().join(FILE).exists());
-        assert!(!directory.path().join(UNREADABLE_FILE).exists());
+        assert!(directory.path().join(FILE_NAME).exists());
+        assert!(!directory.path().join(QUARANTINED_FILE).exists());
     }
     disk.set_full(false);
-    let (opened, shards) = LotDisk::open_by(disk.opener(), directory.path(), 99).unwrap();
+    let (opened, shards) = ShardStorage::open_by(disk.opener(), directory.path(), 99).unwrap();
     assert_eq!((opened.id(), held(&shards)), (77, expected));
 }
 
@@ -74,20 +74,20 @@
     let directory = tempfile::tempdir().unwrap();
     let disk = Disk::default();
     disk.set_full(true);
-    let refused = LotDisk::open_by(disk.opener(), directory.path(), 5);
+    let refused = ShardStorage::open_by(disk.opener(), directory.path(), 5);
     assert!(
-        matches!(refused, Err(DiskError::Refused(_))),
+        matches!(refused, Err(DiskError::Unavailable(_))),
         "{:?}",
         refused.err()
     );
     disk.set_full(false);
-    let (opened, _) = LotDisk::open_by(disk.opener(), directory.path(), 6).unwrap();
+    let (opened, _) = ShardStorage::open_by(disk.opener(), directory.path(), 6).unwrap();
     assert_eq!(opened.id(), 6);
     drop(opened);
     std::fs::write(directory.path().join("file"), []).unwrap();
-    let refused = LotDisk::open(&directory.path().join("file"), 7);
+    let refused = ShardStorage::open(&directory.path().join("file"), 7);
     assert!(
-        matches!(refused, Err(DiskError::Folder(_))),
+        matches!(refused, Err(DiskError::Directory(_))),
         "{:?}",
         refused.err()
     );
@@ -97,7 +97,7 @@
 fn after_a_failed_commit_the_file_says_what_is_there() {
     let directory = tempfile::tempdir().unwrap();
     let disk = Disk::default();
-    let (opened, _) = LotDisk::open_by(disk.opener(), directory.path(), 77).unwrap();
+    let (opened, _) = ShardStorage::open_by(disk.opener(), directory.path(), 77).unwrap();
     let put = |index: u64| [(SHARD, DiskWrite::Put(index, result(&[index as u8; 9000])))];
     opened.commit(&put(1)).unwrap();
     disk.set_full(true);
@@ -112,7 +112,7 @@
     disk.set_full(true);
     let refused = opened.reopen();
     assert!(
-        matches!(refused, Err(DiskError::Refused(_))),
+        matches!(refused, Err(DiskError::Unavailable(_))),
         "{:?}",
         refused.err()
     );
@@ -155,15 +155,15 @@
     for seed in 0..12 {
         let mut random = fastrand::Rng::with_seed(seed);
         let directory = tempfile::tempdir().unwrap();
-        let path = directory.path().join(FILE);
+        let path = directory.path().join(FILE_NAME);
         let disk = Disk::default();
-        drop(LotDisk::open_by(disk.opener(), directory.path(), 77).unwrap());
+        drop(ShardStorage::open_by(disk.opener(), directory.path(), 77).unwrap());
         // What was committed, and what is on disk if the commit under way got there.
         let (mut sure, mut next) = (BTreeMap::new(), BTreeMap::new());
         for _ in 0..8 {
             disk.fail_after(Some(random.u64(0..80)));
-            match LotDisk::open_by(disk.opener(), directory.path(), 99) {
-                Err(DiskError::Refused(_)) => at_open += 1,
+            match ShardStorage::open_by(disk.opener(), directory.path(), 99) {
+                Err(DiskError::Unavailable(_)) => at_open += 1,
                 Err(other) => panic!("seed {seed}: {other}"),
                 Ok((opened, shards)) => {
                     assert_eq!(opened.id(), 77, "seed {seed}");
--- a/crates/mintlb-control/tests/store_fixture/mod.rs
+++ b/crates/mintlb-control/tests/store_fixture/mod.rs
@@ -5,7 +5,7 @@
 use mintlb_batch::epoch_history::EpochHistory;
 use mintlb_batch::framing;
 use mintlb_batch::replica::{DiskWrite, Effect, Replica, ReplicaSettings, ShardMeta};
-use mintlb_control::store::disk::{LoadedShards, LotDisk};
+use mintlb_control::store::disk::{LoadedShards, ShardStorage};
 use redb::{Database, ReadableDatabase, ReadableTable, TableDefinition, TableHandle};
 use std::path::{Path, PathBuf};
 use std::time::Duration;
@@ -47,7 +47,7 @@
 /// Makes the fixture's file in a folder: shard 5 with an open, a finished and an ended lot, of which the
 /// sweep has taken the payloads; shard 63 with a longer entry than a part, and a compacted start.
 pub fn make(directory: &Path) {
-    let (disk, _) = LotDisk::open(directory, IDENTITY).unwrap();
+    let (disk, _) = ShardStorage::open(directory, IDENTITY).unwrap();
     let puts = |shard: u32, entries: Vec<Bytes>| {
         let rows = (1..)
             .zip(entries)
@@ -102,7 +102,7 @@
 }
 
 /// Carries out what a replica's sweep writes at this time.
-fn sweep(disk: &LotDisk, shard: u32, at: Duration) {
+fn sweep(disk: &ShardStorage, shard: u32, at: Duration) {
     disk.close();
     let mut replica = replica(&mut disk.reopen().unwrap(), shard);
     replica.tick(at);
--- a/crates/mintlb-control/tests/store_full_disk.rs
+++ b/crates/mintlb-control/tests/store_full_disk.rs
@@ -6,7 +6,7 @@
 use bytes::Bytes;
 use faulty_file::Disk;
 use mintlb_batch::client::{BodyOutcome, ReadOutcome, SubmitOutcome};
-use mintlb_control::store::disk::LotDisk;
+use mintlb_control::store::disk::ShardStorage;
 use std::time::Duration;
 use stores::{Cluster, HOST, Node, WITHIN, job, placement};
 
@@ -115,9 +115,9 @@
     let mut again = Vec::new();
     for (directory, disk) in directories.iter().zip(&disks) {
         let other = tempfile::tempdir().unwrap();
-        let path = other.path().join(mintlb_control::store::file::FILE);
+        let path = other.path().join(mintlb_control::store::file::FILE_NAME);
         disk.lose_power(&path, |_| 0);
-        let opened = LotDisk::open(other.path(), 99).unwrap();
+        let opened = ShardStorage::open(other.path(), 99).unwrap();
         let held: usize = opened.1.values().map(|shard| shard.entries.len()).sum();
         again.push((opened.0.id(), held));
         drop((directory, other));
--- a/crates/mintlb-control/tests/store_long_day.rs
+++ b/crates/mintlb-control/tests/store_long_day.rs
@@ -7,8 +7,8 @@
 use mintlb_batch::messages::JobName;
 use mintlb_batch::replica::{AfterSync, DiskWrite, Effect, Replica, ReplicaSettings};
 use mintlb_common::placement::ShardAssignment;
-use mintlb_control::store::disk::LotDisk;
-use mintlb_control::store::room;
+use mintlb_control::store::capacity;
+use mintlb_control::store::disk::ShardStorage;
 use std::path::Path;
 use std::time::Duration;
 
@@ -23,7 +23,7 @@
 
 /// One replica that is a quorum of its own, on a real file that is not synced.
 struct Store {
-    disk: LotDisk,
+    disk: ShardStorage,
     replica: Replica,
     now: Duration,
 }
@@ -47,7 +47,7 @@
 impl Store {
     fn open(directory: &Path, now: Duration) -> Store {
         let (disk, mut shards) =
-            LotDisk::open_by(faulty_file::Disk::default().opener(), directory, 7).unwrap();
+            ShardStorage::open_by(faulty_file::Disk::default().opener(), directory, 7).unwrap();
         let settings = ReplicaSettings {
             store_id: disk.id(),
             tolerance: 0,
@@ -68,11 +68,11 @@
             ..ShardAssignment::default()
         };
         store.replica.set_assignment(&shard, now);
-        store.act();
+        store.run_effects();
         store
     }
 
-    fn act(&mut self) {
+    fn run_effects(&mut self) {
         loop {
             let effects = self.replica.take_effects();
             if effects.is_empty() {
@@ -133,10 +133,10 @@
         if run < ITEMS {
             self.replica.end(&name(number), self.now);
         }
-        self.act();
+        self.run_effects();
         self.now += Duration::from_secs(1);
         self.replica.tick(self.now);
-        self.act();
+        self.run_effects();
     }
 
     fn held(&self) -> Held {
@@ -180,7 +180,7 @@
     assert_eq!(again.held().jobs, last.jobs);
     again.now += STATUS + Duration::from_secs(11);
     again.replica.tick(again.now);
-    again.act();
+    again.run_effects();
     assert_eq!(
         (again.held().jobs, again.held().entries, again.held().bytes),
         (0, 0, 0)
@@ -199,7 +199,7 @@
     loop {
         let (jobs, file) = (store.replica.jobs(), store.disk.file_bytes());
         let more = (ITEMS * LARGE) as u64;
-        if !room::fits(
+        if !capacity::fits(
             jobs.bytes() + jobs.expected_result_bytes() + more,
             file,
             DISK,
@@ -210,13 +210,13 @@
         store.submit(taken, LARGE);
         // Of a first one it is seen how long texts are.
         store.record(taken, 0, LARGE);
-        store.act();
+        store.run_effects();
     }
     println!("{taken} lots taken, file {}", store.disk.file_bytes());
     for item in 1..ITEMS as u32 {
         for number in 1..=taken {
             store.record(number, item, LARGE);
-            store.act();
+            store.run_effects();
         }
     }
     println!(
--- a/crates/mintlb-control/tests/stores/mod.rs
+++ b/crates/mintlb-control/tests/stores/mod.rs
@@ -8,10 +8,10 @@
 use mintlb_common::placement::{Placement, SHARD_COUNT, ShardAssignment, StoreEntry, StoreId};
 use mintlb_common::transport::{Channel, Transport};
 use mintlb_control::store::calls::{Store, StoreService};
-use mintlb_control::store::disk::{LoadedShards, LotDisk};
+use mintlb_control::store::commit_queue::{CommitQueue, OpenedStorage};
+use mintlb_control::store::disk::{LoadedShards, ShardStorage};
 use mintlb_control::store::driver::Driver;
-use mintlb_control::store::file::OpenDatabase;
-use mintlb_control::store::writer::{Opened, Writer};
+use mintlb_control::store::file::DatabaseOpener;
 use parking_lot::Mutex;
 use std::net::SocketAddr;
 use std::path::Path;
@@ -32,15 +32,15 @@
 
 impl Node {
     pub async fn start(directory: &Path, draw: u64) -> Node {
-        Node::start_on(LotDisk::open(directory, draw).unwrap(), draw).await
+        Node::start_on(ShardStorage::open(directory, draw).unwrap(), draw).await
     }
 
     /// A store that opens its file by `open`.
-    pub async fn start_by(open: OpenDatabase, directory: &Path, draw: u64) -> Node {
-        Node::start_on(LotDisk::open_by(open, directory, draw).unwrap(), draw).await
+    pub async fn start_by(open: DatabaseOpener, directory: &Path, draw: u64) -> Node {
+        Node::start_on(ShardStorage::open_by(open, directory, draw).unwrap(), draw).await
     }
 
-    pub async fn start_on((disk, shards): (LotDisk, LoadedShards), draw: u64) -> Node {
+    pub async fn start_on((disk, shards): (ShardStorage, LoadedShards), draw: u64) -> Node {
         let transport = Transport::start("127.0.0.1:0".parse().unwrap())
             .await
             .unwrap();
@@ -51,11 +51,11 @@
             result_retention: Duration::from_secs(120),
         };
         let (committed, commits) = tokio::sync::mpsc::unbounded_channel();
-        let writer = Writer::start(disk.clone(), committed).unwrap();
+        let commit_queue = CommitQueue::start(disk.clone(), committed).unwrap();
         let id = disk.id();
-        let opened = Opened {
+        let opened = OpenedStorage {
             disk: disk.clone(),
-            writer,
+            commit_queue,
             shards,
         };
         let store = Store::new(transport.clone(), opened, settings, 1 << 30, draw);
@@ -152,7 +152,7 @@
     pub fn place(&self, placement: Placement) {
         self.nodes
             .iter()
-            .for_each(|node| node.store.set_placement(placement.clone()));
+            .for_each(|node| node.store.apply_placement(placement.clone()));
         *self.placement.lock() = Arc::new(placement);
     }
 
