--- a/crates/mintlb-control/src/controller/http/instance_api.rs
+++ b/crates/mintlb-control/src/controller/http/instance_api.rs
@@ -134,7 +134,8 @@
     let confirmed = controller
         .gossip
         .publish(record.to_record(), CONFIRMATION_TIMEOUT)
-        .await;
+        .await
+        .is_ok();
     log::debug!(
         "workers: {} is {:?}, confirmed: {confirmed}",
         record.instance_id,
--- a/crates/mintlb-control/src/controller/register/publisher.rs
+++ b/crates/mintlb-control/src/controller/register/publisher.rs
@@ -29,7 +29,7 @@
     /// Waits until a neighbour has confirmed the configuration, or for this time.
     pub async fn confirm_configuration(&self, state: &ControlState, wait: Duration) {
         if let Some(record) = configuration(state) {
-            self.gossip.publish(record, wait).await;
+            self.gossip.publish(record, wait).await.ok();
         }
     }
 
--- a/crates/mintlb-control/tests/controller_unclaimed_workers.rs
+++ b/crates/mintlb-control/tests/controller_unclaimed_workers.rs
@@ -4,7 +4,7 @@
 use mintlb_control::controller::workers::unclaimed_workers::{
     UNCLAIMED_TIMEOUT, UnclaimedWorkers, id_hash,
 };
-use mintlb_gossip::table::RecordStore;
+use mintlb_gossip::record_store::RecordStore;
 use rustc_hash::FxHashSet;
 use std::time::Duration;
 use tokio::time::Instant;
--- a/crates/mintlb-gossip/src/effects.rs
+++ b/crates/mintlb-gossip/src/effects.rs
@@ -1,71 +1,61 @@
-//! What a node wants done after it has handled an input.
+//! The effects of an input on a node: what its driver has to do.
 
-use crate::message::Message;
+use crate::message::{Message, RecordVersion};
 use bytes::Bytes;
 use mintlb_common::record::Record;
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// The longest message, apart from one that holds a single larger record.
-pub const MAX_MESSAGE_BYTES: usize = 256 << 10;
-
-/// One thing to do.
+/// An effect, to be carried out by the driver.
 #[derive(Clone, Debug)]
 pub enum Effect {
-    /// Send these bytes.
+    /// Send a message.
     Send {
         /// The receiver.
         to: SocketAddr,
-        /// The message.
+        /// The encoded message.
         body: Bytes,
     },
-    /// A message from this process could not be read.
+    /// Count a malformed message from this process.
     Malformed(SocketAddr),
-    /// Tell the listeners that this record is newly in force here.
+    /// Deliver a record to the subscribers: it has replaced an older version, or is new.
     Applied(Arc<Record>),
-    /// A neighbour has said that it has this version, or a newer one.
-    Acknowledged {
-        /// [`crate::codec::record_id`] of the record's key.
-        id: u64,
-        /// The version that the neighbour has.
-        version: u64,
-    },
+    /// Complete the publications that wait for this version or an older one: a neighbor has it.
+    Acknowledged(RecordVersion),
 }
 
-/// The effects of one input, as they come up.
+/// The effects of one input, in the order in which they arise.
 #[derive(Debug, Default)]
 pub struct Effects {
-    list: Vec<Effect>,
+    effects: Vec<Effect>,
 }
 
 impl Effects {
     /// Sends a message.
     pub fn send(&mut self, to: SocketAddr, message: &Message) {
-        self.list.push(Effect::Send {
-            to,
-            body: message.to_bytes(),
-        });
+        self.send_all(&[to], message);
     }
 
-    /// Sends one message to several; it is written once.
+    /// Sends a message to several processes. It is encoded once.
     pub fn send_all(&mut self, to: &[SocketAddr], message: &Message) {
         if to.is_empty() {
             return;
         }
         let body = message.to_bytes();
-        self.list.extend(to.iter().map(|&to| Effect::Send {
+        let sends = to.iter().map(|&to| Effect::Send {
             to,
             body: body.clone(),
-        }));
+        });
+        self.effects.extend(sends);
     }
 
     /// Adds another effect.
     pub fn push(&mut self, effect: Effect) {
-        self.list.push(effect);
+        self.effects.push(effect);
     }
 
     /// All effects, in order.
-    pub fn into_list(self) -> Vec<Effect> {
-        self.list
+    pub fn into_vec(self) -> Vec<Effect> {
+        self.effects
     }
 }
--- a/crates/mintlb-gossip/tests/broadcasting.rs
+++ b/crates/mintlb-gossip/tests/broadcasting.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{Simulation, ms, record};
-use mintlb_gossip::random::Random;
+use fastrand::Rng;
 use std::time::Duration;
 
 const BOUND: Duration = Duration::from_millis(1200);
@@ -19,7 +19,7 @@
 fn warm_up(simulation: &mut Simulation, records: u64) {
     let count = simulation.running().len();
     for version in 1..=records {
-        let publisher = simulation.random.below(count);
+        let publisher = simulation.rng.usize(..count);
         simulation.publish(publisher, record("warm", version));
         simulation.run_for(ms(400));
     }
@@ -33,7 +33,7 @@
         let mut slowest = Duration::ZERO;
         let (bytes, messages) = simulation.sent();
         for version in 1..=20 {
-            let publisher = simulation.random.below(count);
+            let publisher = simulation.rng.usize(..count);
             simulation.publish(publisher, record("placement", version));
             let all = simulation.running();
             let took = simulation.time_until_known(&all, "placement", version, BOUND);
@@ -55,11 +55,11 @@
 fn survives(count: usize, seed: u64, power_lost: bool) -> Duration {
     let mut simulation = grown(seed, count);
     warm_up(&mut simulation, 10);
-    let mut random = Random::new(seed);
-    let publisher = random.below(count);
+    let mut rng = Rng::with_seed(seed);
+    let publisher = rng.usize(..count);
     simulation.publish(publisher, record("configuration", 1));
     let mut victims: Vec<_> = (0..count).filter(|&number| number != publisher).collect();
-    random.shuffle(&mut victims);
+    rng.shuffle(&mut victims);
     for &victim in &victims[..count.div_ceil(10)] {
         if power_lost {
             simulation.vanish(victim)
--- a/crates/mintlb-gossip/tests/common/mod.rs
+++ b/crates/mintlb-gossip/tests/common/mod.rs
@@ -5,11 +5,11 @@
 mod questions;
 
 use bytes::Bytes;
+use fastrand::Rng;
 use mintlb_common::incarnation::Incarnation;
 use mintlb_common::record::Record;
 use mintlb_gossip::effects::Effect;
 use mintlb_gossip::node::{Input, Node};
-use mintlb_gossip::random::Random;
 use mintlb_gossip::{Member, Role};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, HashMap, HashSet};
@@ -97,7 +97,7 @@
 pub struct Simulation {
     pub now: Instant,
     pub start: Instant,
-    pub random: Random,
+    pub rng: Rng,
     seeds: Vec<SocketAddr>,
     processes: BTreeMap<SocketAddr, Process>,
     queue: BinaryHeap<Reverse<(Instant, u64)>>,
@@ -121,7 +121,7 @@
         Simulation {
             now,
             start: now,
-            random: Random::new(seed),
+            rng: Rng::with_seed(seed),
             seeds: seeds.iter().map(|&number| address(number)).collect(),
             processes: BTreeMap::new(),
             queue: BinaryHeap::new(),
@@ -143,7 +143,7 @@
         let seeds: Vec<_> = (0..count.min(3)).collect();
         let mut simulation = Simulation::new(seed, &seeds);
         for number in 0..count {
-            let delay = ms(simulation.random.below(within.as_millis() as usize) as u64);
+            let delay = ms(simulation.rng.u64(..within.as_millis() as u64));
             simulation.add(number, &format!("zone{}", number % zones), delay);
         }
         simulation
@@ -179,7 +179,7 @@
     }
 
     fn draw_incarnation(&mut self) -> Incarnation {
-        Incarnation::from_number(self.random.next_number()).unwrap()
+        Incarnation::from_number(self.rng.u64(1..)).unwrap()
     }
 
     fn schedule(&mut self, at: Instant, happening: Happening) {
@@ -265,7 +265,7 @@
     }
 
     fn boot(&mut self, at: SocketAddr) {
-        let seed = self.random.next_number();
+        let seed = self.rng.u64(..);
         let process = self.processes.get_mut(&at).unwrap();
         process.node = Some(Node::new(
             self.now,
@@ -323,7 +323,7 @@
                         .history
                         .push((now, record.key.clone(), record.version));
                 }
-                Effect::Acknowledged { .. } => process.acknowledged += 1,
+                Effect::Acknowledged(_) => process.acknowledged += 1,
                 Effect::Malformed(_) => (),
             }
         }
@@ -412,7 +412,7 @@
                 .map(|process| process.member.zone.clone())
         };
         let base = if zone(from) == zone(to) { 500 } else { 8000 };
-        Duration::from_micros((base + self.random.below(base)) as u64)
+        Duration::from_micros((base + self.rng.usize(..base)) as u64)
     }
 
     fn is_cut(&self, from: SocketAddr, to: SocketAddr) -> bool {
--- a/crates/mintlb-gossip/tests/identity.rs
+++ b/crates/mintlb-gossip/tests/identity.rs
@@ -5,8 +5,8 @@
 
 use common::{address, ms};
 use mintlb_common::incarnation::Incarnation;
-use mintlb_gossip::membership::{MemberDescriptor, NeighborReply, NeighborRequest, Probe, Shuffle};
 use mintlb_gossip::message::Message;
+use mintlb_gossip::message::{MemberDescriptor, NeighborReply, NeighborRequest, Probe, Shuffle};
 use mintlb_gossip::node::{Input, Node};
 use mintlb_gossip::{Member, Role};
 use std::time::Duration;
--- a/crates/mintlb-gossip/tests/table.rs
+++ b/crates/mintlb-gossip/tests/table.rs
@@ -2,8 +2,8 @@
 
 use bytes::Bytes;
 use mintlb_common::record::Record;
-use mintlb_gossip::codec::record_id;
-use mintlb_gossip::table::{ApplyOutcome, EXPIRED_RETENTION, RecordStore};
+use mintlb_gossip::RecordId;
+use mintlb_gossip::record_store::{ApplyOutcome, EXPIRED_RETENTION, RecordStore};
 use std::time::Duration;
 use tokio::time::Instant;
 
@@ -73,7 +73,7 @@
 fn a_lifetime_ends_and_the_version_is_remembered() {
     let (mut store, start) = (RecordStore::default(), Instant::now());
     let empty = store.table().hash();
-    let id = record_id("a");
+    let id = RecordId::of_key("a");
     store.apply_local(start, record("a", 5, 60));
     let frame = store.frame(start + seconds(20), id).unwrap();
     assert_eq!(frame.remaining_ms, 40_000);
@@ -112,16 +112,19 @@
     store.apply_local(start, record("a", 5, 60));
     store.expire(start + seconds(60));
     store.expire(start + seconds(59) + EXPIRED_RETENTION);
-    assert_eq!(store.version(record_id("a")), Some(5));
+    assert_eq!(store.version(RecordId::of_key("a")), Some(5));
     store.expire(start + seconds(60) + EXPIRED_RETENTION);
-    assert_eq!(store.version(record_id("a")), None);
+    assert_eq!(store.version(RecordId::of_key("a")), None);
     // A bounded number, too.
     for number in 0..10_000 {
         store.apply_local(start, record(&format!("key {number}"), 1, 1));
     }
     store.expire(start + seconds(2));
-    let remembered =
-        (0..10_000).filter(|n| store.version(record_id(&format!("key {n}"))).is_some());
+    let remembered = (0..10_000).filter(|n| {
+        store
+            .version(RecordId::of_key(&format!("key {n}")))
+            .is_some()
+    });
     assert_eq!(remembered.count(), 4096);
 }
 
@@ -130,8 +133,10 @@
     let (mut one, mut other) = (RecordStore::default(), RecordStore::default());
     let start = Instant::now();
     one.apply_local(start, record("a", 1, 60));
-    let frame = one.frame(start + seconds(30), record_id("a")).unwrap();
-    other.apply_remote(start + seconds(30), frame);
+    let frame = one
+        .frame(start + seconds(30), RecordId::of_key("a"))
+        .unwrap();
+    other.apply_remote(start + seconds(30), frame).unwrap();
     other.expire(start + seconds(59));
     assert!(other.table().get("a").is_some());
     other.expire(start + seconds(60));
@@ -144,6 +149,6 @@
     let now = Instant::now();
     let key = "k".repeat(257);
     one.apply_local(now, record(&key, 1, 0));
-    let frame = one.frame(now, record_id(&key)).unwrap();
-    assert!(other.apply_remote(now, frame).is_none());
+    let frame = one.frame(now, RecordId::of_key(&key)).unwrap();
+    assert!(other.apply_remote(now, frame).is_err());
 }
--- a/crates/mintlb-gossip/tests/traffic.rs
+++ b/crates/mintlb-gossip/tests/traffic.rs
@@ -28,7 +28,7 @@
         simulation.run_for(ms(50));
         (0..workers).for_each(|number| simulation.publish(number % 3, worker(number, 1)));
         for number in 3..count {
-            let delay = ms(simulation.random.below(300) as u64);
+            let delay = ms(simulation.rng.u64(..300));
             simulation.add(number, &format!("zone{}", number % 9), delay);
         }
         simulation.run_for(ms(3000));
--- a/crates/mintlb-gossip/tests/wire_fixtures.rs
+++ b/crates/mintlb-gossip/tests/wire_fixtures.rs
@@ -1,4 +1,4 @@
-//! The bytes of the overlay's messages. Processes of different versions exchange them during an update, so that a
+//! The bytes of the gossip messages. Processes of different versions exchange them during an update, so that a
 //! change of the source, such as a renaming, must leave each of them as it is in `fixtures/messages.txt`. The digest of
 //! a table is compared between processes, too: `fixtures/digest.txt`.
 
@@ -8,13 +8,15 @@
 use bytes::Bytes;
 use mintlb_common::incarnation::Incarnation;
 use mintlb_common::record::Record;
-use mintlb_gossip::anti_entropy::{AntiEntropy, BucketVersions, Fetch, Heartbeat, Records};
-use mintlb_gossip::broadcast::{Ack, DirectPush, Gossip, Graft, IHave};
-use mintlb_gossip::codec::{RecordFrame, RecordVersion, record_id};
+use mintlb_gossip::RecordId;
+use mintlb_gossip::anti_entropy::AntiEntropy;
 use mintlb_gossip::effects::{Effect, Effects};
-use mintlb_gossip::membership::{MemberDescriptor, NeighborReply, NeighborRequest, Probe, Shuffle};
-use mintlb_gossip::message::{Member, Message, Role};
-use mintlb_gossip::table::RecordStore;
+use mintlb_gossip::message::{
+    Ack, BucketVersions, DirectPush, Fetch, Gossip, Graft, Heartbeat, IHave, Member,
+    MemberDescriptor, Message, NeighborReply, NeighborRequest, Probe, RecordFrame, RecordVersion,
+    Records, Role, Shuffle,
+};
+use mintlb_gossip::record_store::RecordStore;
 use tokio::time::Instant;
 
 const MESSAGES: &str = include_str!("fixtures/messages.txt");
@@ -34,7 +36,10 @@
 }
 
 fn record_version(id: u64, version: u64) -> RecordVersion {
-    RecordVersion { id, version }
+    RecordVersion {
+        id: RecordId::new(id),
+        version,
+    }
 }
 
 fn frame(key: &str, ttl_s: u32) -> RecordFrame {
@@ -113,17 +118,17 @@
         (
             "ping",
             Message::Heartbeat(Heartbeat {
-                hash: 1 << 40,
-                records: 9,
-                buckets: vec![1, 2, 3, 4].into(),
+                table_hash: 1 << 40,
+                record_count: 9,
+                bucket_hashes: vec![1, 2, 3, 4].into(),
             }),
         ),
         (
             "ping-same",
             Message::Heartbeat(Heartbeat {
-                hash: 1,
-                records: 1000,
-                buckets: vec![].into(),
+                table_hash: 1,
+                record_count: 1000,
+                bucket_hashes: vec![].into(),
             }),
         ),
         (
@@ -136,28 +141,28 @@
         (
             "fetch",
             Message::Fetch(Fetch {
-                ids: vec![1, 256, u64::MAX],
+                ids: [1, 256, u64::MAX].map(RecordId::new).to_vec(),
             }),
         ),
         (
             "records",
             Message::Records(Records {
                 records: vec![frame("key-1", 600), frame("key-2", 0)],
-                unfinished: vec![7, 40].into(),
+                incomplete_buckets: vec![7, 40].into(),
             }),
         ),
         (
             "push",
             Message::Gossip(Gossip {
                 records: vec![frame("key-1", 600)],
-                request_ack: true,
+                ack_requested: true,
             }),
         ),
         (
             "push-unconfirmed",
             Message::Gossip(Gossip {
                 records: vec![],
-                request_ack: false,
+                ack_requested: false,
             }),
         ),
         (
@@ -169,7 +174,7 @@
         (
             "graft",
             Message::Graft(Graft {
-                ids: vec![5, 70_000],
+                ids: [5, 70_000].map(RecordId::new).to_vec(),
             }),
         ),
         ("prune", Message::Prune),
@@ -197,7 +202,7 @@
     let (messages, held) = (messages(), fixture::read(MESSAGES));
     assert_eq!(messages.len(), held.len());
     for ((name, message), (_, bytes)) in messages.into_iter().zip(held) {
-        let read = Message::from_bytes(&bytes).unwrap_or_else(|| panic!("{name}: no message"));
+        let read = Message::from_bytes(&bytes).unwrap_or_else(|error| panic!("{name}: {error}"));
         assert_eq!(read, message, "{name}");
         assert_eq!(read.to_bytes(), bytes, "{name}: written again");
     }
@@ -236,11 +241,11 @@
         );
     }
     AntiEntropy::default().neighbor_up("127.0.0.1:7000".parse().unwrap(), &store, &mut effects);
-    let sent = effects.into_list();
+    let sent = effects.into_vec();
     let [Effect::Send { body, .. }] = &sent[..] else {
         panic!("one message to a new neighbour: {sent:?}")
     };
-    let id = |key: &str| record_id(key).to_be_bytes().to_vec();
+    let id = |key: &str| RecordId::of_key(key).number().to_be_bytes().to_vec();
     let written = [
         ("id-of-empty", id("")),
         ("id-of-key", id("key-1")),
--- a/crates/mintlb-simulation/src/gossip.rs
+++ b/crates/mintlb-simulation/src/gossip.rs
@@ -1,5 +1,5 @@
 //! The records' overlay of one process: the product's `Node`, with the publications that wait for a confirmation as
-//! in `mintlb-gossip/src/driver.rs`.
+//! in `mintlb-gossip/src/service.rs`.
 
 use crate::context::{Context, Out, Timer};
 use crate::message::{Body, Packet};
@@ -7,10 +7,10 @@
 use bytes::Bytes;
 use mintlb_common::incarnation::Incarnation;
 use mintlb_common::record::Record;
-use mintlb_gossip::codec::record_id;
 use mintlb_gossip::effects::Effect;
+use mintlb_gossip::message::RecordVersion;
 use mintlb_gossip::node::{Input, Node};
-use mintlb_gossip::{Member, Role};
+use mintlb_gossip::{Member, RecordId, Role};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -20,7 +20,7 @@
 const FORGETS: u32 = 1;
 
 struct Waiter {
-    id: u64,
+    id: RecordId,
     version: u64,
     token: u64,
 }
@@ -134,7 +134,7 @@
         token: u64,
     ) -> Vec<u64> {
         self.waiters.push(Waiter {
-            id: record_id(&record.key),
+            id: RecordId::of_key(&record.key),
             version: record.version,
             token,
         });
@@ -170,7 +170,7 @@
                 // Counted by the product; nothing that is sent here is altered.
                 Effect::Malformed(_) => (),
                 Effect::Applied(record) => context.out.push(Out::InForce(record)),
-                Effect::Acknowledged { id, version } => {
+                Effect::Acknowledged(RecordVersion { id, version }) => {
                     let is_done = |waiter: &Waiter| waiter.id == id && waiter.version <= version;
                     confirmed.extend(
                         self.waiters
