--- /dev/null
+++ b/crates/mintlb-batch/src/client/jobs.rs
@@ -0,0 +1,133 @@
+//! Calls on one accepted job: results, bodies, the end, and the record of a result. All are idempotent.
+
+use super::{BatchClient, CommittedResult, ItemResult, JobError, RecordError, ResultPage};
+use crate::entry::{ItemPayload, ItemState};
+use crate::messages::{self, ItemName, JobName, Record, StoreRequest, StoreResponse};
+use bytes::Bytes;
+use std::time::Duration;
+use tokio::time::Instant;
+
+/// The time-out of all attempts of a read, a body or an end; a read's wait for results is added.
+const READ_TIMEOUT: Duration = Duration::from_millis(1300);
+/// The time-out of all attempts to record a result.
+const RECORD_TIMEOUT: Duration = Duration::from_millis(4000);
+
+impl BatchClient {
+    /// The committed results of a job from position `start_after` on, about `max_bytes` of them. Waits up to `wait` for
+    /// the first one.
+    ///
+    /// # Errors
+    /// [`JobError`].
+    pub async fn read(
+        &self,
+        host: &str,
+        job_id: &str,
+        start_after: u64,
+        wait: Duration,
+        max_bytes: usize,
+    ) -> Result<ResultPage, JobError> {
+        let deadline = Instant::now() + wait + READ_TIMEOUT;
+        let request = StoreRequest::Read(messages::Read {
+            job: job_name(host, job_id),
+            start_after,
+            wait_ms: wait.as_millis() as u64,
+            max_bytes: max_bytes as u64,
+        });
+        match self.call_primary(host, &request, &[], deadline).await? {
+            (StoreResponse::Page(page), raw) => result_page(page, raw),
+            (StoreResponse::NotFound, _) => Err(JobError::NotFound),
+            _ => Err(JobError::Unavailable),
+        }
+    }
+
+    /// The body of an item without a result, of a job that is not ended.
+    ///
+    /// # Errors
+    /// [`JobError`]; [`JobError::NotFound`] also if the item has a result or the job is ended.
+    pub async fn body(
+        &self,
+        host: &str,
+        job_id: &str,
+        instance_id: &str,
+    ) -> Result<Bytes, JobError> {
+        let deadline = Instant::now() + READ_TIMEOUT;
+        let request = StoreRequest::Body(ItemName {
+            job: job_name(host, job_id),
+            item: instance_id.to_string(),
+        });
+        match self.call_primary(host, &request, &[], deadline).await? {
+            (StoreResponse::Body, raw) => {
+                let (_, body) = ItemPayload::decode(&raw).ok_or(JobError::Unavailable)?;
+                Ok(body)
+            }
+            (StoreResponse::NotFound, _) => Err(JobError::NotFound),
+            _ => Err(JobError::Unavailable),
+        }
+    }
+
+    /// Ends a job for good.
+    ///
+    /// # Errors
+    /// [`JobError`].
+    pub async fn end(&self, host: &str, job_id: &str) -> Result<(), JobError> {
+        let deadline = Instant::now() + READ_TIMEOUT;
+        let request = StoreRequest::End(job_name(host, job_id));
+        match self.call_primary(host, &request, &[], deadline).await? {
+            (StoreResponse::Ended, _) => Ok(()),
+            (StoreResponse::NotFound, _) => Err(JobError::NotFound),
+            _ => Err(JobError::Unavailable),
+        }
+    }
+
+    /// Records the result of an item. The first recorded result stays; a job that is ended or unknown needs none.
+    ///
+    /// # Errors
+    /// [`RecordError::Unconfirmed`] if no primary confirmed the result.
+    pub async fn record(
+        &self,
+        host: &str,
+        job_id: &str,
+        index: u32,
+        result: ItemResult,
+    ) -> Result<(), RecordError> {
+        let deadline = Instant::now() + RECORD_TIMEOUT;
+        let (state, text) = match result {
+            ItemResult::Completed(text) => (ItemState::Completed, text),
+            ItemResult::Unrecoverable => (ItemState::Unrecoverable, Bytes::new()),
+        };
+        let request = StoreRequest::Record(Record {
+            job: job_name(host, job_id),
+            item: index,
+            state,
+        });
+        match self.call_primary(host, &request, &[&text], deadline).await {
+            Ok((StoreResponse::Recorded | StoreResponse::NotFound, _)) => Ok(()),
+            _ => Err(RecordError::Unconfirmed),
+        }
+    }
+}
+
+/// Splits the raw bytes of a page into its results.
+fn result_page(page: messages::Page, mut raw: Bytes) -> Result<ResultPage, JobError> {
+    let length: u64 = page.results.iter().map(|result| result.length).sum();
+    if length != raw.len() as u64 {
+        return Err(JobError::Unavailable);
+    }
+    let results = page.results.into_iter().map(|result| CommittedResult {
+        instance_id: result.item,
+        state: result.state,
+        text: raw.split_to(result.length as usize),
+    });
+    Ok(ResultPage {
+        total: page.total,
+        next: page.next,
+        results: results.collect(),
+    })
+}
+
+fn job_name(host: &str, job_id: &str) -> JobName {
+    JobName {
+        host: host.to_string(),
+        id: job_id.to_string(),
+    }
+}
--- a/crates/mintlb-batch/src/client/types.rs
+++ b/crates/mintlb-batch/src/client/types.rs
@@ -1,146 +1,131 @@
-//! Types of the client's calls.
+//! Arguments and results of the client's calls.
 
-use crate::entry::JobTerms;
+use crate::entry::{ItemState, JobTerms};
+use crate::messages::{JobName, LeasedItems};
 use bytes::Bytes;
 
-/// A lot to take.
+/// A job to submit.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Submission {
     /// The `Host` of its route.
     pub host: String,
     /// The name of its route.
     pub route: String,
-    /// The id that its client gave it.
+    /// The id that its client chose.
     pub job_id: String,
-    /// When it was sent, due times, attempts.
+    /// When it was sent, when its results are due, how often its items are attempted.
     pub terms: JobTerms,
-    /// Tokens that may wait on the route; 0 is no limit.
+    /// The route's limit of queued tokens; 0 means no limit.
     pub max_queued_tokens: u64,
-    /// Its items.
+    /// Its items, in the client's order.
     pub items: Vec<Item>,
 }
 
-/// An item of a lot.
+/// An item of a job: one request to a worker.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Item {
-    /// Its id.
+    /// Its id, unique within the job.
     pub instance_id: String,
-    /// The path of the request to a worker.
+    /// The path of the request.
     pub path: String,
-    /// Headers of the request to a worker.
+    /// The headers of the request: names and values.
     pub headers: Vec<(String, String)>,
-    /// The decoded body.
+    /// The decoded body of the request.
     pub body: Bytes,
-    /// Tokens of the prompt and the most out.
+    /// Tokens of the prompt plus the limit of generated tokens.
     pub tokens: u64,
 }
 
-/// What became of a submission.
+/// A submission that a quorum of its shard has committed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum SubmitOutcome {
-    /// The tier has it: answer 202.
-    Accepted {
-        /// This holder is to run its items, and holds their leases.
-        items_leased: bool,
-    },
-    /// It does not fit, and nothing of it will run: answer 429.
-    QuotaExceeded,
-    /// Another lot has this id: the first one stays. A proper client doesn't do this.
-    Conflict,
-    /// Nothing of it will run: answer 503.
-    Rejected,
-    /// It may be in or not: promise nothing (502 or a closed connection).
-    Indeterminate,
+pub struct Submitted {
+    /// Whether the submitting dispatcher has the leases of all items and is to run them.
+    pub items_leased: bool,
 }
 
-/// Results of a lot.
+/// Committed results of a job, from a requested position on.
 #[derive(Clone, Debug, PartialEq)]
-pub enum ReadOutcome {
-    /// A page, perhaps without results.
-    Page {
-        /// Items of the lot.
-        total: u64,
-        /// The position after the last result here.
-        next: u64,
-        /// The results.
-        results: Vec<CommittedResult>,
-    },
-    /// There is no such lot, for sure: answer 404.
-    NotFound,
-    /// Can't be told: answer 503.
-    Unavailable,
+pub struct ResultPage {
+    /// The number of items of the job.
+    pub total: u64,
+    /// The position after the last result of this page.
+    pub next: u64,
+    /// The results in the order of their positions; may be empty.
+    pub results: Vec<CommittedResult>,
 }
 
-/// A result at its position.
+/// The result of an item.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CommittedResult {
     /// The item's id.
     pub instance_id: String,
-    /// Whether it is `completed` or `unrecoverable`.
-    pub state: crate::entry::ItemState,
-    /// All its events' data, separated by line feeds; UTF-8.
+    /// Whether the item is `completed` or `unrecoverable`.
+    pub state: ItemState,
+    /// The data of all its events, separated by line feeds; UTF-8.
     pub text: Bytes,
 }
 
-/// The body of an item.
-#[derive(Clone, Debug, PartialEq)]
-pub enum BodyOutcome {
-    /// Here it is.
-    Body(Bytes),
-    /// There is no such item, or it is listed, or its lot is ended: answer 404.
-    NotFound,
-    /// Can't be told: answer 503.
-    Unavailable,
-}
-
-/// The end of a lot.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum EndOutcome {
-    /// It is ended for good.
-    Ended,
-    /// There is no such lot.
-    NotFound,
-    /// Can't be told: answer 503.
-    Unavailable,
-}
-
-/// How an item came out.
+/// How the run of an item ended.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ItemResult {
-    /// With its whole output.
+    /// It completed, with this output.
     Completed(Bytes),
-    /// It can't be done.
+    /// It failed for good.
     Unrecoverable,
 }
 
-/// An item to run.
+/// An item that a dispatcher has leased and is to run.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LeasedItem {
-    /// The lot's host.
+    /// The job's host.
     pub host: String,
-    /// The lot's route.
+    /// The job's route.
     pub route: String,
-    /// The lot's id.
+    /// The job's id.
     pub job_id: String,
-    /// The lot's times and limits.
+    /// The job's times and limits.
     pub terms: JobTerms,
-    /// The item's place in the lot.
+    /// The item's index in the job.
     pub index: u32,
     /// The item.
     pub item: Item,
-    /// Its failed attempts so far, as far as its holders told of them.
+    /// How many attempts have failed, as far as its lease owners have reported them.
     pub failures: u32,
 }
 
-/// Items of one lot that a dispatcher runs.
+/// Items of one job that a dispatcher has leased.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LeasedJob {
-    /// The lot's host.
+    /// The job's host.
     pub host: String,
-    /// The lot's id.
+    /// The job's id.
     pub job_id: String,
-    /// The items, by their place in the lot.
+    /// The items' indexes in the job.
     pub items: Vec<u32>,
-    /// Those of them that failed, each with the count of its failed attempts over all holders.
+    /// The items that failed, each with the number of its failed attempts over all lease owners.
     pub failures: Vec<(u32, u32)>,
 }
+
+impl From<LeasedJob> for LeasedItems {
+    fn from(leased: LeasedJob) -> LeasedItems {
+        LeasedItems {
+            job: JobName {
+                host: leased.host,
+                id: leased.job_id,
+            },
+            items: leased.items,
+            failures: leased.failures,
+        }
+    }
+}
+
+impl From<LeasedItems> for LeasedJob {
+    fn from(leased: LeasedItems) -> LeasedJob {
+        LeasedJob {
+            host: leased.job.host,
+            job_id: leased.job.id,
+            items: leased.items,
+            failures: leased.failures,
+        }
+    }
+}
--- a/crates/mintlb-batch/tests/client.rs
+++ b/crates/mintlb-batch/tests/client.rs
@@ -1,6 +1,6 @@
 //! What the client of stores makes of their answers.
 
-use mintlb_batch::client::{BatchClient, Item, Submission, SubmitOutcome};
+use mintlb_batch::client::{BatchClient, Item, Submission, SubmitError, Submitted};
 use mintlb_batch::framing;
 use mintlb_batch::messages::{StoreRequest, StoreResponse};
 use mintlb_common::placement::{Placement, SHARD_COUNT, ShardAssignment, StoreEntry};
@@ -36,7 +36,10 @@
     }
 }
 
-async fn submitted(answers: &[Option<StoreResponse>], within_ms: u64) -> (SubmitOutcome, Vec<u64>) {
+async fn submitted(
+    answers: &[Option<StoreResponse>],
+    within_ms: u64,
+) -> (Result<Submitted, SubmitError>, Vec<u64>) {
     let any = "127.0.0.1:0".parse().unwrap();
     let store = Transport::start(any).await.unwrap();
     let script = Arc::new(Scripted(Mutex::new(answers.to_vec()), Mutex::default()));
@@ -89,18 +92,24 @@
 #[tokio::test]
 async fn a_submission_is_refused_only_when_surely_nothing_of_it_is_in() {
     let leased = StoreResponse::Accepted { leased: true };
-    let accepted = SubmitOutcome::Accepted { items_leased: true };
+    let accepted = Ok(Submitted { items_leased: true });
     let not_in_charge = Some(StoreResponse::NotPrimary);
     let cases = [
         (vec![Some(leased.clone())], accepted),
         (vec![not_in_charge.clone(), Some(leased.clone())], accepted),
-        (vec![not_in_charge.clone()], SubmitOutcome::Rejected),
+        (vec![not_in_charge.clone()], Err(SubmitError::Rejected)),
         (
             vec![Some(StoreResponse::QuotaExceeded)],
-            SubmitOutcome::QuotaExceeded,
+            Err(SubmitError::QuotaExceeded),
+        ),
+        (
+            vec![Some(StoreResponse::DiskFull)],
+            Err(SubmitError::Rejected),
+        ),
+        (
+            vec![Some(StoreResponse::Conflict)],
+            Err(SubmitError::Conflict),
         ),
-        (vec![Some(StoreResponse::DiskFull)], SubmitOutcome::Rejected),
-        (vec![Some(StoreResponse::Conflict)], SubmitOutcome::Conflict),
         (
             vec![Some(StoreResponse::Indeterminate), Some(leased)],
             accepted,
@@ -110,13 +119,13 @@
                 Some(StoreResponse::Indeterminate),
                 Some(StoreResponse::QuotaExceeded),
             ],
-            SubmitOutcome::Indeterminate,
+            Err(SubmitError::Indeterminate),
         ),
         (
             vec![Some(StoreResponse::Indeterminate), not_in_charge.clone()],
-            SubmitOutcome::Indeterminate,
+            Err(SubmitError::Indeterminate),
         ),
-        (vec![not_in_charge, None], SubmitOutcome::Indeterminate),
+        (vec![not_in_charge, None], Err(SubmitError::Indeterminate)),
     ];
     for (answers, expected) in cases {
         let (outcome, epochs) = submitted(&answers, 200).await;
--- a/crates/mintlb-control/tests/store_cluster.rs
+++ b/crates/mintlb-control/tests/store_cluster.rs
@@ -3,9 +3,7 @@
 mod stores;
 
 use bytes::Bytes;
-use mintlb_batch::client::{
-    BodyOutcome, EndOutcome, ItemResult, LeasedJob, ReadOutcome, SubmitOutcome,
-};
+use mintlb_batch::client::{ItemResult, JobError, LeasedJob, SubmitError, Submitted};
 use mintlb_batch::entry::ItemState;
 use mintlb_common::placement::Placement;
 use std::time::Duration;
@@ -17,41 +15,46 @@
     cluster.place(placement(&cluster.nodes, 1, &[0, 1, 2], &[]));
     let client = &cluster.client;
     let first = client.submit(job("a", 3, 500), 7, WITHIN).await;
-    assert_eq!(first, SubmitOutcome::Accepted { items_leased: true });
+    assert_eq!(first, Ok(Submitted { items_leased: true }));
     assert_eq!(
         client.submit(job("a", 3, 500), 7, WITHIN).await,
-        SubmitOutcome::Accepted { items_leased: true }
+        Ok(Submitted { items_leased: true })
     );
     assert_eq!(
         client.submit(job("a", 3, 500), 8, WITHIN).await,
-        SubmitOutcome::Accepted {
+        Ok(Submitted {
             items_leased: false
-        }
+        })
     );
     assert_eq!(
         client.submit(job("a", 4, 500), 8, WITHIN).await,
-        SubmitOutcome::Conflict
+        Err(SubmitError::Conflict)
     );
     assert_eq!(
         client.submit(job("b", 3, 500), 8, WITHIN).await,
-        SubmitOutcome::QuotaExceeded
+        Err(SubmitError::QuotaExceeded)
     );
     assert_eq!(
         client.submit(job("b", 2, 500), 8, WITHIN).await,
-        SubmitOutcome::Accepted { items_leased: true }
+        Ok(Submitted { items_leased: true })
     );
 
-    assert!(
+    assert_eq!(
         client
             .record(HOST, "a", 2, ItemResult::Completed("two".into()))
-            .await
+            .await,
+        Ok(())
     );
-    assert!(
+    assert_eq!(
         client
             .record(HOST, "a", 2, ItemResult::Completed("again".into()))
-            .await
+            .await,
+        Ok(())
+    );
+    assert_eq!(
+        client.record(HOST, "a", 0, ItemResult::Unrecoverable).await,
+        Ok(())
     );
-    assert!(client.record(HOST, "a", 0, ItemResult::Unrecoverable).await);
     let expected = vec![
         ("a-2".to_string(), ItemState::Completed, "two".to_string()),
         ("a-0".to_string(), ItemState::Unrecoverable, String::new()),
@@ -61,12 +64,12 @@
 
     assert_eq!(
         client.body(HOST, "a", "a-1").await,
-        BodyOutcome::Body(Bytes::from(vec![1; 5000]))
+        Ok(Bytes::from(vec![1; 5000]))
     );
-    assert_eq!(client.body(HOST, "a", "a-2").await, BodyOutcome::NotFound);
+    assert_eq!(client.body(HOST, "a", "a-2").await, Err(JobError::NotFound));
     assert_eq!(
         client.read(HOST, "x", 0, Duration::ZERO, 1000).await,
-        ReadOutcome::NotFound
+        Err(JobError::NotFound)
     );
 
     let held = LeasedJob {
@@ -87,10 +90,10 @@
     assert_eq!(client.lease(9, 10).await, vec![], "all items are leased");
     client.release(7).await;
 
-    assert_eq!(client.end(HOST, "a").await, EndOutcome::Ended);
-    assert_eq!(client.end(HOST, "a").await, EndOutcome::Ended);
-    assert_eq!(client.end(HOST, "x").await, EndOutcome::NotFound);
-    assert_eq!(client.body(HOST, "a", "a-1").await, BodyOutcome::NotFound);
+    assert_eq!(client.end(HOST, "a").await, Ok(()));
+    assert_eq!(client.end(HOST, "a").await, Ok(()));
+    assert_eq!(client.end(HOST, "x").await, Err(JobError::NotFound));
+    assert_eq!(client.body(HOST, "a", "a-1").await, Err(JobError::NotFound));
     assert_eq!(
         client.renew(7, vec![held.clone()]).await,
         vec![LeasedJob {
@@ -105,16 +108,17 @@
 async fn another_store_takes_over_and_a_restarted_one_goes_on() {
     let mut cluster = Cluster::start(3).await;
     cluster.place(placement(&cluster.nodes, 1, &[0, 1, 2], &[]));
-    let accepted = SubmitOutcome::Accepted { items_leased: true };
+    let accepted = Ok(Submitted { items_leased: true });
     assert_eq!(
         cluster.client.submit(job("a", 3, 0), 7, WITHIN).await,
         accepted
     );
-    assert!(
+    assert_eq!(
         cluster
             .client
             .record(HOST, "a", 1, ItemResult::Completed("one".into()))
-            .await
+            .await,
+        Ok(())
     );
 
     cluster.nodes[0].task.abort();
@@ -134,7 +138,7 @@
     );
     assert_eq!(
         cluster.client.body(HOST, "a", "a-2").await,
-        BodyOutcome::Body(Bytes::from(vec![2; 5000]))
+        Ok(Bytes::from(vec![2; 5000]))
     );
     assert_eq!(
         cluster.client.submit(job("b", 3, 0), 7, WITHIN).await,
@@ -162,11 +166,12 @@
         cluster.texts("a", 0).await,
         vec![("a-1".to_string(), ItemState::Completed, "one".to_string())]
     );
-    assert!(
+    assert_eq!(
         cluster
             .client
             .record(HOST, "b", 0, ItemResult::Completed("b".into()))
-            .await
+            .await,
+        Ok(())
     );
     assert_eq!(cluster.texts("b", 0).await.len(), 1);
 }
@@ -178,11 +183,12 @@
     let client = &cluster.client;
     for i in 0..20 {
         let id = format!("r{i}");
-        client.submit(job(&id, 1, 0), 7, WITHIN).await;
+        client.submit(job(&id, 1, 0), 7, WITHIN).await.unwrap();
         client
             .read(HOST, &id, 0, Duration::from_millis(5), 1000)
-            .await;
-        client.end(HOST, &id).await;
+            .await
+            .unwrap();
+        client.end(HOST, &id).await.unwrap();
     }
     let mut ticks = tokio::time::interval(Duration::from_millis(10));
     let none = async {
--- a/crates/mintlb-control/tests/store_full_disk.rs
+++ b/crates/mintlb-control/tests/store_full_disk.rs
@@ -5,12 +5,12 @@
 
 use bytes::Bytes;
 use faulty_file::Disk;
-use mintlb_batch::client::{BodyOutcome, ReadOutcome, SubmitOutcome};
+use mintlb_batch::client::{JobError, SubmitError, Submitted};
 use mintlb_control::store::disk::ShardStorage;
 use std::time::Duration;
 use stores::{Cluster, HOST, Node, WITHIN, job, placement};
 
-const TAKEN: SubmitOutcome = SubmitOutcome::Accepted { items_leased: true };
+const TAKEN: Result<Submitted, SubmitError> = Ok(Submitted { items_leased: true });
 const SHORT: Duration = Duration::from_millis(700);
 
 async fn cluster() -> (Cluster, Vec<Disk>) {
@@ -26,7 +26,7 @@
     (cluster, disks)
 }
 
-async fn body(cluster: &Cluster, job: &str) -> BodyOutcome {
+async fn body(cluster: &Cluster, job: &str) -> Result<Bytes, JobError> {
     cluster.client.body(HOST, job, &format!("{job}-1")).await
 }
 
@@ -40,7 +40,7 @@
     disks.iter().for_each(|disk| disk.set_full(true));
     let while_full = cluster.client.submit(job("b", 3, 0), 7, SHORT).await;
     assert!(
-        matches!(while_full, SubmitOutcome::Indeterminate),
+        matches!(while_full, Err(SubmitError::Indeterminate)),
         "{while_full:?}"
     );
     assert!(cluster.nodes[0].store.is_suspended());
@@ -51,18 +51,18 @@
     // Nothing of this one can be in, so that its client is told to come back.
     assert_eq!(
         cluster.client.submit(job("c", 3, 0), 7, SHORT).await,
-        SubmitOutcome::Rejected
+        Err(SubmitError::Rejected)
     );
     assert_eq!(
         body(&cluster, "a").await,
-        BodyOutcome::Unavailable,
+        Err(JobError::Unavailable),
         "503, not 404"
     );
     let read = cluster
         .client
         .read(HOST, "x", 0, Duration::ZERO, 1000)
         .await;
-    assert_eq!(read, ReadOutcome::Unavailable, "503, not 404");
+    assert_eq!(read, Err(JobError::Unavailable), "503, not 404");
 
     disks.iter().for_each(|disk| disk.set_full(false));
     assert_eq!(
@@ -76,11 +76,11 @@
     for job in ["a", "d"] {
         assert_eq!(
             body(&cluster, job).await,
-            BodyOutcome::Body(Bytes::from(vec![1; 5000])),
+            Ok(Bytes::from(vec![1; 5000])),
             "{job}"
         );
     }
-    assert_eq!(body(&cluster, "c").await, BodyOutcome::NotFound);
+    assert_eq!(body(&cluster, "c").await, Err(JobError::NotFound));
 }
 
 #[tokio::test]
--- a/crates/mintlb-control/tests/stores/mod.rs
+++ b/crates/mintlb-control/tests/stores/mod.rs
@@ -2,7 +2,7 @@
 #![allow(dead_code)]
 
 use bytes::Bytes;
-use mintlb_batch::client::{BatchClient, Item, ReadOutcome, Submission};
+use mintlb_batch::client::{BatchClient, Item, Submission};
 use mintlb_batch::entry::{ItemState, JobTerms};
 use mintlb_batch::replica::ReplicaSettings;
 use mintlb_common::placement::{Placement, SHARD_COUNT, ShardAssignment, StoreEntry, StoreId};
@@ -176,7 +176,8 @@
             .read(HOST, id, start, Duration::ZERO, 1 << 20)
             .await
         {
-            ReadOutcome::Page { results, .. } => results
+            Ok(page) => page
+                .results
                 .into_iter()
                 .map(|r| {
                     (
--- a/crates/mintlb-dispatcher/src/batch/calls.rs
+++ b/crates/mintlb-dispatcher/src/batch/calls.rs
@@ -8,9 +8,7 @@
 use axum::http::header::{CONTENT_TYPE, RETRY_AFTER};
 use axum::http::{HeaderMap, HeaderValue, Method, StatusCode};
 use axum::response::{IntoResponse, Response};
-use mintlb_batch::client::{
-    BatchClient, BodyOutcome, EndOutcome, LeasedItem, ReadOutcome, Submission, SubmitOutcome,
-};
+use mintlb_batch::client::{BatchClient, JobError, LeasedItem, Submission, SubmitError, Submitted};
 use mintlb_batch::entry::JobTerms;
 use mintlb_batch::messages::DispatcherId;
 use mintlb_common::configuration::Route;
@@ -156,13 +154,9 @@
                 .read(&host, &job_id, start_after, wait, MOST_PAGE_BYTES)
                 .await
             {
-                ReadOutcome::Page {
-                    total,
-                    next,
-                    results,
-                } => json(page::to_json(total, next, &results)),
-                ReadOutcome::NotFound => StatusCode::NOT_FOUND.into_response(),
-                ReadOutcome::Unavailable => later(StatusCode::SERVICE_UNAVAILABLE, COME_BACK),
+                Ok(found) => json(page::to_json(found.total, found.next, &found.results)),
+                Err(JobError::NotFound) => StatusCode::NOT_FOUND.into_response(),
+                Err(JobError::Unavailable) => later(StatusCode::SERVICE_UNAVAILABLE, COME_BACK),
             }
         })
     }
@@ -178,9 +172,9 @@
         );
         Box::pin(async move {
             match client.body(&host, &job_id, &instance_id).await {
-                BodyOutcome::Body(body) => Response::new(Body::from(body)),
-                BodyOutcome::NotFound => StatusCode::NOT_FOUND.into_response(),
-                BodyOutcome::Unavailable => later(StatusCode::SERVICE_UNAVAILABLE, COME_BACK),
+                Ok(body) => Response::new(Body::from(body)),
+                Err(JobError::NotFound) => StatusCode::NOT_FOUND.into_response(),
+                Err(JobError::Unavailable) => later(StatusCode::SERVICE_UNAVAILABLE, COME_BACK),
             }
         })
     }
@@ -194,7 +188,7 @@
         let (host, job_id) = (host_name(&call.host), job_id.to_string());
         Box::pin(async move {
             match client.end(&host, &job_id).await {
-                EndOutcome::Ended => {
+                Ok(()) => {
                     runner.lot_ended(&host, &job_id);
                     gossip.publish_now(Record {
                         key: format!("{ENDED_JOB_PREFIX}{job_id}"),
@@ -204,8 +198,8 @@
                     });
                     StatusCode::OK.into_response()
                 }
-                EndOutcome::NotFound => StatusCode::NOT_FOUND.into_response(),
-                EndOutcome::Unavailable => later(StatusCode::SERVICE_UNAVAILABLE, COME_BACK),
+                Err(JobError::NotFound) => StatusCode::NOT_FOUND.into_response(),
+                Err(JobError::Unavailable) => later(StatusCode::SERVICE_UNAVAILABLE, COME_BACK),
             }
         })
     }
@@ -219,19 +213,19 @@
     within: Duration,
 ) -> Response {
     match client.submit(job.clone(), holder, within).await {
-        SubmitOutcome::Accepted { items_leased } => {
+        Ok(Submitted { items_leased }) => {
             if items_leased {
                 runner.take(leased(job));
             }
             StatusCode::ACCEPTED.into_response()
         }
-        SubmitOutcome::QuotaExceeded => later(StatusCode::TOO_MANY_REQUESTS, QUOTA_COME_BACK),
-        SubmitOutcome::Conflict => {
+        Err(SubmitError::QuotaExceeded) => later(StatusCode::TOO_MANY_REQUESTS, QUOTA_COME_BACK),
+        Err(SubmitError::Conflict) => {
             (StatusCode::CONFLICT, "M417 another lot has this id").into_response()
         }
-        SubmitOutcome::Rejected => later(StatusCode::SERVICE_UNAVAILABLE, COME_BACK),
+        Err(SubmitError::Rejected) => later(StatusCode::SERVICE_UNAVAILABLE, COME_BACK),
         // It may be in: a status that promises that it is not would be a lie.
-        SubmitOutcome::Indeterminate => StatusCode::GATEWAY_TIMEOUT.into_response(),
+        Err(SubmitError::Indeterminate) => StatusCode::GATEWAY_TIMEOUT.into_response(),
     }
 }
 
--- a/crates/mintlb-dispatcher/src/batch/runner.rs
+++ b/crates/mintlb-dispatcher/src/batch/runner.rs
@@ -182,6 +182,7 @@
                 .client
                 .record(&item.host, &item.job_id, item.index, result.clone())
                 .await
+                .is_ok()
             {
                 return;
             }
