--- a/crates/mintlb-control/src/controller/register/membership.rs
+++ b/crates/mintlb-control/src/controller/register/membership.rs
@@ -56,13 +56,13 @@
     let seeds = settings.seed_addresses();
     let own = controller.transport.local_address();
     let answers = query_seeds(controller, &seeds).await;
-    let founding = Bootstrap {
+    let bootstrap = Bootstrap {
         first_start: settings.first_start,
         has_disk: controller.register.replica().is_some(),
         own_index: seeds.iter().position(|seed| *seed == own),
         seed_statuses: &answers,
     };
-    match founding.step() {
+    match bootstrap.next_step() {
         BootstrapStep::Initialize => found(controller).await,
         BootstrapStep::RequestVotes => {
             for seed in seeds {
--- a/crates/mintlb-control/src/controller/register/mod.rs
+++ b/crates/mintlb-control/src/controller/register/mod.rs
@@ -15,7 +15,7 @@
 use mintlb_register::ballot::Ballot;
 use mintlb_register::bootstrap::{BootstrapVote, SeedStatus};
 use mintlb_register::change::Change;
-use mintlb_register::message::{AcceptedValue, Reply, Request, RequestBody};
+use mintlb_register::message::{AcceptedValue, OutboundRequest, Reply, Request};
 use mintlb_register::proposal::{Input, PHASE_TIMEOUT, Proposal, ProposalOutcome};
 use mintlb_register::quorum_read::{QuorumRead, ReadProgress};
 use mintlb_register::replica_set::{Replica, ReplicaId, ReplicaSet};
@@ -191,8 +191,8 @@
                 self.record_chosen(outcome.chosen.clone());
                 return Ok(outcome);
             }
-            for (replica, request) in effects.send {
-                self.send_request(replica, request, replies.clone());
+            for OutboundRequest { to, request } in effects.requests {
+                self.send_request(to, request, replies.clone());
             }
             if let Some(after) = effects.timer {
                 timer = Instant::now() + after;
@@ -240,14 +240,14 @@
                     return Some(accepted);
                 }
                 ReadProgress::Inconclusive => return None,
-                ReadProgress::Send(messages) => {
-                    for (replica, request) in messages {
-                        self.send_request(replica, request, replies.clone());
+                ReadProgress::Send(requests) => {
+                    for OutboundRequest { to, request } in requests {
+                        self.send_request(to, request, replies.clone());
                     }
                 }
             }
             let received: ReplicaReply = timeout_at(deadline, inputs.recv()).await.ok()??;
-            progress = reading.reply(received.from, received.reply);
+            progress = reading.handle_reply(received.from, received.reply);
             self.raise_ballot_floor(reading.highest_ballot());
         }
     }
@@ -325,11 +325,7 @@
         request: Request,
         replies: mpsc::Sender<ReplicaReply>,
     ) {
-        let ballot = match &request.body {
-            RequestBody::Prepare { ballot, .. } => *ballot,
-            RequestBody::Accept { proposed } => proposed.ballot,
-            RequestBody::Read { .. } => Ballot::default(),
-        };
+        let ballot = request.body.ballot();
         let local = self
             .replica
             .as_ref()
@@ -377,8 +373,14 @@
 impl ReplicaReply {
     fn into_input(self) -> Input {
         match self.reply {
-            Some(reply) => Input::Reply(self.from, reply),
-            None => Input::Lost(self.from, self.ballot),
+            Some(reply) => Input::Reply {
+                from: self.from,
+                reply,
+            },
+            None => Input::Lost {
+                from: self.from,
+                ballot: self.ballot,
+            },
         }
     }
 }
--- a/crates/mintlb-register/src/acceptor.rs
+++ b/crates/mintlb-register/src/acceptor.rs
@@ -1,165 +1,189 @@
-//! One replica's vote: the highest ballot promised and the value accepted last.
+//! The acceptor: the state machine of one replica.
 
 use crate::ballot::Ballot;
 use crate::message::{AcceptedValue, Reply, ReportedValue, Request, RequestBody};
 use crate::replica_set::ReplicaId;
 
-/// What a replica has to remember for good.
+/// An acceptor's durable state.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct AcceptorState {
-    /// Lower ballots are refused.
+    /// The highest ballot promised; requests with a lower one are rejected.
     pub promised: Ballot,
     /// The value accepted last.
     pub accepted: Option<AcceptedValue>,
 }
 
-/// What of the vote has to be synced before the reply may be sent.
+impl AcceptorState {
+    /// Applies a write, as the disk holds the state once the write is synced.
+    pub fn apply(&mut self, write: &DurableWrite) {
+        match write {
+            DurableWrite::Nothing => (),
+            DurableWrite::Promise(ballot) => self.promised = *ballot,
+            DurableWrite::Accepted(accepted) => {
+                self.promised = accepted.ballot;
+                self.accepted = Some(accepted.clone());
+            }
+            DurableWrite::Learned { promised, chosen } => {
+                self.promised = *promised;
+                self.accepted = Some(chosen.clone());
+            }
+        }
+    }
+}
+
+/// The change of an [`AcceptorState`] that has to be on disk before the reply is sent.
 #[derive(Clone, Debug, PartialEq)]
 pub enum DurableWrite {
-    /// Nothing new; but what was to be synced before has to be.
+    /// No change. The writes of earlier requests still have to be on disk before the reply is sent.
     Nothing,
-    /// The promise.
+    /// A promise.
     Promise(Ballot),
-    /// The promise and the value, both at the value's ballot.
+    /// An accepted value, which implies the promise of its ballot.
     Accepted(AcceptedValue),
-    /// A chosen value, and the promise, which may be higher.
+    /// A value that was chosen elsewhere.
     Learned {
-        /// What is promised.
+        /// The promise, which may be above the value's ballot.
         promised: Ballot,
         /// The value.
         chosen: AcceptedValue,
     },
 }
 
-/// An answer that may be given once `sync` is on disk.
+/// An acceptor's response to a request.
+///
+/// The reply may be sent only after `durable_write` is on disk: a proposer counts it towards a quorum, so that a promise
+/// or an accepted value that a crash can undo may lose a chosen value.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AcceptorResponse {
-    /// What to sync first.
+    /// What has to be synced first.
     pub durable_write: DurableWrite,
-    /// The answer.
+    /// The reply.
     pub reply: Reply,
 }
 
-/// The vote of one replica. Requests are handled one after the other.
+impl AcceptorResponse {
+    fn without_write(reply: Reply) -> AcceptorResponse {
+        AcceptorResponse {
+            durable_write: DurableWrite::Nothing,
+            reply,
+        }
+    }
+}
+
+/// The acceptor of one replica. Requests are handled one after the other.
 #[derive(Clone, Debug)]
 pub struct Acceptor {
     id: ReplicaId,
-    vote: AcceptorState,
+    state: AcceptorState,
 }
 
 impl Acceptor {
-    /// A replica with what its disk holds.
-    pub fn new(id: ReplicaId, vote: AcceptorState) -> Acceptor {
-        Acceptor { id, vote }
+    /// An acceptor with the state that its disk holds.
+    pub fn new(id: ReplicaId, state: AcceptorState) -> Acceptor {
+        Acceptor { id, state }
     }
 
-    /// Its identity.
+    /// Identity of the replica.
     pub fn id(&self) -> ReplicaId {
         self.id
     }
 
-    /// What it has promised and accepted.
+    /// The state in memory, which may be ahead of the disk.
     pub fn state(&self) -> &AcceptorState {
-        &self.vote
+        &self.state
     }
 
     /// Handles a request.
     pub fn handle(&mut self, request: Request) -> AcceptorResponse {
         if request.target != self.id {
-            return AcceptorResponse {
-                durable_write: DurableWrite::Nothing,
-                reply: Reply::WrongReplica { id: self.id },
-            };
+            return AcceptorResponse::without_write(Reply::WrongReplica { id: self.id });
         }
         match request.body {
             RequestBody::Prepare { ballot, known } => self.prepare(ballot, known),
             RequestBody::Accept { proposed } => self.accept(proposed),
-            RequestBody::Read { known } => {
-                let (last_accepted, promised) = (self.last_accepted(known), self.vote.promised);
-                AcceptorResponse {
-                    durable_write: DurableWrite::Nothing,
-                    reply: Reply::Read {
-                        last_accepted,
-                        promised,
-                    },
-                }
-            }
+            RequestBody::Read { known } => self.read(known),
         }
     }
 
-    /// Takes in a value that is known to be chosen, also where a higher ballot was promised meanwhile: whoever holds that
-    /// promise hears of the value from a majority, so that one more holder changes nothing for it.
+    /// Stores a value that is known to be chosen, also if a higher ballot has been promised since.
+    ///
+    /// This is safe: the proposer with the higher ballot learns of the chosen value from a majority anyhow, and one more
+    /// replica that reports it does not change its decision. Returns what has to be synced.
     pub fn learn(&mut self, chosen: &AcceptedValue) -> DurableWrite {
-        if self
-            .vote
-            .accepted
-            .as_ref()
-            .is_some_and(|held| held.ballot >= chosen.ballot)
-        {
+        if self.has_accepted_since(chosen.ballot) {
             return DurableWrite::Nothing;
         }
-        self.vote.promised = self.vote.promised.max(chosen.ballot);
-        self.vote.accepted = Some(chosen.clone());
+        self.state.promised = self.state.promised.max(chosen.ballot);
+        self.state.accepted = Some(chosen.clone());
         DurableWrite::Learned {
-            promised: self.vote.promised,
+            promised: self.state.promised,
             chosen: chosen.clone(),
         }
     }
 
+    /// Whether a value has been accepted at this ballot or a higher one.
+    fn has_accepted_since(&self, ballot: Ballot) -> bool {
+        self.last_accepted_ballot()
+            .is_some_and(|accepted| accepted >= ballot)
+    }
+
+    fn last_accepted_ballot(&self) -> Option<Ballot> {
+        self.state.accepted.as_ref().map(|accepted| accepted.ballot)
+    }
+
     fn prepare(&mut self, ballot: Ballot, known: Option<Ballot>) -> AcceptorResponse {
-        if ballot < self.vote.promised {
-            return self.refuse(ballot);
+        if ballot < self.state.promised {
+            return self.reject(ballot);
         }
-        let durable_write = if ballot == self.vote.promised {
-            DurableWrite::Nothing
-        } else {
-            DurableWrite::Promise(ballot)
+        let is_repeated = ballot == self.state.promised;
+        self.state.promised = ballot;
+        let reply = Reply::Promise {
+            ballot,
+            last_accepted: self.report(known),
         };
-        self.vote.promised = ballot;
+        if is_repeated {
+            return AcceptorResponse::without_write(reply);
+        }
         AcceptorResponse {
-            durable_write,
-            reply: Reply::Promise {
-                ballot,
-                last_accepted: self.last_accepted(known),
-            },
+            durable_write: DurableWrite::Promise(ballot),
+            reply,
         }
     }
 
     fn accept(&mut self, proposed: AcceptedValue) -> AcceptorResponse {
         let ballot = proposed.ballot;
-        if ballot < self.vote.promised {
-            return self.refuse(ballot);
+        if ballot < self.state.promised {
+            return self.reject(ballot);
+        }
+        let is_repeated = self.last_accepted_ballot() == Some(ballot);
+        self.state.promised = ballot;
+        self.state.accepted = Some(proposed.clone());
+        let reply = Reply::Accepted { ballot };
+        if is_repeated {
+            return AcceptorResponse::without_write(reply);
         }
-        let repeated = self
-            .vote
-            .accepted
-            .as_ref()
-            .is_some_and(|accepted| accepted.ballot == ballot);
-        self.vote.promised = ballot;
-        let durable_write = if repeated {
-            DurableWrite::Nothing
-        } else {
-            DurableWrite::Accepted(proposed.clone())
-        };
-        self.vote.accepted = Some(proposed);
         AcceptorResponse {
-            durable_write,
-            reply: Reply::Accepted { ballot },
+            durable_write: DurableWrite::Accepted(proposed),
+            reply,
         }
     }
 
-    fn refuse(&self, ballot: Ballot) -> AcceptorResponse {
-        AcceptorResponse {
-            durable_write: DurableWrite::Nothing,
-            reply: Reply::Rejected {
-                ballot,
-                promised: self.vote.promised,
-            },
-        }
+    fn read(&self, known: Option<Ballot>) -> AcceptorResponse {
+        AcceptorResponse::without_write(Reply::Read {
+            last_accepted: self.report(known),
+            promised: self.state.promised,
+        })
+    }
+
+    fn reject(&self, ballot: Ballot) -> AcceptorResponse {
+        AcceptorResponse::without_write(Reply::Rejected {
+            ballot,
+            promised: self.state.promised,
+        })
     }
 
-    fn last_accepted(&self, known: Option<Ballot>) -> ReportedValue {
-        match &self.vote.accepted {
+    fn report(&self, known: Option<Ballot>) -> ReportedValue {
+        match &self.state.accepted {
             None => ReportedValue::Nothing,
             Some(accepted) if known == Some(accepted.ballot) => {
                 ReportedValue::Unchanged(accepted.ballot)
--- a/crates/mintlb-register/src/applied_history.rs
+++ b/crates/mintlb-register/src/applied_history.rs
@@ -1,154 +1,144 @@
-//! Which configurations were taken before the current one: an order that comes again is acknowledged by that, for the
-//! last [`MAX_ENTRIES`] of them. Of an older one nothing is claimed.
+//! Configurations that were applied before the current one.
+//!
+//! An operator whose call got no answer sends the same configuration again. The history tells that it was applied, also
+//! when other configurations have followed. It is bounded: of the versions before its last [`MAX_ENTRIES`] entries it
+//! claims nothing.
 
+use crate::varint;
 use minicbor::{Decode, Encode};
 use sha2::{Digest as _, Sha256};
 
-/// Configurations that are remembered, not counting the current one. Each takes [`DIGEST_BYTES`] and one to ten bytes
-/// for the distance of its version from the one before, so about 70 kB in all; the register's value is written and sent
-/// whole with each change.
+/// Configurations in a history at most. Each takes [`DIGEST_BYTES`] and one to ten bytes for its version, about 70 kB
+/// in all. This bounds what each change writes and sends, as the register's value is written as a whole.
 pub const MAX_ENTRIES: usize = 4096;
-/// Bytes of a text's SHA-256 that are kept: no two texts that agree in them can be found.
+/// Bytes of a configuration's SHA-256 that are stored; enough that nobody finds two configurations with the same ones.
 pub const DIGEST_BYTES: usize = 16;
-/// Low bits of one byte of an encoded number; the highest bit says that more follow.
-const NUMBER_BITS: u32 = 7;
 
-/// What is remembered of an order.
+/// What is known of a configuration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HistoryLookup {
-    /// This very configuration was taken.
+    /// It was applied.
     Applied,
-    /// It was not.
+    /// It was not applied.
     NotApplied,
-    /// It may have been, too long ago to tell.
+    /// Its version is older than the history: it may have been applied or not.
     Compacted,
 }
 
-/// The configurations that others have followed, by version and digest.
+/// Versions and digests of the configurations that others have followed.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub struct AppliedHistory {
-    /// Of versions up to this one nothing is known.
+    /// Nothing is known of versions up to this one.
     #[n(0)]
-    forgotten: u64,
-    /// The entries in the order of versions, each the distance from the version before and the digest.
+    compacted_through: u64,
+    /// The entries by rising version. Each is the difference to the version before, as LEB128, and the digest.
     #[cbor(n(1), with = "minicbor::bytes")]
     entries: Vec<u8>,
 }
 
-/// One configuration that was taken.
+/// One decoded entry.
 #[derive(Clone, Copy)]
 struct Entry<'a> {
     version: u64,
     digest: &'a [u8],
-    /// Where the next entry begins.
+    /// Offset of the next entry.
     end: usize,
 }
 
 impl AppliedHistory {
-    /// A history that begins after this version.
-    pub fn starting_after(forgotten: u64) -> AppliedHistory {
+    /// An empty history that claims nothing of versions up to `version`.
+    pub fn starting_after(version: u64) -> AppliedHistory {
         AppliedHistory {
-            forgotten,
+            compacted_through: version,
             entries: Vec::new(),
         }
     }
 
-    /// What is remembered of this text under this version.
-    pub fn look_up(&self, version: u64, text: &[u8]) -> HistoryLookup {
-        if version <= self.forgotten {
+    /// Whether the configuration with this version and text was applied.
+    pub fn lookup(&self, version: u64, text: &[u8]) -> HistoryLookup {
+        if version <= self.compacted_through {
             return HistoryLookup::Compacted;
         }
-        let mut read = 0;
+        let mut end = 0;
         for entry in self.iter() {
             if entry.version == version {
-                let same = entry.digest == digest(text);
-                return if same {
-                    HistoryLookup::Applied
-                } else {
-                    HistoryLookup::NotApplied
-                };
+                return entry.lookup(text);
             }
-            read = entry.end;
+            end = entry.end;
         }
-        if read == self.entries.len() {
+        let is_fully_decoded = end == self.entries.len();
+        if is_fully_decoded {
             HistoryLookup::NotApplied
         } else {
             HistoryLookup::Compacted
         }
     }
 
-    /// Adds a configuration that is no longer current. Its version is above all others.
+    /// Appends a configuration that is no longer in force. Its version has to be above those of all entries.
     pub fn push(&mut self, version: u64, text: &[u8]) {
-        let before = self
+        let last_version = self
             .iter()
             .last()
-            .map_or(self.forgotten, |entry| entry.version);
-        push_number(&mut self.entries, version.saturating_sub(before));
+            .map_or(self.compacted_through, |entry| entry.version);
+        varint::encode(&mut self.entries, version.saturating_sub(last_version));
         self.entries.extend_from_slice(&digest(text));
         if self.len() > MAX_ENTRIES {
-            self.forget_oldest();
+            self.remove_oldest();
         }
     }
 
-    fn forget_oldest(&mut self) {
+    fn remove_oldest(&mut self) {
         let oldest = self.iter().next().map(|entry| (entry.version, entry.end));
         if let Some((version, end)) = oldest {
-            self.forgotten = version;
+            self.compacted_through = version;
             self.entries.drain(..end);
         }
     }
 
-    /// How many configurations are remembered.
+    /// Number of configurations in the history.
     pub fn len(&self) -> usize {
         self.iter().count()
     }
 
-    /// Whether none is.
+    /// Whether the history has no entry.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
+    /// The entries up to the first that can't be decoded.
     fn iter(&self) -> impl Iterator<Item = Entry<'_>> {
-        let (mut version, mut at) = (self.forgotten, 0);
+        let mut version = self.compacted_through;
+        let mut start = 0;
         std::iter::from_fn(move || {
-            let (distance, digest_at) = read_number(&self.entries, at)?;
-            version = version.checked_add(distance)?;
-            at = digest_at.checked_add(DIGEST_BYTES)?;
-            Some(Entry {
-                version,
-                digest: self.entries.get(digest_at..at)?,
-                end: at,
-            })
+            let entry = self.entry_at(start, version)?;
+            version = entry.version;
+            start = entry.end;
+            Some(entry)
         })
     }
-}
 
-fn digest(text: &[u8]) -> [u8; DIGEST_BYTES] {
-    let whole = Sha256::digest(text);
-    std::array::from_fn(|i| whole[i])
+    fn entry_at(&self, start: usize, previous_version: u64) -> Option<Entry<'_>> {
+        let difference = varint::decode(&self.entries, start)?;
+        let end = difference.end.checked_add(DIGEST_BYTES)?;
+        Some(Entry {
+            version: previous_version.checked_add(difference.value)?,
+            digest: self.entries.get(difference.end..end)?,
+            end,
+        })
+    }
 }
 
-/// Appends a number, the lowest bits first.
-fn push_number(bytes: &mut Vec<u8>, mut number: u64) {
-    loop {
-        let low = (number & 0x7f) as u8;
-        number >>= NUMBER_BITS;
-        if number == 0 {
-            return bytes.push(low);
+impl Entry<'_> {
+    fn lookup(&self, text: &[u8]) -> HistoryLookup {
+        if self.digest == digest(text) {
+            HistoryLookup::Applied
+        } else {
+            HistoryLookup::NotApplied
         }
-        bytes.push(low | 0x80);
     }
 }
 
-/// The number that begins at this place, and where it ends.
-fn read_number(bytes: &[u8], at: usize) -> Option<(u64, usize)> {
-    let mut number = 0;
-    for (place, byte) in bytes.get(at..)?.iter().enumerate() {
-        let shift = NUMBER_BITS * u32::try_from(place).ok()?;
-        number |= u64::from(byte & 0x7f).checked_shl(shift)?;
-        if byte & 0x80 == 0 {
-            return Some((number, at + place + 1));
-        }
-    }
-    None
+fn digest(text: &[u8]) -> [u8; DIGEST_BYTES] {
+    let sha256 = Sha256::digest(text);
+    std::array::from_fn(|index| sha256[index])
 }
--- a/crates/mintlb-register/src/ballot.rs
+++ b/crates/mintlb-register/src/ballot.rs
@@ -1,21 +1,22 @@
-//! The order of attempts to change the register.
+//! Ballot numbers: the total order of the attempts to change the register.
 
 use minicbor::{Decode, Encode};
 
-/// One attempt. No two attempts have the same ballot: `proposer` is drawn at random for each proposal, and a proposal
-/// never uses a counter twice.
+/// The ballot number of one attempt (Lamport's proposal number), ordered by `counter`, then by `proposer`.
+///
+/// No two attempts share a ballot: each proposal has a random `proposer` and uses each counter at most once.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
 pub struct Ballot {
-    /// Compared first.
+    /// Number of the attempt. Zero is below all attempts.
     #[n(0)]
     pub counter: u64,
-    /// Who attempts.
+    /// Random identity of the proposal.
     #[n(1)]
     pub proposer: u64,
 }
 
 impl Ballot {
-    /// The first ballot of a proposer that is above this one.
+    /// The lowest ballot of `proposer` that is above all ballots with this ballot's counter.
     pub fn next(self, proposer: u64) -> Ballot {
         Ballot {
             counter: self.counter + 1,
--- a/crates/mintlb-register/src/lib.rs
+++ b/crates/mintlb-register/src/lib.rs
@@ -1,25 +1,39 @@
-//! The control plane's replicated register: one value, changed in two rounds at a majority; pure.
+//! A replicated register: one value, changed by compare-and-set at a majority of replicas.
 //!
-//! A *proposal* reads the newest value at a quorum (prepare), applies its change and writes the result at a quorum
-//! (accept). There is no log and no leader. The set of replicas lies in the value itself, so that the rule for a quorum
-//! always follows from the value that is read.
+//! The algorithm is CASPaxos (D. Rystsov, "CASPaxos: Replicated State Machines without logs", 2018), which is
+//! single-decree Paxos (L. Lamport, "Paxos Made Simple", 2001) run again for each change. A [`proposal`] learns the
+//! newest value from a quorum of acceptors (phase 1, prepare), applies its [`change`] to it, and has the result accepted
+//! by a quorum (phase 2, accept). There is neither a log nor a leader. The set of replicas is part of the value, so that
+//! the quorum rule always follows from the value that was read.
 //!
-//! - [`ballot`]: the order of attempts.
-//! - [`state`]: the value, the set of replicas, quorums.
-//! - [`applied_history`]: which configurations were taken before the current one.
-//! - [`change`]: the changes of the value, each with the condition under which it applies.
-//! - [`message`]: what proposers and acceptors say to each other.
-//! - [`acceptor`]: one replica's vote.
-//! - [`proposal`]: one change, from the first message to its outcome.
-//! - [`quorum_read`]: a linearizable read in one round.
-//! - [`bootstrap`]: who writes the first set of replicas.
+//! The crate is pure: it does no I/O and reads no clock. A driver sends the requests, runs the timers and syncs the
+//! acceptor's writes to disk.
 //!
-//! # Why it is safe
+//! - [`ballot`]: ballot numbers, the order of attempts.
+//! - [`replica_set`]: replicas, the sets that they form, quorums.
+//! - [`state`]: the value of the register.
+//! - [`applied_history`]: configurations that were applied before the current one.
+//! - [`change`]: changes of the value and their outcomes.
+//! - [`message`]: requests to acceptors and their replies.
+//! - [`acceptor`]: the state machine of one replica.
+//! - [`proposal`]: the state machine of one change, from its first request to its outcome.
+//! - [`quorum_read`]: a linearizable read in one round trip.
+//! - [`bootstrap`]: which process writes the first value.
 //!
-//! A value is *chosen* when a quorum by its own set has accepted it at one ballot. A proposal builds only on a value
-//! that it knows to be chosen; one that it finds partly accepted is written again, unchanged, before anything is built
-//! on it. Each set's quorums contain a majority of the `current` members of the value before it, so that the quorums of
-//! a chosen value and of anything else built on the same value meet.
+//! # Safety
+//!
+//! A value is *chosen* once a quorum by the value's own replica set has accepted it at one ballot. These invariants keep
+//! at most one value chosen for each revision, and each chosen value readable:
+//!
+//! - **Promise durability.** An acceptor replies only after what the reply says is on disk
+//!   ([`acceptor::AcceptorResponse`]). A replica whose disk was lost comes back with another
+//!   [`replica_set::ReplicaId`], since its former promises are unknown.
+//! - **Recovery before change.** A proposal applies a change only to a value that it knows to be chosen. A value that was
+//!   perhaps accepted by some replicas only is first written again, unchanged, at the proposal's own ballot.
+//! - **Quorum intersection.** A change of the set passes through a joint set (D. Ongaro and J. Ousterhout, "In Search of
+//!   an Understandable Consensus Algorithm", 2014, section 6), whose quorums hold a majority of the set before and of the
+//!   set after. Each set's quorums thus hold a majority of the `current` members of the value before it, and meet the
+//!   quorums of anything else that builds on that value.
 
 pub mod acceptor;
 pub mod applied_history;
@@ -30,4 +44,7 @@
 pub mod proposal;
 pub mod quorum_read;
 pub mod replica_set;
+mod report_collector;
 pub mod state;
+mod transition;
+mod varint;
--- a/crates/mintlb-register/src/proposal.rs
+++ b/crates/mintlb-register/src/proposal.rs
@@ -1,44 +1,67 @@
-//! One change of the register, from its first message to its outcome.
+//! The proposer: the state machine of one change, from its first request to its outcome.
+//!
+//! Each attempt has a ballot of its own and two phases, as in Paxos:
+//!
+//! 1. *Prepare*: acceptors promise to reject lower ballots and report the value accepted last.
+//! 2. *Accept*: the changed value is accepted by a quorum, and thereby chosen. If phase 1 has found a value that may not
+//!    be chosen yet, this value is accepted first, and another attempt follows for the change.
+//!
+//! An attempt that fails, by rejections, losses or time-out, is followed by another with a higher ballot after a random
+//! backoff, so that competing proposers don't preempt each other for ever.
+
+mod acceptance;
+mod backoff;
 
 use crate::ballot::Ballot;
-use crate::change::{Change, ChangeOutcome, Verdict};
-use crate::message::{AcceptedValue, Reply, ReportedValue, Request, RequestBody};
-use crate::replica_set::{Replica, ReplicaId, ReplicaSet};
+use crate::change::{Change, ChangeOutcome};
+use crate::message::{AcceptedValue, OutboundRequest, Reply, ReportedValue, RequestBody};
+use crate::replica_set::{ReplicaId, ReplicaSet};
+use crate::report_collector::ReportCollector;
 use crate::state::ControlState;
-use std::collections::{BTreeMap, BTreeSet};
+use crate::transition::Transition;
+use acceptance::Acceptance;
+use backoff::Backoff;
+pub use backoff::{INITIAL_BACKOFF, MAX_BACKOFF};
+use std::collections::BTreeSet;
 use std::sync::Arc;
 use std::time::Duration;
 
-/// How long a round may take before another attempt is made.
+/// How long one phase may take before the attempt is given up.
 pub const PHASE_TIMEOUT: Duration = Duration::from_millis(300);
-/// The pause before the second attempt; it doubles with each further one, and half of it is drawn at random.
-pub const INITIAL_BACKOFF: Duration = Duration::from_millis(8);
-/// The longest pause.
-pub const MAX_BACKOFF: Duration = Duration::from_millis(128);
 
-/// What happens to a proposal.
+/// An event for a proposal.
 #[derive(Clone, Debug)]
 pub enum Input {
-    /// A replica's reply.
-    Reply(ReplicaId, Reply),
-    /// A message of this attempt to a replica, or its reply, is lost.
-    Lost(ReplicaId, Ballot),
-    /// The timer that was set last has run out.
+    /// A replica has replied.
+    Reply {
+        /// The replica.
+        from: ReplicaId,
+        /// Its reply.
+        reply: Reply,
+    },
+    /// A request to a replica, or its reply, was lost.
+    Lost {
+        /// The replica.
+        from: ReplicaId,
+        /// Ballot of the request.
+        ballot: Ballot,
+    },
+    /// The timer that was set last has expired.
     Timer,
 }
 
-/// What is to be done for a proposal.
+/// What the driver of a proposal has to do, in this order: send, set the timer, report the outcome.
 #[derive(Debug, Default)]
 pub struct Effects {
-    /// Messages to send.
-    pub send: Vec<(Replica, Request)>,
-    /// Sets the timer anew.
+    /// Requests to send.
+    pub requests: Vec<OutboundRequest>,
+    /// Replaces the timer by one that expires after this time.
     pub timer: Option<Duration>,
-    /// The end, after which nothing more comes.
+    /// The outcome. The proposal has ended and needs no further input.
     pub outcome: Option<ProposalOutcome>,
 }
 
-/// The end of a proposal.
+/// How a proposal has ended.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ProposalOutcome {
     /// What became of the change.
@@ -47,48 +70,50 @@
     pub chosen: AcceptedValue,
 }
 
-/// One change on its way. It goes on until it has an outcome; whoever drives it may give up, after which the change may
-/// or may not become part of the value.
+/// One change in progress.
+///
+/// It makes attempts until it has an outcome. A driver that gives it up earlier does not know whether the change is or
+/// will become part of the value: another proposer may find and complete it.
 #[derive(Clone, Debug)]
 pub struct Proposal {
     proposer: u64,
     change: Change,
+    /// A value that the process has, which acceptors need not send.
     known: Option<AcceptedValue>,
-    rule: ReplicaSet,
+    /// The newest replica set that the proposal knows.
+    replica_set: ReplicaSet,
+    /// Ballot of the current attempt.
     ballot: Ballot,
     highest_ballot: Ballot,
     phase: Phase,
+    /// Replicas that have failed in the current phase.
     failed: BTreeSet<ReplicaId>,
-    asked: BTreeSet<ReplicaId>,
-    attempts: u32,
-    dice: u64,
+    backoff: Backoff,
 }
 
 #[derive(Clone, Debug)]
 enum Phase {
-    Preparing {
-        reported: BTreeMap<ReplicaId, Option<Ballot>>,
-        newest: Option<AcceptedValue>,
-    },
-    Accepting {
-        read: ReplicaSet,
-        written: AcceptedValue,
-        answer: Option<ChangeOutcome>,
-        accepted: BTreeSet<ReplicaId>,
-    },
-    Pausing,
+    /// Phase 1.
+    Prepare(ReportCollector),
+    /// Phase 2.
+    Accept(Acceptance),
+    /// Between two attempts.
+    Backoff,
+    /// The outcome has been reported.
     Ended,
 }
 
 impl Proposal {
-    /// A change by the newest set that the proposer knows.
+    /// Starts a proposal at the newest replica set that the process knows.
     ///
-    /// `proposer` is drawn at random for this proposal. `floor` is the highest ballot that the process knows of, so that
-    /// the first attempt is not refused for want of height. `known` is a value that the proposer has.
+    /// - `proposer`: a random number that no other proposal has.
+    /// - `floor`: the highest ballot that the process knows of. The first attempt is above it, as it would be rejected
+    ///   otherwise.
+    /// - `known`: a value that the process has, which acceptors need not send.
     pub fn start(
         proposer: u64,
         floor: Ballot,
-        rule: ReplicaSet,
+        replica_set: ReplicaSet,
         known: Option<AcceptedValue>,
         change: Change,
     ) -> (Proposal, Effects) {
@@ -97,289 +122,218 @@
             proposer,
             change,
             known,
-            rule,
+            replica_set,
             ballot: floor,
             highest_ballot: floor.max(known_ballot),
-            phase: Phase::Pausing,
+            phase: Phase::Backoff,
             failed: BTreeSet::new(),
-            asked: BTreeSet::new(),
-            attempts: 0,
-            dice: proposer ^ floor.counter.wrapping_mul(0x9e37_79b9_7f4a_7c15) | 1,
+            backoff: Backoff::new(proposer, floor),
         };
-        let effects = proposal.prepare();
+        let effects = proposal.start_attempt();
         (proposal, effects)
     }
 
-    /// The highest ballot that the proposal has used or heard of.
+    /// The highest ballot that the proposal has used or learned of. Later proposals of the process have to be above it.
     pub fn highest_ballot(&self) -> Ballot {
         self.highest_ballot
     }
 
-    /// Goes on.
+    /// Handles an event.
     pub fn handle(&mut self, input: Input) -> Effects {
         match input {
-            Input::Timer => match self.phase {
-                Phase::Pausing => self.prepare(),
-                Phase::Preparing { .. } | Phase::Accepting { .. } => self.pause(),
-                Phase::Ended => Effects::default(),
-            },
-            Input::Lost(from, ballot) if ballot == self.ballot => self.fail(from),
-            Input::Lost(..) => Effects::default(),
-            Input::Reply(
-                from,
-                Reply::Promise {
-                    ballot,
-                    last_accepted,
-                },
-            ) if ballot == self.ballot => self.promised(from, last_accepted),
-            Input::Reply(from, Reply::Accepted { ballot }) if ballot == self.ballot => {
-                self.accepted(from)
-            }
-            Input::Reply(from, Reply::Rejected { ballot, promised }) => {
+            Input::Reply { from, reply } => self.handle_reply(from, reply),
+            Input::Lost { from, ballot } if ballot == self.ballot => self.handle_failure(from),
+            Input::Lost { .. } => Effects::default(),
+            Input::Timer => self.handle_timer(),
+        }
+    }
+
+    fn handle_timer(&mut self) -> Effects {
+        match self.phase {
+            Phase::Backoff => self.start_attempt(),
+            Phase::Prepare(_) | Phase::Accept(_) => self.back_off(),
+            Phase::Ended => Effects::default(),
+        }
+    }
+
+    /// Handles a reply. Those to earlier attempts are ignored, but for the ballot that a rejection tells.
+    fn handle_reply(&mut self, from: ReplicaId, reply: Reply) -> Effects {
+        match reply {
+            Reply::Promise {
+                ballot,
+                last_accepted,
+            } if ballot == self.ballot => self.handle_promise(from, last_accepted),
+            Reply::Accepted { ballot } if ballot == self.ballot => self.handle_accepted(from),
+            Reply::Rejected { ballot, promised } => {
                 self.highest_ballot = self.highest_ballot.max(promised);
                 if ballot == self.ballot {
-                    self.fail(from)
+                    self.handle_failure(from)
                 } else {
                     Effects::default()
                 }
             }
-            Input::Reply(from, Reply::WrongReplica { .. }) => self.fail(from),
-            Input::Reply(..) => Effects::default(),
+            Reply::WrongReplica { .. } => self.handle_failure(from),
+            Reply::Promise { .. } | Reply::Accepted { .. } | Reply::Read { .. } => {
+                Effects::default()
+            }
         }
     }
 
-    /// Begins an attempt.
-    fn prepare(&mut self) -> Effects {
-        self.attempts += 1;
+    /// Starts phase 1 of an attempt with a ballot above all that the proposal knows of.
+    fn start_attempt(&mut self) -> Effects {
+        self.backoff.count_attempt();
         self.ballot = self.highest_ballot.next(self.proposer);
         self.highest_ballot = self.ballot;
-        self.phase = Phase::Preparing {
-            reported: BTreeMap::new(),
-            newest: None,
-        };
         self.failed.clear();
-        self.asked.clear();
-        let send = self.ask_members();
+        let mut reports = ReportCollector::new(self.replica_set.clone(), self.known.clone());
+        let requests = prepare_requests(&mut reports, self.ballot);
+        self.phase = Phase::Prepare(reports);
         Effects {
-            send,
+            requests,
             timer: Some(PHASE_TIMEOUT),
             outcome: None,
         }
     }
 
-    /// The prepare messages for members of the rule that have none yet.
-    fn ask_members(&mut self) -> Vec<(Replica, Request)> {
-        let known = self.known.as_ref().map(|known| known.ballot);
-        let ballot = self.ballot;
-        let new: Vec<Replica> = self
-            .rule
-            .members()
-            .filter(|replica| !self.asked.contains(&replica.id))
-            .cloned()
-            .collect();
-        self.asked.extend(new.iter().map(|replica| replica.id));
-        let ask = |replica: Replica| {
-            let request = Request {
-                target: replica.id,
-                body: RequestBody::Prepare { ballot, known },
-            };
-            (replica, request)
-        };
-        new.into_iter().map(ask).collect()
-    }
-
-    fn promised(&mut self, from: ReplicaId, last_accepted: ReportedValue) -> Effects {
-        let Phase::Preparing { reported, newest } = &mut self.phase else {
+    fn handle_promise(&mut self, from: ReplicaId, last_accepted: ReportedValue) -> Effects {
+        let Phase::Prepare(reports) = &mut self.phase else {
             return Effects::default();
         };
-        reported.insert(from, last_accepted.ballot());
-        let value = match last_accepted {
-            ReportedValue::Value(accepted) => Some(accepted),
-            ReportedValue::Unchanged(_) => self.known.clone(),
-            ReportedValue::Nothing => None,
-        };
-        let before = newest.as_ref().map(|newest| newest.ballot);
-        if let Some(value) = value.filter(|value| Some(value.ballot) > before) {
-            self.rule = value.state.replicas.clone();
-            *newest = Some(value);
-        }
-        let send = self.ask_members();
-        let mut effects = self.prepared();
-        effects.send.splice(0..0, send);
+        reports.record(from, last_accepted);
+        self.replica_set = reports.replica_set().clone();
+        let requests = prepare_requests(reports, self.ballot);
+        let mut effects = self.try_finish_prepare();
+        effects.requests.splice(0..0, requests);
         effects
     }
 
-    /// Once a quorum has promised: the change applied to a chosen value, or a value that may not be chosen written again.
-    fn prepared(&mut self) -> Effects {
-        let Phase::Preparing {
-            reported,
-            newest: Some(newest),
-        } = &self.phase
-        else {
-            return self.pause_if_hopeless();
+    /// Starts phase 2 once a quorum has promised: with the changed value if the newest one is chosen, otherwise with the
+    /// newest one itself.
+    fn try_finish_prepare(&mut self) -> Effects {
+        let Phase::Prepare(reports) = &self.phase else {
+            return Effects::default();
         };
-        if !self.rule.is_quorum(|id| reported.contains_key(&id)) {
-            return self.pause_if_hopeless();
-        }
-        let chosen = self
-            .rule
-            .is_quorum(|id| reported.get(&id) == Some(&Some(newest.ballot)));
-        let newest = newest.clone();
-        match chosen {
-            true => self.apply(newest),
-            false => self.accept(newest.state, None),
+        let Some(newest) = reports.newest().filter(|_| reports.is_quorum_reported()) else {
+            return self.back_off_if_failed();
+        };
+        match reports.chosen().cloned() {
+            Some(chosen) => self.apply_change(chosen),
+            None => {
+                let recovered = newest.state.clone();
+                self.start_accept(recovered, None)
+            }
         }
     }
 
-    /// Applies the change to a value that is chosen.
-    fn apply(&mut self, chosen: AcceptedValue) -> Effects {
-        if let Some(settled) = self.change.first(&chosen.state) {
-            return self.accept(Arc::new(settled), None);
+    fn apply_change(&mut self, chosen: AcceptedValue) -> Effects {
+        if let Some(prerequisite) = self.change.prerequisite(&chosen.state) {
+            return self.start_accept(Arc::new(prerequisite), None);
         }
         match self.change.apply(&chosen.state) {
-            Verdict::Keep(answer) => self.end(answer, chosen),
-            Verdict::Write(next) => self.accept(Arc::new(*next), Some(ChangeOutcome::Applied)),
+            Transition::Unchanged(outcome) => self.end(outcome, chosen),
+            Transition::Propose(next) => {
+                self.start_accept(Arc::new(*next), Some(ChangeOutcome::Applied))
+            }
         }
     }
 
-    /// Begins round two. Without an answer, the value is one that was read.
-    fn accept(&mut self, state: Arc<ControlState>, answer: Option<ChangeOutcome>) -> Effects {
-        let written = AcceptedValue {
+    /// Starts phase 2. `outcome` is that of the change once the value is chosen; `None` if the change is not yet part of
+    /// the value.
+    fn start_accept(
+        &mut self,
+        state: Arc<ControlState>,
+        outcome: Option<ChangeOutcome>,
+    ) -> Effects {
+        let proposed = AcceptedValue {
             ballot: self.ballot,
             state,
         };
-        let read = self.rule.clone();
-        let leaving = read.members().filter(|replica| {
-            !written
-                .state
-                .replicas
-                .members()
-                .any(|member| member.id == replica.id)
-        });
-        let send: Vec<_> = written
-            .state
-            .replicas
-            .members()
-            .chain(leaving)
-            .map(|replica| {
-                let body = RequestBody::Accept {
-                    proposed: written.clone(),
-                };
-                (
-                    replica.clone(),
-                    Request {
-                        target: replica.id,
-                        body,
-                    },
-                )
-            })
-            .collect();
+        let acceptance = Acceptance::new(self.replica_set.clone(), proposed, outcome);
+        let requests = acceptance.requests();
         self.failed.clear();
-        self.phase = Phase::Accepting {
-            read,
-            written,
-            answer,
-            accepted: BTreeSet::new(),
-        };
+        self.phase = Phase::Accept(acceptance);
         Effects {
-            send,
+            requests,
             timer: Some(PHASE_TIMEOUT),
             outcome: None,
         }
     }
 
-    fn accepted(&mut self, from: ReplicaId) -> Effects {
-        let Phase::Accepting {
-            read,
-            written,
-            answer,
-            accepted,
-        } = &mut self.phase
-        else {
+    fn handle_accepted(&mut self, from: ReplicaId) -> Effects {
+        let Phase::Accept(acceptance) = &mut self.phase else {
             return Effects::default();
         };
-        accepted.insert(from);
         self.failed.remove(&from);
-        let by = |id| accepted.contains(&id);
-        if !written.state.replicas.is_quorum(by) || (answer.is_some() && !read.is_quorum(by)) {
+        acceptance.record(from);
+        if !acceptance.is_chosen() {
             return Effects::default();
         }
-        let (written, answer) = (written.clone(), *answer);
-        self.known = Some(written.clone());
-        self.rule = written.state.replicas.clone();
-        match answer.map_or_else(|| self.change.apply(&written.state), Verdict::Keep) {
-            Verdict::Keep(answer) => self.end(answer, written),
-            Verdict::Write(_) => self.prepare(),
+        let chosen = acceptance.proposed().clone();
+        let outcome = acceptance.outcome();
+        self.known = Some(chosen.clone());
+        self.replica_set = chosen.state.replicas.clone();
+        match outcome.map_or_else(|| self.change.apply(&chosen.state), Transition::Unchanged) {
+            Transition::Unchanged(outcome) => self.end(outcome, chosen),
+            Transition::Propose(_) => self.start_attempt(),
         }
     }
 
-    fn end(&mut self, answer: ChangeOutcome, chosen: AcceptedValue) -> Effects {
-        self.phase = Phase::Ended;
-        Effects {
-            outcome: Some(ProposalOutcome {
-                change: answer,
-                chosen,
-            }),
-            ..Effects::default()
-        }
-    }
-
-    fn fail(&mut self, from: ReplicaId) -> Effects {
+    fn handle_failure(&mut self, from: ReplicaId) -> Effects {
         self.failed.insert(from);
-        self.pause_if_hopeless()
+        self.back_off_if_failed()
     }
 
-    /// Pauses once those that have not failed are no quorum.
-    fn pause_if_hopeless(&mut self) -> Effects {
-        let hopes = |set: &ReplicaSet| set.is_quorum(|id| !self.failed.contains(&id));
-        let hopeless = match &self.phase {
-            Phase::Preparing { reported, newest } => {
-                // Until all have answered, one may know a newer value with another set.
-                let open = self
-                    .asked
-                    .iter()
-                    .any(|id| !reported.contains_key(id) && !self.failed.contains(id));
-                let nothing =
-                    newest.is_none() && self.rule.is_quorum(|id| reported.contains_key(&id));
-                !open && (nothing || !hopes(&self.rule))
-            }
-            Phase::Accepting {
-                read,
-                written,
-                answer,
-                ..
-            } => !hopes(&written.state.replicas) || (answer.is_some() && !hopes(read)),
-            Phase::Pausing | Phase::Ended => false,
-        };
-        if hopeless {
-            self.pause()
+    /// Gives the attempt up once the replicas that have not failed form no quorum.
+    fn back_off_if_failed(&mut self) -> Effects {
+        if self.has_attempt_failed() {
+            self.back_off()
         } else {
             Effects::default()
         }
     }
 
-    fn pause(&mut self) -> Effects {
-        if let Phase::Preparing {
-            newest: Some(newest),
-            ..
-        } = &self.phase
+    fn has_attempt_failed(&self) -> bool {
+        let may_succeed = |id| !self.failed.contains(&id);
+        match &self.phase {
+            // Until all have replied, one of them may know a newer value with another replica set.
+            Phase::Prepare(reports) if reports.is_awaiting_reports(&self.failed) => false,
+            Phase::Prepare(reports) => {
+                let is_no_value_known = reports.newest().is_none() && reports.is_quorum_reported();
+                is_no_value_known || !self.replica_set.is_quorum(may_succeed)
+            }
+            Phase::Accept(acceptance) => !acceptance.is_quorum(may_succeed),
+            Phase::Backoff | Phase::Ended => false,
+        }
+    }
+
+    fn back_off(&mut self) -> Effects {
+        if let Phase::Prepare(reports) = &self.phase
+            && let Some(newest) = reports.newest()
         {
             self.known = Some(newest.clone());
         }
-        self.phase = Phase::Pausing;
-        let doubled = INITIAL_BACKOFF * (1 << self.attempts.min(8));
-        let longest = doubled.min(MAX_BACKOFF);
+        self.phase = Phase::Backoff;
         Effects {
-            timer: Some(longest / 2 + longest.mul_f64(self.roll() / 2.0)),
+            timer: Some(self.backoff.next_delay()),
             ..Effects::default()
         }
     }
 
-    /// A number from 0 to 1 (xorshift).
-    fn roll(&mut self) -> f64 {
-        self.dice ^= self.dice << 13;
-        self.dice ^= self.dice >> 7;
-        self.dice ^= self.dice << 17;
-        (self.dice >> 11) as f64 / (1_u64 << 53) as f64
+    fn end(&mut self, change: ChangeOutcome, chosen: AcceptedValue) -> Effects {
+        self.phase = Phase::Ended;
+        Effects {
+            outcome: Some(ProposalOutcome { change, chosen }),
+            ..Effects::default()
+        }
     }
 }
+
+/// Prepare requests to members that have not been sent one in this attempt.
+fn prepare_requests(reports: &mut ReportCollector, ballot: Ballot) -> Vec<OutboundRequest> {
+    let known = reports.known_ballot();
+    reports
+        .take_unrequested()
+        .into_iter()
+        .map(|replica| OutboundRequest::new(replica, RequestBody::Prepare { ballot, known }))
+        .collect()
+}
--- a/crates/mintlb-register/src/quorum_read.rs
+++ b/crates/mintlb-register/src/quorum_read.rs
@@ -1,108 +1,90 @@
-//! A linearizable read in one round, which promises nothing and syncs nothing.
+//! A linearizable read in one round trip, without a promise and without a write to disk.
 //!
-//! When a quorum reports one ballot, that ballot's value is chosen. Any later value that was chosen before the read
-//! began would have been accepted by one of them. If no quorum agrees, the read is unclear, and a proposal of
-//! [`crate::change::Change::Identity`] decides.
+//! A value that a quorum reports at one ballot is chosen. It is not outdated: a later value that was chosen before the
+//! read began would have been accepted by a member of that quorum. If no quorum reports one ballot, the read is
+//! inconclusive, and a proposal of [`Change::Identity`] has to decide.
+//!
+//! [`Change::Identity`]: crate::change::Change::Identity
 
 use crate::ballot::Ballot;
-use crate::message::{AcceptedValue, Reply, ReportedValue, Request, RequestBody};
-use crate::replica_set::{Replica, ReplicaId, ReplicaSet};
-use std::collections::{BTreeMap, BTreeSet};
+use crate::message::{AcceptedValue, OutboundRequest, Reply, RequestBody};
+use crate::replica_set::{ReplicaId, ReplicaSet};
+use crate::report_collector::ReportCollector;
 
-/// How far a read is.
+/// Progress of a read.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ReadProgress {
-    /// Send these; the end is open.
-    Send(Vec<(Replica, Request)>),
-    /// This value is chosen, and was the newest one when the read began or is newer.
+    /// These requests have to be sent; replies are outstanding.
+    Send(Vec<OutboundRequest>),
+    /// The value is chosen, and no value was chosen after it when the read began.
     Chosen(AcceptedValue),
-    /// No quorum agrees.
+    /// All replicas have replied or failed, and no quorum reports one value.
     Inconclusive,
 }
 
 /// One read.
 #[derive(Debug)]
 pub struct QuorumRead {
-    known: Option<AcceptedValue>,
-    rule: ReplicaSet,
-    newest: Option<AcceptedValue>,
-    asked: BTreeSet<ReplicaId>,
-    reported: BTreeMap<ReplicaId, Option<Ballot>>,
-    open: usize,
+    reports: ReportCollector,
+    /// Requests without a reply so far.
+    outstanding: usize,
     highest_ballot: Ballot,
 }
 
 impl QuorumRead {
-    /// A read by the newest set that the reader knows; `known` is the value it has, if any.
-    pub fn start(rule: ReplicaSet, known: Option<AcceptedValue>) -> (QuorumRead, ReadProgress) {
-        let mut reading = QuorumRead {
-            known,
-            rule,
-            newest: None,
-            asked: BTreeSet::new(),
-            reported: BTreeMap::new(),
-            open: 0,
+    /// Starts a read at the newest replica set that the reader knows. `known` is a value that the reader has, which
+    /// replicas need not send.
+    pub fn start(
+        replica_set: ReplicaSet,
+        known: Option<AcceptedValue>,
+    ) -> (QuorumRead, ReadProgress) {
+        let mut read = QuorumRead {
+            reports: ReportCollector::new(replica_set, known),
+            outstanding: 0,
             highest_ballot: Ballot::default(),
         };
-        let progress = reading.progress();
-        (reading, progress)
+        let progress = read.progress();
+        (read, progress)
     }
 
-    /// A replica's reply, or `None` if it is lost.
-    pub fn reply(&mut self, from: ReplicaId, reply: Option<Reply>) -> ReadProgress {
-        self.open = self.open.saturating_sub(1);
+    /// Handles a replica's reply, or `None` if the request or the reply was lost.
+    pub fn handle_reply(&mut self, from: ReplicaId, reply: Option<Reply>) -> ReadProgress {
+        self.outstanding = self.outstanding.saturating_sub(1);
         if let Some(Reply::Read {
             last_accepted,
             promised,
         }) = reply
         {
             self.highest_ballot = self.highest_ballot.max(promised);
-            self.reported.insert(from, last_accepted.ballot());
-            let value = match last_accepted {
-                ReportedValue::Value(accepted) => Some(accepted),
-                ReportedValue::Unchanged(_) => self.known.clone(),
-                ReportedValue::Nothing => None,
-            };
-            let newest = self.newest.as_ref().map(|newest| newest.ballot);
-            if let Some(value) = value.filter(|value| Some(value.ballot) > newest) {
-                self.rule = value.state.replicas.clone();
-                self.newest = Some(value);
-            }
+            self.reports.record(from, last_accepted);
         }
         self.progress()
     }
 
-    /// The highest ballot that has been promised, as far as the read has seen: a proposal has to be above it.
+    /// The highest ballot that a replica has promised. A proposal below it would be rejected.
     pub fn highest_ballot(&self) -> Ballot {
         self.highest_ballot
     }
 
     fn progress(&mut self) -> ReadProgress {
-        if let Some(newest) = &self.newest {
-            let agrees = |id| self.reported.get(&id) == Some(&Some(newest.ballot));
-            if self.rule.is_quorum(agrees) {
-                return ReadProgress::Chosen(newest.clone());
-            }
+        if let Some(chosen) = self.reports.chosen() {
+            return ReadProgress::Chosen(chosen.clone());
         }
-        let known = self.known.as_ref().map(|known| known.ballot);
-        let new: Vec<Replica> = self
-            .rule
-            .members()
-            .filter(|replica| !self.asked.contains(&replica.id))
-            .cloned()
-            .collect();
-        self.asked.extend(new.iter().map(|replica| replica.id));
-        self.open += new.len();
-        if self.open == 0 {
+        let requests = self.requests();
+        self.outstanding += requests.len();
+        if self.outstanding == 0 {
             return ReadProgress::Inconclusive;
         }
-        let ask = |replica: Replica| {
-            let request = Request {
-                target: replica.id,
-                body: RequestBody::Read { known },
-            };
-            (replica, request)
-        };
-        ReadProgress::Send(new.into_iter().map(ask).collect())
+        ReadProgress::Send(requests)
+    }
+
+    /// Requests to members that have not been sent one yet.
+    fn requests(&mut self) -> Vec<OutboundRequest> {
+        let known = self.reports.known_ballot();
+        self.reports
+            .take_unrequested()
+            .into_iter()
+            .map(|replica| OutboundRequest::new(replica, RequestBody::Read { known }))
+            .collect()
     }
 }
--- a/crates/mintlb-register/src/replica_set.rs
+++ b/crates/mintlb-register/src/replica_set.rs
@@ -1,9 +1,12 @@
-//! Replicas and the sets that they form.
+//! Replicas, the sets that they form, and the quorums of a set.
 
 use minicbor::{Decode, Encode};
 use std::fmt;
 
-/// Identifies a replica with its disk: an emptied disk is another replica.
+/// Identity of a replica together with its disk.
+///
+/// It is drawn at random when the disk is first used. A replica that has lost its disk gets a new identity: under the
+/// former one it could accept what it had promised to reject.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
 #[cbor(transparent)]
 pub struct ReplicaId(#[n(0)] pub u64);
@@ -14,39 +17,43 @@
     }
 }
 
-/// A controller that holds a copy of the register.
+/// A controller that stores the register.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct Replica {
-    /// Its identity, drawn when its disk was first used.
+    /// Its identity.
     #[n(0)]
     pub id: ReplicaId,
-    /// Address of its transport, as IP:PORT.
+    /// Address of its transport, as `IP:PORT`.
     #[n(1)]
     pub address: String,
-    /// The machine's name.
+    /// Name of its machine.
     #[n(2)]
     pub node_name: String,
-    /// The machine's zone.
+    /// Zone of its machine.
     #[n(3)]
     pub zone: String,
 }
 
-/// The replicas that have a vote.
+/// The replicas that vote.
+///
+/// A change of the set takes two steps, as Raft's joint consensus does: [`ReplicaSet::enter_joint`] to a set with
+/// `previous` and `current` members, then [`ReplicaSet::leave_joint`]. While the set is joint, a quorum needs a majority
+/// of both sides, so that it meets each quorum of the set before and each quorum of the set after.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub struct ReplicaSet {
-    /// Rises with each change of the set.
+    /// Number of the set; each step of a change raises it by one.
     #[n(0)]
     pub epoch: u64,
-    /// During a change the replicas before it, otherwise empty.
+    /// While the set is joint, the members before the change; otherwise empty.
     #[n(1)]
     pub previous: Vec<Replica>,
-    /// The replicas from now on.
+    /// The members from now on.
     #[n(2)]
     pub current: Vec<Replica>,
 }
 
 impl ReplicaSet {
-    /// The set of one replica with which a register begins.
+    /// The first set of a register, with one member.
     pub fn bootstrap(replica: Replica) -> ReplicaSet {
         ReplicaSet {
             epoch: 1,
@@ -55,46 +62,43 @@
         }
     }
 
-    /// Each replica with a vote, once.
+    /// Each voting replica once, those of the current side first.
     pub fn members(&self) -> impl Iterator<Item = &Replica> {
-        let leaving = self
+        let previous_only = self
             .previous
             .iter()
             .filter(|replica| !contains(&self.current, replica.id));
-        self.current.iter().chain(leaving)
+        self.current.iter().chain(previous_only)
     }
 
-    /// Whether the replicas for which `has` holds are a majority of both sides.
-    pub fn is_quorum(&self, has: impl Fn(ReplicaId) -> bool) -> bool {
-        is_majority(&self.current, &has)
-            && (self.previous.is_empty() || is_majority(&self.previous, &has))
+    /// Whether the replicas that satisfy `predicate` form a quorum: a majority of each side.
+    pub fn is_quorum(&self, predicate: impl Fn(ReplicaId) -> bool) -> bool {
+        self.every_side(|side| is_majority(side, &predicate))
     }
 
-    /// Whether a change of the set is under way.
+    /// Whether a change of the set is in progress.
     pub fn is_joint(&self) -> bool {
         !self.previous.is_empty()
     }
 
-    /// Whether what a quorum has accepted survives the loss of any `lost` disks, and whether enough replicas remain
-    /// then to form a quorum.
+    /// Whether a quorum remains after the loss of any `lost` disks, so that accepted values stay readable and changes
+    /// go on.
     pub fn remains_available_after(&self, lost: usize) -> bool {
-        let enough = |side: &[Replica]| side.len() > 2 * lost;
-        enough(&self.current) && (self.previous.is_empty() || enough(&self.previous))
+        self.every_side(|side| side.len() > 2 * lost)
     }
 
-    /// Whether what a quorum has accepted is still on a disk after the loss of any `lost` ones; there may be no quorum to
-    /// read it.
+    /// Whether a value that a quorum has accepted is still on some disk after the loss of any `lost` ones. There may be
+    /// no quorum left to read it.
     pub fn remains_durable_after(&self, lost: usize) -> bool {
-        let enough = |side: &[Replica]| side.len() / 2 + 1 > lost;
-        enough(&self.current) && (self.previous.is_empty() || enough(&self.previous))
+        self.every_side(|side| side.len() / 2 + 1 > lost)
     }
 
-    /// The current replica with this identity.
+    /// The replica with this identity on the current side.
     pub fn current_replica(&self, id: ReplicaId) -> Option<&Replica> {
         self.current.iter().find(|replica| replica.id == id)
     }
 
-    /// The joint set that leads to `members`.
+    /// The joint set that leads from the current members to `members`.
     pub(crate) fn enter_joint(&self, members: Vec<Replica>) -> ReplicaSet {
         ReplicaSet {
             epoch: self.epoch + 1,
@@ -103,7 +107,7 @@
         }
     }
 
-    /// The set with its change ended.
+    /// The set in which the current members alone vote.
     pub(crate) fn leave_joint(&self) -> ReplicaSet {
         ReplicaSet {
             epoch: self.epoch + 1,
@@ -111,12 +115,18 @@
             current: self.current.clone(),
         }
     }
+
+    /// Whether `condition` holds for the current side and, while the set is joint, for the previous side.
+    fn every_side(&self, condition: impl Fn(&[Replica]) -> bool) -> bool {
+        condition(&self.current) && (!self.is_joint() || condition(&self.previous))
+    }
 }
 
 fn contains(side: &[Replica], id: ReplicaId) -> bool {
     side.iter().any(|replica| replica.id == id)
 }
 
-fn is_majority(side: &[Replica], has: &impl Fn(ReplicaId) -> bool) -> bool {
-    2 * side.iter().filter(|replica| has(replica.id)).count() > side.len()
+fn is_majority(side: &[Replica], predicate: impl Fn(ReplicaId) -> bool) -> bool {
+    let count = side.iter().filter(|replica| predicate(replica.id)).count();
+    2 * count > side.len()
 }
--- a/crates/mintlb-register/src/state.rs
+++ b/crates/mintlb-register/src/state.rs
@@ -1,4 +1,4 @@
-//! The value of the register: the set of replicas, the operator's configuration, the placement.
+//! The value of the register: replica set, operator's configuration, shard placement.
 
 use crate::applied_history::{AppliedHistory, HistoryLookup};
 use crate::replica_set::{Replica, ReplicaSet};
@@ -6,13 +6,13 @@
 use mintlb_common::placement::Placement;
 use std::cmp::Ordering;
 
-/// The value of the register.
+/// The value of the register. Each change writes all of it.
 #[derive(Clone, Debug, Default, PartialEq, Encode, Decode)]
 pub struct ControlState {
-    /// Rises by one with each change.
+    /// Number of changes so far; each change raises it by one.
     #[n(0)]
     pub revision: u64,
-    /// Who votes.
+    /// The voting replicas.
     #[n(1)]
     pub replicas: ReplicaSet,
     /// `config_version` of the configuration; 0 before the first.
@@ -24,60 +24,68 @@
     /// Which stores hold which shard.
     #[n(4)]
     pub placement: Placement,
-    /// Where programs of the first release keep the latest configurations, with a weaker digest: not read any more, and
-    /// written empty, so that they can read the rest.
-    #[cbor(n(5), with = "former_list")]
+    /// List in which the first release kept the latest configurations, with a weaker digest. It is skipped when decoded
+    /// and encoded as an empty list, so that the first release can decode the other fields.
+    #[cbor(n(5), with = "legacy_history")]
     pub legacy_history: (),
-    /// The configurations that were taken before the current one. None in a value that such a program has written.
+    /// Configurations that were applied before the current one. `None` in a value that the first release has written.
     #[n(6)]
     pub applied_history: Option<AppliedHistory>,
 }
 
 impl ControlState {
-    /// The value with which a register begins.
+    /// The first value of a register, with one replica.
     pub fn bootstrap(replica: Replica) -> ControlState {
-        let applied_history = Some(AppliedHistory::default());
         ControlState {
             revision: 1,
             replicas: ReplicaSet::bootstrap(replica),
-            applied_history,
+            applied_history: Some(AppliedHistory::default()),
             ..ControlState::default()
         }
     }
 
-    /// Whether this very configuration is in force or was before.
+    /// Whether the configuration with this version and text is or was in force.
     pub fn lookup_configuration(&self, version: u64, text: &[u8]) -> HistoryLookup {
         match version.cmp(&self.configuration_version) {
             Ordering::Greater => HistoryLookup::NotApplied,
             Ordering::Equal if text == self.configuration => HistoryLookup::Applied,
             Ordering::Equal => HistoryLookup::NotApplied,
-            Ordering::Less => self
-                .applied_history
-                .as_ref()
-                .map_or(HistoryLookup::Compacted, |taken| {
-                    taken.look_up(version, text)
-                }),
+            Ordering::Less => self.lookup_superseded(version, text),
         }
     }
 
-    /// The value with another configuration.
+    fn lookup_superseded(&self, version: u64, text: &[u8]) -> HistoryLookup {
+        match &self.applied_history {
+            Some(history) => history.lookup(version, text),
+            None => HistoryLookup::Compacted,
+        }
+    }
+
+    /// The value with another configuration. The one in force moves to the history.
     pub(crate) fn with_configuration(&self, version: u64, text: &[u8]) -> ControlState {
-        let mut applied_history = self.applied_history.clone().unwrap_or_else(|| {
-            AppliedHistory::starting_after(self.configuration_version.saturating_sub(1))
-        });
+        let mut history = self
+            .applied_history
+            .clone()
+            .unwrap_or_else(|| self.history_without_records());
         if self.configuration_version > 0 {
-            applied_history.push(self.configuration_version, &self.configuration);
+            history.push(self.configuration_version, &self.configuration);
         }
-        let mut next = self.clone();
-        next.configuration_version = version;
-        next.configuration = text.to_vec();
-        next.applied_history = Some(applied_history);
-        next
+        ControlState {
+            configuration_version: version,
+            configuration: text.to_vec(),
+            applied_history: Some(history),
+            ..self.clone()
+        }
+    }
+
+    /// A history that claims nothing of the versions before the current one: the first release has kept no record.
+    fn history_without_records(&self) -> AppliedHistory {
+        AppliedHistory::starting_after(self.configuration_version.saturating_sub(1))
     }
 }
 
-/// Codec of a list that is no longer used.
-mod former_list {
+/// Codec of [`ControlState::legacy_history`].
+mod legacy_history {
     use minicbor::encode::{Error as EncodeError, Write};
     use minicbor::{Decoder, Encoder};
 
@@ -86,7 +94,8 @@
         e: &mut Encoder<W>,
         _: &mut C,
     ) -> Result<(), EncodeError<W::Error>> {
-        e.array(0).map(|_| ())
+        e.array(0)?;
+        Ok(())
     }
 
     pub fn decode<C>(d: &mut Decoder<'_>, _: &mut C) -> Result<(), minicbor::decode::Error> {
--- a/crates/mintlb-register/tests/bootstrap.rs
+++ b/crates/mintlb-register/tests/bootstrap.rs
@@ -26,7 +26,7 @@
         own_index: own,
         seed_statuses,
     }
-    .step()
+    .next_step()
 }
 
 fn answer(has_disk: bool) -> Option<SeedStatus> {
--- a/crates/mintlb-register/tests/change.rs
+++ b/crates/mintlb-register/tests/change.rs
@@ -6,7 +6,7 @@
 use mintlb_register::acceptor::{Acceptor, AcceptorState, DurableWrite};
 use mintlb_register::ballot::Ballot;
 use mintlb_register::change::{Change, ChangeOutcome};
-use mintlb_register::message::{AcceptedValue, Reply};
+use mintlb_register::message::{AcceptedValue, OutboundRequest, Reply};
 use mintlb_register::quorum_read::{QuorumRead, ReadProgress};
 use mintlb_register::replica_set::{Replica, ReplicaId};
 use replicas::{Replicas, configuration, replica};
@@ -309,7 +309,7 @@
             ReadProgress::Inconclusive => panic!("the read is unclear"),
             ReadProgress::Send(messages) => {
                 progress = ReadProgress::Inconclusive;
-                for (to, request) in messages {
+                for OutboundRequest { to, request } in messages {
                     let silent = replicas.silent.contains(&to.id.0);
                     let acceptor = replicas
                         .acceptors
@@ -318,7 +318,7 @@
                     let reply = acceptor
                         .filter(|_| !silent)
                         .map(|acceptor| acceptor.handle(request).reply);
-                    progress = reading.reply(to.id, reply);
+                    progress = reading.handle_reply(to.id, reply);
                     if matches!(&progress, ReadProgress::Send(more) if !more.is_empty())
                         || matches!(progress, ReadProgress::Chosen(_))
                     {
--- a/crates/mintlb-register/tests/cluster/mod.rs
+++ b/crates/mintlb-register/tests/cluster/mod.rs
@@ -3,7 +3,7 @@
 use mintlb_register::acceptor::{Acceptor, AcceptorState, DurableWrite};
 use mintlb_register::ballot::Ballot;
 use mintlb_register::change::Change;
-use mintlb_register::message::{AcceptedValue, RequestBody};
+use mintlb_register::message::{AcceptedValue, OutboundRequest, RequestBody};
 use mintlb_register::proposal::{Effects, Input, Proposal, ProposalOutcome};
 use mintlb_register::replica_set::{Replica, ReplicaId, ReplicaSet};
 use mintlb_register::state::ControlState;
@@ -147,7 +147,7 @@
         for _ in 0..ATTEMPTS {
             let mut inputs = Vec::new();
             spared = self.spared(&effects, sparing).unwrap_or(spared);
-            for (to, request) in std::mem::take(&mut effects).send {
+            for OutboundRequest { to, request } in std::mem::take(&mut effects).requests {
                 self.addresses.entry(to.id).or_insert(to.address);
                 if self.unreachable.contains(&to.id) || spared.contains(&to.id) {
                     continue;
@@ -160,14 +160,17 @@
                     .handle(request);
                 self.messages += 2;
                 self.syncs += usize::from(answered.durable_write != DurableWrite::Nothing);
-                inputs.push(Input::Reply(to.id, answered.reply));
+                inputs.push(Input::Reply {
+                    from: to.id,
+                    reply: answered.reply,
+                });
             }
             if inputs.is_empty() {
                 inputs.push(Input::Timer);
             }
             for input in inputs {
                 let more = proposal.handle(input);
-                effects.send.extend(more.send);
+                effects.requests.extend(more.requests);
                 effects.outcome = effects.outcome.take().or(more.outcome);
             }
             if effects.outcome.is_some() {
@@ -183,14 +186,18 @@
         let mut spared = BTreeSet::new();
         let first = sparing?;
         let accepts = effects
-            .send
+            .requests
             .iter()
-            .find_map(|(_, request)| match &request.body {
+            .find_map(|outbound| match &outbound.request.body {
                 RequestBody::Accept { proposed } => Some(proposed.state.replicas.clone()),
                 _ => None,
             });
         let set = accepts?;
-        let mut members: Vec<ReplicaId> = effects.send.iter().map(|(to, _)| to.id).collect();
+        let mut members: Vec<ReplicaId> = effects
+            .requests
+            .iter()
+            .map(|outbound| outbound.to.id)
+            .collect();
         let turn = first as usize % members.len();
         members.rotate_left(turn);
         let read = self.rule();
--- a/crates/mintlb-register/tests/days/mod.rs
+++ b/crates/mintlb-register/tests/days/mod.rs
@@ -9,7 +9,7 @@
 use mintlb_register::acceptor::DurableWrite;
 use mintlb_register::ballot::Ballot;
 use mintlb_register::change::{Change, ChangeOutcome};
-use mintlb_register::message::{AcceptedValue, Reply, Request};
+use mintlb_register::message::{AcceptedValue, OutboundRequest, Reply, Request};
 use mintlb_register::proposal::{Effects, Input, Proposal, ProposalOutcome};
 use mintlb_register::quorum_read::{QuorumRead, ReadProgress};
 use mintlb_register::replica_set::{ReplicaId, ReplicaSet};
@@ -227,7 +227,7 @@
                 actor,
                 from,
                 reply,
-            } => self.give(to, actor, Input::Reply(from, reply)),
+            } => self.give(to, actor, Input::Reply { from, reply }),
             Event::Synced { machine, life } => self.synced(machine, life),
             Event::Timer {
                 machine,
@@ -445,21 +445,20 @@
                 self.carry_out(at, number, effects);
             }
             Work::Reading(reading) => {
-                if let Input::Reply(from, reply) = input {
-                    let progress = reading.reply(from, Some(reply));
+                if let Input::Reply { from, reply } = input {
+                    let progress = reading.handle_reply(from, Some(reply));
                     self.read_on(at, number, progress);
                 }
             }
         }
     }
 
-    fn post(
-        &mut self,
-        at: usize,
-        actor: u64,
-        requests: Vec<(mintlb_register::replica_set::Replica, Request)>,
-    ) {
-        for (replica, request) in requests {
+    fn post(&mut self, at: usize, actor: u64, requests: Vec<OutboundRequest>) {
+        for OutboundRequest {
+            to: replica,
+            request,
+        } in requests
+        {
             let to = self
                 .machines
                 .iter()
@@ -475,7 +474,7 @@
     }
 
     fn carry_out(&mut self, at: usize, number: u64, effects: Effects) {
-        self.post(at, number, effects.send);
+        self.post(at, number, effects.requests);
         let armed = self.fresh();
         let Some(actor) = self.machines[at].actors.get_mut(&number) else {
             return;
--- a/crates/mintlb-register/tests/exhaustion.rs
+++ b/crates/mintlb-register/tests/exhaustion.rs
@@ -4,7 +4,7 @@
 use mintlb_register::acceptor::{Acceptor, AcceptorState};
 use mintlb_register::ballot::Ballot;
 use mintlb_register::change::{Change, ChangeOutcome};
-use mintlb_register::message::{AcceptedValue, Reply, Request};
+use mintlb_register::message::{AcceptedValue, OutboundRequest, Reply, Request};
 use mintlb_register::proposal::{Effects, Input, Proposal};
 use mintlb_register::replica_set::{Replica, ReplicaId, ReplicaSet};
 use mintlb_register::state::ControlState;
@@ -112,7 +112,7 @@
     }
 
     fn carry_out(&mut self, number: usize, effects: Effects) {
-        for (_, request) in effects.send {
+        for OutboundRequest { request, .. } in effects.requests {
             self.messages.push(Message::Request(number, request));
         }
         let Some(outcome) = effects.outcome else {
@@ -161,7 +161,7 @@
                 self.messages.push(Message::Reply(number, target, reply));
             }
             Message::Reply(number, from, reply) => {
-                let effects = self.proposals[number].handle(Input::Reply(from, reply));
+                let effects = self.proposals[number].handle(Input::Reply { from, reply });
                 self.carry_out(number, effects);
             }
         }
@@ -247,13 +247,16 @@
         );
         for _ in 0..8 {
             let mut next = Effects::default();
-            for (to, request) in effects.send {
+            for OutboundRequest { to, request } in effects.requests {
                 let acceptor = acceptors.iter_mut().find(|acceptor| acceptor.id() == to.id);
                 let Some(acceptor) = acceptor.filter(|_| by.contains(&to.id)) else {
                     continue;
                 };
-                let more = proposal.handle(Input::Reply(to.id, acceptor.handle(request).reply));
-                next.send.extend(more.send);
+                let more = proposal.handle(Input::Reply {
+                    from: to.id,
+                    reply: acceptor.handle(request).reply,
+                });
+                next.requests.extend(more.requests);
                 next.outcome = next.outcome.or(more.outcome);
             }
             if let Some(outcome) = next.outcome {
--- a/crates/mintlb-register/tests/replicas/mod.rs
+++ b/crates/mintlb-register/tests/replicas/mod.rs
@@ -3,7 +3,7 @@
 use mintlb_register::acceptor::{Acceptor, AcceptorState};
 use mintlb_register::ballot::Ballot;
 use mintlb_register::change::{Change, ChangeOutcome};
-use mintlb_register::message::{AcceptedValue, Request, RequestBody};
+use mintlb_register::message::{AcceptedValue, OutboundRequest, Request, RequestBody};
 use mintlb_register::proposal::{Effects, Input, Proposal, ProposalOutcome};
 use mintlb_register::replica_set::{Replica, ReplicaId, ReplicaSet};
 use mintlb_register::state::ControlState;
@@ -107,7 +107,10 @@
             self.lost_answers -= 1;
             return None;
         }
-        Some(Input::Reply(ReplicaId(to), reply))
+        Some(Input::Reply {
+            from: ReplicaId(to),
+            reply,
+        })
     }
 
     /// The outcome of a change, or `None` if it has none after many attempts.
@@ -117,7 +120,7 @@
             Proposal::start(self.proposer, Ballot::default(), self.rule(), None, change);
         for _ in 0..20 {
             let mut replies = Vec::new();
-            for (to, request) in std::mem::take(&mut effects).send {
+            for OutboundRequest { to, request } in std::mem::take(&mut effects).requests {
                 replies.extend(self.send(to.id.0, request));
             }
             if replies.is_empty() {
@@ -126,7 +129,7 @@
             let mut next = Effects::default();
             for reply in replies {
                 let more = proposal.handle(reply);
-                next.send.extend(more.send);
+                next.requests.extend(more.requests);
                 next.outcome = next.outcome.or(more.outcome);
             }
             effects = next;
--- a/crates/mintlb-register/tests/wire_fixtures.rs
+++ b/crates/mintlb-register/tests/wire_fixtures.rs
@@ -142,10 +142,10 @@
 fn what_was_taken_is_looked_up_in_the_bytes() {
     let taken: AppliedHistory =
         minicbor::decode(&Fixtures::read("state.txt").take("taken")).unwrap();
-    assert_eq!(taken.look_up(3, b"three"), HistoryLookup::Compacted);
-    assert_eq!(taken.look_up(4, b"four"), HistoryLookup::Applied);
-    assert_eq!(taken.look_up(300, b"three hundred"), HistoryLookup::Applied);
-    assert_eq!(taken.look_up(300, b"other"), HistoryLookup::NotApplied);
+    assert_eq!(taken.lookup(3, b"three"), HistoryLookup::Compacted);
+    assert_eq!(taken.lookup(4, b"four"), HistoryLookup::Applied);
+    assert_eq!(taken.lookup(300, b"three hundred"), HistoryLookup::Applied);
+    assert_eq!(taken.lookup(300, b"other"), HistoryLookup::NotApplied);
 }
 
 #[test]
--- a/crates/mintlb-register/tests/world/mod.rs
+++ b/crates/mintlb-register/tests/world/mod.rs
@@ -5,7 +5,7 @@
 use mintlb_register::acceptor::{Acceptor, AcceptorState, DurableWrite};
 use mintlb_register::ballot::Ballot;
 use mintlb_register::change::{Change, ChangeOutcome};
-use mintlb_register::message::{AcceptedValue, Reply, Request, RequestBody};
+use mintlb_register::message::{AcceptedValue, OutboundRequest, Reply, Request, RequestBody};
 use mintlb_register::proposal::{Effects, Input, Proposal};
 use mintlb_register::quorum_read::{QuorumRead, ReadProgress};
 use mintlb_register::replica_set::{Replica, ReplicaId, ReplicaSet};
@@ -316,7 +316,13 @@
                 RequestBody::Accept { proposed } => proposed.ballot,
                 RequestBody::Read { .. } => Ballot::default(),
             };
-            self.give(actor, Input::Lost(request.target, ballot));
+            self.give(
+                actor,
+                Input::Lost {
+                    from: request.target,
+                    ballot,
+                },
+            );
         }
         Ok(())
     }
@@ -541,7 +547,7 @@
 
     fn hand_over(&mut self, message: Message) {
         match message {
-            Message::Reply { actor, from, reply } => self.give(actor, Input::Reply(from, reply)),
+            Message::Reply { actor, from, reply } => self.give(actor, Input::Reply { from, reply }),
             Message::Request { actor, request } => {
                 let target = request.target;
                 // A request goes to an address; an emptied disk at that address is another replica.
@@ -634,8 +640,8 @@
             }
             Work::Reading(reading) => {
                 let progress = match input {
-                    Input::Reply(from, reply) => reading.reply(from, Some(reply)),
-                    Input::Lost(from, _) => reading.reply(from, None),
+                    Input::Reply { from, reply } => reading.handle_reply(from, Some(reply)),
+                    Input::Lost { from, .. } => reading.handle_reply(from, None),
                     Input::Timer => ReadProgress::Inconclusive,
                 };
                 self.carry_on(actor, progress);
@@ -644,7 +650,7 @@
     }
 
     fn carry_out(&mut self, actor: u64, effects: Effects) {
-        for (_, request) in effects.send {
+        for OutboundRequest { request, .. } in effects.requests {
             self.send(Message::Request { actor, request });
         }
         let Some(Actor {
@@ -687,7 +693,9 @@
             ReadProgress::Send(messages) => {
                 messages
                     .into_iter()
-                    .for_each(|(_, request)| self.send(Message::Request { actor, request }));
+                    .for_each(|OutboundRequest { request, .. }| {
+                        self.send(Message::Request { actor, request })
+                    });
             }
             ReadProgress::Inconclusive => {
                 self.actors.remove(&actor);
--- a/crates/mintlb-simulation/src/controller/membership.rs
+++ b/crates/mintlb-simulation/src/controller/membership.rs
@@ -94,13 +94,13 @@
             return self.pause(context, JOIN_PAUSE);
         }
         let own_index = self.seeds.iter().position(|seed| *seed == context.own);
-        let founding = Bootstrap {
+        let bootstrap = Bootstrap {
             first_start: self.first_start,
             has_disk: true,
             own_index,
             seed_statuses: &answers,
         };
-        match founding.step() {
+        match bootstrap.next_step() {
             // The pause begins once it is synced.
             BootstrapStep::Initialize => return self.found(context),
             BootstrapStep::Join(set) => self.register.hint(set),
--- a/crates/mintlb-simulation/src/controller/tasks.rs
+++ b/crates/mintlb-simulation/src/controller/tasks.rs
@@ -7,7 +7,7 @@
 use crate::planted::Planted;
 use mintlb_register::ballot::Ballot;
 use mintlb_register::change::Change;
-use mintlb_register::message::{AcceptedValue, Reply, ReportedValue, Request, RequestBody};
+use mintlb_register::message::{AcceptedValue, OutboundRequest, Reply, ReportedValue, Request};
 use mintlb_register::proposal::{Effects, Input, PHASE_TIMEOUT, Proposal, ProposalOutcome};
 use mintlb_register::quorum_read::{QuorumRead, ReadProgress};
 use mintlb_register::replica_set::{Replica, ReplicaId, ReplicaSet};
@@ -314,12 +314,15 @@
             return;
         };
         if let Work::Reading { reading, .. } = &mut task.work {
-            let progress = reading.reply(from, reply);
+            let progress = reading.handle_reply(from, reply);
             let promise = reading.highest_ballot();
             self.register.raise_floor(promise);
             return self.progress(context, id, progress);
         }
-        let input = reply.map_or(Input::Lost(from, ballot), |reply| Input::Reply(from, reply));
+        let input = match reply {
+            Some(reply) => Input::Reply { from, reply },
+            None => Input::Lost { from, ballot },
+        };
         self.give(context, id, input);
     }
 
@@ -367,8 +370,8 @@
     }
 
     fn carry_out(&mut self, context: &mut Context, id: u64, effects: Effects) {
-        for (replica, request) in effects.send {
-            self.post(context, id, replica, request);
+        for OutboundRequest { to, request } in effects.requests {
+            self.post(context, id, to, request);
         }
         let Some(task) = self.register.tasks.get_mut(&id) else {
             return;
@@ -401,10 +404,10 @@
 
     fn progress(&mut self, context: &mut Context, id: u64, progress: ReadProgress) {
         match progress {
-            ReadProgress::Send(messages) => {
-                messages
-                    .into_iter()
-                    .for_each(|(replica, request)| self.post(context, id, replica, request));
+            ReadProgress::Send(requests) => {
+                for OutboundRequest { to, request } in requests {
+                    self.post(context, id, to, request);
+                }
             }
             ReadProgress::Chosen(chosen) => {
                 self.learn(context, chosen.clone());
@@ -447,11 +450,7 @@
     }
 
     fn post(&mut self, context: &mut Context, task: u64, replica: Replica, request: Request) {
-        let ballot = match &request.body {
-            RequestBody::Prepare { ballot, .. } => *ballot,
-            RequestBody::Accept { proposed } => proposed.ballot,
-            RequestBody::Read { .. } => Ballot::default(),
-        };
+        let ballot = request.body.ballot();
         let id = self.register.await_call(Awaited::Task {
             task,
             from: replica.id,
--- a/crates/mintlb-simulation/src/controller/vote.rs
+++ b/crates/mintlb-simulation/src/controller/vote.rs
@@ -19,23 +19,8 @@
 }
 
 impl VoteDisk {
-    fn apply(&mut self, sync: &DurableWrite) {
-        match sync {
-            DurableWrite::Nothing => (),
-            DurableWrite::Promise(ballot) => self.vote.promised = *ballot,
-            DurableWrite::Accepted(accepted) => {
-                self.vote = AcceptorState {
-                    promised: accepted.ballot,
-                    accepted: Some(accepted.clone()),
-                };
-            }
-            DurableWrite::Learned { promised, chosen } => {
-                self.vote = AcceptorState {
-                    promised: *promised,
-                    accepted: Some(chosen.clone()),
-                };
-            }
-        }
+    fn apply(&mut self, write: &DurableWrite) {
+        self.vote.apply(write);
     }
 }
 
