--- a/crates/mintlb-control/src/controller/contact/echo_clock.rs
+++ b/crates/mintlb-control/src/controller/contact/echo_clock.rs
@@ -1,19 +1,19 @@
-//! Stamps of answers, which the receiver echoes in its next message: so that also the side that only answers learns
-//! that its answers arrive. Pure.
+//! Timestamps that the receiver echoes in its next message (as the TCP timestamps option does, RFC 7323): so the side that
+//! only responds learns, too, that its responses arrive, and when the echoed one was sent. Pure.
 
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Turns moments of one process life into stamps and back.
+/// Converts between instants and the timestamps of one incarnation of a process, in microseconds.
 #[derive(Debug)]
 pub struct EchoClock {
-    /// The stamp of the beginning, drawn at random: the stamp of another life means nothing here.
+    /// The timestamp of the start, drawn at random: a timestamp of another incarnation is out of range here.
     first: u64,
     started_at: Instant,
 }
 
 impl EchoClock {
-    /// Stamps of a life that begins now. `random_seed` is a random number of this life.
+    /// A clock that starts now. `random_seed` is a random number of this incarnation.
     pub fn new(now: Instant, random_seed: u64) -> EchoClock {
         EchoClock {
             first: random_seed,
@@ -21,18 +21,19 @@
         }
     }
 
-    /// The stamp of this moment.
-    pub fn stamp(&self, now: Instant) -> u64 {
-        self.first.wrapping_add(self.microseconds(now))
+    /// The timestamp of this instant.
+    pub fn timestamp(&self, now: Instant) -> u64 {
+        self.first.wrapping_add(self.elapsed_us(now))
     }
 
-    /// When this stamp was made; `None` if it was not made in this life up to now.
-    pub fn made_at(&self, now: Instant, stamp: u64) -> Option<Instant> {
-        let passed = stamp.wrapping_sub(self.first);
-        (passed <= self.microseconds(now)).then(|| self.started_at + Duration::from_micros(passed))
+    /// The instant of this timestamp; `None` unless this incarnation has issued it by now.
+    pub fn issued_at(&self, now: Instant, timestamp: u64) -> Option<Instant> {
+        let offset_us = timestamp.wrapping_sub(self.first);
+        (offset_us <= self.elapsed_us(now))
+            .then(|| self.started_at + Duration::from_micros(offset_us))
     }
 
-    fn microseconds(&self, now: Instant) -> u64 {
+    fn elapsed_us(&self, now: Instant) -> u64 {
         now.saturating_duration_since(self.started_at).as_micros() as u64
     }
 }
--- a/crates/mintlb-control/src/controller/contact/quorum_contact.rs
+++ b/crates/mintlb-control/src/controller/contact/quorum_contact.rs
@@ -1,31 +1,31 @@
-//! Whether this process is in contact with a majority of the register's replicas; pure.
+//! The lease that proves contact with a majority of the register's replicas; pure.
 //!
-//! Contact is a lease: it runs from the moment at which a message was sent that was answered since, not from the moment
-//! at which the answer was read, and it is checked whenever it is relied on. So an answer that lay in a buffer while
-//! the process stood still proves nothing, nor does a message from a replica that does not hear this process.
+//! The lease runs from the moment at which an acknowledged message was sent, not from the moment at which its
+//! acknowledgement was read, and it is checked whenever it is relied on. So an acknowledgement that lay in a buffer while
+//! the process was paused proves nothing, nor does a message from a replica that can't receive ours.
 
 use mintlb_register::replica_set::{ReplicaId, ReplicaSet};
 use rustc_hash::FxHashMap;
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// How long an answered message proves contact, from its sending.
+/// The time from the sending of an acknowledged message during which it proves contact.
 pub const CONTACT_LEASE: Duration = Duration::from_millis(1500);
-/// Proofs older than this are dropped.
+/// The age at which proofs are forgotten.
 const PROOF_RETENTION: Duration = Duration::from_secs(10);
 
 /// The newest proofs of contact.
 #[derive(Debug)]
 pub struct QuorumContact {
     own: Option<ReplicaId>,
-    /// By replica, when the newest message was sent that it is known to have received.
+    /// By replica, the sending of the newest message that it has acknowledged.
     acknowledged_at: FxHashMap<ReplicaId, Instant>,
-    /// When the newest round began that a majority of the set answered.
+    /// The start of the newest round that a majority of the replica set answered.
     majority_at: Option<Instant>,
 }
 
 impl QuorumContact {
-    /// Nothing is proved yet. `own` is the replica here, if there is one: it needs no proof.
+    /// No contact is proved yet. `own` is the id of the local replica, if there is one: it needs no proof.
     pub fn new(own: Option<ReplicaId>) -> QuorumContact {
         QuorumContact {
             own,
@@ -34,7 +34,7 @@
         }
     }
 
-    /// This replica has answered a message that was sent at that time.
+    /// Records that a replica has acknowledged a message sent at that time.
     pub fn record_acknowledgement(&mut self, replica: ReplicaId, sent_at: Instant) {
         let newest = self
             .acknowledged_at
@@ -45,7 +45,7 @@
         self.acknowledged_at.insert(replica, newest);
     }
 
-    /// A majority of the set has answered a round that began at that time.
+    /// Records that a majority of the replica set has answered a round that started at that time.
     pub fn record_majority_round(&mut self, round_started_at: Instant) {
         self.majority_at = Some(
             self.majority_at
@@ -53,23 +53,23 @@
         );
     }
 
-    /// Whether this replica is proved to have been reached within that time.
+    /// Whether this replica has acknowledged a message sent less than `max_age` ago. The local replica always has.
     pub fn is_acknowledged_within(
         &self,
         now: Instant,
         replica: ReplicaId,
-        within: Duration,
+        max_age: Duration,
     ) -> bool {
-        Some(replica) == self.own || is_within(now, self.acknowledged_at.get(&replica), within)
+        Some(replica) == self.own || is_within(now, self.acknowledged_at.get(&replica), max_age)
     }
 
-    /// Whether the lease holds now, by this set.
+    /// Whether the lease is valid now, by this replica set.
     pub fn is_valid(&self, now: Instant, set: &ReplicaSet) -> bool {
         is_within(now, self.majority_at.as_ref(), CONTACT_LEASE)
             || set.is_quorum(|replica| self.is_acknowledged_within(now, replica, CONTACT_LEASE))
     }
 }
 
-fn is_within(now: Instant, at: Option<&Instant>, within: Duration) -> bool {
-    at.is_some_and(|at| now.saturating_duration_since(*at) < within)
+fn is_within(now: Instant, at: Option<&Instant>, max_age: Duration) -> bool {
+    at.is_some_and(|at| now.saturating_duration_since(*at) < max_age)
 }
--- a/crates/mintlb-control/src/controller/http/configuration_api.rs
+++ b/crates/mintlb-control/src/controller/http/configuration_api.rs
@@ -1,45 +1,64 @@
 //! The operator's calls on the configuration.
 
-use crate::controller::Controller;
-use crate::controller::http::responses::{
-    Response, SHORT_RETRY_AFTER_SECONDS, error_response, out_of_contact, read_body, retry_response,
-    unavailable,
-};
+use super::responses::{SHORT_RETRY_AFTER, error_response, read_body, retry_response, unavailable};
+use crate::controller::contact::monitor::ContactMonitor;
+use crate::controller::register::RegisterClient;
+use crate::controller::register::publisher::Publisher;
+use crate::controller::settings::SharedSettings;
+use crate::controller::workers::service::NotAcknowledged;
 use axum::Router;
 use axum::extract::State;
 use axum::http::{HeaderMap, StatusCode, header};
-use axum::response::IntoResponse;
+use axum::response::{IntoResponse, Response};
 use axum::routing::get;
 use mintlb_common::configuration::Configuration;
 use mintlb_register::change::{Change, ChangeOutcome};
+use mintlb_register::state::ControlState;
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::time::Instant;
 
 /// The longest configuration.
 const MAX_BODY_BYTES: usize = 8 << 20;
-/// How long its bytes may take to come.
+/// The time that the body is given to arrive.
 const BODY_READ_TIMEOUT: Duration = Duration::from_secs(4);
-/// The operator calls another controller after a second.
+/// The time within which the operator has to be answered: after a second he calls another controller.
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(850);
-/// How long the register may take, so that time is left for a neighbour's confirmation.
+/// The time that the register is given, so that some is left for a neighbor's confirmation.
 const REGISTER_TIMEOUT: Duration = Duration::from_millis(700);
-/// All replicas there are have joined by so long after the start.
+/// The time after the start within which all replicas have joined.
 const JOIN_PERIOD: Duration = Duration::from_secs(6);
-/// How long an accepted configuration may wait for a neighbour that confirms it.
+/// The time that the response to an accepted configuration may wait for a neighbor that confirms it.
 const CONFIRMATION_TIMEOUT: Duration = Duration::from_millis(150);
 
-/// The calls.
-pub fn routes() -> Router<Arc<Controller>> {
-    Router::new().route("/v1/configuration", get(read).put(replace))
+/// What the calls need.
+#[derive(Clone)]
+pub struct ConfigurationApi {
+    /// Holds the configuration.
+    pub register: Arc<RegisterClient>,
+    /// Distributes it.
+    pub publisher: Arc<Publisher>,
+    /// Tells whether this process may answer at all.
+    pub contact: Arc<ContactMonitor>,
+    /// Holds the fault tolerance.
+    pub settings: Arc<SharedSettings>,
+    /// The start of the process.
+    pub started_at: Instant,
 }
 
-/// `GET /v1/configuration`: the newest one, whole.
-async fn read(State(controller): State<Arc<Controller>>) -> Response {
-    if !controller.is_in_contact() {
+/// The routes of the calls.
+pub fn routes(api: ConfigurationApi) -> Router {
+    Router::new()
+        .route("/v1/configuration", get(read).put(replace))
+        .with_state(api)
+}
+
+/// `GET /v1/configuration`: the newest configuration.
+async fn read(State(api): State<ConfigurationApi>) -> Response {
+    if !api.contact.is_in_contact() {
         return out_of_contact();
     }
-    match controller.register.read(REGISTER_TIMEOUT).await {
+    match api.register.read(REGISTER_TIMEOUT).await {
         Ok(newest) if newest.state.configuration_version == 0 => {
             error_response(StatusCode::NOT_FOUND, "there is no configuration yet")
         }
@@ -56,15 +75,15 @@
 
 /// `PUT /v1/configuration`: replaces the version in `If-Match`.
 async fn replace(
-    State(controller): State<Arc<Controller>>,
+    State(api): State<ConfigurationApi>,
     headers: HeaderMap,
     body: axum::body::Body,
 ) -> Response {
     let body = match read_body(body, MAX_BODY_BYTES, BODY_READ_TIMEOUT).await {
         Ok(body) => body,
-        Err(refusal) => return refusal,
+        Err(error) => return error.into_response(),
     };
-    let started_at = Instant::now();
+    let received_at = Instant::now();
     let Some(base) = base_version(&headers) else {
         return error_response(
             StatusCode::BAD_REQUEST,
@@ -75,7 +94,7 @@
         Ok(configuration) => configuration,
         Err(error) => return error_response(StatusCode::BAD_REQUEST, &error.to_string()),
     };
-    if !controller.is_in_contact() {
+    if !api.contact.is_in_contact() {
         return out_of_contact();
     }
     let version = configuration.config_version;
@@ -83,42 +102,42 @@
         base,
         version,
         body: body.to_vec(),
-        tolerated_failures: controller.settings().fault_tolerance.machines,
-        durability_suffices: controller.started_at.elapsed() >= JOIN_PERIOD,
+        tolerated_failures: api.settings.tolerated_failures(),
+        durability_suffices: api.started_at.elapsed() >= JOIN_PERIOD,
     };
-    match controller.register.change(change, REGISTER_TIMEOUT).await {
+    match api.register.change(change, REGISTER_TIMEOUT).await {
         Ok(outcome) => {
             log::info!(
-                "configuration: version {version} on {base}: {:?}",
+                "configuration: version {version} based on version {base}: {:?}",
                 outcome.change
             );
-            let left = RESPONSE_TIMEOUT
-                .saturating_sub(started_at.elapsed())
-                .min(CONFIRMATION_TIMEOUT);
-            answer(&controller, outcome.change, &outcome.chosen.state, left).await
+            if outcome.change.is_applied() {
+                let time_limit = RESPONSE_TIMEOUT
+                    .saturating_sub(received_at.elapsed())
+                    .min(CONFIRMATION_TIMEOUT);
+                api.publisher
+                    .confirm_configuration(&outcome.chosen.state, time_limit)
+                    .await;
+            }
+            response(outcome.change, &outcome.chosen.state)
         }
         Err(error) => {
-            log::info!("configuration: version {version} on {base}: {error}");
+            log::info!(
+                "configuration: version {version} based on version {base} is unconfirmed: {error}"
+            );
             unavailable(&error.to_string())
         }
     }
 }
 
-async fn answer(
-    controller: &Controller,
-    answer: ChangeOutcome,
-    state: &mintlb_register::state::ControlState,
-    left: Duration,
-) -> Response {
+fn out_of_contact() -> Response {
+    unavailable(&NotAcknowledged::OutOfContact.to_string())
+}
+
+fn response(outcome: ChangeOutcome, state: &ControlState) -> Response {
     let current = state.configuration_version;
-    match answer {
-        ChangeOutcome::Applied | ChangeOutcome::AlreadyApplied => {
-            controller
-                .publisher
-                .confirm_configuration(state, left)
-                .await;
-            StatusCode::OK.into_response()
-        }
+    match outcome {
+        ChangeOutcome::Applied | ChangeOutcome::AlreadyApplied => StatusCode::OK.into_response(),
         ChangeOutcome::StaleBase => {
             let text = format!("M453 If-Match: the current version is {current}");
             error_response(StatusCode::PRECONDITION_FAILED, &text)
@@ -132,10 +151,9 @@
         ChangeOutcome::HistoryCompacted => unavailable(&format!(
             "M406 config_version: is so old that it can't be told whether it was taken; current is {current}"
         )),
-        ChangeOutcome::TooFewReplicas | ChangeOutcome::SetFull => retry_response(
-            SHORT_RETRY_AFTER_SECONDS,
-            "M405 there are too few replicas yet",
-        ),
+        ChangeOutcome::TooFewReplicas | ChangeOutcome::SetFull => {
+            retry_response(SHORT_RETRY_AFTER, "M405 there are too few replicas yet")
+        }
     }
 }
 
--- a/crates/mintlb-control/src/controller/http/instance_api.rs
+++ b/crates/mintlb-control/src/controller/http/instance_api.rs
@@ -1,41 +1,35 @@
-//! The workers' calls.
-//!
-//! Out of contact with a majority nothing is acknowledged, so that the worker calls another controller. What it said is
-//! true all the same and goes to whom it reaches: the call sequence orders it among what other controllers publish.
+//! The calls of the workers.
 
-use crate::controller::Controller;
-use crate::controller::http::responses::{
-    Response, error_response, out_of_contact, read_body, unavailable,
-};
-use crate::controller::workers::registry::{HeartbeatOutcome, newer_record};
+use super::responses::{error_response, read_body, unavailable};
+use crate::controller::workers::service::{NotAcknowledged, WorkerService};
 use axum::Router;
 use axum::extract::{Path, State};
 use axum::http::{StatusCode, header};
-use axum::response::IntoResponse;
+use axum::response::{IntoResponse, Response};
 use axum::routing::put;
 use mintlb_common::record::{WorkerRecord, WorkerState};
 use serde::Deserialize;
 use std::net::SocketAddrV4;
 use std::sync::Arc;
 use std::time::Duration;
-use tokio::time::Instant;
 
-/// The longest call of a worker.
+/// The longest body of a worker's call.
 const MAX_BODY_BYTES: usize = 64 << 10;
-/// How long its bytes may take to come.
+/// The time that the body is given to arrive.
 const BODY_READ_TIMEOUT: Duration = Duration::from_secs(1);
-/// How long the acknowledgement of a drain or an end may wait for a neighbour that confirms the record: while a process
-/// finds its first neighbours, the record is offered to them two or three times. A worker waits for a second.
-const CONFIRMATION_TIMEOUT: Duration = Duration::from_millis(600);
 /// The longest instance id.
 const MAX_INSTANCE_ID_BYTES: usize = 128;
+/// The longest remaining slow start that is taken at its word, in ms.
+const MAX_SLOW_START_MS: f64 = 1e9;
 
-/// The calls.
-pub fn routes() -> Router<Arc<Controller>> {
-    Router::new().route("/v1/instances/{id}", put(heartbeat).delete(leave))
+/// The routes of the calls.
+pub fn routes(workers: Arc<WorkerService>) -> Router {
+    Router::new()
+        .route("/v1/instances/{id}", put(heartbeat).delete(deregister))
+        .with_state(workers)
 }
 
-/// A worker's call.
+/// The body of a heartbeat. The name of the type is part of the text of M462.
 #[derive(Debug, Deserialize)]
 struct InstanceCall {
     target_service: String,
@@ -43,8 +37,8 @@
     zone: String,
     capacity_slots: u32,
     state: InstanceState,
-    #[serde(default)]
-    cold_remaining_ms: f64,
+    #[serde(default, rename = "cold_remaining_ms")]
+    slow_start_remaining_ms: f64,
     call_sequence: u64,
 }
 
@@ -57,7 +51,7 @@
 
 impl InstanceCall {
     fn into_record(self, instance_id: String, unix_ms: u64) -> WorkerRecord {
-        let cold = self.cold_remaining_ms.clamp(0.0, 1e9) as u64;
+        let remaining_ms = self.slow_start_remaining_ms.clamp(0.0, MAX_SLOW_START_MS) as u64;
         WorkerRecord {
             instance_id,
             service: self.target_service,
@@ -69,90 +63,54 @@
                 InstanceState::Draining => WorkerState::Draining,
             },
             call_sequence: self.call_sequence,
-            slow_start_until_ms: if cold > 0 { unix_ms + cold } else { 0 },
+            slow_start_until_ms: if remaining_ms > 0 {
+                unix_ms + remaining_ms
+            } else {
+                0
+            },
         }
     }
 }
 
-/// `PUT /v1/instances/ID`: a heartbeat, or the word that the worker drains.
+/// `PUT /v1/instances/ID`: a heartbeat, which may report that the worker drains.
 async fn heartbeat(
-    State(controller): State<Arc<Controller>>,
+    State(workers): State<Arc<WorkerService>>,
     Path(id): Path<String>,
     body: axum::body::Body,
 ) -> Response {
     if id.len() > MAX_INSTANCE_ID_BYTES {
-        return error_response(StatusCode::BAD_REQUEST, "M461 the instance id is too long");
+        return instance_id_too_long();
     }
     let body = match read_body(body, MAX_BODY_BYTES, BODY_READ_TIMEOUT).await {
         Ok(body) => body,
-        Err(refusal) => return refusal,
-    };
-    let call: InstanceCall = match serde_json::from_slice(&body) {
-        Ok(call) => call,
-        Err(error) => return error_response(StatusCode::BAD_REQUEST, &format!("M462 {error}")),
+        Err(error) => return error.into_response(),
     };
-    let reported = call.into_record(id, unix_ms());
-    let current = controller.current_worker_record(&reported.instance_id);
-    if !controller.is_in_contact() {
-        if let Some(record) = newer_record(reported, current.as_ref()) {
-            controller.gossip.publish_now(record.to_record());
-        }
-        return out_of_contact();
-    }
-    let outcome = controller
-        .registry
-        .lock()
-        .heartbeat(Instant::now(), reported, current.as_ref());
-    match outcome {
-        HeartbeatOutcome::Unchanged | HeartbeatOutcome::Stale => acknowledged(),
-        HeartbeatOutcome::RegistryFull => unavailable("M463 there are too many workers"),
-        HeartbeatOutcome::Publish(record) if record.state == WorkerState::InService => {
-            controller.gossip.publish_now(record.to_record());
-            acknowledged()
+    match serde_json::from_slice::<InstanceCall>(&body) {
+        Ok(call) => {
+            let record = call.into_record(id, unix_ms());
+            acknowledgement(workers.heartbeat(record).await)
         }
-        HeartbeatOutcome::Publish(record) => publish_confirmed(&controller, record).await,
+        Err(error) => error_response(StatusCode::BAD_REQUEST, &format!("M462 {error}")),
     }
 }
 
 /// `DELETE /v1/instances/ID`: the worker ends.
-async fn leave(State(controller): State<Arc<Controller>>, Path(id): Path<String>) -> Response {
+async fn deregister(State(workers): State<Arc<WorkerService>>, Path(id): Path<String>) -> Response {
     if id.len() > MAX_INSTANCE_ID_BYTES {
-        return error_response(StatusCode::BAD_REQUEST, "M461 the instance id is too long");
+        return instance_id_too_long();
     }
-    let current = controller.current_worker_record(&id);
-    let record = controller.registry.lock().leave(&id, current);
-    if !controller.is_in_contact() {
-        controller.gossip.publish_now(record.to_record());
-        return out_of_contact();
-    }
-    publish_confirmed(&controller, record).await
+    acknowledgement(workers.deregister(&id).await)
 }
 
-/// Publishes the record of a worker to which nothing new may be sent. That is promised only once a neighbour has the
-/// record, and by a process that is in contact at that moment.
-async fn publish_confirmed(controller: &Controller, record: WorkerRecord) -> Response {
-    let confirmed = controller
-        .gossip
-        .publish(record.to_record(), CONFIRMATION_TIMEOUT)
-        .await
-        .is_ok();
-    log::debug!(
-        "workers: {} is {:?}, confirmed: {confirmed}",
-        record.instance_id,
-        record.state
-    );
-    if !confirmed {
-        return unavailable("M445 no other process has confirmed it yet");
-    }
-    if !controller.is_in_contact() {
-        return out_of_contact();
-    }
-    controller.registry.lock().confirmed(&record);
-    acknowledged()
+fn instance_id_too_long() -> Response {
+    error_response(StatusCode::BAD_REQUEST, "M461 the instance id is too long")
 }
 
-fn acknowledged() -> Response {
-    ([(header::CONTENT_TYPE, "application/json")], "{}").into_response()
+fn acknowledgement(result: Result<(), NotAcknowledged>) -> Response {
+    match result {
+        Ok(()) => ([(header::CONTENT_TYPE, "application/json")], "{}").into_response(),
+        Err(error) => unavailable(&error.to_string()),
+    }
 }
 
 fn unix_ms() -> u64 {
--- a/crates/mintlb-control/src/controller/http/responses.rs
+++ b/crates/mintlb-control/src/controller/http/responses.rs
@@ -1,56 +1,75 @@
-//! Answers and bodies that the calls of workers and the operator have in common.
+//! Responses and request bodies, as the calls of workers and the operator have them in common.
 
 use axum::body::Body;
 use axum::http::{StatusCode, header};
-use axum::response::IntoResponse;
-pub use axum::response::Response;
+use axum::response::{IntoResponse, Response};
 use bytes::Bytes;
 use http_body_util::{BodyExt, Limited};
 use std::time::Duration;
 use tokio::time::timeout;
 
-/// `Retry-After` where the cause passes quickly, in s.
-pub const SHORT_RETRY_AFTER_SECONDS: f64 = 0.15;
-/// `Retry-After` where no majority answered, in s.
-const RETRY_AFTER_SECONDS: f64 = 0.3;
+/// `Retry-After` where the cause passes quickly.
+pub const SHORT_RETRY_AFTER: Duration = Duration::from_millis(150);
+/// `Retry-After` where no majority replied.
+const RETRY_AFTER: Duration = Duration::from_millis(300);
 
-/// The whole body, if it is short enough and comes in time.
-pub async fn read_body(body: Body, max_bytes: usize, within: Duration) -> Result<Bytes, Response> {
-    match timeout(within, Limited::new(body, max_bytes).collect()).await {
+/// The reason for which the body of a request can't be read.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum BodyError {
+    /// The body is longer than the limit.
+    #[error("M471 the body is too long")]
+    TooLong,
+    /// The connection ended before the body.
+    #[error("M472 the body ended early")]
+    Incomplete,
+    /// The body didn't arrive within the time limit.
+    #[error("M473 the body did not come in time")]
+    TimedOut,
+}
+
+impl IntoResponse for BodyError {
+    fn into_response(self) -> Response {
+        let status = match self {
+            BodyError::TooLong => StatusCode::PAYLOAD_TOO_LARGE,
+            BodyError::Incomplete => StatusCode::BAD_REQUEST,
+            BodyError::TimedOut => StatusCode::REQUEST_TIMEOUT,
+        };
+        error_response(status, &self.to_string())
+    }
+}
+
+/// Reads a complete body.
+///
+/// # Errors
+///
+/// If the body is longer than `max_bytes`, ends early or doesn't arrive within the time limit.
+pub async fn read_body(
+    body: Body,
+    max_bytes: usize,
+    time_limit: Duration,
+) -> Result<Bytes, BodyError> {
+    match timeout(time_limit, Limited::new(body, max_bytes).collect()).await {
         Ok(Ok(body)) => Ok(body.to_bytes()),
-        Ok(Err(error)) if error.is::<http_body_util::LengthLimitError>() => Err(error_response(
-            StatusCode::PAYLOAD_TOO_LARGE,
-            "M471 the body is too long",
-        )),
-        Ok(Err(_)) => Err(error_response(
-            StatusCode::BAD_REQUEST,
-            "M472 the body ended early",
-        )),
-        Err(_) => Err(error_response(
-            StatusCode::REQUEST_TIMEOUT,
-            "M473 the body did not come in time",
-        )),
+        Ok(Err(error)) if error.is::<http_body_util::LengthLimitError>() => Err(BodyError::TooLong),
+        Ok(Err(_)) => Err(BodyError::Incomplete),
+        Err(_) => Err(BodyError::TimedOut),
     }
 }
 
-/// An answer that says what is wrong.
+/// A response with this status and text.
 pub fn error_response(status: StatusCode, text: &str) -> Response {
     (status, format!("{text}\n")).into_response()
 }
 
-/// 503: this process can't keep what the answer would promise, another controller may.
-pub fn out_of_contact() -> Response {
-    unavailable("M444 this controller is out of contact with a majority of the register's replicas")
-}
-
-/// 503: come back after a while.
+/// 503 with the usual delay before a retry.
 pub fn unavailable(text: &str) -> Response {
-    retry_response(RETRY_AFTER_SECONDS, text)
+    retry_response(RETRY_AFTER, text)
 }
 
-/// 503: come back after so many seconds.
-pub fn retry_response(after_s: f64, text: &str) -> Response {
-    let headers = [(header::RETRY_AFTER, format!("{after_s:.2}"))];
+/// 503 with this delay before a retry.
+pub fn retry_response(retry_after: Duration, text: &str) -> Response {
+    let retry_after = format!("{:.2}", retry_after.as_secs_f64());
+    let headers = [(header::RETRY_AFTER, retry_after)];
     (
         StatusCode::SERVICE_UNAVAILABLE,
         headers,
--- a/crates/mintlb-control/src/controller/register/acceptor_storage.rs
+++ b/crates/mintlb-control/src/controller/register/acceptor_storage.rs
@@ -1,12 +1,13 @@
-//! A replica's vote on disk. Syncs happen on a thread of their own, and what waits there is written with one commit.
+//! Durable storage of a replica's acceptor state. A thread of its own syncs the file; writes that queue up during a sync are
+//! committed together (group commit).
 //!
-//! After a failed commit the vote in memory may be ahead of the disk. Nothing is answered from then on: the thread drops
-//! what waits, opens the file again, with bounded pauses until the disk takes bytes, writes the vote that it finds there
-//! once more and hands it back, so that the replica goes on from what is synced.
+//! After a failed commit the state in memory may be ahead of the disk, so that the replica must not reply from it. The
+//! thread discards the queue and reopens the file, with a bounded backoff, until the disk accepts writes again. It then
+//! rewrites the state that it finds in the file and hands it back, and the replica resumes from what is durable.
 
-use crate::controller::ControllerError;
-pub use crate::controller::register::acceptor_file::FILE;
-use crate::controller::register::acceptor_file::{self, Contents};
+pub use super::acceptor_file::FILE;
+use super::acceptor_file::{self, Contents};
+use super::acceptor_file_error::{AcceptorFileError, Damage};
 use mintlb_register::acceptor::{AcceptorState, DurableWrite};
 use mintlb_register::replica_set::ReplicaId;
 use parking_lot::Mutex;
@@ -19,39 +20,39 @@
 use std::time::Duration;
 use tokio::sync::oneshot;
 
-/// A file that could not be read, kept for whoever looks into it.
+/// The name under which a damaged file is kept for examination.
 const QUARANTINED_FILE: &str = "register.redb.unreadable";
-/// Syncs that may wait.
+/// Capacity of the queue of writes that are not synced yet.
 pub const MAX_PENDING_SYNCS: usize = 256;
-/// The pause before a file is opened again after a failure; it doubles with each further try.
+/// The delay before the file is reopened after a failure; it doubles with each further attempt.
 const INITIAL_BACKOFF: Duration = Duration::from_millis(50);
-/// The longest pause.
+/// The longest delay between two attempts.
 const MAX_BACKOFF: Duration = Duration::from_millis(800);
 
 /// Opens the file, at the start and after each failure.
-pub type Opener = Box<dyn Fn() -> Result<Database, ControllerError> + Send>;
+pub type Opener = Box<dyn Fn() -> Result<Database, AcceptorFileError> + Send>;
 
-/// A sync that is asked for, and whom to tell of it.
+/// A queued write, and the sender that reports its sync.
 struct SyncJob {
-    sync: DurableWrite,
-    /// The life of the vote in memory to which it belongs.
+    write: DurableWrite,
+    /// The generation of the state in memory that the write belongs to.
     generation: u64,
     done: oneshot::Sender<()>,
 }
 
-/// Whether the vote in memory may be answered from.
+/// Whether the replica may reply from the state in memory.
 #[derive(Debug, Default, PartialEq)]
 pub enum Health {
-    /// It is on disk, or asked to be synced.
+    /// The state is on disk or queued to be synced.
     #[default]
     Good,
-    /// A commit has failed: nothing may be answered.
+    /// A commit has failed: no reply may be given.
     Failed,
-    /// The disk takes bytes again: this vote takes the place of the one in memory.
+    /// The disk accepts writes again: this state, which is durable, replaces the one in memory.
     Reloaded(AcceptorState),
 }
 
-/// What the thread and its owner share.
+/// State shared by the thread and its owner.
 #[derive(Default)]
 struct Shared {
     unfinished: AtomicUsize,
@@ -60,7 +61,8 @@
 }
 
 impl Shared {
-    /// Before the jobs are counted as finished, so that whoever finds none unfinished finds the failure.
+    /// Has to precede [`Shared::finish`] for the failed jobs: otherwise a reader that sees no unfinished job could take
+    /// the state for durable.
     fn fail(&self) {
         *self.health.lock() = Health::Failed;
         self.generation.fetch_add(1, SeqCst);
@@ -71,7 +73,7 @@
     }
 }
 
-/// The file with its thread. Dropping it waits until the thread has closed the file.
+/// The file and its thread. Dropping it waits until the thread has closed the file.
 pub struct AcceptorStorage {
     jobs: Mutex<Option<SyncSender<SyncJob>>>,
     thread: Mutex<Option<JoinHandle<()>>>,
@@ -84,32 +86,36 @@
     }
 }
 
-/// What the file held when it was opened.
+/// An opened file and its contents.
 pub struct OpenedAcceptor {
     /// The file.
-    pub store: AcceptorStorage,
-    /// The replica's identity.
+    pub storage: AcceptorStorage,
+    /// The identity of the replica.
     pub id: ReplicaId,
-    /// Its vote.
-    pub vote: AcceptorState,
+    /// Its acceptor state.
+    pub state: AcceptorState,
 }
 
 impl AcceptorStorage {
-    /// Opens the file, or makes it with a new identity. A damaged file is put aside: the replica then begins anew, as one
-    /// that has lost its disk.
-    pub fn open(directory: &Path, new_id: ReplicaId) -> Result<OpenedAcceptor, ControllerError> {
+    /// Opens the file, or creates it under a new identity. A damaged file is quarantined: the replica then starts anew,
+    /// like one whose disk was replaced.
+    ///
+    /// # Errors
+    ///
+    /// If the file can't be used, though it isn't damaged, or can't be created.
+    pub fn open(directory: &Path, new_id: ReplicaId) -> Result<OpenedAcceptor, AcceptorFileError> {
         let path = directory.join(FILE);
-        let reopen = path.clone();
-        let opener = move || acceptor_file::open(&reopen);
+        let reopened = path.clone();
+        let opener = move || acceptor_file::open(&reopened);
         if path.exists() {
             match AcceptorStorage::start(Box::new(opener.clone())) {
                 Err(error) if error.is_damage() => {
                     log::warn!(
-                        "register: {} is damaged and put aside: {error}",
+                        "register: quarantined the damaged file {} as {QUARANTINED_FILE}, this replica starts anew: {error}",
                         path.display()
                     );
                     std::fs::rename(&path, directory.join(QUARANTINED_FILE))
-                        .map_err(|cause| ControllerError::disk(&path, cause))?;
+                        .map_err(|cause| AcceptorFileError::io(&path, cause))?;
                 }
                 opened => return opened,
             }
@@ -118,13 +124,17 @@
         AcceptorStorage::start(Box::new(opener))
     }
 
-    /// Goes on with the vote that a database holds.
-    pub fn start(opener: Opener) -> Result<OpenedAcceptor, ControllerError> {
+    /// Resumes from the state that a database holds.
+    ///
+    /// # Errors
+    ///
+    /// If the database can't be opened or read, or the thread can't be started.
+    pub fn start(opener: Opener) -> Result<OpenedAcceptor, AcceptorFileError> {
         let database = opener()?;
-        let Contents { id, vote } = acceptor_file::read(&database)?;
+        let Contents { id, state } = acceptor_file::read(&database)?;
         let (jobs, queue) = sync_channel(MAX_PENDING_SYNCS);
         let shared = Arc::new(Shared::default());
-        let worker = Worker {
+        let committer = Committer {
             opener,
             id,
             queue,
@@ -132,17 +142,17 @@
         };
         let thread = std::thread::Builder::new()
             .name("register-sync".to_string())
-            .spawn(move || worker.run(database))
-            .map_err(|cause| ControllerError::disk(Path::new(FILE), cause))?;
-        let store = AcceptorStorage {
+            .spawn(move || committer.run(database))
+            .map_err(|cause| AcceptorFileError::io(Path::new(FILE), cause))?;
+        let storage = AcceptorStorage {
             jobs: Mutex::new(Some(jobs)),
             thread: Mutex::new(Some(thread)),
             shared,
         };
-        Ok(OpenedAcceptor { store, id, vote })
+        Ok(OpenedAcceptor { storage, id, state })
     }
 
-    /// Waits until all that was asked for is synced and the file is closed. No sync comes about after it.
+    /// Waits until all queued writes are synced and the file is closed. Later writes fail.
     pub fn close(&self) {
         self.jobs.lock().take();
         if let Some(thread) = self.thread.lock().take() {
@@ -150,7 +160,7 @@
         }
     }
 
-    /// Whether the vote in memory may be answered from; a vote read anew is handed over once.
+    /// Whether the replica may reply from the state in memory. A reloaded state is handed over once.
     pub fn take_health(&self) -> Health {
         let mut health = self.shared.health.lock();
         match &*health {
@@ -159,30 +169,30 @@
         }
     }
 
-    /// Whether syncs that were asked for before are still to be finished.
+    /// Whether queued writes are not finished yet.
     pub fn is_busy(&self) -> bool {
         self.shared.unfinished.load(SeqCst) > 0
     }
 
-    /// Whether all that was asked for is on disk.
+    /// Whether all queued writes are on disk.
     pub fn is_synced(&self) -> bool {
         !self.is_busy() && *self.shared.health.lock() == Health::Good
     }
 
-    /// Whether as many syncs wait as may.
+    /// Whether the queue of writes is full.
     pub fn is_full(&self) -> bool {
         self.shared.unfinished.load(SeqCst) >= MAX_PENDING_SYNCS
     }
 
-    /// Asks for a sync after all those asked for before; the receiver fails if it did not come about.
-    pub fn sync(&self, sync: DurableWrite) -> oneshot::Receiver<()> {
+    /// Queues a write behind all earlier ones. The receiver resolves once it is synced, and fails if it could not be.
+    pub fn sync(&self, write: DurableWrite) -> oneshot::Receiver<()> {
         let (done, receiver) = oneshot::channel();
         let mut health = self.shared.health.lock();
         if *health != Health::Good {
             return receiver;
         }
         let job = SyncJob {
-            sync,
+            write,
             generation: self.shared.generation.load(SeqCst),
             done,
         };
@@ -193,7 +203,7 @@
             .as_ref()
             .is_none_or(|jobs| jobs.try_send(job).is_err())
         {
-            // The vote in memory is ahead of the disk, and the file is closed.
+            // The state in memory is ahead of the disk for good, as the file is closed.
             *health = Health::Failed;
             self.shared.finish(1);
         }
@@ -201,59 +211,65 @@
     }
 }
 
-/// The thread that commits.
-struct Worker {
+/// The thread that commits queued writes.
+struct Committer {
     opener: Opener,
     id: ReplicaId,
     queue: Receiver<SyncJob>,
     shared: Arc<Shared>,
 }
 
-impl Worker {
-    /// Commits what waits, until nobody asks any more.
+impl Committer {
+    /// Commits queued writes until the queue is closed.
     fn run(self, mut database: Database) {
         while let Ok(first) = self.queue.recv() {
             let mut jobs = vec![first];
             jobs.extend(self.queue.try_iter());
-            let waited = jobs.len();
+            let taken = jobs.len();
             let generation = self.shared.generation.load(SeqCst);
             jobs.retain(|job| job.generation == generation);
             let Err(error) = commit(&database, &jobs) else {
-                self.shared.finish(waited);
+                self.shared.finish(taken);
                 for job in jobs {
                     job.done.send(()).ok();
                 }
                 continue;
             };
             log::error!(
-                "register: a sync failed, this replica answers nothing until the disk is back: {error}"
+                "register: a sync of the acceptor state failed, replica {:x} stops replying until its disk recovers: {error}",
+                self.id.0
             );
             self.shared.fail();
-            self.shared.finish(waited);
+            self.shared.finish(taken);
             drop((jobs, database));
             match self.reopen() {
-                Some(again) => database = again,
+                Some(reopened) => database = reopened,
                 None => return,
             }
-            log::warn!("register: the disk takes bytes again, this replica votes again");
+            log::warn!(
+                "register: the disk accepts writes again, replica {:x} resumes",
+                self.id.0
+            );
         }
     }
 
-    /// The file, once it can be read and written again; `None` if nobody asks any more.
+    /// The file, once it can be read and written again; `None` if the queue is closed.
     fn reopen(&self) -> Option<Database> {
         let mut backoff = INITIAL_BACKOFF;
         loop {
             match self.queue.recv_timeout(backoff) {
-                // It belongs to the life before.
+                // The write belongs to the generation that failed: it must not reach the disk.
                 Ok(_) => self.shared.finish(1),
                 Err(RecvTimeoutError::Disconnected) => return None,
                 Err(RecvTimeoutError::Timeout) => {
                     match self.reload() {
-                        Ok((database, vote)) => {
-                            *self.shared.health.lock() = Health::Reloaded(vote);
+                        Ok((database, state)) => {
+                            *self.shared.health.lock() = Health::Reloaded(state);
                             return Some(database);
                         }
-                        Err(error) => log::debug!("register: the file can't be used yet: {error}"),
+                        Err(error) => {
+                            log::debug!("register: the file can't be reopened yet: {error}")
+                        }
                     }
                     backoff = (2 * backoff).min(MAX_BACKOFF);
                 }
@@ -261,37 +277,35 @@
         }
     }
 
-    /// What was read is written once more: a commit that failed may have left it where no later sync would cover it.
-    fn reload(&self) -> Result<(Database, AcceptorState), ControllerError> {
+    /// Reads the state and writes it once more: a failed commit may have left it where no later sync would cover it.
+    fn reload(&self) -> Result<(Database, AcceptorState), AcceptorFileError> {
         let database = (self.opener)()?;
         let contents = acceptor_file::read(&database)?;
         if contents.id != self.id {
-            return Err(ControllerError::Damaged(
-                "it is another replica's".to_string(),
-            ));
+            return Err(AcceptorFileError::Damaged(Damage::ForeignIdentity));
         }
         acceptor_file::rewrite(&database, &contents)?;
-        Ok((database, contents.vote))
+        Ok((database, contents.state))
     }
 }
 
-/// Writes the last promise and the last value of the jobs. Later ones are never lower.
-fn commit(database: &Database, jobs: &[SyncJob]) -> Result<(), ControllerError> {
-    let promise = jobs.iter().rev().find_map(|job| match &job.sync {
+/// Writes the last promise and the last accepted value of the jobs: ballots only rise, so that these supersede the others.
+fn commit(database: &Database, jobs: &[SyncJob]) -> Result<(), AcceptorFileError> {
+    let promised = jobs.iter().rev().find_map(|job| match &job.write {
         DurableWrite::Nothing => None,
         DurableWrite::Promise(ballot) => Some(*ballot),
         DurableWrite::Accepted(accepted) => Some(accepted.ballot),
         DurableWrite::Learned { promised, .. } => Some(*promised),
     });
-    let Some(promise) = promise else {
+    let Some(promised) = promised else {
         return Ok(());
     };
-    let value = jobs.iter().rev().find_map(|job| match &job.sync {
+    let accepted = jobs.iter().rev().find_map(|job| match &job.write {
         DurableWrite::Accepted(accepted)
         | DurableWrite::Learned {
             chosen: accepted, ..
         } => Some(accepted),
         _ => None,
     });
-    acceptor_file::write_vote(database, promise, value)
+    acceptor_file::write_state(database, promised, accepted)
 }
--- /dev/null
+++ b/crates/mintlb-control/src/controller/register/discovery.rs
@@ -0,0 +1,124 @@
+//! Finding the register through the gossip records and the seeds, and bootstrapping it at the first start of a cluster.
+
+use super::client::RegisterClient;
+use crate::controller::settings::SharedSettings;
+use mintlb_common::record::REPLICAS;
+use mintlb_gossip::GossipService;
+use mintlb_register::bootstrap::{Bootstrap, BootstrapStep, SeedStatus};
+use mintlb_register::replica_set::ReplicaSet;
+use std::net::SocketAddr;
+use std::sync::Arc;
+use std::time::Duration;
+use tokio::task::JoinSet;
+
+/// The time that a seed is given to respond.
+const SEED_TIMEOUT: Duration = Duration::from_millis(250);
+
+/// Finds the replica set.
+pub struct Discovery {
+    register: Arc<RegisterClient>,
+    gossip: Arc<GossipService>,
+    settings: Arc<SharedSettings>,
+    own_address: SocketAddr,
+}
+
+impl Discovery {
+    /// `own_address` is the internal address of this process, which may be among the seeds.
+    pub fn new(
+        register: Arc<RegisterClient>,
+        gossip: Arc<GossipService>,
+        settings: Arc<SharedSettings>,
+        own_address: SocketAddr,
+    ) -> Discovery {
+        Discovery {
+            register,
+            gossip,
+            settings,
+            own_address,
+        }
+    }
+
+    /// Looks for a replica set or, if it falls to this process, bootstraps the register.
+    pub async fn discover_replica_set(&self) {
+        if self.hint_from_gossip() {
+            return;
+        }
+        let settings = self.settings.get();
+        let seeds = settings.seed_addresses();
+        let seed_statuses = self.query_seeds(&seeds).await;
+        let bootstrap = Bootstrap {
+            first_start: settings.first_start,
+            has_disk: self.register.replica().is_some(),
+            own_index: seeds.iter().position(|seed| *seed == self.own_address),
+            seed_statuses: &seed_statuses,
+        };
+        match bootstrap.next_step() {
+            BootstrapStep::Initialize => self.bootstrap().await,
+            BootstrapStep::RequestVotes => {
+                for seed in seeds {
+                    if !self
+                        .register
+                        .request_bootstrap_vote(seed, SEED_TIMEOUT)
+                        .await
+                    {
+                        return;
+                    }
+                }
+                self.bootstrap().await;
+            }
+            BootstrapStep::Join(set) => self.register.hint(set),
+            BootstrapStep::Wait => (),
+        }
+    }
+
+    /// Looks for a newer replica set than the known one, whose replicas may all have been replaced since.
+    pub async fn discover_newer_replica_set(&self) {
+        self.hint_from_gossip();
+        let seeds = self.settings.get().seed_addresses();
+        for status in self.query_seeds(&seeds).await.into_iter().flatten() {
+            if let Some(set) = status.replica_set {
+                self.register.hint(set);
+            }
+        }
+    }
+
+    async fn bootstrap(&self) {
+        if self.register.bootstrap().await {
+            log::info!(
+                "register: initialized with replica {:x} as the only member",
+                self.register.replica_id().unwrap_or_default().0
+            );
+        }
+    }
+
+    /// Takes the replica set of the gossip records as a hint. Returns whether there is one.
+    fn hint_from_gossip(&self) -> bool {
+        let Some(record) = self.gossip.get(REPLICAS) else {
+            return false;
+        };
+        let Ok(set) = minicbor::decode::<ReplicaSet>(&record.body) else {
+            return false;
+        };
+        self.register.hint(set);
+        true
+    }
+
+    /// The statuses of the other seeds, at their indexes.
+    async fn query_seeds(&self, seeds: &[SocketAddr]) -> Vec<Option<SeedStatus>> {
+        let mut statuses = vec![None; seeds.len()];
+        let mut calls = JoinSet::new();
+        let others = seeds
+            .iter()
+            .copied()
+            .enumerate()
+            .filter(|(_, seed)| *seed != self.own_address);
+        for (index, seed) in others {
+            let register = self.register.clone();
+            calls.spawn(async move { (index, register.status_of(seed, SEED_TIMEOUT).await) });
+        }
+        while let Some(Ok((index, status))) = calls.join_next().await {
+            statuses[index] = status;
+        }
+        statuses
+    }
+}
--- a/crates/mintlb-control/src/controller/register/local_replica.rs
+++ b/crates/mintlb-control/src/controller/register/local_replica.rs
@@ -1,33 +1,33 @@
-//! This process's replica of the register: its vote in memory, the file behind it, and its answers.
+//! The register's replica of this process: its acceptor in memory, the storage behind it, and its replies.
 
-use crate::controller::register::acceptor_storage::{AcceptorStorage, Health, OpenedAcceptor};
+use super::acceptor_storage::{AcceptorStorage, Health, OpenedAcceptor};
 use mintlb_register::acceptor::{Acceptor, DurableWrite};
-use mintlb_register::message::{AcceptedValue, Reply, Request};
+use mintlb_register::ballot::Ballot;
+use mintlb_register::message::{AcceptedValue, Reply, Request, RequestBody};
 use mintlb_register::replica_set::Replica;
 use mintlb_register::state::ControlState;
-use mintlb_register::{ballot::Ballot, message::RequestBody};
 use parking_lot::Mutex;
 use std::sync::Arc;
 
-/// The replica.
+/// The replica of this process.
 pub struct LocalReplica {
     identity: Replica,
     acceptor: Mutex<Acceptor>,
-    store: AcceptorStorage,
+    storage: AcceptorStorage,
 }
 
 impl LocalReplica {
-    /// A replica with what its file held; the identity's id is taken from there.
+    /// A replica with the contents of its file, from which the id of the identity is taken.
     pub fn new(opened: OpenedAcceptor, mut identity: Replica) -> LocalReplica {
         identity.id = opened.id;
         LocalReplica {
-            acceptor: Mutex::new(Acceptor::new(opened.id, opened.vote)),
-            store: opened.store,
+            acceptor: Mutex::new(Acceptor::new(opened.id, opened.state)),
+            storage: opened.storage,
             identity,
         }
     }
 
-    /// What the set says of this replica.
+    /// The entry of this replica in the replica set.
     pub fn identity(&self) -> &Replica {
         &self.identity
     }
@@ -37,22 +37,23 @@
         self.acceptor.lock().state().accepted.clone()
     }
 
-    /// Lets go of the file; nothing is answered any more that has to be synced.
+    /// Closes the file. The replica gives no reply any more that would need a sync.
     pub fn close(&self) {
-        self.store.close();
+        self.storage.close();
     }
 
-    /// Answers once everything that the answer tells of is synced; `None` if it could not be, or while too much waits.
+    /// Handles a request and replies once everything that the reply promises is durable; `None` if it could not be made
+    /// durable, or while the queue of writes is full.
     pub async fn answer(&self, request: Request) -> Option<Reply> {
         self.persist(|acceptor| {
-            let answered = acceptor.handle(request);
-            (answered.durable_write, answered.reply)
+            let response = acceptor.handle(request);
+            (response.durable_write, response.reply)
         })
         .await
     }
 
-    /// Takes in a chosen value that has not come here: then the disk here is as new as those of the majority. Nothing
-    /// happens if it has it, or something newer, or is no member of the value's set.
+    /// Learns a chosen value that has not reached this replica, so that its disk is as recent as those of the majority.
+    /// Does nothing if it has this value or a newer one, or is no member of the value's replica set.
     pub async fn catch_up(&self, chosen: &AcceptedValue) {
         let is_behind = self
             .accepted()
@@ -67,31 +68,12 @@
         }
     }
 
-    /// What came of the vote, once all that it has taken in is on disk.
-    async fn persist<T>(&self, vote: impl FnOnce(&mut Acceptor) -> (DurableWrite, T)) -> Option<T> {
-        let (result, persist) = {
-            let mut acceptor = self.acceptor.lock();
-            match self.store.take_health() {
-                Health::Good => (),
-                Health::Failed => return None,
-                Health::Reloaded(vote) => *acceptor = Acceptor::new(self.identity.id, vote),
-            }
-            if self.store.is_full() {
-                return None;
-            }
-            let (sync, result) = vote(&mut acceptor);
-            if sync == DurableWrite::Nothing && self.store.is_synced() {
-                return Some(result);
-            }
-            (result, self.store.sync(sync))
+    /// Writes the first value of a new register, with this replica as the only member; `None` if it could not be synced.
+    pub async fn bootstrap(&self, ballot: Ballot) -> Option<AcceptedValue> {
+        let proposed = AcceptedValue {
+            ballot,
+            state: Arc::new(ControlState::bootstrap(self.identity.clone())),
         };
-        persist.await.ok().map(|()| result)
-    }
-
-    /// Writes the first value of a register, with this replica as the only one; `None` if it could not be synced.
-    pub async fn found(&self, ballot: Ballot) -> Option<AcceptedValue> {
-        let state = Arc::new(ControlState::bootstrap(self.identity.clone()));
-        let proposed = AcceptedValue { ballot, state };
         let request = Request {
             target: self.identity.id,
             body: RequestBody::Accept {
@@ -103,4 +85,25 @@
             _ => None,
         }
     }
+
+    /// Applies a step to the acceptor and returns its result once all that the acceptor remembers is durable.
+    async fn persist<T>(&self, step: impl FnOnce(&mut Acceptor) -> (DurableWrite, T)) -> Option<T> {
+        let (result, synced) = {
+            let mut acceptor = self.acceptor.lock();
+            match self.storage.take_health() {
+                Health::Good => (),
+                Health::Failed => return None,
+                Health::Reloaded(state) => *acceptor = Acceptor::new(self.identity.id, state),
+            }
+            if self.storage.is_full() {
+                return None;
+            }
+            let (write, result) = step(&mut acceptor);
+            if write == DurableWrite::Nothing && self.storage.is_synced() {
+                return Some(result);
+            }
+            (result, self.storage.sync(write))
+        };
+        synced.await.ok().map(|()| result)
+    }
 }
--- a/crates/mintlb-control/src/controller/register/membership.rs
+++ b/crates/mintlb-control/src/controller/register/membership.rs
@@ -1,234 +1,181 @@
-//! Keeps this process in touch with the register: founds it, joins it, and reads it now and then.
+//! Membership of the local replica in the replica set: finding the register, joining, catching up, leaving.
 
-use crate::controller::Controller;
-use mintlb_common::record::REPLICAS;
-use mintlb_register::bootstrap::{Bootstrap, BootstrapStep, SeedStatus};
+use super::client::RegisterClient;
+use super::discovery::Discovery;
+use crate::controller::contact::monitor::ContactMonitor;
+use crate::controller::settings::SharedSettings;
 use mintlb_register::change::{Change, ChangeOutcome};
-use mintlb_register::replica_set::{ReplicaId, ReplicaSet};
-use std::net::SocketAddr;
+use mintlb_register::replica_set::ReplicaId;
+use parking_lot::Mutex;
 use std::sync::Arc;
-use std::sync::atomic::Ordering::Relaxed;
+use std::sync::atomic::{AtomicBool, Ordering::Relaxed};
 use std::time::Duration;
-use tokio::task::JoinSet;
 use tokio::time::{Instant, sleep};
 
-/// The largest set of replicas.
+/// The largest replica set.
 const MAX_REPLICAS: usize = 9;
-/// How long a seed may take to answer.
-const SEED_TIMEOUT: Duration = Duration::from_millis(250);
-/// The pause between two rounds of questions to the seeds.
+/// The delay between two rounds of queries to the seeds.
 const SEED_RETRY_INTERVAL: Duration = Duration::from_millis(40);
-/// How long a join may take before it is tried anew.
-const JOIN_TIMEOUT: Duration = Duration::from_millis(1500);
-/// The pause after a change of the set that did not come about.
+/// The time that a change of the replica set is given.
+const RECONFIGURATION_TIMEOUT: Duration = Duration::from_millis(1500);
+/// The delay after a change of the replica set that failed.
 const JOIN_RETRY_INTERVAL: Duration = Duration::from_millis(60);
-/// How long a read may take.
+/// The time that a read is given.
 const READ_TIMEOUT: Duration = Duration::from_millis(400);
-/// The mean pause between two reads.
+/// The mean interval between two reads.
 const READ_INTERVAL: Duration = Duration::from_millis(1000);
-/// So many unclear reads in a row are followed by a proposal that makes sure of the value.
-const MAX_UNCLEAR_READS: u32 = 2;
+/// The number of inconclusive reads in a row after which a proposal determines the value.
+const MAX_INCONCLUSIVE_READS: u32 = 2;
+/// Delays are lengthened by up to a quarter, so that the controllers don't poll in step.
+const JITTER_DIVISOR: u64 = 4;
 
-/// Runs for the life of the process.
-pub async fn run(controller: Arc<Controller>) {
-    let mut unclear = 0;
-    loop {
-        let pause = if controller.register.set().is_none() {
-            discover_replica_set(&controller).await;
-            SEED_RETRY_INTERVAL
-        } else if read(&controller, &mut unclear).await {
-            maintain_membership(&controller).await
-        } else {
-            discover_newer_replica_set(&controller).await;
-            JOIN_RETRY_INTERVAL
-        };
-        let spread = controller.random_below(pause.as_millis() as u64 / 4 + 1);
-        sleep(pause + Duration::from_millis(spread)).await;
-    }
+/// Completes a change of the replica set: leaves the joint set for the new one. Returns whether a quorum has done so.
+pub async fn complete_reconfiguration(register: &RegisterClient) -> bool {
+    register
+        .change(Change::LeaveJoint, RECONFIGURATION_TIMEOUT)
+        .await
+        .is_ok()
 }
 
-/// Finds the register or founds it.
-async fn discover_replica_set(controller: &Controller) {
-    if hint_from_gossip(controller) {
-        return;
-    }
-    let settings = controller.settings();
-    let seeds = settings.seed_addresses();
-    let own = controller.transport.local_address();
-    let answers = query_seeds(controller, &seeds).await;
-    let bootstrap = Bootstrap {
-        first_start: settings.first_start,
-        has_disk: controller.register.replica().is_some(),
-        own_index: seeds.iter().position(|seed| *seed == own),
-        seed_statuses: &answers,
-    };
-    match bootstrap.next_step() {
-        BootstrapStep::Initialize => found(controller).await,
-        BootstrapStep::RequestVotes => {
-            for seed in seeds {
-                if !controller
-                    .register
-                    .request_bootstrap_grant(seed, SEED_TIMEOUT)
-                    .await
-                {
-                    return;
-                }
-            }
-            found(controller).await;
-        }
-        BootstrapStep::Join(set) => controller.register.hint(set),
-        BootstrapStep::Wait => (),
-    }
+/// Keeps the local replica in the replica set.
+pub struct Membership {
+    register: Arc<RegisterClient>,
+    discovery: Discovery,
+    contact: Arc<ContactMonitor>,
+    settings: Arc<SharedSettings>,
+    jitter: Mutex<fastrand::Rng>,
+    /// Whether the process is shutting down: the replica doesn't join any more.
+    shutting_down: AtomicBool,
 }
 
-async fn found(controller: &Controller) {
-    if controller.register.found().await {
-        log::info!("register: founded here");
+impl Membership {
+    /// `random` draws the jitter of the delays.
+    pub fn new(
+        register: Arc<RegisterClient>,
+        discovery: Discovery,
+        contact: Arc<ContactMonitor>,
+        settings: Arc<SharedSettings>,
+        random: fastrand::Rng,
+    ) -> Membership {
+        Membership {
+            register,
+            discovery,
+            contact,
+            settings,
+            jitter: Mutex::new(random),
+            shutting_down: AtomicBool::new(false),
+        }
     }
-}
 
-/// The newest set may be known to others when nobody of the known one answers.
-async fn discover_newer_replica_set(controller: &Controller) {
-    hint_from_gossip(controller);
-    let seeds = controller.settings().seed_addresses();
-    for answer in query_seeds(controller, &seeds).await.into_iter().flatten() {
-        if let Some(set) = answer.replica_set {
-            controller.register.hint(set);
+    /// Runs until it is aborted.
+    pub async fn run(self: Arc<Self>) {
+        let mut inconclusive_reads = 0;
+        loop {
+            let delay = if self.register.set().is_none() {
+                self.discovery.discover_replica_set().await;
+                SEED_RETRY_INTERVAL
+            } else if self.read(&mut inconclusive_reads).await {
+                self.maintain().await
+            } else {
+                self.discovery.discover_newer_replica_set().await;
+                JOIN_RETRY_INTERVAL
+            };
+            sleep(delay + self.jitter(delay)).await;
         }
     }
-}
 
-/// Takes the set from the overlay's records; whether there is one.
-fn hint_from_gossip(controller: &Controller) -> bool {
-    let Some(record) = controller.gossip.get(REPLICAS) else {
-        return false;
-    };
-    let Ok(set) = minicbor::decode::<ReplicaSet>(&record.body) else {
-        return false;
-    };
-    controller.register.hint(set);
-    true
-}
-
-/// The seeds' answers, each at its place.
-async fn query_seeds(controller: &Controller, seeds: &[SocketAddr]) -> Vec<Option<SeedStatus>> {
-    let own = controller.transport.local_address();
-    let mut answers = vec![None; seeds.len()];
-    let mut calls = JoinSet::new();
-    for (index, seed) in seeds
-        .iter()
-        .copied()
-        .enumerate()
-        .filter(|(_, seed)| *seed != own)
-    {
-        let register = controller.register.clone();
-        calls.spawn(async move { (index, register.status_of(seed, SEED_TIMEOUT).await) });
-    }
-    while let Some(Ok((index, answer))) = calls.join_next().await {
-        answers[index] = answer;
+    /// Removes the local replica from a replica set that is larger than the fault tolerance requires, before the process
+    /// ends: a member that is gone for good would still count against the tolerated losses. The replica keeps voting until
+    /// the change is complete.
+    pub async fn leave(&self) {
+        self.shutting_down.store(true, Relaxed);
+        let Some(id) = self.register.replica_id() else {
+            return;
+        };
+        let Ok(chosen) = self.register.read(READ_TIMEOUT).await else {
+            return;
+        };
+        let min_replicas = self.settings.min_replicas();
+        let set = &chosen.state.replicas;
+        if set.current_replica(id).is_none() || set.current.len() <= min_replicas {
+            return;
+        }
+        let removal = Change::RemoveReplica { id, min_replicas };
+        let removed = self
+            .register
+            .change(removal, RECONFIGURATION_TIMEOUT)
+            .await
+            .is_ok_and(|outcome| outcome.change.is_applied());
+        if removed && complete_reconfiguration(&self.register).await {
+            log::info!("register: replica {:x} has left the replica set", id.0);
+        }
     }
-    answers
-}
 
-/// Reads the register; after unclear reads it makes sure of the value.
-async fn read(controller: &Controller, unclear: &mut u32) -> bool {
-    if controller
-        .register
-        .read_once(Instant::now() + READ_TIMEOUT)
-        .await
-        .is_some()
-    {
-        *unclear = 0;
-        return true;
+    fn jitter(&self, delay: Duration) -> Duration {
+        let limit = delay.as_millis() as u64 / JITTER_DIVISOR;
+        Duration::from_millis(self.jitter.lock().u64(0..=limit))
     }
-    *unclear += 1;
-    let unknown = controller.register.chosen().is_none();
-    if *unclear < MAX_UNCLEAR_READS && !unknown {
-        return false;
-    }
-    controller
-        .register
-        .change(Change::Identity, READ_TIMEOUT)
-        .await
-        .is_ok()
-}
 
-/// Joins the set, and ends changes of it. Returns the pause until the next look.
-async fn maintain_membership(controller: &Controller) -> Duration {
-    let Some(chosen) = controller.register.chosen() else {
-        return JOIN_RETRY_INTERVAL;
-    };
-    let set = &chosen.state.replicas;
-    if let Some(replica) = controller.register.replica() {
-        replica.catch_up(&chosen).await;
-    }
-    if let Some(replica) = controller.register.replica()
-        && !set.current.contains(replica.identity())
-    {
-        if controller.shutting_down.load(Relaxed) {
-            return READ_INTERVAL;
+    /// Reads the register; after several inconclusive reads a proposal determines the value. Returns whether the value is
+    /// known.
+    async fn read(&self, inconclusive_reads: &mut u32) -> bool {
+        let deadline = Instant::now() + READ_TIMEOUT;
+        if self.register.read_once(deadline).await.is_some() {
+            *inconclusive_reads = 0;
+            return true;
         }
-        let silent = controller.singleton.unresponsive_replicas(set);
-        return join(controller, silent).await;
-    }
-    if set.is_joint() {
-        complete_reconfiguration(controller).await;
+        *inconclusive_reads += 1;
+        let is_known = self.register.chosen().is_some();
+        if *inconclusive_reads < MAX_INCONCLUSIVE_READS && is_known {
+            return false;
+        }
+        self.register
+            .change(Change::Identity, READ_TIMEOUT)
+            .await
+            .is_ok()
     }
-    READ_INTERVAL
-}
 
-/// Joins the set. Returns the pause until the next look.
-async fn join(controller: &Controller, silent: Vec<ReplicaId>) -> Duration {
-    let Some(replica) = controller.register.replica() else {
-        return READ_INTERVAL;
-    };
-    let change = Change::AddReplica {
-        replica: replica.identity().clone(),
-        unresponsive: silent,
-        max_replicas: MAX_REPLICAS,
-    };
-    match controller.register.change(change, JOIN_TIMEOUT).await {
-        Ok(outcome)
-            if outcome.change.is_applied() && complete_reconfiguration(controller).await =>
-        {
-            Duration::ZERO
+    /// Catches up, joins the replica set and completes changes of it, as needed. Returns the delay until the next look.
+    async fn maintain(&self) -> Duration {
+        let Some(chosen) = self.register.chosen() else {
+            return JOIN_RETRY_INTERVAL;
+        };
+        let set = &chosen.state.replicas;
+        if let Some(replica) = self.register.replica() {
+            replica.catch_up(&chosen).await;
+            if !set.current.contains(replica.identity()) {
+                if self.shutting_down.load(Relaxed) {
+                    return READ_INTERVAL;
+                }
+                let unresponsive = self.contact.unresponsive_replicas(set);
+                return self.join(unresponsive).await;
+            }
+        }
+        if set.is_joint() {
+            complete_reconfiguration(&self.register).await;
         }
-        Ok(outcome) if outcome.change == ChangeOutcome::SetFull => READ_INTERVAL,
-        Ok(_) | Err(_) => JOIN_RETRY_INTERVAL,
+        READ_INTERVAL
     }
-}
 
-/// Leaves a set that is larger than it has to be, before the process ends: a member that is gone for good and still
-/// counts would add to the losses that the set has to bear. The replica votes until the change is over.
-pub async fn leave(controller: &Controller) {
-    controller.shutting_down.store(true, Relaxed);
-    let Some(id) = controller.replica_id() else {
-        return;
-    };
-    let Ok(chosen) = controller.register.read(READ_TIMEOUT).await else {
-        return;
-    };
-    let min_replicas = 2 * controller.settings().fault_tolerance.machines + 1;
-    let set = &chosen.state.replicas;
-    if set.current_replica(id).is_none() || set.current.len() <= min_replicas {
-        return;
-    }
-    let left = controller
-        .register
-        .change(Change::RemoveReplica { id, min_replicas }, JOIN_TIMEOUT)
-        .await;
-    if left.is_ok_and(|outcome| outcome.change.is_applied())
-        && complete_reconfiguration(controller).await
-    {
-        log::info!("register: this replica has left the set");
+    /// Joins the replica set, in place of an unresponsive replica if it is full. Returns the delay until the next look.
+    async fn join(&self, unresponsive: Vec<ReplicaId>) -> Duration {
+        let Some(replica) = self.register.replica() else {
+            return READ_INTERVAL;
+        };
+        let change = Change::AddReplica {
+            replica: replica.identity().clone(),
+            unresponsive,
+            max_replicas: MAX_REPLICAS,
+        };
+        match self.register.change(change, RECONFIGURATION_TIMEOUT).await {
+            Ok(outcome)
+                if outcome.change.is_applied()
+                    && complete_reconfiguration(&self.register).await =>
+            {
+                Duration::ZERO
+            }
+            Ok(outcome) if outcome.change == ChangeOutcome::SetFull => READ_INTERVAL,
+            Ok(_) | Err(_) => JOIN_RETRY_INTERVAL,
+        }
     }
 }
-
-/// Ends a change of the set.
-pub async fn complete_reconfiguration(controller: &Controller) -> bool {
-    controller
-        .register
-        .change(Change::LeaveJoint, JOIN_TIMEOUT)
-        .await
-        .is_ok()
-}
--- a/crates/mintlb-control/src/controller/register/publisher.rs
+++ b/crates/mintlb-control/src/controller/register/publisher.rs
@@ -1,4 +1,4 @@
-//! What of the register's chosen value goes to every process as records.
+//! Distribution of the register's chosen value as gossip records.
 
 use mintlb_common::record::{CONFIGURATION, PLACEMENT, REPLICAS, Record};
 use mintlb_gossip::GossipService;
@@ -6,30 +6,38 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Publishes the records of chosen values; never of a value that may not be chosen.
+/// The time to live of a record that never expires, in seconds.
+const NO_EXPIRY: u32 = 0;
+
+/// Publishes the records of chosen values, and never of a value that may not be chosen.
 pub struct Publisher {
     gossip: Arc<GossipService>,
 }
 
 impl Publisher {
-    /// A publisher by this overlay.
+    /// Publishes through this gossip service.
     pub fn new(gossip: Arc<GossipService>) -> Publisher {
         Publisher { gossip }
     }
 
-    /// Publishes what is newer than what is in force.
+    /// Publishes the records of a chosen value that are newer than the known ones.
     pub fn publish(&self, state: &ControlState) {
-        for record in records(state) {
+        let records = [
+            replica_set_record(state),
+            placement_record(state),
+            configuration_record(state),
+        ];
+        for record in records.into_iter().flatten() {
             if self.is_newer(&record) {
                 self.gossip.publish_now(record);
             }
         }
     }
 
-    /// Waits until a neighbour has confirmed the configuration, or for this time.
-    pub async fn confirm_configuration(&self, state: &ControlState, wait: Duration) {
-        if let Some(record) = configuration(state) {
-            self.gossip.publish(record, wait).await.ok();
+    /// Waits, `time_limit` at most, until a neighbor has confirmed the configuration.
+    pub async fn confirm_configuration(&self, state: &ControlState, time_limit: Duration) {
+        if let Some(record) = configuration_record(state) {
+            self.gossip.publish(record, time_limit).await.ok();
         }
     }
 
@@ -40,45 +48,32 @@
     }
 }
 
-/// The records of a value.
-fn records(state: &ControlState) -> impl Iterator<Item = Record> {
-    let replicas = permanent_record(
-        REPLICAS,
-        state.replicas.epoch,
-        minicbor::to_vec(&state.replicas),
-    );
-    let placement = (state.placement.epoch > 0).then(|| {
-        permanent_record(
-            PLACEMENT,
-            state.placement.epoch,
-            minicbor::to_vec(&state.placement),
-        )
-    });
-    [
-        Some(replicas),
-        placement.flatten().map(Some),
-        Some(configuration(state)),
-    ]
-    .into_iter()
-    .flatten()
-    .flatten()
+fn replica_set_record(state: &ControlState) -> Option<Record> {
+    let body = minicbor::to_vec(&state.replicas).ok()?;
+    Some(record(REPLICAS, state.replicas.epoch, body))
+}
+
+fn placement_record(state: &ControlState) -> Option<Record> {
+    if state.placement.epoch == 0 {
+        return None;
+    }
+    let body = minicbor::to_vec(&state.placement).ok()?;
+    Some(record(PLACEMENT, state.placement.epoch, body))
 }
 
-fn configuration(state: &ControlState) -> Option<Record> {
-    (state.configuration_version > 0).then(|| Record {
-        key: CONFIGURATION.to_string(),
-        version: state.configuration_version,
-        ttl_s: 0,
-        body: state.configuration.clone().into(),
-    })
+fn configuration_record(state: &ControlState) -> Option<Record> {
+    if state.configuration_version == 0 {
+        return None;
+    }
+    let body = state.configuration.clone();
+    Some(record(CONFIGURATION, state.configuration_version, body))
 }
 
-fn permanent_record<E>(key: &str, version: u64, body: Result<Vec<u8>, E>) -> Option<Record> {
-    let body = body.ok()?.into();
-    Some(Record {
+fn record(key: &str, version: u64, body: Vec<u8>) -> Record {
+    Record {
         key: key.to_string(),
         version,
-        ttl_s: 0,
-        body,
-    })
+        ttl_s: NO_EXPIRY,
+        body: body.into(),
+    }
 }
--- a/crates/mintlb-control/src/controller/register/register_cache.rs
+++ b/crates/mintlb-control/src/controller/register/register_cache.rs
@@ -1,23 +1,23 @@
-//! What a process knows of the register: the newest chosen value, and sets it has only heard of.
+//! The register as known to this process: the newest value known to be chosen, and replica sets learned from others.
 
 use mintlb_register::ballot::Ballot;
 use mintlb_register::message::AcceptedValue;
 use mintlb_register::replica_set::ReplicaSet;
 
-/// What the process knows of the register.
+/// What this process knows of the register.
 #[derive(Debug, Default)]
 pub struct RegisterCache {
     /// The newest value known to be chosen.
     chosen: Option<AcceptedValue>,
-    /// The newest set heard of from others, or the one that the replica's disk held: whom to ask until a chosen value is
-    /// known. It may never have been chosen.
+    /// The newest replica set learned from other processes or from the local disk: the replicas to query until a chosen
+    /// value is known. It may never have been chosen.
     hint: Option<ReplicaSet>,
-    /// The highest ballot heard of.
+    /// The highest ballot seen.
     ballot_floor: Ballot,
 }
 
 impl RegisterCache {
-    /// Nothing is known but what the replica here accepted last, which may not be chosen.
+    /// A cache that knows only the value accepted last by the local replica, which may not be chosen.
     pub fn stored(accepted: Option<AcceptedValue>) -> RegisterCache {
         let hint = accepted.map(|accepted| accepted.state.replicas.clone());
         RegisterCache {
@@ -31,13 +31,13 @@
         self.chosen.as_ref()
     }
 
-    /// The set by which to ask: the chosen one, or one heard of since that is newer.
+    /// The replica set to query: the chosen one, or a hint with a higher epoch.
     pub fn set(&self) -> Option<&ReplicaSet> {
         let chosen = self.chosen.as_ref().map(|chosen| &chosen.state.replicas);
         self.hint.iter().chain(chosen).max_by_key(|set| set.epoch)
     }
 
-    /// Takes note of a set that another process knows.
+    /// Records a replica set that another process knows.
     pub fn hint(&mut self, set: ReplicaSet) {
         if self
             .hint
@@ -48,8 +48,8 @@
         }
     }
 
-    /// Takes note of a chosen value that a majority has told of just now; whether it is newer than the one known, and the
-    /// epoch of the set known before. What was only heard of is forgotten, as it may never have been chosen.
+    /// Records a chosen value that a majority has just reported. If it is newer than the known one, returns the epoch of
+    /// the replica set known before, 0 for none. The hint is dropped, as it may never have been chosen.
     pub fn record_chosen(&mut self, accepted: &AcceptedValue) -> Option<u64> {
         self.hint = None;
         if self
@@ -59,17 +59,17 @@
         {
             return None;
         }
-        let before = self.chosen.replace(accepted.clone());
-        Some(before.map_or(0, |before| before.state.replicas.epoch))
+        let previous = self.chosen.replace(accepted.clone());
+        Some(previous.map_or(0, |previous| previous.state.replicas.epoch))
     }
 
-    /// The highest ballot heard of: proposals begin above it.
+    /// The highest ballot seen: proposals start above it.
     pub fn ballot_floor(&self) -> Ballot {
         self.ballot_floor
     }
 
-    /// A higher ballot may have been heard of.
-    pub fn raise_ballot_floor(&mut self, seen: Ballot) {
-        self.ballot_floor = self.ballot_floor.max(seen);
+    /// Raises the ballot above which proposals start.
+    pub fn raise_ballot_floor(&mut self, ballot: Ballot) {
+        self.ballot_floor = self.ballot_floor.max(ballot);
     }
 }
--- a/crates/mintlb-control/src/controller/settings_reload.rs
+++ b/crates/mintlb-control/src/controller/settings_reload.rs
@@ -1,6 +1,7 @@
-//! Settings that have changed, with a signal or without one.
+//! Reload of the settings file after a change, upon SIGHUP or without it.
 
-use crate::controller::Controller;
+use super::settings::SharedSettings;
+use super::workers::service::WorkerService;
 use mintlb_common::settings::{NodeSettings, SETTINGS_VARIABLE};
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
@@ -8,49 +9,66 @@
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::time::{MissedTickBehavior, interval};
 
-/// How often the file's time is looked at.
+/// The interval between two looks at the file's modification time.
 const POLL_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Watches the settings file for the life of the process.
-pub async fn run(controller: Arc<Controller>) {
-    let Some(path) = std::env::var_os(SETTINGS_VARIABLE).map(PathBuf::from) else {
-        return;
-    };
-    let Ok(mut hangup) = signal(SignalKind::hangup()) else {
-        return;
-    };
-    let mut poll = interval(POLL_INTERVAL);
-    poll.set_missed_tick_behavior(MissedTickBehavior::Delay);
-    let mut last_modified = modified_at(&path);
-    loop {
-        let signalled = tokio::select! { _ = hangup.recv() => true, _ = poll.tick() => false };
-        let now = modified_at(&path);
-        if signalled || now != last_modified {
-            last_modified = now;
-            read(&controller, &path);
-        }
-    }
+/// Applies changes of the settings file.
+pub struct SettingsReload {
+    settings: Arc<SharedSettings>,
+    workers: Arc<WorkerService>,
 }
 
-fn modified_at(path: &Path) -> Option<SystemTime> {
-    std::fs::metadata(path).ok()?.modified().ok()
-}
+impl SettingsReload {
+    /// `workers` get the new heartbeat timeout; everything else reads `settings` as needed.
+    pub fn new(settings: Arc<SharedSettings>, workers: Arc<WorkerService>) -> SettingsReload {
+        SettingsReload { settings, workers }
+    }
 
-fn read(controller: &Controller, path: &Path) {
-    match NodeSettings::read(path) {
-        Ok(settings) => {
-            let changed = changed_fields(&controller.settings(), &settings);
-            if !changed.is_empty() {
-                log::info!("settings: changed: {}", changed.join(", "));
-                controller.replace_settings(settings);
+    /// Watches the settings file until it is aborted.
+    pub async fn run(self) {
+        let Some(path) = std::env::var_os(SETTINGS_VARIABLE).map(PathBuf::from) else {
+            return;
+        };
+        let Ok(mut hangup) = signal(SignalKind::hangup()) else {
+            return;
+        };
+        let mut poll = interval(POLL_INTERVAL);
+        poll.set_missed_tick_behavior(MissedTickBehavior::Delay);
+        let mut last_modified = modified_at(&path);
+        loop {
+            let signalled = tokio::select! {
+                _ = hangup.recv() => true,
+                _ = poll.tick() => false,
+            };
+            let modified = modified_at(&path);
+            if signalled || modified != last_modified {
+                last_modified = modified;
+                self.reload(&path);
             }
         }
-        Err(error) => log::warn!("settings: not taken: {error}"),
     }
+
+    fn reload(&self, path: &Path) {
+        let settings = match NodeSettings::read(path) {
+            Ok(settings) => settings,
+            Err(error) => return log::warn!("settings: rejected the changed file: {error}"),
+        };
+        let changed = changed_fields(&self.settings.get(), &settings);
+        if !changed.is_empty() {
+            log::info!("settings: applied changes of {}", changed.join(", "));
+            self.workers
+                .set_heartbeat_timeout(settings.heartbeat_timeout());
+            self.settings.replace(settings);
+        }
+    }
+}
+
+fn modified_at(path: &Path) -> Option<SystemTime> {
+    std::fs::metadata(path).ok()?.modified().ok()
 }
 
-/// The names of the fields that differ. An address or a folder that differs takes effect at the next start.
-pub fn changed_fields(old: &NodeSettings, new: &NodeSettings) -> Vec<&'static str> {
+/// The names of the fields that differ. Some of them take effect at the next start, and say so.
+fn changed_fields(old: &NodeSettings, new: &NodeSettings) -> Vec<&'static str> {
     let fields = [
         ("node_name", old.node_name != new.node_name),
         ("zone", old.zone != new.zone),
--- a/crates/mintlb-control/src/controller/singleton/messages.rs
+++ b/crates/mintlb-control/src/controller/singleton/messages.rs
@@ -1,84 +1,85 @@
-//! What controllers say to each other on the channel of the duties.
+//! The messages between controllers on the control channel. Their minicbor indexes are fixed: controllers of different
+//! releases exchange them.
 
-use crate::controller::contact::ping_state::{Ping, Pong};
+use crate::controller::contact::messages::{Ping, Pong};
 use bytes::Bytes;
 use minicbor::{Decode, Encode};
 
-/// A call between controllers.
+/// A request to another controller.
 #[derive(Debug, Encode, Decode)]
-pub enum SingletonRequest {
-    /// I run.
+pub enum ControllerRequest {
+    /// A ping.
     #[n(0)]
     Ping(#[n(0)] Ping),
-    /// Which workers call you? Refused under an epoch that is too low.
+    /// Which workers send their heartbeats to the receiver? Rejected under an epoch that is outdated.
     #[n(1)]
     Workers {
-        /// The epoch of the duties under which it is asked.
+        /// The epoch under which the sender leads.
         #[n(0)]
         epoch: u64,
     },
-    /// The operator's call on the retirement of a store, passed on by a controller that does not hear the stores.
+    /// The operator's request on the retirement of a store, forwarded by a controller that doesn't hear the stores.
     #[n(2)]
-    Retire(#[n(0)] RetirementRequest),
+    Retirement(#[n(0)] RetirementRequest),
 }
 
-/// The answer to a [`SingletonRequest`].
+/// The response to a [`ControllerRequest`].
 #[derive(Debug, Encode, Decode)]
-pub enum SingletonResponse {
-    /// I run as well.
+pub enum ControllerResponse {
+    /// The response to a ping.
     #[n(0)]
     Pong(#[n(0)] Pong),
-    /// Hashes of the ids of the workers that call here.
+    /// Hashes of the ids of the workers that send their heartbeats to the sender.
     #[n(1)]
     Workers(#[n(0)] Vec<u32>),
-    /// A higher epoch is known.
+    /// The sender knows a higher leader epoch.
     #[n(2)]
-    Stale {
+    StaleEpoch {
         /// That epoch.
         #[n(0)]
         epoch: u64,
     },
-    /// What to answer to the operator.
+    /// The result for the operator.
     #[n(3)]
-    Retire(#[n(0)] RetirementStatus),
+    Retirement(#[n(0)] RetirementStatus),
 }
 
-/// The operator's call on the retirement of a store, as it is passed on.
+/// The operator's request on the retirement of a store.
 #[derive(Clone, Debug, Encode, Decode)]
 pub struct RetirementRequest {
-    /// The machine's name.
+    /// The name of the store's machine.
     #[n(0)]
     pub node_name: String,
-    /// Begin, rather than tell how far it is.
+    /// Whether to start the retirement, rather than to report its progress.
     #[n(1)]
     pub begin: bool,
 }
 
-/// What the operator is answered.
+/// The result of a [`RetirementRequest`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 #[cbor(index_only)]
 pub enum RetirementStatus {
-    /// The order stands.
+    /// The retirement is ordered.
     #[n(0)]
     Ordered,
     /// It is under way.
     #[n(1)]
     Running,
-    /// The machine can be taken away.
+    /// It is complete: the machine can be removed.
     #[n(2)]
     Completed,
-    /// There is no such store or no such order.
+    /// There is no such store, or no such order.
     #[n(3)]
-    Unknown,
-    /// Too few stores would be left.
+    NotFound,
+    /// Too few stores would remain.
     #[n(4)]
-    TooFew,
-    /// It can't be said now.
+    TooFewStores,
+    /// The status can't be determined now: the request may be tried again.
     #[n(5)]
     Unavailable,
 }
 
-/// Encodes a message between controllers.
-pub fn encoded<T: Encode<()>>(message: &T) -> Bytes {
+/// Encodes a message.
+pub fn encode<T: Encode<()>>(message: &T) -> Bytes {
     minicbor::to_vec(message).unwrap_or_default().into()
 }
--- a/crates/mintlb-control/src/controller/singleton/retirement.rs
+++ b/crates/mintlb-control/src/controller/singleton/retirement.rs
@@ -1,7 +1,10 @@
-//! Carries out the operator's calls on the retirement of stores, at a controller that hears the stores.
+//! Retirement of stores at the operator's request, at a controller that hears the stores.
 
-use crate::controller::Controller;
-use crate::controller::singleton::messages::{RetirementRequest, RetirementStatus};
+use super::messages::{RetirementRequest, RetirementStatus};
+use super::store_monitor::StoreMonitor;
+use crate::controller::contact::monitor::ContactMonitor;
+use crate::controller::register::RegisterClient;
+use crate::controller::settings::SharedSettings;
 use mintlb_batch::placement_planner::{
     ClusterSnapshot, DecommissionStart, DecommissionStatus, LIVE_TIMEOUT, decommission_status,
     start_decommission,
@@ -12,88 +15,107 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// The operator calls another controller after a second.
+/// The time within which the operator has to be answered: after a second he calls another controller.
 pub const RESPONSE_TIMEOUT: Duration = Duration::from_millis(850);
-/// How long the newest placement may take to be read.
+/// The time that a read of the newest placement is given.
 const READ_TIMEOUT: Duration = Duration::from_millis(400);
-/// After a cut or a pause the stores are listened to for so long before anything is said of them: two periods of their
-/// heartbeats.
+/// The time in contact after which the stores' heartbeats count as complete again: two intervals of them. Earlier, a
+/// partition or pause may have hidden some.
 const MIN_CONTACT: Duration = Duration::from_millis(900);
 
-/// Carries out a call by what this process knows of the stores.
-pub async fn handle_retirement(
-    controller: &Arc<Controller>,
-    call: &RetirementRequest,
-) -> RetirementStatus {
-    let deadline = Instant::now() + RESPONSE_TIMEOUT;
-    let tolerance = controller.settings().fault_tolerance.machines;
-    loop {
-        if !controller.is_in_contact() {
-            return RetirementStatus::Unavailable;
-        }
-        let left = deadline.saturating_duration_since(Instant::now());
-        let Ok(chosen) = controller.register.read(left.min(READ_TIMEOUT)).await else {
-            return RetirementStatus::Unavailable;
-        };
-        let placement = &chosen.state.placement;
-        let view = controller.singleton.store_view(placement);
-        let has_current_heartbeats = controller.in_contact_for() >= MIN_CONTACT;
-        if !call.begin {
-            return progress(
-                placement,
-                &view,
-                &call.node_name,
-                tolerance,
-                has_current_heartbeats,
-            );
+/// Handles requests on the retirement of stores.
+pub struct RetirementHandler {
+    register: Arc<RegisterClient>,
+    contact: Arc<ContactMonitor>,
+    stores: Arc<StoreMonitor>,
+    settings: Arc<SharedSettings>,
+}
+
+impl RetirementHandler {
+    /// Decides by the newest placement and the stores' heartbeats.
+    pub fn new(
+        register: Arc<RegisterClient>,
+        contact: Arc<ContactMonitor>,
+        stores: Arc<StoreMonitor>,
+        settings: Arc<SharedSettings>,
+    ) -> RetirementHandler {
+        RetirementHandler {
+            register,
+            contact,
+            stores,
+            settings,
         }
-        let next = match start_decommission(placement, &view, &call.node_name, tolerance) {
-            DecommissionStart::AlreadyStarted => return RetirementStatus::Ordered,
-            DecommissionStart::NotFound => return RetirementStatus::Unknown,
-            _ if !has_current_heartbeats => return RetirementStatus::Unavailable,
-            DecommissionStart::TooFewStores => return RetirementStatus::TooFew,
-            DecommissionStart::Unavailable => return RetirementStatus::Unavailable,
-            DecommissionStart::Start(next) => next,
-        };
-        let left = deadline.saturating_duration_since(Instant::now());
-        match controller
-            .register
-            .change(Change::SetPlacement(next), left)
-            .await
-        {
-            Ok(outcome) if outcome.change.is_applied() => return RetirementStatus::Ordered,
-            // The placement has changed in between.
-            Ok(_) => (),
-            Err(_) => return RetirementStatus::Unavailable,
+    }
+
+    /// Handles a request within [`RESPONSE_TIMEOUT`]. A change that lost against another one is planned again.
+    pub async fn handle(&self, request: &RetirementRequest) -> RetirementStatus {
+        let deadline = Instant::now() + RESPONSE_TIMEOUT;
+        let tolerance = self.settings.tolerated_failures();
+        let node_name = &request.node_name;
+        loop {
+            if !self.contact.is_in_contact() {
+                return RetirementStatus::Unavailable;
+            }
+            let remaining = deadline.saturating_duration_since(Instant::now());
+            let Ok(chosen) = self.register.read(remaining.min(READ_TIMEOUT)).await else {
+                return RetirementStatus::Unavailable;
+            };
+            let placement = &chosen.state.placement;
+            let snapshot = self.stores.snapshot(placement);
+            let heartbeats_complete = self.contact.in_contact_for() >= MIN_CONTACT;
+            if !request.begin {
+                return progress(
+                    placement,
+                    &snapshot,
+                    node_name,
+                    tolerance,
+                    heartbeats_complete,
+                );
+            }
+            let next = match start_decommission(placement, &snapshot, node_name, tolerance) {
+                DecommissionStart::AlreadyStarted => return RetirementStatus::Ordered,
+                DecommissionStart::NotFound => return RetirementStatus::NotFound,
+                _ if !heartbeats_complete => return RetirementStatus::Unavailable,
+                DecommissionStart::TooFewStores => return RetirementStatus::TooFewStores,
+                DecommissionStart::Unavailable => return RetirementStatus::Unavailable,
+                DecommissionStart::Start(next) => next,
+            };
+            let remaining = deadline.saturating_duration_since(Instant::now());
+            let change = Change::SetPlacement(next);
+            match self.register.change(change, remaining).await {
+                Ok(outcome) if outcome.change.is_applied() => return RetirementStatus::Ordered,
+                Ok(_) => (),
+                Err(_) => return RetirementStatus::Unavailable,
+            }
         }
     }
 }
 
-/// How far a store is emptied, by the newest placement. Only what primaries said lately counts for its end, to a
-/// process that has listened for long enough.
+/// The progress of a retirement by the newest placement. Its completion counts only with recent reports of all primaries,
+/// and at a process whose heartbeats are complete.
 pub fn progress(
     placement: &Placement,
-    view: &ClusterSnapshot,
+    snapshot: &ClusterSnapshot,
     node_name: &str,
     tolerance: usize,
-    has_current_heartbeats: bool,
+    heartbeats_complete: bool,
 ) -> RetirementStatus {
-    match decommission_status(placement, view, node_name, tolerance) {
+    match decommission_status(placement, snapshot, node_name, tolerance) {
         Some(DecommissionStatus::Decommissioned)
-            if has_current_heartbeats && all_primaries_live(placement, view) =>
+            if heartbeats_complete && all_primaries_live(placement, snapshot) =>
         {
             RetirementStatus::Completed
         }
         Some(DecommissionStatus::Decommissioned) => RetirementStatus::Unavailable,
         Some(DecommissionStatus::InProgress) => RetirementStatus::Running,
-        None => RetirementStatus::Unknown,
+        None => RetirementStatus::NotFound,
     }
 }
 
-fn all_primaries_live(placement: &Placement, view: &ClusterSnapshot) -> bool {
+fn all_primaries_live(placement: &Placement, snapshot: &ClusterSnapshot) -> bool {
     let mut primaries = placement
         .shards
         .iter()
         .filter_map(|shard| shard.replicas.first());
-    primaries.all(|primary| view.since_heartbeat(*primary) < LIVE_TIMEOUT)
+    primaries.all(|primary| snapshot.since_heartbeat(*primary) < LIVE_TIMEOUT)
 }
--- a/crates/mintlb-control/src/controller/singleton/service.rs
+++ b/crates/mintlb-control/src/controller/singleton/service.rs
@@ -1,71 +1,85 @@
-//! Answers other controllers, and listens to the stores.
+//! Responses to other controllers on the control channel, and reception of the stores' heartbeats.
 
-use crate::controller::Controller;
-use crate::controller::singleton::messages::{SingletonRequest, SingletonResponse, encoded};
-use crate::controller::singleton::retirement;
-use crate::controller::workers::unclaimed_workers::id_hash;
+use super::messages::{ControllerRequest, ControllerResponse, encode};
+use super::retirement::RetirementHandler;
+use super::store_monitor::StoreMonitor;
+use crate::controller::contact::monitor::ContactMonitor;
+use crate::controller::workers::service::WorkerService;
 use bytes::Bytes;
 use mintlb_batch::framing;
 use mintlb_batch::heartbeat::StoreHeartbeat;
-use mintlb_common::transport::{Channel, ResponseFuture, Service};
+use mintlb_common::transport::{ResponseFuture, Service};
 use std::net::SocketAddr;
 use std::sync::Arc;
-use tokio::time::Instant;
 
-/// Answers on the channel of the duties from now on.
-pub fn serve(controller: &Arc<Controller>) {
-    controller.transport.register_service(
-        Channel::Control,
-        Arc::new(SingletonService(controller.clone())),
-    );
+/// The handler of the control channel.
+pub struct ControlService {
+    responder: Arc<Responder>,
+    stores: Arc<StoreMonitor>,
 }
 
-struct SingletonService(Arc<Controller>);
+impl ControlService {
+    /// Composes the handler from the parts that know the answers.
+    pub fn new(
+        contact: Arc<ContactMonitor>,
+        workers: Arc<WorkerService>,
+        stores: Arc<StoreMonitor>,
+        retirement: Arc<RetirementHandler>,
+    ) -> ControlService {
+        let responder = Responder {
+            contact,
+            workers,
+            retirement,
+        };
+        ControlService {
+            responder: Arc::new(responder),
+            stores,
+        }
+    }
+}
 
-impl Service for SingletonService {
+impl Service for ControlService {
     fn on_notification(&self, _from: SocketAddr, body: Bytes) {
         if let Some((heartbeat, _)) = framing::decode::<StoreHeartbeat>(&body) {
-            self.0.singleton.record_store_heartbeat(heartbeat);
+            self.stores.record_heartbeat(heartbeat);
         }
     }
 
     fn on_request(&self, from: SocketAddr, body: Bytes) -> ResponseFuture {
-        let controller = self.0.clone();
+        let responder = self.responder.clone();
         Box::pin(async move {
-            let Ok(call) = minicbor::decode(&body) else {
-                return Bytes::new();
-            };
-            encoded(&answer(&controller, from, call).await)
+            match minicbor::decode(&body) {
+                Ok(request) => encode(&responder.respond(from, request).await),
+                Err(_) => Bytes::new(),
+            }
         })
     }
 }
 
-async fn answer(
-    controller: &Arc<Controller>,
-    from: SocketAddr,
-    call: SingletonRequest,
-) -> SingletonResponse {
-    match call {
-        SingletonRequest::Ping(ping) => {
-            let set = controller.register.set();
-            SingletonResponse::Pong(controller.singleton.pings().answer(
-                Instant::now(),
-                from,
-                ping,
-                set.as_ref(),
-            ))
-        }
-        SingletonRequest::Workers { epoch } => {
-            let known = controller.singleton.pings().peers.epoch();
-            match epoch < known {
-                true => SingletonResponse::Stale { epoch: known },
-                false => SingletonResponse::Workers(
-                    controller.registry.lock().ids().map(id_hash).collect(),
-                ),
+struct Responder {
+    contact: Arc<ContactMonitor>,
+    workers: Arc<WorkerService>,
+    retirement: Arc<RetirementHandler>,
+}
+
+impl Responder {
+    async fn respond(&self, from: SocketAddr, request: ControllerRequest) -> ControllerResponse {
+        match request {
+            ControllerRequest::Ping(ping) => {
+                ControllerResponse::Pong(self.contact.on_ping(from, ping))
+            }
+            ControllerRequest::Workers { epoch } => self.workers(epoch),
+            ControllerRequest::Retirement(request) => {
+                ControllerResponse::Retirement(self.retirement.handle(&request).await)
             }
         }
-        SingletonRequest::Retire(call) => {
-            SingletonResponse::Retire(retirement::handle_retirement(controller, &call).await)
+    }
+
+    fn workers(&self, epoch: u64) -> ControllerResponse {
+        let highest = self.contact.highest_epoch();
+        if epoch < highest {
+            return ControllerResponse::StaleEpoch { epoch: highest };
         }
+        ControllerResponse::Workers(self.workers.id_hashes())
     }
 }
--- /dev/null
+++ b/crates/mintlb-control/src/controller/singleton/shard_placement.rs
@@ -0,0 +1,80 @@
+//! Placement of the shards on the stores.
+
+use super::CHANGE_TIMEOUT;
+use super::store_monitor::StoreMonitor;
+use crate::controller::register::RegisterClient;
+use crate::controller::settings::SharedSettings;
+use mintlb_batch::placement_planner::plan;
+use mintlb_common::record::PLACEMENT;
+use mintlb_gossip::GossipService;
+use mintlb_register::change::Change;
+use std::sync::Arc;
+use std::time::Duration;
+use tokio::time::Instant;
+
+/// The time that a read of the register by the leader is given.
+const READ_TIMEOUT: Duration = Duration::from_millis(200);
+
+/// Writes placements to the register.
+pub struct ShardPlacement {
+    register: Arc<RegisterClient>,
+    gossip: Arc<GossipService>,
+    stores: Arc<StoreMonitor>,
+    settings: Arc<SharedSettings>,
+}
+
+impl ShardPlacement {
+    /// Plans by the stores' states and the configured fault tolerance.
+    pub fn new(
+        register: Arc<RegisterClient>,
+        gossip: Arc<GossipService>,
+        stores: Arc<StoreMonitor>,
+        settings: Arc<SharedSettings>,
+    ) -> ShardPlacement {
+        ShardPlacement {
+            register,
+            gossip,
+            stores,
+            settings,
+        }
+    }
+
+    /// Reads the register if another controller has published a newer placement than the one known here.
+    pub async fn refresh(&self) {
+        let published = self
+            .gossip
+            .get(PLACEMENT)
+            .map_or(0, |record| record.version);
+        let known = self
+            .register
+            .chosen()
+            .map_or(0, |chosen| chosen.state.placement.epoch);
+        if published > known {
+            self.register.read_once(Instant::now() + READ_TIMEOUT).await;
+        }
+    }
+
+    /// Writes the next placement, if the planner has one.
+    pub async fn place_shards(&self) {
+        let Some(chosen) = self.register.chosen() else {
+            return;
+        };
+        let placement = &chosen.state.placement;
+        let snapshot = self.stores.snapshot(placement);
+        let Some(next) = plan(placement, &snapshot, self.settings.tolerated_failures()) else {
+            return;
+        };
+        let epoch = next.epoch;
+        let change = Change::SetPlacement(next);
+        match self.register.change(change, CHANGE_TIMEOUT).await {
+            Ok(outcome) if outcome.change.is_applied() => {
+                log::info!("singleton: placed the shards, placement epoch {epoch}");
+            }
+            Ok(outcome) => log::info!(
+                "singleton: the register rejected placement epoch {epoch}: {:?}",
+                outcome.change
+            ),
+            Err(error) => log::info!("singleton: placement epoch {epoch} is unconfirmed: {error}"),
+        }
+    }
+}
--- a/crates/mintlb-control/src/controller/workers/registry.rs
+++ b/crates/mintlb-control/src/controller/workers/registry.rs
@@ -1,140 +1,141 @@
-//! Which workers send their heartbeats to this controller, and what has to be published of them; pure.
+//! The workers that send their heartbeats to this controller, and the records to publish of them; pure.
 //!
-//! A worker's record is published when something in it changes, and when the worker has come from another controller:
-//! then with the new call sequence, so that the earlier controller's word of its silence is older.
+//! A worker's record is published when it changes, and when the worker has come from another controller: then with the new
+//! call sequence, so that it supersedes a report of the earlier controller that the worker is unresponsive.
 
 use mintlb_common::record::{WorkerRecord, WorkerState};
 use rustc_hash::FxHashMap;
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Workers that one controller keeps; calls of more are not acknowledged.
+/// The number of workers that one controller accepts.
 pub const MAX_WORKERS: usize = 20_000;
-/// By so much the end of a worker's cold time may move without being news, in ms.
-const WARM_UP_TOLERANCE_MS: u64 = 500;
-/// A gap of so long between two ticks says that this process was not running: nobody is silent for that reason.
+/// The end of the slow start may move by this much without being published, in ms.
+const SLOW_START_TOLERANCE_MS: u64 = 500;
+/// A gap of this length between two ticks means that the process was paused, so that no heartbeat could have been received.
 pub const PROCESS_PAUSE: Duration = Duration::from_millis(1000);
 
-/// What is to be done about a call.
+/// What a heartbeat requires.
 #[derive(Clone, Debug, PartialEq)]
 pub enum HeartbeatOutcome {
-    /// Nothing new.
+    /// Nothing has changed.
     Unchanged,
-    /// A later call was heard before, or the worker has ended.
+    /// A later call is known, or the worker has ended.
     Stale,
-    /// This has to be published.
+    /// This record has to be published.
     Publish(WorkerRecord),
-    /// There are too many workers.
+    /// The registry is full.
     RegistryFull,
 }
 
 #[derive(Debug)]
 struct RegisteredWorker {
-    /// As published last by this controller.
+    /// The record that this controller published last.
     published: WorkerRecord,
-    /// Whether a neighbour has confirmed it.
+    /// Whether a neighbor has confirmed it.
     confirmed: bool,
-    /// The highest call sequence heard.
+    /// The highest call sequence received.
     call_sequence: u64,
-    last_received: Instant,
+    last_heartbeat: Instant,
 }
 
 /// The workers of one controller.
 #[derive(Debug)]
 pub struct Registry {
     workers: FxHashMap<String, RegisteredWorker>,
-    silence: Duration,
-    ticked_at: Instant,
+    heartbeat_timeout: Duration,
+    last_tick: Instant,
 }
 
 impl Registry {
-    /// Without workers. One is silent after this time without a call.
-    pub fn new(now: Instant, silence: Duration) -> Registry {
+    /// An empty registry. A worker is unresponsive after this time without a heartbeat.
+    pub fn new(now: Instant, heartbeat_timeout: Duration) -> Registry {
         Registry {
             workers: FxHashMap::default(),
-            silence,
-            ticked_at: now,
+            heartbeat_timeout,
+            last_tick: now,
         }
     }
 
-    /// Sets after which time without a call a worker is silent.
-    pub fn set_heartbeat_timeout(&mut self, silence: Duration) {
-        self.silence = silence;
+    /// Changes the time after which a worker without a heartbeat is unresponsive.
+    pub fn set_heartbeat_timeout(&mut self, heartbeat_timeout: Duration) {
+        self.heartbeat_timeout = heartbeat_timeout;
     }
 
-    /// How many workers send their heartbeats here.
+    /// The number of workers.
     pub fn len(&self) -> usize {
         self.workers.len()
     }
 
-    /// Whether none does.
+    /// Whether there is no worker.
     pub fn is_empty(&self) -> bool {
         self.workers.is_empty()
     }
 
-    /// The ids of the workers that send their heartbeats here.
+    /// The ids of the workers.
     pub fn ids(&self) -> impl Iterator<Item = &str> {
         self.workers.keys().map(String::as_str)
     }
 
-    /// A worker's call. `current` is its record as everybody knows it.
+    /// Handles a heartbeat. `current` is the worker's record as published by whichever controller.
     pub fn heartbeat(
         &mut self,
         now: Instant,
         reported: WorkerRecord,
         current: Option<&WorkerRecord>,
     ) -> HeartbeatOutcome {
-        let sequence = reported.call_sequence;
-        let gone = current.is_some_and(|known| known.state == WorkerState::Deregistered);
-        let later = current.is_some_and(|known| known.call_sequence > sequence);
-        let repeated = self
-            .workers
-            .get(&reported.instance_id)
-            .is_some_and(|worker| worker.call_sequence >= sequence);
-        if gone || later || repeated {
+        if self.is_stale(&reported, current) {
             return self
-                .unconfirmed_draining(&reported)
+                .unconfirmed_drain(&reported)
                 .map_or(HeartbeatOutcome::Stale, HeartbeatOutcome::Publish);
         }
-        if !self.workers.contains_key(&reported.instance_id) && self.workers.len() >= MAX_WORKERS {
+        let is_registered = self.workers.contains_key(&reported.instance_id);
+        if !is_registered && self.workers.len() >= MAX_WORKERS {
             return HeartbeatOutcome::RegistryFull;
         }
-        let old = self.workers.get(&reported.instance_id);
-        let own = old.filter(|worker| {
-            current.is_some_and(|known| known.version() == worker.published.version())
-        });
-        if let Some(worker) = own
+        if let Some(worker) = self.workers.get_mut(&reported.instance_id)
+            && current.is_some_and(|record| record.version() == worker.published.version())
             && is_unchanged(&worker.published, &reported)
             && (worker.confirmed || reported.state != WorkerState::Draining)
         {
-            let worker = self.workers.get_mut(&reported.instance_id);
-            if let Some(worker) = worker {
-                worker.call_sequence = sequence;
-                worker.last_received = now;
-            }
+            worker.call_sequence = reported.call_sequence;
+            worker.last_heartbeat = now;
             return HeartbeatOutcome::Unchanged;
         }
         let worker = RegisteredWorker {
             published: reported.clone(),
             confirmed: false,
-            call_sequence: sequence,
-            last_received: now,
+            call_sequence: reported.call_sequence,
+            last_heartbeat: now,
         };
         self.workers.insert(reported.instance_id.clone(), worker);
         HeartbeatOutcome::Publish(reported)
     }
 
-    /// The drain of a worker that says again that it drains, if no neighbour has confirmed it yet.
-    fn unconfirmed_draining(&self, reported: &WorkerRecord) -> Option<WorkerRecord> {
+    /// Whether a later call is known, here or at another controller, or the worker has ended.
+    fn is_stale(&self, reported: &WorkerRecord, current: Option<&WorkerRecord>) -> bool {
+        let sequence = reported.call_sequence;
+        let superseded = current.is_some_and(|record| {
+            record.state == WorkerState::Deregistered || record.call_sequence > sequence
+        });
+        let repeated = self
+            .workers
+            .get(&reported.instance_id)
+            .is_some_and(|worker| worker.call_sequence >= sequence);
+        superseded || repeated
+    }
+
+    /// The published drain of a worker that reports it again, unless a neighbor has confirmed it.
+    fn unconfirmed_drain(&self, reported: &WorkerRecord) -> Option<WorkerRecord> {
         let worker = self
             .workers
             .get(&reported.instance_id)
             .filter(|worker| !worker.confirmed)?;
-        let drains = |record: &WorkerRecord| record.state == WorkerState::Draining;
-        (drains(reported) && drains(&worker.published)).then(|| worker.published.clone())
+        let is_draining = |record: &WorkerRecord| record.state == WorkerState::Draining;
+        (is_draining(reported) && is_draining(&worker.published)).then(|| worker.published.clone())
     }
 
-    /// A neighbour has confirmed this record.
+    /// Records that a neighbor has confirmed this record.
     pub fn confirmed(&mut self, record: &WorkerRecord) {
         if let Some(worker) = self.workers.get_mut(&record.instance_id)
             && worker.published == *record
@@ -143,42 +144,44 @@
         }
     }
 
-    /// A worker says that it ends. Returns the record to publish.
+    /// Handles the end of a worker. Returns the record to publish.
     pub fn leave(&mut self, id: &str, current: Option<WorkerRecord>) -> WorkerRecord {
-        let worker = self.workers.remove(id).map(|worker| worker.published);
-        let known = current.or(worker).unwrap_or_else(|| unknown_worker(id));
+        let published = self.workers.remove(id).map(|worker| worker.published);
+        let known = current.or(published).unwrap_or_else(|| unknown_worker(id));
         WorkerRecord {
             state: WorkerState::Deregistered,
             ..known
         }
     }
 
-    /// Those that have become silent, as records to publish. `current` tells a worker's version as everybody knows it:
-    /// a worker whose record another controller has published since is no longer this one's. Nobody is silent to a
-    /// process that stood still, or that is out of contact with a majority of the controllers: its workers may call
-    /// others, and it begins to count anew once that is over.
+    /// Removes the workers whose heartbeats have stopped, and returns the records to publish of them. `current_version`
+    /// tells the version of a worker's published record: a worker whose record another controller has published since is
+    /// no longer this one's.
+    ///
+    /// No worker is unresponsive to a process that was paused or is out of contact with a majority of the replica set: its
+    /// workers may call others. The time starts anew once that is over.
     pub fn tick(
         &mut self,
         now: Instant,
         in_contact: bool,
-        current: impl Fn(&str) -> Option<u64>,
+        current_version: impl Fn(&str) -> Option<u64>,
     ) -> Vec<WorkerRecord> {
-        let paused = now.saturating_duration_since(self.ticked_at) > PROCESS_PAUSE;
-        self.ticked_at = now;
+        let paused = now.saturating_duration_since(self.last_tick) > PROCESS_PAUSE;
+        self.last_tick = now;
         if paused || !in_contact {
-            self.workers
-                .values_mut()
-                .for_each(|worker| worker.last_received = now);
+            for worker in self.workers.values_mut() {
+                worker.last_heartbeat = now;
+            }
             return Vec::new();
         }
-        let silence = self.silence;
-        let mut silent = Vec::new();
+        let heartbeat_timeout = self.heartbeat_timeout;
+        let mut unresponsive = Vec::new();
         self.workers.retain(|id, worker| {
-            if now.saturating_duration_since(worker.last_received) < silence {
+            if now.saturating_duration_since(worker.last_heartbeat) < heartbeat_timeout {
                 return true;
             }
-            if current(id).is_none_or(|version| version <= worker.published.version()) {
-                silent.push(WorkerRecord {
+            if current_version(id).is_none_or(|version| version <= worker.published.version()) {
+                unresponsive.push(WorkerRecord {
                     state: WorkerState::Unresponsive,
                     call_sequence: worker.call_sequence,
                     ..worker.published.clone()
@@ -186,11 +189,11 @@
             }
             false
         });
-        silent
+        unresponsive
     }
 }
 
-/// What a worker's call says beyond its record in force, for a controller that does not take the worker in.
+/// The record that a worker's call adds to the published one, for a controller that doesn't register the worker.
 pub fn newer_record(
     reported: WorkerRecord,
     current: Option<&WorkerRecord>,
@@ -208,7 +211,7 @@
         && a.service == b.service
         && a.zone == b.zone
         && a.capacity_slots == b.capacity_slots
-        && a.slow_start_until_ms.abs_diff(b.slow_start_until_ms) <= WARM_UP_TOLERANCE_MS
+        && a.slow_start_until_ms.abs_diff(b.slow_start_until_ms) <= SLOW_START_TOLERANCE_MS
 }
 
 fn unknown_worker(id: &str) -> WorkerRecord {
--- a/crates/mintlb-control/src/controller/workers/unclaimed_workers.rs
+++ b/crates/mintlb-control/src/controller/workers/unclaimed_workers.rs
@@ -1,5 +1,5 @@
-//! Workers whose records are in force although no controller hears them: their controller ended at about the same time as
-//! they did. Found by whoever has the duties; pure.
+//! Workers whose records are published although no controller claims them: their controller ended at about the same time as
+//! they did. Found by the singleton leader; pure.
 
 use mintlb_common::record::{WORKER_PREFIX, WorkerRecord, WorkerState};
 use mintlb_gossip::Table;
@@ -7,25 +7,38 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// A worker is an orphan after so long: cuts and restarts of controllers are over by then.
+/// The time after which an unclaimed worker expires: partitions and restarts of controllers are over by then.
 pub const UNCLAIMED_TIMEOUT: Duration = Duration::from_secs(12);
 
-/// Workers that no controller claims, each with its record's version and since when.
+/// The initial value of the 32-bit FNV-1a hash.
+const FNV_OFFSET: u32 = 0x811c_9dc5;
+/// The multiplier of the 32-bit FNV-1a hash.
+const FNV_PRIME: u32 = 0x0100_0193;
+
+/// The workers that no controller claims, by their ids.
 #[derive(Debug, Default)]
 pub struct UnclaimedWorkers {
-    unclaimed: FxHashMap<String, (u64, Instant)>,
+    unclaimed: FxHashMap<String, UnclaimedWorker>,
+}
+
+#[derive(Clone, Copy, Debug)]
+struct UnclaimedWorker {
+    /// The version of its record: a newer one means that it has called since.
+    version: u64,
+    since: Instant,
 }
 
-/// A worker's id in the lists that controllers exchange.
+/// The hash of a worker's id (FNV-1a), in the lists that controllers exchange.
 pub fn id_hash(id: &str) -> u32 {
-    id.bytes().fold(0x811c_9dc5, |hash: u32, byte| {
-        (hash ^ u32::from(byte)).wrapping_mul(0x0100_0193)
+    id.bytes().fold(FNV_OFFSET, |hash, byte| {
+        (hash ^ u32::from(byte)).wrapping_mul(FNV_PRIME)
     })
 }
 
 impl UnclaimedWorkers {
-    /// One look at the records, with the workers that controllers claim. Returns the records of those that are silent.
-    pub fn expired(
+    /// Compares the published records with the workers that controllers claim. Returns the records to publish of workers
+    /// that have been unclaimed for [`UNCLAIMED_TIMEOUT`].
+    pub fn expire(
         &mut self,
         now: Instant,
         table: &Table,
@@ -36,31 +49,36 @@
             (!claimed.contains(&id_hash(id))).then_some((id, record))
         });
         let mut unclaimed = FxHashMap::default();
-        let mut unclaimed_workers = Vec::new();
+        let mut expired = Vec::new();
         for (id, record) in workers {
             let Ok(worker) = minicbor::decode::<WorkerRecord>(&record.body) else {
                 continue;
             };
-            if matches!(
-                worker.state,
-                WorkerState::Unresponsive | WorkerState::Deregistered
-            ) {
+            if has_ended(&worker) {
                 continue;
             }
-            let before = self
+            let since = self
                 .unclaimed
                 .get(id)
-                .filter(|(version, _)| *version == record.version);
-            let since = before.map_or(now, |(_, since)| *since);
+                .filter(|known| known.version == record.version)
+                .map_or(now, |known| known.since);
             if now.saturating_duration_since(since) >= UNCLAIMED_TIMEOUT {
-                unclaimed_workers.push(WorkerRecord {
+                expired.push(WorkerRecord {
                     state: WorkerState::Unresponsive,
                     ..worker
                 });
             }
-            unclaimed.insert(id.to_string(), (record.version, since));
+            let version = record.version;
+            unclaimed.insert(id.to_string(), UnclaimedWorker { version, since });
         }
         self.unclaimed = unclaimed;
-        unclaimed_workers
+        expired
     }
 }
+
+fn has_ended(worker: &WorkerRecord) -> bool {
+    matches!(
+        worker.state,
+        WorkerState::Unresponsive | WorkerState::Deregistered
+    )
+}
--- a/crates/mintlb-control/tests/contact_world/mod.rs
+++ b/crates/mintlb-control/tests/contact_world/mod.rs
@@ -1,7 +1,8 @@
 //! Controllers that ping each other in virtual time, over links that can be cut in one direction and that keep what was
 //! sent meanwhile; processes that stand still and then read what has piled up.
 
-use mintlb_control::controller::contact::ping_state::{Ping, PingState, Pong, STEP};
+use mintlb_control::controller::contact::messages::{Ping, Pong};
+use mintlb_control::controller::contact::ping_state::{PingState, STEP};
 use mintlb_control::controller::contact::quorum_contact::CONTACT_LEASE;
 use mintlb_register::replica_set::{Replica, ReplicaId, ReplicaSet};
 use std::net::SocketAddr;
@@ -193,13 +194,13 @@
         match message.message {
             Message::Ping(ping) => {
                 let sent_at = message.due;
-                let pong = state.answer(now, address(from), ping, Some(&set));
+                let pong = state.on_ping(now, address(from), ping, Some(&set));
                 // The asker knows when it sent the ping; here that is its due time less the delay at most.
                 let ping_sent_at = sent_at - TICK * MOST_DELAY as u32;
                 self.send(to, from, Message::Pong { ping_sent_at, pong });
             }
             Message::Pong { ping_sent_at, pong } => {
-                state.answered(now, address(from), ping_sent_at, pong)
+                state.on_pong(now, address(from), ping_sent_at, pong)
             }
         }
         self.check(to);
--- a/crates/mintlb-control/tests/controller_acceptor_storage.rs
+++ b/crates/mintlb-control/tests/controller_acceptor_storage.rs
@@ -42,13 +42,13 @@
 fn identity_promise_and_value_are_kept() {
     let folder = tempfile::tempdir().unwrap();
     let opened = AcceptorStorage::open(folder.path(), ReplicaId(41)).unwrap();
-    assert_eq!((opened.id, opened.vote.accepted), (ReplicaId(41), None));
-    synced(&opened.store, DurableWrite::Promise(ballot(3)));
-    synced(&opened.store, DurableWrite::Accepted(accepted(3)));
-    synced(&opened.store, DurableWrite::Promise(ballot(5)));
-    synced(&opened.store, DurableWrite::Nothing);
-    assert!(!opened.store.is_busy());
-    drop(opened.store);
+    assert_eq!((opened.id, opened.state.accepted), (ReplicaId(41), None));
+    synced(&opened.storage, DurableWrite::Promise(ballot(3)));
+    synced(&opened.storage, DurableWrite::Accepted(accepted(3)));
+    synced(&opened.storage, DurableWrite::Promise(ballot(5)));
+    synced(&opened.storage, DurableWrite::Nothing);
+    assert!(!opened.storage.is_busy());
+    drop(opened.storage);
     let again = AcceptorStorage::open(folder.path(), ReplicaId(99)).unwrap();
     assert_eq!(
         again.id,
@@ -56,7 +56,7 @@
         "the identity offered to an existing file is not taken"
     );
     assert_eq!(
-        (again.vote.promised, again.vote.accepted),
+        (again.state.promised, again.state.accepted),
         (ballot(5), Some(accepted(3)))
     );
 }
@@ -66,8 +66,8 @@
     let folder = tempfile::tempdir().unwrap();
     let opened = AcceptorStorage::open(folder.path(), ReplicaId(41)).unwrap();
     assert!(AcceptorStorage::open(folder.path(), ReplicaId(42)).is_err());
-    synced(&opened.store, DurableWrite::Promise(ballot(3)));
-    drop(opened.store);
+    synced(&opened.storage, DurableWrite::Promise(ballot(3)));
+    drop(opened.storage);
     assert_eq!(
         AcceptorStorage::open(folder.path(), ReplicaId(43))
             .unwrap()
@@ -82,17 +82,19 @@
     let opened = AcceptorStorage::open(folder.path(), ReplicaId(41)).unwrap();
     let waiting: Vec<_> = (1..=50)
         .map(|counter| match counter % 2 {
-            0 => opened.store.sync(DurableWrite::Promise(ballot(counter))),
-            _ => opened.store.sync(DurableWrite::Accepted(accepted(counter))),
+            0 => opened.storage.sync(DurableWrite::Promise(ballot(counter))),
+            _ => opened
+                .storage
+                .sync(DurableWrite::Accepted(accepted(counter))),
         })
         .collect();
     waiting
         .into_iter()
         .for_each(|sync| sync.blocking_recv().unwrap());
-    drop(opened.store);
+    drop(opened.storage);
     let again = AcceptorStorage::open(folder.path(), ReplicaId(99)).unwrap();
     assert_eq!(
-        (again.vote.promised, again.vote.accepted),
+        (again.state.promised, again.state.accepted),
         (ballot(50), Some(accepted(49)))
     );
 }
@@ -102,7 +104,7 @@
     let folder = tempfile::tempdir().unwrap();
     std::fs::write(folder.path().join(FILE), b"torn").unwrap();
     let opened = AcceptorStorage::open(folder.path(), ReplicaId(42)).unwrap();
-    assert_eq!((opened.id, opened.vote.accepted), (ReplicaId(42), None));
+    assert_eq!((opened.id, opened.state.accepted), (ReplicaId(42), None));
     assert!(folder.path().join("register.redb.unreadable").exists());
 }
 
--- a/crates/mintlb-control/tests/controller_catch_up.rs
+++ b/crates/mintlb-control/tests/controller_catch_up.rs
@@ -99,7 +99,7 @@
     drop(replica);
     let opened = AcceptorStorage::open(folder.path(), ReplicaId(7)).unwrap();
     assert_eq!(
-        (opened.vote.promised, opened.vote.accepted),
+        (opened.state.promised, opened.state.accepted),
         (promised, Some(chosen(8, ReplicaId(7)))),
         "the promise holds"
     );
--- a/crates/mintlb-control/tests/controller_fleet.rs
+++ b/crates/mintlb-control/tests/controller_fleet.rs
@@ -6,7 +6,6 @@
 use controllers::{Fleet, TEST_TIMEOUT};
 use mintlb_common::record::{CONFIGURATION, WorkerRecord, WorkerState};
 use mintlb_control::controller::contact::quorum_contact::CONTACT_LEASE;
-use mintlb_control::controller::register::membership;
 use mintlb_register::replica_set::{ReplicaId, ReplicaSet};
 
 fn configuration(version: u64) -> String {
@@ -77,12 +76,12 @@
 fn a_lost_disk_loses_nothing_and_its_machine_joins_again() {
     let mut fleet = Fleet::assembled(3);
     assert_eq!(fleet.configure(0, 0, &configuration(4)), StatusCode::OK);
-    let lost = fleet.at(0).replica_id();
+    let lost = fleet.at(0).register.replica_id();
     fleet.kill(0);
     assert_eq!(fleet.configure(1, 4, &configuration(5)), StatusCode::OK);
     fleet.lose_disk(0);
     fleet.restart(0);
-    let new = fleet.at(0).replica_id();
+    let new = fleet.at(0).register.replica_id();
     assert_ne!(new, lost);
     fleet.wait_for_set(0, 3, move |set| {
         new.is_some_and(|id| set.current_replica(id).is_some())
@@ -145,7 +144,8 @@
     let state = |place: usize| {
         fleet
             .at(place)
-            .current_worker_record("i-1")
+            .workers
+            .published_record("i-1")
             .map(|worker| worker.state)
     };
     assert_eq!(state(1), Some(WorkerState::Draining));
@@ -255,7 +255,8 @@
     let state = |id: &str| {
         fleet
             .at(2)
-            .current_worker_record(id)
+            .workers
+            .published_record(id)
             .map(|worker| worker.state)
     };
     assert_eq!(
@@ -509,13 +510,15 @@
         .enable_all()
         .build()
         .unwrap();
-    runtime.block_on(membership::leave(fleet.at(place)));
+    runtime.block_on(fleet.at(place).membership.leave());
 }
 
 #[test]
 fn a_controller_that_is_told_to_stop_leaves_a_set_that_is_larger_than_needed() {
     let mut fleet = Fleet::assembled(4);
-    let ids: Vec<Option<ReplicaId>> = (0..4).map(|place| fleet.at(place).replica_id()).collect();
+    let ids: Vec<Option<ReplicaId>> = (0..4)
+        .map(|place| fleet.at(place).register.replica_id())
+        .collect();
     let is_out = |place: usize| {
         let id = ids[place].unwrap();
         move |set: &ReplicaSet| set.current_replica(id).is_none()
--- a/crates/mintlb-control/tests/controller_quorum_contact.rs
+++ b/crates/mintlb-control/tests/controller_quorum_contact.rs
@@ -88,14 +88,14 @@
 fn a_stamp_tells_when_it_was_made_in_its_own_life_alone() {
     let started_at = Instant::now();
     let echo_clock = EchoClock::new(started_at, u64::MAX - 5);
-    let (made_at, read_at) = (started_at + MOMENT, started_at + CONTACT_LEASE);
-    let stamp = echo_clock.stamp(made_at);
-    assert_eq!(echo_clock.made_at(read_at, stamp), Some(made_at));
+    let (issued_at, read_at) = (started_at + MOMENT, started_at + CONTACT_LEASE);
+    let timestamp = echo_clock.timestamp(issued_at);
+    assert_eq!(echo_clock.issued_at(read_at, timestamp), Some(issued_at));
     assert_eq!(
-        echo_clock.made_at(started_at, stamp),
+        echo_clock.issued_at(started_at, timestamp),
         None,
         "it can't have been made yet"
     );
     let another_life = EchoClock::new(started_at, 1 << 40);
-    assert_eq!(another_life.made_at(read_at, stamp), None);
+    assert_eq!(another_life.issued_at(read_at, timestamp), None);
 }
--- a/crates/mintlb-control/tests/controller_retirement.rs
+++ b/crates/mintlb-control/tests/controller_retirement.rs
@@ -86,7 +86,7 @@
     );
     assert_eq!(
         progress(&placement(), &fresh, "storage-7", 1, false),
-        RetirementStatus::Unknown
+        RetirementStatus::NotFound
     );
     assert_eq!(
         progress(
--- a/crates/mintlb-control/tests/controller_unclaimed_workers.rs
+++ b/crates/mintlb-control/tests/controller_unclaimed_workers.rs
@@ -41,11 +41,11 @@
         self.records.apply_local(self.now, record.to_record());
     }
 
-    fn expired(&mut self, after: Duration, claimed: &[&str]) -> Vec<WorkerRecord> {
+    fn expire(&mut self, after: Duration, claimed: &[&str]) -> Vec<WorkerRecord> {
         self.now += after;
         let claimed: FxHashSet<u32> = claimed.iter().map(|id| id_hash(id)).collect();
         self.unclaimed_workers
-            .expired(self.now, self.records.table(), &claimed)
+            .expire(self.now, self.records.table(), &claimed)
     }
 }
 
@@ -54,10 +54,10 @@
     let mut world = World::new();
     world.publish(worker("a", 3, WorkerState::InService));
     world.publish(worker("b", 3, WorkerState::InService));
-    assert!(world.expired(Duration::ZERO, &["b"]).is_empty());
-    assert!(world.expired(UNCLAIMED_TIMEOUT / 2, &["b"]).is_empty());
+    assert!(world.expire(Duration::ZERO, &["b"]).is_empty());
+    assert!(world.expire(UNCLAIMED_TIMEOUT / 2, &["b"]).is_empty());
     assert_eq!(
-        world.expired(UNCLAIMED_TIMEOUT / 2, &["b"]),
+        world.expire(UNCLAIMED_TIMEOUT / 2, &["b"]),
         [worker("a", 3, WorkerState::Unresponsive)]
     );
 }
@@ -66,18 +66,18 @@
 fn a_worker_that_is_claimed_or_published_again_is_none() {
     let mut world = World::new();
     world.publish(worker("a", 3, WorkerState::InService));
-    world.expired(Duration::ZERO, &[]);
-    world.expired(UNCLAIMED_TIMEOUT / 2, &["a"]);
+    world.expire(Duration::ZERO, &[]);
+    world.expire(UNCLAIMED_TIMEOUT / 2, &["a"]);
     assert!(
-        world.expired(UNCLAIMED_TIMEOUT / 2, &[]).is_empty(),
+        world.expire(UNCLAIMED_TIMEOUT / 2, &[]).is_empty(),
         "the time begins anew"
     );
     world.publish(worker("a", 4, WorkerState::InService));
     assert!(
-        world.expired(UNCLAIMED_TIMEOUT, &[]).is_empty(),
+        world.expire(UNCLAIMED_TIMEOUT, &[]).is_empty(),
         "it has called since"
     );
-    assert_eq!(world.expired(UNCLAIMED_TIMEOUT, &[]).len(), 1);
+    assert_eq!(world.expire(UNCLAIMED_TIMEOUT, &[]).len(), 1);
 }
 
 #[test]
@@ -85,6 +85,6 @@
     let mut world = World::new();
     world.publish(worker("a", 3, WorkerState::Unresponsive));
     world.publish(worker("b", 3, WorkerState::Deregistered));
-    world.expired(Duration::ZERO, &[]);
-    assert!(world.expired(UNCLAIMED_TIMEOUT, &[]).is_empty());
+    world.expire(Duration::ZERO, &[]);
+    assert!(world.expire(UNCLAIMED_TIMEOUT, &[]).is_empty());
 }
--- a/crates/mintlb-control/tests/controller_wire_fixtures.rs
+++ b/crates/mintlb-control/tests/controller_wire_fixtures.rs
@@ -10,12 +10,12 @@
 use fixture::{Fixtures, path};
 use mintlb_common::placement::{Placement, ShardAssignment, StoreEntry};
 use mintlb_common::transport::{Channel, ResponseFuture, Service, Transport};
-use mintlb_control::controller::contact::ping_state::{Ping, Pong, Status};
-use mintlb_control::controller::register::Register;
+use mintlb_control::controller::contact::messages::{PeerStatus, Ping, Pong};
+use mintlb_control::controller::register::RegisterClient;
 use mintlb_control::controller::register::acceptor_storage::{AcceptorStorage, FILE};
 use mintlb_control::controller::register::local_replica::LocalReplica;
 use mintlb_control::controller::singleton::messages::{
-    RetirementRequest, RetirementStatus, SingletonRequest, SingletonResponse, encoded,
+    ControllerRequest, ControllerResponse, RetirementRequest, RetirementStatus, encode,
 };
 use mintlb_register::acceptor::DurableWrite;
 use mintlb_register::applied_history::AppliedHistory;
@@ -105,18 +105,18 @@
 #[test]
 fn calls_of_the_duties() {
     let mut fixtures = Fixtures::read("duty_calls.txt");
-    let full = Status {
+    let full = PeerStatus {
         replica: Some(ReplicaId(51)),
         epoch: 52,
         preferred_leader: Some(ReplicaId(53)),
     };
-    let least = Status {
+    let least = PeerStatus {
         replica: None,
         epoch: 54,
         preferred_leader: None,
     };
     let retire = |begin| {
-        SingletonRequest::Retire(RetirementRequest {
+        ControllerRequest::Retirement(RetirementRequest {
             node_name: "disk-21".to_string(),
             begin,
         })
@@ -124,29 +124,29 @@
     let calls = [
         (
             "ping",
-            SingletonRequest::Ping(Ping {
+            ControllerRequest::Ping(Ping {
                 status: full,
                 echo: Some(55),
             }),
         ),
         (
             "ping-least",
-            SingletonRequest::Ping(Ping {
+            ControllerRequest::Ping(Ping {
                 status: least,
                 echo: None,
             }),
         ),
         (
             "ping-first",
-            SingletonRequest::Ping(Ping {
-                status: Status {
+            ControllerRequest::Ping(Ping {
+                status: PeerStatus {
                     replica: None,
                     ..full
                 },
                 echo: Some(55),
             }),
         ),
-        ("workers", SingletonRequest::Workers { epoch: 56 }),
+        ("workers", ControllerRequest::Workers { epoch: 56 }),
         ("retire-begin", retire(true)),
         ("retire-ask", retire(false)),
     ];
@@ -159,12 +159,12 @@
 #[test]
 fn answers_of_the_duties() {
     let mut fixtures = Fixtures::read("duty_answers.txt");
-    let full = Status {
+    let full = PeerStatus {
         replica: Some(ReplicaId(51)),
         epoch: 52,
         preferred_leader: Some(ReplicaId(53)),
     };
-    let least = Status {
+    let least = PeerStatus {
         replica: None,
         epoch: 54,
         preferred_leader: None,
@@ -172,51 +172,51 @@
     let answers = [
         (
             "pong",
-            SingletonResponse::Pong(Pong {
+            ControllerResponse::Pong(Pong {
                 status: full,
-                stamp: 57,
+                timestamp: 57,
             }),
         ),
         (
             "pong-least",
-            SingletonResponse::Pong(Pong {
+            ControllerResponse::Pong(Pong {
                 status: least,
-                stamp: 57,
+                timestamp: 57,
             }),
         ),
         (
             "workers",
-            SingletonResponse::Workers(vec![1, 70_000, u32::MAX]),
+            ControllerResponse::Workers(vec![1, 70_000, u32::MAX]),
         ),
-        ("workers-none", SingletonResponse::Workers(Vec::new())),
-        ("stale", SingletonResponse::Stale { epoch: 58 }),
+        ("workers-none", ControllerResponse::Workers(Vec::new())),
+        ("stale", ControllerResponse::StaleEpoch { epoch: 58 }),
         (
             "retire-ordered",
-            SingletonResponse::Retire(RetirementStatus::Ordered),
+            ControllerResponse::Retirement(RetirementStatus::Ordered),
         ),
         (
             "retire-running",
-            SingletonResponse::Retire(RetirementStatus::Running),
+            ControllerResponse::Retirement(RetirementStatus::Running),
         ),
         (
             "retire-completed",
-            SingletonResponse::Retire(RetirementStatus::Completed),
+            ControllerResponse::Retirement(RetirementStatus::Completed),
         ),
         (
             "retire-unknown",
-            SingletonResponse::Retire(RetirementStatus::Unknown),
+            ControllerResponse::Retirement(RetirementStatus::NotFound),
         ),
         (
             "retire-too-few",
-            SingletonResponse::Retire(RetirementStatus::TooFew),
+            ControllerResponse::Retirement(RetirementStatus::TooFewStores),
         ),
         (
             "retire-unavailable",
-            SingletonResponse::Retire(RetirementStatus::Unavailable),
+            ControllerResponse::Retirement(RetirementStatus::Unavailable),
         ),
     ];
     for (name, answer) in answers {
-        let bytes = encoded(&answer);
+        let bytes = encode(&answer);
         assert_eq!(minicbor::to_vec(&answer).unwrap(), bytes);
         fixtures.check(name, &answer);
     }
@@ -258,17 +258,17 @@
     check_tables(&folder.path().join("register.redb"));
     let opened = AcceptorStorage::open(folder.path(), ReplicaId(99)).unwrap();
     assert_eq!(opened.id, ReplicaId(ID));
-    assert_eq!(opened.vote.promised, ballot(8));
-    assert_eq!(opened.vote.accepted, Some(accepted()));
+    assert_eq!(opened.state.promised, ballot(8));
+    assert_eq!(opened.state.accepted, Some(accepted()));
     opened
-        .store
+        .storage
         .sync(DurableWrite::Learned {
             promised: ballot(8),
             chosen: accepted(),
         })
         .blocking_recv()
         .unwrap();
-    drop(opened.store);
+    drop(opened.storage);
     check_tables(&folder.path().join("register.redb"));
     let files: Vec<_> = std::fs::read_dir(folder.path())
         .unwrap()
@@ -285,7 +285,7 @@
         DurableWrite::Accepted(accepted()),
         DurableWrite::Promise(ballot(8)),
     ] {
-        opened.store.sync(sync).blocking_recv().unwrap();
+        opened.storage.sync(sync).blocking_recv().unwrap();
     }
 }
 
@@ -313,8 +313,8 @@
         replica(ID),
     );
     let _registers = (
-        Register::start(with_disk.clone(), Some(Arc::new(local)), 1, true),
-        Register::start(without.clone(), None, 2, true),
+        RegisterClient::start(with_disk.clone(), Some(Arc::new(local)), 1, true),
+        RegisterClient::start(without.clone(), None, 2, true),
     );
     let steps = [
         ("read", "vote-read", with_disk.local_address()),
@@ -358,7 +358,7 @@
         replica(ID),
     );
     let (own, reader, seed) = (transport().await, transport().await, transport().await);
-    let register = Register::start(own, Some(Arc::new(local)), 1, true);
+    let register = RegisterClient::start(own, Some(Arc::new(local)), 1, true);
     let answers = [
         "status-set",
         "status-none",
@@ -378,9 +378,9 @@
     assert_eq!(status.replica_set, Some(ReplicaSet::bootstrap(replica(42))));
     let status = register.status_of(to, WAIT).await.unwrap();
     assert_eq!((status.has_disk, status.replica_set), (false, None));
-    assert!(register.request_bootstrap_grant(to, WAIT).await);
-    assert!(!register.request_bootstrap_grant(to, WAIT).await);
-    let register = Register::start(reader, None, 2, false);
+    assert!(register.request_bootstrap_vote(to, WAIT).await);
+    assert!(!register.request_bootstrap_vote(to, WAIT).await);
+    let register = RegisterClient::start(reader, None, 2, false);
     register.hint(ReplicaSet::bootstrap(Replica {
         address: to.to_string(),
         ..replica(ID)
--- a/crates/mintlb-control/tests/controllers/mod.rs
+++ b/crates/mintlb-control/tests/controllers/mod.rs
@@ -6,7 +6,7 @@
 use mintlb_common::record::{REPLICAS, Record};
 use mintlb_common::settings::NodeSettings;
 use mintlb_control::controller::register::acceptor_storage::FILE;
-use mintlb_control::controller::{Controller, http, start};
+use mintlb_control::controller::{Controller, StartedController, http, start};
 use mintlb_gossip::GossipService;
 use mintlb_register::replica_set::ReplicaSet;
 use std::path::Path;
@@ -208,7 +208,11 @@
                 .build()
                 .unwrap();
             runtime.block_on(async move {
-                let controller = start(settings).await.unwrap();
+                // The tasks end with the runtime, as in a process that is killed.
+                let StartedController {
+                    controller,
+                    tasks: _tasks,
+                } = start(settings).await.unwrap();
                 started.send(controller.clone()).unwrap();
                 while let Some(job) = incoming.recv().await {
                     match job {
@@ -250,7 +254,7 @@
 }
 
 async fn answer(controller: Arc<Controller>, call: Call) {
-    let answer = http::router(controller).call(call.request).await.unwrap();
+    let answer = http::router(&controller).call(call.request).await.unwrap();
     let status = answer.status();
     let body = to_bytes(answer.into_body(), 8 << 20).await.unwrap();
     call.answer
--- a/crates/mintlb-control/tests/error_numbers.rs
+++ b/crates/mintlb-control/tests/error_numbers.rs
@@ -3,7 +3,8 @@
 //! or the command line words are not among them, as nothing public gives their text.
 
 use mintlb_control::controller::ControllerError;
-use mintlb_control::controller::register::Unavailable;
+use mintlb_control::controller::register::acceptor_file_error::Damage;
+use mintlb_control::controller::register::{AcceptorFileError, QuorumUnavailable};
 use mintlb_control::store::StoreError;
 use mintlb_control::store::file::DiskError;
 use std::io::{Error, ErrorKind};
@@ -26,15 +27,18 @@
             cause: cause(),
         }
         .to_string(),
-        ControllerError::Disk {
+        ControllerError::from(AcceptorFileError::Io {
             path: "/a/folder".into(),
             cause: cause(),
-        }
+        })
         .to_string(),
-        ControllerError::Database("the cause".to_string()).to_string(),
+        ControllerError::from(AcceptorFileError::Database("the cause".into())).to_string(),
         ControllerError::System(cause()).to_string(),
-        ControllerError::Damaged("the cause".to_string()).to_string(),
-        Unavailable.to_string(),
+        ControllerError::from(AcceptorFileError::Damaged(Damage::Unreadable(
+            "the cause".into(),
+        )))
+        .to_string(),
+        QuorumUnavailable.to_string(),
         StoreError::NoDisk.to_string(),
         StoreError::Directory("the cause".to_string()).to_string(),
         StoreError::from(folder()).to_string(),
--- a/crates/mintlb-control/tests/faulty_disk/mod.rs
+++ b/crates/mintlb-control/tests/faulty_disk/mod.rs
@@ -1,6 +1,6 @@
 //! A disk in memory below redb: full, failing at a sync, hanging, without power.
 
-use mintlb_control::controller::ControllerError;
+use mintlb_control::controller::register::AcceptorFileError;
 use mintlb_control::controller::register::acceptor_file::{self, Contents};
 use mintlb_control::controller::register::acceptor_storage::Opener;
 use mintlb_register::acceptor::AcceptorState;
@@ -62,7 +62,7 @@
             &database,
             &Contents {
                 id: ReplicaId(id),
-                vote: AcceptorState::default(),
+                state: AcceptorState::default(),
             },
         )
         .unwrap();
@@ -74,7 +74,7 @@
         let disk = self.clone();
         Box::new(move || {
             let opened = acceptor_file::builder().create_with_backend(disk.clone());
-            opened.map_err(|error| ControllerError::Database(error.to_string()))
+            opened.map_err(|error| AcceptorFileError::Database(error.into()))
         })
     }
 
--- a/crates/mintlb-simulation/src/controller/duties.rs
+++ b/crates/mintlb-simulation/src/controller/duties.rs
@@ -1,4 +1,4 @@
-//! A controller's pings and duties; mirrors `controller/singleton/mod.rs` and `controller/contact/pings.rs` around the product's
+//! A controller's pings and duties; mirrors `controller/singleton/leader.rs` and `controller/contact/pings.rs` around the product's
 //! `PingState`.
 
 use super::Controller;
@@ -9,7 +9,8 @@
 use mintlb_batch::heartbeat::StoreHeartbeat;
 use mintlb_batch::placement_planner::{ClusterSnapshot, StoreTable};
 use mintlb_common::placement::Placement;
-use mintlb_control::controller::contact::ping_state::{Ping, PingState, Pong, STEP};
+use mintlb_control::controller::contact::messages::{Ping, Pong};
+use mintlb_control::controller::contact::ping_state::{PingState, STEP};
 use mintlb_register::change::{Change, ChangeOutcome};
 use mintlb_register::replica_set::{ReplicaId, ReplicaSet};
 use std::net::SocketAddr;
@@ -72,12 +73,12 @@
         ping: &Ping,
         set: Option<&ReplicaSet>,
     ) -> Pong {
-        self.pings.answer(context.instant, from, *ping, set)
+        self.pings.on_ping(context.instant, from, *ping, set)
     }
 
     /// A ping that was sent at that time was answered.
     pub fn answered(&mut self, context: &Context, from: SocketAddr, sent_at: Instant, pong: &Pong) {
-        self.pings.answered(context.instant, from, sent_at, *pong);
+        self.pings.on_pong(context.instant, from, sent_at, *pong);
     }
 
     /// Replicas that have long been silent.
--- a/crates/mintlb-simulation/src/controller/placing.rs
+++ b/crates/mintlb-simulation/src/controller/placing.rs
@@ -1,4 +1,4 @@
-//! The placement duty and the retirement of stores; mirrors `controller/singleton/mod.rs` and `controller/singleton/retirement.rs`
+//! The placement duty and the retirement of stores; mirrors `controller/singleton/leader.rs` and `controller/singleton/retirement.rs`
 //! around the product's planner.
 
 use super::Controller;
@@ -123,7 +123,7 @@
             },
             false => match progress(placement, &view, &node, TOLERANCE, has_listened) {
                 RetirementStatus::Completed => Told::Retiring { completed: true },
-                RetirementStatus::Unknown => Told::Refused,
+                RetirementStatus::NotFound => Told::Refused,
                 _ if context.planted == Planted::LeavingNotWaitedFor => {
                     Told::Retiring { completed: true }
                 }
--- a/crates/mintlb-simulation/src/controller/tasks.rs
+++ b/crates/mintlb-simulation/src/controller/tasks.rs
@@ -1,4 +1,4 @@
-//! A controller's changes and reads of the register; mirrors `controller/register/mod.rs`.
+//! A controller's changes and reads of the register; mirrors `controller/register/client.rs`.
 
 use super::Controller;
 use super::vote::ReplyTo;
--- a/crates/mintlb-simulation/src/controller/workers.rs
+++ b/crates/mintlb-simulation/src/controller/workers.rs
@@ -1,4 +1,4 @@
-//! The workers' calls; mirrors `controller/http/instance_api.rs` and the watch over workers in `controller/mod.rs`, around
+//! The workers' calls; mirrors `controller/http/instance_api.rs` and the watch over workers in `controller/workers/service.rs`, around
 //! the product's `Registry`.
 
 use super::Controller;
--- a/crates/mintlb-simulation/src/message.rs
+++ b/crates/mintlb-simulation/src/message.rs
@@ -5,7 +5,7 @@
 use mintlb_batch::messages;
 use mintlb_batch::peer::Envelope;
 use mintlb_common::record::WorkerRecord;
-use mintlb_control::controller::contact::ping_state::{Ping, Pong};
+use mintlb_control::controller::contact::messages::{Ping, Pong};
 use mintlb_register::bootstrap::SeedStatus;
 use mintlb_register::message::{Reply, Request};
 use std::net::SocketAddr;
