--- a/crates/mintlb-common/src/configuration/field_validators.rs
+++ b/crates/mintlb-common/src/configuration/field_validators.rs
@@ -1,8 +1,9 @@
-//! Validation of a submitted configuration with the validators of `schematic`, which report all violations by the paths of
-//! their fields.
+//! Validation of a submitted configuration with the validators of `schematic`, which report all
+//! violations by the paths of their fields.
 //!
-//! Each validator is attached to its field in [`super::types`] and gets the value, the struct around it, a context (none
-//! here) and a flag for the final merge (unused, as there is one source only).
+//! Each validator is attached to its field in [`super::types`] and gets the value, the struct
+//! around it, a context (none here) and a flag for the final merge (unused, as there is one source
+//! only).
 
 use super::types::{PartialConfiguration, PartialRoute, PartialService, PartialWeightedService};
 use super::{ConfigurationError, FieldViolation};
--- a/crates/mintlb-common/src/configuration/lookup.rs
+++ b/crates/mintlb-common/src/configuration/lookup.rs
@@ -3,8 +3,8 @@
 use super::{Configuration, Route, RouteType, Service};
 
 impl Configuration {
-    /// The route of a request, with its index: among the routes of the host, the one with the longest prefix of the path.
-    /// The host's case and port are ignored.
+    /// The route of a request, with its index: among the routes of the host, the one with the
+    /// longest prefix of the path. The host's case and port are ignored.
     pub fn route(&self, host: &str, path: &str) -> Option<(usize, &Route)> {
         let host = host.rsplit_once(':').map_or(host, |(name, _port)| name);
         self.route_list
--- a/crates/mintlb-common/src/configuration/types.rs
+++ b/crates/mintlb-common/src/configuration/types.rs
@@ -1,4 +1,5 @@
-//! The schema of the configuration. Field names are the JSON keys, except where `#[serde(rename)]` gives the key.
+//! The schema of the configuration. Field names are the JSON keys, except where `#[serde(rename)]`
+//! gives the key.
 
 use super::field_validators::{
     known_services, path_prefix, positive_timeout, unique_locations, valid_weights,
@@ -43,7 +44,8 @@
     #[serde(default)]
     #[setting(validate = positive_timeout)]
     pub timeout_ms: Option<u64>,
-    /// Latency target: a response (the first event of a stream) within this time has its full value, in ms.
+    /// Latency target: a response (the first event of a stream) within this time has its full
+    /// value, in ms.
     #[serde(default)]
     pub target_latency_ms: u64,
     /// The priority; 0 is the highest.
@@ -72,7 +74,8 @@
     /// Batch routes: target for the completion of a job, in ms after its submission.
     #[serde(default)]
     pub completion_target_ms: Option<u64>,
-    /// Batch routes: time after the submission of a job at which its unfinished items may be given up, in s.
+    /// Batch routes: time after the submission of a job at which its unfinished items may be given
+    /// up, in s.
     #[serde(default)]
     pub retention_s: Option<f64>,
     /// Batch routes: maximum number of queued tokens; 0 is unlimited.
@@ -114,7 +117,8 @@
     /// The path of its workers' health check.
     #[serde(default)]
     pub health_check_path: Option<String>,
-    /// Maximum number of connections that a worker accepts from all clients together; 0 is unlimited.
+    /// Maximum number of connections that a worker accepts from all clients together; 0 is
+    /// unlimited.
     #[serde(default)]
     pub max_connections: u32,
     /// The capacity of a worker's inference engine, if it generates tokens.
--- a/crates/mintlb-common/src/configuration/validation.rs
+++ b/crates/mintlb-common/src/configuration/validation.rs
@@ -1,6 +1,7 @@
 //! Validation of a parsed configuration, up to the first violation.
 //!
-//! The rules are those of [`super::field_validators`]: the tests check that both accept the same documents.
+//! The rules are those of [`super::field_validators`]: the tests check that both accept the same
+//! documents.
 
 use super::{Configuration, ConfigurationError, FieldViolation, Route};
 use std::collections::HashSet;
@@ -58,7 +59,8 @@
     None
 }
 
-/// Whether all weights are finite and not negative, and their sum is positive; a route without any target has none.
+/// Whether all weights are finite and not negative, and their sum is positive; a route without any
+/// target has none.
 fn has_valid_weights(route: &Route) -> bool {
     let is_valid = |weight: f64| weight.is_finite() && weight >= 0.0;
     let are_valid = route
--- a/crates/mintlb-common/src/incarnation.rs
+++ b/crates/mintlb-common/src/incarnation.rs
@@ -1,7 +1,8 @@
 //! The incarnation of a process: the identity of one run, from its start to its end.
 //!
-//! Incarnations are random and have no order, so that two runs never share one, whatever the clock says. Which one is
-//! alive at an address is learned from the process that answers there, see [`crate::transport`].
+//! Incarnations are random and have no order, so that two runs never share one, whatever the clock
+//! says. Which one is alive at an address is learned from the process that answers there, see
+//! [`crate::transport`].
 
 use minicbor::{Decode, Encode};
 use std::hash::{BuildHasher, RandomState};
@@ -14,8 +15,8 @@
 pub struct Incarnation(#[n(0)] u64);
 
 impl Incarnation {
-    /// Generates a new incarnation. Address, process id and time of day are mixed in, so that a machine with little entropy
-    /// at its start gets a new one, too.
+    /// Generates a new incarnation. Address, process id and time of day are mixed in, so that a
+    /// machine with little entropy at its start gets a new one, too.
     pub fn generate(address: SocketAddr) -> Incarnation {
         let random = RandomState::new().hash_one((address, std::process::id(), SystemTime::now()));
         Incarnation(random.max(1))
--- a/crates/mintlb-common/src/logging.rs
+++ b/crates/mintlb-common/src/logging.rs
@@ -1,4 +1,5 @@
-//! The log of a process: short lines on standard error, each with the prefix of the component that wrote it.
+//! The log of a process: short lines on standard error, each with the prefix of the component that
+//! wrote it.
 
 use flexi_logger::{DeferredNow, FlexiLoggerError, Logger, LoggerHandle};
 use log::Record;
--- a/crates/mintlb-common/src/placement.rs
+++ b/crates/mintlb-common/src/placement.rs
@@ -1,7 +1,8 @@
 //! The placement of shards on stores.
 //!
-//! Batch jobs are divided into shards by host. The placement is kept in the control plane's register, is changed there by
-//! the controller that holds the singleton role, and reaches every process as the record [`crate::record::PLACEMENT`].
+//! Batch jobs are divided into shards by host. The placement is kept in the control plane's
+//! register, is changed there by the controller that holds the singleton role, and reaches every
+//! process as the record [`crate::record::PLACEMENT`].
 
 use minicbor::{Decode, Encode};
 
@@ -40,7 +41,8 @@
     /// The zone of the machine.
     #[n(3)]
     pub zone: String,
-    /// Whether the store is being decommissioned: it loses its shards one by one until none names it.
+    /// Whether the store is being decommissioned: it loses its shards one by one until none names
+    /// it.
     #[n(4)]
     pub decommissioning: bool,
 }
@@ -54,13 +56,13 @@
     /// The replicas, the primary first.
     #[n(1)]
     pub replicas: Vec<StoreId>,
-    /// The replicas of the last active epoch, its primary first. A new primary has to read from them until it has reported
-    /// that it is active; empty after that.
+    /// The replicas of the last active epoch, its primary first. A new primary has to read from
+    /// them until it has reported that it is active; empty after that.
     #[n(2)]
     pub previous: Vec<StoreId>,
-    /// While `previous` is not empty, the epoch of the last assignment with an active primary. Nothing was acknowledged in
-    /// a later epoch, so a log with an entry of a later epoch is complete: it has every acknowledged entry. `None` if
-    /// unknown.
+    /// While `previous` is not empty, the epoch of the last assignment with an active primary.
+    /// Nothing was acknowledged in a later epoch, so a log with an entry of a later epoch is
+    /// complete: it has every acknowledged entry. `None` if unknown.
     #[n(3)]
     pub last_active_epoch: Option<u64>,
 }
--- a/crates/mintlb-common/src/record.rs
+++ b/crates/mintlb-common/src/record.rs
@@ -1,15 +1,18 @@
 //! Versioned records, which gossip replicates to every process of the tier.
 //!
-//! A record is identified by its key. Of two records with one key, the one with the higher version is in force, in every
-//! process and for good (last writer wins, by version). The body is opaque to gossip.
+//! A record is identified by its key. Of two records with one key, the one with the higher version
+//! is in force, in every process and for good (last writer wins, by version). The body is opaque to
+//! gossip.
 
 use bytes::Bytes;
 use minicbor::{Decode, Encode};
 
-/// The key of the record with the configuration as the operator submitted it; its version is `config_version`.
+/// The key of the record with the configuration as the operator submitted it; its version is
+/// `config_version`.
 pub const CONFIGURATION: &str = "configuration";
 
-/// The key of the record with the [`crate::placement::Placement`]; its version is the placement's epoch.
+/// The key of the record with the [`crate::placement::Placement`]; its version is the placement's
+/// epoch.
 pub const PLACEMENT: &str = "placement";
 
 /// The key of the record with the set of register replicas; its version is the set's epoch.
@@ -21,8 +24,8 @@
 /// The prefix of the keys of records of ended batch jobs; the job's id follows.
 pub const ENDED_JOB_PREFIX: &str = "ended/";
 
-/// Lifetime of the record of a worker that serves no more, in s: until then a delayed record of its earlier state can't
-/// bring it back.
+/// Lifetime of the record of a worker that serves no more, in s: until then a delayed record of its
+/// earlier state can't bring it back.
 const ENDED_WORKER_TTL_S: u32 = 60;
 
 /// Versions per call sequence number of a worker, one for each state.
@@ -35,7 +38,8 @@
     pub key: String,
     /// Of two records with one key, the higher version is in force.
     pub version: u64,
-    /// Time to live in s, counted from receipt, after which the record may be dropped; 0 is unlimited.
+    /// Time to live in s, counted from receipt, after which the record may be dropped; 0 is
+    /// unlimited.
     pub ttl_s: u32,
     /// The content, encoded by the record's owner.
     pub body: Bytes,
@@ -89,8 +93,8 @@
 }
 
 impl WorkerRecord {
-    /// The version of the record: a later call wins, and among records of one call the more restrictive state. No call
-    /// revives a deregistered worker.
+    /// The version of the record: a later call wins, and among records of one call the more
+    /// restrictive state. No call revives a deregistered worker.
     pub fn version(&self) -> u64 {
         let restrictiveness = match self.state {
             WorkerState::InService => 0,
--- a/crates/mintlb-common/src/settings.rs
+++ b/crates/mintlb-common/src/settings.rs
@@ -18,9 +18,9 @@
 /// The environment variable that holds the path of the settings file.
 pub const SETTINGS_VARIABLE: &str = "MINTLB_BOOT";
 
-/// A worker is unresponsive once it has missed this many heartbeats...
-const MISSED_HEARTBEATS: u64 = 3;
-/// ...and this delay, in ms, has passed as well.
+/// Intervals without a heartbeat after which a worker is unresponsive.
+const HEARTBEAT_TIMEOUT_INTERVALS: u64 = 3;
+/// Delay on top of [`HEARTBEAT_TIMEOUT_INTERVALS`] for a heartbeat that is in flight, in ms.
 const HEARTBEAT_SLACK_MS: u64 = 500;
 
 /// Settings of one process. Field names are the TOML keys; unknown keys are ignored.
@@ -125,7 +125,7 @@
 
     /// Time without a heartbeat after which a worker is unresponsive.
     pub fn heartbeat_timeout(&self) -> Duration {
-        Duration::from_millis(self.heartbeat_ms * MISSED_HEARTBEATS + HEARTBEAT_SLACK_MS)
+        Duration::from_millis(self.heartbeat_ms * HEARTBEAT_TIMEOUT_INTERVALS + HEARTBEAT_SLACK_MS)
     }
 
     fn internal_port(&self, port: InternalPort) -> u16 {
--- a/crates/mintlb-common/src/settings/bounds.rs
+++ b/crates/mintlb-common/src/settings/bounds.rs
@@ -6,8 +6,9 @@
 /// Longest time for which the status of a batch job is kept, whatever the settings say, in s.
 const MAX_STATUS_RETENTION_S: f64 = 1e9;
 
-/// The time limits and quotas of the tier's guarantees, as far as its processes depend on them. A key ends with the unit of
-/// its value; field names are the TOML keys, except where `#[serde(rename)]` gives the key.
+/// The time limits and quotas of the tier's guarantees, as far as its processes depend on them. A
+/// key ends with the unit of its value; field names are the TOML keys, except where
+/// `#[serde(rename)]` gives the key.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(default)]
 pub struct Bounds {
--- a/crates/mintlb-common/src/settings/error.rs
+++ b/crates/mintlb-common/src/settings/error.rs
@@ -3,7 +3,8 @@
 use super::{InternalPort, SETTINGS_VARIABLE};
 use std::path::PathBuf;
 
-/// The reason for which the settings can't be loaded. None of them goes away without a change to the environment or file.
+/// The reason for which the settings can't be loaded. None of them goes away without a change to
+/// the environment or file.
 #[derive(Debug, thiserror::Error)]
 pub enum SettingsError {
     /// The environment variable is not set.
--- a/crates/mintlb-common/src/settings/internal_port.rs
+++ b/crates/mintlb-common/src/settings/internal_port.rs
@@ -1,7 +1,7 @@
 //! The assignment of a machine's internal ports to programs.
 
-/// The program that listens on an internal port, as two processes share a machine. The discriminant is the offset from the
-/// first of the `internal_ports`.
+/// The program that listens on an internal port, as two processes share a machine. The discriminant
+/// is the offset from the first of the `internal_ports`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum InternalPort {
     /// The dispatcher.
--- a/crates/mintlb-common/src/signals.rs
+++ b/crates/mintlb-common/src/signals.rs
@@ -1,5 +1,5 @@
-//! The signals of the platform. They have to be handled before anything else is started: a signal that arrives earlier ends
-//! the process.
+//! The signals of the platform. They have to be handled before anything else is started: a signal
+//! that arrives earlier ends the process.
 
 use std::io;
 use tokio::signal::unix::{Signal, SignalKind, signal};
@@ -8,8 +8,8 @@
 pub struct Signals {
     terminate: Signal,
     interrupt: Signal,
-    /// Handled only so that SIGHUP, sent after a change of the settings, does not end a process that reads them at its next
-    /// start.
+    /// Handled only so that SIGHUP, sent after a change of the settings, does not end a process
+    /// that reads them at its next start.
     _hangup: Signal,
 }
 
--- a/crates/mintlb-common/src/transport.rs
+++ b/crates/mintlb-common/src/transport.rs
@@ -1,14 +1,17 @@
-//! Framed messages between the tier's own processes, over one long-lived TCP connection per direction.
+//! Framed messages between the tier's own processes, over one long-lived TCP connection per
+//! direction.
 //!
-//! A process listens on one internal address, by which its peers know it. [`Transport::notify`] sends a one-way message;
-//! [`Transport::call`] sends a request and waits for the response, with a time limit. A message that can't be delivered is
-//! lost, and [`Service::on_peer_unreachable`] reports its receiver. All queues are bounded: what exceeds them is lost like
-//! any undeliverable message.
+//! A process listens on one internal address, by which its peers know it. [`Transport::notify`]
+//! sends a one-way message; [`Transport::call`] sends a request and waits for the response, with a
+//! time limit. A message that can't be delivered is lost, and [`Service::on_peer_unreachable`]
+//! reports its receiver. All queues are bounded: what exceeds them is lost like any undeliverable
+//! message.
 //!
-//! Both sides open a connection with their [`Incarnation`]. The dialing side names the incarnation that its messages are
-//! meant for, if it knows one; a process with another incarnation, restarted or on a reused address, discards them all.
-//! Messages from an ended incarnation are rejected once its successor is known. A response counts on the connection that
-//! its request was sent on, and on no other.
+//! Both sides open a connection with their [`Incarnation`]. The dialing side names the incarnation
+//! that its messages are meant for, if it knows one; a process with another incarnation, restarted
+//! or on a reused address, discards them all. Messages from an ended incarnation are rejected once
+//! its successor is known. A response counts on the connection that its request was sent on, and on
+//! no other.
 //!
 //! - [`Service`] and [`Channel`]: the handlers of messages.
 //! - `dialer`, `listener`, `connection`: the two directions, and what they share.
@@ -16,9 +19,9 @@
 //! - `link`, `peers`: queue and pending calls of a connection; the table of peers.
 //! - [`incarnations`], [`rejections`]: pure bookkeeping.
 //!
-//! The tasks of a transport have no shutdown of their own: a process answers its peers until it exits, and the runtime
-//! ends the tasks. The task of a request outlives its connection on purpose, as a request once begun is executed to its
-//! end.
+//! The tasks of a transport have no shutdown of their own: a process answers its peers until it
+//! exits, and the runtime ends the tasks. The task of a request outlives its connection on purpose,
+//! as a request once begun is executed to its end.
 
 mod connection;
 mod dialer;
@@ -68,8 +71,8 @@
 }
 
 impl Transport {
-    /// Listens on the internal address of the process and accepts connections from then on, under a new incarnation. Has
-    /// to be called within a Tokio runtime.
+    /// Listens on the internal address of the process and accepts connections from then on, under a
+    /// new incarnation. Has to be called within a Tokio runtime.
     ///
     /// # Errors
     ///
@@ -115,8 +118,8 @@
         self.services.register(channel, service);
     }
 
-    /// Counts, and now and then logs, a rejection of input from a peer. Services call it, too, for messages that they
-    /// can't decode.
+    /// Counts, and now and then logs, a rejection of input from a peer. Services call it, too, for
+    /// messages that they can't decode.
     pub fn record_rejection(&self, rejection: Rejection, from: SocketAddr) {
         if let Some(count) = self.rejections.lock().increment(rejection, from) {
             let level = if rejection.is_expected_after_restart() {
@@ -133,7 +136,8 @@
         self.rejections.lock().get(rejection, from)
     }
 
-    /// Sends a one-way message. Returns whether the queue to the peer had capacity for it; delivery is not guaranteed.
+    /// Sends a one-way message. Returns whether the queue to the peer had capacity for it; delivery
+    /// is not guaranteed.
     pub fn notify(self: &Arc<Self>, to: SocketAddr, channel: Channel, body: Bytes) -> bool {
         self.link_to(to).send(Frame {
             channel: channel as u8,
@@ -147,8 +151,8 @@
     ///
     /// # Errors
     ///
-    /// [`CallError`] if there is no response; [`CallError::may_have_executed`] tells whether the peer may have executed
-    /// the request all the same.
+    /// [`CallError`] if there is no response; [`CallError::may_have_executed`] tells whether the
+    /// peer may have executed the request all the same.
     pub async fn call(
         self: &Arc<Self>,
         to: SocketAddr,
@@ -175,8 +179,8 @@
         outcome
     }
 
-    /// Stores the incarnation found at an address. If it replaces another one, links to that one are closed, except for
-    /// `confirmed_by`, and the services are notified.
+    /// Stores the incarnation found at an address. If it replaces another one, links to that one
+    /// are closed, except for `confirmed_by`, and the services are notified.
     fn confirm_incarnation(
         &self,
         address: SocketAddr,
@@ -204,8 +208,9 @@
     }
 }
 
-/// Waits for the result of a call. A response that is found after the time limit does not count, even if this process was
-/// suspended and finds the response and the end of the time limit at once: how long ago it arrived is unknown.
+/// Waits for the result of a call. A response that is found after the time limit does not count,
+/// even if this process was suspended and finds the response and the end of the time limit at once:
+/// how long ago it arrived is unknown.
 async fn wait_for_response(
     result: oneshot::Receiver<CallResult>,
     started: Instant,
--- a/crates/mintlb-common/src/transport/connection.rs
+++ b/crates/mintlb-common/src/transport/connection.rs
@@ -1,4 +1,5 @@
-//! What dialed and accepted connections share: time limits, socket options and the writing of queued frames.
+//! What dialed and accepted connections share: time limits, socket options and the writing of
+//! queued frames.
 
 use super::frame::Frame;
 use bytes::BytesMut;
@@ -10,9 +11,11 @@
 use tokio::sync::mpsc;
 use tokio::time::timeout;
 
-/// Limit on establishing a connection, and on how long sent bytes may remain unacknowledged (`TCP_USER_TIMEOUT`).
+/// Limit on establishing a connection, and on how long sent bytes may remain unacknowledged
+/// (`TCP_USER_TIMEOUT`).
 pub const CONNECTION_TIMEOUT: Duration = Duration::from_millis(1200);
-/// Delay after a failed dial or accept: an unreachable peer is not dialed again before it has passed.
+/// Delay after a failed dial or accept: an unreachable peer is not dialed again before it has
+/// passed.
 pub const RETRY_DELAY: Duration = Duration::from_millis(150);
 /// A dialed connection without traffic is closed after this time.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
@@ -22,7 +25,8 @@
 const KEEP_ALIVE_PROBES: u32 = 2;
 /// Queued frames are combined into one write up to this length, in bytes.
 const WRITE_BATCH_BYTES: usize = 64 << 10;
-/// A write buffer above this capacity is not kept, so that a single large message does not pin its memory.
+/// A write buffer above this capacity is not kept, so that a single large message does not pin its
+/// memory.
 const MAX_RETAINED_BUFFER_BYTES: usize = 256 << 10;
 /// Length of the buffer into which unread bytes are discarded.
 const DISCARD_BUFFER_BYTES: usize = 4 << 10;
@@ -36,8 +40,8 @@
     KeepOpen,
 }
 
-/// Writes queued frames until the queue is closed or, under [`IdlePolicy::Close`], the connection is idle. Adds the bytes
-/// to `sent_bytes`.
+/// Writes queued frames until the queue is closed or, under [`IdlePolicy::Close`], the connection
+/// is idle. Adds the bytes to `sent_bytes`.
 ///
 /// # Errors
 ///
@@ -70,8 +74,9 @@
     }
 }
 
-/// Closes a connection whose messages are rejected. They are read and discarded for up to [`CONNECTION_TIMEOUT`]: closing
-/// a socket with unread bytes resets the connection, and the peer would lose the handshake's reply.
+/// Closes a connection whose messages are rejected. They are read and discarded for up to
+/// [`CONNECTION_TIMEOUT`]: closing a socket with unread bytes resets the connection, and the peer
+/// would lose the handshake's reply.
 pub async fn close_discarding_input(mut stream: TcpStream) {
     stream.shutdown().await.ok();
     let mut buffer = vec![0; DISCARD_BUFFER_BYTES];
@@ -79,8 +84,8 @@
     timeout(CONNECTION_TIMEOUT, discard).await.ok();
 }
 
-/// Makes the system report a peer that disappeared without closing its connections, both while data is in flight and while
-/// there is none.
+/// Makes the system report a peer that disappeared without closing its connections, both while data
+/// is in flight and while there is none.
 pub fn detect_lost_peer(socket: &socket2::SockRef) {
     socket.set_tcp_user_timeout(Some(CONNECTION_TIMEOUT)).ok();
     let keep_alive = socket2::TcpKeepalive::new()
--- a/crates/mintlb-common/src/transport/dialer.rs
+++ b/crates/mintlb-common/src/transport/dialer.rs
@@ -1,4 +1,5 @@
-//! Dialed connections: carry the notifications and requests of this process, and bring the responses.
+//! Dialed connections: carry the notifications and requests of this process, and bring the
+//! responses.
 
 use super::connection::{
     CONNECTION_TIMEOUT, IdlePolicy, RETRY_DELAY, detect_lost_peer, write_frames,
@@ -29,7 +30,8 @@
 }
 
 impl Transport {
-    /// The link to a peer, dialed if there is none. A new link is meant for the incarnation known there now.
+    /// The link to a peer, dialed if there is none. A new link is meant for the incarnation known
+    /// there now.
     pub(super) fn link_to(self: &Arc<Self>, peer: SocketAddr) -> Arc<Link> {
         self.peers.link_or_open(peer, |expected| {
             let (link, queue) = Link::new(expected);
--- a/crates/mintlb-common/src/transport/error.rs
+++ b/crates/mintlb-common/src/transport/error.rs
@@ -18,8 +18,8 @@
 }
 
 impl CallError {
-    /// Whether the peer may have executed the request, or may still execute it. If not, the call can be repeated even
-    /// when it is not idempotent.
+    /// Whether the peer may have executed the request, or may still execute it. If not, the call
+    /// can be repeated even when it is not idempotent.
     pub fn may_have_executed(self) -> bool {
         match self {
             CallError::TimedOut | CallError::Unreachable => true,
--- a/crates/mintlb-common/src/transport/frame.rs
+++ b/crates/mintlb-common/src/transport/frame.rs
@@ -1,7 +1,7 @@
 //! Frames: the unit of transfer on a connection after its handshake.
 //!
-//! A frame is a header of [`HEADER_BYTES`] (body length, channel, kind, call number; integers in big-endian order)
-//! followed by the body.
+//! A frame is a header of [`HEADER_BYTES`] (body length, channel, kind, call number; integers in
+//! big-endian order) followed by the body.
 
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 use tokio::io::AsyncReadExt;
@@ -14,8 +14,8 @@
 const HEADER_BYTES: usize = 4 + 1 + 1 + 8;
 /// Capacity of a read buffer that holds no large message, in bytes.
 const READ_BUFFER_BYTES: usize = 4 << 10;
-/// An empty read buffer above this capacity is replaced by a small one, so that a single large message does not pin its
-/// memory for the life of the connection.
+/// An empty read buffer above this capacity is replaced by a small one, so that a single large
+/// message does not pin its memory for the life of the connection.
 const MAX_RETAINED_BUFFER_BYTES: usize = 256 << 10;
 
 /// The role of a frame in the exchange. The discriminants are on the wire.
--- a/crates/mintlb-common/src/transport/handshake.rs
+++ b/crates/mintlb-common/src/transport/handshake.rs
@@ -1,5 +1,5 @@
-//! The handshake at the start of each connection: the dialing side introduces itself, the accepting side replies with its
-//! incarnation.
+//! The handshake at the start of each connection: the dialing side introduces itself, the accepting
+//! side replies with its incarnation.
 
 use crate::incarnation::Incarnation;
 use bytes::{Buf, BufMut, BytesMut};
--- a/crates/mintlb-common/src/transport/incarnations.rs
+++ b/crates/mintlb-common/src/transport/incarnations.rs
@@ -1,9 +1,10 @@
 //! The incarnation known at each peer address.
 //!
-//! There are two sources. The process that *accepts* a connection at an address is the one that runs there. A process that
-//! *dials* and names an address may have ended since: its bytes may have been buffered while this process was suspended.
-//! If another incarnation is known at the address, the address is therefore queried before anything from the dialer is
-//! accepted. If the query fails, the dialer is believed: a live incarnation would have replied, or will dial again and
+//! There are two sources. The process that *accepts* a connection at an address is the one that
+//! runs there. A process that *dials* and names an address may have ended since: its bytes may have
+//! been buffered while this process was suspended. If another incarnation is known at the address,
+//! the address is therefore queried before anything from the dialer is accepted. If the query
+//! fails, the dialer is believed: a live incarnation would have replied, or will dial again and
 //! cause a query in its turn.
 //!
 //! Pure state: no I/O and no clock.
@@ -48,7 +49,8 @@
         }
     }
 
-    /// Stores the incarnation that was found at the address. Returns whether it replaces another one.
+    /// Stores the incarnation that was found at the address. Returns whether it replaces another
+    /// one.
     pub fn confirm(&mut self, address: SocketAddr, incarnation: Incarnation) -> bool {
         if !self.known.contains_key(&address) && self.known.len() >= MAX_ADDRESSES {
             return false;
--- a/crates/mintlb-common/src/transport/link.rs
+++ b/crates/mintlb-common/src/transport/link.rs
@@ -1,4 +1,5 @@
-//! The sending side of one connection to a peer: its queue of messages and the calls that wait for a response on it.
+//! The sending side of one connection to a peer: its queue of messages and the calls that wait for
+//! a response on it.
 
 use super::CallError;
 use super::frame::Frame;
@@ -20,7 +21,8 @@
 
 /// One connection to a peer, from the first message queued for it until it ends.
 ///
-/// A response counts only on the link that its request was sent on: a call never moves to another connection.
+/// A response counts only on the link that its request was sent on: a call never moves to another
+/// connection.
 pub struct Link {
     expected: Option<Incarnation>,
     queue: mpsc::Sender<Frame>,
@@ -29,8 +31,8 @@
 }
 
 impl Link {
-    /// Creates a link that is not connected yet, and the receiving end of its queue. Only the incarnation `expected` may
-    /// receive its messages; any may if `expected` is `None`.
+    /// Creates a link that is not connected yet, and the receiving end of its queue. Only the
+    /// incarnation `expected` may receive its messages; any may if `expected` is `None`.
     pub fn new(expected: Option<Incarnation>) -> (Arc<Link>, mpsc::Receiver<Frame>) {
         let (queue, queued) = mpsc::channel(QUEUE_CAPACITY);
         let link = Link {
@@ -52,7 +54,8 @@
         self.queue.try_send(frame).is_ok()
     }
 
-    /// Registers a call. Has to precede [`Link::send`], or an early response would find nobody waiting.
+    /// Registers a call. Has to precede [`Link::send`], or an early response would find nobody
+    /// waiting.
     pub fn register_call(&self, call: u64) -> oneshot::Receiver<CallResult> {
         let (result_sender, result) = oneshot::channel();
         self.pending.lock().insert(call, result_sender);
--- a/crates/mintlb-common/src/transport/listener.rs
+++ b/crates/mintlb-common/src/transport/listener.rs
@@ -114,8 +114,8 @@
         }
     }
 
-    /// Hands a message to the service of its channel; the response to a request is queued by a task of its own, so that a
-    /// slow handler delays no other message.
+    /// Hands a message to the service of its channel; the response to a request is queued by a task
+    /// of its own, so that a slow handler delays no other message.
     fn dispatch(&self, frame: Frame, from: SocketAddr, responses: &mpsc::Sender<Frame>) {
         let Some(service) = self.services.get(frame.channel) else {
             return;
--- a/crates/mintlb-common/src/transport/peers.rs
+++ b/crates/mintlb-common/src/transport/peers.rs
@@ -16,8 +16,8 @@
 }
 
 impl PeerTable {
-    /// The link to a peer. If there is none, `open` creates it for the incarnation known there, under the lock of the
-    /// links: two callers never open two links to one peer.
+    /// The link to a peer. If there is none, `open` creates it for the incarnation known there,
+    /// under the lock of the links: two callers never open two links to one peer.
     pub fn link_or_open(
         &self,
         peer: SocketAddr,
@@ -47,8 +47,9 @@
         self.incarnations.lock().is_current(address, incarnation)
     }
 
-    /// Stores the incarnation found at an address. If it replaces another one, the link to the former one is closed,
-    /// except for `confirmed_by`, the link on which the new one was found. Returns whether it replaces another one.
+    /// Stores the incarnation found at an address. If it replaces another one, the link to the
+    /// former one is closed, except for `confirmed_by`, the link on which the new one was found.
+    /// Returns whether it replaces another one.
     pub fn confirm(
         &self,
         address: SocketAddr,
--- a/crates/mintlb-common/src/transport/rejections.rs
+++ b/crates/mintlb-common/src/transport/rejections.rs
@@ -3,12 +3,14 @@
 use std::collections::HashMap;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 
-/// Maximum number of counters (pairs of reason and sender); further senders share [`OTHER_SENDERS`].
+/// Maximum number of counters (pairs of reason and sender); further senders share
+/// [`OTHER_SENDERS`].
 const MAX_COUNTERS: usize = 256;
 /// Stands for all senders without a counter of their own.
 pub const OTHER_SENDERS: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::UNSPECIFIED), 0);
 
-/// The reason for which input from another process was rejected. Its connection is closed; nothing else is affected.
+/// The reason for which input from another process was rejected. Its connection is closed; nothing
+/// else is affected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, thiserror::Error)]
 pub enum Rejection {
     /// The handshake belongs to another protocol, or to another version of this one.
@@ -45,8 +47,8 @@
 }
 
 impl RejectionCounts {
-    /// Counts a rejection. Returns the count when it is a power of two, which is when it is to be logged: a peer that
-    /// keeps sending garbage can't flood the log.
+    /// Counts a rejection. Returns the count when it is a power of two, which is when it is to be
+    /// logged: a peer that keeps sending garbage can't flood the log.
     pub fn increment(&mut self, rejection: Rejection, sender: SocketAddr) -> Option<u64> {
         let has_counter = self.counts.contains_key(&(rejection, sender));
         let sender = if has_counter || self.counts.len() < MAX_COUNTERS {
--- a/crates/mintlb-common/src/transport/service.rs
+++ b/crates/mintlb-common/src/transport/service.rs
@@ -46,8 +46,8 @@
     /// Handles a one-way message.
     fn on_notification(&self, _from: SocketAddr, _body: Bytes) {}
 
-    /// Handles a request. An empty response tells the caller that the request is not understood, see
-    /// [`CallError::NotUnderstood`](super::CallError::NotUnderstood).
+    /// Handles a request. An empty response tells the caller that the request is not understood,
+    /// see [`CallError::NotUnderstood`](super::CallError::NotUnderstood).
     fn on_request(&self, _from: SocketAddr, _body: Bytes) -> ResponseFuture {
         Box::pin(async { Bytes::new() })
     }
--- a/crates/mintlb-common/tests/configuration.rs
+++ b/crates/mintlb-common/tests/configuration.rs
@@ -1,5 +1,5 @@
-//! Parsing and validation of the operator's configuration: the example of the wire, each kind of violation, and that both
-//! ways to parse agree.
+//! Parsing and validation of the operator's configuration: the example of the wire, each kind of
+//! violation, and that both ways to parse agree.
 
 use arbtest::arbtest;
 use mintlb_common::configuration::{ClientLimits, Configuration, ConfigurationError, RouteType};
@@ -43,7 +43,8 @@
         Configuration::parse_from_operator(self.json().as_bytes()).unwrap()
     }
 
-    /// The text of the error for the operator. The document has to be invalid for both ways to parse.
+    /// The text of the error for the operator. The document has to be invalid for both ways to
+    /// parse.
     fn error(&self) -> String {
         error(&self.json())
     }
--- a/crates/mintlb-common/tests/support/mod.rs
+++ b/crates/mintlb-common/tests/support/mod.rs
@@ -1,5 +1,5 @@
-//! Fixtures of the transport's tests: a process that records its events, and a raw peer that speaks the protocol byte by
-//! byte.
+//! Fixtures of the transport's tests: a process that records its events, and a raw peer that speaks
+//! the protocol byte by byte.
 
 #![allow(
     dead_code,
--- a/crates/mintlb-common/tests/support/raw_peer.rs
+++ b/crates/mintlb-common/tests/support/raw_peer.rs
@@ -85,8 +85,9 @@
 pub struct RawPeer(pub TcpStream);
 
 impl RawPeer {
-    /// Accepts the next connection for messages and replies as this incarnation. Returns the connection and the
-    /// incarnation that the other side expects. Identity queries are answered on the way.
+    /// Accepts the next connection for messages and replies as this incarnation. Returns the
+    /// connection and the incarnation that the other side expects. Identity queries are answered on
+    /// the way.
     pub async fn accept(listener: &TcpListener, incarnation: u64) -> (RawPeer, u64) {
         loop {
             let accepted = timeout(STEP_TIMEOUT, listener.accept()).await;
--- a/crates/mintlb-common/tests/support/recording_process.rs
+++ b/crates/mintlb-common/tests/support/recording_process.rs
@@ -17,7 +17,8 @@
     Restarted(SocketAddr, u64),
 }
 
-/// Responds to a request with its body doubled; to `silence` not at all, to `unknown` with an empty response.
+/// Responds to a request with its body doubled; to `silence` not at all, to `unknown` with an empty
+/// response.
 struct RecordingService(UnboundedSender<Event>);
 
 impl Service for RecordingService {
--- a/crates/mintlb-common/tests/transport_incarnations.rs
+++ b/crates/mintlb-common/tests/transport_incarnations.rs
@@ -56,7 +56,8 @@
     connection.write(NOTIFICATION, 0, "for another").await;
     connection.write(REQUEST, 1, "for another").await;
     connection.expect_closed().await;
-    // Messages for this incarnation, or for any, are accepted; nothing of the above arrives before them.
+    // Messages for this incarnation, or for any, are accepted; nothing of the above arrives before
+    // them.
     for (expected, body) in [(own, "for this one"), (0, "for any")] {
         let dialer = dialer.expecting(expected);
         let (mut connection, _) = dialer.dial(process.local_address()).await;
@@ -116,7 +117,8 @@
     assert!(events.try_recv().is_err(), "another event was reported");
 }
 
-/// Bytes of an ended incarnation were buffered while this process was suspended, and arrive after those of its successor.
+/// Bytes of an ended incarnation were buffered while this process was suspended, and arrive after
+/// those of its successor.
 #[tokio::test]
 async fn a_stale_incarnation_that_dials_late_is_rejected() {
     let (process, mut events) = start_process().await;
@@ -209,8 +211,8 @@
     assert!(!generated.contains(&0));
 }
 
-/// The process is suspended while the response is on its way; when resumed, it finds the response and the end of the time
-/// limit at once.
+/// The process is suspended while the response is on its way; when resumed, it finds the response
+/// and the end of the time limit at once.
 #[tokio::test(start_paused = true)]
 async fn a_response_found_after_the_time_limit_does_not_count() {
     let (process, _events) = start_process().await;
--- a/crates/mintlb-common/tests/wire_fixtures.rs
+++ b/crates/mintlb-common/tests/wire_fixtures.rs
@@ -1,8 +1,10 @@
-//! The bytes and texts that cross the boundary of this package: the settings file, the operator's configuration, the bodies
-//! of records, the bytes on a connection. Processes of different releases exchange them, so no release may change them.
+//! The bytes and texts that cross the boundary of this package: the settings file, the operator's
+//! configuration, the bodies of records, the bytes on a connection. Processes of different releases
+//! exchange them, so no release may change them.
 //!
-//! The fixtures of what the program writes were taken from it before its names were changed; those of what it reads (the
-//! two files, the other side of a connection) are written by hand, and that program could read them.
+//! The fixtures of what the program writes were taken from it before its names were changed; those
+//! of what it reads (the two files, the other side of a connection) are written by hand, and that
+//! program could read them.
 
 mod fixture;
 mod support;
