--- a/crates/mintlb-gossip/tests/service.rs
+++ b/crates/mintlb-gossip/tests/service.rs
@@ -246,9 +246,9 @@
         assert_eq!(published.await, Ok(()));
         assert_eq!(version_of(&process.service, "configuration"), Some(version));
         let members = one.members();
-        let known = members.iter().find(|member| member.address == address);
+        let known_incarnations_of = members.iter().find(|member| member.address == address);
         assert_eq!(
-            known.map(|member| member.incarnation),
+            known_incarnations_of.map(|member| member.incarnation),
             Some(process.incarnation)
         );
         process.kill();
--- a/crates/mintlb-gossip/tests/traffic.rs
+++ b/crates/mintlb-gossip/tests/traffic.rs
@@ -1,11 +1,14 @@
-//! Bytes a process and second, as the fleet and the table grow.
+//! Bytes per process and second, as the fleet and the table grow.
 
-mod common;
+mod network;
 
-use common::{Simulation, ms};
 use mintlb_common::record::{Record, WorkerRecord, WorkerState};
+use network::{SimulatedNetwork, ms};
 use std::time::Duration;
 
+/// For how long the traffic is measured.
+const MEASURED_S: u64 = 10;
+
 fn worker(number: usize, call_sequence: u64) -> Record {
     let worker = WorkerRecord {
         instance_id: format!("{number:016x}-worker"),
@@ -20,102 +23,124 @@
     worker.to_record()
 }
 
-#[test]
-fn traffic_does_not_grow_with_the_fleet() {
-    for (count, workers, a_second) in [(3, 30, 1), (30, 200, 2), (100, 700, 4), (390, 2700, 10)] {
-        let mut simulation = Simulation::new(9, &[0, 1, 2]);
-        (0..3).for_each(|number| simulation.add(number, &format!("zone{number}"), ms(0)));
-        simulation.run_for(ms(50));
-        (0..workers).for_each(|number| simulation.publish(number % 3, worker(number, 1)));
-        for number in 3..count {
-            let delay = ms(simulation.rng.u64(..300));
-            simulation.add(number, &format!("zone{}", number % 9), delay);
+/// A fleet and its workers.
+#[derive(Clone, Copy, Debug)]
+struct Load {
+    processes: usize,
+    workers: usize,
+    /// Updates of workers' records per second.
+    updates_per_s: u64,
+}
+
+impl Load {
+    /// A fleet whose controllers know the workers before the dispatchers join.
+    fn start(self) -> SimulatedNetwork {
+        let mut network = SimulatedNetwork::new(9, &[0, 1, 2]);
+        for number in 0..3 {
+            network.add(number, &format!("zone{number}"), ms(0));
         }
-        simulation.run_for(ms(3000));
-        let all = simulation.running();
-        let most = all
-            .iter()
-            .map(|&number| simulation.sent_by(number))
-            .max()
-            .unwrap();
+        network.run_for(ms(50));
+        for number in 0..self.workers {
+            network.publish(number % 3, worker(number, 1));
+        }
+        for number in 3..self.processes {
+            let delay = ms(network.rng.u64(..300));
+            network.add(number, &format!("zone{}", number % 9), delay);
+        }
+        network.run_for(ms(3000));
+        network
+    }
+
+    fn assert_bounded(self) {
+        let mut network = self.start();
+        let all = network.running();
+        let bytes_of_each =
+            |n: &SimulatedNetwork| all.iter().map(|&number| n.bytes_sent_by(number)).collect();
+        let sent: Vec<u64> = bytes_of_each(&network);
         println!(
-            "{count:4} processes join with {workers} workers known: {} bytes a process, the busiest {most}",
-            simulation.sent().0 / count as u64
+            "{self:?}: {} bytes a process to join, the busiest {}",
+            network.traffic().per(self.processes as u64).bytes,
+            sent.iter().max().unwrap()
         );
-        assert!(
-            all.iter()
-                .all(|&number| simulation.node(number).table().len() == workers)
-        );
-        let idle = simulation.sent();
-        simulation.run_for(ms(10_000));
-        let idle = (simulation.sent().0 - idle.0, simulation.sent().1 - idle.1);
-        let before: Vec<_> = all
-            .iter()
-            .map(|&number| simulation.sent_by(number))
-            .collect();
-        let (bytes, messages) = simulation.sent();
-        simulation.handling = Duration::ZERO;
-        for round in 0..10 * a_second {
-            simulation.publish(round % 3, worker(round, 2));
-            simulation.run_for(ms(1000 / a_second as u64));
+        let has_all_workers = |&number: &usize| network.node(number).table().len() == self.workers;
+        assert!(all.iter().all(has_all_workers));
+
+        let before = network.traffic();
+        network.run_for(Duration::from_secs(MEASURED_S));
+        let idle = network.traffic().since(before);
+
+        let (before, before_of_each) = (network.traffic(), bytes_of_each(&network));
+        network.handling_time = Duration::ZERO;
+        for update in 0..MEASURED_S * self.updates_per_s {
+            let number = update as usize;
+            network.publish(number % 3, worker(number, 2));
+            network.run_for(ms(1000 / self.updates_per_s));
         }
-        let (bytes, messages) = (simulation.sent().0 - bytes, simulation.sent().1 - messages);
-        let most = all
+        let busy = network.traffic().since(before);
+        let sent: Vec<u64> = bytes_of_each(&network);
+        let growth = sent
             .iter()
-            .map(|&number| simulation.sent_by(number) - before[number])
-            .max()
-            .unwrap();
-        let each = 10 * count as u64;
+            .zip(&before_of_each)
+            .map(|(now, then)| now - then);
+        let busiest = growth.max().unwrap() / MEASURED_S;
+
+        let process_seconds = MEASURED_S * self.processes as u64;
+        let (idle, busy) = (idle.per(process_seconds), busy.per(process_seconds));
+        let handling = network.handling_time / process_seconds as u32;
         println!(
-            "{count:4} processes, {workers} workers: idle {} bytes {} messages; at {a_second} records/s {} bytes \
-             {} messages; the busiest {} bytes; {:?} of handling; a process and second",
-            idle.0 / each,
-            idle.1 / each,
-            bytes / each,
-            messages / each,
-            most / 10,
-            simulation.handling / each as u32
-        );
-        assert!(
-            bytes / each < 10_000,
-            "{count} processes: {} bytes a process and second",
-            bytes / each
-        );
-        assert!(
-            most / 10 < 20_000,
-            "{count} processes: the busiest {} bytes a second",
-            most / 10
+            "{self:?}, a process and second: idle {idle:?}, with updates {busy:?}, the busiest {busiest} bytes, \
+             {handling:?} of handling"
         );
-        assert!(simulation.largest_message <= 300 << 10);
+        assert!(busy.bytes < 10_000, "{self:?}: {busy:?}");
+        assert!(busiest < 20_000, "{self:?}: the busiest {busiest} bytes");
+        assert!(network.largest_message <= 300 << 10);
     }
 }
 
 #[test]
-fn a_newcomer_gets_the_table_once() {
-    let mut simulation = Simulation::fleet(10, 30, 3, ms(300));
-    simulation.run_for(ms(2000));
-    (0..2700).for_each(|number| simulation.publish(number % 3, worker(number, 1)));
-    simulation.run_for(ms(4000));
-    simulation.largest_message = 0;
-    let (bytes, _) = simulation.sent();
-    simulation.add(30, "zone1", ms(0));
-    let until = simulation.now + ms(2000);
-    let complete = |s: &Simulation| s.running().len() == 31 && s.node(30).table().len() == 2700;
-    assert!(simulation.run_until(until, complete));
-    println!("complete after {:?}", simulation.now + ms(2000) - until);
-    assert!(simulation.node(30).joined());
-    simulation.run_for(ms(2000));
-    let bytes = simulation.sent().0 - bytes;
+fn traffic_of_a_process_does_not_grow_with_the_fleet() {
+    for (processes, workers, updates_per_s) in
+        [(3, 30, 1), (30, 200, 2), (100, 700, 4), (390, 2700, 10)]
+    {
+        let load = Load {
+            processes,
+            workers,
+            updates_per_s,
+        };
+        load.assert_bounded();
+    }
+}
+
+#[test]
+fn a_joining_process_receives_the_table_once() {
+    const WORKERS: usize = 2700;
+    let mut network = SimulatedNetwork::fleet(10, 30, 3);
+    network.run_for(ms(2000));
+    for number in 0..WORKERS {
+        network.publish(number % 3, worker(number, 1));
+    }
+    network.run_for(ms(4000));
+    network.largest_message = 0;
+    let before = network.traffic();
+    network.add(30, "zone1", ms(0));
+    let start = network.now;
+    let is_complete =
+        |n: &SimulatedNetwork| n.running().len() == 31 && n.node(30).table().len() == WORKERS;
+    assert!(network.run_until(start + ms(2000), is_complete));
+    println!("complete after {:?}", network.now - start);
+    assert!(network.node(30).joined());
+    network.run_for(ms(2000));
+    let bytes = network.traffic().since(before).bytes;
     println!(
-        "a newcomer: {bytes} bytes in all, longest message {}",
-        simulation.largest_message
+        "joining: {bytes} bytes in all, largest message {}",
+        network.largest_message
     );
-    let table: usize = (0..2700)
+    let table_bytes: usize = (0..WORKERS)
         .map(|number| worker(number, 1).body.len() + 40)
         .sum();
     assert!(
-        bytes < 3 * table as u64 / 2 + 200_000,
-        "{bytes} bytes for a table of {table}"
+        bytes < 3 * table_bytes as u64 / 2 + 200_000,
+        "{bytes} bytes for a table of {table_bytes}"
     );
-    assert!(simulation.largest_message <= 260 << 10);
+    assert!(network.largest_message <= 260 << 10);
 }
--- a/crates/mintlb-gossip/tests/wire_fixtures.rs
+++ b/crates/mintlb-gossip/tests/wire_fixtures.rs
@@ -57,15 +57,15 @@
     let first = member("127.0.0.1:7000", 1, Role::Dispatcher);
     let second = member("10.250.3.4:65535", u64::MAX, Role::Controller);
     let third = member("192.168.0.9:1", 0x1234_5678_9abc_def0, Role::Store);
-    let last_received = |member: &Member, age_s: u32| MemberDescriptor {
+    let descriptor = |member: &Member, age_s: u32| MemberDescriptor {
         member: member.clone(),
         age_s,
     };
-    let sample = vec![last_received(&second, 0), last_received(&third, 100_000)];
+    let sample = vec![descriptor(&second, 0), descriptor(&third, 100_000)];
     let reply = |member: &Member| NeighborReply {
         member: member.clone(),
         sample: sample.clone(),
-        lost_neighbors: vec![last_received(&first, 30)],
+        lost_neighbors: vec![descriptor(&first, 30)],
     };
     let entries = Shuffle {
         entries: sample.clone(),
@@ -199,9 +199,9 @@
 
 #[test]
 fn the_fixtures_are_read_as_the_same_messages() {
-    let (messages, held) = (messages(), fixture::read(MESSAGES));
-    assert_eq!(messages.len(), held.len());
-    for ((name, message), (_, bytes)) in messages.into_iter().zip(held) {
+    let (messages, stored) = (messages(), fixture::read(MESSAGES));
+    assert_eq!(messages.len(), stored.len());
+    for ((name, message), (_, bytes)) in messages.into_iter().zip(stored) {
         let read = Message::from_bytes(&bytes).unwrap_or_else(|error| panic!("{name}: {error}"));
         assert_eq!(read, message, "{name}");
         assert_eq!(read.to_bytes(), bytes, "{name}: written again");
@@ -243,7 +243,7 @@
     AntiEntropy::default().neighbor_up("127.0.0.1:7000".parse().unwrap(), &store, &mut effects);
     let sent = effects.into_vec();
     let [Effect::Send { body, .. }] = &sent[..] else {
-        panic!("one message to a new neighbour: {sent:?}")
+        panic!("one message to a new neighbor: {sent:?}")
     };
     let id = |key: &str| RecordId::of_key(key).number().to_be_bytes().to_vec();
     let written = [
