--- a/crates/mintlb-control/src/lib.rs
+++ b/crates/mintlb-control/src/lib.rs
@@ -4,6 +4,7 @@
 //! - [`store`]: keeps the lots.
 //! - [`cli`]: the command line of the program `mintlb-control`.
 
+mod bind;
 pub mod cli;
 pub mod controller;
 pub mod store;
--- a/crates/mintlb-control/src/store/driver.rs
+++ b/crates/mintlb-control/src/store/driver.rs
@@ -1,65 +1,64 @@
-//! Drives a store: ticks, what follows commits, and opening the file again after a commit has failed.
+//! Drives a store: its ticks, the continuations of commits, and opening the file again after a commit has failed.
 
 use super::StoreError;
-use super::calls::Store;
-use super::commit_queue::CommitOutcome;
-use super::disk::{LoadedShards, ShardStorage};
-use super::file::DiskError;
+use super::handle::Store;
+use super::storage::commit_queue::CommitOutcome;
+use super::storage::{DiskError, LoadedShards, ShardStorage};
 use mintlb_batch::replica::TICK_INTERVAL;
 use mintlb_common::placement::StoreId;
 use std::path::PathBuf;
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::sync::mpsc::UnboundedReceiver;
-use tokio::task::{JoinHandle, spawn_blocking};
+use tokio::task::{JoinSet, spawn_blocking};
 use tokio::time::{Interval, MissedTickBehavior, interval, sleep};
 
-/// The pause after the file could not be opened,
+/// The pause after the file could not be opened;
 const INITIAL_BACKOFF: Duration = Duration::from_millis(200);
-/// twice as long after each further time, up to this.
+/// it doubles with each further attempt, up to this.
 const MAX_BACKOFF: Duration = Duration::from_millis(1000);
 
-type ReopenTask = JoinHandle<Result<LoadedShards, DiskError>>;
-
-/// What makes a store go on.
+/// The event loop of a store.
 pub struct Driver {
     store: Arc<Store>,
-    disk: ShardStorage,
+    storage: ShardStorage,
     commits: UnboundedReceiver<CommitOutcome>,
-    reopening: Option<ReopenTask>,
+    /// Opens the file again; empty while the file is open.
+    reopening: JoinSet<Result<LoadedShards, DiskError>>,
     ticks: Interval,
 }
 
 impl Driver {
-    /// A driver of a store with its disk and what comes of its commits.
+    /// A driver of a store with its file and the outcomes of its commits.
     pub fn new(
         store: Arc<Store>,
-        disk: ShardStorage,
+        storage: ShardStorage,
         commits: UnboundedReceiver<CommitOutcome>,
     ) -> Driver {
         let mut ticks = interval(TICK_INTERVAL);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         Driver {
             store,
-            disk,
+            storage,
             commits,
-            reopening: None,
+            reopening: JoinSet::new(),
             ticks,
         }
     }
 
-    /// Waits for the next thing and does it. Fails if the file turns out to be damaged. Can be dropped while it
-    /// waits and called again.
+    /// Waits for the next event and handles it. Cancel safe: it can be dropped while it waits, and called again.
+    ///
+    /// # Errors
+    /// [`StoreError::File`] if the file turns out to be damaged when it is opened again.
     pub async fn step(&mut self) -> Result<(), StoreError> {
         tokio::select! {
             commit = self.commits.recv() => match commit {
-                Some(Ok(after)) => self.store.synced(after),
+                Some(Ok(continuations)) => self.store.on_commit(continuations),
                 _ => self.suspend(),
             },
-            reopened = reopen_finished(&mut self.reopening) => {
-                self.reopening = None;
-                self.store.resume(reopened?);
-                log::info!("store: the disk takes bytes again, {} MB of lots", self.disk.file_bytes() >> 20);
+            Some(reopened) = self.reopening.join_next() => {
+                let shards = reopened.unwrap_or_else(|panic| Err(panic.into()))?;
+                self.resume(shards);
             }
             _ = self.ticks.tick() => self.store.tick(),
         }
@@ -67,26 +66,26 @@
     }
 
     fn suspend(&mut self) {
-        log::error!("store: suspended until the disk takes bytes");
+        log::error!("store: suspended until the disk accepts writes");
         self.store.suspend();
-        let disk = self.disk.clone();
-        self.reopening = Some(tokio::spawn(async move {
-            retry_while_unavailable(move || disk.reopen()).await
-        }));
+        let storage = self.storage.clone();
+        self.reopening
+            .spawn(retry_while_unavailable(move || storage.reopen()));
     }
-}
 
-/// The end of reopening; never, if that is not under way.
-async fn reopen_finished(reopening: &mut Option<ReopenTask>) -> Result<LoadedShards, DiskError> {
-    match reopening {
-        Some(reopening) => reopening
-            .await
-            .unwrap_or_else(|error| Err(DiskError::Damaged(error.to_string()))),
-        None => std::future::pending().await,
+    fn resume(&self, shards: LoadedShards) {
+        self.store.resume(shards);
+        log::info!(
+            "store: the disk accepts writes again, {} MB of batch jobs",
+            self.storage.file_bytes() >> 20
+        );
     }
 }
 
-/// Opens or makes the lots' file, as soon as the disk lets it.
+/// Opens the store's file, or creates it, once the disk lets it.
+///
+/// # Errors
+/// If the data directory can't be used.
 pub async fn open_with_retry(
     directory: PathBuf,
     new_id: StoreId,
@@ -94,7 +93,7 @@
     retry_while_unavailable(move || ShardStorage::open(&directory, new_id)).await
 }
 
-/// Tries until it is not the disk that refuses.
+/// Repeats the attempt, on a thread that may block, until it succeeds or a retry can't help.
 async fn retry_while_unavailable<T: Send + 'static>(
     attempt: impl Fn() -> Result<T, DiskError> + Send + Sync + 'static,
 ) -> Result<T, DiskError> {
@@ -102,10 +101,12 @@
     let mut backoff = INITIAL_BACKOFF;
     loop {
         let next = attempt.clone();
-        let outcome = spawn_blocking(move || next()).await;
-        match outcome.unwrap_or_else(|error| Err(DiskError::Damaged(error.to_string()))) {
-            Err(DiskError::Unavailable(cause)) => {
-                log::warn!("store: the disk does not take bytes: {cause}")
+        let outcome = spawn_blocking(move || next())
+            .await
+            .unwrap_or_else(|panic| Err(panic.into()));
+        match outcome {
+            Err(error) if error.is_retryable() => {
+                log::warn!("store: the disk does not accept writes: {error}");
             }
             outcome => return outcome,
         }
--- a/crates/mintlb-control/src/store/entry_cache.rs
+++ b/crates/mintlb-control/src/store/entry_cache.rs
@@ -1,15 +1,17 @@
-//! Entries of a primary that are still on their way to other replicas, kept in memory as far as they fit.
+//! Entries of a primary that not all followers have yet, cached in memory as far as they fit: replicating them then needs
+//! no read from disk.
 
+use super::storage::StoredEntry;
 use bytes::Bytes;
 use mintlb_common::placement::SHARD_COUNT;
 use std::collections::VecDeque;
 
-/// Bytes of all kept entries.
+/// Bytes of all cached entries at most.
 const MAX_CACHED_BYTES: usize = 3 << 20;
 
-/// The kept entries of each shard, rising in index.
+/// The cached entries of each shard, in ascending order of their indexes.
 pub struct EntryCache {
-    shards: Vec<VecDeque<(u64, Bytes)>>,
+    shards: Vec<VecDeque<StoredEntry>>,
     bytes: usize,
 }
 
@@ -23,38 +25,38 @@
 }
 
 impl EntryCache {
-    /// Keeps an entry; older ones of the shard give way.
+    /// Caches an entry; if there are too many bytes, the shard's oldest entries are evicted.
     pub fn insert(&mut self, shard: u32, index: u64, bytes: Bytes) {
         let Some(entries) = self.shards.get_mut(shard as usize) else {
             return;
         };
         self.bytes += bytes.len();
-        entries.push_back((index, bytes));
+        entries.push_back(StoredEntry { index, bytes });
         while self.bytes > MAX_CACHED_BYTES
-            && let Some((_, oldest)) = entries.pop_front()
+            && let Some(oldest) = entries.pop_front()
         {
-            self.bytes -= oldest.len();
+            self.bytes -= oldest.bytes.len();
         }
     }
 
-    /// An entry, if it is kept.
-    pub fn get(&self, shard: u32, index: u64) -> Option<&Bytes> {
+    /// An entry, if it is cached.
+    pub fn get(&self, shard: u32, index: u64) -> Option<&StoredEntry> {
         let entries = self.shards.get(shard as usize)?;
         let position = entries
-            .binary_search_by_key(&index, |(index, _)| *index)
+            .binary_search_by_key(&index, |entry| entry.index)
             .ok()?;
-        Some(&entries[position].1)
+        entries.get(position)
     }
 
-    /// Entries up to `through` are no longer needed.
+    /// Evicts the shard's entries up to and including `through`.
     pub fn evict_through(&mut self, shard: u32, through: u64) {
         let Some(entries) = self.shards.get_mut(shard as usize) else {
             return;
         };
-        while entries.front().is_some_and(|(index, _)| *index <= through)
-            && let Some((_, oldest)) = entries.pop_front()
+        while entries.front().is_some_and(|entry| entry.index <= through)
+            && let Some(oldest) = entries.pop_front()
         {
-            self.bytes -= oldest.len();
+            self.bytes -= oldest.bytes.len();
         }
     }
 }
--- a/crates/mintlb-control/src/store/heartbeats.rs
+++ b/crates/mintlb-control/src/store/heartbeats.rs
@@ -1,6 +1,7 @@
-//! Tells the controllers of this store, regularly and as soon as what it has to say changes.
+//! Heartbeats to the controllers: regularly, and as soon as the store's report changes.
 
-use super::calls::Store;
+use super::handle::{Store, StoreReport};
+use bytes::Bytes;
 use mintlb_batch::framing;
 use mintlb_batch::heartbeat::{HEARTBEAT_INTERVAL, StoreHeartbeat};
 use mintlb_common::record::REPLICAS;
@@ -13,47 +14,55 @@
 use std::time::Duration;
 use tokio::time::{sleep, timeout};
 
-/// Between two heartbeats at least.
+/// The pause between two heartbeats at least, however often the report changes.
 const MIN_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Tells for as long as the process runs.
+/// Sends heartbeats until it is dropped.
 pub async fn run(
     settings: NodeSettings,
     store: Arc<Store>,
     transport: Arc<Transport>,
     gossip: Arc<GossipService>,
 ) {
-    let address = settings.internal_address(InternalPort::Store).to_string();
     loop {
         if store.is_without_disk() {
-            // It is no better than a store that is down, and counts as one.
-            timeout(HEARTBEAT_INTERVAL, store.report_changed().notified())
-                .await
-                .ok();
+            // It can serve no more than a store that is down, and is to count as one.
+            wait_for_change(&store).await;
             continue;
         }
-        let (shards, placement) = store.report();
-        let heartbeat = StoreHeartbeat {
-            id: store.id(),
-            node_name: settings.node_name.clone(),
-            address: address.clone(),
-            zone: settings.zone.clone(),
-            shards,
-            placement,
-            draining: store.is_draining(),
-        };
-        let body = framing::encode(&heartbeat, &[]);
+        let heartbeat = encoded_heartbeat(&settings, &store);
         for controller in controllers(&gossip) {
-            transport.notify(controller, Channel::Control, body.clone());
+            transport.notify(controller, Channel::Control, heartbeat.clone());
         }
-        timeout(HEARTBEAT_INTERVAL, store.report_changed().notified())
-            .await
-            .ok();
+        wait_for_change(&store).await;
         sleep(MIN_INTERVAL).await;
     }
 }
 
-/// The controllers that hold the register, once they are known.
+async fn wait_for_change(store: &Store) {
+    timeout(HEARTBEAT_INTERVAL, store.report_changed().notified())
+        .await
+        .ok();
+}
+
+fn encoded_heartbeat(settings: &NodeSettings, store: &Store) -> Bytes {
+    let StoreReport {
+        shards,
+        placement_epoch,
+    } = store.report();
+    let heartbeat = StoreHeartbeat {
+        id: store.id(),
+        node_name: settings.node_name.clone(),
+        address: settings.internal_address(InternalPort::Store).to_string(),
+        zone: settings.zone.clone(),
+        shards,
+        placement: placement_epoch,
+        draining: store.is_draining(),
+    };
+    framing::encode(&heartbeat, &[])
+}
+
+/// The controllers with a replica of the register, once gossip has brought the replica set.
 fn controllers(gossip: &GossipService) -> Vec<SocketAddr> {
     let set = gossip
         .get(REPLICAS)
--- /dev/null
+++ b/crates/mintlb-control/src/store/requests/lease.rs
@@ -0,0 +1,103 @@
+//! Leases on items: granted to dispatchers, renewed and released by them.
+
+use super::{Store, raw_part, slice};
+use crate::store::shard_host::ShardHost;
+use bytes::Bytes;
+use mintlb_batch::framing;
+use mintlb_batch::messages::{
+    DispatcherId, Lease, LeasedItemHeader, Renew, RenewResult, StoreResponse,
+};
+use mintlb_batch::replica::LeasePlan;
+use mintlb_common::placement::{Placement, SHARD_COUNT};
+
+/// Bytes of payloads in the response to one request, at which no further shard is searched.
+const MAX_LEASE_PAYLOAD_BYTES: u64 = 1 << 20;
+
+/// An item that is leased, with its payload.
+struct LeasedItem {
+    header: LeasedItemHeader,
+    payload: Bytes,
+}
+
+impl Store {
+    /// Leases items that nobody runs, of all shards whose confirmed primary this is.
+    pub(super) fn lease(&self, lease: &Lease) -> Bytes {
+        let mut shard_host = self.shard_host();
+        let now = self.now();
+        let mut remaining_items = lease.max_items as usize;
+        let mut remaining_bytes = MAX_LEASE_PAYLOAD_BYTES;
+        let (mut headers, mut payloads) = (Vec::new(), Vec::new());
+        for shard in 0..SHARD_COUNT {
+            if remaining_items == 0 || remaining_bytes == 0 {
+                break;
+            }
+            // A primary that may have been replaced leases nothing: it would not know which jobs have ended.
+            let replica = shard_host.replica(shard);
+            let plans = match replica.has_unleased_items(now) && replica.confirm(now) {
+                true => replica.lease(lease.owner, remaining_items, remaining_bytes, now),
+                false => Vec::new(),
+            };
+            shard_host.run_effects(shard, now);
+            for item in read_payloads(&shard_host, shard, plans) {
+                remaining_items -= 1;
+                remaining_bytes = remaining_bytes.saturating_sub(item.header.length);
+                headers.push(item.header);
+                payloads.push(item.payload);
+            }
+        }
+        let raw: Vec<&[u8]> = payloads.iter().map(|payload| &payload[..]).collect();
+        framing::encode(&StoreResponse::Leased(headers), &raw)
+    }
+
+    /// Renews a dispatcher's leases and reports which of them it has lost.
+    pub(super) fn renew(&self, renew: &Renew) -> StoreResponse {
+        let mut shard_host = self.shard_host();
+        let now = self.now();
+        let mut renewed = RenewResult::default();
+        for leased in &renew.jobs {
+            let shard = Placement::shard_of(&leased.job.host);
+            let replica = shard_host.replica(shard);
+            replica.renew(renew.owner, leased, &mut renewed, now);
+        }
+        renewed.open = shard_host
+            .replicas()
+            .iter()
+            .map(|replica| replica.open_items(now))
+            .sum();
+        StoreResponse::Renewed(renewed)
+    }
+
+    /// Ends all leases of a dispatcher.
+    pub(super) fn release(&self, owner: DispatcherId) -> StoreResponse {
+        let mut shard_host = self.shard_host();
+        for shard in 0..SHARD_COUNT {
+            shard_host.replica(shard).release(owner);
+        }
+        StoreResponse::Released
+    }
+}
+
+/// The leased items with their payloads. Items whose payload can't be read are left out: they are leased again once this
+/// lease has expired.
+fn read_payloads(shard_host: &ShardHost, shard: u32, plans: Vec<LeasePlan>) -> Vec<LeasedItem> {
+    let mut entries: Vec<u64> = plans.iter().map(|plan| plan.entry).collect();
+    entries.dedup();
+    let stored = shard_host.read(shard, &entries).unwrap_or_default();
+    // Decoded once an entry: a job has many items.
+    let raw_parts: Vec<(u64, Bytes)> = stored
+        .iter()
+        .filter_map(|entry| Some((entry.index, raw_part(&entry.bytes)?)))
+        .collect();
+    let payload = |plan: &LeasePlan| {
+        let (_, raw) = raw_parts.iter().find(|(index, _)| *index == plan.entry)?;
+        slice(raw, plan.range.clone())
+    };
+    let leased = plans.into_iter().filter_map(|plan| {
+        let payload = payload(&plan)?;
+        Some(LeasedItem {
+            header: plan.head,
+            payload,
+        })
+    });
+    leased.collect()
+}
--- /dev/null
+++ b/crates/mintlb-control/src/store/requests/mod.rs
@@ -0,0 +1,127 @@
+//! Requests of dispatchers, answered by the primaries among this store's replicas.
+//!
+//! - [`submit`]: accepts a batch job. [`record`]: takes a result, or ends a job.
+//! - [`read`]: results of a job, and payloads of its items.
+//! - [`lease`]: leases on items.
+
+mod lease;
+mod read;
+mod record;
+mod submit;
+
+use super::handle::Store;
+use super::shard_host::ShardHost;
+use super::shard_host::pending_calls::CommitStatus;
+use bytes::Bytes;
+use mintlb_batch::entry::Entry;
+use mintlb_batch::framing;
+use mintlb_batch::job_table::Timestamp;
+use mintlb_batch::messages::{StoreRequest, StoreResponse};
+use mintlb_batch::replica::{Proposal, Replica};
+use std::ops::Range;
+use std::time::Duration;
+use tokio::time::{Instant, timeout_at};
+
+/// How long a response waits for its commit.
+const COMMIT_TIMEOUT: Duration = Duration::from_millis(3000);
+/// How long a response waits until the followers have confirmed that no other store has taken over.
+const CONFIRMATION_TIMEOUT: Duration = Duration::from_millis(700);
+
+impl Store {
+    /// Handles a request and returns the encoded response.
+    pub(super) async fn handle_request(&self, request: StoreRequest, raw: Bytes) -> Bytes {
+        let response = match request {
+            StoreRequest::Submit(submit) => self.submit(submit, raw).await,
+            StoreRequest::Read(read) => return self.read(read).await,
+            StoreRequest::Body(item) => return self.body(item).await,
+            StoreRequest::End(job) => self.end(job).await,
+            StoreRequest::Lease(lease) => return self.lease(&lease),
+            StoreRequest::Renew(renew) => self.renew(&renew),
+            StoreRequest::Record(record) => self.record(record, raw).await,
+            StoreRequest::Release(owner) => self.release(owner),
+        };
+        encode(&response)
+    }
+
+    /// Makes a change and waits until it is committed. `on_proposed` sees the replicas right after the change, under the
+    /// same lock.
+    async fn propose(
+        &self,
+        shard: u32,
+        change: impl FnOnce(&mut Replica, Timestamp) -> Proposal,
+        on_proposed: impl FnOnce(&mut ShardHost, &Proposal),
+    ) -> Proposal {
+        let (proposal, commit) = {
+            let mut shard_host = self.shard_host();
+            let now = self.now();
+            let proposal = change(shard_host.replica(shard), now);
+            on_proposed(&mut shard_host, &proposal);
+            let commit = match &proposal {
+                Proposal::Done(_) => None,
+                Proposal::Pending(index, _) | Proposal::Compare(index, _) => {
+                    let commit_index = shard_host.replica(shard).commit_index();
+                    (*index > commit_index)
+                        .then(|| shard_host.pending_calls(shard).wait_for_commit(*index))
+                }
+            };
+            shard_host.run_effects(shard, now);
+            (proposal, commit)
+        };
+        if let Some(commit) = commit
+            && commit.status(COMMIT_TIMEOUT).await == CommitStatus::Indeterminate
+        {
+            return Proposal::Done(StoreResponse::Indeterminate);
+        }
+        proposal
+    }
+
+    /// The response to a proposal. Only a primary that is confirmed may answer that there is no such job: another one may
+    /// have accepted it.
+    async fn confirm_not_found(&self, shard: u32, proposal: Proposal) -> StoreResponse {
+        match proposal {
+            Proposal::Done(StoreResponse::NotFound) if !self.confirm_primary(shard).await => {
+                StoreResponse::Indeterminate
+            }
+            Proposal::Done(response)
+            | Proposal::Pending(_, response)
+            | Proposal::Compare(_, response) => response,
+        }
+    }
+
+    /// Whether this is still the active primary, as enough followers have confirmed a moment ago.
+    async fn confirm_primary(&self, shard: u32) -> bool {
+        let deadline = Instant::now() + CONFIRMATION_TIMEOUT;
+        loop {
+            let confirmation = {
+                let mut shard_host = self.shard_host();
+                let now = self.now();
+                if !shard_host.replica(shard).is_serving() {
+                    return false;
+                }
+                if shard_host.replica(shard).confirm(now) {
+                    return true;
+                }
+                let confirmation = shard_host.pending_calls(shard).wait_for_confirmation();
+                shard_host.run_effects(shard, now);
+                confirmation
+            };
+            if timeout_at(deadline, confirmation).await.is_err() {
+                return false;
+            }
+        }
+    }
+}
+
+fn encode(response: &StoreResponse) -> Bytes {
+    framing::encode(response, &[])
+}
+
+/// The raw part of a stored entry: payloads or a result's text.
+fn raw_part(entry: &Bytes) -> Option<Bytes> {
+    framing::decode::<Entry>(entry).map(|(_, raw)| raw)
+}
+
+/// A range of a raw part, if it lies within.
+fn slice(raw: &Bytes, range: Range<usize>) -> Option<Bytes> {
+    (range.end <= raw.len()).then(|| raw.slice(range))
+}
--- /dev/null
+++ b/crates/mintlb-control/src/store/shutdown.rs
@@ -0,0 +1,61 @@
+//! Graceful shutdown: the store reports that it is draining and goes on until its shards have other primaries, its
+//! replicas have moved, and all writes are durable.
+
+use super::{RunningStore, StoreError};
+use std::time::Duration;
+use tokio::time::{Instant, sleep};
+
+/// How long a draining store goes on at most.
+const MAX_HANDOVER_TIME: Duration = Duration::from_millis(4000);
+/// How long it goes on at least: the controllers need this long to answer whether its replicas move.
+const MIN_HANDOVER_TIME: Duration = Duration::from_millis(800);
+/// The grace period is not taken to be longer than this many seconds.
+const MAX_GRACE_PERIOD_S: f64 = 60.0;
+/// Share of the grace period that the handover may take.
+const GRACE_PERIOD_SHARE: f64 = 0.5;
+/// After the handover, messages that are in flight get this long to be sent.
+const FLUSH_TIME: Duration = Duration::from_millis(100);
+
+/// How long a handover lasts.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct HandoverLimits {
+    min: Duration,
+    max: Duration,
+}
+
+impl HandoverLimits {
+    /// Limits for a machine's grace period, in seconds.
+    pub(super) fn new(grace_period_s: f64) -> HandoverLimits {
+        let share = grace_period_s.clamp(0.0, MAX_GRACE_PERIOD_S) * GRACE_PERIOD_SHARE;
+        let max = MAX_HANDOVER_TIME.min(Duration::from_secs_f64(share));
+        HandoverLimits {
+            min: MIN_HANDOVER_TIME.min(max),
+            max,
+        }
+    }
+}
+
+impl RunningStore {
+    /// Hands the shards over and ends the store's tasks.
+    ///
+    /// # Errors
+    /// If the file turns out to be damaged meanwhile.
+    pub(super) async fn shut_down(mut self) -> Result<(), StoreError> {
+        log::info!("store: shutdown requested, handing its shards over");
+        self.store.start_draining();
+        let started = Instant::now();
+        while self.is_handing_over(started.elapsed()) {
+            self.driver.step().await?;
+        }
+        sleep(FLUSH_TIME).await;
+        self.tasks.shutdown().await;
+        Ok(())
+    }
+
+    fn is_handing_over(&self, elapsed: Duration) -> bool {
+        elapsed < self.handover.max
+            && (elapsed < self.handover.min
+                || self.store.has_shards_to_hand_over()
+                || !self.commit_queue.is_idle())
+    }
+}
--- /dev/null
+++ b/crates/mintlb-control/src/store/storage/loaded_shards.rs
@@ -0,0 +1,17 @@
+//! What the store's file holds when it is opened.
+
+use mintlb_batch::entry::Entry;
+use mintlb_batch::replica::ShardMeta;
+use std::collections::BTreeMap;
+
+/// The contents of the file, by shard.
+pub type LoadedShards = BTreeMap<u32, LoadedShard>;
+
+/// The contents of one shard.
+#[derive(Default)]
+pub struct LoadedShard {
+    /// Its meta data.
+    pub meta: ShardMeta,
+    /// Its entries in order, each with its length and that of its raw part.
+    pub entries: Vec<(u64, Entry, u64, u64)>,
+}
--- a/crates/mintlb-control/tests/error_numbers.rs
+++ b/crates/mintlb-control/tests/error_numbers.rs
@@ -6,7 +6,7 @@
 use mintlb_control::controller::register::acceptor_file_error::Damage;
 use mintlb_control::controller::register::{AcceptorFileError, QuorumUnavailable};
 use mintlb_control::store::StoreError;
-use mintlb_control::store::file::DiskError;
+use mintlb_control::store::storage::DiskError;
 use std::io::{Error, ErrorKind};
 use std::net::SocketAddr;
 
@@ -17,9 +17,9 @@
 #[test]
 fn errors_are_worded_as_written_down() {
     let address: SocketAddr = "10.0.0.1:7001".parse().unwrap();
-    let damaged = || DiskError::Damaged("the cause".to_string());
-    let refused = || DiskError::Unavailable("the cause".to_string());
-    let folder = || DiskError::Directory("the cause".to_string());
+    let damaged = || DiskError::Damaged("the cause".into());
+    let refused = || DiskError::Unavailable("the cause".into());
+    let folder = || DiskError::Directory("the cause".into());
     let texts = [
         ControllerError::NoAddress.to_string(),
         ControllerError::Listen {
@@ -40,7 +40,7 @@
         .to_string(),
         QuorumUnavailable.to_string(),
         StoreError::NoDisk.to_string(),
-        StoreError::Directory("the cause".to_string()).to_string(),
+        StoreError::Directory("the cause".into()).to_string(),
         StoreError::from(folder()).to_string(),
         StoreError::from(damaged()).to_string(),
         StoreError::from(refused()).to_string(),
--- a/crates/mintlb-control/tests/faulty_file/mod.rs
+++ b/crates/mintlb-control/tests/faulty_file/mod.rs
@@ -1,7 +1,7 @@
 //! Files of a disk that may be full, and that may lose power: what was not synced is then kept, lost or torn.
 #![allow(dead_code)]
 
-use mintlb_control::store::file::{CACHE_BYTES, DatabaseOpener};
+use mintlb_control::store::storage::file::{CACHE_BYTES, DatabaseOpener};
 use parking_lot::{Condvar, Mutex};
 use redb::backends::FileBackend;
 use redb::{Database, StorageBackend};
--- a/crates/mintlb-control/tests/store_disk.rs
+++ b/crates/mintlb-control/tests/store_disk.rs
@@ -8,10 +8,11 @@
 use mintlb_batch::epoch_history::EpochHistory;
 use mintlb_batch::framing;
 use mintlb_batch::replica::{AfterSync, DiskWrite, ShardMeta};
-use mintlb_control::store::capacity::max_file_bytes;
-use mintlb_control::store::commit_queue::CommitQueue;
-use mintlb_control::store::disk::ShardStorage;
-use mintlb_control::store::file::FILE_NAME;
+use mintlb_control::store::storage::CommitQueue;
+use mintlb_control::store::storage::capacity::max_file_bytes;
+use mintlb_control::store::storage::commit_queue::{Enqueued, ShardContinuation};
+use mintlb_control::store::storage::file::FILE_NAME;
+use mintlb_control::store::storage::{ShardStorage, ShardWrite, StoredEntry};
 use std::path::Path;
 use std::time::{Duration, Instant};
 
@@ -31,6 +32,18 @@
     framing::encode(&Entry::Accepted(head), &[payload])
 }
 
+fn write(shard: u32, write: DiskWrite) -> ShardWrite {
+    ShardWrite { shard, write }
+}
+
+fn put(shard: u32, index: u64, bytes: Bytes) -> ShardWrite {
+    write(shard, DiskWrite::Put(index, bytes))
+}
+
+fn entry(index: u64, bytes: Bytes) -> StoredEntry {
+    StoredEntry { index, bytes }
+}
+
 fn begin() -> Bytes {
     framing::encode(&Entry::EpochStart, &[])
 }
@@ -66,21 +79,18 @@
         log,
         commit_index: 2,
     };
-    let puts = (1..=4).map(|index| (5, DiskWrite::Put(index, begin())));
-    let other = [
-        (6, DiskWrite::Put(1, begin())),
-        (4, DiskWrite::Put(9, begin())),
-    ];
+    let puts = (1..=4).map(|index| put(5, index, begin()));
+    let other = [put(6, 1, begin()), put(4, 9, begin())];
     disk.commit(&puts.chain(other).collect::<Vec<_>>()).unwrap();
     disk.commit(&[
-        (5, DiskWrite::Truncate(3)),
-        (5, DiskWrite::Remove(vec![2])),
-        (4, DiskWrite::Clear),
+        write(5, DiskWrite::Truncate(3)),
+        write(5, DiskWrite::Remove(vec![2])),
+        write(4, DiskWrite::Clear),
     ])
     .unwrap();
     disk.commit(&[
-        (5, DiskWrite::Meta(ShardMeta::default())),
-        (5, DiskWrite::Meta(meta.clone())),
+        write(5, DiskWrite::Meta(ShardMeta::default())),
+        write(5, DiskWrite::Meta(meta.clone())),
     ])
     .unwrap();
     drop(disk);
@@ -101,10 +111,13 @@
 fn a_stripped_lot_keeps_its_head() {
     let directory = tempfile::tempdir().unwrap();
     let (disk, _) = open(directory.path());
-    disk.commit(&[(0, DiskWrite::Put(1, job(&[7; 3000])))])
+    disk.commit(&[put(0, 1, job(&[7; 3000]))]).unwrap();
+    assert_eq!(
+        disk.read(0, &[1, 2]).unwrap(),
+        vec![entry(1, job(&[7; 3000]))]
+    );
+    disk.commit(&[write(0, DiskWrite::Strip(vec![1, 2]))])
         .unwrap();
-    assert_eq!(disk.read(0, &[1, 2]).unwrap(), vec![(1, job(&[7; 3000]))]);
-    disk.commit(&[(0, DiskWrite::Strip(vec![1, 2]))]).unwrap();
     drop(disk);
     let (_, shards) = ShardStorage::open(directory.path(), 1).unwrap();
     let (index, entry, length, raw) = &shards[&0].entries[0];
@@ -131,35 +144,34 @@
     let follows = |through| AfterSync::LogPersisted { epoch: 1, through };
     assert_eq!(
         commit_queue.enqueue(3, Vec::new(), vec![follows(0)]),
-        Err(vec![follows(0)]),
+        Enqueued::AlreadyDurable(vec![follows(0)]),
         "nothing to wait for"
     );
     for index in 1..=50 {
-        commit_queue
-            .enqueue(
-                3,
-                vec![DiskWrite::Put(index, begin())],
-                vec![follows(index)],
-            )
-            .unwrap();
+        let writes = vec![DiskWrite::Put(index, begin())];
+        assert_eq!(
+            commit_queue.enqueue(3, writes, vec![follows(index)]),
+            Enqueued::Queued
+        );
     }
     // It may have nothing to wait for any more.
-    let mut last = commit_queue
-        .enqueue(3, Vec::new(), vec![follows(51)])
-        .err()
-        .unwrap_or_default();
+    let mut last = match commit_queue.enqueue(3, Vec::new(), vec![follows(51)]) {
+        Enqueued::AlreadyDurable(continuations) => continuations,
+        Enqueued::Queued => Vec::new(),
+        Enqueued::Discarded => panic!("no commit has failed"),
+    };
     let mut followed = Vec::new();
     while followed.len() + last.len() < 51 {
         let batch = commits.recv().await.unwrap().unwrap();
-        for (shard, after) in batch {
-            let AfterSync::LogPersisted { through, .. } = after else {
+        for ShardContinuation { shard, after_sync } in batch {
+            let AfterSync::LogPersisted { through, .. } = after_sync else {
                 panic!()
             };
             assert_eq!(shard, 3);
             if through <= 50 {
                 assert_eq!(disk.read(3, &[through]).unwrap().len(), 1);
             }
-            followed.push(after);
+            followed.push(after_sync);
         }
     }
     followed.append(&mut last);
@@ -181,15 +193,14 @@
 async fn a_disk_that_answers_nothing_counts_as_gone() {
     let directory = tempfile::tempdir().unwrap();
     let faulty = Disk::default();
-    let (disk, _) = ShardStorage::open_by(faulty.opener(), directory.path(), 77).unwrap();
+    let (disk, _) = ShardStorage::open_with(faulty.opener(), directory.path(), 77).unwrap();
     let (committed, mut commits) = tokio::sync::mpsc::unbounded_channel();
     let commit_queue = CommitQueue::start(disk, committed).unwrap();
     let later = |seconds: u64| Instant::now() + Duration::from_secs(seconds);
     assert!(!commit_queue.is_stalled(later(60)), "nothing is under way");
     faulty.set_stalled(true);
-    commit_queue
-        .enqueue(3, vec![DiskWrite::Put(1, begin())], Vec::new())
-        .unwrap();
+    let enqueued = commit_queue.enqueue(3, vec![DiskWrite::Put(1, begin())], Vec::new());
+    assert_eq!(enqueued, Enqueued::Queued);
     // The thread begins it when it likes.
     let stalled = async {
         while !commit_queue.is_stalled(later(2)) {
@@ -215,7 +226,7 @@
             let writes = (0..(100_000 / bytes).max(1)).map(|_| {
                 index += 1;
                 sum += bytes as u64;
-                (0, DiskWrite::Put(index, job(&vec![7; bytes])))
+                put(0, index, job(&vec![7; bytes]))
             });
             disk.commit(&writes.collect::<Vec<_>>()).unwrap();
         }
@@ -225,7 +236,7 @@
         assert!(factor < 1.7 || bytes < 100, "{bytes} bytes: {factor:.2}");
         assert_eq!(
             disk.read(0, &[1, index]).unwrap()[1],
-            (index, job(&vec![7; bytes]))
+            entry(index, job(&vec![7; bytes]))
         );
     }
 }
@@ -251,6 +262,9 @@
     for _ in 0..2 {
         let (disk, shards) = open(directory.path());
         assert_eq!((disk.id(), shards[0].0, &shards[0].2), (77, 2, &vec![9]));
-        assert_eq!(disk.read(2, &[9]).unwrap(), vec![(9, job(&[5; 40_000]))]);
+        assert_eq!(
+            disk.read(2, &[9]).unwrap(),
+            vec![entry(9, job(&[5; 40_000]))]
+        );
     }
 }
--- a/crates/mintlb-control/tests/store_disk_fixture.rs
+++ b/crates/mintlb-control/tests/store_disk_fixture.rs
@@ -2,14 +2,14 @@
 //! exchanged for one of another version has to find its lots again, so a change of names or of the code's
 //! structure must change neither the file's name, nor its tables, nor a byte in them.
 //!
-//! `jobs.redb` is the file, `rows.txt` its tables as redb alone reads them, `known.txt` what the program
+//! `lots.redb` is the file, `rows.txt` its tables as redb alone reads them, `known.txt` what the program
 //! makes of it.
 
 mod store_fixture;
 
 use mintlb_batch::entry::ItemState;
 use mintlb_batch::replica::Replica;
-use mintlb_control::store::disk::ShardStorage;
+use mintlb_control::store::storage::ShardStorage;
 use std::path::Path;
 
 /// What a replica knows of its shard, a line each.
@@ -70,8 +70,14 @@
 fn entries(disk: &ShardStorage, shard: u32) -> Vec<String> {
     let indexes: Vec<u64> = (0..20).collect();
     let read = disk.read(shard, &indexes).unwrap().into_iter();
-    read.map(|(index, bytes)| format!("{shard} {index} {}", store_fixture::hex(&bytes)))
-        .collect()
+    read.map(|entry| {
+        format!(
+            "{shard} {} {}",
+            entry.index,
+            store_fixture::hex(&entry.bytes)
+        )
+    })
+    .collect()
 }
 
 /// The entries of a shard as the table's rows hold them: their parts one after another.
--- a/crates/mintlb-control/tests/store_faults.rs
+++ b/crates/mintlb-control/tests/store_faults.rs
@@ -7,13 +7,20 @@
 use mintlb_batch::entry::{Entry, ItemState};
 use mintlb_batch::framing;
 use mintlb_batch::replica::DiskWrite;
-use mintlb_control::store::disk::{LoadedShards, ShardStorage};
-use mintlb_control::store::file::{DiskError, FILE_NAME, QUARANTINED_FILE};
+use mintlb_control::store::storage::file::{FILE_NAME, QUARANTINED_FILE};
+use mintlb_control::store::storage::{DiskError, LoadedShards, ShardStorage, ShardWrite};
 use std::collections::BTreeMap;
 use std::path::Path;
 
 const SHARD: u32 = 3;
 
+fn write(write: DiskWrite) -> ShardWrite {
+    ShardWrite {
+        shard: SHARD,
+        write,
+    }
+}
+
 fn result(text: &[u8]) -> Bytes {
     framing::encode(
         &Entry::Result {
@@ -40,7 +47,7 @@
 fn killed_store(directory: &Path) -> BTreeMap<u64, u64> {
     let copy = directory.join("copy");
     let (disk, _) = ShardStorage::open(directory, 77).unwrap();
-    disk.commit(&[(SHARD, DiskWrite::Put(1, result(&[7; 3000])))])
+    disk.commit(&[write(DiskWrite::Put(1, result(&[7; 3000])))])
         .unwrap();
     std::fs::copy(directory.join(FILE_NAME), &copy).unwrap();
     drop(disk);
@@ -55,7 +62,7 @@
     let disk = Disk::default();
     disk.set_full(true);
     for _ in 0..3 {
-        let refused = ShardStorage::open_by(disk.opener(), directory.path(), 99);
+        let refused = ShardStorage::open_with(disk.opener(), directory.path(), 99);
         assert!(
             matches!(refused, Err(DiskError::Unavailable(_))),
             "{:?}",
@@ -65,7 +72,7 @@
         assert!(!directory.path().join(QUARANTINED_FILE).exists());
     }
     disk.set_full(false);
-    let (opened, shards) = ShardStorage::open_by(disk.opener(), directory.path(), 99).unwrap();
+    let (opened, shards) = ShardStorage::open_with(disk.opener(), directory.path(), 99).unwrap();
     assert_eq!((opened.id(), held(&shards)), (77, expected));
 }
 
@@ -74,14 +81,14 @@
     let directory = tempfile::tempdir().unwrap();
     let disk = Disk::default();
     disk.set_full(true);
-    let refused = ShardStorage::open_by(disk.opener(), directory.path(), 5);
+    let refused = ShardStorage::open_with(disk.opener(), directory.path(), 5);
     assert!(
         matches!(refused, Err(DiskError::Unavailable(_))),
         "{:?}",
         refused.err()
     );
     disk.set_full(false);
-    let (opened, _) = ShardStorage::open_by(disk.opener(), directory.path(), 6).unwrap();
+    let (opened, _) = ShardStorage::open_with(disk.opener(), directory.path(), 6).unwrap();
     assert_eq!(opened.id(), 6);
     drop(opened);
     std::fs::write(directory.path().join("file"), []).unwrap();
@@ -97,8 +104,8 @@
 fn after_a_failed_commit_the_file_says_what_is_there() {
     let directory = tempfile::tempdir().unwrap();
     let disk = Disk::default();
-    let (opened, _) = ShardStorage::open_by(disk.opener(), directory.path(), 77).unwrap();
-    let put = |index: u64| [(SHARD, DiskWrite::Put(index, result(&[index as u8; 9000])))];
+    let (opened, _) = ShardStorage::open_with(disk.opener(), directory.path(), 77).unwrap();
+    let put = |index: u64| [write(DiskWrite::Put(index, result(&[index as u8; 9000])))];
     opened.commit(&put(1)).unwrap();
     disk.set_full(true);
     assert!(opened.commit(&put(2)).is_err());
@@ -133,17 +140,17 @@
 }
 
 /// Some changes, which `held` goes through as well.
-fn changes(random: &mut fastrand::Rng, held: &mut BTreeMap<u64, u64>) -> Vec<(u32, DiskWrite)> {
+fn changes(random: &mut fastrand::Rng, held: &mut BTreeMap<u64, u64>) -> Vec<ShardWrite> {
     let count = random.u8(1..5);
     let change = |_| {
         let index = random.u64(1..10);
         if random.u8(..4) == 0 {
             held.remove(&index);
-            return (SHARD, DiskWrite::Remove(vec![index]));
+            return write(DiskWrite::Remove(vec![index]));
         }
         let bytes = result(&vec![1; random.usize(10..60_000)]);
         held.insert(index, bytes.len() as u64);
-        (SHARD, DiskWrite::Put(index, bytes))
+        write(DiskWrite::Put(index, bytes))
     };
     (0..count).map(change).collect()
 }
@@ -157,12 +164,12 @@
         let directory = tempfile::tempdir().unwrap();
         let path = directory.path().join(FILE_NAME);
         let disk = Disk::default();
-        drop(ShardStorage::open_by(disk.opener(), directory.path(), 77).unwrap());
+        drop(ShardStorage::open_with(disk.opener(), directory.path(), 77).unwrap());
         // What was committed, and what is on disk if the commit under way got there.
         let (mut sure, mut next) = (BTreeMap::new(), BTreeMap::new());
         for _ in 0..8 {
             disk.fail_after(Some(random.u64(0..80)));
-            match ShardStorage::open_by(disk.opener(), directory.path(), 99) {
+            match ShardStorage::open_with(disk.opener(), directory.path(), 99) {
                 Err(DiskError::Unavailable(_)) => at_open += 1,
                 Err(other) => panic!("seed {seed}: {other}"),
                 Ok((opened, shards)) => {
--- a/crates/mintlb-control/tests/store_fixture/mod.rs
+++ b/crates/mintlb-control/tests/store_fixture/mod.rs
@@ -1,11 +1,11 @@
-//! The writes that made the fixture `tests/fixtures/store/jobs.redb`, and what a lots' file holds, as text.
+//! The writes that made the fixture `tests/fixtures/store/lots.redb`, and what a lots' file holds, as text.
 
 use bytes::Bytes;
 use mintlb_batch::entry::{Entry, ItemHeader, ItemState, JobHeader, JobTerms};
 use mintlb_batch::epoch_history::EpochHistory;
 use mintlb_batch::framing;
 use mintlb_batch::replica::{DiskWrite, Effect, Replica, ReplicaSettings, ShardMeta};
-use mintlb_control::store::disk::{LoadedShards, ShardStorage};
+use mintlb_control::store::storage::{LoadedShards, ShardStorage, ShardWrite};
 use redb::{Database, ReadableDatabase, ReadableTable, TableDefinition, TableHandle};
 use std::path::{Path, PathBuf};
 use std::time::Duration;
@@ -49,24 +49,23 @@
 pub fn make(directory: &Path) {
     let (disk, _) = ShardStorage::open(directory, IDENTITY).unwrap();
     let puts = |shard: u32, entries: Vec<Bytes>| {
-        let rows = (1..)
-            .zip(entries)
-            .map(|(index, bytes)| (shard, DiskWrite::Put(index, bytes)));
+        let rows = (1..).zip(entries).map(|(index, bytes)| ShardWrite {
+            shard,
+            write: DiskWrite::Put(index, bytes),
+        });
         disk.commit(&rows.collect::<Vec<_>>()).unwrap();
     };
     let meta = |shard: u32, runs: &[(u64, u64)], current_epoch: u64, commit_index: u64| {
         let mut log = EpochHistory::default();
         runs.iter()
             .for_each(|(through, epoch)| log.extend(*through, *epoch));
-        disk.commit(&[(
-            shard,
-            DiskWrite::Meta(ShardMeta {
-                current_epoch,
-                log,
-                commit_index,
-            }),
-        )])
-        .unwrap();
+        let meta = ShardMeta {
+            current_epoch,
+            log,
+            commit_index,
+        };
+        let write = DiskWrite::Meta(meta);
+        disk.commit(&[ShardWrite { shard, write }]).unwrap();
     };
     let five = vec![
         begin(),
@@ -110,7 +109,7 @@
         .take_effects()
         .into_iter()
         .map(|effect| match effect {
-            Effect::Write(write) => (shard, write),
+            Effect::Write(write) => ShardWrite { shard, write },
             other => panic!("{other:?}"),
         });
     disk.commit(&writes.collect::<Vec<_>>()).unwrap();
--- a/crates/mintlb-control/tests/store_full_disk.rs
+++ b/crates/mintlb-control/tests/store_full_disk.rs
@@ -6,7 +6,7 @@
 use bytes::Bytes;
 use faulty_file::Disk;
 use mintlb_batch::client::{JobError, SubmitError, Submitted};
-use mintlb_control::store::disk::ShardStorage;
+use mintlb_control::store::storage::ShardStorage;
 use std::time::Duration;
 use stores::{Cluster, HOST, Node, WITHIN, job, placement};
 
@@ -45,7 +45,7 @@
     );
     assert!(cluster.nodes[0].store.is_suspended());
     assert!(
-        cluster.nodes[0].store.report().0.is_empty(),
+        cluster.nodes[0].store.report().shards.is_empty(),
         "it is in charge of nothing"
     );
     // Nothing of this one can be in, so that its client is told to come back.
@@ -115,7 +115,9 @@
     let mut again = Vec::new();
     for (directory, disk) in directories.iter().zip(&disks) {
         let other = tempfile::tempdir().unwrap();
-        let path = other.path().join(mintlb_control::store::file::FILE_NAME);
+        let path = other
+            .path()
+            .join(mintlb_control::store::storage::file::FILE_NAME);
         disk.lose_power(&path, |_| 0);
         let opened = ShardStorage::open(other.path(), 99).unwrap();
         let held: usize = opened.1.values().map(|shard| shard.entries.len()).sum();
--- a/crates/mintlb-control/tests/store_long_day.rs
+++ b/crates/mintlb-control/tests/store_long_day.rs
@@ -5,10 +5,10 @@
 use bytes::Bytes;
 use mintlb_batch::entry::{ItemHeader, ItemState, JobHeader, JobTerms};
 use mintlb_batch::messages::JobName;
-use mintlb_batch::replica::{AfterSync, DiskWrite, Effect, Replica, ReplicaSettings};
+use mintlb_batch::replica::{AfterSync, Effect, Replica, ReplicaSettings};
 use mintlb_common::placement::ShardAssignment;
-use mintlb_control::store::capacity;
-use mintlb_control::store::disk::ShardStorage;
+use mintlb_control::store::storage::capacity;
+use mintlb_control::store::storage::{ShardStorage, ShardWrite};
 use std::path::Path;
 use std::time::Duration;
 
@@ -47,7 +47,7 @@
 impl Store {
     fn open(directory: &Path, now: Duration) -> Store {
         let (disk, mut shards) =
-            ShardStorage::open_by(faulty_file::Disk::default().opener(), directory, 7).unwrap();
+            ShardStorage::open_with(faulty_file::Disk::default().opener(), directory, 7).unwrap();
         let settings = ReplicaSettings {
             store_id: disk.id(),
             tolerance: 0,
@@ -78,11 +78,13 @@
             if effects.is_empty() {
                 return;
             }
-            let (mut writes, mut after): (Vec<(u32, DiskWrite)>, Vec<AfterSync>) =
-                Default::default();
+            let (mut writes, mut after): (Vec<ShardWrite>, Vec<AfterSync>) = Default::default();
             for effect in effects {
                 match effect {
-                    Effect::Write(write) => writes.push((SHARD, write)),
+                    Effect::Write(write) => writes.push(ShardWrite {
+                        shard: SHARD,
+                        write,
+                    }),
                     Effect::AfterSync(next) => after.push(next),
                     _ => (),
                 }
--- a/crates/mintlb-control/tests/stores/mod.rs
+++ b/crates/mintlb-control/tests/stores/mod.rs
@@ -7,11 +7,12 @@
 use mintlb_batch::replica::ReplicaSettings;
 use mintlb_common::placement::{Placement, SHARD_COUNT, ShardAssignment, StoreEntry, StoreId};
 use mintlb_common::transport::{Channel, Transport};
-use mintlb_control::store::calls::{Store, StoreService};
-use mintlb_control::store::commit_queue::{CommitQueue, OpenedStorage};
-use mintlb_control::store::disk::{LoadedShards, ShardStorage};
 use mintlb_control::store::driver::Driver;
-use mintlb_control::store::file::DatabaseOpener;
+use mintlb_control::store::handle::Store;
+use mintlb_control::store::service::StoreService;
+use mintlb_control::store::storage::file::DatabaseOpener;
+use mintlb_control::store::storage::{CommitQueue, OpenedStorage};
+use mintlb_control::store::storage::{LoadedShards, ShardStorage};
 use parking_lot::Mutex;
 use std::net::SocketAddr;
 use std::path::Path;
@@ -37,7 +38,11 @@
 
     /// A store that opens its file by `open`.
     pub async fn start_by(open: DatabaseOpener, directory: &Path, draw: u64) -> Node {
-        Node::start_on(ShardStorage::open_by(open, directory, draw).unwrap(), draw).await
+        Node::start_on(
+            ShardStorage::open_with(open, directory, draw).unwrap(),
+            draw,
+        )
+        .await
     }
 
     pub async fn start_on((disk, shards): (ShardStorage, LoadedShards), draw: u64) -> Node {
@@ -54,7 +59,7 @@
         let commit_queue = CommitQueue::start(disk.clone(), committed).unwrap();
         let id = disk.id();
         let opened = OpenedStorage {
-            disk: disk.clone(),
+            storage: disk.clone(),
             commit_queue,
             shards,
         };
@@ -159,7 +164,7 @@
     pub async fn wait_until_active(&self, node: usize, epoch: u64) {
         let store = &self.nodes[node].store;
         let all = |store: &Store| {
-            let (reports, _) = store.report();
+            let reports = store.report().shards;
             reports.len() == SHARD_COUNT as usize
                 && reports.iter().all(|r| r.active && r.epoch == epoch)
         };
--- a/crates/mintlb-simulation/src/store/calls.rs
+++ b/crates/mintlb-simulation/src/store/calls.rs
@@ -1,4 +1,4 @@
-//! Dispatchers' calls at a store; mirrors `store/calls.rs`.
+//! Dispatchers' calls at a store; mirrors `store/requests`.
 
 use super::{SHARDS, Store};
 use crate::context::{Caller, Context, Time};
--- a/crates/mintlb-simulation/src/store/disk.rs
+++ b/crates/mintlb-simulation/src/store/disk.rs
@@ -1,4 +1,4 @@
-//! A store's disk, and the writes on their way to it; mirrors `store/disk.rs`: what waits is committed at once, and
+//! A store's disk, and the writes on their way to it; mirrors `store/storage`: what waits is committed at once, and
 //! what follows a write is said after its commit.
 
 use crate::context::{Context, Timer};
