--- a/crates/mintlb-register/src/acceptor.rs
+++ b/crates/mintlb-register/src/acceptor.rs
@@ -14,7 +14,7 @@
 }
 
 impl AcceptorState {
-    /// Applies a write, as the disk holds the state once the write is synced.
+    /// Applies a write: to the state in memory at once, to the state on disk once it is synced.
     pub fn apply(&mut self, write: &DurableWrite) {
         match write {
             DurableWrite::Nothing => (),
@@ -113,12 +113,16 @@
         if self.has_accepted_since(chosen.ballot) {
             return DurableWrite::Nothing;
         }
-        self.state.promised = self.state.promised.max(chosen.ballot);
-        self.state.accepted = Some(chosen.clone());
-        DurableWrite::Learned {
-            promised: self.state.promised,
+        self.write(DurableWrite::Learned {
+            promised: self.state.promised.max(chosen.ballot),
             chosen: chosen.clone(),
-        }
+        })
+    }
+
+    /// Changes the state in memory and returns what has to be synced.
+    fn write(&mut self, write: DurableWrite) -> DurableWrite {
+        self.state.apply(&write);
+        write
     }
 
     /// Whether a value has been accepted at this ballot or a higher one.
@@ -135,17 +139,16 @@
         if ballot < self.state.promised {
             return self.reject(ballot);
         }
-        let is_repeated = ballot == self.state.promised;
-        self.state.promised = ballot;
         let reply = Reply::Promise {
             ballot,
             last_accepted: self.report(known),
         };
+        let is_repeated = ballot == self.state.promised;
         if is_repeated {
             return AcceptorResponse::without_write(reply);
         }
         AcceptorResponse {
-            durable_write: DurableWrite::Promise(ballot),
+            durable_write: self.write(DurableWrite::Promise(ballot)),
             reply,
         }
     }
@@ -155,15 +158,14 @@
         if ballot < self.state.promised {
             return self.reject(ballot);
         }
-        let is_repeated = self.last_accepted_ballot() == Some(ballot);
-        self.state.promised = ballot;
-        self.state.accepted = Some(proposed.clone());
         let reply = Reply::Accepted { ballot };
+        // At one ballot only one value is proposed, so that this is the same value.
+        let is_repeated = self.last_accepted_ballot() == Some(ballot);
         if is_repeated {
             return AcceptorResponse::without_write(reply);
         }
         AcceptorResponse {
-            durable_write: DurableWrite::Accepted(proposed),
+            durable_write: self.write(DurableWrite::Accepted(proposed)),
             reply,
         }
     }
