--- a/crates/mintlb-control/src/cli.rs
+++ b/crates/mintlb-control/src/cli.rs
@@ -4,39 +4,73 @@
 use crate::store::{self, StoreError};
 use bpaf::{OptionParser, Parser};
 use mintlb_common::settings::{NodeSettings, SettingsError};
+use std::path::PathBuf;
 use std::process::ExitCode;
 
-/// The variable that sets the level of the log.
-const LOG_VARIABLE: &str = "MINTLB_LOG";
-/// Settings are missing or wrong.
+/// The environment variable that sets the level of the log.
+const LOG_LEVEL_VARIABLE: &str = "MINTLB_LOG";
+/// The level of the log without that variable.
+const DEFAULT_LOG_LEVEL: &str = "info";
+/// The exit code if the settings are missing or unsuitable.
 const EXIT_SETTINGS: u8 = 2;
-/// The program could not go on.
+/// The exit code if the program can't be started or can't go on.
 const EXIT_FAILED: u8 = 1;
 
-/// What the program is asked to do.
+/// What the program is called to do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verb {
-    /// Be a controller.
+    /// Run a controller.
     Controller,
-    /// Be a store.
+    /// Run a store.
     Store,
-    /// Read the settings and say what is wrong with them.
+    /// Validate the settings.
     Check,
 }
 
-/// Why the program ended with an error.
+/// The reason for which the program ends with an error.
 #[derive(Debug, thiserror::Error)]
 enum CliError {
     #[error(transparent)]
     Settings(#[from] SettingsError),
-    #[error("M104 {0}")]
-    Unsuitable(String),
+    #[error("M104 {}", joined(.0))]
+    Unsuitable(Vec<UnsuitableSetting>),
     #[error(transparent)]
     Controller(#[from] ControllerError),
     #[error(transparent)]
     Store(#[from] StoreError),
 }
 
+impl CliError {
+    fn exit_code(&self) -> ExitCode {
+        match self {
+            CliError::Settings(_) | CliError::Unsuitable(_) => ExitCode::from(EXIT_SETTINGS),
+            CliError::Controller(_) | CliError::Store(_) => ExitCode::from(EXIT_FAILED),
+        }
+    }
+}
+
+/// A field that keeps this program from serving, though the settings as a whole are well-formed.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum UnsuitableSetting {
+    /// A controller has no address for its HTTP API.
+    #[error("listen_addresses.control_plane: is missing, though the role serves control")]
+    NoControlAddress,
+    /// A store has no data directory.
+    #[error("data_directory: is missing, though the role serves storage")]
+    NoDataDirectory,
+    /// The data directory is no directory.
+    #[error("data_directory: {} is no folder", .0.display())]
+    NotADirectory(PathBuf),
+    /// There are no seeds.
+    #[error("seed_nodes: names nobody")]
+    NoSeeds,
+}
+
+fn joined(settings: &[UnsuitableSetting]) -> String {
+    let texts: Vec<String> = settings.iter().map(ToString::to_string).collect();
+    texts.join("; ")
+}
+
 /// The parser of the command line.
 pub fn parser() -> OptionParser<Verb> {
     let verb = |verb: Verb, name: &'static str, help: &'static str| {
@@ -66,66 +100,70 @@
 /// Runs the program with the arguments of the process.
 pub fn main() -> ExitCode {
     let verb = parser().run();
-    match run_command(verb) {
+    match run(verb) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(failure) => {
-            eprintln!("mintlb-control: {failure}");
-            match failure {
-                CliError::Settings(_) | CliError::Unsuitable(_) => ExitCode::from(EXIT_SETTINGS),
-                _ => ExitCode::from(EXIT_FAILED),
-            }
+        Err(error) => {
+            eprintln!("mintlb-control: {error}");
+            error.exit_code()
         }
     }
 }
 
-fn run_command(verb: Verb) -> Result<(), CliError> {
+fn run(verb: Verb) -> Result<(), CliError> {
     let settings = NodeSettings::from_environment()?;
-    if verb == Verb::Check {
-        let problems = validate(&settings);
-        if !problems.is_empty() {
-            return Err(CliError::Unsuitable(problems.join("; ")));
+    match verb {
+        Verb::Controller => {
+            let _log = start_log();
+            controller::run(settings)?;
         }
-        println!(
-            "{}: settings of {} ({}) are right",
-            settings.node_name, settings.role, settings.machine_class
-        );
-        return Ok(());
-    }
-    let level = std::env::var(LOG_VARIABLE).unwrap_or_else(|_| "info".to_string());
-    let log = mintlb_common::logging::start(&level);
-    if let Err(error) = &log {
-        eprintln!("mintlb-control: no log: {error}");
+        Verb::Store => {
+            let _log = start_log();
+            store::run(settings)?;
+        }
+        Verb::Check => check(&settings)?,
     }
-    match verb {
-        Verb::Controller => controller::run(settings)?,
-        Verb::Store => store::run(settings)?,
-        Verb::Check => (),
+    Ok(())
+}
+
+/// Starts the log. It ends when the returned handle is dropped.
+fn start_log() -> Option<impl Sized> {
+    let level = std::env::var(LOG_LEVEL_VARIABLE).unwrap_or_else(|_| DEFAULT_LOG_LEVEL.to_string());
+    mintlb_common::logging::start(&level)
+        .inspect_err(|error| eprintln!("mintlb-control: no log: {error}"))
+        .ok()
+}
+
+fn check(settings: &NodeSettings) -> Result<(), CliError> {
+    let unsuitable = validate(settings);
+    if !unsuitable.is_empty() {
+        return Err(CliError::Unsuitable(unsuitable));
     }
+    println!(
+        "{}: settings of {} ({}) are right",
+        settings.node_name, settings.role, settings.machine_class
+    );
     Ok(())
 }
 
-/// What in readable settings keeps this program from serving, each with its field.
-pub fn validate(settings: &NodeSettings) -> Vec<String> {
+/// The fields of well-formed settings that keep this program from serving.
+pub fn validate(settings: &NodeSettings) -> Vec<UnsuitableSetting> {
     let serves = |service: &str| settings.serves.iter().any(|served| served == service);
-    let mut problems = Vec::new();
+    let mut unsuitable = Vec::new();
     if serves("control") && settings.listen_addresses.control_plane.is_none() {
-        problems.push(
-            "listen_addresses.control_plane: is missing, though the role serves control"
-                .to_string(),
-        );
+        unsuitable.push(UnsuitableSetting::NoControlAddress);
     }
     if serves("storage") && settings.data_directory.is_none() {
-        problems.push("data_directory: is missing, though the role serves storage".to_string());
+        unsuitable.push(UnsuitableSetting::NoDataDirectory);
     }
-    if let Some(folder) = settings
+    if let Some(directory) = settings
         .data_directory
         .as_ref()
-        .filter(|folder| !folder.is_dir())
+        .filter(|directory| !directory.is_dir())
     {
-        problems.push(format!("data_directory: {} is no folder", folder.display()));
+        unsuitable.push(UnsuitableSetting::NotADirectory(directory.clone()));
     }
     if settings.seed_nodes.is_empty() {
-        problems.push("seed_nodes: names nobody".to_string());
+        unsuitable.push(UnsuitableSetting::NoSeeds);
     }
-    problems
+    unsuitable
 }
--- a/crates/mintlb-control/tests/controller_cli.rs
+++ b/crates/mintlb-control/tests/controller_cli.rs
@@ -28,6 +28,9 @@
 
 fn of(settings: &str) -> Vec<String> {
     validate(&NodeSettings::parse(settings).unwrap())
+        .iter()
+        .map(ToString::to_string)
+        .collect()
 }
 
 #[test]
