--- a/crates/mintlb-beanstalkd/src/job.rs
+++ b/crates/mintlb-beanstalkd/src/job.rs
@@ -254,7 +254,7 @@
     fn insert(&mut self, id: u64, job: &Job) {
         match job.state {
             State::Delayed { until } => {
-                drop(self.delayed.insert((until.max(0.0).to_bits(), id), ()))
+                self.delayed.insert((until.max(0.0).to_bits(), id), ());
             }
             State::Ready => {
                 self.urgent += (job.put.priority < URGENT_BELOW) as usize;
