--- a/crates/mintlb-gossip/src/anti_entropy/digest.rs
+++ b/crates/mintlb-gossip/src/anti_entropy/digest.rs
@@ -40,7 +40,8 @@
 pub(super) struct BucketDifferences(Vec<u32>);
 
 impl BucketDifferences {
-    /// The differences between the table and the bucket hashes of a heartbeat; none if it has no bucket hashes.
+    /// The differences between the table and the bucket hashes of a heartbeat; none if it has no
+    /// bucket hashes.
     pub(super) fn between(table: &Table, bucket_hashes: &[u8]) -> Option<BucketDifferences> {
         if bucket_hashes.len() != BUCKETS * BUCKET_HASH_BYTES {
             return None;
--- a/crates/mintlb-gossip/src/anti_entropy/mod.rs
+++ b/crates/mintlb-gossip/src/anti_entropy/mod.rs
@@ -1,13 +1,14 @@
 //! Anti-entropy: two neighbors compare digests of their tables and repair what one of them lacks.
 //!
-//! The comparison follows the anti-entropy of Demers et al. ("Epidemic Algorithms for Replicated Database Maintenance",
-//! PODC 1987) with two levels of hashes, as in a Merkle tree. A heartbeat has the hash of the whole table, and the hashes
-//! of its buckets if the tables differed at the neighbor's last heartbeat. Then one side, the *initiator*, sends the
-//! versions of all records in the buckets that differ; the other side answers with the records that are newer there and
+//! The comparison follows the anti-entropy of Demers et al. ("Epidemic Algorithms for Replicated
+//! Database Maintenance", PODC 1987) with two levels of hashes, as in a Merkle tree. A heartbeat
+//! has the hash of the whole table, and the hashes of its buckets if the tables differed at the
+//! neighbor's last heartbeat. Then one side, the *initiator*, sends the versions of all records in
+//! the buckets that differ; the other side answers with the records that are newer there and
 //! fetches those that are newer at the initiator.
 //!
-//! Records in transit make hashes differ for a moment. A bucket is therefore repaired only if it, or the whole table,
-//! differs in the same way at two heartbeats in a row, or if the link is new.
+//! Records in transit make hashes differ for a moment. A bucket is therefore repaired only if it,
+//! or the whole table, differs in the same way at two heartbeats in a row, or if the link is new.
 
 mod digest;
 mod repair_batch;
@@ -77,7 +78,8 @@
 }
 
 impl AntiEntropy {
-    /// Whether the table has been compared with at least one neighbor's, and what was lacking has been received.
+    /// Whether the table has been compared with at least one neighbor's, and what was lacking has
+    /// been received.
     pub fn joined(&self) -> bool {
         self.joined
     }
@@ -114,7 +116,8 @@
         }
     }
 
-    /// Handles a neighbor's heartbeat: initiates a repair if the tables differ and it is this side's turn.
+    /// Handles a neighbor's heartbeat: initiates a repair if the tables differ and it is this
+    /// side's turn.
     pub fn on_heartbeat(
         &mut self,
         now: Instant,
@@ -225,8 +228,8 @@
         effects.send(from, &batch.into_message());
     }
 
-    /// Handles records from a neighbor, which this process lacked. A neighbor that sent an outdated one is sent the
-    /// newer version.
+    /// Handles records from a neighbor, which this process lacked. A neighbor that sent an outdated
+    /// one is sent the newer version.
     pub fn on_records(
         &mut self,
         now: Instant,
@@ -315,8 +318,9 @@
 }
 
 impl Side {
-    /// Whether this side initiates the repair: the one with far fewer records, which costs the fewest versions, else the
-    /// one with the lower address. Both sides come to the same result, although their counts are of different times.
+    /// Whether this side initiates the repair: the one with far fewer records, which costs the
+    /// fewest versions, else the one with the lower address. Both sides come to the same result,
+    /// although their counts are of different times.
     fn initiates_repair(&self, other: &Side) -> bool {
         let has_far_fewer = self.record_count < other.record_count / 2;
         let other_has_far_fewer = other.record_count < self.record_count / 2;
--- a/crates/mintlb-gossip/src/anti_entropy/repair_batch.rs
+++ b/crates/mintlb-gossip/src/anti_entropy/repair_batch.rs
@@ -4,8 +4,8 @@
 use crate::record_id::RecordId;
 use crate::table::BucketIndex;
 
-/// Records for a neighbor that lacks them. Once a record does not fit, its bucket is incomplete: no further record of
-/// this bucket is added, and the neighbor sends its versions of the bucket again.
+/// Records for a neighbor that lacks them. Once a record does not fit, its bucket is incomplete: no
+/// further record of this bucket is added, and the neighbor sends its versions of the bucket again.
 #[derive(Debug, Default)]
 pub(super) struct RepairBatch {
     batch: FrameBatch,
--- a/crates/mintlb-gossip/src/broadcast/links.rs
+++ b/crates/mintlb-gossip/src/broadcast/links.rs
@@ -10,7 +10,8 @@
 #[derive(Debug)]
 pub(super) struct Link {
     pub(super) address: SocketAddr,
-    /// Whether records are pushed on it at once (Plumtree's eager push) or only announced (lazy push).
+    /// Whether records are pushed on it at once (Plumtree's eager push) or only announced (lazy
+    /// push).
     pub(super) eager: bool,
     /// Versions that are to be announced on it (Plumtree's lazy queue).
     pub(super) queued_ihaves: Vec<RecordVersion>,
--- a/crates/mintlb-gossip/src/broadcast/missing.rs
+++ b/crates/mintlb-gossip/src/broadcast/missing.rs
@@ -87,8 +87,8 @@
         }
     }
 
-    /// The requests that are due, each to the next announcer that is still linked. A record without such an announcer is
-    /// left to anti-entropy.
+    /// The requests that are due, each to the next announcer that is still linked. A record without
+    /// such an announcer is left to anti-entropy.
     pub(super) fn due_grafts(
         &mut self,
         now: Instant,
--- a/crates/mintlb-gossip/src/broadcast/mod.rs
+++ b/crates/mintlb-gossip/src/broadcast/mod.rs
@@ -1,13 +1,15 @@
-//! The broadcast tree, after Plumtree (Leitão, Pereira and Rodrigues, "Epidemic Broadcast Trees", SRDS 2007).
+//! The broadcast tree, after Plumtree (Leitão, Pereira and Rodrigues, "Epidemic Broadcast Trees",
+//! SRDS 2007).
 //!
-//! A new record is pushed at once on the eager links and announced (IHAVE) on the lazy ones. A link starts eager. A
-//! neighbor that receives only duplicates on a link makes it lazy (PRUNE); one that was announced a record and has not
-//! received it in time makes the link eager and requests the record (GRAFT). A failed relay therefore delays a record by
-//! [`IHAVE_INTERVAL`] and [`GRAFT_TIMEOUT`].
+//! A new record is pushed at once on the eager links and announced (IHAVE) on the lazy ones. A link
+//! starts eager. A neighbor that receives only duplicates on a link makes it lazy (PRUNE); one that
+//! was announced a record and has not received it in time makes the link eager and requests the
+//! record (GRAFT). A failed relay therefore delays a record by [`IHAVE_INTERVAL`] and
+//! [`GRAFT_TIMEOUT`].
 //!
-//! Differences from the paper: records are versioned, and a newer version of a key replaces an older one on its way; a
-//! message holds several records; the tree is not optimised by round numbers; and what is lost beyond the bounds of the
-//! queues is left to anti-entropy.
+//! Differences from the paper: records are versioned, and a newer version of a key replaces an
+//! older one on its way; a message holds several records; the tree is not optimised by round
+//! numbers; and what is lost beyond the bounds of the queues is left to anti-entropy.
 
 mod links;
 mod missing;
@@ -68,7 +70,8 @@
             .min()
     }
 
-    /// Pushes records on the eager links and announces them on the lazy ones, except to where they came from.
+    /// Pushes records on the eager links and announces them on the lazy ones, except to where they
+    /// came from.
     pub fn broadcast(
         &mut self,
         now: Instant,
@@ -180,7 +183,8 @@
         }
     }
 
-    /// Handles a neighbor's request for announced records. What exceeds a message is left to a further graft.
+    /// Handles a neighbor's request for announced records. What exceeds a message is left to a
+    /// further graft.
     pub fn on_graft(
         &mut self,
         now: Instant,
--- a/crates/mintlb-gossip/src/delivery.rs
+++ b/crates/mintlb-gossip/src/delivery.rs
@@ -10,8 +10,8 @@
 
 /// The queue of records for the subscribers.
 ///
-/// A subscriber is called without a lock, so that it may publish; one call at a time, so that each subscriber gets the
-/// records in the order in which they were applied.
+/// A subscriber is called without a lock, so that it may publish; one call at a time, so that each
+/// subscriber gets the records in the order in which they were applied.
 #[derive(Default)]
 pub(crate) struct DeliveryQueue {
     state: Mutex<State>,
--- a/crates/mintlb-gossip/src/membership/candidates.rs
+++ b/crates/mintlb-gossip/src/membership/candidates.rs
@@ -21,14 +21,15 @@
 }
 
 impl Membership {
-    /// Whether the process may be asked: it is neither this process nor a neighbor, and is not being asked.
+    /// Whether the process may be asked: it is neither this process nor a neighbor, and is not
+    /// being asked.
     pub(super) fn is_eligible(&self, address: SocketAddr) -> bool {
         let is_pending = self.requests.contains(address);
         address != self.own.address && !self.is_neighbor(address) && !is_pending
     }
 
-    /// Sends as many requests as neighbors are lacking. A process whose neighbors are all in its own zone asks one in
-    /// another zone beyond its target.
+    /// Sends as many requests as neighbors are lacking. A process whose neighbors are all in its
+    /// own zone asks one in another zone beyond its target.
     pub(super) fn fill_active_view(&mut self, now: Instant, effects: &mut Effects) {
         self.connect_seeds(now, effects);
         let high_priority = self.consecutive_rejections >= HIGH_PRIORITY_AFTER_REJECTIONS;
@@ -79,8 +80,8 @@
         self.active.has_other_zone(own_zone) || self.passive.any_in_other_zone(own_zone, is_pending)
     }
 
-    /// Chooses whom to ask next: a random member in another zone if there is no link to one, else one in the own zone;
-    /// else one in the remaining zones, else a seed.
+    /// Chooses whom to ask next: a random member in another zone if there is no link to one, else
+    /// one in the own zone; else one in the remaining zones, else a seed.
     fn choose_candidate(&mut self, now: Instant) -> Option<SocketAddr> {
         let zones = if self.has_link_to_other_zone() {
             [Zone::Own, Zone::Other]
--- a/crates/mintlb-gossip/src/membership/failure_detection.rs
+++ b/crates/mintlb-gossip/src/membership/failure_detection.rs
@@ -43,8 +43,8 @@
         }
     }
 
-    /// A process that was stalled has received nothing in this time, which is no fault of its neighbors: they get half
-    /// the time-outs anew, and the tables are compared again.
+    /// A process that was stalled has received nothing in this time, which is no fault of its
+    /// neighbors: they get half the time-outs anew, and the tables are compared again.
     pub(super) fn detect_stall(&mut self, now: Instant, interval: Duration) {
         if now > self.last_tick + interval + STALL_THRESHOLD {
             log::info!(
@@ -89,7 +89,8 @@
         self.lost_neighbors.add(now, member);
     }
 
-    /// A request was not answered. A process without neighbors can't tell whose fault that is, and keeps the member.
+    /// A request was not answered. A process without neighbors can't tell whose fault that is, and
+    /// keeps the member.
     fn on_request_failed(&mut self, now: Instant, address: SocketAddr) {
         self.back_off(now, address);
         if !self.active.is_empty() {
--- a/crates/mintlb-gossip/src/membership/failure_history.rs
+++ b/crates/mintlb-gossip/src/membership/failure_history.rs
@@ -1,5 +1,5 @@
-//! What a process remembers of failures: whom it could not reach, which incarnations have ended, and which neighbors it
-//! looks for.
+//! What a process remembers of failures: whom it could not reach, which incarnations have ended,
+//! and which neighbors it looks for.
 
 use super::passive_view::MEMBER_TIMEOUT;
 use crate::message::{Member, MemberDescriptor};
@@ -15,8 +15,8 @@
 /// How many lost neighbors are looked for; the oldest are given up.
 const MAX_LOST_NEIGHBORS: usize = 12;
 
-/// When processes could not be reached. Information of others that is older than the failure must not bring a failed
-/// process back into the views.
+/// When processes could not be reached. Information of others that is older than the failure must
+/// not bring a failed process back into the views.
 #[derive(Debug, Default)]
 pub(super) struct RecentFailures {
     failures: VecDeque<(SocketAddr, Instant)>,
@@ -42,7 +42,8 @@
     }
 }
 
-/// Incarnations that have ended, as their successors have shown. Information of others about them is ignored.
+/// Incarnations that have ended, as their successors have shown. Information of others about them
+/// is ignored.
 #[derive(Debug, Default)]
 pub(super) struct EndedIncarnations {
     ended: VecDeque<(SocketAddr, Incarnation)>,
@@ -72,7 +73,8 @@
     since: Instant,
 }
 
-/// Failed neighbors, which are probed in turn: after a network partition both sides find each other again.
+/// Failed neighbors, which are probed in turn: after a network partition both sides find each other
+/// again.
 #[derive(Debug, Default)]
 pub(super) struct LostNeighbors {
     lost: VecDeque<LostNeighbor>,
--- a/crates/mintlb-gossip/src/membership/incarnations.rs
+++ b/crates/mintlb-gossip/src/membership/incarnations.rs
@@ -1,5 +1,5 @@
-//! Which incarnation of a process is current. Numbers of incarnations are random and have no order: the one that was
-//! last received from directly is current.
+//! Which incarnation of a process is current. Numbers of incarnations are random and have no order:
+//! the one that was last received from directly is current.
 
 use super::Membership;
 use crate::effects::Effects;
@@ -29,9 +29,9 @@
         self.add_passive(now, member, now);
     }
 
-    /// The process at the address runs in this incarnation. Any other one that is known there has ended, and if this one
-    /// was taken for ended, that was wrong. What else is known of the process is kept for the new incarnation until it
-    /// describes itself.
+    /// The process at the address runs in this incarnation. Any other one that is known there has
+    /// ended, and if this one was taken for ended, that was wrong. What else is known of the
+    /// process is kept for the new incarnation until it describes itself.
     pub(super) fn supersede_incarnation(
         &mut self,
         now: Instant,
--- a/crates/mintlb-gossip/src/membership/mod.rs
+++ b/crates/mintlb-gossip/src/membership/mod.rs
@@ -1,21 +1,26 @@
-//! Membership: an active view of a few neighbors and a passive view of other processes, after HyParView (Leitão,
-//! Pereira and Rodrigues, "HyParView: a membership protocol for reliable gossip-based broadcast", DSN 2007).
+//! Membership: an active view of a few neighbors and a passive view of other processes, after
+//! HyParView (Leitão, Pereira and Rodrigues, "HyParView: a membership protocol for reliable
+//! gossip-based broadcast", DSN 2007).
 //!
-//! Links are symmetric: one side sends a NEIGHBOR request, the other one accepts or rejects it. A process with too few
-//! neighbors asks members of its passive view; the seeds are asked while the view is empty or offers no candidate.
+//! Links are symmetric: one side sends a NEIGHBOR request, the other one accepts or rejects it. A
+//! process with too few neighbors asks members of its passive view; the seeds are asked while the
+//! view is empty or offers no candidate.
 //!
 //! Differences from the paper:
-//! - A joining process sends a NEIGHBOR request to a seed; there is no JOIN and no random walk (FORWARDJOIN). Replies
-//!   and shuffles bring the sample of other members that the walk would.
+//! - A joining process sends a NEIGHBOR request to a seed; there is no JOIN and no random walk
+//!   (FORWARDJOIN). Replies and shuffles bring the sample of other members that the walk would.
 //! - A shuffle goes to a neighbor, not along a random walk.
-//! - Neighbors that fail are remembered and probed, also those that others have lost, so that the two sides of a network
-//!   partition find each other again.
-//! - Seeds are always neighbors of each other, so that processes which join by different seeds are in one network.
+//! - Neighbors that fail are remembered and probed, also those that others have lost, so that the
+//!   two sides of a network partition find each other again.
+//! - Seeds are always neighbors of each other, so that processes which join by different seeds are
+//!   in one network.
 //! - A process keeps a link into another zone, a failure domain, if there is one.
-//! - A member is known by address and incarnation; information about an incarnation that has ended is ignored.
+//! - A member is known by address and incarnation; information about an incarnation that has ended
+//!   is ignored.
 //!
-//! [`Membership`] has the views and the timers. Its handlers are grouped by concern: `neighbor_requests`, `shuffle`,
-//! `failure_detection`, `incarnations`, `candidates` (whom to ask) and `probing`.
+//! [`Membership`] has the views and the timers. Its handlers are grouped by concern:
+//! `neighbor_requests`, `shuffle`, `failure_detection`, `incarnations`, `candidates` (whom to ask)
+//! and `probing`.
 
 mod active_view;
 mod candidates;
@@ -119,7 +124,8 @@
         self.active.contains(address)
     }
 
-    /// The neighbors, and the other members from which some process has received something within [`MEMBER_TIMEOUT`].
+    /// The neighbors, and the other members from which some process has received something within
+    /// [`MEMBER_TIMEOUT`].
     pub fn members(&self, now: Instant) -> Vec<Member> {
         let known = self.active.members().chain(self.passive.recent(now));
         known.cloned().collect()
@@ -135,7 +141,8 @@
         std::mem::take(&mut self.changes)
     }
 
-    /// Runs the timers. `interval` is the time between two ticks, by which a stall of this process is recognized.
+    /// Runs the timers. `interval` is the time between two ticks, by which a stall of this process
+    /// is recognized.
     pub fn tick(
         &mut self,
         now: Instant,
@@ -170,7 +177,8 @@
         Some(member)
     }
 
-    /// Evicts a random neighbor into the passive view. Protected links are spared as long as there is another one.
+    /// Evicts a random neighbor into the passive view. Protected links are spared as long as there
+    /// is another one.
     fn evict_neighbor(&mut self, now: Instant, effects: &mut Effects) {
         let mut evictable: Vec<_> = self
             .neighbors()
@@ -194,7 +202,8 @@
         self.seeds.is_link_between_seeds(address) || only_in_other_zone == Some(address)
     }
 
-    /// Adds a member, from which some process has last received something at this time, to the passive view.
+    /// Adds a member, from which some process has last received something at this time, to the
+    /// passive view.
     fn add_passive(&mut self, now: Instant, member: Member, last_received: Instant) {
         if member.address != self.own.address && !self.is_neighbor(member.address) {
             self.passive.add(now, member, last_received);
--- a/crates/mintlb-gossip/src/membership/neighbor_requests.rs
+++ b/crates/mintlb-gossip/src/membership/neighbor_requests.rs
@@ -1,4 +1,5 @@
-//! The handshake by which two processes become neighbors: request, acceptance or rejection, and disconnection.
+//! The handshake by which two processes become neighbors: request, acceptance or rejection, and
+//! disconnection.
 
 use super::Membership;
 use crate::effects::Effects;
@@ -7,8 +8,8 @@
 use tokio::time::Instant;
 
 impl Membership {
-    /// Whether the sender is a neighbor. If it is not, and is not being asked either, it is told so: it may take this
-    /// process for its neighbor.
+    /// Whether the sender is a neighbor. If it is not, and is not being asked either, it is told
+    /// so: it may take this process for its neighbor.
     pub fn require_neighbor(&mut self, from: SocketAddr, effects: &mut Effects) -> bool {
         let is_neighbor = self.is_neighbor(from);
         if !is_neighbor && !self.requests.contains(from) {
@@ -17,8 +18,8 @@
         is_neighbor
     }
 
-    /// Handles a NEIGHBOR request. With a full active view one of low priority is rejected, and one of high priority
-    /// evicts another neighbor.
+    /// Handles a NEIGHBOR request. With a full active view one of low priority is rejected, and one
+    /// of high priority evicts another neighbor.
     pub fn on_neighbor_request(
         &mut self,
         now: Instant,
--- a/crates/mintlb-gossip/src/membership/passive_view.rs
+++ b/crates/mintlb-gossip/src/membership/passive_view.rs
@@ -67,7 +67,8 @@
             .any(|member| member.zone != own_zone && condition(member.address))
     }
 
-    /// Adds a member or refreshes the entry of its address. A full view replaces the member that was silent for longest.
+    /// Adds a member or refreshes the entry of its address. A full view replaces the member that
+    /// was silent for longest.
     pub(super) fn add(&mut self, now: Instant, member: Member, last_received: Instant) {
         if let Some(known) = self.get_mut(member.address) {
             known.refresh(member, last_received);
@@ -100,7 +101,8 @@
             .find(|entry| entry.member.address == address)
     }
 
-    /// Removes the entry with the oldest information, unless all is newer than this time. True if it was removed.
+    /// Removes the entry with the oldest information, unless all is newer than this time. True if
+    /// it was removed.
     fn evict_older_than(&mut self, last_received: Instant) -> bool {
         let indexes = 0..self.entries.len();
         let oldest = indexes.min_by_key(|&index| self.entries[index].last_received);
--- a/crates/mintlb-gossip/src/membership/probing.rs
+++ b/crates/mintlb-gossip/src/membership/probing.rs
@@ -1,4 +1,5 @@
-//! Probes of lost neighbors and of seeds, by which the sides of a network partition find each other again.
+//! Probes of lost neighbors and of seeds, by which the sides of a network partition find each other
+//! again.
 
 use super::Membership;
 use super::active_view::ACTIVE_VIEW_CAPACITY;
@@ -31,7 +32,8 @@
         }
     }
 
-    /// Handles the answer to a probe: the process is asked to become a neighbor if it was one, or if its table differs.
+    /// Handles the answer to a probe: the process is asked to become a neighbor if it was one, or
+    /// if its table differs.
     pub fn on_probe_reply(
         &mut self,
         now: Instant,
--- a/crates/mintlb-gossip/src/membership/seeds.rs
+++ b/crates/mintlb-gossip/src/membership/seeds.rs
@@ -1,4 +1,5 @@
-//! The seeds: configured addresses by which a process joins, asked again and again with exponential backoff.
+//! The seeds: configured addresses by which a process joins, asked again and again with exponential
+//! backoff.
 
 use std::net::SocketAddr;
 use std::time::Duration;
--- a/crates/mintlb-gossip/src/membership/shuffle.rs
+++ b/crates/mintlb-gossip/src/membership/shuffle.rs
@@ -49,8 +49,8 @@
         }
     }
 
-    /// A random sample of both views, without the receiver, and the process itself. About half of the sample are
-    /// neighbors, more if the passive view is small.
+    /// A random sample of both views, without the receiver, and the process itself. About half of
+    /// the sample are neighbors, more if the passive view is small.
     pub(super) fn sample(&mut self, now: Instant, to: SocketAddr) -> Vec<MemberDescriptor> {
         let is_other = |descriptor: &MemberDescriptor| descriptor.member.address != to;
         let mut sample: Vec<_> = self.active.descriptors(now).filter(is_other).collect();
@@ -67,8 +67,8 @@
         sample
     }
 
-    /// Adds members of another process's sample to the passive view. Information about an ended incarnation, or older
-    /// than a failure that this process has noticed, is ignored.
+    /// Adds members of another process's sample to the passive view. Information about an ended
+    /// incarnation, or older than a failure that this process has noticed, is ignored.
     pub(super) fn merge_descriptors(&mut self, now: Instant, sample: Vec<MemberDescriptor>) {
         for MemberDescriptor { member, age_s } in sample.into_iter().take(MAX_MERGED_DESCRIPTORS) {
             let age = Duration::from_secs(age_s.into());
--- a/crates/mintlb-gossip/src/message/anti_entropy.rs
+++ b/crates/mintlb-gossip/src/message/anti_entropy.rs
@@ -14,7 +14,8 @@
     /// The number of records in the table.
     #[n(1)]
     pub record_count: u64,
-    /// The hashes of all buckets, 4 bytes each in big-endian order; empty if the tables seemed equal to the sender.
+    /// The hashes of all buckets, 4 bytes each in big-endian order; empty if the tables seemed
+    /// equal to the sender.
     #[n(2)]
     pub bucket_hashes: ByteVec,
 }
@@ -44,8 +45,8 @@
     /// The records.
     #[n(0)]
     pub records: Vec<RecordFrame>,
-    /// The indexes of buckets whose records did not all fit into the message, a byte each. The receiver sends its
-    /// versions of these buckets again.
+    /// The indexes of buckets whose records did not all fit into the message, a byte each. The
+    /// receiver sends its versions of these buckets again.
     #[n(1)]
     pub incomplete_buckets: ByteVec,
 }
--- a/crates/mintlb-gossip/src/message/broadcast.rs
+++ b/crates/mintlb-gossip/src/message/broadcast.rs
@@ -1,5 +1,5 @@
-//! Messages of the broadcast protocol, after Plumtree (Leitão, Pereira and Rodrigues, "Epidemic Broadcast Trees",
-//! SRDS 2007), and of acknowledged publication.
+//! Messages of the broadcast protocol, after Plumtree (Leitão, Pereira and Rodrigues, "Epidemic
+//! Broadcast Trees", SRDS 2007), and of acknowledged publication.
 
 use super::record::{RecordFrame, RecordVersion};
 use crate::record_id::RecordId;
--- a/crates/mintlb-gossip/src/message/codec.rs
+++ b/crates/mintlb-gossip/src/message/codec.rs
@@ -34,8 +34,8 @@
     }
 }
 
-/// A record's body as a byte string. Decoding copies it out of the received buffer, so that a small body does not keep
-/// a large buffer alive.
+/// A record's body as a byte string. Decoding copies it out of the received buffer, so that a small
+/// body does not keep a large buffer alive.
 pub mod body {
     use bytes::Bytes;
     use minicbor::decode::{Decoder, Error as DecodeError};
--- a/crates/mintlb-gossip/src/message/membership.rs
+++ b/crates/mintlb-gossip/src/message/membership.rs
@@ -1,5 +1,5 @@
-//! Messages of the membership protocol, after HyParView (Leitão, Pereira and Rodrigues, "HyParView: a membership
-//! protocol for reliable gossip-based broadcast", DSN 2007).
+//! Messages of the membership protocol, after HyParView (Leitão, Pereira and Rodrigues, "HyParView:
+//! a membership protocol for reliable gossip-based broadcast", DSN 2007).
 
 use minicbor::{Decode, Encode};
 use mintlb_common::incarnation::Incarnation;
@@ -41,8 +41,8 @@
     pub zone: String,
 }
 
-/// A member with the age of the information about it, as in peer sampling (Jelasity et al., "Gossip-based peer
-/// sampling", 2007), but in seconds instead of hops.
+/// A member with the age of the information about it, as in peer sampling (Jelasity et al.,
+/// "Gossip-based peer sampling", 2007), but in seconds instead of hops.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub struct MemberDescriptor {
     /// The member.
@@ -76,8 +76,8 @@
     /// A sample of the sender's views.
     #[n(1)]
     pub sample: Vec<MemberDescriptor>,
-    /// Neighbors that the sender has recently lost, with the time since. They may be on the other side of a network
-    /// partition that the receiver reaches.
+    /// Neighbors that the sender has recently lost, with the time since. They may be on the other
+    /// side of a network partition that the receiver reaches.
     #[n(2)]
     pub lost_neighbors: Vec<MemberDescriptor>,
 }
--- a/crates/mintlb-gossip/src/message/mod.rs
+++ b/crates/mintlb-gossip/src/message/mod.rs
@@ -1,8 +1,9 @@
 //! The messages between two gossiping processes, and their CBOR encoding.
 //!
-//! The messages are grouped by the protocol that they belong to: [`membership`] (HyParView), [`broadcast`] (Plumtree)
-//! and [`anti_entropy`]. A message is encoded as an array of its kind's number and its content. The numbers are fixed:
-//! processes of different versions exchange messages during a rolling update.
+//! The messages are grouped by the protocol that they belong to: [`membership`] (HyParView),
+//! [`broadcast`] (Plumtree) and [`anti_entropy`]. A message is encoded as an array of its kind's
+//! number and its content. The numbers are fixed: processes of different versions exchange messages
+//! during a rolling update.
 
 pub mod anti_entropy;
 pub mod broadcast;
@@ -38,7 +39,8 @@
     /// HyParView's DISCONNECT: the receiver is not in the sender's active view.
     #[n(3)]
     Disconnect,
-    /// HyParView's SHUFFLE: a sample of the sender's views, to be answered with one of the receiver's.
+    /// HyParView's SHUFFLE: a sample of the sender's views, to be answered with one of the
+    /// receiver's.
     #[n(4)]
     Shuffle(#[n(0)] Shuffle),
     /// HyParView's SHUFFLEREPLY.
@@ -88,8 +90,8 @@
 pub struct MalformedMessage(#[from] minicbor::decode::Error);
 
 impl Message {
-    /// Encodes the message. The result is empty, which every receiver rejects as malformed, if the message holds an
-    /// address that is not IPv4.
+    /// Encodes the message. The result is empty, which every receiver rejects as malformed, if the
+    /// message holds an address that is not IPv4.
     pub fn to_bytes(&self) -> Bytes {
         minicbor::to_vec(self).unwrap_or_default().into()
     }
--- a/crates/mintlb-gossip/src/message/record.rs
+++ b/crates/mintlb-gossip/src/message/record.rs
@@ -33,10 +33,12 @@
     /// The record's version.
     #[n(1)]
     pub version: u64,
-    /// The time to live that the record was published with, in seconds; 0 for a record without expiry.
+    /// The time to live that the record was published with, in seconds; 0 for a record without
+    /// expiry.
     #[n(2)]
     pub ttl_s: u32,
-    /// What remains of the time to live at the sender, in milliseconds. The receiver keeps the record no longer.
+    /// What remains of the time to live at the sender, in milliseconds. The receiver keeps the
+    /// record no longer.
     #[n(3)]
     pub remaining_ms: u64,
     /// The record's body.
--- a/crates/mintlb-gossip/src/node.rs
+++ b/crates/mintlb-gossip/src/node.rs
@@ -1,5 +1,5 @@
-//! One gossiping process as a state machine: an input and the time go in, effects come out. There is no I/O and no
-//! clock in it, so that tests and the simulation drive it with virtual time.
+//! One gossiping process as a state machine: an input and the time go in, effects come out. There
+//! is no I/O and no clock in it, so that tests and the simulation drive it with virtual time.
 
 use crate::anti_entropy::{AntiEntropy, HEARTBEAT_INTERVAL};
 use crate::broadcast::{Acknowledgement, BroadcastTree};
@@ -69,7 +69,8 @@
 }
 
 impl Node {
-    /// A node that knows only the seeds. Its random choices depend on nothing but the seed of the generator.
+    /// A node that knows only the seeds. Its random choices depend on nothing but the seed of the
+    /// generator.
     pub fn new(now: Instant, member: Member, seeds: &[SocketAddr], rng_seed: u64) -> Node {
         let mut rng = Rng::with_seed(rng_seed);
         Node {
@@ -99,7 +100,8 @@
         &self.broadcast
     }
 
-    /// Whether the table has been compared with at least one neighbor's, and what was lacking has been received.
+    /// Whether the table has been compared with at least one neighbor's, and what was lacking has
+    /// been received.
     pub fn joined(&self) -> bool {
         self.anti_entropy.joined()
     }
@@ -257,8 +259,8 @@
         }
     }
 
-    /// Handles records by which a neighbor repairs this table. They are announced to the other neighbors, except while
-    /// this process joins: then they are the whole table.
+    /// Handles records by which a neighbor repairs this table. They are announced to the other
+    /// neighbors, except while this process joins: then they are the whole table.
     fn on_records(
         &mut self,
         now: Instant,
--- a/crates/mintlb-gossip/src/record_id.rs
+++ b/crates/mintlb-gossip/src/record_id.rs
@@ -4,8 +4,8 @@
 
 /// Identifies a record in digests, announcements and requests, in place of its key.
 ///
-/// The hash (FNV-1a, finished with a step of SplitMix64) is the same in every build, because processes of different builds
-/// exchange it.
+/// The hash (FNV-1a, finished with a step of SplitMix64) is the same in every build, because
+/// processes of different builds exchange it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
 #[cbor(transparent)]
 pub struct RecordId(#[n(0)] u64);
@@ -32,8 +32,8 @@
     }
 }
 
-/// A bijection that spreads every input bit over all output bits: one step of SplitMix64 (Steele, Lea and Flood,
-/// "Fast Splittable Pseudorandom Number Generators", 2014).
+/// A bijection that spreads every input bit over all output bits: one step of SplitMix64 (Steele,
+/// Lea and Flood, "Fast Splittable Pseudorandom Number Generators", 2014).
 pub(crate) const fn mix64(number: u64) -> u64 {
     let mut mixed = number.wrapping_add(0x9e37_79b9_7f4a_7c15);
     mixed = (mixed ^ (mixed >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
--- a/crates/mintlb-gossip/src/record_store.rs
+++ b/crates/mintlb-gossip/src/record_store.rs
@@ -1,10 +1,11 @@
 //! The records of one process with their expiry.
 //!
-//! A record with a time to live is sent with what remains of it, so that all replicas of it expire at about the same
-//! time. In the last quarter of its time to live a record counts in no digest and is sent to nobody: processes that
-//! remove it at slightly different times would otherwise bring it back to each other by anti-entropy. An expired record
-//! is retained for [`EXPIRED_RETENTION`], as a tombstone: an older version of its key, from a process that was long
-//! partitioned, must not be applied again, and that process is sent the newer one.
+//! A record with a time to live is sent with what remains of it, so that all replicas of it expire
+//! at about the same time. In the last quarter of its time to live a record counts in no digest and
+//! is sent to nobody: processes that remove it at slightly different times would otherwise bring it
+//! back to each other by anti-entropy. An expired record is retained for [`EXPIRED_RETENTION`], as
+//! a tombstone: an older version of its key, from a process that was long partitioned, must not be
+//! applied again, and that process is sent the newer one.
 
 use crate::message::{InvalidFrame, RecordFrame};
 use crate::record_id::RecordId;
@@ -123,8 +124,9 @@
         Some(RecordFrame::new(&entry.record, remaining))
     }
 
-    /// A frame of the record for a process with an older version, also if it is no longer advertised or has expired.
-    /// In this case it is sent with a quarter of its time to live, long enough to replace the older version.
+    /// A frame of the record for a process with an older version, also if it is no longer
+    /// advertised or has expired. In this case it is sent with a quarter of its time to live, long
+    /// enough to replace the older version.
     pub fn frame_for_stale_peer(&self, now: Instant, id: RecordId) -> Option<RecordFrame> {
         if let Some(frame) = self.frame(now, id) {
             return Some(frame);
@@ -134,7 +136,8 @@
         Some(RecordFrame::new(record, withdrawn_duration(record)))
     }
 
-    /// Withdraws and removes the records whose time has come. To be called before each input is handled.
+    /// Withdraws and removes the records whose time has come. To be called before each input is
+    /// handled.
     pub fn expire(&mut self, now: Instant) {
         while let Some(&Reverse((at, id))) = self.timers.peek() {
             if at > now {
@@ -146,7 +149,8 @@
         self.purge_expired(now);
     }
 
-    /// Withdraws or removes one record. The timer may belong to a former version: the current one's times decide.
+    /// Withdraws or removes one record. The timer may belong to a former version: the current one's
+    /// times decide.
     fn on_timer(&mut self, now: Instant, id: RecordId) {
         let Some(entry) = self.table.entry(id) else {
             return;
--- a/crates/mintlb-gossip/src/service.rs
+++ b/crates/mintlb-gossip/src/service.rs
@@ -1,4 +1,5 @@
-//! [`GossipService`]: a [`Node`] on the transport between processes, with publications and subscribers.
+//! [`GossipService`]: a [`Node`] on the transport between processes, with publications and
+//! subscribers.
 
 use crate::delivery::{DeliveryQueue, Subscriber};
 use crate::effects::Effect;
@@ -27,8 +28,8 @@
     pub member: Member,
 }
 
-/// No neighbor has acknowledged a publication in time. The record is applied here and on its way all the same; to
-/// publish it again is safe.
+/// No neighbor has acknowledged a publication in time. The record is applied here and on its way
+/// all the same; to publish it again is safe.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("no neighbor has acknowledged version {version} of record {key} within {waited:?}")]
 pub struct NotAcknowledged {
@@ -89,8 +90,9 @@
         service
     }
 
-    /// Publishes a record, and waits until one neighbor has acknowledged that it has this version or a newer one. A
-    /// version that is not newer than the known one changes nothing; it is acknowledged like any other.
+    /// Publishes a record, and waits until one neighbor has acknowledged that it has this version
+    /// or a newer one. A version that is not newer than the known one changes nothing; it is
+    /// acknowledged like any other.
     ///
     /// # Errors
     /// [`NotAcknowledged`] if no neighbor has acknowledged the record within `wait`.
@@ -142,8 +144,9 @@
         self.state.lock().node.table().clone()
     }
 
-    /// Calls the subscriber for each known record at once, and for each record that is applied later. A subscriber is
-    /// called by one caller at a time, in the order in which the records were applied; it may publish.
+    /// Calls the subscriber for each known record at once, and for each record that is applied
+    /// later. A subscriber is called by one caller at a time, in the order in which the records
+    /// were applied; it may publish.
     pub fn subscribe(&self, subscriber: Subscriber) {
         {
             let state = self.state.lock();
@@ -163,8 +166,8 @@
         self.state.lock().node.membership().neighbors().count()
     }
 
-    /// Becomes true, and stays so, once the table has been compared with at least one neighbor's and what was lacking
-    /// has been received. A process that is alone never joins.
+    /// Becomes true, and stays so, once the table has been compared with at least one neighbor's
+    /// and what was lacking has been received. A process that is alone never joins.
     pub fn joined(&self) -> watch::Receiver<bool> {
         self.joined.subscribe()
     }
@@ -193,8 +196,8 @@
         }
     }
 
-    /// Hands an input to the node and carries out its effects. Messages are sent and records delivered without the lock
-    /// on the state: a subscriber may publish.
+    /// Hands an input to the node and carries out its effects. Messages are sent and records
+    /// delivered without the lock on the state: a subscriber may publish.
     fn handle(&self, input: Input) {
         for (to, body) in self.handle_locked(input) {
             self.transport.notify(to, Channel::Gossip, body);
@@ -202,8 +205,8 @@
         self.deliveries.deliver();
     }
 
-    /// Hands an input to the node; returns the messages to send. Records are queued for delivery under the lock, so that
-    /// their order is that of application.
+    /// Hands an input to the node; returns the messages to send. Records are queued for delivery
+    /// under the lock, so that their order is that of application.
     fn handle_locked(&self, input: Input) -> Vec<(SocketAddr, Bytes)> {
         let mut sends = Vec::new();
         let mut state = self.state.lock();
--- a/crates/mintlb-gossip/src/table.rs
+++ b/crates/mintlb-gossip/src/table.rs
@@ -1,10 +1,11 @@
 //! The replicated table of records, in hashed buckets.
 //!
-//! Each bucket keeps a hash of its records, which neighbors compare (see [`crate::anti_entropy`]): one level of a Merkle
-//! tree, updated in place. The hash of a set of records is the XOR of a hash of each, so that it does not depend on the
-//! order of receipt.
+//! Each bucket keeps a hash of its records, which neighbors compare (see [`crate::anti_entropy`]):
+//! one level of a Merkle tree, updated in place. The hash of a set of records is the XOR of a hash
+//! of each, so that it does not depend on the order of receipt.
 //!
-//! A table is copied on write, bucket by bucket: a snapshot is a clone of an `Arc`, and stays unchanged.
+//! A table is copied on write, bucket by bucket: a snapshot is a clone of an `Arc`, and stays
+//! unchanged.
 
 use crate::message::RecordVersion;
 use crate::record_id::{RecordId, mix64};
--- a/crates/mintlb-gossip/tests/anti_entropy.rs
+++ b/crates/mintlb-gossip/tests/anti_entropy.rs
@@ -9,7 +9,8 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Two connected processes, at a random point of the heartbeat interval, the next message between which is lost.
+/// Two connected processes, at a random point of the heartbeat interval, the next message between
+/// which is lost.
 fn pair_with_lost_message(seed: u64) -> SimulatedNetwork {
     let mut network = SimulatedNetwork::fleet(seed, 2, 2);
     network.run_for(ms(3000 + seed * 37 % 500));
--- a/crates/mintlb-gossip/tests/broadcast.rs
+++ b/crates/mintlb-gossip/tests/broadcast.rs
@@ -54,7 +54,8 @@
     PoweredOff,
 }
 
-/// Lets a tenth of the processes fail at the moment of a publication; returns how long the others wait for it.
+/// Lets a tenth of the processes fail at the moment of a publication; returns how long the others
+/// wait for it.
 fn broadcast_time_with_failures(count: usize, seed: u64, failure: Failure) -> Duration {
     let mut network = SimulatedNetwork::joined_fleet(seed, count, 3);
     form_tree(&mut network, WARM_UP_RECORDS);
--- a/crates/mintlb-gossip/tests/expiry.rs
+++ b/crates/mintlb-gossip/tests/expiry.rs
@@ -41,8 +41,9 @@
     assert!(rate < 1000, "{rate} bytes a second");
 }
 
-/// A process is frozen from before the deregistration of a worker until long after its expiry; meanwhile others have
-/// restarted and never received the deregistration. The frozen process has an older version.
+/// A process is frozen from before the deregistration of a worker until long after its expiry;
+/// meanwhile others have restarted and never received the deregistration. The frozen process has an
+/// older version.
 #[test]
 fn expired_records_are_not_brought_back_by_a_frozen_process() {
     let mut longest = Duration::ZERO;
--- a/crates/mintlb-gossip/tests/incarnations.rs
+++ b/crates/mintlb-gossip/tests/incarnations.rs
@@ -1,5 +1,5 @@
-//! Which incarnation of a process is known at an address: the order of the numbers plays no part, and information of
-//! others about an ended incarnation does not bring it back.
+//! Which incarnation of a process is known at an address: the order of the numbers plays no part,
+//! and information of others about an ended incarnation does not bring it back.
 
 mod network;
 
@@ -173,7 +173,8 @@
         observer.advance(ms(1000));
         observer.receive_descriptor(wrong, 0);
         assert_eq!(observer.known(), [running]);
-        // It does not answer a request and is removed; later information of others is accepted again.
+        // It does not answer a request and is removed; later information of others is accepted
+        // again.
         for _ in 0..2 {
             observer.advance(ms(500));
             observer.node.handle(observer.now, Input::Tick);
--- a/crates/mintlb-gossip/tests/joining.rs
+++ b/crates/mintlb-gossip/tests/joining.rs
@@ -1,4 +1,5 @@
-//! Joining: by seeds that start in any order, late, or not at all, or that are partitioned from the others.
+//! Joining: by seeds that start in any order, late, or not at all, or that are partitioned from the
+//! others.
 
 mod network;
 
@@ -114,7 +115,8 @@
 const OTHERS: std::ops::Range<usize> = 3..12;
 const JOINING: usize = 12;
 
-/// All seeds, and only they, are partitioned from all others for 20 s, in which two configurations are published.
+/// All seeds, and only they, are partitioned from all others for 20 s, in which two configurations
+/// are published.
 fn fleet_with_partitioned_seeds(seed: u64) -> SimulatedNetwork {
     let mut network = SimulatedNetwork::joined_fleet(seed, 12, 3);
     network.publish(5, record("configuration", 1));
--- a/crates/mintlb-gossip/tests/network/mod.rs
+++ b/crates/mintlb-gossip/tests/network/mod.rs
@@ -1,7 +1,7 @@
 //! A simulated network of nodes with virtual time.
 //!
-//! It does what the transport does: it delivers messages on a link in order, after a delay; it reports broken links to
-//! the sender and restarts of a peer to the receiver.
+//! It does what the transport does: it delivers messages on a link in order, after a delay; it
+//! reports broken links to the sender and restarts of a peer to the receiver.
 
 // Each test file uses a part of this module.
 #![allow(dead_code)]
@@ -40,7 +40,8 @@
 const RECONNECT_BACKOFF: Duration = Duration::from_millis(150);
 /// How long the transport waits for an acknowledgement of bytes that it has sent.
 const TRANSPORT_TIMEOUT: Duration = Duration::from_millis(1200);
-/// The base of the delay of a message within a zone and between zones, in microseconds. As much again at random.
+/// The base of the delay of a message within a zone and between zones, in microseconds. As much
+/// again at random.
 const DELAY_WITHIN_ZONE_US: u64 = 500;
 const DELAY_BETWEEN_ZONES_US: u64 = 8000;
 /// How much later the second copy of a duplicated message arrives.
@@ -345,8 +346,8 @@
         self.schedule(self.now, Event::Wake(at));
     }
 
-    /// Passes a message to a node as the transport does: a new incarnation of the sender is reported first, and messages
-    /// of one that has ended are dropped.
+    /// Passes a message to a node as the transport does: a new incarnation of the sender is
+    /// reported first, and messages of one that has ended are dropped.
     fn receive(&mut self, at: SocketAddr, from: Sender, body: Bytes) {
         let Sender {
             address: peer,
@@ -406,7 +407,8 @@
         let fault = planned.map(|planned| planned.fault);
         let delay = self.random_delay(from, to);
         if self.broken_links.contains(&(from, to)) {
-            // The transport has not noticed yet that the connection is broken; what is queued for it is lost with it.
+            // The transport has not noticed yet that the connection is broken; what is queued for
+            // it is lost with it.
             return;
         }
         match self.state(to) {
--- a/crates/mintlb-gossip/tests/network/queries.rs
+++ b/crates/mintlb-gossip/tests/network/queries.rs
@@ -85,7 +85,8 @@
             .all(|&number| self.version(number, key).is_none())
     }
 
-    /// Runs until all of the processes have the version, at most for `limit`; returns how long it took.
+    /// Runs until all of the processes have the version, at most for `limit`; returns how long it
+    /// took.
     pub fn time_until_known(
         &mut self,
         among: &[usize],
--- a/crates/mintlb-gossip/tests/partitions.rs
+++ b/crates/mintlb-gossip/tests/partitions.rs
@@ -4,8 +4,8 @@
 
 use network::{SimulatedNetwork, ms, record};
 
-/// A zone is partitioned for a while, and both sides publish. Within three seconds of the end all processes have all
-/// records.
+/// A zone is partitioned for a while, and both sides publish. Within three seconds of the end all
+/// processes have all records.
 fn assert_heals(seed: u64, count: usize, zones: usize, partition_s: u64) {
     let case = format!("{count} processes, seed {seed}, partition of {partition_s} s");
     let mut network = SimulatedNetwork::joined_fleet(seed, count, zones);
--- a/crates/mintlb-gossip/tests/service.rs
+++ b/crates/mintlb-gossip/tests/service.rs
@@ -120,7 +120,8 @@
     for subscription in &mut subscriptions {
         subscription.expect("configuration", 3).await;
     }
-    // An older version changes nothing; the neighbors acknowledge it, because they have a newer one.
+    // An older version changes nothing; the neighbors acknowledge it, because they have a newer
+    // one.
     let published = services[2].publish(record("configuration", 2), TEST_TIMEOUT);
     assert_eq!(published.await, Ok(()));
     assert_eq!(
--- a/crates/mintlb-gossip/tests/sustained_updates.rs
+++ b/crates/mintlb-gossip/tests/sustained_updates.rs
@@ -1,5 +1,5 @@
-//! Hundreds of updates: the table, the traffic and the time to catch up don't grow, and no older version replaces a newer
-//! one.
+//! Hundreds of updates: the table, the traffic and the time to catch up don't grow, and no older
+//! version replaces a newer one.
 
 mod network;
 
@@ -133,7 +133,8 @@
         }
     }
 
-    /// After the outage the process publishes what it had, as a controller does that reads its own disk.
+    /// After the outage the process publishes what it had, as a controller does that reads its own
+    /// disk.
     fn publish_old_versions(self, network: &mut SimulatedNetwork) {
         for (key, version) in versions_after(self.first_missed - 1) {
             if version > 0 {
@@ -142,8 +143,8 @@
         }
     }
 
-    /// Updates go on until the process has what was current at the end of the outage. Returns how long that took and the
-    /// number of updates so far.
+    /// Updates go on until the process has what was current at the end of the outage. Returns how
+    /// long that took and the number of updates so far.
     fn catch_up(self, network: &mut SimulatedNetwork, mut update: u64) -> (Duration, u64) {
         let expected = versions_after(update);
         let start = network.now;
--- a/crates/mintlb-gossip/tests/wire_fixtures.rs
+++ b/crates/mintlb-gossip/tests/wire_fixtures.rs
@@ -1,6 +1,7 @@
-//! The bytes of the gossip messages. Processes of different versions exchange them during an update, so that a
-//! change of the source, such as a renaming, must leave each of them as it is in `fixtures/messages.txt`. The digest of
-//! a table is compared between processes, too: `fixtures/digest.txt`.
+//! The bytes of the gossip messages. Processes of different versions exchange them during an
+//! update, so that a change of the source, such as a renaming, must leave each of them as it is in
+//! `fixtures/messages.txt`. The digest of a table is compared between processes, too:
+//! `fixtures/digest.txt`.
 
 #[path = "../../mintlb-scheduler/tests/fixture/mod.rs"]
 mod fixture;
