--- a/crates/mintlb-batch/src/entry.rs
+++ b/crates/mintlb-batch/src/entry.rs
@@ -1,55 +1,58 @@
-//! Entries of a shard's log. Each lies on disk and travels as a [`crate::framing`] head with raw bytes behind
-//! it.
+//! Entries of a shard's log.
+//!
+//! An entry is stored and sent as a [`crate::framing`] head followed by raw bytes. Stores never decode the raw bytes:
+//! they are the payloads and result texts of items.
 
+use crate::epoch_history::LogIndex;
 use crate::framing;
+use crate::messages::JobName;
 use bytes::Bytes;
 use minicbor::{Decode, Encode};
 
-/// One entry.
+/// One log entry.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub enum Entry {
-    /// A primary begins its epoch.
+    /// First entry of an epoch. Once a quorum has it, everything before it is committed as well.
     #[n(0)]
     EpochStart,
-    /// A lot is taken. Raw: the payloads of its items, one after another; none once they are no longer
-    /// needed.
+    /// A job was accepted. Raw: the concatenated payloads of its items; empty once they were stripped.
     #[n(1)]
     Accepted(#[n(0)] JobHeader),
-    /// An item is listed. Raw: its text.
+    /// The result of an item was recorded. Raw: its text.
     #[n(2)]
     Result {
-        /// The lot, by the index of its entry.
+        /// Index of the entry that accepted the job.
         #[n(0)]
-        job: u64,
-        /// The item's place in the lot.
+        job: LogIndex,
+        /// Offset of the item within the job.
         #[n(1)]
         item: u32,
-        /// How it came out.
+        /// Final state of the item.
         #[n(2)]
         state: ItemState,
     },
-    /// A lot is ended.
+    /// A job was ended: its items without a result won't get one.
     #[n(3)]
     Ended {
-        /// The lot, by the index of its entry.
+        /// Index of the entry that accepted the job.
         #[n(0)]
-        job: u64,
+        job: LogIndex,
     },
 }
 
-/// A lot without the payloads of its items.
+/// A job without the payloads of its items.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub struct JobHeader {
     /// The `Host` of its route.
     #[n(0)]
     pub host: String,
-    /// The id that its client gave it.
+    /// The id assigned by the client; unique within the host.
     #[n(1)]
     pub id: String,
-    /// The name of its route.
+    /// Name of its route.
     #[n(2)]
     pub route: String,
-    /// Its times and limits.
+    /// Deadlines and retry limits.
     #[n(3)]
     pub terms: JobTerms,
     /// Its items, in the client's order.
@@ -57,19 +60,19 @@
     pub items: Vec<ItemHeader>,
 }
 
-/// Times and limits of a lot.
+/// Deadlines and retry limits of a job.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub struct JobTerms {
-    /// When it was first sent, as far as the dispatcher that took it knows; Unix time in ms.
+    /// When the job was first submitted, as far as the accepting dispatcher knows; Unix time in ms.
     #[n(0)]
     pub sent_at_ms: u64,
-    /// All results are due so long after that, in ms.
+    /// Time from submission until all results are due, in ms.
     #[n(1)]
     pub completion_target_ms: u64,
-    /// Its items may be given up so long after it was sent, in ms.
+    /// Time from submission after which items may be given up, in ms.
     #[n(2)]
     pub retention_ms: u64,
-    /// Answers of 500 after which an item may be given up.
+    /// Number of responses with status 500 after which an item may be given up.
     #[n(3)]
     pub max_attempts: u32,
 }
@@ -77,56 +80,58 @@
 /// An item without its payload.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct ItemHeader {
-    /// Its `instance_id`.
+    /// The client's `instance_id`; unique within the job.
     #[n(0)]
     pub id: String,
-    /// Its tokens: those of the prompt and the most out.
+    /// Prompt tokens and maximum output tokens.
     #[n(1)]
     pub tokens: u64,
-    /// Bytes of its payload.
+    /// Length of the payload in bytes.
     #[n(2)]
     pub length: u64,
 }
 
-/// How an item came out.
+/// Final state of an item.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 #[cbor(index_only)]
 pub enum ItemState {
-    /// With its whole output.
+    /// Its output is complete.
     #[n(0)]
     Completed,
-    /// It can't be done.
+    /// It was given up.
     #[n(1)]
     Unrecoverable,
 }
 
-/// What a worker is sent for an item: its payload in an [`Entry::Accepted`].
+/// The request that a worker gets for an item, without the body: the head of each payload of [`Entry::Accepted`].
 #[derive(Clone, Debug, Default, PartialEq, Encode, Decode)]
 pub struct ItemPayload {
-    /// The path of the `POST`.
+    /// Path of the `POST` request.
     #[n(0)]
     pub path: String,
-    /// Its headers.
+    /// Header fields as name and value.
     #[n(1)]
     pub headers: Vec<(String, String)>,
 }
 
 impl ItemPayload {
-    /// The payload with the item's body behind it.
+    /// Encodes the payload, with the body of the request behind it.
     pub fn encode(&self, body: &[u8]) -> Bytes {
         framing::encode(self, &[body])
     }
 
-    /// The payload and the item's body.
+    /// Decodes a payload into its head and the body of the request; `None` if it is malformed.
     pub fn decode(bytes: &Bytes) -> Option<(ItemPayload, Bytes)> {
         framing::decode(bytes)
     }
 }
 
 impl JobHeader {
-    /// Where an item's payload lies within the payloads of the lot.
-    pub fn payload_range(&self, item: usize) -> std::ops::Range<usize> {
-        let start: u64 = self.items[..item].iter().map(|item| item.length).sum();
-        start as usize..(start + self.items[item].length) as usize
+    /// Identity of the job towards clients.
+    pub fn name(&self) -> JobName {
+        JobName {
+            host: self.host.clone(),
+            id: self.id.clone(),
+        }
     }
 }
--- a/crates/mintlb-batch/src/lib.rs
+++ b/crates/mintlb-batch/src/lib.rs
@@ -23,3 +23,4 @@
 pub mod peer;
 pub mod placement_planner;
 pub mod replica;
+pub mod timestamp;
--- /dev/null
+++ b/crates/mintlb-batch/src/messages/request.rs
@@ -0,0 +1,106 @@
+//! Requests of dispatchers to the primary of a shard.
+
+use super::{DispatcherId, ItemName, JobName, LeasedItems};
+use crate::entry::{ItemState, JobHeader};
+use crate::epoch_history::Epoch;
+use minicbor::{Decode, Encode};
+
+/// A request of a dispatcher to a store.
+#[derive(Clone, Debug, PartialEq, Encode, Decode)]
+pub enum StoreRequest {
+    /// Accepts a job. Raw: the concatenated payloads of its items.
+    #[n(0)]
+    Submit(#[n(0)] Submit),
+    /// Reads results of a job from a position on.
+    #[n(1)]
+    Read(#[n(0)] Read),
+    /// Reads the payload of an item without a result.
+    #[n(2)]
+    Body(#[n(0)] ItemName),
+    /// Ends a job.
+    #[n(3)]
+    End(#[n(0)] JobName),
+    /// Leases items that nobody runs, of all shards whose active primary the store is.
+    #[n(4)]
+    Lease(#[n(0)] Lease),
+    /// Renews leases.
+    #[n(5)]
+    Renew(#[n(0)] Renew),
+    /// Records the result of an item. Raw: its text.
+    #[n(6)]
+    Record(#[n(0)] Record),
+    /// Gives all leases of a dispatcher back.
+    #[n(7)]
+    Release(#[n(0)] DispatcherId),
+}
+
+/// Submission of a job.
+#[derive(Clone, Debug, PartialEq, Encode, Decode)]
+pub struct Submit {
+    /// The shard's epoch as the dispatcher knows it. A store rejects any other one, so that a request delayed in the
+    /// network is not executed after the dispatcher has given it up.
+    #[n(0)]
+    pub epoch: Epoch,
+    /// The dispatcher that leases the items with the submission.
+    #[n(1)]
+    pub owner: DispatcherId,
+    /// Limit of queued tokens on the job's route; 0 is no limit.
+    #[n(2)]
+    pub max_queued_tokens: u64,
+    /// The job without its payloads.
+    #[n(3)]
+    pub job: JobHeader,
+}
+
+/// Reading of results.
+#[derive(Clone, Debug, PartialEq, Encode, Decode)]
+pub struct Read {
+    /// The job.
+    #[n(0)]
+    pub job: JobName,
+    /// Position of the first result to return.
+    #[n(1)]
+    pub start_after: u64,
+    /// How long to wait for a first result, in ms.
+    #[n(2)]
+    pub wait_ms: u64,
+    /// Maximum bytes of texts to return; a single longer one is returned alone.
+    #[n(3)]
+    pub max_bytes: u64,
+}
+
+/// Leasing of items.
+#[derive(Clone, Debug, PartialEq, Encode, Decode)]
+pub struct Lease {
+    /// The dispatcher that is to run them.
+    #[n(0)]
+    pub owner: DispatcherId,
+    /// Maximum number of items.
+    #[n(1)]
+    pub max_items: u32,
+}
+
+/// Renewal of leases.
+#[derive(Clone, Debug, PartialEq, Encode, Decode)]
+pub struct Renew {
+    /// The dispatcher that runs the items.
+    #[n(0)]
+    pub owner: DispatcherId,
+    /// The items by job.
+    #[n(1)]
+    pub jobs: Vec<LeasedItems>,
+}
+
+/// The result of an item.
+#[derive(Clone, Debug, PartialEq, Encode, Decode)]
+pub struct Record {
+    /// The job.
+    #[n(0)]
+    pub job: JobName,
+    /// Offset of the item within the job.
+    #[n(1)]
+    pub item: u32,
+    /// Final state of the item.
+    #[n(2)]
+    pub state: ItemState,
+}
--- a/crates/mintlb-batch/src/peer.rs
+++ b/crates/mintlb-batch/src/peer.rs
@@ -1,116 +1,122 @@
-//! Messages between the replicas of a shard: notices on [`mintlb_common::transport::Channel::Batch`], each a
-//! [`crate::framing`] head; entries are raw behind it. A lost one is made good by the sender's next one.
+//! Messages between the replicas of a shard.
+//!
+//! They are notifications on [`mintlb_common::transport::Channel::Batch`], each a [`crate::framing`] head with log
+//! entries as raw bytes. Delivery is not reliable: a lost message is made up for by the sender's next one.
+//!
+//! Replication is primary-backup with epochs, close to Viewstamped Replication and Raft: [`PeerMessage::Append`] is
+//! Raft's AppendEntries; [`PeerMessage::NewEpoch`] and [`PeerMessage::EpochAck`] are the discovery phase of Zab (and
+//! the view change of Viewstamped Replication), except that the controllers choose the primary.
 
-use crate::epoch_history::{EpochHistory, EpochRun, LogPosition};
+use crate::epoch_history::{Epoch, EpochHistory, EpochRun, LogIndex, LogPosition};
 use minicbor::{Decode, Encode};
 use mintlb_common::placement::StoreId;
 
-/// A message with its sender and shard.
+/// A message with its sender, receiver, shard and epoch.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub struct Envelope {
-    /// The store that sends it.
+    /// The sender.
     #[n(0)]
     pub from: StoreId,
-    /// The store it is for; another one at this address drops it.
+    /// The receiver; another store at the same address drops the message.
     #[n(1)]
     pub to: StoreId,
-    /// The shard it is about.
+    /// The shard.
     #[n(2)]
     pub shard: u32,
-    /// The epoch the sender speaks for.
+    /// The epoch in which the message was sent; replicas in a later one reject it.
     #[n(3)]
-    pub epoch: u64,
-    /// What it says.
+    pub epoch: Epoch,
+    /// The message.
     #[n(4)]
     pub message: PeerMessage,
 }
 
-/// What replicas say to each other.
+/// A message between replicas.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub enum PeerMessage {
-    /// The primary's log from a place on. Raw: the entries.
+    /// Entries of the primary's log, or none as a probe. Raw: the entries.
     #[n(0)]
     Append(#[n(0)] Append),
-    /// The sender's log equals the primary's up to `matched`, on disk.
+    /// The sender's log equals the primary's up to `matched`, and is durable.
     #[n(1)]
     Appended {
-        /// Up to here.
+        /// Index of the last matching entry.
         #[n(0)]
-        matched: u64,
-        /// `sent_at` of the message that is answered.
+        matched: LogIndex,
+        /// `sent_at` of the acknowledged append.
         #[n(1)]
         echo: u64,
     },
-    /// The sender lacks the place that the append goes on from. Its log:
+    /// The sender's log lacks the position that an append starts from.
     #[n(2)]
     Diverged {
-        /// Its log.
+        /// The sender's log.
         #[n(0)]
         log: EpochHistory,
-        /// `sent_at` of the message that is answered.
+        /// `sent_at` of the rejected append.
         #[n(1)]
         echo: u64,
     },
-    /// The sender has promised a higher epoch, the one of the envelope.
+    /// The receiver is fenced: the sender is in a later epoch, that of the envelope.
     #[n(3)]
     Fenced,
-    /// A new primary asks for a promise and for what the receiver has.
+    /// A new primary asks the receiver to enter its epoch, and for its log.
     #[n(4)]
     NewEpoch,
-    /// The promise is given, on disk; the sender's log is this.
+    /// The sender has entered the epoch durably, and rejects earlier ones from now on.
     #[n(5)]
     EpochAck {
-        /// Its log.
+        /// The sender's log.
         #[n(0)]
         log: EpochHistory,
     },
-    /// A new primary lacks what lies behind this index.
+    /// A new primary requests entries of the receiver's log.
     #[n(6)]
     Fetch {
-        /// Behind this index.
+        /// Index of the last entry that need not be sent.
         #[n(0)]
-        after: u64,
+        after: LogIndex,
     },
-    /// A part of the sender's log. Raw: the entries.
+    /// Entries of the sender's log. Raw: the entries.
     #[n(7)]
     Fetched(#[n(0)] Append),
 }
 
-/// A part of a log.
+/// A range of a log.
 #[derive(Clone, Debug, Default, PartialEq, Encode, Decode)]
 pub struct Append {
-    /// The place just before the part.
+    /// The position just before the range.
     #[n(0)]
     pub previous: LogPosition,
-    /// The part's last index; equal to the previous one if the part is empty.
+    /// Index of the last entry; that of `previous` if the range is empty.
     #[n(1)]
-    pub through: u64,
-    /// The epochs of the part.
+    pub through: LogIndex,
+    /// The epochs of the range.
     #[n(2)]
     pub runs: Vec<EpochRun>,
-    /// Index and length of each entry that is still needed, in order.
+    /// Index and length of each entry that is still needed, in ascending order.
     #[n(3)]
     pub entries: Vec<EntryLength>,
-    /// Up to here the primary's log is committed.
+    /// Commit index of the primary.
     #[n(4)]
-    pub commit_index: u64,
-    /// The primary's clock, given back by the answer.
+    pub commit_index: LogIndex,
+    /// When it was sent, in ms of the primary's monotonic clock; echoed in the response.
     #[n(5)]
     pub sent_at: u64,
-    /// Where entries of the part are no longer needed and left out: all lots up to its end that the sender has,
-    /// by the index of their entries. Any others are dropped by the receiver, as the results or the end of such
-    /// a lot may be what is left out, and without them it would seem to wait.
+    /// If entries of the range are omitted as no longer needed: the sender's jobs up to the end of the range, by the
+    /// indexes of their entries. The receiver drops all others, as the results or the end of such a job may be among
+    /// the omitted entries, and without them it would stay pending forever.
     #[n(6)]
-    pub jobs: Option<Vec<u64>>,
+    pub jobs: Option<Vec<LogIndex>>,
 }
 
-/// An entry's index and the bytes it takes.
+/// Index and encoded length of an entry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct EntryLength {
     /// Its index.
     #[n(0)]
-    pub index: u64,
-    /// Its bytes.
+    pub index: LogIndex,
+    /// Its length in bytes.
     #[n(1)]
     pub length: u64,
 }
--- a/crates/mintlb-batch/src/replica/takeover.rs
+++ b/crates/mintlb-batch/src/replica/takeover.rs
@@ -1,147 +1,200 @@
-//! A replica is to be the primary of a new epoch: it reads from so many of the previous replicas that every
-//! committed entry is at one of them, takes the log that ends at the highest place, and begins its epoch on
-//! top of that. A takeover that was begun before and did not come to be in charge may have left such a log at a
-//! replica already: one that holds an entry of an epoch later than the settled one is read alone. So the previous
-//! replicas are not needed any more once one replica has begun. Nor are the others if the settled epoch's primary has
-//! its disk: it has all that was committed.
+//! Taking over a shard as the primary of a new epoch.
+//!
+//! The new primary makes replicas enter its epoch and reads which log each has, adopts the log that ends at the
+//! highest position among enough of the previous replicas, and starts its epoch on top of that. Every committed entry
+//! is in that log, as any `tolerance + 1` of the previous replicas intersect with those read (the view change of
+//! Viewstamped Replication; the discovery and synchronization phases of Zab).
+//!
+//! Fewer logs are enough in two cases, see [`Replica::is_complete`]: an earlier takeover that never became active may
+//! already have left such a log at a replica, and the primary of the last active epoch has everything that was
+//! committed in it.
 
 use super::primary::Primary;
-use super::{AfterSync, DiskWrite, Effect, Replica, Role};
+use super::{AfterSync, Effect, Replica, Role};
 use crate::entry::Entry;
-use crate::epoch_history::EpochHistory;
-use crate::framing;
-use crate::job_table::Timestamp;
+use crate::epoch_history::{Epoch, EpochHistory};
 use crate::peer::{Append, PeerMessage};
+use crate::timestamp::Timestamp;
 use bytes::Bytes;
 use mintlb_common::placement::StoreId;
 use std::time::Duration;
 
-/// How often an unanswered question is asked again.
+/// Interval at which unanswered requests are repeated.
 const RETRY_INTERVAL: Duration = Duration::from_millis(250);
-/// A source that sent nothing for so long is given up, and the takeover begins anew.
+/// A source that sent nothing for this long is given up, and the logs are collected anew.
 const SOURCE_TIMEOUT: Duration = Duration::from_millis(1500);
 
-/// A takeover under way.
+/// A takeover in progress.
 #[derive(Debug)]
 pub(super) struct Takeover {
-    /// The epoch to begin.
-    pub epoch: u64,
-    /// What the previous replicas have, this one included.
-    acks: Vec<(StoreId, EpochHistory)>,
-    /// Whose log is taken, up to which index, and when it last sent something.
-    source: Option<(StoreId, EpochHistory, Timestamp)>,
+    /// The epoch to start.
+    pub epoch: Epoch,
+    /// The logs of replicas that have entered the epoch, this one included.
+    acks: Vec<EpochAck>,
+    /// The replica whose log is being fetched.
+    source: Option<Source>,
     last_request: Timestamp,
 }
 
+/// A replica that has entered the epoch, and its log.
+#[derive(Clone, Debug)]
+struct EpochAck {
+    store: StoreId,
+    log: EpochHistory,
+}
+
+#[derive(Debug)]
+struct Source {
+    store: StoreId,
+    /// The log to adopt.
+    log: EpochHistory,
+    last_received: Timestamp,
+}
+
+impl Takeover {
+    fn new(epoch: Epoch, now: Timestamp) -> Takeover {
+        Takeover {
+            epoch,
+            acks: Vec::new(),
+            source: None,
+            last_request: now,
+        }
+    }
+
+    /// Notes a replica's log, in place of an earlier one.
+    fn add(&mut self, ack: EpochAck) {
+        self.acks.retain(|other| other.store != ack.store);
+        self.acks.push(ack);
+    }
+
+    /// The log that ends at the highest position.
+    fn best(&self) -> Option<EpochAck> {
+        self.acks.iter().max_by_key(|ack| ack.log.end()).cloned()
+    }
+
+    /// Gives up a source that has timed out; whether it has.
+    fn drop_silent_source(&mut self, now: Timestamp) -> bool {
+        let is_silent =
+            |source: &Source| now.saturating_sub(source.last_received) >= SOURCE_TIMEOUT;
+        if !self.source.as_ref().is_some_and(is_silent) {
+            return false;
+        }
+        self.source = None;
+        self.acks.clear();
+        true
+    }
+}
+
 impl Replica {
-    /// Begins the epoch of the assignment, of which this replica is the primary.
+    /// Begins the epoch of the assignment, whose primary this replica is.
     pub(super) fn begin_epoch(&mut self, now: Timestamp) {
         let epoch = self.assignment.epoch;
-        self.advance_epoch(epoch);
-        // With an entry of this epoch in the own log, everything older is in it, too: a restart.
+        self.enter_epoch(epoch);
+        // A restart within the epoch: with an entry of this epoch in the own log, everything older is in it as well.
         if self.meta.log.end().epoch == epoch {
             return self.become_primary(now);
         }
         if self.assignment.previous.is_empty() {
-            // Only at the very first there is nothing to read.
+            // Only the very first epoch has nothing to read.
             if epoch == 1 && self.meta.log.last() == 0 {
                 return self.append_epoch_start(now);
             }
             log::error!(
-                "lots: shard {}: epoch {epoch} was begun by this store, which lacks it",
+                "batch: shard {}: this store started epoch {epoch}, but its disk lacks the epoch's entries",
                 self.shard
             );
             return;
         }
-        log::info!("lots: shard {}: takes over, epoch {epoch}", self.shard);
-        self.role = Role::TakingOver(Takeover {
-            epoch,
-            acks: Vec::new(),
-            source: None,
-            last_request: now,
-        });
-        self.effects
-            .push(Effect::AfterSync(AfterSync::EpochPersisted(epoch)));
+        log::info!(
+            "batch: shard {}: taking over as primary, epoch {epoch}",
+            self.shard
+        );
+        self.role = Role::TakingOver(Takeover::new(epoch, now));
+        self.after_sync(AfterSync::EpochPersisted(epoch));
         self.send_new_epoch(epoch);
     }
 
-    /// Asks all that may have what was told.
-    fn send_new_epoch(&mut self, epoch: u64) {
-        let mut others = self.assignment.previous.clone();
-        others.extend(
-            self.assignment
-                .replicas
-                .iter()
-                .filter(|id| !self.assignment.previous.contains(id)),
-        );
-        for id in others
-            .into_iter()
+    /// Requests the logs of all replicas that may have committed entries.
+    fn send_new_epoch(&mut self, epoch: Epoch) {
+        let previous = self.assignment.previous.iter();
+        let new = self.assignment.replicas.iter();
+        let new = new.filter(|id| !self.assignment.previous.contains(id));
+        let others: Vec<StoreId> = previous
+            .chain(new)
+            .copied()
             .filter(|id| *id != self.settings.store_id)
-        {
-            let collect = self.envelope(id, epoch, PeerMessage::NewEpoch);
-            self.effects.push(Effect::Send(collect));
+            .collect();
+        for id in others {
+            let envelope = self.envelope(id, epoch, PeerMessage::NewEpoch);
+            self.effects.push(Effect::Send(envelope));
         }
     }
 
-    pub(super) fn on_epoch_persisted(&mut self, epoch: u64, now: Timestamp) {
+    /// The own log counts as read once the own disk has the epoch, too.
+    pub(super) fn on_epoch_persisted(&mut self, epoch: Epoch, now: Timestamp) {
         let log = self.meta.log.clone();
         self.on_epoch_ack(self.settings.store_id, epoch, log, now);
     }
 
-    /// Every committed entry is at `tolerance + 1` of the previous replicas, so all but `tolerance` have to
-    /// be read.
+    /// How many of the previous replicas have to be read: every committed entry is at `tolerance + 1` of them, so all
+    /// but `tolerance`.
     fn acks_needed(&self) -> usize {
-        self.assignment
-            .previous
-            .len()
-            .saturating_sub(self.settings.tolerance)
-            .max(1)
+        let previous = self.assignment.previous.len();
+        previous.saturating_sub(self.settings.tolerance).max(1)
     }
 
-    /// Whether the log of this replica holds all that was told, so that no other has to be read. It does if it was
-    /// begun after the settled epoch, from enough of the previous replicas, which have refused the settled epoch's
-    /// primary since. And it does if it is the one of that primary: nobody else appended in that epoch, an entry is
-    /// on its disk before it is committed, and with its promise it commits nothing more.
+    /// Whether the log of this replica alone is sure to have everything that was committed.
+    ///
+    /// It has if it holds an entry of an epoch after the last active one: that epoch was started on top of the logs of
+    /// enough previous replicas, which have rejected the primary of the last active epoch since. And it has if it is
+    /// the log of the last active epoch's primary: nobody else appended in that epoch, its own disk has an entry before
+    /// it is committed, and having entered the new epoch it commits nothing more.
     fn is_complete(&self, from: StoreId, log: &EpochHistory) -> bool {
-        let Some(last_active_epoch) = self.assignment.last_active_epoch else {
+        let Some(last_active) = self.assignment.last_active_epoch else {
             return false;
         };
         let epoch = log.end().epoch;
-        epoch > last_active_epoch
-            || epoch == last_active_epoch && self.assignment.previous.first() == Some(&from)
+        let is_last_primary = self.assignment.previous.first() == Some(&from);
+        epoch > last_active || epoch == last_active && is_last_primary
     }
 
     pub(super) fn on_epoch_ack(
         &mut self,
         from: StoreId,
-        epoch: u64,
+        epoch: Epoch,
         log: EpochHistory,
         now: Timestamp,
     ) {
         let needed = self.acks_needed();
         let is_previous = self.assignment.previous.contains(&from);
         let is_complete = self.is_complete(from, &log);
-        let Role::TakingOver(takeover) = &mut self.role else {
+        let Some(takeover) = self.role.takeover_mut() else {
             return;
         };
         if takeover.epoch != epoch || !(is_previous || is_complete) || takeover.source.is_some() {
             return;
         }
-        takeover.acks.retain(|(id, _)| *id != from);
-        takeover.acks.push((from, log));
+        takeover.add(EpochAck { store: from, log });
         if takeover.acks.len() < needed && !is_complete {
             return;
         }
-        let best = takeover
-            .acks
-            .iter()
-            .max_by_key(|(_, log)| log.end())
-            .cloned();
-        let Some((source, log)) = best else { return };
-        if log.end() <= self.meta.log.end() {
+        if let Some(best) = takeover.best() {
+            self.adopt_log(best, now);
+        }
+    }
+
+    /// Adopts a log: fetches what the own one lacks of it, then starts the epoch.
+    fn adopt_log(&mut self, ack: EpochAck, now: Timestamp) {
+        if ack.log.end() <= self.meta.log.end() {
             return self.append_epoch_start(now);
         }
-        takeover.source = Some((source, log, now));
+        if let Some(takeover) = self.role.takeover_mut() {
+            takeover.source = Some(Source {
+                store: ack.store,
+                log: ack.log,
+                last_received: now,
+            });
+        }
         self.fetch();
     }
 
@@ -149,33 +202,32 @@
         let Role::TakingOver(takeover) = &self.role else {
             return;
         };
-        let Some((source, log, _)) = &takeover.source else {
+        let Some(source) = &takeover.source else {
             return;
         };
-        let after = self.meta.log.common(log);
-        let fetch = self.envelope(*source, takeover.epoch, PeerMessage::Fetch { after });
-        self.effects.push(Effect::Send(fetch));
+        let after = self.meta.log.common(&source.log);
+        let fetch = PeerMessage::Fetch { after };
+        let envelope = self.envelope(source.store, takeover.epoch, fetch);
+        self.effects.push(Effect::Send(envelope));
     }
 
     pub(super) fn on_fetched(
         &mut self,
         from: StoreId,
-        epoch: u64,
+        epoch: Epoch,
         append: Append,
         raw: Bytes,
         now: Timestamp,
     ) {
-        let Role::TakingOver(takeover) = &mut self.role else {
+        let takeover = self.role.takeover_mut();
+        let Some(takeover) = takeover.filter(|takeover| takeover.epoch == epoch) else {
             return;
         };
-        let Some((source, log, last_received)) = &mut takeover.source else {
+        let Some(source) = takeover.source.as_mut().filter(|s| s.store == from) else {
             return;
         };
-        if takeover.epoch != epoch || *source != from {
-            return;
-        }
-        *last_received = now;
-        let end = log.end();
+        source.last_received = now;
+        let end = source.log.end();
         if self.apply_append(&append, raw, now).is_err() {
             return;
         }
@@ -186,62 +238,40 @@
     }
 
     pub(super) fn tick_takeover(&mut self, now: Timestamp) {
-        let Role::TakingOver(takeover) = &mut self.role else {
+        let Some(takeover) = self.role.takeover_mut() else {
             return;
         };
         let epoch = takeover.epoch;
-        let silent = |last_received: Timestamp| now.saturating_sub(last_received) >= SOURCE_TIMEOUT;
-        if takeover
-            .source
-            .as_ref()
-            .is_some_and(|(_, _, last_received)| silent(*last_received))
-        {
-            takeover.source = None;
-            takeover.acks.clear();
-            self.effects
-                .push(Effect::AfterSync(AfterSync::EpochPersisted(epoch)));
+        let has_lost_source = takeover.drop_silent_source(now);
+        let is_due = now.saturating_sub(takeover.last_request) >= RETRY_INTERVAL;
+        if is_due {
+            takeover.last_request = now;
         }
-        let Role::TakingOver(takeover) = &mut self.role else {
-            return;
-        };
-        if now.saturating_sub(takeover.last_request) < RETRY_INTERVAL {
-            return;
+        let is_fetching = takeover.source.is_some();
+        if has_lost_source {
+            self.after_sync(AfterSync::EpochPersisted(epoch));
         }
-        takeover.last_request = now;
-        match takeover.source {
-            Some(_) => self.fetch(),
-            None => self.send_new_epoch(epoch),
+        match (is_due, is_fetching) {
+            (false, _) => (),
+            (true, true) => self.fetch(),
+            (true, false) => self.send_new_epoch(epoch),
         }
     }
 
-    /// The own log holds all that is committed: the epoch's first entry goes on top.
+    /// Starts the epoch: the own log has everything that is committed, and its first entry goes on top.
     fn append_epoch_start(&mut self, now: Timestamp) {
-        let index = self.meta.log.last() + 1;
-        let bytes = framing::encode(&Entry::EpochStart, &[]);
-        self.meta.log.extend(index, self.assignment.epoch);
-        self.meta_changed = true;
-        self.jobs
-            .apply(index, &Entry::EpochStart, bytes.len() as u64, 0, now);
-        self.effects
-            .push(Effect::Write(DiskWrite::Put(index, bytes)));
+        self.append_entry(self.assignment.epoch, &Entry::EpochStart, &[], now);
         self.become_primary(now);
     }
 
     fn become_primary(&mut self, now: Timestamp) {
         let epoch = self.assignment.epoch;
-        let followers = self
-            .assignment
-            .replicas
-            .iter()
-            .copied()
-            .filter(|id| *id != self.settings.store_id);
+        let own = self.settings.store_id;
+        let replicas = self.assignment.replicas.iter().copied();
+        let followers = replicas.filter(|id| *id != own);
         let through = self.meta.log.last();
         self.role = Role::Primary(Primary::new(epoch, through, followers, now));
         self.leases.restart(now);
-        self.effects
-            .push(Effect::AfterSync(AfterSync::LogPersisted {
-                epoch,
-                through,
-            }));
+        self.after_sync(AfterSync::LogPersisted { epoch, through });
     }
 }
--- a/crates/mintlb-batch/tests/leases.rs
+++ b/crates/mintlb-batch/tests/leases.rs
@@ -1,8 +1,9 @@
 //! Who runs which item: each lease lives by its own renewals.
 
 use mintlb_batch::entry::{Entry, ItemHeader, ItemState, JobHeader, JobTerms};
-use mintlb_batch::job_table::{JobTable, Timestamp};
-use mintlb_batch::leases::{LEASE_DURATION, Leases};
+use mintlb_batch::job_table::JobTable;
+use mintlb_batch::leases::{ItemRef, LEASE_DURATION, Leases};
+use mintlb_batch::timestamp::Timestamp;
 use std::time::Duration;
 
 const LOT: u64 = 1;
@@ -29,10 +30,14 @@
     jobs
 }
 
+fn item(item: u32) -> ItemRef {
+    ItemRef { job: LOT, item }
+}
+
 fn open(leases: &Leases, jobs: &JobTable, now: Timestamp) -> Vec<u32> {
     leases
-        .open_items(jobs, LOT, now)
-        .map(|(_, item)| item)
+        .unleased_items(jobs, LOT, now)
+        .map(|item| item.item)
         .collect()
 }
 
@@ -43,17 +48,17 @@
     owner: u64,
     now: Timestamp,
 ) -> Vec<u32> {
-    leases.renew(LOT, jobs.get(LOT).unwrap(), items, owner, now)
+    leases.renew(jobs.get(LOT).unwrap(), items, owner, now)
 }
 
 #[test]
 fn an_item_whose_grant_was_lost_is_open_again_while_its_holder_runs_others() {
     let (jobs, mut leases) = (jobs(), Leases::default());
     let second = Duration::from_secs(1);
-    leases.grant(LOT, 0, ONE, Timestamp::ZERO);
+    leases.grant(item(0), ONE, Timestamp::ZERO);
     // The answer with these two never came.
-    leases.grant(LOT, 1, ONE, Timestamp::ZERO);
-    leases.grant(LOT, 2, ONE, Timestamp::ZERO);
+    leases.grant(item(1), ONE, Timestamp::ZERO);
+    leases.grant(item(2), ONE, Timestamp::ZERO);
     for at in 1..3 {
         assert!(renew(&mut leases, &jobs, &[0], ONE, second * at).is_empty());
         assert!(open(&leases, &jobs, second * at).is_empty());
@@ -74,7 +79,7 @@
     );
     assert!(open(&leases, &jobs, almost).is_empty());
     // Frozen for as long as its lease lasts, it finds that another holds the items now.
-    leases.grant(LOT, 0, TWO, LEASE_DURATION);
+    leases.grant(item(0), TWO, LEASE_DURATION);
     assert!(renew(&mut leases, &jobs, &[1], TWO, LEASE_DURATION).is_empty());
     assert_eq!(
         renew(&mut leases, &jobs, &[0, 1, 2], ONE, LEASE_DURATION),
@@ -102,17 +107,17 @@
     let (jobs, mut leases) = (jobs(), Leases::default());
     leases.grant_all(LOT, 3, ONE, Timestamp::ZERO);
     let job = jobs.get(LOT).unwrap();
-    leases.failed(LOT, job, 1, 2);
+    leases.record_failures(job, 1, 2);
     // An older word of it comes late; another names an item that is none.
-    leases.failed(LOT, job, 1, 1);
-    leases.failed(LOT, job, 900, 1);
+    leases.record_failures(job, 1, 1);
+    leases.record_failures(job, 900, 1);
     leases.release(ONE);
-    leases.grant(LOT, 1, TWO, LEASE_DURATION);
+    leases.grant(item(1), TWO, LEASE_DURATION);
     assert_eq!(
         (
-            leases.failures(LOT, 1),
-            leases.failures(LOT, 0),
-            leases.failures(LOT, 900)
+            leases.failures(item(1)),
+            leases.failures(item(0)),
+            leases.failures(item(900))
         ),
         (2, 0, 0)
     );
--- a/crates/mintlb-batch/tests/model/disk.rs
+++ b/crates/mintlb-batch/tests/model/disk.rs
@@ -3,7 +3,7 @@
 use bytes::Bytes;
 use mintlb_batch::entry::Entry;
 use mintlb_batch::framing;
-use mintlb_batch::replica::{DiskWrite, ShardMeta};
+use mintlb_batch::replica::{DiskWrite, LoadedEntry, ShardMeta};
 use std::collections::BTreeMap;
 
 /// What is durable.
@@ -36,15 +36,15 @@
         }
     }
 
-    pub fn load(&self) -> impl Iterator<Item = (u64, Entry, u64, u64)> {
+    pub fn load(&self) -> impl Iterator<Item = LoadedEntry> {
         self.entries.iter().map(|(index, bytes)| {
             let (entry, end) = framing::decode_head::<Entry>(bytes).unwrap();
-            (
-                *index,
+            LoadedEntry {
+                index: *index,
                 entry,
-                bytes.len() as u64,
-                (bytes.len() - end) as u64,
-            )
+                length: bytes.len() as u64,
+                raw_length: (bytes.len() - end) as u64,
+            }
         })
     }
 }
--- a/crates/mintlb-batch/tests/model/mod.rs
+++ b/crates/mintlb-batch/tests/model/mod.rs
@@ -14,7 +14,7 @@
 use machines::Machine;
 use mintlb_batch::entry::{Entry, ItemHeader, ItemState, JobHeader, JobTerms};
 use mintlb_batch::framing;
-use mintlb_batch::messages::{JobName, StoreResponse};
+use mintlb_batch::messages::{JobName, StoreResponse, Submit};
 use mintlb_batch::peer::{EntryLength, Envelope, PeerMessage};
 use mintlb_batch::placement_planner::StoreTable;
 use mintlb_batch::replica::{AfterSync, DiskWrite, Effect, Proposal, Replica, ReplicaSettings};
@@ -333,12 +333,14 @@
     /// A dispatcher calls a store; the answer is told at once or once it is committed.
     fn propose(&mut self, place: usize, proposal: Proposal, expected: Expected) {
         match proposal {
-            Proposal::Done(StoreResponse::Recorded | StoreResponse::Ended) => {
+            Proposal::Immediate(StoreResponse::Recorded | StoreResponse::Ended) => {
                 self.tell(place, expected)
             }
-            Proposal::Done(_) => (),
-            Proposal::Pending(index, _) => self.stores[place].waiting.push((index, expected)),
-            Proposal::Compare(index, _) => {
+            Proposal::Immediate(_) => (),
+            Proposal::AfterCommit { index, .. } => {
+                self.stores[place].waiting.push((index, expected))
+            }
+            Proposal::CompareItems { index, .. } => {
                 let replica = self.stores[place].replica.as_ref().unwrap();
                 match index <= replica.commit_index() {
                     true => self.tell(place, expected),
@@ -371,8 +373,13 @@
             terms,
             items: heads.collect(),
         };
-        let epoch = replica.epoch();
-        let proposal = replica.submit(epoch, head, &raw, 7, LIMIT, self.now);
+        let submit = Submit {
+            epoch: replica.epoch(),
+            owner: 7,
+            max_queued_tokens: LIMIT,
+            job: head,
+        };
+        let proposal = replica.submit(submit, &raw, self.now);
         self.propose(place, proposal, Expected::Accepted { job, items });
     }
 
@@ -443,10 +450,10 @@
             let bytes = self.stores[place]
                 .disk
                 .entries
-                .get(&plan.entry)
+                .get(&plan.payload.entry)
                 .expect("a leased payload is on disk");
             let (_, raw) = framing::decode::<Entry>(bytes).unwrap();
-            let payload = raw.slice(plan.range);
+            let payload = raw.slice(plan.payload.range);
             let expected = format!("payload {} {};", plan.head.job.id, plan.head.index);
             assert_eq!(payload, expected.as_bytes());
         }
--- a/crates/mintlb-batch/tests/model/plays.rs
+++ b/crates/mintlb-batch/tests/model/plays.rs
@@ -120,7 +120,7 @@
         .collect();
     for (job, _) in &jobs {
         let jobs = model.stores[place].replica.as_ref().unwrap().jobs();
-        let Some((_, found)) = jobs.find(&name(job)) else {
+        let Some(found) = jobs.find(&name(job)) else {
             panic!("LOST: {job}\n{history}")
         };
         if model.told.ended.contains_key(job) {
--- a/crates/mintlb-control/src/store/requests/lease.rs
+++ b/crates/mintlb-control/src/store/requests/lease.rs
@@ -62,7 +62,7 @@
         renewed.open = shard_host
             .replicas()
             .iter()
-            .map(|replica| replica.open_items(now))
+            .map(|replica| replica.unleased_item_count(now))
             .sum();
         StoreResponse::Renewed(renewed)
     }
@@ -80,7 +80,7 @@
 /// The leased items with their payloads. Items whose payload can't be read are left out: they are leased again once this
 /// lease has expired.
 fn read_payloads(shard_host: &ShardHost, shard: u32, plans: Vec<LeasePlan>) -> Vec<LeasedItem> {
-    let mut entries: Vec<u64> = plans.iter().map(|plan| plan.entry).collect();
+    let mut entries: Vec<u64> = plans.iter().map(|plan| plan.payload.entry).collect();
     entries.dedup();
     let stored = shard_host.read(shard, &entries).unwrap_or_default();
     // Decoded once an entry: a job has many items.
@@ -89,8 +89,10 @@
         .filter_map(|entry| Some((entry.index, raw_part(&entry.bytes)?)))
         .collect();
     let payload = |plan: &LeasePlan| {
-        let (_, raw) = raw_parts.iter().find(|(index, _)| *index == plan.entry)?;
-        slice(raw, plan.range.clone())
+        let (_, raw) = raw_parts
+            .iter()
+            .find(|(index, _)| *index == plan.payload.entry)?;
+        slice(raw, plan.payload.range.clone())
     };
     let leased = plans.into_iter().filter_map(|plan| {
         let payload = payload(&plan)?;
--- a/crates/mintlb-control/src/store/requests/mod.rs
+++ b/crates/mintlb-control/src/store/requests/mod.rs
@@ -15,9 +15,9 @@
 use bytes::Bytes;
 use mintlb_batch::entry::Entry;
 use mintlb_batch::framing;
-use mintlb_batch::job_table::Timestamp;
 use mintlb_batch::messages::{StoreRequest, StoreResponse};
 use mintlb_batch::replica::{Proposal, Replica};
+use mintlb_batch::timestamp::Timestamp;
 use std::ops::Range;
 use std::time::Duration;
 use tokio::time::{Instant, timeout_at};
@@ -57,8 +57,8 @@
             let proposal = change(shard_host.replica(shard), now);
             on_proposed(&mut shard_host, &proposal);
             let commit = match &proposal {
-                Proposal::Done(_) => None,
-                Proposal::Pending(index, _) | Proposal::Compare(index, _) => {
+                Proposal::Immediate(_) => None,
+                Proposal::AfterCommit { index, .. } | Proposal::CompareItems { index, .. } => {
                     let commit_index = shard_host.replica(shard).commit_index();
                     (*index > commit_index)
                         .then(|| shard_host.pending_calls(shard).wait_for_commit(*index))
@@ -70,7 +70,7 @@
         if let Some(commit) = commit
             && commit.status(COMMIT_TIMEOUT).await == CommitStatus::Indeterminate
         {
-            return Proposal::Done(StoreResponse::Indeterminate);
+            return Proposal::Immediate(StoreResponse::Indeterminate);
         }
         proposal
     }
@@ -79,12 +79,12 @@
     /// have accepted it.
     async fn confirm_not_found(&self, shard: u32, proposal: Proposal) -> StoreResponse {
         match proposal {
-            Proposal::Done(StoreResponse::NotFound) if !self.confirm_primary(shard).await => {
+            Proposal::Immediate(StoreResponse::NotFound) if !self.confirm_primary(shard).await => {
                 StoreResponse::Indeterminate
             }
-            Proposal::Done(response)
-            | Proposal::Pending(_, response)
-            | Proposal::Compare(_, response) => response,
+            Proposal::Immediate(response)
+            | Proposal::AfterCommit { response, .. }
+            | Proposal::CompareItems { response, .. } => response,
         }
     }
 
--- a/crates/mintlb-control/src/store/requests/read.rs
+++ b/crates/mintlb-control/src/store/requests/read.rs
@@ -52,8 +52,9 @@
             return ReadAttempt::Response(read_page(&shard_host, shard, plan));
         }
         match shard_host.replica(shard).committed_job(&read.job) {
-            Some((number, job)) if may_wait && expects_results(job, read.start_after) => {
-                ReadAttempt::Wait(shard_host.pending_calls(shard).wait_for_result(number))
+            Some(job) if may_wait && expects_results(job, read.start_after) => {
+                let index = job.index;
+                ReadAttempt::Wait(shard_host.pending_calls(shard).wait_for_result(index))
             }
             _ => ReadAttempt::Empty(plan.map(|plan| plan.page)),
         }
@@ -77,11 +78,13 @@
             if !shard_host.replica(shard).is_serving() {
                 return encode(&StoreResponse::NotPrimary);
             }
-            if let Some((entry, range)) = shard_host.replica(shard).payload(&item.job, &item.item) {
-                let stored = shard_host.read(shard, &[entry]).unwrap_or_default();
+            if let Some(location) = shard_host.replica(shard).payload(&item.job, &item.item) {
+                let stored = shard_host
+                    .read(shard, &[location.entry])
+                    .unwrap_or_default();
                 let payload = stored
                     .first()
-                    .and_then(|entry| slice(&raw_part(&entry.bytes)?, range));
+                    .and_then(|entry| slice(&raw_part(&entry.bytes)?, location.range));
                 return match payload {
                     Some(payload) => framing::encode(&StoreResponse::Body, &[&payload]),
                     None => encode(&StoreResponse::Indeterminate),
--- a/crates/mintlb-control/src/store/requests/record.rs
+++ b/crates/mintlb-control/src/store/requests/record.rs
@@ -27,8 +27,8 @@
                 .replica(shard)
                 .jobs()
                 .find(&record.job)
-                .map(|(number, _)| number);
-            if let (Proposal::Pending(index, _), Some(job)) = (proposal, job) {
+                .map(|job| job.index);
+            if let (Proposal::AfterCommit { index, .. }, Some(job)) = (proposal, job) {
                 shard_host.pending_calls(shard).track_result(*index, job);
             }
         };
--- a/crates/mintlb-control/src/store/requests/submit.rs
+++ b/crates/mintlb-control/src/store/requests/submit.rs
@@ -15,19 +15,11 @@
         if self.is_disk_full(raw.len() as u64) {
             return StoreResponse::DiskFull;
         }
-        let Submit {
-            epoch,
-            owner,
-            max_queued_tokens,
-            job,
-        } = submit;
-        let submitted = job.clone();
-        let change = |replica: &mut Replica, now| {
-            replica.submit(epoch, job, &raw, owner, max_queued_tokens, now)
-        };
+        let submitted = submit.job.clone();
+        let change = |replica: &mut Replica, now| replica.submit(submit, &raw, now);
         match self.propose(shard, change, |_, _| ()).await {
-            Proposal::Done(response) | Proposal::Pending(_, response) => response,
-            Proposal::Compare(index, response) => {
+            Proposal::Immediate(response) | Proposal::AfterCommit { response, .. } => response,
+            Proposal::CompareItems { index, response } => {
                 match self.is_same_job(shard, index, &submitted, &raw) {
                     Some(true) => response,
                     Some(false) => StoreResponse::Conflict,
--- a/crates/mintlb-control/src/store/shard_host/effects.rs
+++ b/crates/mintlb-control/src/store/shard_host/effects.rs
@@ -4,9 +4,9 @@
 use crate::store::storage::StoredEntry;
 use crate::store::storage::commit_queue::Enqueued;
 use mintlb_batch::framing;
-use mintlb_batch::job_table::Timestamp;
 use mintlb_batch::peer::{EntryLength, Envelope, PeerMessage};
 use mintlb_batch::replica::{AfterSync, DiskWrite, Effect};
+use mintlb_batch::timestamp::Timestamp;
 use mintlb_common::transport::Channel;
 
 /// What a round of effects leaves for the commit queue.
--- a/crates/mintlb-control/src/store/shard_host/mod.rs
+++ b/crates/mintlb-control/src/store/shard_host/mod.rs
@@ -14,9 +14,9 @@
 };
 use bytes::Bytes;
 use mintlb_batch::heartbeat::ShardReport;
-use mintlb_batch::job_table::Timestamp;
 use mintlb_batch::peer::Envelope;
 use mintlb_batch::replica::{Replica, ReplicaSettings};
+use mintlb_batch::timestamp::Timestamp;
 use mintlb_common::placement::{Placement, SHARD_COUNT, StoreId};
 use mintlb_common::transport::Transport;
 use pending_calls::PendingCalls;
--- a/crates/mintlb-control/src/store/storage/file.rs
+++ b/crates/mintlb-control/src/store/storage/file.rs
@@ -6,6 +6,7 @@
 use super::tables::{ENTRY_CHUNKS, IDENTITY, SHARD_META, STORE};
 use mintlb_batch::entry::Entry;
 use mintlb_batch::framing;
+use mintlb_batch::replica::LoadedEntry;
 use mintlb_common::placement::StoreId;
 use redb::{Database, DatabaseError, ReadTransaction, ReadableDatabase, ReadableTable};
 use std::fs::File;
@@ -125,9 +126,12 @@
             framing::decode_head::<Entry>(bytes).ok_or(FileDamage::Entry { shard, index })?;
         let loaded: &mut LoadedShard = shards.entry(shard).or_default();
         let raw_bytes = bytes.len() - header_bytes;
-        loaded
-            .entries
-            .push((index, entry, bytes.len() as u64, raw_bytes as u64));
+        loaded.entries.push(LoadedEntry {
+            index,
+            entry,
+            length: bytes.len() as u64,
+            raw_length: raw_bytes as u64,
+        });
         Ok::<(), DiskError>(())
     })?;
     Ok(shards)
--- a/crates/mintlb-control/src/store/storage/loaded_shards.rs
+++ b/crates/mintlb-control/src/store/storage/loaded_shards.rs
@@ -1,7 +1,6 @@
 //! What the store's file holds when it is opened.
 
-use mintlb_batch::entry::Entry;
-use mintlb_batch::replica::ShardMeta;
+use mintlb_batch::replica::{LoadedEntry, ShardMeta};
 use std::collections::BTreeMap;
 
 /// The contents of the file, by shard.
@@ -12,6 +11,6 @@
 pub struct LoadedShard {
     /// Its meta data.
     pub meta: ShardMeta,
-    /// Its entries in order, each with its length and that of its raw part.
-    pub entries: Vec<(u64, Entry, u64, u64)>,
+    /// Its entries in ascending order.
+    pub entries: Vec<LoadedEntry>,
 }
--- a/crates/mintlb-control/tests/store_disk.rs
+++ b/crates/mintlb-control/tests/store_disk.rs
@@ -59,7 +59,7 @@
                 loaded
                     .entries
                     .into_iter()
-                    .map(|(index, ..)| index)
+                    .map(|entry| entry.index)
                     .collect(),
             )
         })
@@ -99,7 +99,7 @@
     let indexes = |shard: u32| {
         shards
             .get(&shard)
-            .map(|loaded| loaded.entries.iter().map(|e| e.0).collect::<Vec<_>>())
+            .map(|loaded| loaded.entries.iter().map(|e| e.index).collect::<Vec<_>>())
     };
     assert_eq!(indexes(5), Some(vec![1, 3]));
     assert_eq!(indexes(6), Some(vec![1]));
@@ -120,10 +120,13 @@
         .unwrap();
     drop(disk);
     let (_, shards) = ShardStorage::open(directory.path(), 1).unwrap();
-    let (index, entry, length, raw) = &shards[&0].entries[0];
+    let stored = &shards[&0].entries[0];
     let (expected, _) = framing::decode::<Entry>(&job(&[7; 3000])).unwrap();
-    assert_eq!((*index, entry, *raw), (1, &expected, 0));
-    assert!(*length < 100);
+    assert_eq!(
+        (stored.index, &stored.entry, stored.raw_length),
+        (1, &expected, 0)
+    );
+    assert!(stored.length < 100);
 }
 
 #[test]
--- a/crates/mintlb-control/tests/store_disk_fixture.rs
+++ b/crates/mintlb-control/tests/store_disk_fixture.rs
@@ -19,7 +19,7 @@
         .map(|index| replica.log().epoch_at(index).unwrap().to_string())
         .collect();
     let entries: Vec<_> = replica.jobs().entries_after(0).collect();
-    let open: Vec<_> = replica.jobs().open().map(|(index, _)| index).collect();
+    let open: Vec<_> = replica.jobs().open().map(|job| job.index).collect();
     let mut lines = vec![
         format!(
             "shard {shard}: promised {} committed {}",
@@ -41,7 +41,8 @@
             replica.jobs().queued_tokens("route-1")
         ),
     ];
-    for (index, job) in replica.jobs().iter() {
+    for job in replica.jobs().iter() {
+        let index = job.index;
         let terms = &job.terms;
         let (sent, target) = (terms.sent_at_ms, terms.completion_target_ms);
         let (retention, attempts) = (terms.retention_ms, terms.max_attempts);
--- a/crates/mintlb-control/tests/store_faults.rs
+++ b/crates/mintlb-control/tests/store_faults.rs
@@ -38,7 +38,7 @@
         shard
             .entries
             .iter()
-            .map(|(index, _, length, _)| (*index, *length))
+            .map(|entry| (entry.index, entry.length))
             .collect()
     })
 }
--- a/crates/mintlb-control/tests/store_long_day.rs
+++ b/crates/mintlb-control/tests/store_long_day.rs
@@ -4,7 +4,7 @@
 
 use bytes::Bytes;
 use mintlb_batch::entry::{ItemHeader, ItemState, JobHeader, JobTerms};
-use mintlb_batch::messages::JobName;
+use mintlb_batch::messages::{JobName, Submit};
 use mintlb_batch::replica::{AfterSync, Effect, Replica, ReplicaSettings};
 use mintlb_common::placement::ShardAssignment;
 use mintlb_control::store::storage::capacity;
@@ -114,7 +114,13 @@
             items: (0..ITEMS).map(item).collect(),
         };
         let raw = Bytes::from(vec![number as u8; ITEMS * item_bytes]);
-        self.replica.submit(1, head, &raw, 3, 0, self.now);
+        let submit = Submit {
+            epoch: 1,
+            owner: 3,
+            max_queued_tokens: 0,
+            job: head,
+        };
+        self.replica.submit(submit, &raw, self.now);
     }
 
     fn record(&mut self, number: u64, item: u32, bytes: usize) {
--- a/crates/mintlb-simulation/src/store/calls.rs
+++ b/crates/mintlb-simulation/src/store/calls.rs
@@ -54,17 +54,11 @@
         let replica = &mut self.replicas[shard as usize];
         let (proposal, submitted) = match call {
             messages::StoreRequest::Submit(submit) => {
-                let messages::Submit {
-                    epoch,
-                    owner,
-                    max_queued_tokens,
-                    job,
-                } = submit;
                 let submitted = Submitted {
-                    head: job.clone(),
+                    head: submit.job.clone(),
                     raw: raw.clone(),
                 };
-                let proposal = replica.submit(epoch, job, &raw, owner, max_queued_tokens, now);
+                let proposal = replica.submit(submit, &raw, now);
                 (proposal, Some(submitted))
             }
             messages::StoreRequest::End(job) => (replica.end(&job, now), None),
@@ -89,7 +83,9 @@
     ) {
         let committed = self.replicas[shard as usize].commit_index();
         match proposal {
-            Proposal::Pending(index, _) | Proposal::Compare(index, _) if index > committed => {
+            Proposal::AfterCommit { index, .. } | Proposal::CompareItems { index, .. }
+                if index > committed =>
+            {
                 self.waiting[shard as usize]
                     .commits
                     .push((index, caller, proposal, submitted));
@@ -107,13 +103,17 @@
         submitted: Option<Submitted>,
     ) {
         match proposal {
-            Proposal::Done(StoreResponse::NotFound) => {
+            Proposal::Immediate(StoreResponse::NotFound) => {
                 self.confirm(context, shard, caller, StoreResponse::NotFound)
             }
-            Proposal::Done(answer) | Proposal::Pending(_, answer) => {
-                reply(context, &caller, answer)
-            }
-            Proposal::Compare(index, answer) => {
+            Proposal::Immediate(answer)
+            | Proposal::AfterCommit {
+                response: answer, ..
+            } => reply(context, &caller, answer),
+            Proposal::CompareItems {
+                index,
+                response: answer,
+            } => {
                 let stored = self.read(shard, &[index]);
                 let entry = stored
                     .first()
--- a/crates/mintlb-simulation/src/store/disk.rs
+++ b/crates/mintlb-simulation/src/store/disk.rs
@@ -6,7 +6,7 @@
 use bytes::Bytes;
 use mintlb_batch::entry::Entry;
 use mintlb_batch::framing;
-use mintlb_batch::replica::{AfterSync, DiskWrite, ShardMeta};
+use mintlb_batch::replica::{AfterSync, DiskWrite, LoadedEntry, ShardMeta};
 use mintlb_common::placement::StoreId;
 use std::collections::{BTreeMap, VecDeque};
 
@@ -51,15 +51,15 @@
     }
 
     /// The entries as a replica loads them.
-    pub fn load(&self) -> impl Iterator<Item = (u64, Entry, u64, u64)> {
+    pub fn load(&self) -> impl Iterator<Item = LoadedEntry> {
         self.entries.iter().filter_map(|(index, bytes)| {
             let (entry, end) = framing::decode_head::<Entry>(bytes)?;
-            Some((
-                *index,
+            Some(LoadedEntry {
+                index: *index,
                 entry,
-                bytes.len() as u64,
-                (bytes.len() - end) as u64,
-            ))
+                length: bytes.len() as u64,
+                raw_length: (bytes.len() - end) as u64,
+            })
         })
     }
 }
