--- a/crates/mintlb-batch/src/heartbeat.rs
+++ b/crates/mintlb-batch/src/heartbeat.rs
@@ -1,51 +1,68 @@
-//! What a store tells the controllers, as a notice on [`mintlb_common::transport::Channel::Control`].
+//! Heartbeats of stores to the controllers, sent as notices on [`mintlb_common::transport::Channel::Control`].
 
 use minicbor::{Decode, Encode};
-use mintlb_common::placement::StoreId;
+use mintlb_common::placement::{StoreEntry, StoreId};
 use std::time::Duration;
 
-/// How often a store tells; at once when a shard's report changes.
+/// Interval between two heartbeats of a store. A changed shard report is sent at once.
 pub const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(400);
 
-/// A store and what it knows of the shards whose primary it is.
-#[derive(Clone, Debug, PartialEq, Encode, Decode)]
+/// The state of a store and of the shards that it leads.
+///
+/// The first four fields are those of [`StoreEntry`]. They are not a struct of their own because the encoding is one flat
+/// array.
+#[derive(Clone, Debug, Default, PartialEq, Encode, Decode)]
 pub struct StoreHeartbeat {
-    /// The store's identity, drawn when its disk was first used.
+    /// The identity of the store, generated at the first use of its disk.
     #[n(0)]
     pub id: StoreId,
-    /// The machine's name.
+    /// The name of its machine.
     #[n(1)]
     pub node_name: String,
-    /// Address of its transport, as IP:PORT.
+    /// The address of its transport, as IP:PORT.
     #[n(2)]
     pub address: String,
-    /// Its zone.
+    /// The zone of its machine.
     #[n(3)]
     pub zone: String,
-    /// The shards whose primary it is.
+    /// The shards that it leads.
     #[n(4)]
     pub shards: Vec<ShardReport>,
-    /// The epoch of the placement it goes by.
+    /// The epoch of the placement that it applies.
     #[n(5)]
     pub placement: u64,
-    /// It was told to stop: its shards are to get other primaries.
+    /// Whether it is shutting down: its shards need other primaries.
     #[n(6)]
     pub draining: bool,
 }
 
-/// What a primary knows of its shard.
+impl StoreHeartbeat {
+    /// The store as the placement lists it, not decommissioned.
+    pub fn entry(&self) -> StoreEntry {
+        StoreEntry {
+            id: self.id,
+            node_name: self.node_name.clone(),
+            address: self.address.clone(),
+            zone: self.zone.clone(),
+            decommissioning: false,
+        }
+    }
+}
+
+/// The state of a shard, as its primary reports it.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct ShardReport {
     /// The shard.
     #[n(0)]
     pub shard: u32,
-    /// The epoch it is the primary of.
+    /// The epoch in which the store is the primary.
     #[n(1)]
     pub epoch: u64,
-    /// It has read what the previous replicas had and a quorum of the new ones has it.
+    /// Whether the takeover is complete: the primary has read the log of the previous replicas, and a quorum of the
+    /// current ones has stored it.
     #[n(2)]
     pub active: bool,
-    /// The replicas that have the whole log but for the newest entries.
+    /// The replicas that have the complete log up to the newest entries.
     #[n(3)]
     pub caught_up: Vec<StoreId>,
 }
--- a/crates/mintlb-batch/src/placement_planner/decommission.rs
+++ b/crates/mintlb-batch/src/placement_planner/decommission.rs
@@ -1,129 +1,153 @@
-//! Emptying a store on the operator's order.
+//! Decommissioning of a machine's store on the operator's order: its replicas move to other stores, then the machine can
+//! be taken away.
 
-use super::LIVE_TIMEOUT;
-use super::view::ClusterSnapshot;
-use mintlb_common::placement::{Placement, StoreEntry, StoreId};
+use super::cluster_snapshot::ClusterSnapshot;
+use mintlb_common::placement::{Placement, ShardAssignment, StoreEntry, StoreId};
 use std::time::Duration;
+use thiserror::Error;
 
-/// A store that was silent for less can take over from the one that is emptied.
-const CANDIDATE_TIMEOUT: Duration = Duration::from_millis(3000);
+/// A store whose last heartbeat is younger than this counts as one that remains.
+const REMAINING_TIMEOUT: Duration = Duration::from_millis(3000);
 
-/// What is answered to an order to empty a store.
+/// How an order to decommission a store is carried out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum DecommissionStart {
-    /// Write this placement into the register, then answer 200.
-    Start(Placement),
-    /// It is under way or completed already: answer 200.
+    /// This placement has to be written into the register first.
+    Planned(Placement),
+    /// It is under way or complete already.
     AlreadyStarted,
-    /// There is no such store: answer 404.
-    NotFound,
-    /// Too few stores would be left: answer 409.
+}
+
+/// Why a store is not decommissioned.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
+pub enum DecommissionError {
+    /// There is no store on this machine. Retrying does not help.
+    #[error("no store on this machine")]
+    UnknownNode,
+    /// The other stores would be too few to commit. Retry once there are more.
+    #[error("too few stores would remain")]
     TooFewStores,
-    /// Whether enough stores would be left depends on one that was told to stop and may come back: answer 503.
-    Unavailable,
+    /// The other stores are enough only if one that is shutting down comes back. Retry when it has.
+    #[error("a store that would remain is shutting down")]
+    StoreDraining,
 }
 
-/// How far a store is emptied.
+/// How far a store is decommissioned.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DecommissionStatus {
-    /// Shards still lie on it, or lack replicas without it.
+    /// Shards still need the store, or lack replicas without it.
     InProgress,
-    /// It can be taken away with its disk.
+    /// The machine can be taken away with its disk.
     Decommissioned,
 }
 
-/// Begins to empty the store on this machine.
+/// Begins to decommission the store on a machine. More than `tolerance` other stores have to remain, so that shards can
+/// still commit.
+///
+/// # Errors
+/// [`DecommissionError`].
 pub fn start_decommission(
     current: &Placement,
-    view: &ClusterSnapshot,
+    snapshot: &ClusterSnapshot,
     node_name: &str,
     tolerance: usize,
-) -> DecommissionStart {
-    let of_node = |entry: &&StoreEntry| entry.node_name == node_name;
-    if !current.stores.iter().any(|entry| of_node(&entry)) {
-        return DecommissionStart::NotFound;
+) -> Result<DecommissionStart, DecommissionError> {
+    let is_on_node = |entry: &&StoreEntry| entry.node_name == node_name;
+    let mut stores = current.stores.iter().filter(is_on_node).peekable();
+    if stores.peek().is_none() {
+        return Err(DecommissionError::UnknownNode);
     }
-    if current
-        .stores
-        .iter()
-        .filter(of_node)
-        .all(|entry| entry.decommissioning)
-    {
-        return DecommissionStart::AlreadyStarted;
+    if stores.all(|entry| entry.decommissioning) {
+        return Ok(DecommissionStart::AlreadyStarted);
+    }
+    check_remaining(current, snapshot, node_name, tolerance)?;
+    let mut next = Placement {
+        epoch: current.epoch + 1,
+        ..current.clone()
+    };
+    for entry in &mut next.stores {
+        entry.decommissioning |= entry.node_name == node_name;
     }
-    let stays = |entry: &&StoreEntry| {
+    Ok(DecommissionStart::Planned(next))
+}
+
+fn check_remaining(
+    current: &Placement,
+    snapshot: &ClusterSnapshot,
+    node_name: &str,
+    tolerance: usize,
+) -> Result<(), DecommissionError> {
+    let remains = |entry: &&StoreEntry| {
         entry.node_name != node_name
             && !entry.decommissioning
-            && view.since_heartbeat(entry.id) < CANDIDATE_TIMEOUT
+            && snapshot.since_heartbeat(entry.id) < REMAINING_TIMEOUT
     };
-    let leaves = |entry: &&StoreEntry| view.is_draining(entry.id);
-    let staying: Vec<&StoreEntry> = current.stores.iter().filter(stays).collect();
-    if staying.len() <= tolerance {
-        return DecommissionStart::TooFewStores;
+    let remaining: Vec<&StoreEntry> = current.stores.iter().filter(remains).collect();
+    if remaining.len() <= tolerance {
+        return Err(DecommissionError::TooFewStores);
     }
-    if staying.iter().filter(|entry| !leaves(entry)).count() <= tolerance {
-        return DecommissionStart::Unavailable;
+    let staying = remaining
+        .iter()
+        .filter(|entry| !snapshot.is_draining(entry.id));
+    if staying.count() <= tolerance {
+        return Err(DecommissionError::StoreDraining);
     }
-    let mut next = Placement {
-        epoch: current.epoch + 1,
-        ..current.clone()
-    };
-    next.stores
-        .iter_mut()
-        .filter(|entry| entry.node_name == node_name)
-        .for_each(|entry| entry.decommissioning = true);
-    DecommissionStart::Start(next)
+    Ok(())
 }
 
-/// How far the store on this machine is emptied; `None` if there is no such order. It is completed only while more than
-/// `tolerance` live replicas of each shard, none of them told to stop, have caught up without it: then any `tolerance` of
-/// them may be lost.
+/// How far the store on a machine is decommissioned; `None` if this was not ordered.
+///
+/// It is complete when no shard names the store any more, and each shard has caught up without it. Then more than
+/// `tolerance` live replicas of each shard have the complete log, none of which is shutting down: any `tolerance` of them
+/// may be lost.
 pub fn decommission_status(
     current: &Placement,
-    view: &ClusterSnapshot,
+    snapshot: &ClusterSnapshot,
     node_name: &str,
     tolerance: usize,
 ) -> Option<DecommissionStatus> {
-    let stores: Vec<&StoreEntry> = current
-        .stores
-        .iter()
-        .filter(|entry| entry.node_name == node_name && entry.decommissioning)
-        .collect();
-    if stores.is_empty() {
-        return None;
-    }
-    let is_named = |id| {
-        current
-            .shards
-            .iter()
-            .any(|s| s.replicas.contains(&id) || s.previous.contains(&id))
+    let is_ordered = |entry: &&StoreEntry| entry.node_name == node_name && entry.decommissioning;
+    let mut stores = current.stores.iter().filter(is_ordered).peekable();
+    stores.peek()?;
+    let is_assigned = stores.any(|entry| is_assigned(current, entry.id));
+    let mut shards = current.shards.iter().enumerate();
+    let has_caught_up = |(shard, assignment): (usize, &ShardAssignment)| {
+        has_caught_up(snapshot, shard, assignment, tolerance)
     };
-    let named = stores.iter().any(|entry| is_named(entry.id));
-    let complete = current
-        .shards
-        .iter()
-        .enumerate()
-        .all(|(shard, assignment)| {
-            let Some(&primary) = assignment.replicas.first() else {
-                return false;
-            };
-            let Some(report) = view.report(primary, shard, assignment.epoch) else {
-                return false;
-            };
-            let lacks = |id: &StoreId| {
-                view.since_heartbeat(*id) < CANDIDATE_TIMEOUT && !report.caught_up.contains(id)
-            };
-            let stays =
-                |id: &StoreId| view.since_heartbeat(*id) < LIVE_TIMEOUT && !view.is_draining(*id);
-            let in_sync = |id: &&StoreId| stays(id) && report.caught_up.contains(id);
-            assignment.previous.is_empty()
-                && report.active
-                && !assignment.replicas.iter().any(lacks)
-                && assignment.replicas.iter().filter(in_sync).count() > tolerance
-        });
-    Some(if named || !complete {
-        DecommissionStatus::InProgress
+    if is_assigned || !shards.all(has_caught_up) {
+        Some(DecommissionStatus::InProgress)
     } else {
-        DecommissionStatus::Decommissioned
-    })
+        Some(DecommissionStatus::Decommissioned)
+    }
+}
+
+/// Whether a shard names the store as a current or a previous replica.
+fn is_assigned(placement: &Placement, id: StoreId) -> bool {
+    let mut shards = placement.shards.iter();
+    shards.any(|shard| shard.replicas.contains(&id) || shard.previous.contains(&id))
+}
+
+/// Whether a shard is active, all its replicas but unresponsive ones have caught up, and enough of them stay.
+fn has_caught_up(
+    snapshot: &ClusterSnapshot,
+    shard: usize,
+    assignment: &ShardAssignment,
+    tolerance: usize,
+) -> bool {
+    let Some(report) = snapshot.primary_report(shard, assignment) else {
+        return false;
+    };
+    if !report.active || !assignment.previous.is_empty() {
+        return false;
+    }
+    let is_behind = |id: &StoreId| {
+        snapshot.since_heartbeat(*id) < REMAINING_TIMEOUT && !report.caught_up.contains(id)
+    };
+    if assignment.replicas.iter().any(is_behind) {
+        return false;
+    }
+    let in_sync = assignment.replicas.iter().filter(|id| {
+        snapshot.is_live(**id) && !snapshot.is_draining(**id) && report.caught_up.contains(id)
+    });
+    in_sync.count() > tolerance
 }
--- /dev/null
+++ b/crates/mintlb-batch/src/placement_planner/planner.rs
@@ -0,0 +1,133 @@
+//! One run of the planner: the next step of each shard.
+
+use super::cluster_snapshot::ClusterSnapshot;
+use mintlb_common::placement::{Placement, ShardAssignment, StoreId};
+use std::time::Duration;
+
+/// A primary without a heartbeat for this time is replaced by another replica.
+const PRIMARY_TIMEOUT: Duration = Duration::from_millis(1300);
+/// A primary that is not active for this time is replaced by another replica.
+const TAKEOVER_TIMEOUT: Duration = Duration::from_millis(3500);
+
+/// The placement as planned so far, and what the plan is based on.
+pub(super) struct Planner<'a> {
+    pub(super) next: Placement,
+    pub(super) snapshot: &'a ClusterSnapshot,
+    /// How many machines may be lost at once.
+    pub(super) tolerance: usize,
+}
+
+impl<'a> Planner<'a> {
+    pub(super) fn new(
+        next: Placement,
+        snapshot: &'a ClusterSnapshot,
+        tolerance: usize,
+    ) -> Planner<'a> {
+        Planner {
+            next,
+            snapshot,
+            tolerance,
+        }
+    }
+
+    pub(super) fn into_placement(self) -> Placement {
+        self.next
+    }
+
+    /// Plans the next step of a shard, if it needs one.
+    pub(super) fn plan_shard(&mut self, shard: usize) {
+        let Some(assignment) = self.next.shards.get(shard).cloned() else {
+            return;
+        };
+        let Some(&primary) = assignment.replicas.first() else {
+            return;
+        };
+        let snapshot = self.snapshot;
+        match snapshot.primary_report(shard, &assignment) {
+            Some(report) if report.active => {
+                self.plan_active(shard, &assignment, primary, &report.caught_up);
+            }
+            _ => self.plan_inactive(shard, &assignment, primary),
+        }
+    }
+
+    fn plan_active(
+        &mut self,
+        shard: usize,
+        assignment: &ShardAssignment,
+        primary: StoreId,
+        caught_up: &[StoreId],
+    ) {
+        if !assignment.previous.is_empty() {
+            self.next.shards[shard].previous.clear();
+            return;
+        }
+        if self.hand_over(shard, assignment, caught_up) {
+            return;
+        }
+        if self.is_primary_dead(primary) || self.snapshot.is_draining(primary) {
+            self.replace_primary(shard, assignment, primary);
+        } else {
+            self.change_members(shard, assignment, caught_up);
+        }
+    }
+
+    fn plan_inactive(&mut self, shard: usize, assignment: &ShardAssignment, primary: StoreId) {
+        let inactive_for = self.snapshot.inactive_for(shard, assignment.epoch);
+        let is_stuck = inactive_for >= TAKEOVER_TIMEOUT;
+        if self.lacks_quorum(assignment) && self.replace_unresponsive(shard, assignment) {
+            return;
+        }
+        if is_stuck && !assignment.previous.is_empty() {
+            self.restart_takeover(shard, assignment);
+        } else if is_stuck || self.is_primary_dead(primary) {
+            self.replace_primary(shard, assignment, primary);
+        }
+    }
+
+    fn is_primary_dead(&self, primary: StoreId) -> bool {
+        self.snapshot.since_heartbeat(primary) >= PRIMARY_TIMEOUT
+    }
+
+    /// Makes another live replica the primary; the set of replicas stays. Prefers a replica that stays, has the log and
+    /// leads few shards. Does nothing if there is none.
+    fn replace_primary(&mut self, shard: usize, assignment: &ShardAssignment, primary: StoreId) {
+        let caught_up = self.snapshot.last_caught_up(shard);
+        let others = assignment.replicas.iter().skip(1).copied();
+        let available = others.filter(|id| self.is_available(*id));
+        let chosen = available.min_by_key(|id| {
+            let is_behind = !caught_up.contains(id) && !assignment.previous.contains(id);
+            (
+                self.is_decommissioning(*id),
+                is_behind,
+                self.shards_led_by(*id),
+            )
+        });
+        let Some(chosen) = chosen else { return };
+        let replicas = assignment.replicas.iter().copied();
+        let rest = replicas.filter(|id| *id != chosen && *id != primary);
+        let replicas = [chosen].into_iter().chain(rest).chain([primary]).collect();
+        self.change(shard, assignment, replicas);
+    }
+
+    /// Begins the next epoch of a shard with these replicas, the primary first.
+    pub(super) fn change(
+        &mut self,
+        shard: usize,
+        assignment: &ShardAssignment,
+        replicas: Vec<StoreId>,
+    ) {
+        let (previous, last_active_epoch) = if assignment.previous.is_empty() {
+            (assignment.replicas.clone(), Some(assignment.epoch))
+        } else {
+            // The replicas of an epoch without an active primary have acknowledged nothing.
+            (assignment.previous.clone(), assignment.last_active_epoch)
+        };
+        self.next.shards[shard] = ShardAssignment {
+            epoch: assignment.epoch + 1,
+            replicas,
+            previous,
+            last_active_epoch,
+        };
+    }
+}
--- a/crates/mintlb-batch/tests/fleet/mod.rs
+++ b/crates/mintlb-batch/tests/fleet/mod.rs
@@ -134,13 +134,9 @@
         let node = self.machines[place].node();
         let view = self.table.snapshot(&self.placement, self.now);
         match start_decommission(&self.placement, &view, &node, self.tolerance) {
-            DecommissionStart::Start(next) => self.set_placement(next),
-            DecommissionStart::AlreadyStarted => (),
-            DecommissionStart::TooFewStores
-            | DecommissionStart::Unavailable
-            | DecommissionStart::NotFound => {
-                return false;
-            }
+            Ok(DecommissionStart::Planned(next)) => self.set_placement(next),
+            Ok(DecommissionStart::AlreadyStarted) => (),
+            Err(_) => return false,
         }
         self.note(format!("{node} is to be emptied"));
         self.decommissioning.push(node);
--- a/crates/mintlb-batch/tests/model/machines.rs
+++ b/crates/mintlb-batch/tests/model/machines.rs
@@ -162,7 +162,7 @@
         let current = self.placements.last().unwrap().clone();
         let view = self.table.snapshot(&current, self.now);
         let order = start_decommission(&current, &view, &node, self.tolerance);
-        let DecommissionStart::Start(next) = order else {
+        let Ok(DecommissionStart::Planned(next)) = order else {
             return false;
         };
         self.placements.push(next);
--- a/crates/mintlb-batch/tests/placement.rs
+++ b/crates/mintlb-batch/tests/placement.rs
@@ -2,8 +2,8 @@
 
 use mintlb_batch::heartbeat::{ShardReport, StoreHeartbeat};
 use mintlb_batch::placement_planner::{
-    DecommissionStart, DecommissionStatus, StoreTable, decommission_status, plan, primaries,
-    start_decommission,
+    DecommissionError, DecommissionStart, DecommissionStatus, StoreTable, decommission_status,
+    plan, start_decommission,
 };
 use mintlb_common::placement::{Placement, StoreId};
 use std::collections::{BTreeMap, BTreeSet};
@@ -274,10 +274,19 @@
     tier.settle();
 }
 
-fn retire(tier: &mut Tier, node: &str) -> DecommissionStart {
+/// The number of shards that each store leads.
+fn primaries(placement: &Placement) -> BTreeMap<StoreId, usize> {
+    let mut primaries = BTreeMap::new();
+    for shard in &placement.shards {
+        *primaries.entry(shard.replicas[0]).or_default() += 1;
+    }
+    primaries
+}
+
+fn retire(tier: &mut Tier, node: &str) -> Result<DecommissionStart, DecommissionError> {
     let view = tier.table.snapshot(&tier.placement, tier.now);
     let order = start_decommission(&tier.placement, &view, node, tier.tolerance);
-    if let DecommissionStart::Start(next) = &order {
+    if let Ok(DecommissionStart::Planned(next)) = &order {
         tier.placement = next.clone();
     }
     order
@@ -292,15 +301,18 @@
 fn a_retired_store_is_emptied_first() {
     let mut tier = Tier::new(&["a", "b", "c", "a"], 1);
     tier.settle();
-    assert_eq!(retire(&mut tier, "nobody"), DecommissionStart::NotFound);
+    assert_eq!(
+        retire(&mut tier, "nobody"),
+        Err(DecommissionError::UnknownNode)
+    );
     assert_eq!(state(&mut tier, "node-1"), None);
     assert!(matches!(
         retire(&mut tier, "node-1"),
-        DecommissionStart::Start(_)
+        Ok(DecommissionStart::Planned(_))
     ));
     assert_eq!(
         retire(&mut tier, "node-1"),
-        DecommissionStart::AlreadyStarted
+        Ok(DecommissionStart::AlreadyStarted)
     );
     assert_eq!(
         state(&mut tier, "node-1"),
@@ -333,7 +345,7 @@
     tier.settle();
     assert!(matches!(
         retire(&mut tier, "node-2"),
-        DecommissionStart::Start(_)
+        Ok(DecommissionStart::Planned(_))
     ));
     tier.settle();
     assert_eq!(
@@ -346,7 +358,10 @@
             .iter()
             .all(|shard| shard.replicas.len() == 2)
     );
-    assert_eq!(retire(&mut tier, "node-1"), DecommissionStart::TooFewStores);
+    assert_eq!(
+        retire(&mut tier, "node-1"),
+        Err(DecommissionError::TooFewStores)
+    );
 }
 
 #[test]
@@ -355,11 +370,17 @@
     tier.settle();
     tier.draining.insert(3);
     tier.run(STEP);
-    assert_eq!(retire(&mut tier, "node-2"), DecommissionStart::Unavailable);
+    assert_eq!(
+        retire(&mut tier, "node-2"),
+        Err(DecommissionError::StoreDraining)
+    );
     tier.draining.clear();
     tier.run(STEP);
     assert!(
-        matches!(retire(&mut tier, "node-2"), DecommissionStart::Start(_)),
+        matches!(
+            retire(&mut tier, "node-2"),
+            Ok(DecommissionStart::Planned(_))
+        ),
         "it was a restart"
     );
 }
@@ -370,7 +391,7 @@
     tier.settle();
     tier.slow.insert(4);
     let retired = 1;
-    retire(&mut tier, &format!("node-{retired}"));
+    retire(&mut tier, &format!("node-{retired}")).unwrap();
     tier.run(Duration::from_secs(30));
     assert_eq!(
         state(&mut tier, &format!("node-{retired}")),
@@ -388,7 +409,7 @@
 fn a_store_that_loses_its_disk_while_it_is_emptied_is_emptied_on() {
     let mut tier = Tier::new(&["a", "b", "c"], 1);
     tier.settle();
-    retire(&mut tier, "node-3");
+    retire(&mut tier, "node-3").unwrap();
     let (zone, node) = tier.live.remove(&3).unwrap();
     tier.run(STEP);
     tier.add(33, &zone, &node);
@@ -404,7 +425,7 @@
 fn a_retirement_is_not_completed_while_only_one_live_replica_is_whole() {
     let mut tier = Tier::new(&["a", "b", "c"], 1);
     tier.settle();
-    retire(&mut tier, "node-3");
+    retire(&mut tier, "node-3").unwrap();
     tier.settle();
     // An idle primary does not notice that its partner is gone, and reports on.
     let primary_of = |tier: &Tier| tier.placement.shards[0].replicas[0];
--- a/crates/mintlb-control/src/controller/singleton/retirement.rs
+++ b/crates/mintlb-control/src/controller/singleton/retirement.rs
@@ -6,8 +6,8 @@
 use crate::controller::register::RegisterClient;
 use crate::controller::settings::SharedSettings;
 use mintlb_batch::placement_planner::{
-    ClusterSnapshot, DecommissionStart, DecommissionStatus, LIVE_TIMEOUT, decommission_status,
-    start_decommission,
+    ClusterSnapshot, DecommissionError, DecommissionStart, DecommissionStatus, LIVE_TIMEOUT,
+    decommission_status, start_decommission,
 };
 use mintlb_common::placement::Placement;
 use mintlb_register::change::Change;
@@ -73,12 +73,12 @@
                 );
             }
             let next = match start_decommission(placement, &snapshot, node_name, tolerance) {
-                DecommissionStart::AlreadyStarted => return RetirementStatus::Ordered,
-                DecommissionStart::NotFound => return RetirementStatus::NotFound,
+                Ok(DecommissionStart::AlreadyStarted) => return RetirementStatus::Ordered,
+                Err(DecommissionError::UnknownNode) => return RetirementStatus::NotFound,
                 _ if !heartbeats_complete => return RetirementStatus::Unavailable,
-                DecommissionStart::TooFewStores => return RetirementStatus::TooFewStores,
-                DecommissionStart::Unavailable => return RetirementStatus::Unavailable,
-                DecommissionStart::Start(next) => next,
+                Err(DecommissionError::TooFewStores) => return RetirementStatus::TooFewStores,
+                Err(DecommissionError::StoreDraining) => return RetirementStatus::Unavailable,
+                Ok(DecommissionStart::Planned(next)) => next,
             };
             let remaining = deadline.saturating_duration_since(Instant::now());
             let change = Change::SetPlacement(next);
--- a/crates/mintlb-control/tests/controller_retirement.rs
+++ b/crates/mintlb-control/tests/controller_retirement.rs
@@ -1,6 +1,6 @@
 //! When the end of a store's retirement may be told.
 
-use mintlb_batch::heartbeat::ShardReport;
+use mintlb_batch::heartbeat::{ShardReport, StoreHeartbeat};
 use mintlb_batch::placement_planner::{ClusterSnapshot, LIVE_TIMEOUT, StoreStatus};
 use mintlb_common::placement::{Placement, ShardAssignment, StoreEntry};
 use mintlb_control::controller::singleton::messages::RetirementStatus;
@@ -47,18 +47,20 @@
         active: true,
         caught_up: vec![2, 3, 4],
     };
-    let primary = StoreStatus {
-        id: 2,
-        since_heartbeat,
-        reports: vec![report],
+    let store = |id, shards| StoreStatus {
+        heartbeat: StoreHeartbeat {
+            id,
+            shards,
+            ..StoreHeartbeat::default()
+        },
         ..StoreStatus::default()
     };
-    let other = |id| StoreStatus {
-        id,
-        ..StoreStatus::default()
+    let primary = StoreStatus {
+        since_heartbeat,
+        ..store(2, vec![report])
     };
     ClusterSnapshot {
-        stores: vec![primary, other(3), other(4)],
+        stores: vec![primary, store(3, vec![]), store(4, vec![])],
         ..ClusterSnapshot::default()
     }
 }
--- a/crates/mintlb-simulation/src/controller/placing.rs
+++ b/crates/mintlb-simulation/src/controller/placing.rs
@@ -8,7 +8,9 @@
 use crate::message::Told;
 use crate::planted::Planted;
 use crate::store::SHARDS;
-use mintlb_batch::placement_planner::{DecommissionStart, plan, start_decommission};
+use mintlb_batch::placement_planner::{
+    DecommissionError, DecommissionStart, plan, start_decommission,
+};
 use mintlb_common::placement::Placement;
 use mintlb_common::record::PLACEMENT;
 use mintlb_control::controller::singleton::messages::RetirementStatus;
@@ -106,12 +108,12 @@
         let has_listened = self.in_contact_for(context) >= LISTENS_FIRST;
         let told = match begin {
             true => match start_decommission(placement, &view, &node, TOLERANCE) {
-                DecommissionStart::AlreadyStarted => Told::Retiring { completed: false },
-                DecommissionStart::NotFound => Told::Refused,
+                Ok(DecommissionStart::AlreadyStarted) => Told::Retiring { completed: false },
+                Err(DecommissionError::UnknownNode) => Told::Refused,
                 _ if !has_listened => Told::Unavailable,
-                DecommissionStart::TooFewStores => Told::Refused,
-                DecommissionStart::Unavailable => Told::Unavailable,
-                DecommissionStart::Start(next) => {
+                Err(DecommissionError::TooFewStores) => Told::Refused,
+                Err(DecommissionError::StoreDraining) => Told::Unavailable,
+                Ok(DecommissionStart::Planned(next)) => {
                     let change = Change::SetPlacement(next);
                     return self.change(
                         context,
