--- a/crates/mintlb-control/tests/controller_catch_up.rs
+++ b/crates/mintlb-control/tests/controller_catch_up.rs
@@ -1,13 +1,15 @@
-//! A replica that has missed changes catches up.
+//! Catching up of a replica that has missed changes.
 
+mod builders;
+
+use builders::{ValueBuilder, replica, replica_set};
 use mintlb_control::controller::register::acceptor_storage::AcceptorStorage;
 use mintlb_control::controller::register::local_replica::LocalReplica;
 use mintlb_register::ballot::Ballot;
 use mintlb_register::message::{AcceptedValue, Reply, Request, RequestBody};
-use mintlb_register::replica_set::{Replica, ReplicaId};
-use mintlb_register::state::ControlState;
-use std::sync::Arc;
+use mintlb_register::replica_set::ReplicaId;
 
+/// Runs a future on the calling thread.
 fn wait<T>(future: impl Future<Output = T>) -> T {
     tokio::runtime::Builder::new_current_thread()
         .enable_all()
@@ -16,67 +18,44 @@
         .block_on(future)
 }
 
-fn identity(id: ReplicaId) -> Replica {
-    let address = format!("10.0.0.{id}:7661");
-    Replica {
-        id,
-        address,
-        node_name: format!("edge-{id}"),
-        zone: "z".to_string(),
-    }
-}
-
-fn chosen(counter: u64, member: ReplicaId) -> AcceptedValue {
-    let state = ControlState {
-        revision: counter,
-        ..ControlState::bootstrap(identity(member))
-    };
-    AcceptedValue {
-        ballot: Ballot {
-            counter,
-            proposer: 3,
-        },
-        state: Arc::new(state),
-    }
+/// A chosen value whose replica set has this only member.
+fn chosen(counter: u64, member: u64) -> AcceptedValue {
+    ValueBuilder::new(counter, replica_set(1, &[member])).build()
 }
 
 #[test]
-fn a_replica_that_missed_hundreds_of_changes_holds_the_newest_at_once() {
+fn a_replica_that_missed_changes_catches_up_in_one_step() {
     for missed_from in [1, 100, 499] {
         let folder = tempfile::tempdir().unwrap();
         let open = || {
             LocalReplica::new(
                 AcceptorStorage::open(folder.path(), ReplicaId(7)).unwrap(),
-                identity(ReplicaId(7)),
+                replica(7),
             )
         };
-        let replica = open();
-        wait(replica.catch_up(&chosen(missed_from, ReplicaId(7))));
-        wait(replica.catch_up(&chosen(500, ReplicaId(7))));
-        wait(replica.catch_up(&chosen(499, ReplicaId(7))));
+        let local = open();
+        wait(local.catch_up(&chosen(missed_from, 7)));
+        wait(local.catch_up(&chosen(500, 7)));
+        wait(local.catch_up(&chosen(499, 7)));
         assert_eq!(
-            replica.accepted(),
-            Some(chosen(500, ReplicaId(7))),
+            local.accepted(),
+            Some(chosen(500, 7)),
             "nothing older over something newer"
         );
-        drop(replica);
-        assert_eq!(
-            open().accepted(),
-            Some(chosen(500, ReplicaId(7))),
-            "it is on disk"
-        );
+        drop(local);
+        assert_eq!(open().accepted(), Some(chosen(500, 7)), "it is on disk");
     }
 }
 
 #[test]
-fn catching_up_breaks_no_promise_and_is_for_members_alone() {
+fn catching_up_breaks_no_promise_and_is_limited_to_members() {
     let folder = tempfile::tempdir().unwrap();
-    let replica = LocalReplica::new(
+    let local = LocalReplica::new(
         AcceptorStorage::open(folder.path(), ReplicaId(7)).unwrap(),
-        identity(ReplicaId(7)),
+        replica(7),
     );
-    wait(replica.catch_up(&chosen(5, ReplicaId(8))));
-    assert_eq!(replica.accepted(), None, "another's set");
+    wait(local.catch_up(&chosen(5, 8)));
+    assert_eq!(local.accepted(), None, "another's set");
     let promised = Ballot {
         counter: 9,
         proposer: 1,
@@ -85,22 +64,22 @@
         ballot: promised,
         known: None,
     };
-    let reply = wait(replica.answer(Request {
+    let reply = wait(local.answer(Request {
         target: ReplicaId(7),
         body,
     }));
     assert!(matches!(reply, Some(Reply::Promise { .. })), "{reply:?}");
-    wait(replica.catch_up(&chosen(8, ReplicaId(7))));
+    wait(local.catch_up(&chosen(8, 7)));
     assert_eq!(
-        replica.accepted(),
-        Some(chosen(8, ReplicaId(7))),
+        local.accepted(),
+        Some(chosen(8, 7)),
         "a chosen value, though a higher ballot was promised"
     );
-    drop(replica);
+    drop(local);
     let opened = AcceptorStorage::open(folder.path(), ReplicaId(7)).unwrap();
     assert_eq!(
         (opened.state.promised, opened.state.accepted),
-        (promised, Some(chosen(8, ReplicaId(7)))),
+        (promised, Some(chosen(8, 7))),
         "the promise holds"
     );
 }
--- a/crates/mintlb-control/tests/controller_cli.rs
+++ b/crates/mintlb-control/tests/controller_cli.rs
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn the_verbs_are_read() {
+fn the_verbs_are_parsed() {
     for (name, verb) in [
         ("controller", Verb::Controller),
         ("store", Verb::Store),
@@ -64,12 +64,12 @@
 }
 
 #[test]
-fn settings_of_a_controller_without_a_disk_are_right() {
+fn settings_of_a_controller_without_a_disk_are_suitable() {
     assert!(of(EDGE).is_empty());
 }
 
 #[test]
-fn what_is_missing_is_named_by_its_field() {
+fn each_unsuitable_field_is_named() {
     let no_address = EDGE.replace("control_plane = \"10.1.0.35:8146\"", "");
     assert!(of(&no_address)[0].starts_with("listen_addresses.control_plane"));
     let no_disk = EDGE.replace("serves = [\"control\"]", "serves = [\"storage\"]");
--- a/crates/mintlb-control/tests/controller_peers.rs
+++ b/crates/mintlb-control/tests/controller_peers.rs
@@ -1,54 +1,42 @@
-//! Who has the duties, and which replicas are silent.
+//! The election of the singleton leader, and the detection of unresponsive replicas.
 
+mod builders;
+
+use builders::{address, replica_set};
 use mintlb_control::controller::contact::peers::{
     ELECTION_TIMEOUT, LIVE_TIMEOUT, Peers, UNRESPONSIVE_TIMEOUT,
 };
 use mintlb_control::controller::contact::quorum_contact::CONTACT_LEASE;
-use mintlb_register::replica_set::{Replica, ReplicaId, ReplicaSet};
-use std::net::SocketAddr;
+use mintlb_register::replica_set::{ReplicaId, ReplicaSet};
 use std::time::Duration;
 use tokio::time::Instant;
 
 const STEP: Duration = Duration::from_millis(300);
 
-fn address(id: u64) -> SocketAddr {
-    format!("10.0.0.{id}:7661").parse().unwrap()
-}
-
 /// Replicas 9, 10 and 11: as text, 10 and 11 would come before 9.
 fn set() -> ReplicaSet {
-    let replica = |id| Replica {
-        id: ReplicaId(id),
-        address: address(id).to_string(),
-        node_name: format!("edge-{id}"),
-        zone: String::new(),
-    };
-    ReplicaSet {
-        epoch: 1,
-        previous: Vec::new(),
-        current: [11, 9, 10].map(replica).to_vec(),
-    }
+    replica_set(1, &[11, 9, 10])
 }
 
-/// One is heard, and has answered what was sent at this moment; it sees the same replica as the first.
-fn answers(peers: &mut Peers, now: Instant, id: u64) {
-    let first = peers.preferred_leader(now, &set()).unwrap_or(ReplicaId(id));
+/// A replica sends a message and acknowledges what was sent at this moment; it votes like the local one.
+fn respond(peers: &mut Peers, now: Instant, id: u64) {
+    let vote = peers.preferred_leader(now, &set()).unwrap_or(ReplicaId(id));
     peers.record_message(now, address(id), Some(ReplicaId(id)), 0);
-    peers.record_acknowledgement(ReplicaId(id), now, Some(first));
+    peers.record_acknowledgement(ReplicaId(id), now, Some(vote));
 }
 
-/// Steps for a time during which these are heard and answer.
-fn pass(peers: &mut Peers, now: &mut Instant, time: Duration, heard: &[u64]) {
+/// Steps for a time during which these replicas respond.
+fn pass(peers: &mut Peers, now: &mut Instant, time: Duration, responsive: &[u64]) {
     let end = *now + time;
     while *now < end {
         *now += STEP;
-        heard.iter().for_each(|id| answers(peers, *now, *id));
+        responsive.iter().for_each(|id| respond(peers, *now, *id));
         peers.step(*now, &set());
     }
 }
 
 #[test]
-fn the_first_live_replica_takes_the_duties_after_a_while() {
+fn the_first_live_replica_is_elected_after_the_election_timeout() {
     let mut now = Instant::now();
     let mut peers = Peers::new(now, Some(ReplicaId(9)));
     pass(&mut peers, &mut now, ELECTION_TIMEOUT, &[10, 11]);
@@ -58,7 +46,7 @@
 }
 
 #[test]
-fn the_next_one_takes_them_once_the_first_is_silent() {
+fn the_next_replica_is_elected_once_the_first_is_unresponsive() {
     let mut now = Instant::now();
     let mut peers = Peers::new(now, Some(ReplicaId(10)));
     pass(&mut peers, &mut now, ELECTION_TIMEOUT * 3, &[9, 11]);
@@ -79,7 +67,7 @@
 }
 
 #[test]
-fn whoever_hears_of_a_higher_epoch_gives_its_own_up() {
+fn a_leader_that_learns_of_a_higher_epoch_steps_down() {
     let mut now = Instant::now();
     let mut peers = Peers::new(now, Some(ReplicaId(9)));
     pass(&mut peers, &mut now, ELECTION_TIMEOUT + STEP, &[10, 11]);
@@ -91,7 +79,7 @@
 }
 
 #[test]
-fn one_that_was_frozen_has_to_qualify_anew() {
+fn a_paused_leader_has_to_qualify_anew() {
     let mut now = Instant::now();
     let mut peers = Peers::new(now, Some(ReplicaId(9)));
     pass(&mut peers, &mut now, ELECTION_TIMEOUT + STEP, &[10, 11]);
@@ -105,7 +93,7 @@
 }
 
 #[test]
-fn a_controller_without_a_replica_has_no_duties() {
+fn a_controller_without_a_replica_never_leads() {
     let mut now = Instant::now();
     let mut peers = Peers::new(now, None);
     pass(&mut peers, &mut now, ELECTION_TIMEOUT * 3, &[]);
@@ -113,7 +101,7 @@
 }
 
 #[test]
-fn a_replica_is_silent_after_a_while_and_no_longer_once_heard() {
+fn a_replica_is_unresponsive_until_its_next_message() {
     let mut now = Instant::now();
     let mut peers = Peers::new(now, Some(ReplicaId(9)));
     pass(&mut peers, &mut now, STEP, &[10, 11]);
@@ -124,7 +112,7 @@
 }
 
 #[test]
-fn one_that_was_cut_off_calls_nobody_silent_when_it_is_back() {
+fn a_process_back_from_a_partition_reports_no_replica_unresponsive() {
     let mut now = Instant::now();
     let mut peers = Peers::new(now, Some(ReplicaId(9)));
     pass(&mut peers, &mut now, STEP, &[10, 11]);
@@ -137,14 +125,14 @@
 }
 
 #[test]
-fn an_emptied_disk_at_a_known_address_does_not_speak_for_the_old_replica() {
+fn a_new_replica_at_a_known_address_does_not_count_as_the_old_one() {
     let mut now = Instant::now();
     let mut peers = Peers::new(now, Some(ReplicaId(9)));
     pass(&mut peers, &mut now, STEP, &[10, 11]);
     let end = now + UNRESPONSIVE_TIMEOUT;
     while now < end {
         now += STEP;
-        answers(&mut peers, now, 10);
+        respond(&mut peers, now, 10);
         peers.record_message(now, address(11), Some(ReplicaId(77)), 0);
         peers.step(now, &set());
     }
@@ -153,7 +141,7 @@
 }
 
 #[test]
-fn one_that_wakes_has_neither_duties_nor_contact_in_its_first_question() {
+fn a_process_resumed_after_a_pause_has_neither_leadership_nor_contact() {
     let mut now = Instant::now();
     let mut peers = Peers::new(now, Some(ReplicaId(9)));
     pass(&mut peers, &mut now, ELECTION_TIMEOUT + STEP, &[10, 11]);
@@ -171,7 +159,7 @@
 }
 
 #[test]
-fn one_that_wakes_calls_nobody_silent_before_its_first_step() {
+fn a_resumed_process_reports_no_replica_unresponsive_before_its_first_step() {
     let mut now = Instant::now();
     let mut peers = Peers::new(now, Some(ReplicaId(9)));
     pass(&mut peers, &mut now, ELECTION_TIMEOUT + STEP, &[10, 11]);
@@ -183,7 +171,7 @@
 }
 
 #[test]
-fn one_whose_messages_do_not_arrive_is_out_of_contact_however_much_it_hears() {
+fn a_process_whose_messages_are_lost_is_out_of_contact_whatever_it_receives() {
     let mut now = Instant::now();
     let mut peers = Peers::new(now, Some(ReplicaId(9)));
     pass(&mut peers, &mut now, ELECTION_TIMEOUT + STEP, &[10, 11]);
@@ -199,34 +187,34 @@
     assert_eq!(peers.leader_epoch(now, &set()), None);
 }
 
-/// As 10, which reaches 11; 9 is heard, and is reached as told. Long enough to take the duties.
-fn beside_the_first(first_is_reached: bool) -> (Instant, Peers) {
+/// Replica 10, which reaches 11 and receives messages of 9, for long enough to be elected. 9 acknowledges or doesn't.
+fn beside_the_leader(leader_acknowledges: bool) -> (Instant, Peers) {
     let mut now = Instant::now();
     let mut peers = Peers::new(now, Some(ReplicaId(10)));
     let end = now + LIVE_TIMEOUT + ELECTION_TIMEOUT * 2;
     while now < end {
         now += STEP;
         peers.record_message(now, address(9), Some(ReplicaId(9)), 0);
-        if first_is_reached {
+        if leader_acknowledges {
             peers.record_acknowledgement(ReplicaId(9), now, None);
         }
-        answers(&mut peers, now, 11);
+        respond(&mut peers, now, 11);
         peers.step(now, &set());
     }
     (now, peers)
 }
 
 #[test]
-fn the_duties_go_on_to_the_next_one_where_the_first_hears_nobody() {
-    let (now, peers) = beside_the_first(false);
+fn the_next_replica_is_elected_if_the_first_receives_nothing() {
+    let (now, peers) = beside_the_leader(false);
     assert_eq!(peers.leader_epoch(now, &set()), Some(1));
 }
 
 #[test]
-fn the_duties_go_on_to_the_next_one_where_the_first_reaches_a_minority_alone() {
-    let (now, mut peers) = beside_the_first(true);
+fn the_next_replica_is_elected_if_the_first_reaches_a_minority_only() {
+    let (now, mut peers) = beside_the_leader(true);
     assert_eq!(peers.leader_epoch(now, &set()), Some(1));
-    answers(&mut peers, now, 9);
+    respond(&mut peers, now, 9);
     peers.step(now, &set());
     assert_eq!(
         peers.leader_epoch(now, &set()),
@@ -236,7 +224,7 @@
 }
 
 #[test]
-fn one_that_alone_does_not_reach_the_first_leaves_it_the_duties() {
+fn a_replica_that_alone_cannot_reach_the_leader_is_not_elected() {
     let mut now = Instant::now();
     let mut peers = Peers::new(now, Some(ReplicaId(10)));
     let end = now + ELECTION_TIMEOUT * 5;
--- a/crates/mintlb-control/tests/controller_quorum_contact.rs
+++ b/crates/mintlb-control/tests/controller_quorum_contact.rs
@@ -1,33 +1,22 @@
-//! The lease by which a controller knows that it is in contact with a majority.
+//! The lease that proves contact with a majority, and the timestamps that peers echo.
 
+mod builders;
+
+use builders::{replica_set, replicas};
 use mintlb_control::controller::contact::echo_clock::EchoClock;
 use mintlb_control::controller::contact::quorum_contact::{CONTACT_LEASE, QuorumContact};
-use mintlb_register::replica_set::{Replica, ReplicaId, ReplicaSet};
+use mintlb_register::replica_set::{ReplicaId, ReplicaSet};
 use std::time::Duration;
 use tokio::time::Instant;
 
-const MOMENT: Duration = Duration::from_millis(1);
-
-fn replicas(ids: &[u64]) -> Vec<Replica> {
-    let replica = |id: &u64| Replica {
-        id: ReplicaId(*id),
-        address: format!("10.0.0.{id}:7661"),
-        node_name: format!("edge-{id}"),
-        zone: String::new(),
-    };
-    ids.iter().map(replica).collect()
-}
+const ONE_MS: Duration = Duration::from_millis(1);
 
 fn set(ids: &[u64]) -> ReplicaSet {
-    ReplicaSet {
-        epoch: 1,
-        previous: Vec::new(),
-        current: replicas(ids),
-    }
+    replica_set(1, ids)
 }
 
 #[test]
-fn a_majority_is_needed_and_the_own_replica_counts() {
+fn contact_requires_a_majority_including_the_own_replica() {
     let now = Instant::now();
     let mut contact = QuorumContact::new(Some(ReplicaId(1)));
     assert!(contact.is_valid(now, &set(&[1])), "alone in its set");
@@ -38,7 +27,7 @@
 }
 
 #[test]
-fn without_a_replica_a_majority_of_the_others_is_needed() {
+fn without_an_own_replica_contact_requires_a_majority_of_the_others() {
     let now = Instant::now();
     let mut contact = QuorumContact::new(None);
     contact.record_acknowledgement(ReplicaId(2), now);
@@ -48,7 +37,7 @@
 }
 
 #[test]
-fn while_the_set_changes_a_majority_of_both_sides_is_needed() {
+fn in_a_joint_set_contact_requires_a_majority_of_both_sets() {
     let now = Instant::now();
     let mut contact = QuorumContact::new(Some(ReplicaId(1)));
     contact.record_acknowledgement(ReplicaId(2), now);
@@ -62,40 +51,40 @@
 }
 
 #[test]
-fn the_lease_runs_from_the_sending_and_ends_by_itself() {
+fn the_lease_runs_from_the_sending_and_expires() {
     let sent_at = Instant::now();
     let mut contact = QuorumContact::new(Some(ReplicaId(1)));
     contact.record_acknowledgement(ReplicaId(2), sent_at);
-    assert!(contact.is_valid(sent_at + CONTACT_LEASE - MOMENT, &set(&[1, 2, 3])));
+    assert!(contact.is_valid(sent_at + CONTACT_LEASE - ONE_MS, &set(&[1, 2, 3])));
     assert!(!contact.is_valid(sent_at + CONTACT_LEASE, &set(&[1, 2, 3])));
-    contact.record_majority_round(sent_at + MOMENT);
+    contact.record_majority_round(sent_at + ONE_MS);
     assert!(contact.is_valid(sent_at + CONTACT_LEASE, &set(&[1, 2, 3])));
-    assert!(!contact.is_valid(sent_at + CONTACT_LEASE + MOMENT, &set(&[1, 2, 3])));
+    assert!(!contact.is_valid(sent_at + CONTACT_LEASE + ONE_MS, &set(&[1, 2, 3])));
 }
 
 #[test]
-fn an_answer_that_is_read_late_proves_no_more_than_an_early_one() {
+fn an_acknowledgement_that_is_read_late_extends_no_lease() {
     let sent_at = Instant::now();
     let mut contact = QuorumContact::new(Some(ReplicaId(1)));
     contact.record_acknowledgement(ReplicaId(2), sent_at + CONTACT_LEASE);
     contact.record_acknowledgement(ReplicaId(2), sent_at);
     contact.record_majority_round(sent_at);
-    assert!(contact.is_valid(sent_at + CONTACT_LEASE * 2 - MOMENT, &set(&[1, 2, 3])));
+    assert!(contact.is_valid(sent_at + CONTACT_LEASE * 2 - ONE_MS, &set(&[1, 2, 3])));
     assert!(!contact.is_valid(sent_at + CONTACT_LEASE * 2, &set(&[1, 2, 3])));
 }
 
 #[test]
-fn a_stamp_tells_when_it_was_made_in_its_own_life_alone() {
+fn a_timestamp_is_valid_in_its_own_incarnation_only() {
     let started_at = Instant::now();
     let echo_clock = EchoClock::new(started_at, u64::MAX - 5);
-    let (issued_at, read_at) = (started_at + MOMENT, started_at + CONTACT_LEASE);
+    let (issued_at, read_at) = (started_at + ONE_MS, started_at + CONTACT_LEASE);
     let timestamp = echo_clock.timestamp(issued_at);
     assert_eq!(echo_clock.issued_at(read_at, timestamp), Some(issued_at));
     assert_eq!(
         echo_clock.issued_at(started_at, timestamp),
         None,
-        "it can't have been made yet"
+        "it can't have been issued yet"
     );
-    let another_life = EchoClock::new(started_at, 1 << 40);
-    assert_eq!(another_life.issued_at(read_at, timestamp), None);
+    let other_incarnation = EchoClock::new(started_at, 1 << 40);
+    assert_eq!(other_incarnation.issued_at(read_at, timestamp), None);
 }
--- a/crates/mintlb-control/tests/controller_registry.rs
+++ b/crates/mintlb-control/tests/controller_registry.rs
@@ -1,55 +1,45 @@
 //! The registry of workers: what is published of which calls, in any order.
 
+mod builders;
+
 use arbtest::arbtest;
+use builders::worker;
 use mintlb_common::record::{WorkerRecord, WorkerState};
 use mintlb_control::controller::workers::registry::{HeartbeatOutcome, Registry, newer_record};
 use std::time::Duration;
 use tokio::time::Instant;
 
-const SILENCE: Duration = Duration::from_millis(4100);
+const HEARTBEAT_TIMEOUT: Duration = Duration::from_millis(4100);
 const TICK: Duration = Duration::from_millis(200);
 
-fn call(id: &str, sequence: u64, state: WorkerState) -> WorkerRecord {
-    WorkerRecord {
-        instance_id: id.to_string(),
-        service: "s".to_string(),
-        address: "10.128.0.9:8080".to_string(),
-        zone: "z".to_string(),
-        capacity_slots: 8,
-        state,
-        call_sequence: sequence,
-        slow_start_until_ms: 0,
-    }
-}
-
 fn in_service(sequence: u64) -> WorkerRecord {
-    call("i-1", sequence, WorkerState::InService)
+    worker("i-1", sequence, WorkerState::InService)
 }
 
 fn draining(sequence: u64) -> WorkerRecord {
-    call("i-1", sequence, WorkerState::Draining)
+    worker("i-1", sequence, WorkerState::Draining)
 }
 
-/// Ticks often enough that no pause is seen.
+/// Ticks often enough that no pause is detected.
 fn pass(
     registry: &mut Registry,
     from: Instant,
     time: Duration,
     version: Option<u64>,
 ) -> Vec<WorkerRecord> {
-    let mut silent = Vec::new();
+    let mut unresponsive = Vec::new();
     let mut passed = Duration::ZERO;
     while passed < time {
         passed += TICK;
-        silent.extend(registry.tick(from + passed, true, |_| version));
+        unresponsive.extend(registry.tick(from + passed, true, |_| version));
     }
-    silent
+    unresponsive
 }
 
 #[test]
-fn only_what_changes_is_published() {
+fn only_changes_are_published() {
     let now = Instant::now();
-    let mut registry = Registry::new(now, SILENCE);
+    let mut registry = Registry::new(now, HEARTBEAT_TIMEOUT);
     assert_eq!(
         registry.heartbeat(now, in_service(1), None),
         HeartbeatOutcome::Publish(in_service(1))
@@ -73,9 +63,9 @@
 }
 
 #[test]
-fn a_drain_is_published_until_a_neighbour_has_confirmed_it() {
+fn a_drain_is_republished_until_a_neighbor_confirms_it() {
     let now = Instant::now();
-    let mut registry = Registry::new(now, SILENCE);
+    let mut registry = Registry::new(now, HEARTBEAT_TIMEOUT);
     registry.heartbeat(now, draining(1), None);
     assert_eq!(
         registry.heartbeat(now, draining(2), Some(&draining(1))),
@@ -89,15 +79,15 @@
 }
 
 #[test]
-fn a_late_call_changes_nothing() {
+fn a_stale_call_changes_nothing() {
     let now = Instant::now();
-    let mut registry = Registry::new(now, SILENCE);
+    let mut registry = Registry::new(now, HEARTBEAT_TIMEOUT);
     registry.heartbeat(now, draining(5), None);
     assert_eq!(
         registry.heartbeat(now, in_service(4), Some(&draining(5))),
         HeartbeatOutcome::Stale
     );
-    let mut other = Registry::new(now, SILENCE);
+    let mut other = Registry::new(now, HEARTBEAT_TIMEOUT);
     assert_eq!(
         other.heartbeat(now, in_service(4), Some(&draining(5))),
         HeartbeatOutcome::Stale
@@ -105,9 +95,9 @@
 }
 
 #[test]
-fn a_worker_that_has_ended_stays_so() {
+fn a_deregistered_worker_stays_deregistered() {
     let now = Instant::now();
-    let mut registry = Registry::new(now, SILENCE);
+    let mut registry = Registry::new(now, HEARTBEAT_TIMEOUT);
     registry.heartbeat(now, in_service(1), None);
     let gone = registry.leave("i-1", Some(in_service(1)));
     assert_eq!(
@@ -121,38 +111,43 @@
 }
 
 #[test]
-fn a_worker_that_comes_from_another_controller_is_published_anew() {
+fn a_worker_from_another_controller_is_published_anew() {
     let now = Instant::now();
-    let mut registry = Registry::new(now, SILENCE);
-    let heard = registry.heartbeat(now, in_service(7), Some(&in_service(2)));
-    assert_eq!(heard, HeartbeatOutcome::Publish(in_service(7)));
-    let silent_at_the_other = call("i-1", 6, WorkerState::Unresponsive);
-    assert!(in_service(7).version() > silent_at_the_other.version());
+    let mut registry = Registry::new(now, HEARTBEAT_TIMEOUT);
+    let outcome = registry.heartbeat(now, in_service(7), Some(&in_service(2)));
+    assert_eq!(outcome, HeartbeatOutcome::Publish(in_service(7)));
+    let unresponsive_at_the_other = worker("i-1", 6, WorkerState::Unresponsive);
+    assert!(in_service(7).version() > unresponsive_at_the_other.version());
 }
 
 #[test]
-fn silence_is_told_once_with_the_last_call() {
+fn an_unresponsive_worker_is_published_once_with_its_last_call() {
     let now = Instant::now();
-    let mut registry = Registry::new(now, SILENCE);
+    let mut registry = Registry::new(now, HEARTBEAT_TIMEOUT);
     registry.heartbeat(now, in_service(1), None);
     registry.heartbeat(now, in_service(4), Some(&in_service(1)));
     let version = Some(in_service(1).version());
-    assert!(pass(&mut registry, now, SILENCE - TICK, version).is_empty());
-    let silent = pass(&mut registry, now + SILENCE - TICK, TICK * 4, version);
-    assert_eq!(silent, [call("i-1", 4, WorkerState::Unresponsive)]);
+    assert!(pass(&mut registry, now, HEARTBEAT_TIMEOUT - TICK, version).is_empty());
+    let unresponsive = pass(
+        &mut registry,
+        now + HEARTBEAT_TIMEOUT - TICK,
+        TICK * 4,
+        version,
+    );
+    assert_eq!(unresponsive, [worker("i-1", 4, WorkerState::Unresponsive)]);
     assert!(registry.is_empty());
 }
 
 #[test]
-fn a_worker_that_has_gone_to_another_controller_is_not_called_silent() {
+fn a_worker_taken_over_by_another_controller_is_not_published_as_unresponsive() {
     let now = Instant::now();
-    let mut registry = Registry::new(now, SILENCE);
+    let mut registry = Registry::new(now, HEARTBEAT_TIMEOUT);
     registry.heartbeat(now, in_service(1), None);
     assert!(
         pass(
             &mut registry,
             now,
-            SILENCE * 2,
+            HEARTBEAT_TIMEOUT * 2,
             Some(in_service(3).version())
         )
         .is_empty()
@@ -161,106 +156,121 @@
 }
 
 #[test]
-fn after_a_pause_of_its_own_the_controller_calls_nobody_silent() {
+fn after_a_pause_of_the_controller_no_worker_is_unresponsive() {
     let now = Instant::now();
-    let mut registry = Registry::new(now, SILENCE);
+    let mut registry = Registry::new(now, HEARTBEAT_TIMEOUT);
     let version = Some(in_service(1).version());
     registry.heartbeat(now, in_service(1), None);
-    let woken = now + SILENCE * 3;
-    assert!(registry.tick(woken, true, |_| version).is_empty());
-    assert!(pass(&mut registry, woken, SILENCE - TICK, version).is_empty());
+    let resumed_at = now + HEARTBEAT_TIMEOUT * 3;
+    assert!(registry.tick(resumed_at, true, |_| version).is_empty());
+    assert!(pass(&mut registry, resumed_at, HEARTBEAT_TIMEOUT - TICK, version).is_empty());
     assert_eq!(
-        pass(&mut registry, woken + SILENCE - TICK, TICK * 2, version).len(),
+        pass(
+            &mut registry,
+            resumed_at + HEARTBEAT_TIMEOUT - TICK,
+            TICK * 2,
+            version
+        )
+        .len(),
         1
     );
 }
 
 #[test]
-fn the_end_of_the_cold_time_is_no_news_when_it_hardly_moves() {
+fn a_small_change_of_the_slow_start_is_not_published() {
     let now = Instant::now();
-    let mut registry = Registry::new(now, SILENCE);
-    let cold = |sequence, slow_start_until_ms| WorkerRecord {
+    let mut registry = Registry::new(now, HEARTBEAT_TIMEOUT);
+    let slow_start = |sequence, slow_start_until_ms| WorkerRecord {
         slow_start_until_ms,
         ..in_service(sequence)
     };
-    registry.heartbeat(now, cold(1, 10_000), None);
+    registry.heartbeat(now, slow_start(1, 10_000), None);
     assert_eq!(
-        registry.heartbeat(now, cold(2, 10_300), Some(&cold(1, 10_000))),
+        registry.heartbeat(now, slow_start(2, 10_300), Some(&slow_start(1, 10_000))),
         HeartbeatOutcome::Unchanged
     );
     assert_eq!(
-        registry.heartbeat(now, cold(3, 0), Some(&cold(1, 10_000))),
-        HeartbeatOutcome::Publish(cold(3, 0))
+        registry.heartbeat(now, slow_start(3, 0), Some(&slow_start(1, 10_000))),
+        HeartbeatOutcome::Publish(slow_start(3, 0))
     );
 }
 
 #[test]
-fn whatever_order_calls_come_in_the_newest_state_is_in_force() {
+fn calls_in_any_order_end_with_the_newest_state() {
     arbtest(|u| {
-        // The worker's calls, each sent to one of two controllers, arrive in a drawn order.
+        // The worker's calls, each sent to one of two controllers, arrive in a random order.
         let count = u.int_in_range(1..=6)?;
-        let drains_at = u.int_in_range(1..=6)?;
+        let draining_from = u.int_in_range(1..=6)?;
         let mut calls: Vec<(WorkerRecord, usize)> = Vec::new();
         for sequence in 1..=count {
-            let state = if sequence >= drains_at {
+            let state = if sequence >= draining_from {
                 WorkerState::Draining
             } else {
                 WorkerState::InService
             };
-            calls.push((call("i-1", sequence, state), u.int_in_range(0..=1)?));
+            calls.push((worker("i-1", sequence, state), u.int_in_range(0..=1)?));
         }
         let now = Instant::now();
-        let mut controllers = [Registry::new(now, SILENCE), Registry::new(now, SILENCE)];
-        let mut in_force: Option<WorkerRecord> = None;
+        let mut controllers = [
+            Registry::new(now, HEARTBEAT_TIMEOUT),
+            Registry::new(now, HEARTBEAT_TIMEOUT),
+        ];
+        let mut current: Option<WorkerRecord> = None;
         let mut highest = 0;
         while !calls.is_empty() {
-            let (told, at) = calls.remove(u.choose_index(calls.len())?);
-            highest = highest.max(told.call_sequence);
+            let (reported, at) = calls.remove(u.choose_index(calls.len())?);
+            highest = highest.max(reported.call_sequence);
             if let HeartbeatOutcome::Publish(record) =
-                controllers[at].heartbeat(now, told, in_force.as_ref())
-                && in_force
+                controllers[at].heartbeat(now, reported, current.as_ref())
+                && current
                     .as_ref()
                     .is_none_or(|known| known.version() < record.version())
             {
-                in_force = Some(record);
+                current = Some(record);
             }
         }
-        let expected = if highest >= drains_at {
+        let expected = if highest >= draining_from {
             WorkerState::Draining
         } else {
             WorkerState::InService
         };
-        assert_eq!(in_force.map(|record| record.state), Some(expected));
+        assert_eq!(current.map(|record| record.state), Some(expected));
         Ok(())
     });
 }
 
 #[test]
-fn out_of_contact_nobody_is_silent_and_the_time_begins_anew_after_it() {
+fn out_of_contact_no_worker_times_out_and_the_timeout_restarts_after_it() {
     let now = Instant::now();
-    let mut registry = Registry::new(now, SILENCE);
+    let mut registry = Registry::new(now, HEARTBEAT_TIMEOUT);
     let version = Some(in_service(1).version());
     registry.heartbeat(now, in_service(1), None);
     let mut passed = Duration::ZERO;
-    while passed < SILENCE * 5 {
+    while passed < HEARTBEAT_TIMEOUT * 5 {
         passed += TICK;
         assert!(registry.tick(now + passed, false, |_| version).is_empty());
     }
     let back = now + passed;
-    assert!(pass(&mut registry, back, SILENCE - TICK, version).is_empty());
+    assert!(pass(&mut registry, back, HEARTBEAT_TIMEOUT - TICK, version).is_empty());
     assert_eq!(
-        pass(&mut registry, back + SILENCE - TICK, TICK * 2, version).len(),
+        pass(
+            &mut registry,
+            back + HEARTBEAT_TIMEOUT - TICK,
+            TICK * 2,
+            version
+        )
+        .len(),
         1
     );
 }
 
 #[test]
-fn a_worker_that_moved_during_the_cut_is_not_called_silent_after_it() {
+fn a_worker_that_moved_during_a_partition_is_not_unresponsive_after_it() {
     let now = Instant::now();
-    let mut registry = Registry::new(now, SILENCE);
+    let mut registry = Registry::new(now, HEARTBEAT_TIMEOUT);
     registry.heartbeat(now, in_service(1), None);
     registry.heartbeat(now, in_service(4), Some(&in_service(1)));
-    let back = now + SILENCE;
+    let back = now + HEARTBEAT_TIMEOUT;
     (1..=10).for_each(|tick| {
         _ = registry.tick(now + TICK * tick, false, |_| Some(in_service(1).version()))
     });
@@ -268,7 +278,7 @@
         pass(
             &mut registry,
             back,
-            SILENCE * 2,
+            HEARTBEAT_TIMEOUT * 2,
             Some(in_service(5).version())
         )
         .is_empty()
@@ -277,9 +287,9 @@
 }
 
 #[test]
-fn a_drain_that_nobody_confirmed_is_published_again_for_the_same_call_and_for_a_late_one() {
+fn an_unconfirmed_drain_is_republished_for_repeated_and_stale_calls() {
     let now = Instant::now();
-    let mut registry = Registry::new(now, SILENCE);
+    let mut registry = Registry::new(now, HEARTBEAT_TIMEOUT);
     registry.heartbeat(now, in_service(1), None);
     registry.heartbeat(now, draining(3), Some(&in_service(1)));
     assert_eq!(
@@ -302,12 +312,12 @@
 }
 
 #[test]
-fn out_of_contact_only_what_is_new_and_later_is_told() {
+fn out_of_contact_only_newer_changes_are_published() {
     assert_eq!(newer_record(in_service(3), None), Some(in_service(3)));
     assert_eq!(
         newer_record(in_service(3), Some(&in_service(2))),
         None,
-        "the same but for its number"
+        "the same but for the call sequence"
     );
     assert_eq!(
         newer_record(draining(3), Some(&in_service(2))),
@@ -318,20 +328,20 @@
         None,
         "late"
     );
-    let silent = call("i-1", 2, WorkerState::Unresponsive);
+    let unresponsive = worker("i-1", 2, WorkerState::Unresponsive);
     assert_eq!(
-        newer_record(in_service(2), Some(&silent)),
+        newer_record(in_service(2), Some(&unresponsive)),
         None,
-        "the call that was followed by silence"
+        "the call after which it became unresponsive"
     );
     assert_eq!(
-        newer_record(in_service(3), Some(&silent)),
+        newer_record(in_service(3), Some(&unresponsive)),
         Some(in_service(3))
     );
     assert_eq!(
         newer_record(
             in_service(9),
-            Some(&call("i-1", 2, WorkerState::Deregistered))
+            Some(&worker("i-1", 2, WorkerState::Deregistered))
         ),
         None,
         "it has ended"
--- a/crates/mintlb-control/tests/controller_retirement.rs
+++ b/crates/mintlb-control/tests/controller_retirement.rs
@@ -1,4 +1,4 @@
-//! When the end of a store's retirement may be told.
+//! When the completion of a store's retirement may be reported.
 
 use mintlb_batch::heartbeat::{ShardReport, StoreHeartbeat};
 use mintlb_batch::placement_planner::{ClusterSnapshot, LIVE_TIMEOUT, StoreStatus};
@@ -18,7 +18,7 @@
     }
 }
 
-/// One shard on the stores 2, 3 and 4; store 1 is emptied.
+/// One shard on the stores 2, 3 and 4; store 1 is being retired.
 fn placement() -> Placement {
     let shard = ShardAssignment {
         epoch: 4,
@@ -39,8 +39,8 @@
     }
 }
 
-/// The primary of the shard has reported, and was last heard so long ago.
-fn view(since_heartbeat: Duration) -> ClusterSnapshot {
+/// The primary of the shard has reported, and sent its last heartbeat this long ago.
+fn snapshot(since_heartbeat: Duration) -> ClusterSnapshot {
     let report = ShardReport {
         shard: 0,
         epoch: 4,
@@ -66,13 +66,13 @@
 }
 
 #[test]
-fn it_is_completed_by_what_primaries_said_lately() {
-    let fresh = view(LIVE_TIMEOUT - Duration::from_millis(1));
+fn completion_requires_recent_reports_of_the_primaries() {
+    let recent = snapshot(LIVE_TIMEOUT - Duration::from_millis(1));
     assert_eq!(
-        progress(&placement(), &fresh, "storage-1", 1, true),
+        progress(&placement(), &recent, "storage-1", 1, true),
         RetirementStatus::Completed
     );
-    let stale = view(LIVE_TIMEOUT);
+    let stale = snapshot(LIVE_TIMEOUT);
     assert_eq!(
         progress(&placement(), &stale, "storage-1", 1, true),
         RetirementStatus::Unavailable
@@ -80,14 +80,14 @@
 }
 
 #[test]
-fn it_is_not_completed_to_a_controller_that_has_only_just_come_back() {
-    let fresh = view(Duration::ZERO);
+fn completion_is_not_reported_just_after_a_partition() {
+    let recent = snapshot(Duration::ZERO);
     assert_eq!(
-        progress(&placement(), &fresh, "storage-1", 1, false),
+        progress(&placement(), &recent, "storage-1", 1, false),
         RetirementStatus::Unavailable
     );
     assert_eq!(
-        progress(&placement(), &fresh, "storage-7", 1, false),
+        progress(&placement(), &recent, "storage-7", 1, false),
         RetirementStatus::NotFound
     );
     assert_eq!(
--- a/crates/mintlb-control/tests/controller_wire_fixtures.rs
+++ b/crates/mintlb-control/tests/controller_wire_fixtures.rs
@@ -32,7 +32,7 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Any single step of a test is over by then.
+/// The longest duration of any step.
 const WAIT: Duration = Duration::from_secs(10);
 /// The identity in the file.
 const ID: u64 = 41;
@@ -94,8 +94,8 @@
     }
 }
 
-/// A value that one replica has founded.
-fn founded() -> AcceptedValue {
+/// The first value of a register with one replica.
+fn bootstrapped() -> AcceptedValue {
     AcceptedValue {
         ballot: ballot(6),
         state: Arc::new(ControlState::bootstrap(replica(ID))),
@@ -103,14 +103,14 @@
 }
 
 #[test]
-fn calls_of_the_duties() {
+fn requests_on_the_control_channel() {
     let mut fixtures = Fixtures::read("duty_calls.txt");
     let full = PeerStatus {
         replica: Some(ReplicaId(51)),
         epoch: 52,
         preferred_leader: Some(ReplicaId(53)),
     };
-    let least = PeerStatus {
+    let empty = PeerStatus {
         replica: None,
         epoch: 54,
         preferred_leader: None,
@@ -132,7 +132,7 @@
         (
             "ping-least",
             ControllerRequest::Ping(Ping {
-                status: least,
+                status: empty,
                 echo: None,
             }),
         ),
@@ -157,14 +157,14 @@
 }
 
 #[test]
-fn answers_of_the_duties() {
+fn responses_on_the_control_channel() {
     let mut fixtures = Fixtures::read("duty_answers.txt");
     let full = PeerStatus {
         replica: Some(ReplicaId(51)),
         epoch: 52,
         preferred_leader: Some(ReplicaId(53)),
     };
-    let least = PeerStatus {
+    let empty = PeerStatus {
         replica: None,
         epoch: 54,
         preferred_leader: None,
@@ -180,7 +180,7 @@
         (
             "pong-least",
             ControllerResponse::Pong(Pong {
-                status: least,
+                status: empty,
                 timestamp: 57,
             }),
         ),
@@ -223,8 +223,8 @@
     fixtures.done();
 }
 
-/// Puts the register's file into a directory.
-fn place_file(directory: &Path) {
+/// Copies the register's file into a directory.
+fn copy_file(directory: &Path) {
     std::fs::copy(path("register.redb"), directory.join("register.redb")).unwrap();
 }
 
@@ -254,7 +254,7 @@
 fn the_registers_file_is_read_and_keeps_its_tables_and_keys() {
     assert_eq!(FILE, "register.redb");
     let folder = tempfile::tempdir().unwrap();
-    place_file(folder.path());
+    copy_file(folder.path());
     check_tables(&folder.path().join("register.redb"));
     let opened = AcceptorStorage::open(folder.path(), ReplicaId(99)).unwrap();
     assert_eq!(opened.id, ReplicaId(ID));
@@ -274,7 +274,7 @@
         .unwrap()
         .map(|entry| entry.unwrap().file_name())
         .collect();
-    assert_eq!(files, ["register.redb"], "nothing was put aside");
+    assert_eq!(files, ["register.redb"], "nothing was quarantined");
 }
 
 /// Makes the register's file as a controller does.
@@ -303,10 +303,10 @@
 }
 
 #[tokio::test]
-async fn a_controller_answers_on_the_registers_channel() {
+async fn a_controller_responds_on_the_registers_channel() {
     let mut fixtures = Fixtures::read("register_channel.txt");
     let folder = tempfile::tempdir().unwrap();
-    place_file(folder.path());
+    copy_file(folder.path());
     let (with_disk, without, caller) = (transport().await, transport().await, transport().await);
     let local = LocalReplica::new(
         AcceptorStorage::open(folder.path(), ReplicaId(99)).unwrap(),
@@ -334,25 +334,25 @@
     }
 }
 
-/// Gives prepared answers and keeps what was asked.
+/// Responds with prepared bytes and records the requests.
 struct Prepared {
     answers: Mutex<VecDeque<Vec<u8>>>,
-    asked: Mutex<Vec<Bytes>>,
+    received: Mutex<Vec<Bytes>>,
 }
 
 impl Service for Prepared {
     fn on_request(&self, _from: SocketAddr, body: Bytes) -> ResponseFuture {
-        self.asked.lock().push(body);
+        self.received.lock().push(body);
         let answer = self.answers.lock().pop_front().unwrap();
         Box::pin(async move { answer.into() })
     }
 }
 
 #[tokio::test]
-async fn a_controller_asks_on_the_registers_channel() {
+async fn a_controller_sends_requests_on_the_registers_channel() {
     let mut fixtures = Fixtures::read("register_channel.txt");
     let folder = tempfile::tempdir().unwrap();
-    place_file(folder.path());
+    copy_file(folder.path());
     let local = LocalReplica::new(
         AcceptorStorage::open(folder.path(), ReplicaId(99)).unwrap(),
         replica(ID),
@@ -369,7 +369,7 @@
     let answers = answers.map(|name| fixtures.take(&format!("answer-{name}")));
     let prepared = Arc::new(Prepared {
         answers: Mutex::new(answers.into()),
-        asked: Mutex::default(),
+        received: Mutex::default(),
     });
     seed.register_service(Channel::Register, prepared.clone());
     let to = seed.local_address();
@@ -386,10 +386,10 @@
         ..replica(ID)
     }));
     let chosen = register.read_once(Instant::now() + WAIT).await.unwrap();
-    assert_eq!(chosen, founded());
-    let asked = prepared.asked.lock().clone();
-    assert_eq!((&asked[0], &asked[2]), (&asked[1], &asked[3]));
-    fixtures.same("call-status", &asked[0]);
-    fixtures.same("call-grant", &asked[2]);
-    fixtures.same("call-read", &asked[4]);
+    assert_eq!(chosen, bootstrapped());
+    let received = prepared.received.lock().clone();
+    assert_eq!((&received[0], &received[2]), (&received[1], &received[3]));
+    fixtures.same("call-status", &received[0]);
+    fixtures.same("call-grant", &received[2]);
+    fixtures.same("call-read", &received[4]);
 }
--- a/crates/mintlb-control/tests/controller_worker_records.rs
+++ b/crates/mintlb-control/tests/controller_worker_records.rs
@@ -1,6 +1,8 @@
-//! The records of one worker at several controllers whose tables differ for a while: its calls come late, doubled and in any
-//! order, records pass between the controllers when they may. What was taken is never undone by something older, and at
-//! the end all have what the worker said last.
+//! The records of one worker at several controllers whose tables differ for a while: its calls arrive late, duplicated and in
+//! any order, and records pass between the controllers now and then. No older record undoes an acknowledged one, and at the
+//! end all have the worker's last state.
+
+mod builders;
 
 use arbtest::arbitrary::{Result, Unstructured};
 use arbtest::arbtest;
@@ -9,60 +11,51 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-const SILENCE: Duration = Duration::from_millis(4100);
+const HEARTBEAT_TIMEOUT: Duration = Duration::from_millis(4100);
 const TICK: Duration = Duration::from_millis(200);
 const CONTROLLERS: usize = 3;
 const WORKER: &str = "i-1";
 
-/// What the worker sends.
+/// A call of the worker.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Call {
-    Beat(u64, WorkerState),
-    End,
+    Heartbeat(u64, WorkerState),
+    Deregister,
 }
 
 struct Controller {
     registry: Registry,
-    /// The record in force here.
+    /// The current record here.
     table: Option<WorkerRecord>,
-    /// The worker was told here that it drains, or that it has ended.
-    told: Option<WorkerState>,
+    /// The drain or end that was acknowledged to the worker here.
+    acknowledged: Option<WorkerState>,
 }
 
-struct Fleet {
+struct Cluster {
     now: Instant,
     controllers: Vec<Controller>,
 }
 
 fn record(call_sequence: u64, state: WorkerState) -> WorkerRecord {
-    WorkerRecord {
-        instance_id: WORKER.to_string(),
-        service: "s".to_string(),
-        address: "10.128.0.9:8080".to_string(),
-        zone: "z".to_string(),
-        capacity_slots: 8,
-        state,
-        call_sequence,
-        slow_start_until_ms: 0,
-    }
+    builders::worker(WORKER, call_sequence, state)
 }
 
-impl Fleet {
-    fn new() -> Fleet {
+impl Cluster {
+    fn new() -> Cluster {
         let now = Instant::now();
         let controller = |_| Controller {
-            registry: Registry::new(now, SILENCE),
+            registry: Registry::new(now, HEARTBEAT_TIMEOUT),
             table: None,
-            told: None,
+            acknowledged: None,
         };
-        Fleet {
+        Cluster {
             now,
             controllers: (0..CONTROLLERS).map(controller).collect(),
         }
     }
 
-    /// Puts a record into a controller's table as the overlay does.
-    fn put(&mut self, at: usize, record: WorkerRecord) {
+    /// Puts a record into a controller's table as gossip does.
+    fn apply(&mut self, at: usize, record: WorkerRecord) {
         let controller = &mut self.controllers[at];
         if controller
             .table
@@ -72,35 +65,43 @@
             controller.table = Some(record);
         }
         let state = controller.table.as_ref().map(|record| record.state);
-        match controller.told {
+        match controller.acknowledged {
             Some(WorkerState::Deregistered) => {
-                assert_eq!(state, Some(WorkerState::Deregistered), "it is back")
+                assert_eq!(
+                    state,
+                    Some(WorkerState::Deregistered),
+                    "it is registered again"
+                )
             }
             Some(_) => assert_ne!(
                 state,
                 Some(WorkerState::InService),
-                "it takes requests again"
+                "it gets requests again"
             ),
             None => (),
         }
     }
 
-    fn take(&mut self, at: usize, call: Call) {
+    fn deliver(&mut self, at: usize, call: Call) {
         let controller = &mut self.controllers[at];
-        let in_force = controller.table.clone();
+        let current = controller.table.clone();
         let published = match call {
-            Call::End => {
-                controller.told = Some(WorkerState::Deregistered);
-                Some(controller.registry.leave(WORKER, in_force))
+            Call::Deregister => {
+                controller.acknowledged = Some(WorkerState::Deregistered);
+                Some(controller.registry.leave(WORKER, current))
             }
-            Call::Beat(sequence, state) => {
-                let told = record(sequence, state);
-                let heard = controller
+            Call::Heartbeat(sequence, state) => {
+                let reported = record(sequence, state);
+                let outcome = controller
                     .registry
-                    .heartbeat(self.now, told, in_force.as_ref());
-                let drains = state == WorkerState::Draining && controller.told.is_none();
-                controller.told = if drains { Some(state) } else { controller.told };
-                if let HeartbeatOutcome::Publish(record) = heard {
+                    .heartbeat(self.now, reported, current.as_ref());
+                let drains = state == WorkerState::Draining && controller.acknowledged.is_none();
+                controller.acknowledged = if drains {
+                    Some(state)
+                } else {
+                    controller.acknowledged
+                };
+                if let HeartbeatOutcome::Publish(record) = outcome {
                     Some(record)
                 } else {
                     None
@@ -109,14 +110,14 @@
         };
         published
             .into_iter()
-            .for_each(|record| self.put(at, record));
+            .for_each(|record| self.apply(at, record));
     }
 
     /// Two controllers compare what they have.
     fn compare(&mut self, one: usize, other: usize) {
         for (from, to) in [(one, other), (other, one)] {
             let record = self.controllers[from].table.clone();
-            record.into_iter().for_each(|record| self.put(to, record));
+            record.into_iter().for_each(|record| self.apply(to, record));
         }
     }
 
@@ -126,13 +127,13 @@
         }
     }
 
-    /// One starts anew and knows nothing; what it had told has reached a neighbour before.
+    /// One restarts with nothing; what it had acknowledged has reached a neighbor before.
     fn restart(&mut self, at: usize) {
         self.compare(at, (at + 1) % CONTROLLERS);
         self.controllers[at] = Controller {
-            registry: Registry::new(self.now, SILENCE),
+            registry: Registry::new(self.now, HEARTBEAT_TIMEOUT),
             table: None,
-            told: None,
+            acknowledged: None,
         };
     }
 
@@ -142,18 +143,20 @@
             for at in 0..CONTROLLERS {
                 let controller = &mut self.controllers[at];
                 let version = controller.table.as_ref().map(WorkerRecord::version);
-                let silent = controller.registry.tick(self.now, true, |_| version);
-                silent.into_iter().for_each(|record| self.put(at, record));
+                let unresponsive = controller.registry.tick(self.now, true, |_| version);
+                unresponsive
+                    .into_iter()
+                    .for_each(|record| self.apply(at, record));
             }
         }
     }
 }
 
-/// One history: the worker's calls in their order, each delivered at once or later, to any controller.
-fn history(u: &mut Unstructured<'_>) -> Result<()> {
-    let mut fleet = Fleet::new();
+/// One scenario: the worker's calls in their order, each delivered at once or later, to any controller.
+fn run_scenario(u: &mut Unstructured<'_>) -> Result<()> {
+    let mut cluster = Cluster::new();
     let count = u.int_in_range(1..=12)?;
-    let drains_at = if u.arbitrary()? {
+    let draining_from = if u.arbitrary()? {
         u.int_in_range(1..=14)?
     } else {
         u64::MAX
@@ -161,61 +164,62 @@
     let ends: bool = u.arbitrary()?;
     let mut late: Vec<(usize, Call)> = Vec::new();
     let state = |sequence| {
-        if sequence >= drains_at {
+        if sequence >= draining_from {
             WorkerState::Draining
         } else {
             WorkerState::InService
         }
     };
-    let beats = (1..=count).map(|sequence| Call::Beat(sequence, state(sequence)));
-    for call in beats.chain(ends.then_some(Call::End)) {
+    let heartbeats = (1..=count).map(|sequence| Call::Heartbeat(sequence, state(sequence)));
+    for call in heartbeats.chain(ends.then_some(Call::Deregister)) {
         let at = u.int_in_range(0..=CONTROLLERS - 1)?;
         match u.int_in_range(0..=3)? {
-            0 if call != Call::End => late.push((at, call)),
-            1 if call != Call::End => {
-                fleet.take(at, call);
+            0 if call != Call::Deregister => late.push((at, call)),
+            1 if call != Call::Deregister => {
+                cluster.deliver(at, call);
                 late.push((u.int_in_range(0..=CONTROLLERS - 1)?, call));
             }
-            _ => fleet.take(at, call),
+            _ => cluster.deliver(at, call),
         }
         for _ in 0..u.int_in_range(0..=2)? {
             match u.int_in_range(0..=4)? {
-                0 => fleet.compare(
+                0 => cluster.compare(
                     u.int_in_range(0..=CONTROLLERS - 1)?,
                     u.int_in_range(0..=CONTROLLERS - 1)?,
                 ),
                 1 if !late.is_empty() => {
                     let (at, call) = late.remove(u.choose_index(late.len())?);
-                    fleet.take(at, call);
+                    cluster.deliver(at, call);
                 }
-                2 => fleet.pass(u.int_in_range(1..=30)?),
-                3 if u.ratio(1, 4)? => fleet.restart(u.int_in_range(0..=CONTROLLERS - 1)?),
-                _ => fleet.compare_all(),
+                2 => cluster.pass(u.int_in_range(1..=30)?),
+                3 if u.ratio(1, 4)? => cluster.restart(u.int_in_range(0..=CONTROLLERS - 1)?),
+                _ => cluster.compare_all(),
             }
         }
     }
-    late.into_iter().for_each(|(at, call)| fleet.take(at, call));
-    fleet.compare_all();
+    late.into_iter()
+        .for_each(|(at, call)| cluster.deliver(at, call));
+    cluster.compare_all();
     if !ends {
         // It goes on calling one controller.
         let at = u.int_in_range(0..=CONTROLLERS - 1)?;
         for sequence in count + 1..count + 40 {
-            fleet.take(at, Call::Beat(sequence, state(sequence)));
-            fleet.pass(5);
-            fleet.compare_all();
+            cluster.deliver(at, Call::Heartbeat(sequence, state(sequence)));
+            cluster.pass(5);
+            cluster.compare_all();
         }
-        fleet.controllers.iter().for_each(|controller| {
+        cluster.controllers.iter().for_each(|controller| {
             let known = controller.table.as_ref().map(|record| record.state);
             assert_eq!(
                 known,
                 Some(state(count + 39)),
-                "a worker that calls is known as it says"
+                "a calling worker has the state that it reported"
             );
         });
     }
-    fleet.pass(60);
-    fleet.compare_all();
-    for controller in &fleet.controllers {
+    cluster.pass(60);
+    cluster.compare_all();
+    for controller in &cluster.controllers {
         let known = controller.table.as_ref().map(|record| record.state);
         let expected = if ends {
             WorkerState::Deregistered
@@ -228,12 +232,12 @@
 }
 
 #[test]
-fn no_older_word_of_a_worker_undoes_a_newer_one() {
-    let mut histories = 0;
+fn no_older_record_of_a_worker_undoes_a_newer_one() {
+    let mut scenarios = 0;
     arbtest(|u| {
-        histories += 1;
-        history(u)
+        scenarios += 1;
+        run_scenario(u)
     })
     .budget_ms(3000);
-    println!("{histories} histories");
+    println!("{scenarios} scenarios");
 }
--- a/crates/mintlb-control/tests/controllers/mod.rs
+++ b/crates/mintlb-control/tests/controllers/mod.rs
@@ -1,5 +1,6 @@
-//! Controllers of one machine, each with a runtime of its own, so that one of them can end like a process. Calls go into
-//! their routers; what they say to each other goes over loopback sockets.
+//! A cluster of controllers on one machine, each with a runtime of its own, so that one of them can end like a process.
+//! Calls go into their routers; their messages go over loopback sockets.
+#![allow(dead_code)]
 
 use axum::body::{Body, to_bytes};
 use axum::http::{Method, Request, StatusCode};
@@ -17,56 +18,59 @@
 use tempfile::TempDir;
 use tower_service::Service;
 
-/// How long the operator repeats a call.
+/// The time for which the operator tries a call again.
 const OPERATOR_TIMEOUT: std::time::Duration = std::time::Duration::from_secs(10);
 
-/// Longest wait for anything; only a fault makes it run out.
+/// The longest wait for anything: only a fault exceeds it.
 pub const TEST_TIMEOUT: Duration = Duration::from_secs(30);
 
+/// The number of times that the operator tries to read again.
+const READ_RETRIES: usize = 20;
+
 static NEXT_PORT: AtomicU16 = AtomicU16::new(0);
 
 /// A running controller on a thread of its own.
-pub struct Process {
+pub struct ControllerProcess {
     jobs: Option<tokio::sync::mpsc::UnboundedSender<Job>>,
     thread: Option<JoinHandle<()>>,
     pub controller: Arc<Controller>,
 }
 
-/// What a process is told.
+/// A job for a process.
 enum Job {
     Call(Box<Call>),
-    /// Stand still until the other end of this is dropped.
-    Freeze(mpsc::Receiver<()>),
+    /// Pause until the other end of this is dropped.
+    Pause(mpsc::Receiver<()>),
 }
 
-/// A call, and who waits for its answer.
+/// A call, and the channel for its response.
 struct Call {
     request: Request<Body>,
     answer: mpsc::Sender<(StatusCode, String)>,
 }
 
-/// The machines.
-pub struct Fleet {
+/// The machines and their controllers.
+pub struct Cluster {
     folders: Vec<Option<TempDir>>,
     port: u16,
-    pub processes: Vec<Option<Process>>,
+    pub processes: Vec<Option<ControllerProcess>>,
 }
 
-impl Fleet {
+impl Cluster {
     /// Starts `count` controllers with empty disks for the first time; each of them knows that all have joined.
-    pub fn assembled(count: usize) -> Fleet {
-        Fleet::assembled_with(&vec![true; count])
+    pub fn of_size(count: usize) -> Cluster {
+        Cluster::with_disks(&vec![true; count])
     }
 
-    /// The same, of machines with and without disks. The first three are the seeds.
-    pub fn assembled_with(disks: &[bool]) -> Fleet {
-        let fleet = Fleet::first_start(disks);
+    /// The same, on machines with and without disks. The first three are the seeds.
+    pub fn with_disks(disks: &[bool]) -> Cluster {
+        let cluster = Cluster::first_start(disks);
         let replicas = disks.iter().filter(|disk| **disk).count();
-        (0..disks.len()).for_each(|place| fleet.wait_for_set(place, replicas, |_| true));
-        fleet
+        (0..disks.len()).for_each(|index| cluster.wait_for_set(index, replicas, |_| true));
+        cluster
     }
 
-    fn first_start(disks: &[bool]) -> Fleet {
+    fn first_start(disks: &[bool]) -> Cluster {
         let count = disks.len();
         let base = 20_000 + (std::process::id() % 2000) as u16 * 16;
         let port = base + NEXT_PORT.fetch_add(4, SeqCst);
@@ -74,79 +78,79 @@
             .iter()
             .map(|disk| disk.then(|| tempfile::tempdir().unwrap()))
             .collect();
-        let mut fleet = Fleet {
+        let mut cluster = Cluster {
             folders,
             port,
             processes: Vec::new(),
         };
-        for place in 0..count {
-            let process = fleet.launch(place, true);
-            fleet.processes.push(Some(process));
+        for index in 0..count {
+            let process = cluster.launch(index, true);
+            cluster.processes.push(Some(process));
         }
-        fleet
+        cluster
     }
 
     /// The controller of this machine.
-    pub fn at(&self, place: usize) -> &Arc<Controller> {
-        &self.processes[place].as_ref().unwrap().controller
+    pub fn at(&self, index: usize) -> &Arc<Controller> {
+        &self.processes[index].as_ref().unwrap().controller
     }
 
     /// Ends a process without warning.
-    pub fn kill(&mut self, place: usize) {
-        self.processes[place] = None;
+    pub fn kill(&mut self, index: usize) {
+        self.processes[index] = None;
     }
 
     /// Starts it again.
-    pub fn restart(&mut self, place: usize) {
-        self.processes[place] = Some(self.launch(place, false));
+    pub fn restart(&mut self, index: usize) {
+        self.processes[index] = Some(self.launch(index, false));
     }
 
-    /// Lets a process stand still until what is returned is dropped.
-    pub fn freeze(&self, place: usize) -> mpsc::Sender<()> {
-        let (thaw, thawed) = mpsc::channel();
-        let process = self.processes[place].as_ref().unwrap();
+    /// Pauses a process until the returned sender is dropped.
+    pub fn pause(&self, index: usize) -> mpsc::Sender<()> {
+        let (resume, resumed) = mpsc::channel();
+        let process = self.processes[index].as_ref().unwrap();
         process
             .jobs
             .as_ref()
             .unwrap()
-            .send(Job::Freeze(thawed))
+            .send(Job::Pause(resumed))
             .unwrap();
-        thaw
+        resume
     }
 
     /// Empties the disk of a machine that is not running.
-    pub fn lose_disk(&mut self, place: usize) {
-        self.folders[place] = Some(tempfile::tempdir().unwrap());
+    pub fn lose_disk(&mut self, index: usize) {
+        self.folders[index] = Some(tempfile::tempdir().unwrap());
     }
 
     /// The size of the file of a machine's replica.
-    pub fn register_file_bytes(&self, place: usize) -> u64 {
-        let folder = self.folders[place].as_ref().unwrap();
+    pub fn register_file_bytes(&self, index: usize) -> u64 {
+        let folder = self.folders[index].as_ref().unwrap();
         std::fs::metadata(folder.path().join(FILE)).unwrap().len()
     }
 
-    /// Waits until a settled set of so many replicas, to which `fits` applies, is known at this machine.
+    /// Waits until this machine knows a replica set of this size, not joint, that satisfies `fits`.
     pub fn wait_for_set(
         &self,
-        place: usize,
+        index: usize,
         size: usize,
         fits: impl Fn(&ReplicaSet) -> bool + Send + Sync + 'static,
     ) {
-        self.wait_for_record(place, move |record| {
+        self.wait_for_record(index, move |record| {
             let set: Option<ReplicaSet> =
                 (record.key == REPLICAS).then(|| minicbor::decode(&record.body).unwrap());
             set.is_some_and(|set| !set.is_joint() && set.current.len() == size && fits(&set))
         });
     }
 
-    /// Waits until a record to which `fits` applies is in force at this machine.
+    /// Waits until this machine has a record that satisfies `fits`.
     pub fn wait_for_record(
         &self,
-        place: usize,
+        index: usize,
         fits: impl Fn(&Record) -> bool + Send + Sync + 'static,
     ) {
         let (found, finding) = mpsc::channel();
-        let gossip: &Arc<GossipService> = &self.at(place).gossip;
+        let gossip: &Arc<GossipService> = &self.at(index).gossip;
         gossip.subscribe(Arc::new(move |record| {
             if fits(record) {
                 found.send(()).ok();
@@ -157,16 +161,16 @@
             .expect("the record does not come");
     }
 
-    /// A call, and its answer.
+    /// Makes a call and returns its response.
     pub fn call(
         &self,
-        place: usize,
+        index: usize,
         method: Method,
         path: &str,
         base: Option<u64>,
         body: &str,
     ) -> (StatusCode, String) {
-        let process = self.processes[place].as_ref().unwrap();
+        let process = self.processes[index].as_ref().unwrap();
         let mut request = Request::builder().method(method).uri(path);
         if let Some(base) = base {
             request = request.header("If-Match", base.to_string());
@@ -182,23 +186,38 @@
         answered.recv_timeout(TEST_TIMEOUT).expect("no answer")
     }
 
-    /// Replaces the configuration, as an operator does: a call without a clear answer is repeated, for as long as he
-    /// does that.
-    pub fn configure(&self, place: usize, base: u64, body: &str) -> StatusCode {
+    /// Replaces the configuration as an operator does: an indeterminate call is tried again for a while.
+    pub fn configure(&self, index: usize, base: u64, body: &str) -> StatusCode {
         let until = std::time::Instant::now() + OPERATOR_TIMEOUT;
         loop {
-            let (status, _) = self.call(place, Method::PUT, "/v1/configuration", Some(base), body);
+            let (status, _) = self.call(index, Method::PUT, "/v1/configuration", Some(base), body);
             if status != StatusCode::SERVICE_UNAVAILABLE || std::time::Instant::now() >= until {
                 return status;
             }
         }
     }
 
-    fn launch(&self, place: usize, first_start: bool) -> Process {
+    /// Reads the configuration as an operator does: an indeterminate call is tried again.
+    pub fn read_configuration(&self, index: usize) -> (StatusCode, String) {
+        let mut response = self.read_configuration_once(index);
+        for _ in 0..READ_RETRIES {
+            if response.0 == StatusCode::SERVICE_UNAVAILABLE {
+                response = self.read_configuration_once(index);
+            }
+        }
+        response
+    }
+
+    /// Reads the configuration by a single call.
+    pub fn read_configuration_once(&self, index: usize) -> (StatusCode, String) {
+        self.call(index, Method::GET, "/v1/configuration", None, "")
+    }
+
+    fn launch(&self, index: usize, first_start: bool) -> ControllerProcess {
         let settings = self.settings(
-            place,
+            index,
             first_start,
-            self.folders[place].as_ref().map(TempDir::path),
+            self.folders[index].as_ref().map(TempDir::path),
         );
         let (started, starting) = mpsc::channel();
         let (jobs, mut incoming) = tokio::sync::mpsc::unbounded_channel::<Job>();
@@ -217,7 +236,7 @@
                 while let Some(job) = incoming.recv().await {
                     match job {
                         Job::Call(call) => _ = tokio::spawn(answer(controller.clone(), *call)),
-                        Job::Freeze(thawed) => _ = thawed.recv(),
+                        Job::Pause(resumed) => _ = resumed.recv(),
                     }
                 }
             });
@@ -225,14 +244,14 @@
         let controller = starting
             .recv_timeout(TEST_TIMEOUT)
             .expect("it does not start");
-        Process {
+        ControllerProcess {
             jobs: Some(jobs),
             thread: Some(thread),
             controller,
         }
     }
 
-    fn settings(&self, place: usize, first_start: bool, folder: Option<&Path>) -> NodeSettings {
+    fn settings(&self, index: usize, first_start: bool, folder: Option<&Path>) -> NodeSettings {
         let folder = folder
             .map(|folder| format!("data_directory = {folder:?}\n"))
             .unwrap_or_default();
@@ -241,12 +260,12 @@
             .map(|host| format!("\"127.9.0.{host}:80\""))
             .collect();
         let text = format!(
-            "node_name = \"edge-{place}\"\nrole = \"controller\"\nmachine_class = \"edge\"\nserves = [\"control\"]\n\
-             ip_address = \"127.9.0.{host}\"\nzone = \"z{place}\"\nregion = \"r\"\ninternal_ports = [{port},{last}]\n\
+            "node_name = \"edge-{index}\"\nrole = \"controller\"\nmachine_class = \"edge\"\nserves = [\"control\"]\n\
+             ip_address = \"127.9.0.{host}\"\nzone = \"z{index}\"\nregion = \"r\"\ninternal_ports = [{port},{last}]\n\
              seed_nodes = [{seeds}]\nfirst_start = {first_start}\n{folder}heartbeat_ms = 1200\n\
              [listen_addresses]\n[limits]\ncpu_share = 0.4\nmemory_mb = 260\nmax_open_files = 4100\n\
              [fault_tolerance]\nmachines = 1\n[bounds]\n",
-            host = place + 1,
+            host = index + 1,
             seeds = seeds.join(","),
         );
         NodeSettings::parse(&text).unwrap()
@@ -262,13 +281,13 @@
         .ok();
 }
 
-impl Drop for Process {
+impl Drop for ControllerProcess {
     fn drop(&mut self) {
         self.jobs = None;
         if let Some(thread) = self.thread.take() {
             thread.join().ok();
         }
-        // What a process that ends would let go of by itself.
+        // A real process would release its file at its end.
         self.controller.close();
     }
 }
--- a/crates/mintlb-control/tests/faulty_disk/mod.rs
+++ b/crates/mintlb-control/tests/faulty_disk/mod.rs
@@ -1,4 +1,4 @@
-//! A disk in memory below redb: full, failing at a sync, hanging, without power.
+//! A disk in memory below redb that can be full, fail at a sync, hang, or lose power.
 
 use mintlb_control::controller::register::AcceptorFileError;
 use mintlb_control::controller::register::acceptor_file::{self, Contents};
@@ -11,50 +11,50 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// A sync hangs no longer than this.
-const LONGEST_HANG: Duration = Duration::from_secs(5);
+/// The max_length time that a sync hangs.
+const MAX_HANG: Duration = Duration::from_secs(5);
 
-/// What the disk does.
+/// The behavior of the disk.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Mode {
     /// It works.
     Good,
-    /// It takes no bytes.
+    /// It rejects writes for lack of space.
     Full,
-    /// It takes bytes, and each sync fails.
+    /// It accepts writes, and each sync fails.
     SyncFails,
-    /// A sync waits until the mode is another.
+    /// A sync waits until the mode changes.
     Hangs,
 }
 
 #[derive(Debug)]
 struct Bytes {
     mode: Mode,
-    /// What a read gives.
+    /// The bytes that a read returns.
     written: Vec<u8>,
-    /// What a loss of power leaves.
+    /// The bytes that survive a power loss.
     synced: Vec<u8>,
-    longest: usize,
+    max_length: usize,
     syncs: usize,
     hanging: usize,
 }
 
 /// The disk.
 #[derive(Clone, Debug)]
-pub struct Disk(Arc<(Mutex<Bytes>, Condvar)>);
+pub struct FaultyDisk(Arc<(Mutex<Bytes>, Condvar)>);
 
-impl Disk {
+impl FaultyDisk {
     /// A disk with the file of a new replica.
-    pub fn with_replica(id: u64) -> Disk {
+    pub fn with_replica(id: u64) -> FaultyDisk {
         let bytes = Bytes {
             mode: Mode::Good,
             written: Vec::new(),
             synced: Vec::new(),
-            longest: 0,
+            max_length: 0,
             syncs: 0,
             hanging: 0,
         };
-        let disk = Disk(Arc::new((Mutex::new(bytes), Condvar::new())));
+        let disk = FaultyDisk(Arc::new((Mutex::new(bytes), Condvar::new())));
         let database = acceptor_file::builder()
             .create_with_backend(disk.clone())
             .unwrap();
@@ -69,7 +69,7 @@
         disk
     }
 
-    /// How a replica opens it.
+    /// The opener for a replica.
     pub fn opener(&self) -> Opener {
         let disk = self.clone();
         Box::new(move || {
@@ -78,24 +78,24 @@
         })
     }
 
-    /// It behaves otherwise from now on.
-    pub fn set(&self, mode: Mode) {
+    /// Changes the behavior.
+    pub fn set_mode(&self, mode: Mode) {
         self.0.0.lock().mode = mode;
         self.0.1.notify_all();
     }
 
-    /// What was not synced is gone.
+    /// Discards what was not synced.
     pub fn lose_power(&self) {
         let mut bytes = self.0.0.lock();
         bytes.written = bytes.synced.clone();
     }
 
-    /// Bytes of the file at its largest.
-    pub fn longest(&self) -> usize {
-        self.0.0.lock().longest
+    /// The largest length of the file, in bytes.
+    pub fn max_length(&self) -> usize {
+        self.0.0.lock().max_length
     }
 
-    /// Syncs so far.
+    /// The number of syncs.
     pub fn syncs(&self) -> usize {
         self.0.0.lock().syncs
     }
@@ -113,7 +113,7 @@
     Error::from(ErrorKind::StorageFull)
 }
 
-impl StorageBackend for Disk {
+impl StorageBackend for FaultyDisk {
     fn len(&self) -> Result<u64, Error> {
         Ok(self.0.0.lock().written.len() as u64)
     }
@@ -121,10 +121,10 @@
     fn read(&self, offset: u64, out: &mut [u8]) -> Result<(), Error> {
         let bytes = self.0.0.lock();
         let offset = offset as usize;
-        let Some(part) = bytes.written.get(offset..offset + out.len()) else {
+        let Some(written) = bytes.written.get(offset..offset + out.len()) else {
             return Err(Error::from(ErrorKind::UnexpectedEof));
         };
-        out.copy_from_slice(part);
+        out.copy_from_slice(written);
         Ok(())
     }
 
@@ -134,7 +134,7 @@
             return Err(full());
         }
         bytes.written.resize(len as usize, 0);
-        bytes.longest = bytes.longest.max(len as usize);
+        bytes.max_length = bytes.max_length.max(len as usize);
         Ok(())
     }
 
@@ -143,8 +143,8 @@
         bytes.hanging += 1;
         self.0.1.notify_all();
         while bytes.mode == Mode::Hangs {
-            // The end of a test that failed meanwhile waits for this sync.
-            if self.0.1.wait_for(&mut bytes, LONGEST_HANG).timed_out() {
+            // A test that failed meanwhile must still be able to end.
+            if self.0.1.wait_for(&mut bytes, MAX_HANG).timed_out() {
                 break;
             }
         }
--- a/crates/mintlb-control/tests/signals.rs
+++ b/crates/mintlb-control/tests/signals.rs
@@ -1,4 +1,4 @@
-//! Real processes of the control plane and the platform's signals.
+//! Processes of the control plane under the platform's signals.
 
 use nix::sys::signal::{Signal, kill};
 use nix::unistd::Pid;
@@ -7,7 +7,7 @@
 use std::path::Path;
 use std::process::{Child, Command, Stdio};
 
-/// The first of three free ports in a row, as far as can be told.
+/// The first of three consecutive ports that are free for now.
 fn free_ports() -> u16 {
     loop {
         let first = TcpListener::bind("127.0.0.1:0").unwrap();
@@ -51,8 +51,8 @@
     )
 }
 
-/// Starts the verb and waits for the line that says that it serves.
-fn start(verb: &str, settings: &Path, up: &str) -> Child {
+/// Starts the verb and waits for the log line of this prefix, which reports that it serves.
+fn start(verb: &str, settings: &Path, prefix: &str) -> Child {
     let mut command = Command::new(env!("CARGO_BIN_EXE_mintlb-control"));
     command
         .arg(verb)
@@ -62,20 +62,20 @@
     let lines = BufReader::new(child.stderr.take().unwrap()).lines();
     let mut lines = lines.map_while(Result::ok);
     assert!(
-        lines.any(|line| line.contains(up)),
-        "{verb} said nothing of {up:?}"
+        lines.any(|line| line.contains(prefix)),
+        "{verb} logged nothing with {prefix:?}"
     );
-    // What it still writes must have a reader.
+    // The pipe needs a reader, or the process blocks when it logs.
     std::thread::spawn(move || lines.for_each(drop));
     child
 }
 
-fn survives_a_hangup(verb: &str, up: &str) {
+fn survives_sighup(verb: &str, prefix: &str) {
     let directory = tempfile::tempdir().unwrap();
     let path = directory.path().join("node.toml");
     std::fs::write(&path, settings(&directory.path().join("data"))).unwrap();
     std::fs::create_dir(directory.path().join("data")).unwrap();
-    let mut child = start(verb, &path, up);
+    let mut child = start(verb, &path, prefix);
     let pid = Pid::from_raw(child.id() as i32);
     kill(pid, Signal::SIGHUP).unwrap();
     kill(pid, Signal::SIGTERM).unwrap();
@@ -84,11 +84,11 @@
 }
 
 #[test]
-fn a_store_goes_on_when_its_settings_change_and_ends_in_order() {
-    survives_a_hangup("store", "store:");
+fn a_store_survives_sighup_and_shuts_down_gracefully() {
+    survives_sighup("store", "store:");
 }
 
 #[test]
-fn a_controller_goes_on_when_its_settings_change_and_ends_in_order() {
-    survives_a_hangup("controller", "controller:");
+fn a_controller_survives_sighup_and_shuts_down_gracefully() {
+    survives_sighup("controller", "controller:");
 }
