--- a/crates/mintlb-batch/src/entry.rs
+++ b/crates/mintlb-batch/src/entry.rs
@@ -1,7 +1,7 @@
 //! Entries of a shard's log.
 //!
-//! An entry is stored and sent as a [`crate::framing`] head followed by raw bytes. Stores never decode the raw bytes:
-//! they are the payloads and result texts of items.
+//! An entry is stored and sent as a [`crate::framing`] head followed by raw bytes. Stores never
+//! decode the raw bytes: they are the payloads and result texts of items.
 
 use crate::epoch_history::LogIndex;
 use crate::framing;
@@ -15,7 +15,8 @@
     /// First entry of an epoch. Once a quorum has it, everything before it is committed as well.
     #[n(0)]
     EpochStart,
-    /// A job was accepted. Raw: the concatenated payloads of its items; empty once they were stripped.
+    /// A job was accepted. Raw: the concatenated payloads of its items; empty once they were
+    /// stripped.
     #[n(1)]
     Accepted(#[n(0)] JobHeader),
     /// The result of an item was recorded. Raw: its text.
@@ -103,7 +104,8 @@
     Unrecoverable,
 }
 
-/// The request that a worker gets for an item, without the body: the head of each payload of [`Entry::Accepted`].
+/// The request that a worker gets for an item, without the body: the head of each payload of
+/// [`Entry::Accepted`].
 #[derive(Clone, Debug, Default, PartialEq, Encode, Decode)]
 pub struct ItemPayload {
     /// Path of the `POST` request.
--- a/crates/mintlb-batch/src/epoch_history.rs
+++ b/crates/mintlb-batch/src/epoch_history.rs
@@ -1,17 +1,18 @@
 //! Which epoch wrote which entries of a shard's log.
 //!
-//! Indexes rise from 1. Only the primary of an epoch appends in it, and it assigns each index once. Hence Raft's log
-//! matching property (Ongaro and Ousterhout 2014, section 5.3) holds: two logs with the same epoch at an index are
-//! equal up to that index, apart from entries that one of them has dropped as no longer needed. It is enough to keep
-//! the start index of each epoch to find where two logs diverge, as Kafka does with its leader epochs (KIP-101).
+//! Indexes rise from 1. Only the primary of an epoch appends in it, and it assigns each index once.
+//! Hence Raft's log matching property (Ongaro and Ousterhout 2014, section 5.3) holds: two logs
+//! with the same epoch at an index are equal up to that index, apart from entries that one of them
+//! has dropped as no longer needed. It is enough to keep the start index of each epoch to find
+//! where two logs diverge, as Kafka does with its leader epochs (KIP-101).
 
 use minicbor::{Decode, Encode};
 
 /// Index of a log entry, from 1; 0 stands for the position before the first entry.
 pub type LogIndex = u64;
 
-/// Number of an epoch: the reign of one primary of a shard. Each change of a shard's assignment raises it, so that
-/// messages of deposed primaries can be told and rejected (fencing).
+/// Number of an epoch: the reign of one primary of a shard. Each change of a shard's assignment
+/// raises it, so that messages of deposed primaries can be told and rejected (fencing).
 pub type Epoch = u64;
 
 /// Consecutive entries of one epoch.
@@ -27,8 +28,8 @@
 
 /// Position in a log: an index and the epoch of the entry there.
 ///
-/// Ordered by epoch, then by index: the greatest position among the logs of a quorum is the end of the log that a new
-/// primary has to adopt.
+/// Ordered by epoch, then by index: the greatest position among the logs of a quorum is the end of
+/// the log that a new primary has to adopt.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Encode, Decode)]
 pub struct LogPosition {
     /// The epoch; 0 before the first entry.
--- a/crates/mintlb-batch/src/framing.rs
+++ b/crates/mintlb-batch/src/framing.rs
@@ -1,7 +1,7 @@
 //! Framing of messages and log entries: a CBOR-encoded head followed by raw bytes.
 //!
-//! Payloads and result texts are sent and stored as the raw part, so that a store slices them out of what it received
-//! and never copies or decodes them.
+//! Payloads and result texts are sent and stored as the raw part, so that a store slices them out
+//! of what it received and never copies or decodes them.
 
 use bytes::{Bytes, BytesMut};
 use minicbor::{Decode, Decoder, Encode};
--- a/crates/mintlb-batch/src/job_table/apply.rs
+++ b/crates/mintlb-batch/src/job_table/apply.rs
@@ -6,8 +6,8 @@
 use crate::timestamp::Timestamp;
 
 impl JobTable {
-    /// Applies the entry appended at `index`. `length` is the size of the encoded entry on disk, `raw_length` that
-    /// of the raw bytes behind its head, both in bytes.
+    /// Applies the entry appended at `index`. `length` is the size of the encoded entry on disk,
+    /// `raw_length` that of the raw bytes behind its head, both in bytes.
     pub fn apply(
         &mut self,
         index: LogIndex,
--- a/crates/mintlb-batch/src/job_table/job.rs
+++ b/crates/mintlb-batch/src/job_table/job.rs
@@ -22,8 +22,8 @@
     pub terms: JobTerms,
     /// The items, in the client's order.
     pub items: Vec<JobItem>,
-    /// Recorded results by position. Positions never change: results are only ever appended, and a committed one
-    /// is never undone.
+    /// Recorded results by position. Positions never change: results are only ever appended, and a
+    /// committed one is never undone.
     pub results: Vec<RecordedResult>,
     /// Index of the entry that ended the job, if it was ended.
     pub ended: Option<LogIndex>,
@@ -146,7 +146,8 @@
         self.pending_items().map(|(_, item)| item.tokens).sum()
     }
 
-    /// Estimated bytes of the results still to be recorded: the average of those recorded so far for each.
+    /// Estimated bytes of the results still to be recorded: the average of those recorded so far
+    /// for each.
     pub(super) fn expected_result_bytes(&self) -> u64 {
         let recorded: u64 = self.results.iter().map(|result| result.length).sum();
         let average = recorded
--- a/crates/mintlb-batch/src/job_table/retention.rs
+++ b/crates/mintlb-batch/src/job_table/retention.rs
@@ -8,7 +8,8 @@
 
 /// A finished job is dropped this long after the time for which it has to be readable.
 const FINISHED_JOB_GRACE: Duration = Duration::from_secs(10);
-/// A job that nobody finishes is dropped this long after its items could be given up and its results be read.
+/// A job that nobody finishes is dropped this long after its items could be given up and its
+/// results be read.
 const ABANDONED_JOB_GRACE: Duration = Duration::from_secs(120);
 
 /// Disk space that a sweep found to be reclaimable, as indexes of log entries.
@@ -21,11 +22,12 @@
 }
 
 impl JobTable {
-    /// Drops what is no longer needed: payloads of jobs that are done, jobs whose retention has expired, and committed
-    /// entries of no job. `result_retention` is how long a job has to be readable.
+    /// Drops what is no longer needed: payloads of jobs that are done, jobs whose retention has
+    /// expired, and committed entries of no job. `result_retention` is how long a job has to be
+    /// readable.
     ///
-    /// Retention is measured from when this process applied the job, so that neither a step of the wall clock nor
-    /// a restart makes anything expire early. Nothing uncommitted is dropped.
+    /// Retention is measured from when this process applied the job, so that neither a step of the
+    /// wall clock nor a restart makes anything expire early. Nothing uncommitted is dropped.
     pub fn sweep(
         &mut self,
         commit_index: LogIndex,
@@ -43,7 +45,8 @@
         Reclaimable { strip, remove }
     }
 
-    /// Drops all jobs accepted up to `through` but those in `retained`; returns the entries to be removed.
+    /// Drops all jobs accepted up to `through` but those in `retained`; returns the entries to be
+    /// removed.
     pub fn drop_jobs_except(&mut self, retained: &[LogIndex], through: LogIndex) -> Vec<LogIndex> {
         let retained: BTreeSet<LogIndex> = retained.iter().copied().collect();
         let mut dropped = self.job_indexes_through(through);
--- a/crates/mintlb-batch/src/leases.rs
+++ b/crates/mintlb-batch/src/leases.rs
@@ -1,8 +1,9 @@
 //! Which dispatcher runs which item.
 //!
-//! Leases are kept in the primary's memory only and are not replicated. A new primary, or one whose process was
-//! suspended, grants none before all leases that may be in force have expired or were renewed with it, so that an item
-//! is not run by two dispatchers at a time (Gray and Cheriton 1989).
+//! Leases are kept in the primary's memory only and are not replicated. A new primary, or one whose
+//! process was suspended, grants none before all leases that may be in force have expired or were
+//! renewed with it, so that an item is not run by two dispatchers at a time (Gray and Cheriton
+//! 1989).
 
 mod job_leases;
 
@@ -29,7 +30,8 @@
 /// The leases of a shard's items.
 #[derive(Clone, Debug, Default)]
 pub struct Leases {
-    /// No item counts as free before this time: owners may still renew what an earlier primary granted.
+    /// No item counts as free before this time: owners may still renew what an earlier primary
+    /// granted.
     grants_paused_until: Timestamp,
     jobs: FxHashMap<LogIndex, JobLeases>,
 }
--- a/crates/mintlb-batch/src/leases/job_leases.rs
+++ b/crates/mintlb-batch/src/leases/job_leases.rs
@@ -9,8 +9,8 @@
 
 /// The lease of each item of a job.
 ///
-/// Each lease expires on its own. An item whose grant was lost on its way to the dispatcher is renewed by nobody, and
-/// becomes free again even while the dispatcher runs other items of the job.
+/// Each lease expires on its own. An item whose grant was lost on its way to the dispatcher is
+/// renewed by nobody, and becomes free again even while the dispatcher runs other items of the job.
 #[derive(Clone, Debug, Default)]
 pub(super) struct JobLeases {
     items: Vec<ItemLease>,
--- a/crates/mintlb-batch/src/lib.rs
+++ b/crates/mintlb-batch/src/lib.rs
@@ -1,16 +1,25 @@
-//! Lots of batch items, replicated on stores.
+//! Batch jobs, replicated on stores.
 //!
-//! - [`framing`]: a typed head followed by raw bytes, the shape of every message and entry here.
-//! - [`messages`]: calls of dispatchers to stores, and their answers.
-//! - [`peer`]: messages between the replicas of a shard.
-//! - [`entry`]: entries of a shard's log.
-//! - [`epoch_history`]: which epoch wrote which part of a log, and how two logs compare.
-//! - [`job_table`]: the lots of one shard, built from its log: items, results, quota.
-//! - [`leases`]: who runs which item.
-//! - [`replica`]: one shard at one store: follower, takeover, primary. Pure.
-//! - [`heartbeat`]: what stores tell the controllers.
-//! - [`placement_planner`]: which stores hold which shard. Pure.
-//! - [`client`]: what dispatchers call.
+//! A job is a list of items, each of which is run once by some dispatcher; its results are read in
+//! the order in which they were recorded. Jobs are spread over shards by host. Each shard is a
+//! replicated log that drives a table of jobs.
+//!
+//! State of a shard, free of I/O:
+//! - [`entry`]: the entries of its log.
+//! - [`epoch_history`]: which epoch wrote which entries, and where two logs diverge.
+//! - [`job_table`]: the state machine driven by the log: jobs, results, quota, retention.
+//! - [`leases`]: which dispatcher runs which item.
+//! - [`replica`]: the replica of a shard at one store: primary, follower, takeover, requests.
+//! - [`placement_planner`]: which stores are assigned to which shard.
+//!
+//! Messages:
+//! - [`framing`]: the encoding of messages and entries: a typed head followed by raw bytes.
+//! - [`messages`]: requests of dispatchers to stores, and the responses.
+//! - [`peer`]: messages between replicas.
+//! - [`heartbeat`]: reports of stores to the controllers.
+//!
+//! - [`client`]: the dispatchers' client of the stores.
+//! - [`timestamp`]: time of the monotonic clock.
 
 pub mod client;
 pub mod entry;
--- a/crates/mintlb-batch/src/messages.rs
+++ b/crates/mintlb-batch/src/messages.rs
@@ -1,7 +1,8 @@
-//! Requests of dispatchers to stores and their responses, on [`mintlb_common::transport::Channel::Batch`].
+//! Requests of dispatchers to stores and their responses, on
+//! [`mintlb_common::transport::Channel::Batch`].
 //!
-//! Each is a [`crate::framing`] head; the raw bytes behind it are described at the variant. Messages between replicas
-//! are notifications on the same channel, see [`crate::peer`].
+//! Each is a [`crate::framing`] head; the raw bytes behind it are described at the variant.
+//! Messages between replicas are notifications on the same channel, see [`crate::peer`].
 
 mod request;
 mod response;
--- a/crates/mintlb-batch/src/messages/request.rs
+++ b/crates/mintlb-batch/src/messages/request.rs
@@ -37,8 +37,8 @@
 /// Submission of a job.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub struct Submit {
-    /// The shard's epoch as the dispatcher knows it. A store rejects any other one, so that a request delayed in the
-    /// network is not executed after the dispatcher has given it up.
+    /// The shard's epoch as the dispatcher knows it. A store rejects any other one, so that a
+    /// request delayed in the network is not executed after the dispatcher has given it up.
     #[n(0)]
     pub epoch: Epoch,
     /// The dispatcher that leases the items with the submission.
--- a/crates/mintlb-batch/src/messages/response.rs
+++ b/crates/mintlb-batch/src/messages/response.rs
@@ -7,7 +7,8 @@
 /// The response of a store.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub enum StoreResponse {
-    /// The store is not the active primary of the shard: the request was not and will not be executed.
+    /// The store is not the active primary of the shard: the request was not and will not be
+    /// executed.
     #[n(0)]
     NotPrimary,
     /// The outcome is unknown: the request may have been executed.
@@ -116,7 +117,8 @@
 /// Outcome of a renewal.
 #[derive(Clone, Debug, Default, PartialEq, Encode, Decode)]
 pub struct RenewResult {
-    /// Items that the owner has to stop: they have a result or another owner, or their job is ended or unknown.
+    /// Items that the owner has to stop: they have a result or another owner, or their job is ended
+    /// or unknown.
     #[n(0)]
     pub lost: Vec<LeasedItems>,
     /// Number of unleased items at this store.
--- a/crates/mintlb-batch/src/peer.rs
+++ b/crates/mintlb-batch/src/peer.rs
@@ -1,11 +1,13 @@
 //! Messages between the replicas of a shard.
 //!
-//! They are notifications on [`mintlb_common::transport::Channel::Batch`], each a [`crate::framing`] head with log
-//! entries as raw bytes. Delivery is not reliable: a lost message is made up for by the sender's next one.
+//! They are notifications on [`mintlb_common::transport::Channel::Batch`], each a
+//! [`crate::framing`] head with log entries as raw bytes. Delivery is not reliable: a lost message
+//! is made up for by the sender's next one.
 //!
-//! Replication is primary-backup with epochs, close to Viewstamped Replication and Raft: [`PeerMessage::Append`] is
-//! Raft's AppendEntries; [`PeerMessage::NewEpoch`] and [`PeerMessage::EpochAck`] are the discovery phase of Zab (and
-//! the view change of Viewstamped Replication), except that the controllers choose the primary.
+//! Replication is primary-backup with epochs, close to Viewstamped Replication and Raft:
+//! [`PeerMessage::Append`] is Raft's AppendEntries; [`PeerMessage::NewEpoch`] and
+//! [`PeerMessage::EpochAck`] are the discovery phase of Zab (and the view change of Viewstamped
+//! Replication), except that the controllers choose the primary.
 
 use crate::epoch_history::{Epoch, EpochHistory, EpochRun, LogIndex, LogPosition};
 use minicbor::{Decode, Encode};
@@ -103,9 +105,10 @@
     /// When it was sent, in ms of the primary's monotonic clock; echoed in the response.
     #[n(5)]
     pub sent_at: u64,
-    /// If entries of the range are omitted as no longer needed: the sender's jobs up to the end of the range, by the
-    /// indexes of their entries. The receiver drops all others, as the results or the end of such a job may be among
-    /// the omitted entries, and without them it would stay pending forever.
+    /// If entries of the range are omitted as no longer needed: the sender's jobs up to the end of
+    /// the range, by the indexes of their entries. The receiver drops all others, as the results or
+    /// the end of such a job may be among the omitted entries, and without them it would stay
+    /// pending forever.
     #[n(6)]
     pub jobs: Option<Vec<LogIndex>>,
 }
--- a/crates/mintlb-batch/src/replica.rs
+++ b/crates/mintlb-batch/src/replica.rs
@@ -1,16 +1,19 @@
 //! The replica of one shard at one store: primary-backup replication with epochs.
 //!
-//! Pure: messages and the time go in, [`Effect`]s come out; the driver owns disk, network and clock.
+//! Pure: messages and the time go in, [`Effect`]s come out; the driver owns disk, network and
+//! clock.
 //!
-//! - An entry is committed once it is on the disks of `tolerance + 1` replicas, so that it outlives the loss of any
-//!   `tolerance` of them (Schneider 1990; Oki and Liskov 1988).
-//! - Each assignment of the shard starts a new epoch with one primary. A replica that has entered an epoch rejects
-//!   messages of earlier ones, so that a deposed primary can't commit anything more.
-//! - A replica says nothing about its log or epoch that is not durable: [`Effect::AfterSync`] comes back through
-//!   [`Replica::on_synced`]. In particular a primary syncs an entry before it sends it, so that after a restart within
-//!   its epoch it never assigns an index again that was seen elsewhere.
-//! - Positions of results never change, as results are appended in the order of the log and committed entries are
-//!   never undone.
+//! - An entry is committed once it is on the disks of `tolerance + 1` replicas, so that it outlives
+//!   the loss of any `tolerance` of them (Schneider 1990; Oki and Liskov 1988).
+//! - Each assignment of the shard starts a new epoch with one primary. A replica that has entered
+//!   an epoch rejects messages of earlier ones, so that a deposed primary can't commit anything
+//!   more.
+//! - A replica says nothing about its log or epoch that is not durable: [`Effect::AfterSync`] comes
+//!   back through [`Replica::on_synced`]. In particular a primary syncs an entry before it sends
+//!   it, so that after a restart within its epoch it never assigns an index again that was seen
+//!   elsewhere.
+//! - Positions of results never change, as results are appended in the order of the log and
+//!   committed entries are never undone.
 
 mod effect;
 mod follower;
@@ -41,7 +44,8 @@
 
 /// Interval of calls of [`Replica::tick`].
 pub const TICK_INTERVAL: Duration = Duration::from_millis(100);
-/// After a longer gap between ticks the process must have been suspended, and renewals of leases may have been missed.
+/// After a longer gap between ticks the process must have been suspended, and renewals of leases
+/// may have been missed.
 const MAX_TICK_GAP: Duration = Duration::from_millis(1000);
 /// Interval of sweeps of a shard.
 const SWEEP_INTERVAL: Duration = Duration::from_millis(1000);
@@ -129,8 +133,9 @@
         self.clear_if_unassigned();
     }
 
-    /// Drops all data if the assignment doesn't name this store any more. A replica that counts towards a quorum has
-    /// entered that epoch durably, so that an outdated assignment after a restart does no harm.
+    /// Drops all data if the assignment doesn't name this store any more. A replica that counts
+    /// towards a quorum has entered that epoch durably, so that an outdated assignment after a
+    /// restart does no harm.
     fn clear_if_unassigned(&mut self) {
         let assignment = &self.assignment;
         let is_named = assignment.replicas.contains(&self.settings.store_id)
--- a/crates/mintlb-batch/src/replica/effect.rs
+++ b/crates/mintlb-batch/src/replica/effect.rs
@@ -31,12 +31,13 @@
     AfterSync(AfterSync),
     /// Send a message.
     Send(Envelope),
-    /// Send a message with the entries at these indexes. The driver fills in `entries`, and omits those that are no
-    /// longer on disk.
+    /// Send a message with the entries at these indexes. The driver fills in `entries`, and omits
+    /// those that are no longer on disk.
     SendEntries(Envelope, Vec<LogIndex>),
     /// The log is committed up to this index: requests that wait for it can be answered.
     Committed(LogIndex),
-    /// A follower has confirmed this primary: readers that wait for [`super::Replica::confirm`] may retry.
+    /// A follower has confirmed this primary: readers that wait for [`super::Replica::confirm`] may
+    /// retry.
     Confirmed,
     /// The replica is no longer the primary: the outcome of pending requests is unknown.
     SteppedDown,
--- a/crates/mintlb-batch/src/replica/log_transfer.rs
+++ b/crates/mintlb-batch/src/replica/log_transfer.rs
@@ -126,7 +126,8 @@
         self.write(DiskWrite::Put(received.index, received.bytes));
     }
 
-    /// Drops jobs that the sender of a partial range has dropped: this replica may lack their last entries.
+    /// Drops jobs that the sender of a partial range has dropped: this replica may lack their last
+    /// entries.
     fn drop_jobs_missing_at_sender(&mut self, append: &Append) {
         let Some(jobs) = &append.jobs else { return };
         let removed = self.jobs.drop_jobs_except(jobs, append.through);
@@ -139,7 +140,8 @@
     fn first_difference(&self, append: &Append) -> Result<Option<LogIndex>, AppendError> {
         let (after, through) = (append.previous.index, append.through);
         let own_runs = self.meta.log.runs(after + 1, through);
-        // The epochs of both logs change at starts of runs only; the end of the own log counts as a change, too.
+        // The epochs of both logs change at starts of runs only; the end of the own log counts as a
+        // change, too.
         let run_starts = append.runs.iter().chain(&own_runs).map(|run| run.first);
         let candidates = run_starts
             .chain([self.meta.log.last() + 1])
--- a/crates/mintlb-batch/src/replica/primary.rs
+++ b/crates/mintlb-batch/src/replica/primary.rs
@@ -11,16 +11,17 @@
 
 /// For this long after its start a primary expects its followers to be starting as well.
 const STARTUP_PERIOD: Duration = Duration::from_millis(3000);
-/// A primary that could commit nothing for this long, though entries are pending, is not reported as active.
+/// A primary that could commit nothing for this long, though entries are pending, is not reported
+/// as active.
 const COMMIT_STALL_TIMEOUT: Duration = Duration::from_millis(2000);
 
 /// What a primary knows of its log and its followers.
 #[derive(Debug)]
 pub(super) struct Primary {
     pub epoch: Epoch,
-    /// End of the log when this process became the primary: the first entry of the epoch or, after a restart within
-    /// it, a later one. Clients may have been told of anything up to here, so nothing is served before it is
-    /// committed.
+    /// End of the log when this process became the primary: the first entry of the epoch or, after
+    /// a restart within it, a later one. Clients may have been told of anything up to here, so
+    /// nothing is served before it is committed.
     base_index: LogIndex,
     /// A quorum has the log up to `base_index`.
     pub is_active: bool,
@@ -92,10 +93,11 @@
         })
     }
 
-    /// The highest index that `quorum` replicas have on disk, this one among them; `None` if no entry may be
-    /// committed yet.
+    /// The highest index that `quorum` replicas have on disk, this one among them; `None` if no
+    /// entry may be committed yet.
     ///
-    /// As in Raft (section 5.4.2), entries of earlier epochs are committed only together with one of this epoch.
+    /// As in Raft (section 5.4.2), entries of earlier epochs are committed only together with one
+    /// of this epoch.
     pub(super) fn quorum_index(&self, quorum: usize) -> Option<LogIndex> {
         let mut matched: Vec<LogIndex> = self.followers.iter().filter_map(|f| f.matched).collect();
         matched.push(self.durable_index);
@@ -129,7 +131,8 @@
         times.get(rank).copied()
     }
 
-    /// The followers that have the log up to `index`, or up to the base of the epoch if that is higher.
+    /// The followers that have the log up to `index`, or up to the base of the epoch if that is
+    /// higher.
     pub(super) fn followers_with(&self, index: LogIndex) -> impl Iterator<Item = StoreId> {
         let needed = index.max(self.base_index);
         self.followers
--- a/crates/mintlb-batch/src/replica/primary/progress.rs
+++ b/crates/mintlb-batch/src/replica/primary/progress.rs
@@ -10,18 +10,20 @@
 /// The same while the primary is starting and the follower may be, too.
 const INITIAL_RESPONSE_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// Replication progress of a follower. At most one message with entries is in flight to it at a time.
+/// Replication progress of a follower. At most one message with entries is in flight to it at a
+/// time.
 #[derive(Debug)]
 pub(in crate::replica) struct FollowerProgress {
     pub id: StoreId,
-    /// Its log equals the primary's up to this index, on its disk; `None` until it has responded. Never decreases
-    /// within an epoch.
+    /// Its log equals the primary's up to this index, on its disk; `None` until it has responded.
+    /// Never decreases within an epoch.
     pub matched: Option<LogIndex>,
     /// When the oldest message without a response was sent.
     pub in_flight_since: Option<Timestamp>,
     /// When anything was last sent.
     pub last_sent: Timestamp,
-    /// When the newest message with a response was sent: up to then it had not entered a later epoch.
+    /// When the newest message with a response was sent: up to then it had not entered a later
+    /// epoch.
     pub confirmed_at: Option<Timestamp>,
     /// The commit index that was last sent.
     pub notified_commit_index: LogIndex,
@@ -65,8 +67,8 @@
         self.notified_commit_index = commit_index;
     }
 
-    /// Whether a response is overdue. If so nothing counts as in flight any more: the follower may have lost anything
-    /// sent since, but not what it has acknowledged.
+    /// Whether a response is overdue. If so nothing counts as in flight any more: the follower may
+    /// have lost anything sent since, but not what it has acknowledged.
     pub(super) fn take_timeout(&mut self, is_starting: bool, now: Timestamp) -> bool {
         let timeout = match is_starting && self.matched.is_none() {
             true => INITIAL_RESPONSE_TIMEOUT,
--- a/crates/mintlb-batch/src/replica/replication.rs
+++ b/crates/mintlb-batch/src/replica/replication.rs
@@ -10,7 +10,8 @@
 use mintlb_common::placement::StoreId;
 use std::time::Duration;
 
-/// A follower gets the commit index at the latest this long after the last message, if there is nothing else to send.
+/// A follower gets the commit index at the latest this long after the last message, if there is
+/// nothing else to send.
 const COMMIT_NOTIFY_INTERVAL: Duration = Duration::from_millis(400);
 /// A primary that a quorum confirmed within this time may answer reads.
 const CONFIRMATION_VALIDITY: Duration = Duration::from_millis(400);
@@ -20,7 +21,8 @@
 const CAUGHT_UP_LAG: u64 = 256;
 
 impl Replica {
-    /// Appends an entry to the primary's log; returns its index. The caller has checked that this is the primary.
+    /// Appends an entry to the primary's log; returns its index. The caller has checked that this
+    /// is the primary.
     pub(super) fn append_as_primary(
         &mut self,
         entry: &Entry,
@@ -56,7 +58,8 @@
         }
     }
 
-    /// Only a probe for the follower's log gets this response; it still has all that it has acknowledged.
+    /// Only a probe for the follower's log gets this response; it still has all that it has
+    /// acknowledged.
     pub(super) fn on_diverged(
         &mut self,
         from: StoreId,
@@ -116,8 +119,9 @@
             self.effects.push(Effect::ReportChanged);
         }
         primary.note_progress(quorum_index, quorum_index > self.meta.commit_index, now);
-        // Until the register has confirmed the epoch another takeover may begin without this log. Committing only
-        // after that keeps followers from holding on to entries that may be replaced.
+        // Until the register has confirmed the epoch another takeover may begin without this log.
+        // Committing only after that keeps followers from holding on to entries that may be
+        // replaced.
         if self.assignment.previous.is_empty() && self.advance_commit_index(quorum_index) {
             self.effects.push(Effect::Committed(quorum_index));
         }
@@ -168,7 +172,8 @@
         self.send_append(id, range, now);
     }
 
-    /// Sends an empty append after this index: the response tells whether the follower's log is equal up to there.
+    /// Sends an empty append after this index: the response tells whether the follower's log is
+    /// equal up to there.
     fn send_probe(&mut self, id: StoreId, index: LogIndex, now: Timestamp) {
         let epoch = self.meta.log.epoch_at(index).unwrap_or(0);
         let append = Append {
@@ -225,9 +230,9 @@
         }
     }
 
-    /// Whether reads may be answered: a quorum has confirmed within [`CONFIRMATION_VALIDITY`] that this is still the
-    /// primary, so that everything committed before is known here (cf. Raft's ReadIndex). If not, the followers are
-    /// probed; [`Effect::Confirmed`] tells when to call again.
+    /// Whether reads may be answered: a quorum has confirmed a moment ago that this is still the
+    /// primary, so that everything committed before is known here (cf. Raft's ReadIndex). If not,
+    /// the followers are probed; [`Effect::Confirmed`] tells when to call again.
     pub fn confirm(&mut self, now: Timestamp) -> bool {
         let others = self.quorum() - 1;
         let Some(primary) = self.role.primary() else {
@@ -255,7 +260,8 @@
         false
     }
 
-    /// The replicas that have all but the newest entries. Whether they are live is left to their heartbeats.
+    /// The replicas that have all but the newest entries. Whether they are live is left to their
+    /// heartbeats.
     pub(super) fn caught_up(&self, primary: &Primary) -> Vec<StoreId> {
         let needed = self.meta.commit_index.saturating_sub(CAUGHT_UP_LAG);
         let own = primary.is_active.then_some(self.settings.store_id);
--- a/crates/mintlb-batch/src/replica/serving.rs
+++ b/crates/mintlb-batch/src/replica/serving.rs
@@ -12,7 +12,8 @@
 use crate::epoch_history::Epoch;
 
 impl Replica {
-    /// Whether this is the active primary and the register has confirmed it. Only then may requests be executed.
+    /// Whether this is the active primary and the register has confirmed it. Only then may requests
+    /// be executed.
     pub fn is_serving(&self) -> bool {
         self.role.primary().is_some_and(|primary| {
             primary.is_active
--- a/crates/mintlb-batch/src/replica/serving/leasing.rs
+++ b/crates/mintlb-batch/src/replica/serving/leasing.rs
@@ -16,8 +16,8 @@
 }
 
 impl Replica {
-    /// Leases up to `max_items` items that nobody owns, as far as their payloads fit into `max_bytes`. The caller has to
-    /// have [`Replica::confirm`] return true first.
+    /// Leases up to `max_items` items that nobody owns, as far as their payloads fit into
+    /// `max_bytes`. The caller has to have [`Replica::confirm`] return true first.
     pub fn lease(
         &mut self,
         owner: DispatcherId,
--- a/crates/mintlb-batch/src/replica/serving/proposing.rs
+++ b/crates/mintlb-batch/src/replica/serving/proposing.rs
@@ -19,8 +19,9 @@
         /// The response.
         response: StoreResponse,
     },
-    /// Once the log is committed up to an index, and after a comparison: a job with this name was accepted before. If
-    /// its items on disk equal the submitted ones the request is a repeated submission, otherwise a conflict.
+    /// Once the log is committed up to an index, and after a comparison: a job with this name was
+    /// accepted before. If its items on disk equal the submitted ones the request is a repeated
+    /// submission, otherwise a conflict.
     CompareItems {
         /// Index of the entry that accepted the job.
         index: LogIndex,
@@ -30,8 +31,8 @@
 }
 
 impl Replica {
-    /// Accepts a job if it fits into the quota of its route, and leases its items to the submitting dispatcher. `raw`
-    /// is the concatenated payloads.
+    /// Accepts a job if it fits into the quota of its route, and leases its items to the submitting
+    /// dispatcher. `raw` is the concatenated payloads.
     pub fn submit(&mut self, submit: Submit, raw: &Bytes, now: Timestamp) -> Proposal {
         if !self.is_serving() || submit.epoch != self.assignment.epoch {
             return Proposal::Immediate(StoreResponse::NotPrimary);
@@ -66,7 +67,8 @@
         max_queued_tokens > 0 && queued.saturating_add(tokens) > max_queued_tokens
     }
 
-    /// Whether a job's header on disk has the same items as a submitted one. The driver compares the payloads.
+    /// Whether a job's header on disk has the same items as a submitted one. The driver compares
+    /// the payloads.
     pub fn same_items(stored: &JobHeader, submitted: &JobHeader) -> bool {
         stored.items == submitted.items
     }
--- a/crates/mintlb-batch/src/replica/serving/reading.rs
+++ b/crates/mintlb-batch/src/replica/serving/reading.rs
@@ -1,5 +1,5 @@
-//! Requests that read. The caller has to have [`Replica::confirm`] return true first, lest a deposed primary answers
-//! from an outdated log.
+//! Requests that read. The caller has to have [`Replica::confirm`] return true first, lest a
+//! deposed primary answers from an outdated log.
 
 use super::Replica;
 use crate::epoch_history::LogIndex;
@@ -33,8 +33,8 @@
             .filter(|job| job.index <= self.meta.commit_index)
     }
 
-    /// Committed results of a job from position `start_after` on, up to `max_bytes` of entries but at least one.
-    /// `None` if there is no such job.
+    /// Committed results of a job from position `start_after` on, up to `max_bytes` of entries but
+    /// at least one. `None` if there is no such job.
     pub fn page(&self, name: &JobName, start_after: u64, max_bytes: u64) -> Option<PagePlan> {
         let job = self.committed_job(name)?;
         let committed = job.committed_results(self.meta.commit_index);
@@ -62,8 +62,8 @@
         Some(PagePlan { page, entries })
     }
 
-    /// Where the payload of an item is stored. `None` if there is no such item, or it has a committed result, or its
-    /// job was ended.
+    /// Where the payload of an item is stored. `None` if there is no such item, or it has a
+    /// committed result, or its job was ended.
     pub fn payload(&self, name: &JobName, item: &str) -> Option<PayloadLocation> {
         let job = self.committed_job(name)?;
         let item = job.item(item)?;
--- a/crates/mintlb-batch/src/replica/state.rs
+++ b/crates/mintlb-batch/src/replica/state.rs
@@ -9,8 +9,8 @@
 /// What a replica keeps on disk besides its entries.
 #[derive(Clone, Debug, Default, PartialEq, Encode, Decode)]
 pub struct ShardMeta {
-    /// The highest epoch that the replica has entered. Messages of earlier ones are rejected: that fences their
-    /// primaries (Raft's current term).
+    /// The highest epoch that the replica has entered. Messages of earlier ones are rejected: that
+    /// fences their primaries (Raft's current term).
     #[n(0)]
     pub current_epoch: Epoch,
     /// The epochs of the log.
--- a/crates/mintlb-batch/src/replica/takeover.rs
+++ b/crates/mintlb-batch/src/replica/takeover.rs
@@ -1,13 +1,14 @@
 //! Taking over a shard as the primary of a new epoch.
 //!
-//! The new primary makes replicas enter its epoch and reads which log each has, adopts the log that ends at the
-//! highest position among enough of the previous replicas, and starts its epoch on top of that. Every committed entry
-//! is in that log, as any `tolerance + 1` of the previous replicas intersect with those read (the view change of
-//! Viewstamped Replication; the discovery and synchronization phases of Zab).
+//! The new primary makes replicas enter its epoch and reads which log each has, adopts the log that
+//! ends at the highest position among enough of the previous replicas, and starts its epoch on top
+//! of that. Every committed entry is in that log, as any `tolerance + 1` of the previous replicas
+//! intersect with those read (the view change of Viewstamped Replication; the discovery and
+//! synchronization phases of Zab).
 //!
-//! Fewer logs are enough in two cases, see [`Replica::is_complete`]: an earlier takeover that never became active may
-//! already have left such a log at a replica, and the primary of the last active epoch has everything that was
-//! committed in it.
+//! Fewer logs are enough in two cases, see [`Replica::is_complete`]: an earlier takeover that never
+//! became active may already have left such a log at a replica, and the primary of the last active
+//! epoch has everything that was committed in it.
 
 use super::primary::Primary;
 use super::{AfterSync, Effect, Replica, Role};
@@ -90,7 +91,8 @@
     pub(super) fn begin_epoch(&mut self, now: Timestamp) {
         let epoch = self.assignment.epoch;
         self.enter_epoch(epoch);
-        // A restart within the epoch: with an entry of this epoch in the own log, everything older is in it as well.
+        // A restart within the epoch: with an entry of this epoch in the own log, everything older
+        // is in it as well.
         if self.meta.log.end().epoch == epoch {
             return self.become_primary(now);
         }
@@ -136,8 +138,8 @@
         self.on_epoch_ack(self.settings.store_id, epoch, log, now);
     }
 
-    /// How many of the previous replicas have to be read: every committed entry is at `tolerance + 1` of them, so all
-    /// but `tolerance`.
+    /// How many of the previous replicas have to be read: all but `tolerance`, as every committed
+    /// entry is at `tolerance + 1` of them.
     fn acks_needed(&self) -> usize {
         let previous = self.assignment.previous.len();
         previous.saturating_sub(self.settings.tolerance).max(1)
@@ -145,10 +147,11 @@
 
     /// Whether the log of this replica alone is sure to have everything that was committed.
     ///
-    /// It has if it holds an entry of an epoch after the last active one: that epoch was started on top of the logs of
-    /// enough previous replicas, which have rejected the primary of the last active epoch since. And it has if it is
-    /// the log of the last active epoch's primary: nobody else appended in that epoch, its own disk has an entry before
-    /// it is committed, and having entered the new epoch it commits nothing more.
+    /// It has if it holds an entry of an epoch after the last active one: that epoch was started on
+    /// top of the logs of enough previous replicas, which have rejected the primary of the last
+    /// active epoch since. And it has if it is the log of the last active epoch's primary: nobody
+    /// else appended in that epoch, its own disk has an entry before it is committed, and having
+    /// entered the new epoch it commits nothing more.
     fn is_complete(&self, from: StoreId, log: &EpochHistory) -> bool {
         let Some(last_active) = self.assignment.last_active_epoch else {
             return false;
@@ -258,7 +261,8 @@
         }
     }
 
-    /// Starts the epoch: the own log has everything that is committed, and its first entry goes on top.
+    /// Starts the epoch: the own log has everything that is committed, and its first entry goes on
+    /// top.
     fn append_epoch_start(&mut self, now: Timestamp) {
         self.append_entry(self.assignment.epoch, &Entry::EpochStart, &[], now);
         self.become_primary(now);
--- a/crates/mintlb-batch/src/timestamp.rs
+++ b/crates/mintlb-batch/src/timestamp.rs
@@ -4,6 +4,6 @@
 
 /// A point in time, as the duration since the origin of the process's monotonic clock.
 ///
-/// Timestamps of different processes must not be compared. The wall clock is used only where a value is kept
-/// across processes, and such fields say "Unix time".
+/// Timestamps of different processes must not be compared. The wall clock is used only where a
+/// value is kept across processes, and such fields say "Unix time".
 pub type Timestamp = Duration;
