--- a/crates/mintlb-control/src/controller/http/mod.rs
+++ b/crates/mintlb-control/src/controller/http/mod.rs
@@ -10,12 +10,27 @@
 pub mod retirement_api;
 pub mod server;
 
-use super::Controller;
+use super::workers::service::WorkerService;
 use axum::Router;
+use configuration_api::ConfigurationApi;
+use retirement_api::RetirementApi;
+use std::sync::Arc;
 
-/// The routes of all calls.
-pub fn router(controller: &Controller) -> Router {
-    configuration_api::routes(controller.configuration_api())
-        .merge(instance_api::routes(controller.workers.clone()))
-        .merge(retirement_api::routes(controller.retirement_api()))
+/// The calls, with what each kind needs.
+pub struct HttpApi {
+    /// The operator's calls on the configuration.
+    pub configuration: ConfigurationApi,
+    /// The operator's calls on the retirement of stores.
+    pub retirement: RetirementApi,
+    /// Handles the workers' calls.
+    pub workers: Arc<WorkerService>,
+}
+
+impl HttpApi {
+    /// The routes of all calls.
+    pub fn router(&self) -> Router {
+        configuration_api::routes(self.configuration.clone())
+            .merge(instance_api::routes(self.workers.clone()))
+            .merge(retirement_api::routes(self.retirement.clone()))
+    }
 }
--- a/crates/mintlb-control/src/controller/mod.rs
+++ b/crates/mintlb-control/src/controller/mod.rs
@@ -25,28 +25,20 @@
 pub use process::run;
 pub use startup::{StartedController, start};
 
-use contact::monitor::ContactMonitor;
-use http::configuration_api::ConfigurationApi;
-use http::retirement_api::RetirementApi;
+use http::HttpApi;
 use mintlb_common::transport::Transport;
 use mintlb_gossip::GossipService;
 use register::RegisterClient;
 use register::membership::Membership;
-use register::publisher::Publisher;
 use settings::SharedSettings;
-use singleton::retirement::RetirementHandler;
 use std::sync::Arc;
-use tokio::time::Instant;
 use workers::service::WorkerService;
 
-/// The parts of a controller that its HTTP API and its shutdown use. Each part holds what it needs of the others.
+/// The parts of a controller that its process uses from the start to the shutdown. Each part holds what it needs of the
+/// others.
 pub struct Controller {
-    settings: Arc<SharedSettings>,
-    started_at: Instant,
-    transport: Arc<Transport>,
-    contact: Arc<ContactMonitor>,
-    publisher: Arc<Publisher>,
-    retirement: Arc<RetirementHandler>,
+    /// The HTTP API.
+    pub http: HttpApi,
     /// The records that this process and its peers publish.
     pub gossip: Arc<GossipService>,
     /// Access to the register.
@@ -55,6 +47,8 @@
     pub membership: Arc<Membership>,
     /// The workers that send their heartbeats here.
     pub workers: Arc<WorkerService>,
+    settings: Arc<SharedSettings>,
+    transport: Arc<Transport>,
 }
 
 impl Controller {
@@ -64,23 +58,4 @@
             replica.close();
         }
     }
-
-    fn configuration_api(&self) -> ConfigurationApi {
-        ConfigurationApi {
-            register: self.register.clone(),
-            publisher: self.publisher.clone(),
-            contact: self.contact.clone(),
-            settings: self.settings.clone(),
-            started_at: self.started_at,
-        }
-    }
-
-    fn retirement_api(&self) -> RetirementApi {
-        RetirementApi {
-            handler: self.retirement.clone(),
-            contact: self.contact.clone(),
-            register: self.register.clone(),
-            transport: self.transport.clone(),
-        }
-    }
 }
--- a/crates/mintlb-control/src/controller/process.rs
+++ b/crates/mintlb-control/src/controller/process.rs
@@ -51,7 +51,7 @@
     let mut server = JoinSet::new();
     server.spawn(http::server::serve(
         listener,
-        http::router(&controller),
+        controller.http.router(),
         max_connections(&controller.settings.get()),
         shutdown.clone(),
     ));
--- a/crates/mintlb-control/src/controller/register/client.rs
+++ b/crates/mintlb-control/src/controller/register/client.rs
@@ -4,7 +4,6 @@
 use super::messages::{RegisterRequest, RegisterResponse, encode};
 use super::register_cache::RegisterCache;
 use super::replica_calls::{ReplicaReply, send_request};
-use super::service::RegisterService;
 use mintlb_common::transport::{Channel, Transport};
 use mintlb_register::ballot::Ballot;
 use mintlb_register::bootstrap::SeedStatus;
@@ -52,27 +51,22 @@
 }
 
 impl RegisterClient {
-    /// Registers the service on the register's channel. `random_seed` is a random number of this start, `first_start` as
-    /// in the settings.
-    pub fn start(
+    /// Access through this transport. `random_seed` is a random number of this start of the process.
+    pub fn new(
         transport: Arc<Transport>,
         replica: Option<Arc<LocalReplica>>,
         random_seed: u64,
-        first_start: bool,
-    ) -> Arc<RegisterClient> {
+    ) -> RegisterClient {
         let stored = replica.as_ref().and_then(|replica| replica.accepted());
-        let client = Arc::new(RegisterClient {
-            transport: transport.clone(),
+        RegisterClient {
+            transport,
             replica,
             cache: Mutex::new(RegisterCache::stored(stored)),
             next_proposer: AtomicU64::new(random_seed),
             proposal_lock: tokio::sync::Mutex::default(),
             majority_at: Mutex::default(),
             listener: Mutex::default(),
-        });
-        let service = RegisterService::new(client.clone(), first_start);
-        transport.register_service(Channel::Register, Arc::new(service));
-        client
+        }
     }
 
     /// Sets the callback for each value newly known to be chosen.
--- a/crates/mintlb-control/src/controller/register/mod.rs
+++ b/crates/mintlb-control/src/controller/register/mod.rs
@@ -22,3 +22,22 @@
 
 pub use acceptor_file_error::AcceptorFileError;
 pub use client::{QuorumUnavailable, RegisterClient};
+
+use local_replica::LocalReplica;
+use mintlb_common::transport::{Channel, Transport};
+use service::RegisterService;
+use std::sync::Arc;
+
+/// Opens access to the register, and serves its channel for other processes from now on. `random_seed` is a random number
+/// of this start, `first_start` as in the settings.
+pub fn start(
+    transport: Arc<Transport>,
+    replica: Option<Arc<LocalReplica>>,
+    random_seed: u64,
+    first_start: bool,
+) -> Arc<RegisterClient> {
+    let client = Arc::new(RegisterClient::new(transport.clone(), replica, random_seed));
+    let service = RegisterService::new(client.clone(), first_start);
+    transport.register_service(Channel::Register, Arc::new(service));
+    client
+}
--- a/crates/mintlb-control/src/controller/startup.rs
+++ b/crates/mintlb-control/src/controller/startup.rs
@@ -2,12 +2,15 @@
 
 use super::contact::monitor::ContactMonitor;
 use super::contact::pings::Pinger;
+use super::http::HttpApi;
+use super::http::configuration_api::ConfigurationApi;
+use super::http::retirement_api::RetirementApi;
 use super::register::acceptor_storage::AcceptorStorage;
 use super::register::discovery::Discovery;
 use super::register::local_replica::LocalReplica;
 use super::register::membership::Membership;
 use super::register::publisher::Publisher;
-use super::register::{AcceptorFileError, RegisterClient};
+use super::register::{self, AcceptorFileError, RegisterClient};
 use super::settings::SharedSettings;
 use super::singleton::leader::Leader;
 use super::singleton::replica_removal::ReplicaRemoval;
@@ -55,96 +58,29 @@
     Ok(assemble(settings, transport)?)
 }
 
-/// Composes the parts, and starts their tasks once all are there.
 fn assemble(
     settings: NodeSettings,
     transport: Arc<Transport>,
 ) -> Result<StartedController, AcceptorFileError> {
-    let own_address = transport.local_address();
-    let mut random = random_generator(own_address, &settings);
-    let replica = open_replica(&settings, own_address, &mut random)?;
-    let gossip = start_gossip(&settings, transport.clone());
-    let register = RegisterClient::start(
-        transport.clone(),
-        replica,
-        random.u64(..),
-        settings.first_start,
-    );
-    let publisher = start_publisher(&register, gossip.clone());
-    let heartbeat_timeout = settings.heartbeat_timeout();
-    let settings = Arc::new(SharedSettings::new(settings));
-    let contact = Arc::new(ContactMonitor::new(
-        register.clone(),
-        own_address,
-        random.u64(..),
-    ));
-    let workers = Arc::new(WorkerService::new(
-        gossip.clone(),
-        contact.clone(),
-        heartbeat_timeout,
-    ));
-    let leader_work = Arc::new(Notify::new());
-    let stores = Arc::new(StoreMonitor::new(leader_work.clone()));
-    let retirement = Arc::new(RetirementHandler::new(
-        register.clone(),
-        contact.clone(),
-        stores.clone(),
-        settings.clone(),
-    ));
-    let discovery = Discovery::new(
-        register.clone(),
-        gossip.clone(),
-        settings.clone(),
-        own_address,
-    );
-    let membership = Arc::new(Membership::new(
-        register.clone(),
-        discovery,
-        contact.clone(),
-        settings.clone(),
-        random,
-    ));
-    let pinger = Pinger::new(
-        contact.clone(),
-        register.clone(),
-        transport.clone(),
-        leader_work.clone(),
-    );
-    let leader = Leader::new(
-        contact.clone(),
-        leader_work,
-        ShardPlacement::new(
-            register.clone(),
-            gossip.clone(),
-            stores.clone(),
-            settings.clone(),
-        ),
-        ReplicaRemoval::new(register.clone(), contact.clone(), settings.clone()),
-        WorkerExpiry::new(
-            contact.clone(),
-            workers.clone(),
-            transport.clone(),
-            gossip.clone(),
-        ),
-    );
-    let service = ControlService::new(contact.clone(), workers.clone(), stores, retirement.clone());
+    let mut random = random_generator(transport.local_address(), &settings);
+    let parts = Parts::new(settings, transport, &mut random)?;
+    let membership = Arc::new(parts.membership(random));
     let mut tasks = JoinSet::new();
     tasks.spawn(membership.clone().run());
-    tasks.spawn(workers.clone().expire_unresponsive_workers());
-    transport.register_service(Channel::Control, Arc::new(service));
-    tasks.spawn(pinger.run());
-    tasks.spawn(leader.run());
+    tasks.spawn(parts.workers.clone().expire_unresponsive_workers());
+    parts
+        .transport
+        .register_service(Channel::Control, Arc::new(parts.control_service()));
+    tasks.spawn(parts.pinger().run());
+    tasks.spawn(parts.leader().run());
     let controller = Controller {
-        settings,
-        started_at: Instant::now(),
-        transport,
-        contact,
-        publisher,
-        retirement,
-        gossip,
-        register,
+        http: parts.http_api(),
+        gossip: parts.gossip,
+        register: parts.register,
         membership,
-        workers,
+        workers: parts.workers,
+        settings: parts.settings,
+        transport: parts.transport,
     };
     Ok(StartedController {
         controller: Arc::new(controller),
@@ -152,6 +88,144 @@
     })
 }
 
+/// The shared parts, of which the tasks and the API are composed.
+struct Parts {
+    settings: Arc<SharedSettings>,
+    transport: Arc<Transport>,
+    gossip: Arc<GossipService>,
+    register: Arc<RegisterClient>,
+    publisher: Arc<Publisher>,
+    contact: Arc<ContactMonitor>,
+    workers: Arc<WorkerService>,
+    stores: Arc<StoreMonitor>,
+    retirement: Arc<RetirementHandler>,
+    /// Notified when leadership or the state of the stores has changed.
+    leader_work: Arc<Notify>,
+}
+
+impl Parts {
+    fn new(
+        settings: NodeSettings,
+        transport: Arc<Transport>,
+        random: &mut fastrand::Rng,
+    ) -> Result<Parts, AcceptorFileError> {
+        let own_address = transport.local_address();
+        let replica = open_replica(&settings, own_address, random)?;
+        let gossip = start_gossip(&settings, transport.clone());
+        let first_start = settings.first_start;
+        let register = register::start(transport.clone(), replica, random.u64(..), first_start);
+        let publisher = start_publisher(&register, gossip.clone());
+        let contact = ContactMonitor::new(register.clone(), own_address, random.u64(..));
+        let contact = Arc::new(contact);
+        let workers = WorkerService::new(
+            gossip.clone(),
+            contact.clone(),
+            settings.heartbeat_timeout(),
+        );
+        let settings = Arc::new(SharedSettings::new(settings));
+        let leader_work = Arc::new(Notify::new());
+        let stores = Arc::new(StoreMonitor::new(leader_work.clone()));
+        let retirement = RetirementHandler::new(
+            register.clone(),
+            contact.clone(),
+            stores.clone(),
+            settings.clone(),
+        );
+        Ok(Parts {
+            settings,
+            transport,
+            gossip,
+            register,
+            publisher,
+            contact,
+            workers: Arc::new(workers),
+            stores,
+            retirement: Arc::new(retirement),
+            leader_work,
+        })
+    }
+
+    fn membership(&self, random: fastrand::Rng) -> Membership {
+        let discovery = Discovery::new(
+            self.register.clone(),
+            self.gossip.clone(),
+            self.settings.clone(),
+            self.transport.local_address(),
+        );
+        Membership::new(
+            self.register.clone(),
+            discovery,
+            self.contact.clone(),
+            self.settings.clone(),
+            random,
+        )
+    }
+
+    fn control_service(&self) -> ControlService {
+        ControlService::new(
+            self.contact.clone(),
+            self.workers.clone(),
+            self.stores.clone(),
+            self.retirement.clone(),
+        )
+    }
+
+    fn pinger(&self) -> Pinger {
+        Pinger::new(
+            self.contact.clone(),
+            self.register.clone(),
+            self.transport.clone(),
+            self.leader_work.clone(),
+        )
+    }
+
+    fn leader(&self) -> Leader {
+        let placement = ShardPlacement::new(
+            self.register.clone(),
+            self.gossip.clone(),
+            self.stores.clone(),
+            self.settings.clone(),
+        );
+        let replica_removal = ReplicaRemoval::new(
+            self.register.clone(),
+            self.contact.clone(),
+            self.settings.clone(),
+        );
+        let worker_expiry = WorkerExpiry::new(
+            self.contact.clone(),
+            self.workers.clone(),
+            self.transport.clone(),
+            self.gossip.clone(),
+        );
+        Leader::new(
+            self.contact.clone(),
+            self.leader_work.clone(),
+            placement,
+            replica_removal,
+            worker_expiry,
+        )
+    }
+
+    fn http_api(&self) -> HttpApi {
+        HttpApi {
+            configuration: ConfigurationApi {
+                register: self.register.clone(),
+                publisher: self.publisher.clone(),
+                contact: self.contact.clone(),
+                settings: self.settings.clone(),
+                started_at: Instant::now(),
+            },
+            retirement: RetirementApi {
+                handler: self.retirement.clone(),
+                contact: self.contact.clone(),
+                register: self.register.clone(),
+                transport: self.transport.clone(),
+            },
+            workers: self.workers.clone(),
+        }
+    }
+}
+
 /// A generator with a seed that differs between processes and between the starts of one.
 fn random_generator(own_address: SocketAddr, settings: &NodeSettings) -> fastrand::Rng {
     let identity = (own_address, &settings.node_name, SystemTime::now());
--- a/crates/mintlb-control/tests/controller_wire_fixtures.rs
+++ b/crates/mintlb-control/tests/controller_wire_fixtures.rs
@@ -11,7 +11,7 @@
 use mintlb_common::placement::{Placement, ShardAssignment, StoreEntry};
 use mintlb_common::transport::{Channel, ResponseFuture, Service, Transport};
 use mintlb_control::controller::contact::messages::{PeerStatus, Ping, Pong};
-use mintlb_control::controller::register::RegisterClient;
+use mintlb_control::controller::register;
 use mintlb_control::controller::register::acceptor_storage::{AcceptorStorage, FILE};
 use mintlb_control::controller::register::local_replica::LocalReplica;
 use mintlb_control::controller::singleton::messages::{
@@ -313,8 +313,8 @@
         replica(ID),
     );
     let _registers = (
-        RegisterClient::start(with_disk.clone(), Some(Arc::new(local)), 1, true),
-        RegisterClient::start(without.clone(), None, 2, true),
+        register::start(with_disk.clone(), Some(Arc::new(local)), 1, true),
+        register::start(without.clone(), None, 2, true),
     );
     let steps = [
         ("read", "vote-read", with_disk.local_address()),
@@ -358,7 +358,7 @@
         replica(ID),
     );
     let (own, reader, seed) = (transport().await, transport().await, transport().await);
-    let register = RegisterClient::start(own, Some(Arc::new(local)), 1, true);
+    let register = register::start(own, Some(Arc::new(local)), 1, true);
     let answers = [
         "status-set",
         "status-none",
@@ -380,7 +380,7 @@
     assert_eq!((status.has_disk, status.replica_set), (false, None));
     assert!(register.request_bootstrap_vote(to, WAIT).await);
     assert!(!register.request_bootstrap_vote(to, WAIT).await);
-    let register = RegisterClient::start(reader, None, 2, false);
+    let register = register::start(reader, None, 2, false);
     register.hint(ReplicaSet::bootstrap(Replica {
         address: to.to_string(),
         ..replica(ID)
--- a/crates/mintlb-control/tests/controllers/mod.rs
+++ b/crates/mintlb-control/tests/controllers/mod.rs
@@ -7,7 +7,7 @@
 use mintlb_common::record::{REPLICAS, Record};
 use mintlb_common::settings::NodeSettings;
 use mintlb_control::controller::register::acceptor_storage::FILE;
-use mintlb_control::controller::{Controller, StartedController, http, start};
+use mintlb_control::controller::{Controller, StartedController, start};
 use mintlb_gossip::GossipService;
 use mintlb_register::replica_set::ReplicaSet;
 use std::path::Path;
@@ -273,7 +273,7 @@
 }
 
 async fn answer(controller: Arc<Controller>, call: Call) {
-    let answer = http::router(&controller).call(call.request).await.unwrap();
+    let answer = controller.http.router().call(call.request).await.unwrap();
     let status = answer.status();
     let body = to_bytes(answer.into_body(), 8 << 20).await.unwrap();
     call.answer
