--- /dev/null
+++ b/crates/mintlb-register/tests/register/fault_scenarios/controller.rs
@@ -0,0 +1,378 @@
+//! The controllers, which behave as those of `mintlb-control`: each polls the register, joins its set, ends joint sets,
+//! catches up, and, as the first live member, removes unresponsive ones.
+
+use super::machine::{Operation, OperationKind, PendingReply, Purpose};
+use super::simulation::{Event, PlantedFault, Simulation};
+use crate::support::{add, replica_at};
+use mintlb_register::acceptor::DurableWrite;
+use mintlb_register::change::{Change, ChangeOutcome};
+use mintlb_register::message::{AcceptedValue, Reply};
+use mintlb_register::proposal::{Effects, Input, Proposal, ProposalOutcome};
+use mintlb_register::quorum_read::{QuorumRead, ReadProgress};
+use mintlb_register::replica_set::{ReplicaId, ReplicaSet};
+
+/// A member that has not responded for this time may be removed, in ms.
+const UNRESPONSIVE_AFTER_MS: u64 = 3000;
+/// Time for a change, in ms.
+const CHANGE_TIMEOUT_MS: u64 = 1500;
+/// Time for a read, in ms.
+const READ_TIMEOUT_MS: u64 = 400;
+/// Pause between two polls, in ms.
+const POLL_INTERVAL_MS: u64 = 1000;
+/// Pause before the next poll after a failure, in ms.
+const RETRY_DELAY_MS: u64 = 60;
+
+impl Simulation {
+    /// A controller's regular poll of the register.
+    pub fn poll(&mut self, index: usize, incarnation: u64) {
+        let machine = &self.machines[index];
+        if machine.incarnation != incarnation || !machine.is_up {
+            return;
+        }
+        if machine.paused_until > self.now {
+            let delay = machine.paused_until - self.now;
+            return self.schedule(
+                delay,
+                Event::Poll {
+                    machine: index,
+                    incarnation,
+                },
+            );
+        }
+        if machine.newest_set().is_none() {
+            self.discover_set(index);
+            return self.schedule_poll(index, RETRY_DELAY_MS);
+        }
+        self.start_read(index);
+    }
+
+    /// Learns of the newest set that others know, as by gossip or from a seed.
+    fn discover_set(&mut self, index: usize) {
+        if !self.machines[index].is_reachable() {
+            return;
+        }
+        let newest = self
+            .machines
+            .iter()
+            .filter(|other| other.is_reachable())
+            .filter_map(|other| other.newest_set())
+            .max_by_key(|set| set.epoch)
+            .cloned();
+        self.machines[index].hint = newest;
+    }
+
+    fn start_read(&mut self, index: usize) {
+        let machine = &self.machines[index];
+        let Some(set) = machine.newest_set().cloned() else {
+            return;
+        };
+        let (read, progress) = QuorumRead::start(set, machine.known.clone());
+        let kind = OperationKind::Read(Box::new(read));
+        let operation = self.start_operation(index, kind, Purpose::Poll, READ_TIMEOUT_MS);
+        self.handle_read_progress(index, operation, progress);
+    }
+
+    pub fn start_change(&mut self, index: usize, change: Change, purpose: Purpose) {
+        let machine = &self.machines[index];
+        let Some(set) = machine.newest_set().cloned() else {
+            return;
+        };
+        let proposer = self.last_number + 7;
+        let (proposal, effects) = Proposal::start(
+            proposer,
+            machine.ballot_floor,
+            set,
+            machine.known.clone(),
+            change,
+        );
+        let kind = OperationKind::Proposal(Box::new(proposal));
+        let operation = self.start_operation(index, kind, purpose, CHANGE_TIMEOUT_MS);
+        self.carry_out(index, operation, effects);
+    }
+
+    /// Returns the operation's number.
+    fn start_operation(
+        &mut self,
+        machine: usize,
+        kind: OperationKind,
+        purpose: Purpose,
+        timeout_ms: u64,
+    ) -> u64 {
+        // Far enough from the numbers before that each proposal has a proposer of its own.
+        self.last_number += 10;
+        let number = self.last_number;
+        let operation = Operation {
+            kind,
+            purpose,
+            floor: self.checker.acknowledged(),
+            timer: 0,
+        };
+        self.machines[machine].operations.insert(number, operation);
+        self.schedule(
+            timeout_ms,
+            Event::Deadline {
+                machine,
+                operation: number,
+            },
+        );
+        number
+    }
+
+    pub fn handle_timer(&mut self, machine: usize, operation: u64, timer: u64) {
+        let current = self.machines[machine].operations.get(&operation);
+        if current.is_some_and(|operation| operation.timer == timer) {
+            self.handle_input(machine, operation, Input::Timer);
+        }
+    }
+
+    pub fn handle_deadline(&mut self, machine: usize, operation: u64) {
+        if let Some(operation) = self.machines[machine].operations.remove(&operation) {
+            self.handle_timeout(machine, operation.purpose);
+        }
+    }
+
+    pub fn handle_input(&mut self, index: usize, number: u64, input: Input) {
+        if self.machines[index].paused_until > self.now {
+            return;
+        }
+        let Some(operation) = self.machines[index].operations.get_mut(&number) else {
+            return;
+        };
+        match &mut operation.kind {
+            OperationKind::Proposal(proposal) => {
+                let effects = proposal.handle(input);
+                self.carry_out(index, number, effects);
+            }
+            OperationKind::Read(read) => {
+                if let Input::Reply { from, reply } = input {
+                    let progress = read.handle_reply(from, Some(reply));
+                    self.handle_read_progress(index, number, progress);
+                }
+            }
+        }
+    }
+
+    fn carry_out(&mut self, index: usize, number: u64, effects: Effects) {
+        self.send_requests(index, number, effects.requests);
+        let timer = self.next_number();
+        let Some(operation) = self.machines[index].operations.get_mut(&number) else {
+            return;
+        };
+        if let Some(delay) = effects.timer {
+            operation.timer = timer;
+            let event = Event::Timer {
+                machine: index,
+                operation: number,
+                timer,
+            };
+            self.schedule(delay.as_millis() as u64, event);
+        }
+        if let Some(outcome) = effects.outcome {
+            self.finish_proposal(index, number, outcome);
+        }
+    }
+
+    fn finish_proposal(&mut self, index: usize, number: u64, outcome: ProposalOutcome) {
+        let machine = &mut self.machines[index];
+        let Some(operation) = machine.operations.remove(&number) else {
+            return;
+        };
+        if let OperationKind::Proposal(proposal) = &operation.kind {
+            machine.ballot_floor = machine.ballot_floor.max(proposal.highest_ballot());
+        }
+        self.check_chosen(&outcome.chosen, operation.floor);
+        self.machines[index].learn(&outcome.chosen);
+        self.handle_outcome(index, operation.purpose, outcome.change);
+    }
+
+    fn handle_read_progress(&mut self, index: usize, number: u64, progress: ReadProgress) {
+        match progress {
+            ReadProgress::Send(requests) => self.send_requests(index, number, requests),
+            ReadProgress::Inconclusive => {
+                self.machines[index].operations.remove(&number);
+                self.start_change(index, Change::Identity, Purpose::Poll);
+            }
+            ReadProgress::Chosen(chosen) => {
+                let Some(operation) = self.machines[index].operations.remove(&number) else {
+                    return;
+                };
+                self.check_chosen(&chosen, operation.floor);
+                self.machines[index].learn(&chosen);
+                self.maintain_membership(index);
+            }
+        }
+    }
+
+    /// What a controller does once a proposal has an outcome.
+    fn handle_outcome(&mut self, index: usize, purpose: Purpose, outcome: ChangeOutcome) {
+        match purpose {
+            Purpose::Poll => self.maintain_membership(index),
+            Purpose::EnterJoint if self.planted != PlantedFault::NeverLeavesJoint => {
+                self.start_change(index, Change::LeaveJoint, Purpose::LeaveJoint);
+            }
+            Purpose::EnterJoint | Purpose::LeaveJoint => self.schedule_poll(index, RETRY_DELAY_MS),
+            Purpose::RemoveSelf => {
+                self.start_change(index, Change::LeaveJoint, Purpose::LeaveJointAfterRemoval);
+            }
+            Purpose::LeaveJointAfterRemoval => (),
+            Purpose::Configure { base, version } => {
+                if outcome == ChangeOutcome::Applied {
+                    self.handle_applied(base, version);
+                }
+            }
+        }
+    }
+
+    fn handle_applied(&mut self, base: u64, version: u64) {
+        self.stats.applied += 1;
+        self.inject_fault_after_acknowledgement();
+        if let Err(violation) = self.checker.record_applied(base, version) {
+            self.report_violation(violation);
+        }
+    }
+
+    /// What a controller does if an operation has no outcome in time.
+    fn handle_timeout(&mut self, index: usize, purpose: Purpose) {
+        match purpose {
+            Purpose::Poll => {
+                self.discover_set(index);
+                if self.machines[index].known.is_some() && self.random_below(2) == 0 {
+                    self.start_change(index, Change::Identity, Purpose::LeaveJoint);
+                } else {
+                    self.schedule_poll(index, RETRY_DELAY_MS);
+                }
+            }
+            Purpose::EnterJoint | Purpose::LeaveJoint => self.schedule_poll(index, RETRY_DELAY_MS),
+            Purpose::RemoveSelf | Purpose::LeaveJointAfterRemoval | Purpose::Configure { .. } => (),
+        }
+    }
+
+    /// Joins the set, ends a joint set, or removes an unresponsive member.
+    fn maintain_membership(&mut self, index: usize) {
+        let Some(chosen) = self.machines[index].known.clone() else {
+            return self.schedule_poll(index, RETRY_DELAY_MS);
+        };
+        let set = &chosen.state.replicas;
+        let machine = &self.machines[index];
+        let (id, is_stopping) = (machine.id(), machine.is_stopping);
+        let replica = replica_at(id, &machine.address);
+        self.catch_up(index, &chosen);
+        if set.current_replica(id).is_none() && !is_stopping {
+            if self.planted == PlantedFault::NeverRejoins {
+                return self.schedule_poll(index, POLL_INTERVAL_MS);
+            }
+            return self.start_change(index, add(replica), Purpose::EnterJoint);
+        }
+        if set.is_joint() && self.planted != PlantedFault::NeverLeavesJoint {
+            return self.start_change(index, Change::LeaveJoint, Purpose::LeaveJoint);
+        }
+        if let Some(id) = self.removable_member(set)
+            && self.is_first_live_member(index, set)
+        {
+            let change = Change::RemoveReplica {
+                id,
+                min_replicas: self.min_replicas(),
+            };
+            return self.start_change(index, change, Purpose::EnterJoint);
+        }
+        self.schedule_poll(index, POLL_INTERVAL_MS);
+    }
+
+    /// An unresponsive member of a set that is larger than it has to be.
+    fn removable_member(&self, set: &ReplicaSet) -> Option<ReplicaId> {
+        if set.is_joint() || set.current.len() <= self.min_replicas() {
+            return None;
+        }
+        set.current
+            .iter()
+            .map(|replica| replica.id)
+            .find(|id| self.is_unresponsive(*id))
+    }
+
+    /// The replica of the machine stores a chosen value that it has missed.
+    fn catch_up(&mut self, index: usize, chosen: &AcceptedValue) {
+        if self.planted == PlantedFault::NeverCatchesUp {
+            return;
+        }
+        let machine = &mut self.machines[index];
+        let id = machine.id();
+        let set = &chosen.state.replicas;
+        if !set.members().any(|member| member.id == id) {
+            return;
+        }
+        let write = machine.acceptor.learn(chosen);
+        if write == DurableWrite::Nothing {
+            return;
+        }
+        // No operation has the number 0: nobody handles the reply.
+        machine.unsynced.push_back(PendingReply {
+            write,
+            reply: Reply::WrongReplica { id },
+            to: index,
+            operation: 0,
+        });
+        let sync_time = 1 + self.random_below(15);
+        self.schedule_synced(index, sync_time);
+    }
+
+    fn is_unresponsive(&self, id: ReplicaId) -> bool {
+        let is_silent = self
+            .machines
+            .iter()
+            .find(|machine| machine.id() == id && machine.is_up)
+            .is_none_or(|machine| {
+                !machine.is_reachable() && self.now >= machine.last_fault_at + UNRESPONSIVE_AFTER_MS
+            });
+        let last_fault_at = self
+            .machines
+            .iter()
+            .filter(|machine| machine.id() == id)
+            .map(|machine| machine.last_fault_at)
+            .max()
+            .unwrap_or(0);
+        is_silent && self.now >= last_fault_at + UNRESPONSIVE_AFTER_MS
+    }
+
+    /// Whether this machine has the lowest address of the members that are up.
+    fn is_first_live_member(&self, index: usize, set: &ReplicaSet) -> bool {
+        let is_live = |id| {
+            self.machines
+                .iter()
+                .any(|machine| machine.id() == id && machine.is_reachable())
+        };
+        let first = set
+            .current
+            .iter()
+            .filter(|replica| is_live(replica.id))
+            .map(|replica| &replica.address)
+            .min();
+        first == Some(&self.machines[index].address)
+    }
+
+    /// The operator's next change of the configuration, at any machine.
+    pub fn call_as_operator(&mut self) {
+        let pause = if self.random_below(4) == 0 {
+            2500
+        } else {
+            100 + self.random_below(700)
+        };
+        self.schedule(pause, Event::OperatorCall);
+        let up: Vec<usize> = (0..self.machines.len())
+            .filter(|index| self.machines[*index].is_up)
+            .collect();
+        if up.is_empty() || !self.is_operator_active {
+            return;
+        }
+        let index = self.random_of(&up);
+        let base = self.checker.newest().state.configuration_version;
+        let version = self.next_number();
+        let change = Change::SetConfiguration {
+            base,
+            version,
+            body: version.to_be_bytes().to_vec(),
+            tolerated_failures: self.tolerated_failures,
+            durability_suffices: false,
+        };
+        self.start_change(index, change, Purpose::Configure { base, version });
+    }
+}
