--- a/crates/mintlb-control/src/bind.rs
+++ b/crates/mintlb-control/src/bind.rs
@@ -8,7 +8,8 @@
 /// The pause between two attempts.
 const BIND_RETRY_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Calls `listen` until it succeeds: a process that is being replaced may not have closed its socket yet.
+/// Calls `listen` until it succeeds: a process that is being replaced may not have closed its
+/// socket yet.
 ///
 /// # Errors
 /// The error of the last attempt, after 5 seconds.
--- a/crates/mintlb-control/src/store/driver.rs
+++ b/crates/mintlb-control/src/store/driver.rs
@@ -1,4 +1,5 @@
-//! Drives a store: its ticks, the continuations of commits, and opening the file again after a commit has failed.
+//! Drives a store: its ticks, the continuations of commits, and opening the file again after a
+//! commit has failed.
 
 use super::StoreError;
 use super::handle::Store;
@@ -46,7 +47,8 @@
         }
     }
 
-    /// Waits for the next event and handles it. Cancel safe: it can be dropped while it waits, and called again.
+    /// Waits for the next event and handles it. Cancel safe: it can be dropped while it waits, and
+    /// called again.
     ///
     /// # Errors
     /// [`StoreError::File`] if the file turns out to be damaged when it is opened again.
--- a/crates/mintlb-control/src/store/entry_cache.rs
+++ b/crates/mintlb-control/src/store/entry_cache.rs
@@ -1,5 +1,5 @@
-//! Entries of a primary that not all followers have yet, cached in memory as far as they fit: replicating them then needs
-//! no read from disk.
+//! Entries of a primary that not all followers have yet, cached in memory as far as they fit:
+//! replicating them then needs no read from disk.
 
 use super::storage::StoredEntry;
 use bytes::Bytes;
--- a/crates/mintlb-control/src/store/error.rs
+++ b/crates/mintlb-control/src/store/error.rs
@@ -4,7 +4,8 @@
 use std::error::Error;
 use std::net::SocketAddr;
 
-/// Why the store ended. None of these is worth a retry by the process itself: those that are have been retried.
+/// Why the store ended. None of these is worth a retry by the process itself: those that are have
+/// been retried.
 #[derive(Debug, thiserror::Error)]
 pub enum StoreError {
     /// The settings name no data directory.
@@ -13,8 +14,8 @@
     /// The data directory can't be used.
     #[error("M602 {0}")]
     Directory(#[source] Box<dyn Error + Send + Sync>),
-    /// The file was damaged or exchanged while it was in use. After a restart the store begins anew, under another
-    /// identity.
+    /// The file was damaged or exchanged while it was in use. After a restart the store begins
+    /// anew, under another identity.
     #[error("M603 the lots' file: {0}")]
     File(#[source] DiskError),
     /// The internal address can't be bound.
--- a/crates/mintlb-control/src/store/handle.rs
+++ b/crates/mintlb-control/src/store/handle.rs
@@ -1,4 +1,5 @@
-//! The store's shared state: the replicas behind one lock, their clock, and whether the store is shutting down.
+//! The store's shared state: the replicas behind one lock, their clock, and whether the store is
+//! shutting down.
 
 use super::shard_host::ShardHost;
 use super::storage::commit_queue::ShardContinuation;
@@ -17,7 +18,8 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// Bits of the random seed that don't go into the clock's offset: 40 bits of milliseconds remain, about 35 years.
+/// Bits of the random seed that don't go into the clock's offset: 40 bits of milliseconds remain,
+/// about 35 years.
 const CLOCK_OFFSET_SHIFT: u32 = 24;
 
 /// What a store reports to the controllers.
@@ -34,7 +36,8 @@
     shard_host: Mutex<ShardHost>,
     id: StoreId,
     started: Instant,
-    /// Each process's monotonic clock begins at an offset of its own, so that no echo of another process's time fits.
+    /// Each process's monotonic clock begins at an offset of its own, so that no echo of another
+    /// process's time fits.
     clock_offset: Duration,
     disk_bytes: u64,
     report_changed: Arc<Notify>,
@@ -120,7 +123,8 @@
         self.shard_host().tick(self.now());
     }
 
-    /// After a failed commit: closes the file, and acknowledges and promises nothing until [`Store::resume`].
+    /// After a failed commit: closes the file, and acknowledges and promises nothing until
+    /// [`Store::resume`].
     pub fn suspend(&self) {
         let storage = {
             let mut shard_host = self.shard_host();
@@ -137,7 +141,8 @@
         self.report_changed.notify_one();
     }
 
-    /// Whether the disk has failed or does not respond: the store then sends no heartbeats, so that it counts as down.
+    /// Whether the disk has failed or does not respond: the store then sends no heartbeats, so that
+    /// it counts as down.
     pub fn is_without_disk(&self) -> bool {
         self.shard_host().is_without_disk(std::time::Instant::now())
     }
@@ -152,7 +157,8 @@
         self.shard_host().is_disk_full(job_bytes, self.disk_bytes)
     }
 
-    /// Reports to the controllers that this store shuts down, so that its shards get other primaries.
+    /// Reports to the controllers that this store shuts down, so that its shards get other
+    /// primaries.
     pub fn start_draining(&self) {
         self.draining.store(true, Relaxed);
         self.report_changed.notify_one();
@@ -163,8 +169,8 @@
         self.draining.load(Relaxed)
     }
 
-    /// Whether other stores still need this one: it is the primary of a shard, or a shard is being moved away from it and
-    /// a takeover may have to read its replica.
+    /// Whether other stores still need this one: it is the primary of a shard, or a shard is being
+    /// moved away from it and a takeover may have to read its replica.
     pub fn has_shards_to_hand_over(&self) -> bool {
         let shard_host = self.shard_host();
         let is_takeover_source = shard_host
--- a/crates/mintlb-control/src/store/mod.rs
+++ b/crates/mintlb-control/src/store/mod.rs
@@ -1,9 +1,11 @@
-//! The store: keeps replicas of the shards of batch jobs on its disk, and serves dispatchers for those shards whose
-//! primary it is.
+//! The store: keeps replicas of the shards of batch jobs on its disk, and serves dispatchers for
+//! those shards whose primary it is.
 //!
 //! - `startup`, `shutdown`: the life of the process; [`driver`]: its event loop.
-//! - [`service`]: requests and messages from the transport; `requests`: how each request is answered.
-//! - [`handle`]: the shared state behind its lock; [`shard_host`]: the replicas, their effects, and waiting calls.
+//! - [`service`]: requests and messages from the transport; `requests`: how each request is
+//!   answered.
+//! - [`handle`]: the shared state behind its lock; [`shard_host`]: the replicas, their effects, and
+//!   waiting calls.
 //! - [`storage`]: the file, its commit thread and its capacity.
 //! - [`entry_cache`]: entries that are still being replicated.
 //! - [`heartbeats`]: reports to the controllers.
--- a/crates/mintlb-control/src/store/requests/lease.rs
+++ b/crates/mintlb-control/src/store/requests/lease.rs
@@ -31,7 +31,8 @@
             if remaining_items == 0 || remaining_bytes == 0 {
                 break;
             }
-            // A primary that may have been replaced leases nothing: it would not know which jobs have ended.
+            // A primary that may have been replaced leases nothing: it would not know which jobs
+            // have ended.
             let replica = shard_host.replica(shard);
             let plans = match replica.has_unleased_items(now) && replica.confirm(now) {
                 true => replica.lease(lease.owner, remaining_items, remaining_bytes, now),
@@ -77,8 +78,8 @@
     }
 }
 
-/// The leased items with their payloads. Items whose payload can't be read are left out: they are leased again once this
-/// lease has expired.
+/// The leased items with their payloads. Items whose payload can't be read are left out: they are
+/// leased again once this lease has expired.
 fn read_payloads(shard_host: &ShardHost, shard: u32, plans: Vec<LeasePlan>) -> Vec<LeasedItem> {
     let mut entries: Vec<u64> = plans.iter().map(|plan| plan.payload.entry).collect();
     entries.dedup();
--- a/crates/mintlb-control/src/store/requests/mod.rs
+++ b/crates/mintlb-control/src/store/requests/mod.rs
@@ -43,8 +43,8 @@
         encode(&response)
     }
 
-    /// Makes a change and waits until it is committed. `on_proposed` sees the replicas right after the change, under the
-    /// same lock.
+    /// Makes a change and waits until it is committed. `on_proposed` sees the replicas right after
+    /// the change, under the same lock.
     async fn propose(
         &self,
         shard: u32,
@@ -75,8 +75,8 @@
         proposal
     }
 
-    /// The response to a proposal. Only a primary that is confirmed may answer that there is no such job: another one may
-    /// have accepted it.
+    /// The response to a proposal. Only a primary that is confirmed may answer that there is no
+    /// such job: another one may have accepted it.
     async fn confirm_not_found(&self, shard: u32, proposal: Proposal) -> StoreResponse {
         match proposal {
             Proposal::Immediate(StoreResponse::NotFound) if !self.confirm_primary(shard).await => {
--- a/crates/mintlb-control/src/store/requests/read.rs
+++ b/crates/mintlb-control/src/store/requests/read.rs
@@ -26,8 +26,8 @@
 }
 
 impl Store {
-    /// Returns the job's results from a position on. If there are none yet, waits for the first as long as the reader
-    /// asks for.
+    /// Returns the job's results from a position on. If there are none yet, waits for the first as
+    /// long as the reader asks for.
     pub(super) async fn read(&self, read: Read) -> Bytes {
         let shard = Placement::shard_of(&read.job.host);
         let deadline = Instant::now() + Duration::from_millis(read.wait_ms).min(MAX_READ_WAIT);
@@ -60,7 +60,8 @@
         }
     }
 
-    /// An empty page, or that the job is unknown, from a confirmed primary only: another one may have results.
+    /// An empty page, or that the job is unknown, from a confirmed primary only: another one may
+    /// have results.
     async fn confirm_empty(&self, shard: u32, page: Option<Page>) -> Bytes {
         let response = match (self.confirm_primary(shard).await, page) {
             (false, _) => StoreResponse::Indeterminate,
--- a/crates/mintlb-control/src/store/requests/submit.rs
+++ b/crates/mintlb-control/src/store/requests/submit.rs
@@ -29,8 +29,8 @@
         }
     }
 
-    /// Whether the entry at `index` holds this job with these payloads; `None` if it can't be read. A job whose payloads
-    /// have been reclaimed is compared by its items alone.
+    /// Whether the entry at `index` holds this job with these payloads; `None` if it can't be read.
+    /// A job whose payloads have been reclaimed is compared by its items alone.
     fn is_same_job(&self, shard: u32, index: u64, job: &JobHeader, raw: &Bytes) -> Option<bool> {
         let entries = self.shard_host().read(shard, &[index])?;
         let (entry, stored_raw) = framing::decode::<Entry>(&entries.first()?.bytes)?;
--- a/crates/mintlb-control/src/store/shard_host/effects.rs
+++ b/crates/mintlb-control/src/store/shard_host/effects.rs
@@ -23,7 +23,8 @@
 }
 
 impl ShardHost {
-    /// Runs the effects of a shard's replica until it asks for no more. To be called after each change of the replica.
+    /// Runs the effects of a shard's replica until it asks for no more. To be called after each
+    /// change of the replica.
     pub fn run_effects(&mut self, shard: u32, now: Timestamp) {
         loop {
             let effects = self.replica(shard).take_effects();
--- a/crates/mintlb-control/src/store/shard_host/mod.rs
+++ b/crates/mintlb-control/src/store/shard_host/mod.rs
@@ -1,5 +1,5 @@
-//! The replicas of all shards at this store, with what their effects need: the commit queue, connections to other stores,
-//! and the calls that wait.
+//! The replicas of all shards at this store, with what their effects need: the commit queue,
+//! connections to other stores, and the calls that wait.
 //!
 //! - `effects`: carries the effects of replicas out.
 //! - [`pending_calls`]: the calls of a shard that wait.
@@ -32,7 +32,8 @@
     pending_calls: Vec<PendingCalls>,
     entry_cache: EntryCache,
     settings: ReplicaSettings,
-    /// A commit failed, so it is not known what is on disk: no replica sends, acknowledges or accepts anything.
+    /// A commit failed, so it is not known what is on disk: no replica sends, acknowledges or
+    /// accepts anything.
     suspended: bool,
     placement: Placement,
     addresses: FxHashMap<StoreId, SocketAddr>,
@@ -43,7 +44,8 @@
 }
 
 impl ShardHost {
-    /// Replicas with what the disk held. `report_changed` is notified when [`ShardHost::reports`] changes.
+    /// Replicas with what the disk held. `report_changed` is notified when [`ShardHost::reports`]
+    /// changes.
     pub fn new(
         transport: Arc<Transport>,
         opened: OpenedStorage,
@@ -66,8 +68,9 @@
         }
     }
 
-    /// What is on disk is not known any more: all waiting calls end as indeterminate, and no replica sends anything until
-    /// [`ShardHost::resume`]. To the other stores it is as if the process had ended.
+    /// What is on disk is not known any more: all waiting calls end as indeterminate, and no
+    /// replica sends anything until [`ShardHost::resume`]. To the other stores it is as if the
+    /// process had ended.
     pub fn suspend(&mut self, now: Timestamp) {
         self.suspended = true;
         self.replicas = load_replicas(LoadedShards::new(), self.settings, now);
@@ -88,7 +91,8 @@
         }
     }
 
-    /// Whether the disk is of no use at this time: it is not known what is on it, or it does not respond.
+    /// Whether the disk is of no use at this time: it is not known what is on it, or it does not
+    /// respond.
     pub fn is_without_disk(&self, now: Instant) -> bool {
         self.suspended || self.commit_queue.is_stalled(now)
     }
@@ -98,8 +102,8 @@
         self.suspended
     }
 
-    /// Whether the disk or the commit queue has no capacity for a batch job of so many bytes, beside the results that the
-    /// accepted jobs are expected to have.
+    /// Whether the disk or the commit queue has no capacity for a batch job of so many bytes,
+    /// beside the results that the accepted jobs are expected to have.
     pub fn is_disk_full(&self, job_bytes: u64, disk_bytes: u64) -> bool {
         let file_bytes = self.storage.file_bytes();
         let jobs = self.replicas.iter().map(Replica::jobs);
@@ -160,8 +164,8 @@
         self.placement = placement;
     }
 
-    /// Handles a message from another store's replica. While the commit queue is full, messages with entries are dropped:
-    /// their senders repeat them.
+    /// Handles a message from another store's replica. While the commit queue is full, messages
+    /// with entries are dropped: their senders repeat them.
     pub fn on_peer_message(&mut self, envelope: Envelope, raw: Bytes, now: Timestamp) {
         let shard = envelope.shard;
         let has_entries = !raw.is_empty();
@@ -210,7 +214,8 @@
             .sum()
     }
 
-    /// Reads durable entries, from memory if all of them are cached. `None` if the disk can't be read, which is logged.
+    /// Reads durable entries, from memory if all of them are cached. `None` if the disk can't be
+    /// read, which is logged.
     pub fn read(&self, shard: u32, indexes: &[u64]) -> Option<Vec<StoredEntry>> {
         let cached: Vec<StoredEntry> = indexes
             .iter()
--- a/crates/mintlb-control/src/store/shard_host/pending_calls.rs
+++ b/crates/mintlb-control/src/store/shard_host/pending_calls.rs
@@ -1,4 +1,5 @@
-//! Calls of one shard that wait for its replica: for a commit, for a result, or for the followers' confirmation.
+//! Calls of one shard that wait for its replica: for a commit, for a result, or for the followers'
+//! confirmation.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -12,7 +13,8 @@
 pub enum CommitStatus {
     /// The entry is committed.
     Committed,
-    /// It is not known whether the entry will be committed: the replica stepped down, the disk failed or time ran out.
+    /// It is not known whether the entry will be committed: the replica stepped down, the disk
+    /// failed or time ran out.
     Indeterminate,
 }
 
@@ -38,7 +40,8 @@
     job: u64,
 }
 
-/// The waiting calls of a shard. Dropping it ends all waits: commits as [`CommitStatus::Indeterminate`].
+/// The waiting calls of a shard. Dropping it ends all waits: commits as
+/// [`CommitStatus::Indeterminate`].
 #[derive(Default)]
 pub struct PendingCalls {
     /// Calls that wait for a commit, by the index of their entry.
--- a/crates/mintlb-control/src/store/shutdown.rs
+++ b/crates/mintlb-control/src/store/shutdown.rs
@@ -1,5 +1,5 @@
-//! Graceful shutdown: the store reports that it is draining and goes on until its shards have other primaries, its
-//! replicas have moved, and all writes are durable.
+//! Graceful shutdown: the store reports that it is draining and goes on until its shards have other
+//! primaries, its replicas have moved, and all writes are durable.
 
 use super::{RunningStore, StoreError};
 use std::time::Duration;
@@ -7,7 +7,8 @@
 
 /// How long a draining store goes on at most.
 const MAX_HANDOVER_TIME: Duration = Duration::from_millis(4000);
-/// How long it goes on at least: the controllers need this long to answer whether its replicas move.
+/// How long it goes on at least: the controllers need this long to answer whether its replicas
+/// move.
 const MIN_HANDOVER_TIME: Duration = Duration::from_millis(800);
 /// The grace period is not taken to be longer than this many seconds.
 const MAX_GRACE_PERIOD_S: f64 = 60.0;
--- a/crates/mintlb-control/src/store/storage/chunked_entries.rs
+++ b/crates/mintlb-control/src/store/storage/chunked_entries.rs
@@ -1,6 +1,6 @@
-//! Layout of log entries in the file: each entry is cut into chunks of equal length that share pages well. redb gives a
-//! value longer than a page the next power of two, up to 2.4 times its bytes (measured); chunks of at most 1000 bytes take
-//! 1.1 to 1.3 times their bytes.
+//! Layout of log entries in the file: each entry is cut into chunks of equal length that share
+//! pages well. redb gives a value longer than a page the next power of two, up to 2.4 times its
+//! bytes (measured); chunks of at most 1000 bytes take 1.1 to 1.3 times their bytes.
 
 use super::tables::{ChunkKey, ENTRY_CHUNKS, LEGACY_ENTRIES};
 use bytes::{Bytes, BytesMut};
--- a/crates/mintlb-control/src/store/storage/commit_queue.rs
+++ b/crates/mintlb-control/src/store/storage/commit_queue.rs
@@ -1,4 +1,5 @@
-//! Group commit: one thread commits to the file; what is queued while a commit is in progress goes into the next one.
+//! Group commit: one thread commits to the file; what is queued while a commit is in progress goes
+//! into the next one.
 
 use super::error::DiskError;
 use super::shard_storage::{ShardStorage, ShardWrite};
@@ -12,7 +13,8 @@
 const GROUP_COMMIT_DELAY: Duration = Duration::from_millis(6);
 /// unless so many bytes are queued.
 const GROUP_COMMIT_BYTES: usize = 64 << 10;
-/// Bytes in the queue above which the store accepts nothing new: bounds its memory while the disk is slow.
+/// Bytes in the queue above which the store accepts nothing new: bounds its memory while the disk
+/// is slow.
 pub const MAX_QUEUED_BYTES: usize = 12 << 20;
 /// A commit that takes this long shows that the disk does not respond.
 const STALL_TIMEOUT: Duration = Duration::from_millis(1500);
@@ -55,7 +57,8 @@
     writes: Vec<ShardWrite>,
     /// Continuations of the next commit.
     continuations: Vec<ShardContinuation>,
-    /// Continuations that were queued without writes while a commit was in progress: they run after that one.
+    /// Continuations that were queued without writes while a commit was in progress: they run after
+    /// that one.
     current_continuations: Vec<ShardContinuation>,
     /// Bytes of `writes`.
     bytes: usize,
@@ -107,9 +110,10 @@
 }
 
 impl CommitQueue {
-    /// Starts the thread. It sends the outcome of each commit; after a failed one all writes are discarded until
-    /// [`CommitQueue::resume`]. The thread is never joined: a disk that does not respond would keep the process from
-    /// ending. It ends by itself once nobody receives the outcomes.
+    /// Starts the thread. It sends the outcome of each commit; after a failed one all writes are
+    /// discarded until [`CommitQueue::resume`]. The thread is never joined: a disk that does not
+    /// respond would keep the process from ending. It ends by itself once nobody receives the
+    /// outcomes.
     ///
     /// # Errors
     /// If the system starts no thread.
@@ -191,7 +195,8 @@
         self.state().is_idle()
     }
 
-    /// Whether a commit has been in progress for so long that the disk counts as one that does not respond.
+    /// Whether a commit has been in progress for so long that the disk counts as one that does not
+    /// respond.
     pub fn is_stalled(&self, now: Instant) -> bool {
         let started = self.state().commit_started;
         started.is_some_and(|started| now.saturating_duration_since(started) >= STALL_TIMEOUT)
--- a/crates/mintlb-control/src/store/storage/error.rs
+++ b/crates/mintlb-control/src/store/storage/error.rs
@@ -11,11 +11,12 @@
 /// Why the store's file can't be used.
 #[derive(Debug, thiserror::Error)]
 pub enum DiskError {
-    /// The file does not hold what was written. A retry does not help; only such a file may be quarantined.
+    /// The file does not hold what was written. A retry does not help; only such a file may be
+    /// quarantined.
     #[error("{0}")]
     Damaged(#[source] Cause),
-    /// The disk does not accept or return bytes at present: it is full, broken, or the file is closed after a failed
-    /// commit. The file itself may be intact: retry.
+    /// The disk does not accept or return bytes at present: it is full, broken, or the file is
+    /// closed after a failed commit. The file itself may be intact: retry.
     #[error("{0}")]
     Unavailable(#[source] Cause),
     /// The data directory is no directory, or access to it is denied. A retry does not help.
@@ -29,7 +30,8 @@
         matches!(self, DiskError::Unavailable(_))
     }
 
-    /// Classifies an error of redb: what shows that the file's contents are wrong is damage, all else may pass.
+    /// Classifies an error of redb: what shows that the file's contents are wrong is damage, all
+    /// else may pass.
     pub(super) fn from_redb(cause: impl Into<redb::Error>) -> DiskError {
         use redb::Error;
         let cause = cause.into();
--- a/crates/mintlb-control/src/store/storage/file.rs
+++ b/crates/mintlb-control/src/store/storage/file.rs
@@ -38,8 +38,8 @@
     Arc::new(|path| Database::builder().set_cache_size(CACHE_BYTES).create(path))
 }
 
-/// Creates the file under another name and renames it once it is complete: a file with the right name is never one that a
-/// crash left half-written.
+/// Creates the file under another name and renames it once it is complete: a file with the right
+/// name is never one that a crash left half-written.
 pub(super) fn create(
     open: &DatabaseOpener,
     directory: &Path,
--- a/crates/mintlb-control/src/store/storage/mod.rs
+++ b/crates/mintlb-control/src/store/storage/mod.rs
@@ -1,7 +1,8 @@
 //! The store's file of batch jobs: one redb database, and the thread that commits to it.
 //!
 //! - [`shard_storage`]: reads and commits.
-//! - [`mod@file`]: creates, opens and quarantines the file; `chunked_entries` is the layout of log entries in its tables.
+//! - [`mod@file`]: creates, opens and quarantines the file; `chunked_entries` is the layout of log
+//!   entries in its tables.
 //! - [`commit_queue`]: groups the shards' writes into commits.
 //! - [`capacity`]: how many more bytes the disk can take.
 //! - [`error`]: why the file can't be used, and whether a retry can help.
--- a/crates/mintlb-control/src/store/storage/shard_storage.rs
+++ b/crates/mintlb-control/src/store/storage/shard_storage.rs
@@ -1,7 +1,8 @@
 //! The store's file while it is in use: reads and commits.
 //!
-//! After a failed commit redb accepts nothing until the file is opened again, and only then is it known what the disk
-//! holds: [`ShardStorage::close`], then [`ShardStorage::reopen`] until the disk accepts writes.
+//! After a failed commit redb accepts nothing until the file is opened again, and only then is it
+//! known what the disk holds: [`ShardStorage::close`], then [`ShardStorage::reopen`] until the disk
+//! accepts writes.
 
 use super::chunked_entries;
 use super::error::{DiskError, FileDamage, FileUnavailable};
@@ -17,7 +18,8 @@
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
 
-/// Bytes that are written and synced when the file is opened again: a disk that is still full rejects them.
+/// Bytes that are written and synced when the file is opened again: a disk that is still full
+/// rejects them.
 const PROBE_BYTES: usize = 64 << 10;
 
 /// A log entry with its index, as it lies on disk: [`mintlb_batch::framing`] bytes.
@@ -53,12 +55,13 @@
 }
 
 impl ShardStorage {
-    /// Opens the file in `directory`, or creates it with `new_id` as the store's identity. A damaged file is quarantined:
-    /// the store then begins anew, like one that has lost its disk.
+    /// Opens the file in `directory`, or creates it with `new_id` as the store's identity. A
+    /// damaged file is quarantined: the store then begins anew, like one that has lost its disk.
     ///
     /// # Errors
-    /// [`DiskError::Unavailable`] if the disk accepts or returns no bytes at present; the file stays, and the caller is
-    /// to retry. [`DiskError::Directory`] if the directory can't be used at all.
+    /// [`DiskError::Unavailable`] if the disk accepts or returns no bytes at present; the file
+    /// stays, and the caller is to retry. [`DiskError::Directory`] if the directory can't be used
+    /// at all.
     pub fn open(
         directory: &Path,
         new_id: StoreId,
@@ -98,7 +101,8 @@
         Ok((ShardStorage { shared }, opened.shards))
     }
 
-    /// Closes the file after a failed commit: nothing can be read or written until [`ShardStorage::reopen`].
+    /// Closes the file after a failed commit: nothing can be read or written until
+    /// [`ShardStorage::reopen`].
     pub fn close(&self) {
         *self.shared.database.write() = None;
     }
@@ -106,8 +110,8 @@
     /// Opens the file again and returns its contents.
     ///
     /// # Errors
-    /// [`DiskError::Unavailable`] while the disk accepts no writes. [`DiskError::Damaged`] if the file is damaged, was
-    /// removed or exchanged; it stays where it is.
+    /// [`DiskError::Unavailable`] while the disk accepts no writes. [`DiskError::Damaged`] if the
+    /// file is damaged, was removed or exchanged; it stays where it is.
     pub fn reopen(&self) -> Result<LoadedShards, DiskError> {
         let mut database = self.shared.database.write();
         *database = None;
--- a/crates/mintlb-control/tests/error_numbers.rs
+++ b/crates/mintlb-control/tests/error_numbers.rs
@@ -1,6 +1,6 @@
-//! The numbered errors of the program as they are worded in its log and answers: operators look them up by
-//! their numbers, so a change of the code's names must not change them. Those that only an answer of a call
-//! or the command line words are not among them, as nothing public gives their text.
+//! Texts of the numbered errors in the program's log and responses: operators look them up by their
+//! numbers, so a change of the code's names must not change them. Errors that only a response or
+//! the command line prints are not among them, as nothing public returns their text.
 
 use mintlb_control::controller::ControllerError;
 use mintlb_control::controller::register::acceptor_file_error::Damage;
@@ -15,11 +15,11 @@
 }
 
 #[test]
-fn errors_are_worded_as_written_down() {
+fn numbered_errors_have_their_recorded_texts() {
     let address: SocketAddr = "10.0.0.1:7001".parse().unwrap();
     let damaged = || DiskError::Damaged("the cause".into());
-    let refused = || DiskError::Unavailable("the cause".into());
-    let folder = || DiskError::Directory("the cause".into());
+    let unavailable = || DiskError::Unavailable("the cause".into());
+    let directory = || DiskError::Directory("the cause".into());
     let texts = [
         ControllerError::NoAddress.to_string(),
         ControllerError::Listen {
@@ -41,9 +41,9 @@
         QuorumUnavailable.to_string(),
         StoreError::NoDisk.to_string(),
         StoreError::Directory("the cause".into()).to_string(),
-        StoreError::from(folder()).to_string(),
+        StoreError::from(directory()).to_string(),
         StoreError::from(damaged()).to_string(),
-        StoreError::from(refused()).to_string(),
+        StoreError::from(unavailable()).to_string(),
         StoreError::File(damaged()).to_string(),
         StoreError::Listen {
             address,
--- a/crates/mintlb-control/tests/faulty_disk/mod.rs
+++ b/crates/mintlb-control/tests/faulty_disk/mod.rs
@@ -11,7 +11,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// The max_length time that a sync hangs.
+/// How long a sync hangs at most.
 const MAX_HANG: Duration = Duration::from_secs(5);
 
 /// The behavior of the disk.
--- a/crates/mintlb-control/tests/faulty_file/mod.rs
+++ b/crates/mintlb-control/tests/faulty_file/mod.rs
@@ -1,4 +1,5 @@
-//! Files of a disk that may be full, and that may lose power: what was not synced is then kept, lost or torn.
+//! Files of a disk that can be full, hang, or lose power: writes that were not synced then survive,
+//! are lost or torn.
 #![allow(dead_code)]
 
 use mintlb_control::store::storage::file::{CACHE_BYTES, DatabaseOpener};
@@ -9,7 +10,7 @@
 use std::path::Path;
 use std::sync::Arc;
 
-/// What a disk is asked to keep.
+/// A change of the file.
 #[derive(Clone, Debug)]
 enum Change {
     Write(u64, Vec<u8>),
@@ -18,21 +19,21 @@
 
 #[derive(Debug, Default)]
 struct State {
-    /// It takes no more bytes.
+    /// It rejects all writes.
     full: bool,
-    /// It answers nothing.
+    /// Writes and syncs wait.
     stalled: bool,
-    /// It takes so many more writes and syncs, and then the power fails.
-    left: Option<u64>,
-    /// The file was opened before.
-    known: bool,
-    /// What the last sync covered.
+    /// Writes and syncs until the power fails.
+    remaining: Option<u64>,
+    /// The file has been opened.
+    opened: bool,
+    /// The bytes that the last sync covered.
     durable: Vec<u8>,
-    /// What came after it.
+    /// The changes since then.
     unsynced: Vec<Change>,
 }
 
-/// A disk with one file that counts. Cheap to clone.
+/// A disk with one file. Cheap to clone.
 #[derive(Clone, Debug, Default)]
 pub struct Disk(Arc<(Mutex<State>, Condvar)>);
 
@@ -50,7 +51,7 @@
                 .open(path)?;
             {
                 let mut state = disk.0.0.lock();
-                if !std::mem::replace(&mut state.known, true) {
+                if !std::mem::replace(&mut state.opened, true) {
                     state.durable = std::fs::read(path)?;
                 }
             }
@@ -73,12 +74,13 @@
         self.0.1.notify_all();
     }
 
-    /// The power fails after so many more writes and syncs; `None`: it does not.
-    pub fn fail_after(&self, left: Option<u64>) {
-        self.0.0.lock().left = left;
+    /// The power fails after so many more writes and syncs; `None`: never.
+    pub fn fail_after(&self, remaining: Option<u64>) {
+        self.0.0.lock().remaining = remaining;
     }
 
-    /// What the file is after the loss of power. `choose` says how many bytes of a write are kept, of so many.
+    /// Writes the file as the power loss leaves it to `path`. `choose` returns how many bytes of a
+    /// write survive, of so many.
     pub fn lose_power(&self, path: &Path, mut choose: impl FnMut(usize) -> usize) {
         let mut state = self.0.0.lock();
         let mut image = state.durable.clone();
@@ -90,17 +92,17 @@
                     }
                 }
                 Change::Write(offset, bytes) => {
-                    let kept = choose(bytes.len());
-                    let end = offset as usize + kept;
-                    if kept > 0 {
+                    let surviving = choose(bytes.len());
+                    let end = offset as usize + surviving;
+                    if surviving > 0 {
                         image.resize(image.len().max(end), 0);
-                        image[offset as usize..end].copy_from_slice(&bytes[..kept]);
+                        image[offset as usize..end].copy_from_slice(&bytes[..surviving]);
                     }
                 }
             }
         }
         std::fs::write(path, &image).unwrap();
-        (state.durable, state.left) = (image, None);
+        (state.durable, state.remaining) = (image, None);
     }
 
     fn take(&self, change: Option<Change>) -> Result<(), Error> {
@@ -111,9 +113,9 @@
         if state.full {
             return Err(ErrorKind::StorageFull.into());
         }
-        match &mut state.left {
+        match &mut state.remaining {
             Some(0) => return Err(Error::other("no power")),
-            Some(left) => *left -= 1,
+            Some(remaining) => *remaining -= 1,
             None => (),
         }
         state.unsynced.extend(change);
--- a/crates/mintlb-control/tests/store_cluster.rs
+++ b/crates/mintlb-control/tests/store_cluster.rs
@@ -1,4 +1,5 @@
-//! Stores and the client of dispatchers: batch jobs are submitted, run, read and ended, also after a takeover.
+//! Stores and the client of dispatchers: batch jobs are submitted, run, read and ended, also after
+//! a takeover.
 
 mod stores;
 
@@ -188,7 +189,8 @@
     let has_shards = |node: usize| cluster.nodes[node].store.has_shards_to_hand_over();
     assert!(has_shards(0), "it is the primary");
     assert!(!has_shards(2));
-    // The third one's replicas move to the fourth: while the takeover may have to read them, they are needed.
+    // The third one's replicas move to the fourth: while the takeover may have to read them, they
+    // are needed.
     let moved = cluster.placement(&[0, 1, 3]).epoch(2);
     cluster.place(moved.clone().previous(&[0, 1, 2]).build());
     assert!(has_shards(2));
--- a/crates/mintlb-control/tests/store_disk_fixture.rs
+++ b/crates/mintlb-control/tests/store_disk_fixture.rs
@@ -1,9 +1,9 @@
-//! A lots' file that was written down in `tests/fixtures/store`, read by the program of now: a store that is
-//! exchanged for one of another version has to find its lots again, so a change of names or of the code's
-//! structure must change neither the file's name, nor its tables, nor a byte in them.
+//! A store's file that was recorded in `tests/fixtures/store`, read by the present program: a store
+//! that is upgraded has to find its jobs again, so a change of names or of the code's structure
+//! must change neither the file's name, nor its tables, nor a byte in them.
 //!
-//! `lots.redb` is the file, `rows.txt` its tables as redb alone reads them, `known.txt` what the program
-//! makes of it.
+//! `lots.redb` is the file, `rows.txt` its tables as redb alone reads them, `known.txt` the state
+//! that a replica loads from it.
 
 mod store_fixture;
 
@@ -12,8 +12,8 @@
 use mintlb_control::store::storage::ShardStorage;
 use std::path::Path;
 
-/// What a replica knows of its shard, a line each.
-fn known(replica: &Replica, shard: u32) -> Vec<String> {
+/// The state of a replica, a line a fact, in the words of the recorded text.
+fn describe(replica: &Replica, shard: u32) -> Vec<String> {
     let end = replica.log().end();
     let epochs: Vec<_> = (1..=end.index)
         .map(|index| replica.log().epoch_at(index).unwrap().to_string())
@@ -67,10 +67,10 @@
     lines
 }
 
-/// The entries of a shard as the program reads them, with their bytes.
-fn entries(disk: &ShardStorage, shard: u32) -> Vec<String> {
+/// The entries of a shard as the program reads them.
+fn entries(storage: &ShardStorage, shard: u32) -> Vec<String> {
     let indexes: Vec<u64> = (0..20).collect();
-    let read = disk.read(shard, &indexes).unwrap().into_iter();
+    let read = storage.read(shard, &indexes).unwrap().into_iter();
     read.map(|entry| {
         format!(
             "{shard} {} {}",
@@ -81,7 +81,7 @@
     .collect()
 }
 
-/// The entries of a shard as the table's rows hold them: their parts one after another.
+/// The entries of a shard as they lie in the table: their chunks joined.
 fn entries_in_rows(rows: &str, shard: u32) -> Vec<String> {
     let mut entries: Vec<String> = Vec::new();
     for row in rows
@@ -89,8 +89,8 @@
         .filter_map(|row| row.strip_prefix(&format!("parts ({shard}, ")))
     {
         let (key, bytes) = row.split_once(") ").unwrap();
-        let (index, place) = key.split_once(", ").unwrap();
-        match place {
+        let (index, chunk) = key.split_once(", ").unwrap();
+        match chunk {
             "0" => entries.push(format!("{shard} {index} {bytes}")),
             _ => entries.last_mut().unwrap().push_str(bytes),
         }
@@ -98,7 +98,7 @@
     entries
 }
 
-fn copied() -> tempfile::TempDir {
+fn copy_of_fixture() -> tempfile::TempDir {
     let directory = tempfile::tempdir().unwrap();
     std::fs::copy(
         store_fixture::path("store/lots.redb"),
@@ -108,7 +108,7 @@
     directory
 }
 
-fn names(directory: &Path) -> Vec<String> {
+fn file_names(directory: &Path) -> Vec<String> {
     let files = std::fs::read_dir(directory)
         .unwrap()
         .map(|file| file.unwrap().file_name());
@@ -116,28 +116,28 @@
 }
 
 #[test]
-fn the_program_finds_its_lots_again() {
-    let directory = copied();
-    let (disk, mut shards) = ShardStorage::open(directory.path(), 1).unwrap();
+fn a_recorded_file_is_read_as_before() {
+    let directory = copy_of_fixture();
+    let (storage, mut shards) = ShardStorage::open(directory.path(), 1).unwrap();
     assert_eq!(
-        disk.id(),
+        storage.id(),
         store_fixture::IDENTITY,
-        "the file was not taken as the store's"
+        "the file was not recognized"
     );
     assert_eq!(shards.keys().copied().collect::<Vec<_>>(), [5, 63]);
     let rows = store_fixture::text("store/rows.txt");
     let mut lines = Vec::new();
     for shard in [5, 63] {
-        assert_eq!(entries(&disk, shard), entries_in_rows(&rows, shard));
-        lines.append(&mut known(
+        assert_eq!(entries(&storage, shard), entries_in_rows(&rows, shard));
+        lines.append(&mut describe(
             &store_fixture::replica(&mut shards, shard),
             shard,
         ));
     }
     let expected = store_fixture::text("store/known.txt");
     assert_eq!(lines, expected.lines().collect::<Vec<_>>());
-    drop(disk);
-    assert_eq!(names(directory.path()), ["lots.redb"]);
+    drop(storage);
+    assert_eq!(file_names(directory.path()), ["lots.redb"]);
     let after = store_fixture::rows(&directory.path().join("lots.redb"));
     assert_eq!(
         after,
@@ -147,12 +147,12 @@
 }
 
 #[test]
-fn the_program_writes_the_same_tables() {
+fn the_same_writes_produce_the_same_tables() {
     let directory = tempfile::tempdir().unwrap();
-    // Left by a process that ended while it made the file.
+    // Left by a process that ended while it created the file.
     std::fs::write(directory.path().join("lots.redb.new"), [1; 100]).unwrap();
-    store_fixture::make(directory.path());
-    assert_eq!(names(directory.path()), ["lots.redb"]);
+    store_fixture::write_file(directory.path());
+    assert_eq!(file_names(directory.path()), ["lots.redb"]);
     let rows = store_fixture::rows(&directory.path().join("lots.redb"));
     assert_eq!(
         rows,
@@ -163,8 +163,8 @@
 }
 
 #[test]
-fn the_fixture_holds_the_tables_that_are_written_down() {
-    let directory = copied();
+fn the_recorded_file_has_the_recorded_tables() {
+    let directory = copy_of_fixture();
     let rows = store_fixture::rows(&directory.path().join("lots.redb"));
     assert_eq!(
         rows,
@@ -175,11 +175,11 @@
 }
 
 #[test]
-fn a_damaged_file_is_kept_by_its_name() {
+fn a_damaged_file_is_quarantined_under_its_name() {
     let directory = tempfile::tempdir().unwrap();
     std::fs::write(directory.path().join("lots.redb"), [1; 20_000]).unwrap();
     ShardStorage::open(directory.path(), 1).unwrap();
-    let mut names = names(directory.path());
+    let mut names = file_names(directory.path());
     names.sort();
     assert_eq!(names, ["lots.redb", "lots.redb.unreadable"]);
 }
--- a/crates/mintlb-control/tests/store_fixture/mod.rs
+++ b/crates/mintlb-control/tests/store_fixture/mod.rs
@@ -1,4 +1,5 @@
-//! The writes that made the fixture `tests/fixtures/store/lots.redb`, and what a lots' file holds, as text.
+//! The writes that produced the fixture `tests/fixtures/store/lots.redb`, and a store's file as
+//! text.
 
 use bytes::Bytes;
 use mintlb_batch::entry::{Entry, ItemHeader, ItemState, JobHeader, JobTerms};
@@ -12,8 +13,8 @@
 
 /// The identity of the fixture's store.
 pub const IDENTITY: u64 = 0x1122_3344_5566_7788;
-/// How long its lots have to be readable.
-const STATUS: Duration = Duration::from_secs(30);
+/// How long its jobs are readable after they were sent.
+const RESULT_RETENTION: Duration = Duration::from_secs(30);
 
 /// A path under `tests/fixtures`.
 pub fn path(name: &str) -> PathBuf {
@@ -27,13 +28,13 @@
     std::fs::read_to_string(path(name)).unwrap()
 }
 
-/// A replica with what the file holds of a shard.
+/// A replica with the state of a shard in the file.
 pub fn replica(shards: &mut LoadedShards, shard: u32) -> Replica {
     let loaded = shards.remove(&shard).unwrap();
     let settings = ReplicaSettings {
         store_id: IDENTITY,
         tolerance: 1,
-        result_retention: STATUS,
+        result_retention: RESULT_RETENTION,
     };
     Replica::load(
         shard,
@@ -44,16 +45,17 @@
     )
 }
 
-/// Makes the fixture's file in a folder: shard 5 with an open, a finished and an ended lot, of which the
-/// sweep has taken the payloads; shard 63 with a longer entry than a part, and a compacted start.
-pub fn make(directory: &Path) {
-    let (disk, _) = ShardStorage::open(directory, IDENTITY).unwrap();
+/// Writes the fixture's file into a directory: shard 5 with an open, a finished and an ended job,
+/// whose payloads the sweep has reclaimed; shard 63 with an entry longer than a chunk, and a
+/// compacted start.
+pub fn write_file(directory: &Path) {
+    let (storage, _) = ShardStorage::open(directory, IDENTITY).unwrap();
     let puts = |shard: u32, entries: Vec<Bytes>| {
         let rows = (1..).zip(entries).map(|(index, bytes)| ShardWrite {
             shard,
             write: DiskWrite::Put(index, bytes),
         });
-        disk.commit(&rows.collect::<Vec<_>>()).unwrap();
+        storage.commit(&rows.collect::<Vec<_>>()).unwrap();
     };
     let meta = |shard: u32, runs: &[(u64, u64)], current_epoch: u64, commit_index: u64| {
         let mut log = EpochHistory::default();
@@ -65,46 +67,46 @@
             commit_index,
         };
         let write = DiskWrite::Meta(meta);
-        disk.commit(&[ShardWrite { shard, write }]).unwrap();
+        storage.commit(&[ShardWrite { shard, write }]).unwrap();
     };
     let five = vec![
-        begin(),
+        epoch_start(),
         job("open", &[40, 1500, 7]),
         job("finished", &[11, 12]),
         result(2, 1, ItemState::Completed, 2100),
         result(3, 1, ItemState::Unrecoverable, 20),
-        begin(),
+        epoch_start(),
         result(3, 0, ItemState::Completed, 30),
         job("ended", &[5, 6]),
-        // One byte more than a part takes.
+        // One byte more than a chunk takes.
         result(8, 1, ItemState::Completed, 995),
         framing::encode(&Entry::Ended { job: 8 }, &[]),
         job("uncommitted", &[3]),
     ];
     puts(5, five);
     meta(5, &[(5, 2), (11, 4)], 6, 10);
-    sweep(&disk, 5, Duration::from_secs(2));
+    sweep(&storage, 5, Duration::from_secs(2));
     let many = vec![
-        begin(),
+        epoch_start(),
         job("old", &[100]),
         result(2, 0, ItemState::Completed, 50),
         job("kept", &[2500, 999]),
-        // Just what a part takes.
+        // Just what a chunk takes.
         result(4, 1, ItemState::Completed, 994),
     ];
     puts(63, many);
     meta(63, &[(5, 300)], 300, 5);
-    sweep(&disk, 63, STATUS + Duration::from_secs(11));
-    // The table of the bytes that only try the disk.
-    disk.close();
-    disk.reopen().unwrap();
+    sweep(&storage, 63, RESULT_RETENTION + Duration::from_secs(11));
+    // Fills the table of the disk's probe.
+    storage.close();
+    storage.reopen().unwrap();
 }
 
-/// Carries out what a replica's sweep writes at this time.
-fn sweep(disk: &ShardStorage, shard: u32, at: Duration) {
-    disk.close();
-    let mut replica = replica(&mut disk.reopen().unwrap(), shard);
-    replica.tick(at);
+/// Commits the writes of a replica's sweep at this time.
+fn sweep(storage: &ShardStorage, shard: u32, now: Duration) {
+    storage.close();
+    let mut replica = replica(&mut storage.reopen().unwrap(), shard);
+    replica.tick(now);
     let writes = replica
         .take_effects()
         .into_iter()
@@ -112,10 +114,10 @@
             Effect::Write(write) => ShardWrite { shard, write },
             other => panic!("{other:?}"),
         });
-    disk.commit(&writes.collect::<Vec<_>>()).unwrap();
+    storage.commit(&writes.collect::<Vec<_>>()).unwrap();
 }
 
-fn begin() -> Bytes {
+fn epoch_start() -> Bytes {
     framing::encode(&Entry::EpochStart, &[])
 }
 
@@ -125,7 +127,7 @@
         tokens: 100 * number,
         length: *length,
     });
-    let head = JobHeader {
+    let header = JobHeader {
         host: "h.example".to_string(),
         id: id.to_string(),
         route: "route-1".to_string(),
@@ -137,7 +139,7 @@
         },
         items: items.collect(),
     };
-    framing::encode(&Entry::Accepted(head), &[&pattern(lengths.iter().sum())])
+    framing::encode(&Entry::Accepted(header), &[&pattern(lengths.iter().sum())])
 }
 
 fn result(job: u64, item: u32, state: ItemState, length: u64) -> Bytes {
@@ -171,10 +173,10 @@
     for row in shards.iter().unwrap().map(Result::unwrap) {
         lines.push(format!("shards {} {}", row.0.value(), hex(row.1.value())));
     }
-    let parts = transaction
+    let chunks = transaction
         .open_table(TableDefinition::<(u32, u64, u16), &[u8]>::new("parts"))
         .unwrap();
-    for row in parts.iter().unwrap().map(Result::unwrap) {
+    for row in chunks.iter().unwrap().map(Result::unwrap) {
         lines.push(format!("parts {:?} {}", row.0.value(), hex(row.1.value())));
     }
     let probe = transaction
--- a/crates/mintlb-control/tests/store_full_disk.rs
+++ b/crates/mintlb-control/tests/store_full_disk.rs
@@ -1,4 +1,5 @@
-//! Stores whose disks are full: they suspend themselves, recover without a restart, and lose nothing that they acknowledged.
+//! Stores whose disks are full: they suspend themselves, recover without a restart, and lose
+//! nothing that they acknowledged.
 
 mod faulty_file;
 mod stores;
--- a/crates/mintlb-control/tests/stores/mod.rs
+++ b/crates/mintlb-control/tests/stores/mod.rs
@@ -1,4 +1,5 @@
-//! Fixture: stores with real files and real connections on this machine, and a client as dispatchers have it.
+//! Fixture: stores with real files and real connections on this machine, and a client as
+//! dispatchers have it.
 #![allow(dead_code)]
 
 use bytes::Bytes;
@@ -85,7 +86,8 @@
     }
 }
 
-/// Builds a placement in which all shards have the same replicas; stores are named by their position in the cluster.
+/// Builds a placement in which all shards have the same replicas; stores are named by their
+/// position in the cluster.
 #[derive(Clone)]
 pub struct PlacementBuilder {
     stores: Vec<StoreEntry>,
