--- a/crates/mintlb-batch/tests/model/disk.rs
+++ b/crates/mintlb-batch/tests/cluster/disk.rs
@@ -1,4 +1,4 @@
-//! A disk of the model.
+//! A simulated disk.
 
 use bytes::Bytes;
 use mintlb_batch::entry::Entry;
@@ -6,7 +6,7 @@
 use mintlb_batch::replica::{DiskWrite, LoadedEntry, ShardMeta};
 use std::collections::BTreeMap;
 
-/// What is durable.
+/// What is durable of a shard.
 #[derive(Clone, Default)]
 pub struct Disk {
     pub meta: ShardMeta,
--- a/crates/mintlb-batch/tests/leases.rs
+++ b/crates/mintlb-batch/tests/leases.rs
@@ -1,124 +1,133 @@
-//! Who runs which item: each lease lives by its own renewals.
+//! Leases of items: each expires on its own unless it is renewed.
 
 use mintlb_batch::entry::{Entry, ItemHeader, ItemState, JobHeader, JobTerms};
-use mintlb_batch::job_table::JobTable;
+use mintlb_batch::job_table::{BatchJob, JobTable};
 use mintlb_batch::leases::{ItemRef, LEASE_DURATION, Leases};
 use mintlb_batch::timestamp::Timestamp;
 use std::time::Duration;
 
-const LOT: u64 = 1;
-const ONE: u64 = 11;
-const TWO: u64 = 22;
+/// Index of the entry that accepted the job.
+const JOB: u64 = 1;
+const FIRST_OWNER: u64 = 11;
+const SECOND_OWNER: u64 = 22;
 
-/// A lot of three items, its entry the first one.
-fn jobs() -> JobTable {
-    let item = |id: &str| ItemHeader {
-        id: id.to_string(),
-        tokens: 1,
-        length: 0,
-    };
-    let items = ["a", "b", "c"].map(item).to_vec();
-    let head = JobHeader {
-        host: "h.example".into(),
-        id: "lot".into(),
-        route: "r".into(),
-        terms: JobTerms::default(),
-        items,
-    };
-    let mut jobs = JobTable::default();
-    jobs.apply(LOT, &Entry::Accepted(head), 1, 0, Timestamp::ZERO);
-    jobs
+/// A job with three items, and its leases.
+#[derive(Default)]
+struct Fixture {
+    jobs: JobTable,
+    leases: Leases,
 }
 
-fn item(item: u32) -> ItemRef {
-    ItemRef { job: LOT, item }
-}
+impl Fixture {
+    fn new() -> Fixture {
+        let item = |id: &str| ItemHeader {
+            id: id.to_string(),
+            tokens: 1,
+            length: 0,
+        };
+        let header = JobHeader {
+            host: "h.example".into(),
+            id: "job".into(),
+            route: "r".into(),
+            terms: JobTerms::default(),
+            items: ["a", "b", "c"].map(item).to_vec(),
+        };
+        let mut fixture = Fixture::default();
+        let accepted = Entry::Accepted(header);
+        fixture.jobs.apply(JOB, &accepted, 1, 0, Timestamp::ZERO);
+        fixture
+    }
 
-fn open(leases: &Leases, jobs: &JobTable, now: Timestamp) -> Vec<u32> {
-    leases
-        .unleased_items(jobs, LOT, now)
-        .map(|item| item.item)
-        .collect()
-}
+    fn job(&self) -> &BatchJob {
+        self.jobs.get(JOB).unwrap()
+    }
 
-fn renew(
-    leases: &mut Leases,
-    jobs: &JobTable,
-    items: &[u32],
-    owner: u64,
-    now: Timestamp,
-) -> Vec<u32> {
-    leases.renew(jobs.get(LOT).unwrap(), items, owner, now)
+    /// Offsets of the items that nobody owns.
+    fn unleased(&self, now: Timestamp) -> Vec<u32> {
+        let items = self.leases.unleased_items(&self.jobs, JOB, now);
+        items.map(|item| item.item).collect()
+    }
+
+    fn grant(&mut self, item: u32, owner: u64, now: Timestamp) {
+        self.leases.grant(ItemRef { job: JOB, item }, owner, now);
+    }
+
+    /// Renews leases; returns those that are lost.
+    fn renew(&mut self, items: &[u32], owner: u64, now: Timestamp) -> Vec<u32> {
+        let job = self.jobs.get(JOB).unwrap();
+        self.leases.renew(job, items, owner, now)
+    }
+
+    fn record_failures(&mut self, item: u32, failures: u32) {
+        let job = self.jobs.get(JOB).unwrap();
+        self.leases.record_failures(job, item, failures);
+    }
+
+    fn failures(&self, item: u32) -> u32 {
+        self.leases.failures(ItemRef { job: JOB, item })
+    }
 }
 
 #[test]
-fn an_item_whose_grant_was_lost_is_open_again_while_its_holder_runs_others() {
-    let (jobs, mut leases) = (jobs(), Leases::default());
+fn an_item_whose_grant_was_lost_expires_while_its_owner_renews_others() {
+    let mut fixture = Fixture::new();
     let second = Duration::from_secs(1);
-    leases.grant(item(0), ONE, Timestamp::ZERO);
-    // The answer with these two never came.
-    leases.grant(item(1), ONE, Timestamp::ZERO);
-    leases.grant(item(2), ONE, Timestamp::ZERO);
+    fixture.grant(0, FIRST_OWNER, Timestamp::ZERO);
+    // The response with these two never arrived.
+    fixture.grant(1, FIRST_OWNER, Timestamp::ZERO);
+    fixture.grant(2, FIRST_OWNER, Timestamp::ZERO);
     for at in 1..3 {
-        assert!(renew(&mut leases, &jobs, &[0], ONE, second * at).is_empty());
-        assert!(open(&leases, &jobs, second * at).is_empty());
+        let now = Timestamp::ZERO + second * at;
+        assert!(fixture.renew(&[0], FIRST_OWNER, now).is_empty());
+        assert!(fixture.unleased(now).is_empty());
     }
-    assert!(renew(&mut leases, &jobs, &[0], ONE, LEASE_DURATION).is_empty());
-    assert_eq!(open(&leases, &jobs, LEASE_DURATION), [1, 2]);
+    let expiry = Timestamp::ZERO + LEASE_DURATION;
+    assert!(fixture.renew(&[0], FIRST_OWNER, expiry).is_empty());
+    assert_eq!(fixture.unleased(expiry), [1, 2]);
 }
 
 #[test]
-fn an_item_is_run_by_one_holder_at_a_time() {
-    let (mut jobs, mut leases) = (jobs(), Leases::default());
-    leases.grant_all(LOT, 3, ONE, Timestamp::ZERO);
-    let almost = LEASE_DURATION - Duration::from_millis(1);
+fn an_item_has_one_owner_at_a_time() {
+    let mut fixture = Fixture::new();
+    let items = fixture.job().items.len();
+    fixture
+        .leases
+        .grant_all(JOB, items, FIRST_OWNER, Timestamp::ZERO);
+    let expiry = Timestamp::ZERO + LEASE_DURATION;
+    let before_expiry = Timestamp::ZERO + (LEASE_DURATION - Duration::from_millis(1));
     assert_eq!(
-        renew(&mut leases, &jobs, &[0, 1], TWO, almost),
+        fixture.renew(&[0, 1], SECOND_OWNER, before_expiry),
         [0, 1],
-        "the lease still holds"
-    );
-    assert!(open(&leases, &jobs, almost).is_empty());
-    // Frozen for as long as its lease lasts, it finds that another holds the items now.
-    leases.grant(item(0), TWO, LEASE_DURATION);
-    assert!(renew(&mut leases, &jobs, &[1], TWO, LEASE_DURATION).is_empty());
-    assert_eq!(
-        renew(&mut leases, &jobs, &[0, 1, 2], ONE, LEASE_DURATION),
-        [0, 1]
-    );
-    // What is listed is nobody's to run.
-    jobs.apply(
-        2,
-        &Entry::Result {
-            job: LOT,
-            item: 2,
-            state: ItemState::Completed,
-        },
-        1,
-        0,
-        LEASE_DURATION,
+        "the leases are still in force"
     );
-    assert_eq!(renew(&mut leases, &jobs, &[2], ONE, LEASE_DURATION), [2]);
-    leases.release(TWO);
-    assert_eq!(open(&leases, &jobs, LEASE_DURATION), [0, 1]);
+    assert!(fixture.unleased(before_expiry).is_empty());
+    // The first owner was suspended for the duration of its leases, and finds another owner.
+    fixture.grant(0, SECOND_OWNER, expiry);
+    assert!(fixture.renew(&[1], SECOND_OWNER, expiry).is_empty());
+    assert_eq!(fixture.renew(&[0, 1, 2], FIRST_OWNER, expiry), [0, 1]);
+    // An item with a result is nobody's to run.
+    let result = Entry::Result {
+        job: JOB,
+        item: 2,
+        state: ItemState::Completed,
+    };
+    fixture.jobs.apply(2, &result, 1, 0, expiry);
+    assert_eq!(fixture.renew(&[2], FIRST_OWNER, expiry), [2]);
+    fixture.leases.release(SECOND_OWNER);
+    assert_eq!(fixture.unleased(expiry), [0, 1]);
 }
 
 #[test]
-fn failed_attempts_outlast_their_holder() {
-    let (jobs, mut leases) = (jobs(), Leases::default());
-    leases.grant_all(LOT, 3, ONE, Timestamp::ZERO);
-    let job = jobs.get(LOT).unwrap();
-    leases.record_failures(job, 1, 2);
-    // An older word of it comes late; another names an item that is none.
-    leases.record_failures(job, 1, 1);
-    leases.record_failures(job, 900, 1);
-    leases.release(ONE);
-    leases.grant(item(1), TWO, LEASE_DURATION);
-    assert_eq!(
-        (
-            leases.failures(item(1)),
-            leases.failures(item(0)),
-            leases.failures(item(900))
-        ),
-        (2, 0, 0)
-    );
+fn failed_attempts_outlive_the_lease() {
+    let mut fixture = Fixture::new();
+    fixture
+        .leases
+        .grant_all(JOB, 3, FIRST_OWNER, Timestamp::ZERO);
+    fixture.record_failures(1, 2);
+    // A delayed report of fewer attempts, and one of an item that does not exist.
+    fixture.record_failures(1, 1);
+    fixture.record_failures(900, 1);
+    fixture.leases.release(FIRST_OWNER);
+    fixture.grant(1, SECOND_OWNER, Timestamp::ZERO + LEASE_DURATION);
+    assert_eq!([1, 0, 900].map(|item| fixture.failures(item)), [2, 0, 0]);
 }
--- a/crates/mintlb-batch/tests/shard_losses.rs
+++ b/crates/mintlb-batch/tests/shard_losses.rs
@@ -1,177 +1,202 @@
-//! A shard under losses as the operators' promise allows them, also while its placement is being changed: what was told
-//! stays true, and the shard comes in charge again.
+//! A shard under losses that the guarantee to the operators permits, also while its placement is
+//! being changed: acknowledgements hold, and the shard becomes active again.
 
-mod model;
+mod cluster;
 
+use cluster::Cluster;
+use cluster::workload::{check_all, heal, run_for};
 use mintlb_batch::placement_planner::StoreTable;
-use model::Model;
-use model::plays::{check_all, heal, span};
 use std::time::Duration;
 
 const SECOND: Duration = Duration::from_secs(1);
-/// Until nothing counts as lost any more, at most.
-const LONGEST: Duration = Duration::from_secs(40);
+/// Maximum time until nothing counts as lost any more.
+const MAX_RECOVERY: Duration = Duration::from_secs(40);
 
-/// One event that the promise allows.
-fn event(model: &mut Model) {
-    let place = model.random.below(model.stores.len() as u64) as usize;
-    if !model.may_lose(place) {
+/// What happens to a store. Each is within the guarantee to the operators.
+#[derive(Clone, Copy, Debug)]
+enum Event {
+    PowerLoss,
+    DiskLoss,
+    Partition,
+    Freeze,
+    /// Lost for good; another store starts later.
+    Replacement,
+    /// Another store starts, then this one is shut down.
+    PlannedReplacement,
+    Restart,
+    Decommission,
+    /// The disk is lost right after a job was accepted, perhaps by this very store.
+    DiskLossAfterAcceptance,
+}
+
+impl Event {
+    fn draw(cluster: &mut Cluster) -> Event {
+        match cluster.random.below(16) {
+            0 | 1 => Event::PowerLoss,
+            2..=4 => Event::DiskLoss,
+            5 => Event::Partition,
+            6 => Event::Freeze,
+            7 => Event::Replacement,
+            8 => Event::PlannedReplacement,
+            9 => Event::Restart,
+            10 if cluster.lost_count() == 0 && cluster.decommissioning.is_empty() => {
+                Event::Decommission
+            }
+            _ => Event::DiskLossAfterAcceptance,
+        }
+    }
+}
+
+/// One random event, if the guarantee permits another loss now.
+fn random_event(cluster: &mut Cluster) {
+    let store_index = cluster.random.below(cluster.stores.len() as u64) as usize;
+    if !cluster.may_lose(store_index) {
         return;
     }
-    let time = Duration::from_millis(300 + model.random.below(4000));
-    if model.lost() < model.tolerance && model.random.chance(10) {
-        return lose_controller(model, time / 2);
+    let time = Duration::from_millis(300 + cluster.random.below(4000));
+    if cluster.lost_count() < cluster.tolerance && cluster.random.percent(10) {
+        return lose_controller(cluster, time / 2);
     }
-    let kind = model.random.below(16);
-    let names = [
-        "power", "power", "wipe", "wipe", "wipe", "cut", "freeze", "replace", "planned", "restart",
-        "retire",
-    ];
-    let what = names
-        .get(kind as usize)
-        .copied()
-        .unwrap_or("wipe when accepted");
-    model.note(format!(
-        "{what} of {} for {time:?}",
-        model.stores[place].machine.node()
-    ));
-    let returns_at = Some(model.now + time);
-    match kind {
-        0 | 1 => {
-            model.crash(place);
-            model.stores[place].machine.returns_at = returns_at;
+    let event = Event::draw(cluster);
+    let node = cluster.stores[store_index].machine.node();
+    cluster.record_event(format!("{event:?} of {node} for {time:?}"));
+    let returns_at = Some(cluster.now + time);
+    match event {
+        Event::PowerLoss => {
+            cluster.crash(store_index);
+            cluster.stores[store_index].machine.returns_at = returns_at;
         }
-        2..=4 => lose(model, place, time),
-        5 => {
-            model.stores[place].cut = true;
-            model.stores[place].machine.returns_at = returns_at;
+        Event::DiskLoss => lose_disk_for(cluster, store_index, time),
+        Event::Partition => {
+            cluster.stores[store_index].partitioned = true;
+            cluster.stores[store_index].machine.returns_at = returns_at;
         }
-        6 => {
-            model.stores[place].frozen = true;
-            model.stores[place].machine.returns_at = returns_at;
+        Event::Freeze => {
+            cluster.stores[store_index].frozen = true;
+            cluster.stores[store_index].machine.returns_at = returns_at;
         }
-        7 => {
-            let parts = 1 + model.random.below(5) as u32;
-            model.replace(place, time / parts);
+        Event::Replacement => {
+            let divisor = 1 + cluster.random.below(5) as u32;
+            cluster.replace(store_index, time / divisor);
         }
-        8 => model.replace_planned(place, time),
-        9 => model.stores[place].machine.stops_at = Some(model.now),
-        10 if model.lost() == 0 && model.decommissioning.is_empty() => _ = model.retire(place),
-        _ => {
-            model.idle = false;
-            // The machine that has just said that it has the lot, or any other.
-            span(model, SECOND * 2, true);
-            if model.may_lose(place) {
-                lose(model, place, time);
+        Event::PlannedReplacement => cluster.replace_planned(store_index, time),
+        Event::Restart => cluster.stores[store_index].machine.stops_at = Some(cluster.now),
+        Event::Decommission => _ = cluster.decommission(store_index),
+        Event::DiskLossAfterAcceptance => {
+            cluster.idle = false;
+            run_for(cluster, SECOND * 2, true);
+            if cluster.may_lose(store_index) {
+                lose_disk_for(cluster, store_index, time);
             }
         }
     }
 }
 
-/// The controller with the duty is lost; another one takes it, which has heard the stores or has just started.
-fn lose_controller(model: &mut Model, pause: Duration) {
-    model.note(format!("the controller is lost for {pause:?}"));
-    model.paused_until = model.now + pause;
-    if model.random.chance(50) {
-        model.table = StoreTable::new(model.now);
+/// The controller that plans placements is lost. Another one succeeds it, which knows the stores or
+/// has just started.
+fn lose_controller(cluster: &mut Cluster, pause: Duration) {
+    cluster.record_event(format!("the controller is lost for {pause:?}"));
+    cluster.paused_until = cluster.now + pause;
+    if cluster.random.percent(50) {
+        cluster.table = StoreTable::new(cluster.now);
     }
 }
 
-fn lose(model: &mut Model, place: usize, time: Duration) {
-    model.wipe(place);
-    model.stores[place].machine.returns_at = Some(model.now + time);
+fn lose_disk_for(cluster: &mut Cluster, store_index: usize, time: Duration) {
+    cluster.wipe(store_index);
+    cluster.stores[store_index].machine.returns_at = Some(cluster.now + time);
 }
 
-fn wait_until_nothing_counts(model: &mut Model) {
-    let end = model.now + LONGEST;
-    while model.lost() > 0 && model.now < end {
-        span(model, SECOND / 10, false);
+fn wait_until_recovered(cluster: &mut Cluster) {
+    let end = cluster.now + MAX_RECOVERY;
+    while cluster.lost_count() > 0 && cluster.now < end {
+        run_for(cluster, SECOND / 10, false);
     }
 }
 
-/// Right after a lot was accepted some stores lose their disks, and the others lose power.
-fn closing_fault(model: &mut Model) {
-    wait_until_nothing_counts(model);
-    model.idle = false;
-    span(model, SECOND * 3, true);
-    let mut places: Vec<usize> = (0..model.stores.len())
-        .filter(|place| !model.stores[*place].machine.removed)
+/// Right after a job was accepted some stores lose their disks, and all others lose power.
+fn closing_fault(cluster: &mut Cluster) {
+    wait_until_recovered(cluster);
+    cluster.idle = false;
+    run_for(cluster, SECOND * 3, true);
+    let mut store_indexes: Vec<usize> = (0..cluster.stores.len())
+        .filter(|store_index| !cluster.stores[*store_index].machine.removed)
         .collect();
-    places.sort_by_key(|place| model.stores[*place].machine.disk_since);
-    let oldest = model.random.chance(50);
-    let mut left = if model.lost() == 0 {
-        model.tolerance
+    store_indexes.sort_by_key(|store_index| cluster.stores[*store_index].machine.disk_since);
+    let oldest = cluster.random.percent(50);
+    let mut left = if cluster.lost_count() == 0 {
+        cluster.tolerance
     } else {
         0
     };
-    model.note(format!(
+    cluster.record_event(format!(
         "{left} lose their disks, oldest: {oldest}, the others power"
     ));
-    while !places.is_empty() {
+    while !store_indexes.is_empty() {
         let at = if oldest {
             0
         } else {
-            model.random.below(places.len() as u64) as usize
+            cluster.random.below(store_indexes.len() as u64) as usize
         };
-        let place = places.remove(at);
-        match left > 0 && model.may_lose(place) {
-            true => (left, _) = (left - 1, model.wipe(place)),
-            false => model.crash(place),
+        let store_index = store_indexes.remove(at);
+        match left > 0 && cluster.may_lose(store_index) {
+            true => (left, _) = (left - 1, cluster.wipe(store_index)),
+            false => cluster.crash(store_index),
         }
-        model.stores[place].machine.returns_at = Some(model.now + SECOND);
+        cluster.stores[store_index].machine.returns_at = Some(cluster.now + SECOND);
     }
-    span(model, SECOND * 2, false);
+    run_for(cluster, SECOND * 2, false);
 }
 
-fn day(seed: u64, count: usize, tolerance: usize) -> Model {
-    let mut model = Model::new(seed, count, tolerance);
-    heal(&mut model);
-    for _ in 0..1 + model.random.below(8) {
-        event(&mut model);
-        model.idle = model.random.chance(30);
-        match model.random.chance(50) {
-            true => wait_until_nothing_counts(&mut model),
+fn run_scenario(seed: u64, count: usize, tolerance: usize) -> Cluster {
+    let mut cluster = Cluster::new(seed, count, tolerance);
+    heal(&mut cluster);
+    for _ in 0..1 + cluster.random.below(8) {
+        random_event(&mut cluster);
+        cluster.idle = cluster.random.percent(30);
+        match cluster.random.percent(50) {
+            true => wait_until_recovered(&mut cluster),
             false => {
-                let time = Duration::from_millis(model.random.below(6000));
-                span(&mut model, time, false);
+                let time = Duration::from_millis(cluster.random.below(6000));
+                run_for(&mut cluster, time, false);
             }
         }
     }
-    closing_fault(&mut model);
-    heal(&mut model);
-    check_all(&mut model);
-    model
+    closing_fault(&mut cluster);
+    heal(&mut cluster);
+    check_all(&mut cluster);
+    cluster
 }
 
 #[test]
-fn any_day_with_one_loss_tolerated() {
+fn permitted_losses_are_survived_with_one_tolerated() {
     arbtest::arbtest(|u| {
-        day(u.arbitrary()?, u.int_in_range(3..=4)?, 1);
+        run_scenario(u.arbitrary()?, u.int_in_range(3..=4)?, 1);
         Ok(())
     })
     .budget_ms(6000);
 }
 
 #[test]
-fn any_day_with_two_losses_tolerated() {
+fn permitted_losses_are_survived_with_two_tolerated() {
     arbtest::arbtest(|u| {
-        day(u.arbitrary()?, u.int_in_range(5..=7)?, 2);
+        run_scenario(u.arbitrary()?, u.int_in_range(5..=7)?, 2);
         Ok(())
     })
     .budget_ms(6000);
 }
 
 #[test]
-fn the_days_have_losses_and_lots() {
+fn random_scenarios_have_losses_and_jobs() {
     let mut sums = [0; 4];
     for seed in 0..10 {
-        let model = day(seed, 3, 1);
-        let told = &model.told;
+        let cluster = run_scenario(seed, 3, 1);
+        let oracle = &cluster.oracle;
         let counts = [
-            told.accepted.len() as u64,
-            told.sure_reads,
-            model.losses,
-            model.takeovers,
+            oracle.accepted.len() as u64,
+            oracle.confirmed_reads,
+            cluster.losses,
+            cluster.takeovers,
         ];
         sums.iter_mut()
             .zip(counts)
--- a/crates/mintlb-batch/tests/takeover.rs
+++ b/crates/mintlb-batch/tests/takeover.rs
@@ -1,430 +1,303 @@
-//! What replicas wait for before they say something, and which log a new primary takes.
+//! Takeovers: what replicas wait for before they say something, and which log a new primary adopts.
 
-#![allow(dead_code)]
-
-mod model;
+mod cluster;
 
+use cluster::Cluster;
+use cluster::requests::name;
 use mintlb_batch::messages::{LeasedItems, RenewResult};
 use mintlb_batch::peer::PeerMessage;
-use mintlb_common::placement::{Placement, ShardAssignment};
-use model::Model;
 use std::time::Duration;
 
-/// Three stores with ids 1 to 3, 1 being the primary in charge.
-fn three() -> Model {
-    let mut model = Model::new(1, 3, 1);
-    place(&mut model, 1, &[1, 2, 3], &[]);
-    quiet(&mut model);
-    assert!(serves(&model, 1));
-    model
-}
-
-/// The register takes an assignment; nobody hears of it yet.
-fn place(model: &mut Model, epoch: u64, replicas: &[u64], previous: &[u64]) {
-    place_after(model, epoch, replicas, previous, epoch - 1);
-}
-
-/// The same after takeovers that were given up: the last epoch that was settled is an older one.
-fn place_after(
-    model: &mut Model,
-    epoch: u64,
-    replicas: &[u64],
-    previous: &[u64],
-    last_active_epoch: u64,
-) {
-    let (replicas, previous) = (replicas.to_vec(), previous.to_vec());
-    let shard = ShardAssignment {
-        epoch,
-        replicas,
-        previous,
-        last_active_epoch: Some(last_active_epoch),
-    };
-    let version = model.placements.len() as u64;
-    model.placements.push(Placement {
-        epoch: version,
-        stores: Vec::new(),
-        shards: vec![shard],
-    });
-}
-
-fn hear(model: &mut Model, id: u64) {
-    let newest = model.placements.len() - 1;
-    while model.stores[id as usize - 1].placement < newest {
-        model.hear(id as usize - 1);
-    }
-}
-
-fn sync(model: &mut Model, id: u64) {
-    model.sync(id as usize - 1);
-}
-
-/// Everything arrives and is synced.
-fn quiet(model: &mut Model) {
-    for _ in 0..30 {
-        for id in 1..=3 {
-            if !model.stores[id as usize - 1].cut {
-                hear(model, id);
-            }
-            sync(model, id);
-        }
-        (0..model.messages.len()).for_each(|_| model.deliver(0, false));
-    }
-}
-
-fn serves(model: &Model, id: u64) -> bool {
-    model.stores[id as usize - 1]
-        .replica
-        .as_ref()
-        .is_some_and(|replica| replica.is_serving())
-}
+const NO_MESSAGES: Vec<&PeerMessage> = Vec::new();
+/// Just below the gap between ticks after which a process counts as suspended.
+const LONG_TICK: Duration = Duration::from_millis(900);
 
-/// Messages of this store that are on their way.
-fn sent(model: &Model, id: u64) -> Vec<&PeerMessage> {
-    model
-        .messages
-        .iter()
-        .filter(|(e, _)| e.from == id)
-        .map(|(e, _)| &e.message)
-        .collect()
+/// The first store is lost, and the request for epoch 2 of the second one has reached the third
+/// one.
+fn requested_epoch() -> Cluster {
+    let mut cluster = Cluster::of_three();
+    cluster.stores[0].partitioned = true;
+    cluster.assign(2, &[2, 3, 1], &[1, 2, 3]);
+    cluster.receive_all_placements(1);
+    cluster.deliver_in_flight();
+    cluster
 }
 
 #[test]
-fn a_promise_is_given_after_it_is_synced() {
-    let mut model = three();
-    model.stores[0].cut = true;
-    place(&mut model, 2, &[2, 3, 1], &[1, 2, 3]);
-    hear(&mut model, 2);
-    (0..model.messages.len()).for_each(|_| model.deliver(0, false));
-    assert_eq!(sent(&model, 3), Vec::<&PeerMessage>::new());
-    sync(&mut model, 3);
+fn an_epoch_is_acknowledged_after_it_is_synced() {
+    let mut cluster = requested_epoch();
+    assert_eq!(cluster.messages_from(2), NO_MESSAGES);
+    cluster.sync(2);
     assert!(matches!(
-        sent(&model, 3)[..],
+        cluster.messages_from(2)[..],
         [PeerMessage::EpochAck { .. }]
     ));
 }
 
 #[test]
-fn a_promise_outlives_a_power_loss() {
-    let mut model = three();
-    model.stores[0].cut = true;
-    place(&mut model, 2, &[2, 3, 1], &[1, 2, 3]);
-    hear(&mut model, 2);
-    (0..model.messages.len()).for_each(|_| model.deliver(0, false));
-    sync(&mut model, 3);
-    model.crash(2);
-    model.start(2);
-    assert_eq!(model.stores[2].replica.as_ref().unwrap().current_epoch(), 2);
+fn an_entered_epoch_survives_a_power_loss() {
+    let mut cluster = requested_epoch();
+    cluster.sync(2);
+    cluster.crash(2);
+    cluster.start(2);
+    assert_eq!(cluster.replica(2).current_epoch(), 2);
 }
 
 #[test]
-fn an_entry_leaves_the_primary_and_is_confirmed_after_it_is_synced() {
-    let mut model = three();
-    model.submit(0, "a".to_string(), 1);
-    assert_eq!(sent(&model, 1), Vec::<&PeerMessage>::new());
-    sync(&mut model, 1);
-    assert_eq!(sent(&model, 1).len(), 2);
-    (0..2).for_each(|_| model.deliver(0, false));
-    assert_eq!(model.messages.len(), 0, "followers wait for their disks");
-    assert!(model.told.accepted.is_empty());
-    sync(&mut model, 3);
-    model.deliver(0, false);
+fn an_entry_is_sent_and_acknowledged_after_it_is_synced() {
+    let mut cluster = Cluster::of_three();
+    cluster.submit(0, "a".to_string(), 1);
+    assert_eq!(cluster.messages_from(0), NO_MESSAGES);
+    cluster.sync(0);
+    assert_eq!(cluster.messages_from(0).len(), 2);
+    (0..2).for_each(|_| cluster.deliver(0, false));
+    assert_eq!(cluster.messages.len(), 0, "followers wait for their disks");
+    assert!(cluster.oracle.accepted.is_empty());
+    cluster.sync(2);
+    cluster.deliver(0, false);
     assert!(
-        model.told.accepted.contains_key("a"),
+        cluster.oracle.accepted.contains_key("a"),
         "two of three have it"
     );
 }
 
 /// The first store has the longest log, the second and the third have one of a later epoch.
-fn longer_log_of_an_older_epoch() -> Model {
-    let mut model = three();
-    // The old primary takes much that reaches nobody.
-    (0..6).for_each(|i| model.submit(0, format!("lost{i}"), 1));
-    sync(&mut model, 1);
-    model.stores[0].cut = true;
-    model.messages.clear();
-    place(&mut model, 2, &[2, 3, 1], &[1, 2, 3]);
-    quiet(&mut model);
-    place(&mut model, 2, &[2, 3, 1], &[]);
-    quiet(&mut model);
-    model.submit(1, "kept".to_string(), 1);
-    quiet(&mut model);
-    assert!(model.told.accepted.contains_key("kept"));
-    let length =
-        |model: &Model, place: usize| model.stores[place].replica.as_ref().unwrap().log().last();
-    assert!(length(&model, 0) > length(&model, 2));
-    model
+fn longer_log_of_an_older_epoch() -> Cluster {
+    let mut cluster = Cluster::of_three();
+    // The old primary appends entries that reach nobody.
+    (0..6).for_each(|i| cluster.submit(0, format!("lost{i}"), 1));
+    cluster.sync(0);
+    cluster.stores[0].partitioned = true;
+    cluster.messages.clear();
+    cluster.take_over(2, &[2, 3, 1], &[1, 2, 3]);
+    cluster.submit(1, "kept".to_string(), 1);
+    cluster.run_until_idle();
+    assert!(cluster.oracle.accepted.contains_key("kept"));
+    let length = |store_index: usize| cluster.replica(store_index).log().last();
+    assert!(length(0) > length(2));
+    cluster
 }
 
 /// One of the first and the third store takes over with the help of the other only.
-fn the_newer_log_wins(replicas: &[u64]) {
-    let mut model = longer_log_of_an_older_epoch();
-    model.stores[0].cut = false;
-    model.stores[1].cut = true;
-    place(&mut model, 3, replicas, &[2, 3, 1]);
-    quiet(&mut model);
-    place(&mut model, 3, replicas, &[]);
-    quiet(&mut model);
-    assert!(serves(&model, replicas[0]));
-    let jobs = |place: usize| model.stores[place].replica.as_ref().unwrap().jobs();
-    for place in [0, 2] {
-        assert!(jobs(place).find(&model::name("kept")).is_some());
-        assert!(jobs(place).find(&model::name("lost0")).is_none());
+fn assert_newer_log_wins(replicas: &[u64]) {
+    let mut cluster = longer_log_of_an_older_epoch();
+    cluster.stores[0].partitioned = false;
+    cluster.stores[1].partitioned = true;
+    cluster.take_over(3, replicas, &[2, 3, 1]);
+    assert!(cluster.is_serving(replicas[0] as usize - 1));
+    for store_index in [0, 2] {
+        assert!(cluster.has_job(store_index, "kept"));
+        assert!(!cluster.has_job(store_index, "lost0"));
     }
-    assert_eq!(jobs(2).queued_tokens("r"), 30);
+    assert_eq!(cluster.queued_tokens(2), 30);
 }
 
 #[test]
-fn a_longer_log_of_an_older_epoch_gives_way_at_a_follower() {
-    the_newer_log_wins(&[3, 1, 2]);
+fn a_follower_truncates_a_longer_log_of_an_older_epoch() {
+    assert_newer_log_wins(&[3, 1, 2]);
 }
 
 #[test]
-fn a_longer_log_of_an_older_epoch_gives_way_at_the_new_primary() {
-    the_newer_log_wins(&[1, 3, 2]);
+fn a_new_primary_truncates_its_longer_log_of_an_older_epoch() {
+    assert_newer_log_wins(&[1, 3, 2]);
 }
 
 #[test]
-fn a_primary_serves_once_the_register_knows_that_it_is_in_charge() {
-    let mut model = three();
-    place(&mut model, 2, &[2, 3, 1], &[1, 2, 3]);
-    quiet(&mut model);
-    let report = model.stores[1].replica.as_ref().unwrap().report().unwrap();
+fn a_primary_serves_once_the_register_has_confirmed_it() {
+    let mut cluster = Cluster::of_three();
+    cluster.assign(2, &[2, 3, 1], &[1, 2, 3]);
+    cluster.run_until_idle();
+    let report = cluster.replica(1).report().unwrap();
     assert!(report.active && report.epoch == 2);
     assert!(
-        !serves(&model, 2),
-        "if it dies now, others read from the previous replicas"
+        !cluster.is_serving(1),
+        "if it is lost now, others read from the previous replicas"
     );
-    place(&mut model, 2, &[2, 3, 1], &[]);
-    quiet(&mut model);
-    assert!(serves(&model, 2));
+    cluster.assign(2, &[2, 3, 1], &[]);
+    cluster.run_until_idle();
+    assert!(cluster.is_serving(1));
 }
 
 #[test]
-fn a_stale_primary_takes_nothing_and_is_not_sure_of_anything() {
-    let mut model = three();
-    model.stores[0].cut = true;
-    place(&mut model, 2, &[2, 3, 1], &[1, 2, 3]);
-    quiet(&mut model);
-    place(&mut model, 2, &[2, 3, 1], &[]);
-    quiet(&mut model);
+fn a_stale_primary_commits_nothing_and_confirms_no_reads() {
+    let mut cluster = Cluster::of_three();
+    cluster.stores[0].partitioned = true;
+    cluster.take_over(2, &[2, 3, 1], &[1, 2, 3]);
     assert!(
-        serves(&model, 1) && serves(&model, 2),
-        "the old one has not heard of it"
+        cluster.is_serving(0) && cluster.is_serving(1),
+        "the old one does not know of the new one"
     );
-    model.submit(0, "stale".to_string(), 1);
-    model.submit(1, "new".to_string(), 1);
-    quiet(&mut model);
-    assert_eq!(model.told.accepted.keys().collect::<Vec<_>>(), ["new"]);
-    model.now += Duration::from_millis(500);
-    assert!(!model.stores[0].replica.as_mut().unwrap().confirm(model.now));
-    model.stores[0].cut = false;
-    quiet(&mut model);
-    assert!(!serves(&model, 1));
-    // The new primary asks again.
-    model.tick(Duration::from_millis(800));
-    quiet(&mut model);
-    let jobs = model.stores[0].replica.as_ref().unwrap().jobs();
-    assert!(jobs.find(&model::name("stale")).is_none() && jobs.find(&model::name("new")).is_some());
+    cluster.submit(0, "stale".to_string(), 1);
+    cluster.submit(1, "new".to_string(), 1);
+    cluster.run_until_idle();
+    assert_eq!(cluster.oracle.accepted.keys().collect::<Vec<_>>(), ["new"]);
+    cluster.now += Duration::from_millis(500);
+    let now = cluster.now;
+    assert!(!cluster.replica_mut(0).confirm(now));
+    cluster.stores[0].partitioned = false;
+    cluster.run_until_idle();
+    assert!(!cluster.is_serving(0));
+    // After a response timeout the new primary probes again.
+    cluster.tick(Duration::from_millis(800));
+    cluster.run_until_idle();
+    assert!(!cluster.has_job(0, "stale") && cluster.has_job(0, "new"));
 }
 
-#[test]
-fn leases_wait_for_renewals_after_a_takeover() {
-    let mut model = three();
-    model.submit(0, "a".to_string(), 2);
-    quiet(&mut model);
-    model.stores[0].cut = true;
-    place(&mut model, 2, &[2, 3, 1], &[1, 2, 3]);
-    quiet(&mut model);
-    place(&mut model, 2, &[2, 3, 1], &[]);
-    quiet(&mut model);
-    let leases = |model: &mut Model| {
-        model.lease(1);
-        quiet(model);
-        model.lease(1);
-        model.told.leases
-    };
-    assert_eq!(leases(&mut model), 0);
-    model.tick(Duration::from_millis(900));
-    model.tick(Duration::from_millis(900));
-    model.tick(Duration::from_millis(900));
-    assert_eq!(leases(&mut model), 0);
-    model.tick(Duration::from_millis(900));
-    assert!(leases(&mut model) >= 2);
+/// Leases all items at a store, after its followers have confirmed it; returns how many were leased
+/// so far.
+fn lease_all(cluster: &mut Cluster, store_index: usize) -> u64 {
+    cluster.lease(store_index);
+    cluster.run_until_idle();
+    cluster.lease(store_index);
+    cluster.oracle.leases
 }
 
 #[test]
-fn a_process_that_slept_does_not_take_leases_for_expired() {
-    let mut model = three();
-    model.submit(0, "a".to_string(), 2);
-    quiet(&mut model);
-    model.tick(Duration::from_secs(10));
-    model.lease(0);
-    quiet(&mut model);
-    model.lease(0);
-    assert_eq!(model.told.leases, 0);
+fn leases_wait_for_renewals_after_a_takeover() {
+    let mut cluster = Cluster::of_three();
+    cluster.submit(0, "a".to_string(), 2);
+    cluster.run_until_idle();
+    cluster.stores[0].partitioned = true;
+    cluster.take_over(2, &[2, 3, 1], &[1, 2, 3]);
+    assert_eq!(lease_all(&mut cluster, 1), 0);
+    (0..3).for_each(|_| cluster.tick(LONG_TICK));
+    assert_eq!(lease_all(&mut cluster, 1), 0);
+    cluster.tick(LONG_TICK);
+    assert!(lease_all(&mut cluster, 1) >= 2);
 }
 
-/// The shard lies on the first two stores, and a lot is told; the third one has nothing.
-fn two_of_three() -> Model {
-    let mut model = three();
-    place(&mut model, 2, &[1, 2], &[1, 2, 3]);
-    quiet(&mut model);
-    place(&mut model, 2, &[1, 2], &[]);
-    quiet(&mut model);
-    model.submit(0, "kept".to_string(), 1);
-    quiet(&mut model);
-    assert!(model.told.accepted.contains_key("kept"));
-    model
+#[test]
+fn a_suspended_process_does_not_expire_leases() {
+    let mut cluster = Cluster::of_three();
+    cluster.submit(0, "a".to_string(), 2);
+    cluster.run_until_idle();
+    cluster.tick(Duration::from_secs(10));
+    assert_eq!(lease_all(&mut cluster, 0), 0);
 }
 
-fn has_lot(model: &Model, id: u64, job: &str) -> bool {
-    let replica = model.stores[id as usize - 1].replica.as_ref().unwrap();
-    replica.jobs().find(&model::name(job)).is_some()
+/// The first two stores are the replicas, and a job is accepted; the third store has nothing.
+fn two_of_three() -> Cluster {
+    let mut cluster = Cluster::of_three();
+    cluster.take_over(2, &[1, 2], &[1, 2, 3]);
+    cluster.submit(0, "kept".to_string(), 1);
+    cluster.run_until_idle();
+    assert!(cluster.oracle.accepted.contains_key("kept"));
+    cluster
 }
 
 #[test]
-fn a_replica_that_was_filled_in_an_epoch_that_was_given_up_is_enough() {
-    let mut model = two_of_three();
-    model.stores[1].cut = true;
-    place(&mut model, 3, &[1, 3], &[1, 2]);
-    quiet(&mut model);
-    assert!(has_lot(&model, 3, "kept"), "it is filled");
-    // The register never hears of it, and the other one is lost as well.
-    model.stores[0].cut = true;
-    place_after(&mut model, 4, &[3, 1], &[1, 2], 2);
-    quiet(&mut model);
+fn a_replica_filled_in_an_abandoned_epoch_takes_over_alone() {
+    let mut cluster = two_of_three();
+    cluster.stores[1].partitioned = true;
+    cluster.assign(3, &[1, 3], &[1, 2]);
+    cluster.run_until_idle();
+    assert!(cluster.has_job(2, "kept"), "it is filled");
+    // The register never learns of it, and the other replica is lost as well.
+    cluster.stores[0].partitioned = true;
+    cluster.assign_after(4, &[3, 1], &[1, 2], 2);
+    cluster.run_until_idle();
     assert!(
-        model.stores[2].replica.as_ref().unwrap().is_primary(),
+        cluster.replica(2).is_primary(),
         "it needs none of the previous ones"
     );
 }
 
 #[test]
-fn a_whole_log_at_another_replica_is_read_without_the_previous_ones() {
-    let mut model = two_of_three();
-    model.stores[1].cut = true;
-    place(&mut model, 3, &[1, 3], &[1, 2]);
-    quiet(&mut model);
-    model.stores[0].cut = true;
-    model.add_store();
-    place_after(&mut model, 4, &[4, 3], &[1, 2], 2);
-    for _ in 0..30 {
-        [3, 4].iter().for_each(|id| hear(&mut model, *id));
-        [3, 4].iter().for_each(|id| sync(&mut model, *id));
-        (0..model.messages.len()).for_each(|_| model.deliver(0, false));
-    }
-    assert!(has_lot(&model, 4, "kept"));
-    assert!(
-        model.stores[3]
-            .replica
-            .as_ref()
-            .unwrap()
-            .report()
-            .is_some_and(|report| report.active)
-    );
+fn a_complete_log_at_another_replica_is_adopted_without_the_previous_ones() {
+    let mut cluster = two_of_three();
+    cluster.stores[1].partitioned = true;
+    cluster.assign(3, &[1, 3], &[1, 2]);
+    cluster.run_until_idle();
+    cluster.stores[0].partitioned = true;
+    cluster.add_store();
+    cluster.assign_after(4, &[4, 3], &[1, 2], 2);
+    cluster.run_until_idle();
+    assert!(cluster.has_job(3, "kept"));
+    assert!(cluster.is_reported_active(3));
 }
 
 #[test]
-fn an_unsettled_epoch_commits_nothing_that_another_takeover_may_contradict() {
-    let mut model = two_of_three();
-    model.stores[1].cut = true;
-    place(&mut model, 3, &[1, 3], &[1, 2]);
-    quiet(&mut model);
-    assert!(
-        model.stores[0]
-            .replica
-            .as_ref()
-            .unwrap()
-            .report()
-            .is_some_and(|report| report.active)
-    );
-    // The register does not hear of it; the second one takes over by its own log, before it hears the others.
-    (
-        model.stores[0].cut,
-        model.stores[2].cut,
-        model.stores[1].cut,
-    ) = (true, true, false);
-    place_after(&mut model, 4, &[2, 3, 1], &[1, 2], 2);
-    quiet(&mut model);
-    assert!(model.stores[1].replica.as_ref().unwrap().is_primary());
-    (model.stores[0].cut, model.stores[2].cut) = (false, false);
-    model.tick(Duration::from_millis(800));
-    quiet(&mut model);
-    let logs = [1, 2, 3].map(|id| model.stores[id - 1].replica.as_ref().unwrap().log().end());
+fn an_unconfirmed_epoch_commits_nothing_that_another_takeover_may_contradict() {
+    let mut cluster = two_of_three();
+    cluster.stores[1].partitioned = true;
+    cluster.assign(3, &[1, 3], &[1, 2]);
+    cluster.run_until_idle();
+    assert!(cluster.is_reported_active(0));
+    // The register does not learn of it; the second store takes over by its own log, before it
+    // reaches the others.
+    for (store, partitioned) in cluster.stores.iter_mut().zip([true, false, true]) {
+        store.partitioned = partitioned;
+    }
+    cluster.assign_after(4, &[2, 3, 1], &[1, 2], 2);
+    cluster.run_until_idle();
+    assert!(cluster.replica(1).is_primary());
+    cluster.stores[0].partitioned = false;
+    cluster.stores[2].partitioned = false;
+    cluster.tick(Duration::from_millis(800));
+    cluster.run_until_idle();
+    let ends = [0, 1, 2].map(|store_index| cluster.replica(store_index).log().end());
     assert!(
-        logs.iter().all(|end| end.epoch == 4 && *end == logs[0]),
-        "{logs:?}"
+        ends.iter().all(|end| end.epoch == 4 && *end == ends[0]),
+        "{ends:?}"
     );
 }
 
 #[test]
-fn the_settled_primary_needs_no_other_to_take_over_again() {
-    let mut model = three();
-    model.submit(0, "kept".to_string(), 1);
-    quiet(&mut model);
-    assert!(model.told.accepted.contains_key("kept"));
-    // Both others are gone for good; two new stores come.
-    (model.stores[1].cut, model.stores[2].cut) = (true, true);
-    model.add_store();
-    place(&mut model, 2, &[1, 4], &[1, 2, 3]);
-    for _ in 0..30 {
-        [1, 4].iter().for_each(|id| hear(&mut model, *id));
-        [1, 4].iter().for_each(|id| sync(&mut model, *id));
-        (0..model.messages.len()).for_each(|_| model.deliver(0, false));
-    }
-    assert!(
-        model.stores[0]
-            .replica
-            .as_ref()
-            .unwrap()
-            .report()
-            .is_some_and(|report| report.active)
-    );
-    assert!(has_lot(&model, 4, "kept"));
+fn the_last_active_primary_takes_over_without_other_replicas() {
+    let mut cluster = Cluster::of_three();
+    cluster.submit(0, "kept".to_string(), 1);
+    cluster.run_until_idle();
+    assert!(cluster.oracle.accepted.contains_key("kept"));
+    // Both others are lost for good; a new store joins.
+    cluster.stores[1].partitioned = true;
+    cluster.stores[2].partitioned = true;
+    cluster.add_store();
+    cluster.assign(2, &[1, 4], &[1, 2, 3]);
+    cluster.run_until_idle();
+    assert!(cluster.is_reported_active(0));
+    assert!(cluster.has_job(3, "kept"));
 }
 
 #[test]
-fn a_follower_alone_is_not_enough() {
-    let mut model = three();
-    model.submit(0, "kept".to_string(), 1);
-    quiet(&mut model);
-    (model.stores[0].cut, model.stores[1].cut) = (true, true);
-    place(&mut model, 2, &[3, 1], &[1, 2, 3]);
-    quiet(&mut model);
-    assert!(
-        !model.stores[2].replica.as_ref().unwrap().is_primary(),
-        "the others may have more"
-    );
+fn a_follower_alone_cannot_take_over() {
+    let mut cluster = Cluster::of_three();
+    cluster.submit(0, "kept".to_string(), 1);
+    cluster.run_until_idle();
+    cluster.stores[0].partitioned = true;
+    cluster.stores[1].partitioned = true;
+    cluster.assign(2, &[3, 1], &[1, 2, 3]);
+    cluster.run_until_idle();
+    assert!(!cluster.replica(2).is_primary(), "the others may have more");
 }
 
 #[test]
-fn a_lease_tells_how_often_its_item_has_failed() {
-    let mut model = three();
-    model.submit(0, "a".to_string(), 3);
-    quiet(&mut model);
-    // Until then earlier holders might renew.
+fn a_lease_reports_the_failed_attempts_of_its_item() {
+    let mut cluster = Cluster::of_three();
+    cluster.submit(0, "a".to_string(), 3);
+    cluster.run_until_idle();
+    // Before that owners of an earlier primary might renew.
     for _ in 0..4 {
-        model.tick(Duration::from_millis(900));
-        quiet(&mut model);
+        cluster.tick(LONG_TICK);
+        cluster.run_until_idle();
     }
-    let now = model.now;
-    let replica = model.stores[0].replica.as_mut().unwrap();
-    let held = LeasedItems {
-        job: model::name("a"),
+    let now = cluster.now;
+    let leased = LeasedItems {
+        job: name("a"),
         items: vec![0, 1, 2],
         failures: vec![(1, 2), (7, 1)],
     };
-    let mut renewed = RenewResult::default();
-    replica.renew(7, &held, &mut renewed, now);
-    assert_eq!(renewed.lost, [], "the holder of the submission");
+    let mut result = RenewResult::default();
+    let replica = cluster.replica_mut(0);
+    replica.renew(7, &leased, &mut result, now);
+    assert_eq!(result.lost, [], "it owns the items since the submission");
     replica.release(7);
-    // The first question has the others confirm that it is in charge.
-    model.lease(0);
-    quiet(&mut model);
-    let replica = model.stores[0].replica.as_mut().unwrap();
+    // The first request has the followers confirm the primary.
+    cluster.lease(0);
+    cluster.run_until_idle();
+    let replica = cluster.replica_mut(0);
     assert!(replica.confirm(now));
-    let leased = replica.lease(9, 10, u64::MAX, now);
-    let failures: Vec<_> = leased
+    let plans = replica.lease(9, 10, u64::MAX, now);
+    let failures: Vec<_> = plans
         .iter()
         .map(|plan| (plan.head.index, plan.head.failures))
         .collect();
