--- a/crates/mintlb-register/src/proposal.rs
+++ b/crates/mintlb-register/src/proposal.rs
@@ -11,6 +11,7 @@
 
 mod acceptance;
 mod backoff;
+mod io;
 
 use crate::ballot::Ballot;
 use crate::change::{Change, ChangeOutcome};
@@ -22,6 +23,7 @@
 use acceptance::Acceptance;
 use backoff::Backoff;
 pub use backoff::{INITIAL_BACKOFF, MAX_BACKOFF};
+pub use io::{Effects, Input, ProposalOutcome};
 use std::collections::BTreeSet;
 use std::sync::Arc;
 use std::time::Duration;
@@ -29,47 +31,6 @@
 /// How long one phase may take before the attempt is given up.
 pub const PHASE_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// An event for a proposal.
-#[derive(Clone, Debug)]
-pub enum Input {
-    /// A replica has replied.
-    Reply {
-        /// The replica.
-        from: ReplicaId,
-        /// Its reply.
-        reply: Reply,
-    },
-    /// A request to a replica, or its reply, was lost.
-    Lost {
-        /// The replica.
-        from: ReplicaId,
-        /// Ballot of the request.
-        ballot: Ballot,
-    },
-    /// The timer that was set last has expired.
-    Timer,
-}
-
-/// What the driver of a proposal has to do, in this order: send, set the timer, report the outcome.
-#[derive(Debug, Default)]
-pub struct Effects {
-    /// Requests to send.
-    pub requests: Vec<OutboundRequest>,
-    /// Replaces the timer by one that expires after this time.
-    pub timer: Option<Duration>,
-    /// The outcome. The proposal has ended and needs no further input.
-    pub outcome: Option<ProposalOutcome>,
-}
-
-/// How a proposal has ended.
-#[derive(Clone, Debug, PartialEq)]
-pub struct ProposalOutcome {
-    /// What became of the change.
-    pub change: ChangeOutcome,
-    /// The newest value, which is chosen.
-    pub chosen: AcceptedValue,
-}
-
 /// One change in progress.
 ///
 /// It makes attempts until it has an outcome. A driver that gives it up earlier does not know whether the change is or
--- a/crates/mintlb-register/src/replica_set.rs
+++ b/crates/mintlb-register/src/replica_set.rs
@@ -36,9 +36,14 @@
 
 /// The replicas that vote.
 ///
-/// A change of the set takes two steps, as Raft's joint consensus does: [`ReplicaSet::enter_joint`] to a set with
-/// `previous` and `current` members, then [`ReplicaSet::leave_joint`]. While the set is joint, a quorum needs a majority
-/// of both sides, so that it meets each quorum of the set before and each quorum of the set after.
+/// A change of the set takes two steps, as Raft's joint consensus does: [`Change::AddReplica`] or
+/// [`Change::RemoveReplica`] leads to a joint set with `previous` and `current` members, [`Change::LeaveJoint`] ends it.
+/// While the set is joint, a quorum needs a majority of both sides, so that it meets each quorum of the set before and
+/// each quorum of the set after.
+///
+/// [`Change::AddReplica`]: crate::change::Change::AddReplica
+/// [`Change::RemoveReplica`]: crate::change::Change::RemoveReplica
+/// [`Change::LeaveJoint`]: crate::change::Change::LeaveJoint
 #[derive(Clone, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub struct ReplicaSet {
     /// Number of the set; each step of a change raises it by one.
--- a/crates/mintlb-register/tests/register/fault_scenarios.rs
+++ b/crates/mintlb-register/tests/register/fault_scenarios.rs
@@ -6,6 +6,7 @@
 mod faults;
 mod machine;
 mod network;
+mod operations;
 mod simulation;
 
 use simulation::{PlantedFault, Simulation};
--- a/crates/mintlb-register/tests/register/membership_losses.rs
+++ b/crates/mintlb-register/tests/register/membership_losses.rs
@@ -2,21 +2,22 @@
 //! tolerated failures f, sets of 2f + 1 to 9 replicas, each minimal quorum that may hold the value, each choice of lost
 //! disks.
 
+mod operation;
+
 use crate::support::cluster::{Cluster, Cost};
 use crate::support::{
-    MAX_REPLICAS, add, address, configuration, configuration_tolerating, replica, replica_at,
-    replica_set,
+    MAX_REPLICAS, address, configuration, configuration_tolerating, replica, replica_set,
 };
 use mintlb_register::change::{Change, ChangeOutcome};
 use mintlb_register::replica_set::{ReplicaId, ReplicaSet};
 use mintlb_register::state::ControlState;
+use operation::{
+    ADDED, Action, NEW_MACHINE, OPERATIONS, Operation, Step, add_at, cut_off, is_possible, propose,
+    remaining_members, steps,
+};
 
 /// Rounds after which a change counts as stuck.
 const MAX_ROUNDS: usize = 12;
-/// Identity of a replica that is added.
-const ADDED: ReplicaId = ReplicaId(100);
-/// Machine of a replica that is added at a new address.
-const NEW_MACHINE: u64 = 50;
 
 /// Replicas 1 to `size` with configuration 1.
 fn configured_cluster(size: usize) -> Cluster {
@@ -30,10 +31,6 @@
     Cluster::with_state(state).with_max_rounds(MAX_ROUNDS)
 }
 
-fn add_at(id: ReplicaId, address: &str) -> Change {
-    add(replica_at(id, address))
-}
-
 /// Each choice of `count` of them.
 fn choices(of: &[ReplicaId], count: usize) -> Vec<Vec<ReplicaId>> {
     if count == 0 {
@@ -49,113 +46,6 @@
     all
 }
 
-/// An operation on the last member of a set.
-#[derive(Clone, Copy, Debug)]
-enum Operation {
-    /// Its disk is lost, and it comes back at its address.
-    Wipe,
-    /// It is lost; a replica on another machine is added, then it is removed.
-    Replace,
-    /// A replica on another machine is added and catches up; then it is removed, and stops.
-    PlannedReplace,
-    /// It is cut off and removed.
-    Remove,
-    /// It is cut off and stays in the set.
-    CutOff,
-}
-
-const OPERATIONS: [Operation; 5] = [
-    Operation::Wipe,
-    Operation::Replace,
-    Operation::PlannedReplace,
-    Operation::Remove,
-    Operation::CutOff,
-];
-
-/// One step of an operation.
-struct Step {
-    action: Action,
-    /// How many further disks may be lost after it.
-    further_losses: usize,
-}
-
-enum Action {
-    Propose(Change),
-    /// This replica receives nothing any more.
-    CutOff(ReplicaId),
-}
-
-fn propose(change: Change, further_losses: usize) -> Step {
-    Step {
-        action: Action::Propose(change),
-        further_losses,
-    }
-}
-
-fn cut_off(id: ReplicaId, further_losses: usize) -> Step {
-    Step {
-        action: Action::CutOff(id),
-        further_losses,
-    }
-}
-
-fn steps(operation: Operation, tolerated_failures: usize, size: usize) -> Vec<Step> {
-    let member = ReplicaId(size as u64);
-    let remove = || Change::RemoveReplica {
-        id: member,
-        min_replicas: 2 * tolerated_failures + 1,
-    };
-    let (one_less, all) = (tolerated_failures - 1, tolerated_failures);
-    match operation {
-        Operation::Wipe => vec![
-            cut_off(member, one_less),
-            propose(add_at(ADDED, &address(member.0)), one_less),
-            propose(Change::LeaveJoint, all),
-        ],
-        Operation::Replace => vec![
-            cut_off(member, one_less),
-            propose(add_at(ADDED, &address(NEW_MACHINE)), one_less),
-            propose(Change::LeaveJoint, one_less),
-            propose(remove(), one_less),
-            propose(Change::LeaveJoint, all),
-        ],
-        Operation::PlannedReplace => vec![
-            propose(add_at(ADDED, &address(NEW_MACHINE)), one_less),
-            propose(Change::LeaveJoint, all),
-            propose(remove(), all),
-            propose(Change::LeaveJoint, all),
-            cut_off(member, all),
-        ],
-        Operation::Remove => vec![
-            cut_off(member, one_less),
-            propose(remove(), one_less),
-            propose(Change::LeaveJoint, one_less),
-        ],
-        Operation::CutOff => vec![cut_off(member, one_less)],
-    }
-}
-
-fn is_possible(operation: Operation, tolerated_failures: usize, size: usize) -> bool {
-    match operation {
-        Operation::Replace | Operation::PlannedReplace => size < MAX_REPLICAS,
-        Operation::Remove => size > 2 * tolerated_failures + 1,
-        Operation::Wipe | Operation::CutOff => true,
-    }
-}
-
-/// Members 1 to `size` that none of the steps has cut off.
-fn remaining_members(size: usize, steps: &[Step]) -> Vec<ReplicaId> {
-    let is_cut_off = |id: ReplicaId| {
-        steps
-            .iter()
-            .any(|step| matches!(step.action, Action::CutOff(cut) if cut == id))
-    };
-    (1..=size as u64)
-        .map(ReplicaId)
-        .filter(|id| !is_cut_off(*id))
-        .collect()
-}
-
 /// Runs the steps, each value held by one minimal quorum, then loses these disks, adds their successors and changes the
 /// configuration. Returns what has failed.
 fn run(
