--- a/crates/mintlb-batch/src/client.rs
+++ b/crates/mintlb-batch/src/client.rs
@@ -1,7 +1,8 @@
 //! Client of the stores, for dispatchers.
 //!
-//! A call that concerns one job goes to the primary of the job's shard, as the current placement names it. While the
-//! primary is not active or can't be reached, the call is repeated after a short pause until its time-out.
+//! A call that concerns one job goes to the primary of the job's shard, as the current placement
+//! names it. While the primary is not active or can't be reached, the call is repeated after a
+//! short pause until its time-out.
 
 mod attempt;
 mod error;
--- a/crates/mintlb-batch/src/client/jobs.rs
+++ b/crates/mintlb-batch/src/client/jobs.rs
@@ -1,4 +1,5 @@
-//! Calls on one accepted job: results, bodies, the end, and the record of a result. All are idempotent.
+//! Calls on one accepted job: results, bodies, the end, and the record of a result. All are
+//! idempotent.
 
 use super::{BatchClient, CommittedResult, ItemResult, JobError, RecordError, ResultPage};
 use crate::entry::{ItemPayload, ItemState};
@@ -13,8 +14,8 @@
 const RECORD_TIMEOUT: Duration = Duration::from_millis(4000);
 
 impl BatchClient {
-    /// The committed results of a job from position `start_after` on, about `max_bytes` of them. Waits up to `wait` for
-    /// the first one.
+    /// The committed results of a job from position `start_after` on, about `max_bytes` of them.
+    /// Waits up to `wait` for the first one.
     ///
     /// # Errors
     /// [`JobError`].
@@ -79,7 +80,8 @@
         }
     }
 
-    /// Records the result of an item. The first recorded result stays; a job that is ended or unknown needs none.
+    /// Records the result of an item. The first recorded result stays; a job that is ended or
+    /// unknown needs none.
     ///
     /// # Errors
     /// [`RecordError::Unconfirmed`] if no primary confirmed the result.
--- a/crates/mintlb-batch/src/client/leases.rs
+++ b/crates/mintlb-batch/src/client/leases.rs
@@ -1,4 +1,5 @@
-//! Leases of items: a dispatcher takes items that no other one runs, renews their leases and releases them.
+//! Leases of items: a dispatcher takes items that no other one runs, renews their leases and
+//! releases them.
 
 use super::attempt::Attempt;
 use super::routing::{StoreEndpoint, all_primaries, primary_of};
@@ -59,8 +60,8 @@
         }
     }
 
-    /// Renews the leases of the items that `owner` runs; to be called each second. Returns the items whose leases are
-    /// lost: `owner` has to stop them.
+    /// Renews the leases of the items that `owner` runs; to be called each second. Returns the
+    /// items whose leases are lost: `owner` has to stop them.
     pub async fn renew(&self, owner: DispatcherId, leased: Vec<LeasedJob>) -> Vec<LeasedJob> {
         let by_store = self.group_by_store(leased);
         let deadline = Instant::now() + LEASE_TIMEOUT;
--- a/crates/mintlb-batch/src/client/store_backlogs.rs
+++ b/crates/mintlb-batch/src/client/store_backlogs.rs
@@ -1,4 +1,5 @@
-//! How many unleased items each store last reported, to choose the stores that a dispatcher asks for work.
+//! How many unleased items each store last reported, to choose the stores that a dispatcher asks
+//! for work.
 
 use super::routing::StoreEndpoint;
 use crate::messages::DispatcherId;
@@ -35,8 +36,8 @@
         self.by_store.lock().insert(store, backlog);
     }
 
-    /// The stores that may have unleased items, those with a reported backlog first. Their order depends on the owner,
-    /// so that dispatchers do not all ask the same store first.
+    /// The stores that may have unleased items, those with a reported backlog first. Their order
+    /// depends on the owner, so that dispatchers do not all ask the same store first.
     pub(super) fn candidates(
         &self,
         mut stores: Vec<StoreEndpoint>,
--- a/crates/mintlb-batch/src/client/submit.rs
+++ b/crates/mintlb-batch/src/client/submit.rs
@@ -13,7 +13,8 @@
 const ATTEMPT_TIMEOUT: Duration = Duration::from_millis(1200);
 
 impl BatchClient {
-    /// Submits a job and leases its items to `owner`. A repeated submission of the same job is accepted again.
+    /// Submits a job and leases its items to `owner`. A repeated submission of the same job is
+    /// accepted again.
     ///
     /// # Errors
     /// [`SubmitError`]. Only after [`SubmitError::Indeterminate`] may the job have been accepted.
@@ -26,8 +27,8 @@
         let deadline = Instant::now() + timeout;
         let host = job.host.clone();
         let mut request = SubmitRequest::new(job, owner);
-        // An attempt without a clear answer may be executed at any time later, so that from then on only "accepted"
-        // says what became of the job.
+        // An attempt without a clear answer may be executed at any time later, so that from then on
+        // only "accepted" says what became of the job.
         let mut may_have_executed = false;
         loop {
             let left = time_until(deadline);
@@ -71,7 +72,8 @@
     Some(Err(unless_executed(error, may_have_executed)))
 }
 
-/// An error that promises that no item will run holds only if no earlier attempt may have been executed.
+/// An error that promises that no item will run holds only if no earlier attempt may have been
+/// executed.
 fn unless_executed(error: SubmitError, may_have_executed: bool) -> SubmitError {
     if may_have_executed {
         SubmitError::Indeterminate
@@ -121,7 +123,8 @@
         }
     }
 
-    /// The request for a primary of this epoch; encoded again only if the epoch has changed since the last attempt.
+    /// The request for a primary of this epoch; encoded again only if the epoch has changed since
+    /// the last attempt.
     fn encode(&mut self, epoch: u64) -> Bytes {
         if let Some(encoded) = &self.encoded
             && encoded.epoch == epoch
--- a/crates/mintlb-batch/src/heartbeat.rs
+++ b/crates/mintlb-batch/src/heartbeat.rs
@@ -1,4 +1,5 @@
-//! Heartbeats of stores to the controllers, sent as notices on [`mintlb_common::transport::Channel::Control`].
+//! Heartbeats of stores to the controllers, sent as notices on
+//! [`mintlb_common::transport::Channel::Control`].
 
 use minicbor::{Decode, Encode};
 use mintlb_common::placement::{StoreEntry, StoreId};
@@ -9,8 +10,8 @@
 
 /// The state of a store and of the shards that it leads.
 ///
-/// The first four fields are those of [`StoreEntry`]. They are not a struct of their own because the encoding is one flat
-/// array.
+/// The first four fields are those of [`StoreEntry`]. They are not a struct of their own because
+/// the encoding is one flat array.
 #[derive(Clone, Debug, Default, PartialEq, Encode, Decode)]
 pub struct StoreHeartbeat {
     /// The identity of the store, generated at the first use of its disk.
@@ -58,8 +59,8 @@
     /// The epoch in which the store is the primary.
     #[n(1)]
     pub epoch: u64,
-    /// Whether the takeover is complete: the primary has read the log of the previous replicas, and a quorum of the
-    /// current ones has stored it.
+    /// Whether the takeover is complete: the primary has read the log of the previous replicas, and
+    /// a quorum of the current ones has stored it.
     #[n(2)]
     pub active: bool,
     /// The replicas that have the complete log up to the newest entries.
--- a/crates/mintlb-batch/src/placement_planner.rs
+++ b/crates/mintlb-batch/src/placement_planner.rs
@@ -1,15 +1,16 @@
 //! Planner of the placement of shards on stores.
 //!
-//! The planner is pure: the current placement and a [`ClusterSnapshot`] go in, the next placement comes out. The controller
-//! that leads runs it repeatedly and writes its result into the register.
+//! The planner is pure: the current placement and a [`ClusterSnapshot`] go in, the next placement
+//! comes out. The controller that leads runs it repeatedly and writes its result into the register.
 //!
-//! A shard has 2f + 1 replicas, where f is the tolerance: the number of machines that may be lost at once. An entry is
-//! committed at f + 1 replicas, so that a loss of any f leaves one that has it. The replicas lie in different zones as far
-//! as there are enough zones.
+//! A shard has 2f + 1 replicas, where f is the tolerance: the number of machines that may be lost
+//! at once. An entry is committed at f + 1 replicas, so that a loss of any f leaves one that has
+//! it. The replicas lie in different zones as far as there are enough zones.
 //!
-//! A shard is changed one step at a time. A change names the former replicas as `previous`. The new primary reads their
-//! logs and reports that it is active; then `previous` is cleared, and the next change may follow. Thus an acknowledged
-//! entry always lies at a quorum of either the previous or the current replicas.
+//! A shard is changed one step at a time. A change names the former replicas as `previous`. The new
+//! primary reads their logs and reports that it is active; then `previous` is cleared, and the next
+//! change may follow. Thus an acknowledged entry always lies at a quorum of either the previous or
+//! the current replicas.
 
 mod cluster_snapshot;
 mod decommission;
@@ -36,7 +37,8 @@
 use mintlb_common::placement::Placement;
 use planner::Planner;
 
-/// The next placement, or `None` if nothing has to change. `tolerance` is the number of machines that may be lost at once.
+/// The next placement, or `None` if nothing has to change. `tolerance` is the number of machines
+/// that may be lost at once.
 pub fn plan(
     current: &Placement,
     snapshot: &ClusterSnapshot,
--- a/crates/mintlb-batch/src/placement_planner/cluster_snapshot.rs
+++ b/crates/mintlb-batch/src/placement_planner/cluster_snapshot.rs
@@ -15,7 +15,8 @@
 pub struct ClusterSnapshot {
     /// The stores that have sent heartbeats, by id.
     pub stores: Vec<StoreStatus>,
-    /// For how long heartbeats have been received. A store without any counts as unresponsive for as long.
+    /// For how long heartbeats have been received. A store without any counts as unresponsive for
+    /// as long.
     pub observed_for: Duration,
     /// For each shard, for how long it has had no active primary.
     pub inactivity: Vec<ShardInactivity>,
--- a/crates/mintlb-batch/src/placement_planner/decommission.rs
+++ b/crates/mintlb-batch/src/placement_planner/decommission.rs
@@ -1,5 +1,5 @@
-//! Decommissioning of a machine's store on the operator's order: its replicas move to other stores, then the machine can
-//! be taken away.
+//! Decommissioning of a machine's store on the operator's order: its replicas move to other stores,
+//! then the machine can be taken away.
 
 use super::cluster_snapshot::ClusterSnapshot;
 use mintlb_common::placement::{Placement, ShardAssignment, StoreEntry, StoreId};
@@ -41,8 +41,8 @@
     Decommissioned,
 }
 
-/// Begins to decommission the store on a machine. More than `tolerance` other stores have to remain, so that shards can
-/// still commit.
+/// Begins to decommission the store on a machine. More than `tolerance` other stores have to
+/// remain, so that shards can still commit.
 ///
 /// # Errors
 /// [`DecommissionError`].
@@ -97,9 +97,9 @@
 
 /// How far the store on a machine is decommissioned; `None` if this was not ordered.
 ///
-/// It is complete when no shard names the store any more, and each shard has caught up without it. Then more than
-/// `tolerance` live replicas of each shard have the complete log, none of which is shutting down: any `tolerance` of them
-/// may be lost.
+/// It is complete when no shard names the store any more, and each shard has caught up without it.
+/// Then more than `tolerance` live replicas of each shard have the complete log, none of which is
+/// shutting down: any `tolerance` of them may be lost.
 pub fn decommission_status(
     current: &Placement,
     snapshot: &ClusterSnapshot,
@@ -127,7 +127,8 @@
     shards.any(|shard| shard.replicas.contains(&id) || shard.previous.contains(&id))
 }
 
-/// Whether a shard is active, all its replicas but unresponsive ones have caught up, and enough of them stay.
+/// Whether a shard is active, all its replicas but unresponsive ones have caught up, and enough of
+/// them stay.
 fn has_caught_up(
     snapshot: &ClusterSnapshot,
     shard: usize,
--- a/crates/mintlb-batch/src/placement_planner/handover.rs
+++ b/crates/mintlb-batch/src/placement_planner/handover.rs
@@ -5,9 +5,9 @@
 use mintlb_common::placement::{ShardAssignment, StoreId};
 
 impl Planner<'_> {
-    /// Moves a replica off a store that is shutting down, while its log can still be read, if its successor is there. If
-    /// the successor is a replica already, the set shrinks. Returns whether the shard was changed: without a successor
-    /// the store will come back with its disk.
+    /// Moves a replica off a store that is shutting down, while its log can still be read, if its
+    /// successor is there. If the successor is a replica already, the set shrinks. Returns whether
+    /// the shard was changed: without a successor the store will come back with its disk.
     pub(super) fn hand_over(
         &mut self,
         shard: usize,
@@ -38,8 +38,8 @@
         true
     }
 
-    /// Whether a store is shutting down and can still be read. One that is decommissioned is left to
-    /// [`Planner::change_members`].
+    /// Whether a store is shutting down and can still be read. One that is decommissioned is left
+    /// to [`Planner::change_members`].
     fn is_handing_over(&self, id: StoreId) -> bool {
         let can_be_read = self.snapshot.is_live(id) && self.snapshot.is_draining(id);
         can_be_read && !self.is_decommissioning(id)
--- a/crates/mintlb-batch/src/placement_planner/initial_placement.rs
+++ b/crates/mintlb-batch/src/placement_planner/initial_placement.rs
@@ -8,7 +8,8 @@
 
 /// The first placement is made this long after the first store's first heartbeat,
 const MIN_WAIT: Duration = Duration::from_millis(800);
-/// and this long after the newest store's first heartbeat, so that stores that start together are all used,
+/// and this long after the newest store's first heartbeat, so that stores that start together are
+/// all used,
 const MIN_WAIT_AFTER_NEWEST: Duration = Duration::from_millis(400);
 /// but no later than this after the first store's first heartbeat.
 const MAX_WAIT: Duration = Duration::from_millis(2500);
--- a/crates/mintlb-batch/src/placement_planner/membership.rs
+++ b/crates/mintlb-batch/src/placement_planner/membership.rs
@@ -5,8 +5,8 @@
 use mintlb_common::placement::{ShardAssignment, StoreId};
 use std::time::Duration;
 
-/// A replica without a heartbeat for this time is lost, if its shard can lose another one and no store has come since: a
-/// machine that comes back soon still has its log.
+/// A replica without a heartbeat for this time is lost, if its shard can lose another one and no
+/// store has come since: a machine that comes back soon still has its log.
 const REDUNDANT_REPLICA_TIMEOUT: Duration = Duration::from_millis(7000);
 /// How many shards' logs one store receives at a time, while no replica is missing.
 const MAX_CONCURRENT_FILLS: usize = 4;
@@ -23,8 +23,8 @@
 }
 
 impl Planner<'_> {
-    /// Brings the replicas to their target number, without lost and decommissioned ones, as far as more than `tolerance`
-    /// replicas stay in sync.
+    /// Brings the replicas to their target number, without lost and decommissioned ones, as far as
+    /// more than `tolerance` replicas stay in sync.
     pub(super) fn change_members(
         &mut self,
         shard: usize,
@@ -71,8 +71,8 @@
         }
     }
 
-    /// Whether the candidate receives enough logs already. A missing replica is replaced at once: the next loss may come
-    /// as soon as the new store no longer counts as lost.
+    /// Whether the candidate receives enough logs already. A missing replica is replaced at once:
+    /// the next loss may come as soon as the new store no longer counts as lost.
     fn has_to_wait_for_fills(&self, membership: &Membership) -> bool {
         let is_outgoing_dead = membership
             .outgoing
@@ -97,7 +97,8 @@
         outgoing: StoreId,
         candidate: StoreId,
     ) -> Option<Vec<StoreId>> {
-        // A lost replica is no part of a quorum: beside its successor it would be one more that can't be read.
+        // A lost replica is no part of a quorum: beside its successor it would be one more that
+        // can't be read.
         if self.keeps_quorum_without(membership, outgoing)
             || self.is_lost(outgoing, REPLICA_TIMEOUT)
         {
@@ -111,9 +112,10 @@
         has_capacity.then(|| with(membership.replicas, candidate))
     }
 
-    /// Without a store to take its place, an unresponsive replica stays, as it may come back. One that is decommissioned
-    /// has to go. So has one whose disk is lost or that has a successor: it will not come back, and if it stayed, the
-    /// next loss would leave too few replicas to read from.
+    /// Without a store to take its place, an unresponsive replica stays, as it may come back. One
+    /// that is decommissioned has to go. So has one whose disk is lost or that has a successor: it
+    /// will not come back, and if it stayed, the next loss would leave too few replicas to read
+    /// from.
     fn remove(&self, membership: &Membership, outgoing: StoreId) -> Option<Vec<StoreId>> {
         let will_not_return = self.is_decommissioning(outgoing)
             || self.is_disk_lost(outgoing)
@@ -143,7 +145,8 @@
         dead.or(replicas.last()).copied()
     }
 
-    /// Whether more than `tolerance` replicas are in sync without this one, so that any `tolerance` of them may be lost.
+    /// Whether more than `tolerance` replicas are in sync without this one, so that any `tolerance`
+    /// of them may be lost.
     fn keeps_quorum_without(&self, membership: &Membership, outgoing: StoreId) -> bool {
         let in_sync = membership.in_sync.iter();
         in_sync.filter(|id| **id != outgoing).count() > self.tolerance
--- a/crates/mintlb-batch/src/placement_planner/planner.rs
+++ b/crates/mintlb-batch/src/placement_planner/planner.rs
@@ -89,8 +89,8 @@
         self.snapshot.since_heartbeat(primary) >= PRIMARY_TIMEOUT
     }
 
-    /// Makes another live replica the primary; the set of replicas stays. Prefers a replica that stays, has the log and
-    /// leads few shards. Does nothing if there is none.
+    /// Makes another live replica the primary; the set of replicas stays. Prefers a replica that
+    /// stays, has the log and leads few shards. Does nothing if there is none.
     fn replace_primary(&mut self, shard: usize, assignment: &ShardAssignment, primary: StoreId) {
         let caught_up = self.snapshot.last_caught_up(shard);
         let others = assignment.replicas.iter().skip(1).copied();
--- a/crates/mintlb-batch/src/placement_planner/shard_activity.rs
+++ b/crates/mintlb-batch/src/placement_planner/shard_activity.rs
@@ -2,7 +2,8 @@
 
 use std::time::Duration;
 
-/// Since when the current epoch of a shard has no active primary. Instants are of the process's monotonic clock.
+/// Since when the current epoch of a shard has no active primary. Instants are of the process's
+/// monotonic clock.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct ShardActivity {
     epoch: u64,
--- a/crates/mintlb-batch/src/placement_planner/store_list.rs
+++ b/crates/mintlb-batch/src/placement_planner/store_list.rs
@@ -29,8 +29,8 @@
         .retain(|entry| assigned.contains(&entry.id) || !is_expired(entry, snapshot));
 }
 
-/// The entry of a new store. If its machine is being decommissioned and has lost its disk, the new store is
-/// decommissioned as well.
+/// The entry of a new store. If its machine is being decommissioned and has lost its disk, the new
+/// store is decommissioned as well.
 fn new_entry(next: &Placement, heartbeat: &StoreHeartbeat) -> StoreEntry {
     let is_same_machine = |entry: &StoreEntry| {
         entry.node_name == heartbeat.node_name && entry.address == heartbeat.address
--- a/crates/mintlb-batch/src/placement_planner/store_selection.rs
+++ b/crates/mintlb-batch/src/placement_planner/store_selection.rs
@@ -6,7 +6,8 @@
 
 /// A replica without a heartbeat for this time is lost, if its shard can't lose another one.
 pub(super) const REPLICA_TIMEOUT: Duration = Duration::from_millis(2000);
-/// A store whose first heartbeat is younger than this may be there to replace one that is shutting down.
+/// A store whose first heartbeat is younger than this may be there to replace one that is shutting
+/// down.
 const NEW_STORE_PERIOD: Duration = Duration::from_secs(60);
 
 impl Planner<'_> {
@@ -26,7 +27,8 @@
         stores.filter(|entry| self.snapshot.is_live(entry.id) && !self.can_decommission(entry))
     }
 
-    /// Whether a store is to lose its replicas now: it is decommissioned, and the others are enough to commit.
+    /// Whether a store is to lose its replicas now: it is decommissioned, and the others are enough
+    /// to commit.
     fn can_decommission(&self, entry: &StoreEntry) -> bool {
         entry.decommissioning && self.remaining_stores() > self.tolerance
     }
@@ -73,8 +75,8 @@
         self.is_disk_lost(id) || self.snapshot.since_heartbeat(id) >= timeout
     }
 
-    /// Whether a store will not come back: it has been unresponsive since it began to shut down, or since before another
-    /// store came.
+    /// Whether a store will not come back: it has been unresponsive since it began to shut down, or
+    /// since before another store came.
     pub(super) fn has_successor(&self, id: StoreId) -> bool {
         let since_heartbeat = self.snapshot.since_heartbeat(id);
         if since_heartbeat < REPLICA_TIMEOUT {
@@ -87,8 +89,8 @@
         self.snapshot.is_draining(id) || self.usable().any(came_later)
     }
 
-    /// The best usable store for one more replica: of the zone with the fewest replicas of the shard, then with the
-    /// fewest shards.
+    /// The best usable store for one more replica: of the zone with the fewest replicas of the
+    /// shard, then with the fewest shards.
     pub(super) fn candidate(&self, shard: usize, replicas: &[StoreId]) -> Option<StoreId> {
         let others = self
             .usable()
--- a/crates/mintlb-batch/src/placement_planner/store_table.rs
+++ b/crates/mintlb-batch/src/placement_planner/store_table.rs
@@ -75,7 +75,8 @@
         true
     }
 
-    /// A former primary that is cut off from its replicas may still report: its epoch is lower and does not count.
+    /// A former primary that is cut off from its replicas may still report: its epoch is lower and
+    /// does not count.
     fn record_caught_up(&mut self, heartbeat: &StoreHeartbeat) {
         for report in heartbeat.shards.iter().filter(|report| report.active) {
             let known = self.caught_up.entry(report.shard).or_default();
--- a/crates/mintlb-batch/src/placement_planner/takeover.rs
+++ b/crates/mintlb-batch/src/placement_planner/takeover.rs
@@ -5,7 +5,8 @@
 use mintlb_common::placement::{ShardAssignment, StoreId};
 
 impl Planner<'_> {
-    /// Whether too few replicas are left to commit: the others are unresponsive for long, or their disks are lost.
+    /// Whether too few replicas are left to commit: the others are unresponsive for long, or their
+    /// disks are lost.
     pub(super) fn lacks_quorum(&self, assignment: &ShardAssignment) -> bool {
         let replicas = assignment.replicas.iter();
         let left = replicas.filter(|id| !self.is_lost(**id, REPLICA_TIMEOUT));
@@ -14,8 +15,8 @@
 
     /// Puts live stores in place of unresponsive replicas. Returns whether the shard was changed.
     ///
-    /// Any live stores will do: what was acknowledged lies with the previous replicas, or with a store that has begun a
-    /// later epoch.
+    /// Any live stores will do: what was acknowledged lies with the previous replicas, or with a
+    /// store that has begun a later epoch.
     pub(super) fn replace_unresponsive(
         &mut self,
         shard: usize,
@@ -39,7 +40,8 @@
         self.begin_takeover(shard, assignment, replicas, count);
     }
 
-    /// Replicas that are not live stay as far as there is no other store: they may come back with their logs.
+    /// Replicas that are not live stay as far as there is no other store: they may come back with
+    /// their logs.
     fn begin_takeover(
         &mut self,
         shard: usize,
@@ -89,8 +91,8 @@
         };
         let previous = available(&assignment.previous);
         let current = available(&assignment.replicas);
-        // With fewer of the previous replicas no quorum of them can be read: then only a replica that has begun the
-        // current epoch is sure to have the complete log.
+        // With fewer of the previous replicas no quorum of them can be read: then only a replica
+        // that has begun the current epoch is sure to have the complete log.
         let can_read_previous = previous.len() + self.tolerance >= assignment.previous.len();
         let ordered = if can_read_previous {
             [previous, current]
--- a/crates/mintlb-batch/tests/client.rs
+++ b/crates/mintlb-batch/tests/client.rs
@@ -1,135 +1,156 @@
-//! What the client of stores makes of their answers.
+//! What the client makes of the stores' responses to a submission.
 
+use bytes::Bytes;
 use mintlb_batch::client::{BatchClient, Item, Submission, SubmitError, Submitted};
+use mintlb_batch::entry::JobTerms;
 use mintlb_batch::framing;
 use mintlb_batch::messages::{StoreRequest, StoreResponse};
 use mintlb_common::placement::{Placement, SHARD_COUNT, ShardAssignment, StoreEntry};
-use mintlb_common::transport::{self, Channel, Service, Transport};
+use mintlb_common::transport::{Channel, ResponseFuture, Service, Transport};
 use parking_lot::Mutex;
+use std::collections::VecDeque;
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::Duration;
 
-/// A store that answers submissions as it is told to; `None` is silence.
-struct Scripted(Mutex<Vec<Option<StoreResponse>>>, Mutex<Vec<u64>>);
+/// The epoch of all shards.
+const EPOCH: u64 = 5;
+const SUBMIT_TIMEOUT: Duration = Duration::from_millis(200);
+const ACCEPTED: StoreResponse = StoreResponse::Accepted { leased: true };
+const SUBMITTED: Result<Submitted, SubmitError> = Ok(Submitted { items_leased: true });
 
-impl Service for Scripted {
-    fn on_request(&self, _from: SocketAddr, body: bytes::Bytes) -> transport::ResponseFuture {
-        let Some((StoreRequest::Submit(submit), _)) = framing::decode::<StoreRequest>(&body) else {
+/// What a scripted store does with a request.
+#[derive(Clone, Debug)]
+enum Reaction {
+    Respond(StoreResponse),
+    StaySilent,
+}
+
+use Reaction::{Respond, StaySilent};
+
+/// A store that reacts to submissions by a script, of which the last line is repeated.
+struct ScriptedStore {
+    script: Mutex<VecDeque<Reaction>>,
+    requested_epochs: Mutex<Vec<u64>>,
+}
+
+impl ScriptedStore {
+    fn next_reaction(&self) -> Reaction {
+        let mut script = self.script.lock();
+        if script.len() > 1 {
+            script.pop_front().unwrap()
+        } else {
+            script[0].clone()
+        }
+    }
+}
+
+impl Service for ScriptedStore {
+    fn on_request(&self, _from: SocketAddr, body: Bytes) -> ResponseFuture {
+        let Some((StoreRequest::Submit(submit), _)) = framing::decode(&body) else {
             panic!("no submission")
         };
-        self.1.lock().push(submit.epoch);
-        let answer = {
-            let mut answers = self.0.lock();
-            if answers.len() > 1 {
-                answers.remove(0)
-            } else {
-                answers[0].clone()
-            }
-        };
+        self.requested_epochs.lock().push(submit.epoch);
+        let reaction = self.next_reaction();
         Box::pin(async move {
-            match answer {
-                Some(answer) => framing::encode(&answer, &[]),
-                None => std::future::pending().await,
+            match reaction {
+                Respond(response) => framing::encode(&response, &[]),
+                StaySilent => std::future::pending().await,
             }
         })
     }
 }
 
-async fn submitted(
-    answers: &[Option<StoreResponse>],
-    within_ms: u64,
-) -> (Result<Submitted, SubmitError>, Vec<u64>) {
-    let any = "127.0.0.1:0".parse().unwrap();
-    let store = Transport::start(any).await.unwrap();
-    let script = Arc::new(Scripted(Mutex::new(answers.to_vec()), Mutex::default()));
-    store.register_service(Channel::Batch, script.clone());
-    let entry = StoreEntry {
+/// A placement with all shards on one store.
+fn placement(address: SocketAddr) -> Placement {
+    let store = StoreEntry {
         id: 1,
-        address: store.local_address().to_string(),
-        ..empty_entry()
+        node_name: String::new(),
+        address: address.to_string(),
+        zone: String::new(),
+        decommissioning: false,
     };
     let shard = ShardAssignment {
-        epoch: 5,
-        replicas: vec![1],
+        epoch: EPOCH,
+        replicas: vec![store.id],
         ..ShardAssignment::default()
     };
-    let placement = Placement {
+    Placement {
         epoch: 1,
-        stores: vec![entry],
+        stores: vec![store],
         shards: vec![shard; SHARD_COUNT as usize],
-    };
-    let placement = Arc::new(placement);
-    let client = BatchClient::new(
-        Transport::start(any).await.unwrap(),
-        Arc::new(move || placement.clone()),
-    );
-    let job = Submission {
+    }
+}
+
+fn job() -> Submission {
+    Submission {
         host: "h".to_string(),
         route: "r".to_string(),
         job_id: "l".to_string(),
-        terms: Default::default(),
+        terms: JobTerms::default(),
         max_queued_tokens: 0,
         items: vec![Item::default()],
-    };
-    let outcome = client
-        .submit(job, 1, Duration::from_millis(within_ms))
-        .await;
-    let epochs = script.1.lock().clone();
-    (outcome, epochs)
+    }
 }
 
-fn empty_entry() -> StoreEntry {
-    StoreEntry {
-        id: 0,
-        node_name: String::new(),
-        address: String::new(),
-        zone: String::new(),
-        decommissioning: false,
+/// Submits a job to a store that reacts so. All requests have to name the shard's epoch.
+async fn submit(script: &[Reaction]) -> Result<Submitted, SubmitError> {
+    let any_port: SocketAddr = "127.0.0.1:0".parse().unwrap();
+    let transport = Transport::start(any_port).await.unwrap();
+    let store = Arc::new(ScriptedStore {
+        script: Mutex::new(script.to_vec().into()),
+        requested_epochs: Mutex::default(),
+    });
+    transport.register_service(Channel::Batch, store.clone());
+    let placement = Arc::new(placement(transport.local_address()));
+    let client = BatchClient::new(
+        Transport::start(any_port).await.unwrap(),
+        Arc::new(move || placement.clone()),
+    );
+    let result = client.submit(job(), 1, SUBMIT_TIMEOUT).await;
+    let epochs = store.requested_epochs.lock();
+    assert!(epochs.iter().all(|epoch| *epoch == EPOCH), "{epochs:?}");
+    result
+}
+
+#[tokio::test]
+async fn submission_is_retried_until_it_is_accepted() {
+    for script in [
+        vec![Respond(ACCEPTED)],
+        vec![Respond(StoreResponse::NotPrimary), Respond(ACCEPTED)],
+        vec![Respond(StoreResponse::Indeterminate), Respond(ACCEPTED)],
+    ] {
+        assert_eq!(submit(&script).await, SUBMITTED, "{script:?}");
+    }
+}
+
+#[tokio::test]
+async fn submission_is_rejected_if_no_attempt_was_executed() {
+    for (response, error) in [
+        (StoreResponse::NotPrimary, SubmitError::Rejected),
+        (StoreResponse::DiskFull, SubmitError::Rejected),
+        (StoreResponse::QuotaExceeded, SubmitError::QuotaExceeded),
+        (StoreResponse::Conflict, SubmitError::Conflict),
+    ] {
+        let script = [Respond(response)];
+        assert_eq!(submit(&script).await, Err(error), "{script:?}");
     }
 }
 
 #[tokio::test]
-async fn a_submission_is_refused_only_when_surely_nothing_of_it_is_in() {
-    let leased = StoreResponse::Accepted { leased: true };
-    let accepted = Ok(Submitted { items_leased: true });
-    let not_in_charge = Some(StoreResponse::NotPrimary);
-    let cases = [
-        (vec![Some(leased.clone())], accepted),
-        (vec![not_in_charge.clone(), Some(leased.clone())], accepted),
-        (vec![not_in_charge.clone()], Err(SubmitError::Rejected)),
-        (
-            vec![Some(StoreResponse::QuotaExceeded)],
-            Err(SubmitError::QuotaExceeded),
-        ),
-        (
-            vec![Some(StoreResponse::DiskFull)],
-            Err(SubmitError::Rejected),
-        ),
-        (
-            vec![Some(StoreResponse::Conflict)],
-            Err(SubmitError::Conflict),
-        ),
-        (
-            vec![Some(StoreResponse::Indeterminate), Some(leased)],
-            accepted,
-        ),
-        (
-            vec![
-                Some(StoreResponse::Indeterminate),
-                Some(StoreResponse::QuotaExceeded),
-            ],
-            Err(SubmitError::Indeterminate),
-        ),
-        (
-            vec![Some(StoreResponse::Indeterminate), not_in_charge.clone()],
-            Err(SubmitError::Indeterminate),
-        ),
-        (vec![not_in_charge, None], Err(SubmitError::Indeterminate)),
-    ];
-    for (answers, expected) in cases {
-        let (outcome, epochs) = submitted(&answers, 200).await;
-        assert_eq!(outcome, expected, "{answers:?}");
-        assert!(epochs.iter().all(|epoch| *epoch == 5));
+async fn submission_is_indeterminate_once_an_attempt_may_have_been_executed() {
+    for script in [
+        [
+            Respond(StoreResponse::Indeterminate),
+            Respond(StoreResponse::QuotaExceeded),
+        ],
+        [
+            Respond(StoreResponse::Indeterminate),
+            Respond(StoreResponse::NotPrimary),
+        ],
+        [Respond(StoreResponse::NotPrimary), StaySilent],
+    ] {
+        let result = submit(&script).await;
+        assert_eq!(result, Err(SubmitError::Indeterminate), "{script:?}");
     }
 }
--- /dev/null
+++ b/crates/mintlb-batch/tests/simulated_cluster/mod.rs
@@ -0,0 +1,239 @@
+//! Stores with all shards under the planner, in virtual time.
+//!
+//! Of a replica's log only the position of the last entry is kept; takeover, replication and commit
+//! follow the rules of `mintlb_batch::replica`. Machines are lost within the operators' limits: at
+//! most `tolerance` count as lost at once.
+
+pub mod machine;
+pub mod shard;
+
+use machine::Machine;
+use mintlb_batch::heartbeat::StoreHeartbeat;
+use mintlb_batch::placement_planner::{
+    DecommissionStart, DecommissionStatus, StoreTable, decommission_status, plan,
+    start_decommission,
+};
+use mintlb_common::placement::{Placement, StoreId};
+use shard::SimulatedShard;
+use std::time::Duration;
+
+/// The virtual time of one step.
+pub const STEP: Duration = Duration::from_millis(100);
+/// Steps between two heartbeats of a store. A newly active primary is reported at once.
+const HEARTBEAT_STEPS: u64 = 4;
+/// The virtual time at the start, later than any time-out.
+const START: Duration = Duration::from_secs(100);
+/// How long the first placement and its takeovers are given.
+const STARTUP_TIME: Duration = Duration::from_secs(8);
+
+/// The times that a cluster takes to repair itself.
+#[derive(Clone, Copy)]
+pub struct RepairTimes {
+    /// How long a machine that has come back still counts as lost.
+    pub catch_up: Duration,
+    /// How long an empty replica takes to receive the log.
+    pub fill: Duration,
+}
+
+pub struct SimulatedCluster {
+    now: Duration,
+    pub tolerance: usize,
+    times: RepairTimes,
+    pub machines: Vec<Machine>,
+    pub placement: Placement,
+    table: StoreTable,
+    shards: Vec<SimulatedShard>,
+    /// Until when no controller leads.
+    controller_lost_until: Duration,
+    /// Machines whose stores are being decommissioned.
+    pub decommissioning: Vec<String>,
+    next_id: StoreId,
+    /// Without calls a primary does not notice that it can't commit.
+    pub idle: bool,
+    /// What has happened, for the messages of failed assertions.
+    events: Vec<String>,
+}
+
+impl SimulatedCluster {
+    /// Machines with empty disks, once all shards are active.
+    pub fn new(count: usize, tolerance: usize, times: RepairTimes) -> SimulatedCluster {
+        let mut cluster = SimulatedCluster {
+            now: START,
+            tolerance,
+            times,
+            machines: Vec::new(),
+            placement: Placement::default(),
+            table: StoreTable::new(START),
+            shards: Vec::new(),
+            controller_lost_until: Duration::ZERO,
+            decommissioning: Vec::new(),
+            next_id: 1,
+            idle: false,
+            events: Vec::new(),
+        };
+        for _ in 0..count {
+            cluster.add_machine();
+        }
+        cluster.run(STARTUP_TIME);
+        cluster
+    }
+
+    /// Adds a machine with an empty disk; returns its index.
+    pub fn add_machine(&mut self) -> usize {
+        let id = self.new_store_id();
+        self.machines.push(Machine::new(id, self.now));
+        self.machines.len() - 1
+    }
+
+    fn new_store_id(&mut self) -> StoreId {
+        let id = self.next_id;
+        self.next_id += 1;
+        id
+    }
+
+    pub fn run(&mut self, time: Duration) {
+        (0..time.as_millis() / STEP.as_millis()).for_each(|_| self.step());
+    }
+
+    pub fn step(&mut self) {
+        self.now += STEP;
+        self.step_machines();
+        self.step_shards();
+        self.send_heartbeats();
+        if self.now >= self.controller_lost_until {
+            self.run_planner();
+            self.remove_decommissioned();
+        }
+    }
+
+    /// Runs until no machine counts as lost, or for `max_steps`.
+    pub fn run_until_caught_up(&mut self, max_steps: usize) {
+        for _ in 0..max_steps {
+            if self.lost_machines() == 0 {
+                return;
+            }
+            self.step();
+        }
+    }
+
+    fn run_planner(&mut self) {
+        let snapshot = self.table.snapshot(&self.placement, self.now);
+        if let Some(next) = plan(&self.placement, &snapshot, self.tolerance) {
+            self.set_placement(next);
+        }
+    }
+
+    fn set_placement(&mut self, next: Placement) {
+        self.placement = next;
+        self.shards
+            .resize_with(self.placement.shards.len(), SimulatedShard::default);
+    }
+
+    fn send_heartbeats(&mut self) {
+        let step = self.now.as_millis() as u64 / STEP.as_millis() as u64;
+        for machine in self.machines.iter().filter(|machine| machine.is_up()) {
+            let reports: Vec<_> = (0..self.shards.len())
+                .filter_map(|shard| self.report(shard, machine.id))
+                .collect();
+            let active = reports.iter().filter(|report| report.active).count();
+            let is_due = (step + machine.id).is_multiple_of(HEARTBEAT_STEPS);
+            if !is_due && active <= machine.reported_active.get() {
+                continue;
+            }
+            machine.reported_active.set(active);
+            let heartbeat = StoreHeartbeat {
+                id: machine.id,
+                node_name: machine.node(),
+                address: format!("{}:1", machine.node()),
+                zone: machine.zone(),
+                shards: reports,
+                placement: self.placement.epoch,
+                draining: machine.shutdown.is_some(),
+            };
+            self.table.record_heartbeat(heartbeat, self.now);
+        }
+    }
+
+    /// Orders that the store on a machine is decommissioned. Returns whether the order is accepted.
+    pub fn decommission(&mut self, machine: usize) -> bool {
+        let node = self.machines[machine].node();
+        let snapshot = self.table.snapshot(&self.placement, self.now);
+        match start_decommission(&self.placement, &snapshot, &node, self.tolerance) {
+            Ok(DecommissionStart::Planned(next)) => self.set_placement(next),
+            Ok(DecommissionStart::AlreadyStarted) => (),
+            Err(_) => return false,
+        }
+        self.log(format!("{node} is to be decommissioned"));
+        self.decommissioning.push(node);
+        true
+    }
+
+    /// Takes decommissioned machines away, with their disks.
+    fn remove_decommissioned(&mut self) {
+        let snapshot = self.table.snapshot(&self.placement, self.now);
+        let is_complete = |node: &str| {
+            decommission_status(&self.placement, &snapshot, node, self.tolerance)
+                == Some(DecommissionStatus::Decommissioned)
+        };
+        let orders = std::mem::take(&mut self.decommissioning);
+        let (complete, pending) = orders.into_iter().partition(|node| is_complete(node));
+        self.decommissioning = pending;
+        let complete: Vec<String> = complete;
+        for machine in &mut self.machines {
+            if complete.contains(&machine.node()) {
+                machine.remove_decommissioned();
+            }
+        }
+    }
+
+    /// Runs until all machines are back and for `bound` after that; then every shard has to be
+    /// active.
+    pub fn settle(&mut self, bound: Duration) {
+        while self.machines.iter().any(Machine::has_pending_event) {
+            self.step();
+        }
+        self.controller_lost_until = Duration::ZERO;
+        self.run(bound);
+        for shard in 0..self.shards.len() {
+            assert!(
+                self.is_active(shard),
+                "shard {shard} is not active: {:?}\n{}",
+                self.placement.shards[shard],
+                self.event_log()
+            );
+        }
+    }
+
+    /// Asserts that all shards have enough replicas on live machines.
+    pub fn assert_enough_replicas(&self) {
+        let live = self.machines.iter().filter(|machine| machine.is_up());
+        let usable = live
+            .filter(|machine| !self.decommissioning.contains(&machine.node()))
+            .count();
+        let target = (2 * self.tolerance + 1).min(usable);
+        for assignment in &self.placement.shards {
+            let replicas = assignment.replicas.iter();
+            let live = replicas.filter(|id| self.is_store_up(**id)).count();
+            assert!(
+                live >= target,
+                "{assignment:?} of {usable} stores\n{}",
+                self.event_log()
+            );
+        }
+    }
+
+    fn is_store_up(&self, id: StoreId) -> bool {
+        self.machines
+            .iter()
+            .any(|machine| machine.id == id && machine.is_up())
+    }
+
+    fn log(&mut self, event: String) {
+        let time = (self.now - START).as_secs_f64();
+        self.events.push(format!("{time:>8.1} {event}"));
+    }
+
+    fn event_log(&self) -> String {
+        self.events.join("\n")
+    }
+}
