--- a/crates/mintlb-control/src/controller/error.rs
+++ b/crates/mintlb-control/src/controller/error.rs
@@ -1,6 +1,7 @@
 //! The errors that keep a controller from running.
 
 use super::register::AcceptorFileError;
+use crate::bind::BindError;
 use std::net::SocketAddr;
 
 /// The reason for which a controller can't run. None of them goes away without a change to the settings, the machine or its
@@ -25,3 +26,9 @@
     #[error("M435 {0}")]
     System(std::io::Error),
 }
+
+impl From<BindError> for ControllerError {
+    fn from(BindError { address, cause }: BindError) -> ControllerError {
+        ControllerError::Listen { address, cause }
+    }
+}
--- a/crates/mintlb-control/src/controller/process.rs
+++ b/crates/mintlb-control/src/controller/process.rs
@@ -1,8 +1,9 @@
 //! The process of a controller: start, service, shutdown.
 
 use super::settings_reload::SettingsReload;
-use super::startup::{StartedController, bind_with_retry, start};
+use super::startup::{StartedController, start};
 use super::{ControllerError, http};
+use crate::bind::bind_with_retry;
 use mintlb_common::settings::NodeSettings;
 use mintlb_common::signals::Signals;
 use std::time::Duration;
--- a/crates/mintlb-control/src/controller/startup.rs
+++ b/crates/mintlb-control/src/controller/startup.rs
@@ -21,6 +21,7 @@
 use super::singleton::worker_expiry::WorkerExpiry;
 use super::workers::service::WorkerService;
 use super::{Controller, ControllerError};
+use crate::bind::bind_with_retry;
 use mintlb_common::settings::{InternalPort, NodeSettings};
 use mintlb_common::transport::{Channel, Transport};
 use mintlb_gossip::{GossipConfig, GossipService, Member, Role};
@@ -28,15 +29,10 @@
 use std::hash::{BuildHasher, RandomState};
 use std::net::SocketAddr;
 use std::sync::Arc;
-use std::time::{Duration, SystemTime};
+use std::time::SystemTime;
 use tokio::sync::Notify;
 use tokio::task::JoinSet;
-use tokio::time::{Instant, sleep};
-
-/// The time for which an address in use is tried again: a predecessor may not have released it yet.
-const BIND_TIMEOUT: Duration = Duration::from_secs(5);
-/// The delay between two attempts.
-const BIND_RETRY_INTERVAL: Duration = Duration::from_millis(100);
+use tokio::time::Instant;
 
 /// A controller and its background tasks, which end when this is dropped.
 pub struct StartedController {
@@ -274,24 +270,3 @@
     register.on_chosen(Box::new(move |chosen| on_chosen.publish(&chosen.state)));
     publisher
 }
-
-/// Listens on an address, and tries again for a while if it is in use.
-///
-/// # Errors
-///
-/// If the address can't be listened on after [`BIND_TIMEOUT`].
-pub(super) async fn bind_with_retry<T>(
-    address: SocketAddr,
-    listen: impl AsyncFn() -> std::io::Result<T>,
-) -> Result<T, ControllerError> {
-    let deadline = Instant::now() + BIND_TIMEOUT;
-    loop {
-        match listen().await {
-            Ok(listener) => return Ok(listener),
-            Err(cause) if Instant::now() > deadline => {
-                return Err(ControllerError::Listen { address, cause });
-            }
-            Err(_) => sleep(BIND_RETRY_INTERVAL).await,
-        }
-    }
-}
--- a/crates/mintlb-control/src/store/error.rs
+++ b/crates/mintlb-control/src/store/error.rs
@@ -1,6 +1,7 @@
 //! Why the store ends, as numbered errors that operators look up.
 
 use super::storage::DiskError;
+use crate::bind::BindError;
 use std::error::Error;
 use std::net::SocketAddr;
 
@@ -40,3 +41,9 @@
         }
     }
 }
+
+impl From<BindError> for StoreError {
+    fn from(BindError { address, cause }: BindError) -> StoreError {
+        StoreError::Listen { address, cause }
+    }
+}
--- a/crates/mintlb-control/src/store/startup.rs
+++ b/crates/mintlb-control/src/store/startup.rs
@@ -36,9 +36,7 @@
         opened = opening => opened?,
         () = signals.shutdown_requested() => return Ok(None),
     };
-    let transport = bind_with_retry(async || Transport::start(address).await)
-        .await
-        .map_err(|cause| StoreError::Listen { address, cause })?;
+    let transport = bind_with_retry(address, async || Transport::start(address).await).await?;
     log::info!(
         "store: {:x} listens at {address}, {} MB of batch jobs",
         storage.id(),
