--- a/crates/mintlb-register/tests/wire_fixtures.rs
+++ b/crates/mintlb-register/tests/wire_fixtures.rs
@@ -41,11 +41,11 @@
     }
 }
 
-fn taken() -> AppliedHistory {
-    let mut taken = AppliedHistory::starting_after(3);
-    taken.push(4, b"four");
-    taken.push(300, b"three hundred");
-    taken
+fn applied_history() -> AppliedHistory {
+    let mut history = AppliedHistory::starting_after(3);
+    history.push(4, b"four");
+    history.push(300, b"three hundred");
+    history
 }
 
 fn placement() -> Placement {
@@ -76,7 +76,7 @@
     }
 }
 
-fn whole_state() -> ControlState {
+fn full_state() -> ControlState {
     ControlState {
         revision: 11,
         replicas: joint_set(),
@@ -84,7 +84,7 @@
         configuration: CONFIGURATION.to_vec(),
         placement: placement(),
         legacy_history: (),
-        applied_history: Some(taken()),
+        applied_history: Some(applied_history()),
     }
 }
 
@@ -111,41 +111,44 @@
 }
 
 #[test]
-fn the_value() {
+fn register_values() {
     let mut fixtures = Fixtures::read("state.txt");
     fixtures.check("replica", &replica(1));
     fixtures.check("set-settled", &ReplicaSet::bootstrap(replica(1)));
     fixtures.check("set-joint", &joint_set());
     fixtures.check("taken-none", &AppliedHistory::default());
-    fixtures.check("taken", &taken());
+    fixtures.check("taken", &applied_history());
     fixtures.check("state-empty", &ControlState::default());
     fixtures.check("state-founded", &ControlState::bootstrap(replica(1)));
     fixtures.check(
         "state-without-history",
         &ControlState {
             applied_history: None,
-            ..whole_state()
+            ..full_state()
         },
     );
-    fixtures.check("state-whole", &whole_state());
+    fixtures.check("state-whole", &full_state());
     fixtures.check(
         "accepted",
         &AcceptedValue {
             ballot: ballot(6),
-            state: Arc::new(whole_state()),
+            state: Arc::new(full_state()),
         },
     );
     fixtures.done();
 }
 
 #[test]
-fn what_was_taken_is_looked_up_in_the_bytes() {
-    let taken: AppliedHistory =
+fn a_decoded_history_finds_what_was_applied() {
+    let history: AppliedHistory =
         minicbor::decode(&Fixtures::read("state.txt").take("taken")).unwrap();
-    assert_eq!(taken.lookup(3, b"three"), HistoryLookup::Compacted);
-    assert_eq!(taken.lookup(4, b"four"), HistoryLookup::Applied);
-    assert_eq!(taken.lookup(300, b"three hundred"), HistoryLookup::Applied);
-    assert_eq!(taken.lookup(300, b"other"), HistoryLookup::NotApplied);
+    assert_eq!(history.lookup(3, b"three"), HistoryLookup::Compacted);
+    assert_eq!(history.lookup(4, b"four"), HistoryLookup::Applied);
+    assert_eq!(
+        history.lookup(300, b"three hundred"),
+        HistoryLookup::Applied
+    );
+    assert_eq!(history.lookup(300, b"other"), HistoryLookup::NotApplied);
 }
 
 #[test]
