--- a/crates/mintlb-batch/src/client/types.rs
+++ b/crates/mintlb-batch/src/client/types.rs
@@ -1,7 +1,7 @@
 //! Arguments and results of the client's calls.
 
 use crate::entry::{ItemState, JobTerms};
-use crate::messages::{JobName, LeasedItems};
+use crate::messages::{ItemFailures, JobName, LeasedItems};
 use bytes::Bytes;
 
 /// A job to submit.
@@ -102,8 +102,8 @@
     pub job_id: String,
     /// The items' indexes in the job.
     pub items: Vec<u32>,
-    /// The items that failed, each with the number of its failed attempts over all lease owners.
-    pub failures: Vec<(u32, u32)>,
+    /// Those of them that failed.
+    pub failures: Vec<ItemFailures>,
 }
 
 impl From<LeasedJob> for LeasedItems {
--- a/crates/mintlb-batch/src/messages.rs
+++ b/crates/mintlb-batch/src/messages.rs
@@ -46,8 +46,19 @@
     /// The items.
     #[n(1)]
     pub items: Vec<u32>,
-    /// Those of them that failed, each with the number of its failed attempts over all owners.
+    /// Those of them that failed.
     #[n(2)]
     #[cbor(default)]
-    pub failures: Vec<(u32, u32)>,
+    pub failures: Vec<ItemFailures>,
+}
+
+/// How often an item has failed.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
+pub struct ItemFailures {
+    /// The item, by its offset within the job.
+    #[n(0)]
+    pub item: u32,
+    /// The number of its failed attempts over all owners.
+    #[n(1)]
+    pub attempts: u32,
 }
--- a/crates/mintlb-batch/src/placement_planner/store_selection.rs
+++ b/crates/mintlb-batch/src/placement_planner/store_selection.rs
@@ -82,11 +82,11 @@
         if since_heartbeat < REPLICA_TIMEOUT {
             return false;
         }
-        let came_later = |entry: &StoreEntry| {
+        let is_newer = |entry: &StoreEntry| {
             let store = self.snapshot.store(entry.id);
             store.is_some_and(|store| store.since_first_heartbeat <= since_heartbeat)
         };
-        self.snapshot.is_draining(id) || self.usable().any(came_later)
+        self.snapshot.is_draining(id) || self.usable().any(is_newer)
     }
 
     /// The best usable store for one more replica: of the zone with the fewest replicas of the
--- a/crates/mintlb-batch/src/replica/serving/leasing.rs
+++ b/crates/mintlb-batch/src/replica/serving/leasing.rs
@@ -102,8 +102,9 @@
         let Some(job) = self.jobs.find(&leased.job) else {
             return leased.items.clone();
         };
-        for (item, failures) in &leased.failures {
-            self.leases.record_failures(job, *item, *failures);
+        for failed in &leased.failures {
+            self.leases
+                .record_failures(job, failed.item, failed.attempts);
         }
         self.leases.renew(job, &leased.items, owner, now)
     }
--- a/crates/mintlb-batch/tests/takeover.rs
+++ b/crates/mintlb-batch/tests/takeover.rs
@@ -4,7 +4,7 @@
 
 use cluster::Cluster;
 use cluster::requests::name;
-use mintlb_batch::messages::{LeasedItems, RenewResult};
+use mintlb_batch::messages::{ItemFailures, LeasedItems, RenewResult};
 use mintlb_batch::peer::PeerMessage;
 use std::time::Duration;
 
@@ -284,7 +284,9 @@
     let leased = LeasedItems {
         job: name("a"),
         items: vec![0, 1, 2],
-        failures: vec![(1, 2), (7, 1)],
+        failures: [(1, 2), (7, 1)]
+            .map(|(item, attempts)| ItemFailures { item, attempts })
+            .to_vec(),
     };
     let mut result = RenewResult::default();
     let replica = cluster.replica_mut(0);
--- a/crates/mintlb-batch/tests/wire_fixtures.rs
+++ b/crates/mintlb-batch/tests/wire_fixtures.rs
@@ -167,11 +167,15 @@
     }
 }
 
-fn held(failures: Vec<(u32, u32)>) -> LeasedItems {
+fn held(failures: &[(u32, u32)]) -> LeasedItems {
+    let failures = failures.iter().map(|(item, attempts)| ItemFailures {
+        item: *item,
+        attempts: *attempts,
+    });
     LeasedItems {
         job: name("lot-1"),
         items: vec![0, 25, 70_000],
-        failures,
+        failures: failures.collect(),
     }
 }
 
@@ -284,7 +288,7 @@
         }),
         b"",
     );
-    let jobs = vec![held(vec![(25, 3), (0, 1)]), held(Vec::new())];
+    let jobs = vec![held(&[(25, 3), (0, 1)]), held(&[])];
     check(
         "renew",
         StoreRequest::Renew(Renew { owner: LONG, jobs }),
@@ -310,7 +314,7 @@
     check("release", StoreRequest::Release(LONG), b"");
     let renew = StoreRequest::Renew(Renew {
         owner: LONG,
-        jobs: vec![held(Vec::new())],
+        jobs: vec![held(&[])],
     });
     fixtures.check_earlier("earlier_renew_without_failures", renew);
     fixtures.end();
@@ -365,7 +369,7 @@
     check(
         "renewed",
         StoreResponse::Renewed(RenewResult {
-            lost: vec![held(vec![(25, 3)])],
+            lost: vec![held(&[(25, 3)])],
             open: 40,
         }),
         b"",
--- a/crates/mintlb-control/tests/store_cluster.rs
+++ b/crates/mintlb-control/tests/store_cluster.rs
@@ -5,6 +5,7 @@
 
 use mintlb_batch::client::{ItemResult, JobError, LeasedJob, SubmitError, Submitted};
 use mintlb_batch::entry::ItemState;
+use mintlb_batch::messages::ItemFailures;
 use std::time::Duration;
 use stores::{
     ACCEPTED, Cluster, DISPATCHER, HOST, JobBuilder, Node, ReadResult, TEST_TIMEOUT, completed,
@@ -90,7 +91,10 @@
         host: HOST.to_string(),
         job_id: "a".to_string(),
         items: vec![1, 2],
-        failures: vec![(2, 1)],
+        failures: vec![ItemFailures {
+            item: 2,
+            attempts: 1,
+        }],
     };
     let lost = client.renew(DISPATCHER, vec![leased.clone()]).await;
     assert_eq!(
--- a/crates/mintlb-dispatcher/src/batch/queue.rs
+++ b/crates/mintlb-dispatcher/src/batch/queue.rs
@@ -1,6 +1,7 @@
 //! The items that this dispatcher holds leases of: which runs next, and how many run at once. Pure.
 
 use mintlb_batch::client::{LeasedItem, LeasedJob};
+use mintlb_batch::messages::ItemFailures;
 use std::collections::{BTreeMap, HashMap, HashSet, VecDeque};
 
 /// Ended lots that are remembered: their items may still come with an answer that was under way.
@@ -73,7 +74,10 @@
             host,
             job_id,
             items: vec![*index],
-            failures: vec![(*index, count)],
+            failures: vec![ItemFailures {
+                item: *index,
+                attempts: count,
+            }],
         })
     }
 
@@ -125,12 +129,15 @@
         let job = |(key, items): (&LotKey, &HashSet<u32>)| {
             let (host, job_id) = key.clone();
             let failures = self.failures.get(key).into_iter().flatten();
-            let failures = failures.map(|(item, count)| (*item, *count)).collect();
+            let failures = failures.map(|(item, attempts)| ItemFailures {
+                item: *item,
+                attempts: *attempts,
+            });
             LeasedJob {
                 host,
                 job_id,
                 items: items.iter().copied().collect(),
-                failures,
+                failures: failures.collect(),
             }
         };
         self.held.iter().map(job).collect()
--- a/crates/mintlb-dispatcher/tests/batch.rs
+++ b/crates/mintlb-dispatcher/tests/batch.rs
@@ -2,6 +2,7 @@
 
 use mintlb_batch::client::{CommittedResult, Item, ItemResult, LeasedItem};
 use mintlb_batch::entry::{ItemState, JobTerms};
+use mintlb_batch::messages::ItemFailures;
 use mintlb_common::configuration::Configuration;
 use mintlb_dispatcher::batch::progress::{AttemptOutcome, Next, Progress};
 use mintlb_dispatcher::batch::queue::ItemQueue;
@@ -322,10 +323,14 @@
         Next::RunAgain(_)
     ));
     let told = queue.failed(number, progress.failures()).unwrap();
-    assert_eq!((told.items, told.failures), (vec![2], vec![(2, 2)]));
+    let failures = ItemFailures {
+        item: 2,
+        attempts: 2,
+    };
+    assert_eq!((told.items, told.failures), (vec![2], vec![failures]));
     assert_eq!(
         queue.held()[0].failures,
-        [(2, 2)],
+        [failures],
         "and again with each renewal"
     );
     queue.finish(number);
