--- a/crates/mintlb-control/src/store/driver.rs
+++ b/crates/mintlb-control/src/store/driver.rs
@@ -4,7 +4,7 @@
 use super::StoreError;
 use super::handle::Store;
 use super::storage::commit_queue::CommitOutcome;
-use super::storage::{DiskError, LoadedShards, ShardStorage};
+use super::storage::{DiskError, LoadedShards, LoadedStorage, ShardStorage};
 use mintlb_batch::replica::TICK_INTERVAL;
 use mintlb_common::placement::StoreId;
 use std::path::PathBuf;
@@ -51,6 +51,7 @@
     /// called again.
     ///
     /// # Errors
+    ///
     /// [`StoreError::File`] if the file turns out to be damaged when it is opened again.
     pub async fn step(&mut self) -> Result<(), StoreError> {
         tokio::select! {
@@ -87,11 +88,12 @@
 /// Opens the store's file, or creates it, once the disk lets it.
 ///
 /// # Errors
+///
 /// If the data directory can't be used.
 pub async fn open_with_retry(
     directory: PathBuf,
     new_id: StoreId,
-) -> Result<(ShardStorage, LoadedShards), DiskError> {
+) -> Result<LoadedStorage, DiskError> {
     retry_while_unavailable(move || ShardStorage::open(&directory, new_id)).await
 }
 
--- a/crates/mintlb-control/src/store/mod.rs
+++ b/crates/mintlb-control/src/store/mod.rs
@@ -47,6 +47,7 @@
 /// Runs the store until shutdown is requested.
 ///
 /// # Errors
+///
 /// If the store can't be started, or its file turns out to be damaged while it runs.
 pub fn run(settings: NodeSettings) -> Result<(), StoreError> {
     let runtime = runtime::Builder::new_current_thread()
--- a/crates/mintlb-control/src/store/requests/submit.rs
+++ b/crates/mintlb-control/src/store/requests/submit.rs
@@ -20,24 +20,43 @@
         match self.propose(shard, change, |_, _| ()).await {
             Proposal::Immediate(response) | Proposal::AfterCommit { response, .. } => response,
             Proposal::CompareItems { index, response } => {
-                match self.is_same_job(shard, index, &submitted, &raw) {
-                    Some(true) => response,
-                    Some(false) => StoreResponse::Conflict,
-                    None => StoreResponse::Indeterminate,
+                match self.compare_job(shard, index, &submitted, &raw) {
+                    JobComparison::Same => response,
+                    JobComparison::Different => StoreResponse::Conflict,
+                    JobComparison::Unreadable => StoreResponse::Indeterminate,
                 }
             }
         }
     }
 
-    /// Whether the entry at `index` holds this job with these payloads; `None` if it can't be read.
-    /// A job whose payloads have been reclaimed is compared by its items alone.
-    fn is_same_job(&self, shard: u32, index: u64, job: &JobHeader, raw: &Bytes) -> Option<bool> {
-        let entries = self.shard_host().read(shard, &[index])?;
-        let (entry, stored_raw) = framing::decode::<Entry>(&entries.first()?.bytes)?;
-        let Entry::Accepted(stored_job) = entry else {
-            return None;
+    /// Compares the job of the entry at `index` with a submitted one and its payloads. A job whose
+    /// payloads have been reclaimed is compared by its items alone.
+    fn compare_job(
+        &self,
+        shard: u32,
+        index: u64,
+        submitted: &JobHeader,
+        payloads: &Bytes,
+    ) -> JobComparison {
+        let stored = self.shard_host().read(shard, &[index]).unwrap_or_default();
+        let entry = stored
+            .first()
+            .and_then(|entry| framing::decode::<Entry>(&entry.bytes));
+        let Some((Entry::Accepted(job), stored_payloads)) = entry else {
+            return JobComparison::Unreadable;
         };
-        let same_payloads = stored_raw.is_empty() || stored_raw == *raw;
-        Some(Replica::same_items(&stored_job, job) && same_payloads)
+        let same_payloads = stored_payloads.is_empty() || stored_payloads == *payloads;
+        match Replica::same_items(&job, submitted) && same_payloads {
+            true => JobComparison::Same,
+            false => JobComparison::Different,
+        }
     }
 }
+
+/// How a stored job compares with a submitted one of the same name.
+enum JobComparison {
+    Same,
+    Different,
+    /// The stored job can't be read.
+    Unreadable,
+}
--- a/crates/mintlb-control/src/store/shard_host/effects.rs
+++ b/crates/mintlb-control/src/store/shard_host/effects.rs
@@ -93,7 +93,7 @@
     }
 
     fn send_entries(&self, mut envelope: Envelope, indexes: &[u64]) {
-        let Some(entries) = self.read(envelope.shard, indexes) else {
+        let Ok(entries) = self.read(envelope.shard, indexes) else {
             return;
         };
         let (PeerMessage::Append(append) | PeerMessage::Fetched(append)) = &mut envelope.message
--- a/crates/mintlb-control/src/store/shard_host/mod.rs
+++ b/crates/mintlb-control/src/store/shard_host/mod.rs
@@ -10,7 +10,7 @@
 use super::entry_cache::EntryCache;
 use super::storage::commit_queue::ShardContinuation;
 use super::storage::{
-    CommitQueue, LoadedShards, OpenedStorage, ShardStorage, StoredEntry, capacity,
+    CommitQueue, DiskError, LoadedShards, OpenedStorage, ShardStorage, StoredEntry, capacity,
 };
 use bytes::Bytes;
 use mintlb_batch::heartbeat::ShardReport;
@@ -121,6 +121,7 @@
     /// The replica of a shard. Call [`ShardHost::run_effects`] after a change.
     ///
     /// # Panics
+    ///
     /// If `shard` is not below [`SHARD_COUNT`].
     pub fn replica(&mut self, shard: u32) -> &mut Replica {
         &mut self.replicas[shard as usize]
@@ -134,6 +135,7 @@
     /// The waiting calls of a shard.
     ///
     /// # Panics
+    ///
     /// If `shard` is not below [`SHARD_COUNT`].
     pub fn pending_calls(&mut self, shard: u32) -> &mut PendingCalls {
         &mut self.pending_calls[shard as usize]
@@ -214,26 +216,36 @@
             .sum()
     }
 
-    /// Reads durable entries, from memory if all of them are cached. `None` if the disk can't be
-    /// read, which is logged.
-    pub fn read(&self, shard: u32, indexes: &[u64]) -> Option<Vec<StoredEntry>> {
+    /// Reads durable entries, from memory if all of them are cached. Indexes without an entry are
+    /// left out.
+    ///
+    /// # Errors
+    ///
+    /// If the disk can't be read; that is logged here. A retry may help.
+    pub fn read(&self, shard: u32, indexes: &[u64]) -> Result<Vec<StoredEntry>, ReadError> {
         let cached: Vec<StoredEntry> = indexes
             .iter()
             .map_while(|index| self.entry_cache.get(shard, *index).cloned())
             .collect();
         if cached.len() == indexes.len() {
-            return Some(cached);
-        }
-        match self.storage.read(shard, indexes) {
-            Ok(entries) => Some(entries),
-            Err(error) => {
-                log::error!("store: shard {shard}: can't read entries: {error}");
-                None
-            }
+            return Ok(cached);
         }
+        self.storage
+            .read(shard, indexes)
+            .map_err(|cause| ReadError { shard, cause })
+            .inspect_err(|error| log::error!("store: {error}"))
     }
 }
 
+/// Entries of a shard that can't be read.
+#[derive(Debug, thiserror::Error)]
+#[error("shard {shard}: can't read entries: {cause}")]
+pub struct ReadError {
+    shard: u32,
+    #[source]
+    cause: DiskError,
+}
+
 fn load_replicas(
     mut shards: LoadedShards,
     settings: ReplicaSettings,
--- a/crates/mintlb-control/src/store/shard_host/pending_calls.rs
+++ b/crates/mintlb-control/src/store/shard_host/pending_calls.rs
@@ -1,10 +1,9 @@
 //! Calls of one shard that wait for its replica: for a commit, for a result, or for the followers'
 //! confirmation.
 
+use rustc_hash::FxHashMap;
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
-
-use rustc_hash::FxHashMap;
 use tokio::sync::oneshot;
 use tokio::time::timeout;
 
--- a/crates/mintlb-control/src/store/shutdown.rs
+++ b/crates/mintlb-control/src/store/shutdown.rs
@@ -40,6 +40,7 @@
     /// Hands the shards over and ends the store's tasks.
     ///
     /// # Errors
+    ///
     /// If the file turns out to be damaged meanwhile.
     pub(super) async fn shut_down(mut self) -> Result<(), StoreError> {
         log::info!("store: shutdown requested, handing its shards over");
--- a/crates/mintlb-control/src/store/startup.rs
+++ b/crates/mintlb-control/src/store/startup.rs
@@ -5,7 +5,7 @@
 use super::heartbeats;
 use super::service::StoreService;
 use super::shutdown::HandoverLimits;
-use super::storage::{CommitQueue, LoadedShards, OpenedStorage, ShardStorage, file};
+use super::storage::{CommitQueue, LoadedStorage, OpenedStorage, file};
 use super::{RunningStore, StoreError};
 use crate::bind::bind_with_retry;
 use mintlb_batch::replica::ReplicaSettings;
@@ -32,7 +32,7 @@
     let random_seed =
         RandomState::new().hash_one((address, &settings.node_name, SystemTime::now()));
     let opening = driver::open_with_retry(directory.clone(), random_seed.max(1));
-    let (storage, shards) = tokio::select! {
+    let LoadedStorage { storage, shards } = tokio::select! {
         opened = opening => opened?,
         () = signals.shutdown_requested() => return Ok(None),
     };
@@ -42,23 +42,15 @@
         storage.id(),
         storage.file_bytes() >> 20
     );
-    serve(
-        settings,
-        &directory,
-        storage,
-        shards,
-        transport,
-        random_seed,
-    )
-    .map(Some)
+    let loaded = LoadedStorage { storage, shards };
+    serve(settings, &directory, loaded, transport, random_seed).map(Some)
 }
 
 /// Serves what the file holds.
 fn serve(
     settings: NodeSettings,
     directory: &Path,
-    storage: ShardStorage,
-    shards: LoadedShards,
+    LoadedStorage { storage, shards }: LoadedStorage,
     transport: Arc<Transport>,
     random_seed: u64,
 ) -> Result<RunningStore, StoreError> {
--- a/crates/mintlb-control/src/store/storage/commit_queue.rs
+++ b/crates/mintlb-control/src/store/storage/commit_queue.rs
@@ -116,6 +116,7 @@
     /// outcomes.
     ///
     /// # Errors
+    ///
     /// If the system starts no thread.
     pub fn start(
         storage: ShardStorage,
--- a/crates/mintlb-control/src/store/storage/mod.rs
+++ b/crates/mintlb-control/src/store/storage/mod.rs
@@ -19,7 +19,7 @@
 pub use commit_queue::CommitQueue;
 pub use error::DiskError;
 pub use loaded_shards::{LoadedShard, LoadedShards};
-pub use shard_storage::{ShardStorage, ShardWrite, StoredEntry};
+pub use shard_storage::{LoadedStorage, ShardStorage, ShardWrite, StoredEntry};
 
 /// An open file with its commit thread.
 pub struct OpenedStorage {
--- a/crates/mintlb-control/src/store/storage/shard_storage.rs
+++ b/crates/mintlb-control/src/store/storage/shard_storage.rs
@@ -54,30 +54,37 @@
     id: StoreId,
 }
 
+/// A file that was opened, with its contents.
+pub struct LoadedStorage {
+    /// The file.
+    pub storage: ShardStorage,
+    /// What it held when it was opened.
+    pub shards: LoadedShards,
+}
+
 impl ShardStorage {
     /// Opens the file in `directory`, or creates it with `new_id` as the store's identity. A
     /// damaged file is quarantined: the store then begins anew, like one that has lost its disk.
     ///
     /// # Errors
+    ///
     /// [`DiskError::Unavailable`] if the disk accepts or returns no bytes at present; the file
     /// stays, and the caller is to retry. [`DiskError::Directory`] if the directory can't be used
     /// at all.
-    pub fn open(
-        directory: &Path,
-        new_id: StoreId,
-    ) -> Result<(ShardStorage, LoadedShards), DiskError> {
+    pub fn open(directory: &Path, new_id: StoreId) -> Result<LoadedStorage, DiskError> {
         ShardStorage::open_with(file::default_opener(), directory, new_id)
     }
 
     /// As [`ShardStorage::open`], with another way to open a database at a path.
     ///
     /// # Errors
+    ///
     /// As [`ShardStorage::open`].
     pub fn open_with(
         open: DatabaseOpener,
         directory: &Path,
         new_id: StoreId,
-    ) -> Result<(ShardStorage, LoadedShards), DiskError> {
+    ) -> Result<LoadedStorage, DiskError> {
         let path = directory.join(file::FILE_NAME);
         let opened = match file::open_existing(&open, &path) {
             Ok(Some(opened)) => opened,
@@ -98,7 +105,10 @@
             path,
             id: opened.id,
         });
-        Ok((ShardStorage { shared }, opened.shards))
+        Ok(LoadedStorage {
+            storage: ShardStorage { shared },
+            shards: opened.shards,
+        })
     }
 
     /// Closes the file after a failed commit: nothing can be read or written until
@@ -110,6 +120,7 @@
     /// Opens the file again and returns its contents.
     ///
     /// # Errors
+    ///
     /// [`DiskError::Unavailable`] while the disk accepts no writes. [`DiskError::Damaged`] if the
     /// file is damaged, was removed or exchanged; it stays where it is.
     pub fn reopen(&self) -> Result<LoadedShards, DiskError> {
@@ -138,6 +149,7 @@
     /// Reads committed entries of a shard; indexes without an entry are left out.
     ///
     /// # Errors
+    ///
     /// If the file is closed or can't be read.
     pub fn read(&self, shard: u32, indexes: &[u64]) -> Result<Vec<StoredEntry>, DiskError> {
         let database = self.shared.database.read();
@@ -162,6 +174,7 @@
     /// Commits all of these writes, or none of them.
     ///
     /// # Errors
+    ///
     /// If the file is closed or the commit failed: then the file has to be closed and opened again.
     pub fn commit(&self, writes: &[ShardWrite]) -> Result<(), DiskError> {
         let database = self.shared.database.read();
--- a/crates/mintlb-control/tests/single_replica/mod.rs
+++ b/crates/mintlb-control/tests/single_replica/mod.rs
@@ -7,7 +7,7 @@
 use mintlb_batch::messages::{JobName, Submit};
 use mintlb_batch::replica::{AfterSync, Effect, Replica, ReplicaSettings};
 use mintlb_common::placement::ShardAssignment;
-use mintlb_control::store::storage::{ShardStorage, ShardWrite};
+use mintlb_control::store::storage::{LoadedStorage, ShardStorage, ShardWrite};
 use std::path::Path;
 use std::time::Duration;
 
@@ -44,8 +44,10 @@
 impl SingleReplica {
     /// A replica on the file in `directory`, as the primary of its shard.
     pub fn open(directory: &Path, now: Duration) -> SingleReplica {
-        let (storage, mut shards) =
-            ShardStorage::open_with(Disk::default().opener(), directory, 7).unwrap();
+        let LoadedStorage {
+            storage,
+            mut shards,
+        } = ShardStorage::open_with(Disk::default().opener(), directory, 7).unwrap();
         let settings = ReplicaSettings {
             store_id: storage.id(),
             tolerance: 0,
--- a/crates/mintlb-control/tests/store_disk_faults.rs
+++ b/crates/mintlb-control/tests/store_disk_faults.rs
@@ -6,7 +6,9 @@
 use faulty_file::Disk;
 use mintlb_batch::replica::DiskWrite;
 use mintlb_control::store::storage::file::{FILE_NAME, QUARANTINED_FILE};
-use mintlb_control::store::storage::{DiskError, LoadedShards, ShardStorage, ShardWrite};
+use mintlb_control::store::storage::{
+    DiskError, LoadedShards, LoadedStorage, ShardStorage, ShardWrite,
+};
 use std::collections::BTreeMap;
 use std::path::Path;
 use store_entries::{completed_result, put, write};
@@ -41,7 +43,7 @@
 fn write_unclosed_file(directory: &Path) -> EntryLengths {
     let copy = directory.join("copy");
     let result = completed_result(&[7; 3000]);
-    let (storage, _) = ShardStorage::open(directory, ID).unwrap();
+    let LoadedStorage { storage, .. } = ShardStorage::open(directory, ID).unwrap();
     storage.commit(&[put(SHARD, 1, result.clone())]).unwrap();
     std::fs::copy(directory.join(FILE_NAME), &copy).unwrap();
     drop(storage);
@@ -61,7 +63,7 @@
         assert!(!directory.path().join(QUARANTINED_FILE).exists());
     }
     disk.set_full(false);
-    let (storage, shards) =
+    let LoadedStorage { storage, shards } =
         ShardStorage::open_with(disk.opener(), directory.path(), NEW_ID).unwrap();
     assert_eq!((storage.id(), entry_lengths(&shards)), (ID, expected));
 }
@@ -73,7 +75,8 @@
     disk.set_full(true);
     assert!(is_unavailable(&disk, directory.path()));
     disk.set_full(false);
-    let (storage, _) = ShardStorage::open_with(disk.opener(), directory.path(), ID).unwrap();
+    let LoadedStorage { storage, .. } =
+        ShardStorage::open_with(disk.opener(), directory.path(), ID).unwrap();
     assert_eq!(storage.id(), ID);
 }
 
@@ -91,7 +94,8 @@
 fn reopening_after_a_failed_commit_shows_what_is_durable() {
     let directory = tempfile::tempdir().unwrap();
     let disk = Disk::default();
-    let (storage, _) = ShardStorage::open_with(disk.opener(), directory.path(), ID).unwrap();
+    let LoadedStorage { storage, .. } =
+        ShardStorage::open_with(disk.opener(), directory.path(), ID).unwrap();
     let put = |index: u64| [put(SHARD, index, completed_result(&[index as u8; 9000]))];
     storage.commit(&put(1)).unwrap();
     disk.set_full(true);
@@ -166,7 +170,7 @@
             match ShardStorage::open_with(disk.opener(), directory.path(), NEW_ID) {
                 Err(DiskError::Unavailable(_)) => counts.at_open += 1,
                 Err(other) => panic!("seed {seed}: {other}"),
-                Ok((storage, shards)) => {
+                Ok(LoadedStorage { storage, shards }) => {
                     assert_eq!(storage.id(), ID, "seed {seed}");
                     let found = entry_lengths(&shards);
                     assert!(
--- a/crates/mintlb-control/tests/store_disk_fixture.rs
+++ b/crates/mintlb-control/tests/store_disk_fixture.rs
@@ -9,7 +9,7 @@
 
 use mintlb_batch::entry::ItemState;
 use mintlb_batch::replica::Replica;
-use mintlb_control::store::storage::ShardStorage;
+use mintlb_control::store::storage::{LoadedStorage, ShardStorage};
 use std::path::Path;
 
 /// The state of a replica, a line a fact, in the words of the recorded text.
@@ -118,7 +118,10 @@
 #[test]
 fn a_recorded_file_is_read_as_before() {
     let directory = copy_of_fixture();
-    let (storage, mut shards) = ShardStorage::open(directory.path(), 1).unwrap();
+    let LoadedStorage {
+        storage,
+        mut shards,
+    } = ShardStorage::open(directory.path(), 1).unwrap();
     assert_eq!(
         storage.id(),
         store_fixture::IDENTITY,
--- a/crates/mintlb-control/tests/store_file.rs
+++ b/crates/mintlb-control/tests/store_file.rs
@@ -8,7 +8,7 @@
 use mintlb_batch::framing;
 use mintlb_batch::replica::{DiskWrite, ShardMeta};
 use mintlb_control::store::storage::file::FILE_NAME;
-use mintlb_control::store::storage::{LoadedShards, ShardStorage};
+use mintlb_control::store::storage::{LoadedShards, LoadedStorage, ShardStorage};
 use redb::{Database, TableDefinition};
 use std::path::Path;
 use store_entries::{accepted_job, epoch_start, put, stored, write};
@@ -17,7 +17,7 @@
 /// The identity that a new file would get.
 const NEW_ID: u64 = 99;
 
-fn open(directory: &Path) -> (ShardStorage, LoadedShards) {
+fn open(directory: &Path) -> LoadedStorage {
     ShardStorage::open(directory, ID).unwrap()
 }
 
@@ -29,7 +29,7 @@
 #[test]
 fn committed_writes_survive_a_restart() {
     let directory = tempfile::tempdir().unwrap();
-    let (storage, shards) = open(directory.path());
+    let LoadedStorage { storage, shards } = open(directory.path());
     assert_eq!((storage.id(), shards.len()), (ID, 0));
     let mut log = EpochHistory::default();
     log.extend(4, 2);
@@ -55,7 +55,7 @@
         ])
         .unwrap();
     drop(storage);
-    let (storage, shards) = ShardStorage::open(directory.path(), NEW_ID).unwrap();
+    let LoadedStorage { storage, shards } = ShardStorage::open(directory.path(), NEW_ID).unwrap();
     assert_eq!(storage.id(), ID, "the identity is drawn once");
     assert_eq!(indexes(&shards, 5), Some(vec![1, 3]));
     assert_eq!(indexes(&shards, 6), Some(vec![1]));
@@ -66,7 +66,7 @@
 #[test]
 fn a_stripped_job_retains_its_header() {
     let directory = tempfile::tempdir().unwrap();
-    let (storage, _) = open(directory.path());
+    let LoadedStorage { storage, .. } = open(directory.path());
     let job = accepted_job(&[7; 3000]);
     storage.commit(&[put(0, 1, job.clone())]).unwrap();
     assert_eq!(storage.read(0, &[1, 2]).unwrap(), [stored(1, job.clone())]);
@@ -74,7 +74,7 @@
         .commit(&[write(0, DiskWrite::Strip(vec![1, 2]))])
         .unwrap();
     drop(storage);
-    let (_, shards) = open(directory.path());
+    let LoadedStorage { shards, .. } = open(directory.path());
     let loaded = &shards[&0].entries[0];
     let (header, _) = framing::decode::<Entry>(&job).unwrap();
     assert_eq!(loaded.index, 1);
@@ -88,7 +88,7 @@
     let directory = tempfile::tempdir().unwrap();
     drop(open(directory.path()));
     std::fs::write(directory.path().join(FILE_NAME), [1; 20_000]).unwrap();
-    let (storage, shards) = ShardStorage::open(directory.path(), NEW_ID).unwrap();
+    let LoadedStorage { storage, shards } = ShardStorage::open(directory.path(), NEW_ID).unwrap();
     assert_eq!((storage.id(), shards.len()), (NEW_ID, 0));
 }
 
@@ -111,7 +111,7 @@
         transaction.commit().unwrap();
     }
     for _ in 0..2 {
-        let (storage, shards) = open(directory.path());
+        let LoadedStorage { storage, shards } = open(directory.path());
         assert_eq!(storage.id(), ID);
         assert_eq!(shards.keys().next(), Some(&2));
         assert_eq!(indexes(&shards, 2), Some(vec![9]));
--- a/crates/mintlb-control/tests/store_fixture/mod.rs
+++ b/crates/mintlb-control/tests/store_fixture/mod.rs
@@ -6,7 +6,7 @@
 use mintlb_batch::epoch_history::EpochHistory;
 use mintlb_batch::framing;
 use mintlb_batch::replica::{DiskWrite, Effect, Replica, ReplicaSettings, ShardMeta};
-use mintlb_control::store::storage::{LoadedShards, ShardStorage, ShardWrite};
+use mintlb_control::store::storage::{LoadedShards, LoadedStorage, ShardStorage, ShardWrite};
 use redb::{Database, ReadableDatabase, ReadableTable, TableDefinition, TableHandle};
 use std::path::{Path, PathBuf};
 use std::time::Duration;
@@ -49,7 +49,7 @@
 /// whose payloads the sweep has reclaimed; shard 63 with an entry longer than a chunk, and a
 /// compacted start.
 pub fn write_file(directory: &Path) {
-    let (storage, _) = ShardStorage::open(directory, IDENTITY).unwrap();
+    let LoadedStorage { storage, .. } = ShardStorage::open(directory, IDENTITY).unwrap();
     let puts = |shard: u32, entries: Vec<Bytes>| {
         let rows = (1..).zip(entries).map(|(index, bytes)| ShardWrite {
             shard,
--- a/crates/mintlb-control/tests/store_full_disk.rs
+++ b/crates/mintlb-control/tests/store_full_disk.rs
@@ -7,8 +7,8 @@
 use bytes::Bytes;
 use faulty_file::Disk;
 use mintlb_batch::client::{JobError, SubmitError, Submitted};
-use mintlb_control::store::storage::ShardStorage;
 use mintlb_control::store::storage::file::FILE_NAME;
+use mintlb_control::store::storage::{LoadedStorage, ShardStorage};
 use std::time::Duration;
 use stores::{ACCEPTED, Cluster, DISPATCHER, HOST, JobBuilder, Node, payload};
 
@@ -111,7 +111,7 @@
     for disk in &disks {
         let directory = tempfile::tempdir().unwrap();
         disk.lose_power(&directory.path().join(FILE_NAME), |_| 0);
-        let (storage, shards) = ShardStorage::open(directory.path(), 99).unwrap();
+        let LoadedStorage { storage, shards } = ShardStorage::open(directory.path(), 99).unwrap();
         assert!((1..=3).contains(&storage.id()), "{}", storage.id());
         let entries: usize = shards.values().map(|shard| shard.entries.len()).sum();
         durable_jobs += entries.saturating_sub(EPOCH_STARTS);
--- a/crates/mintlb-control/tests/stores/mod.rs
+++ b/crates/mintlb-control/tests/stores/mod.rs
@@ -12,7 +12,7 @@
 use mintlb_control::store::handle::Store;
 use mintlb_control::store::service::StoreService;
 use mintlb_control::store::storage::file::DatabaseOpener;
-use mintlb_control::store::storage::{CommitQueue, LoadedShards, OpenedStorage, ShardStorage};
+use mintlb_control::store::storage::{CommitQueue, LoadedStorage, OpenedStorage, ShardStorage};
 use parking_lot::Mutex;
 use std::net::SocketAddr;
 use std::path::Path;
@@ -56,7 +56,7 @@
         Node::serve(opened, new_id).await
     }
 
-    async fn serve((storage, shards): (ShardStorage, LoadedShards), random_seed: u64) -> Node {
+    async fn serve(LoadedStorage { storage, shards }: LoadedStorage, random_seed: u64) -> Node {
         let transport = Transport::start("127.0.0.1:0".parse().unwrap())
             .await
             .unwrap();
