--- a/crates/mintlb-control/src/controller/contact/echo_clock.rs
+++ b/crates/mintlb-control/src/controller/contact/echo_clock.rs
@@ -1,5 +1,6 @@
-//! Timestamps that the receiver echoes in its next message (as the TCP timestamps option does, RFC 7323): so the side that
-//! only responds learns, too, that its responses arrive, and when the echoed one was sent. Pure.
+//! Timestamps that the receiver echoes in its next message (as the TCP timestamps option does, RFC
+//! 7323): so the side that only responds learns, too, that its responses arrive, and when the
+//! echoed one was sent. Pure.
 
 use std::time::Duration;
 use tokio::time::Instant;
@@ -7,7 +8,8 @@
 /// Converts between instants and the timestamps of one incarnation of a process, in microseconds.
 #[derive(Debug)]
 pub struct EchoClock {
-    /// The timestamp of the start, drawn at random: a timestamp of another incarnation is out of range here.
+    /// The timestamp of the start, drawn at random: a timestamp of another incarnation is out of
+    /// range here.
     first: u64,
     started_at: Instant,
 }
--- a/crates/mintlb-control/src/controller/contact/messages.rs
+++ b/crates/mintlb-control/src/controller/contact/messages.rs
@@ -1,4 +1,5 @@
-//! Pings between controllers. The minicbor indexes are fixed: controllers of different releases exchange them.
+//! Pings between controllers. The minicbor indexes are fixed: controllers of different releases
+//! exchange them.
 
 use minicbor::{Decode, Encode};
 use mintlb_register::replica_set::ReplicaId;
@@ -34,7 +35,8 @@
     /// The status of the sender.
     #[n(0)]
     pub status: PeerStatus,
-    /// The time of the response by the sender's [`EchoClock`](super::echo_clock::EchoClock), to be echoed in the next ping.
+    /// The time of the response by the sender's [`EchoClock`](super::echo_clock::EchoClock), to be
+    /// echoed in the next ping.
     #[n(1)]
     pub timestamp: u64,
 }
--- a/crates/mintlb-control/src/controller/contact/mod.rs
+++ b/crates/mintlb-control/src/controller/contact/mod.rs
@@ -1,4 +1,5 @@
-//! Contact with the other controllers: their liveness, the quorum lease, and the election of the singleton leader.
+//! Contact with the other controllers: their liveness, the quorum lease, and the election of the
+//! singleton leader.
 //!
 //! - [`messages`], [`ping_state`], [`echo_clock`]: the ping protocol.
 //! - [`quorum_contact`]: the lease that proves contact with a majority of the replica set.
--- a/crates/mintlb-control/src/controller/contact/monitor.rs
+++ b/crates/mintlb-control/src/controller/contact/monitor.rs
@@ -1,5 +1,5 @@
-//! Contact and leadership of this process, shared by its tasks. Each question is answered for the moment at which it is
-//! asked, with the newest replica set known.
+//! Contact and leadership of this process, shared by its tasks. Each question is answered for the
+//! moment at which it is asked, with the newest replica set known.
 
 use super::messages::{Ping, Pong};
 use super::ping_state::PingState;
@@ -18,7 +18,8 @@
 }
 
 impl ContactMonitor {
-    /// `own_address` is the internal address of this process, `random_seed` a random number of its incarnation.
+    /// `own_address` is the internal address of this process, `random_seed` a random number of its
+    /// incarnation.
     pub fn new(
         register: Arc<RegisterClient>,
         own_address: SocketAddr,
@@ -32,8 +33,8 @@
         }
     }
 
-    /// Whether this process is in contact with a majority of the register's replicas now. Without it, it must not
-    /// acknowledge anything that depends on others.
+    /// Whether this process is in contact with a majority of the register's replicas now. Without
+    /// it, it must not acknowledge anything that depends on others.
     pub fn is_in_contact(&self) -> bool {
         let majority_at = self.register.majority_at();
         let Some(set) = self.register.set() else {
--- a/crates/mintlb-control/src/controller/contact/peers.rs
+++ b/crates/mintlb-control/src/controller/contact/peers.rs
@@ -1,13 +1,15 @@
-//! Liveness of the other controllers, as their pings show it, and the election of the singleton leader; pure.
+//! Liveness of the other controllers, as their pings show it, and the election of the singleton
+//! leader; pure.
 //!
-//! The leader is the first live replica in the order of addresses: one that has lately acknowledged a message, and reports
-//! that it is itself in contact with a majority. A majority has to vote for it, so that of two that can't reach each other,
-//! but others, only one is elected. Whoever is elected takes an epoch above each known one and announces it with its pings;
-//! a leader that learns of a higher epoch steps down and has to qualify anew. Two may lead for a moment all the same: what
-//! they change lies in the register, which accepts one of two conflicting changes.
+//! The leader is the first live replica in the order of addresses: one that has lately acknowledged
+//! a message, and reports that it is itself in contact with a majority. A majority has to vote for
+//! it, so that of two that can't reach each other, but others, only one is elected. Whoever is
+//! elected takes an epoch above each known one and announces it with its pings; a leader that
+//! learns of a higher epoch steps down and has to qualify anew. Two may lead for a moment all the
+//! same: what they change lies in the register, which accepts one of two conflicting changes.
 //!
-//! Each answer that depends on the time is given for the moment of the question, so also in the first question after the
-//! process was paused.
+//! Each answer that depends on the time is given for the moment of the question, so also in the
+//! first question after the process was paused.
 
 use super::quorum_contact::QuorumContact;
 use mintlb_register::replica_set::{Replica, ReplicaId, ReplicaSet};
@@ -20,7 +22,8 @@
 pub const LIVE_TIMEOUT: Duration = Duration::from_millis(1000);
 /// A replica that sent nothing for this long may be replaced in the replica set.
 pub const UNRESPONSIVE_TIMEOUT: Duration = Duration::from_millis(3000);
-/// The time for which a replica has to be the first live one before it leads: two intervals of the stores' heartbeats.
+/// The time for which a replica has to be the first live one before it leads: two intervals of the
+/// stores' heartbeats.
 pub const ELECTION_TIMEOUT: Duration = Duration::from_millis(900);
 /// A gap of this length between two steps means that the process was paused.
 const PROCESS_PAUSE: Duration = Duration::from_millis(900);
@@ -36,7 +39,8 @@
     addresses: FxHashMap<SocketAddr, Instant>,
     /// The vote of each replica that is in contact with a majority.
     leader_votes: FxHashMap<ReplicaId, ReplicaId>,
-    /// The start of the current period without a pause, in contact with a majority of the replica set.
+    /// The start of the current period without a pause, in contact with a majority of the replica
+    /// set.
     in_contact_since: Option<Instant>,
     last_step: Instant,
     preferred_since: Option<Instant>,
@@ -62,7 +66,8 @@
         }
     }
 
-    /// Records a message of a controller: the id of its replica, if it has one, and the highest leader epoch it knows.
+    /// Records a message of a controller: the id of its replica, if it has one, and the highest
+    /// leader epoch it knows.
     pub fn record_message(
         &mut self,
         now: Instant,
@@ -89,8 +94,8 @@
         }
     }
 
-    /// Records that a replica has acknowledged a message sent at that time, and its vote; none if it is itself out of
-    /// contact with a majority.
+    /// Records that a replica has acknowledged a message sent at that time, and its vote; none if
+    /// it is itself out of contact with a majority.
     pub fn record_acknowledgement(
         &mut self,
         replica: ReplicaId,
@@ -125,7 +130,8 @@
         self.contact.is_valid(now, set)
     }
 
-    /// The time for which this process has run without a pause, in contact with a majority of the replica set.
+    /// The time for which this process has run without a pause, in contact with a majority of the
+    /// replica set.
     pub fn in_contact_for(&self, now: Instant, set: &ReplicaSet) -> Duration {
         let since = self
             .in_contact_since
@@ -180,8 +186,8 @@
         self.leader_epoch = None;
     }
 
-    /// The replicas of the set that have sent nothing for [`UNRESPONSIVE_TIMEOUT`], all of it spent in contact with a
-    /// majority: a process that was partitioned or paused can't tell.
+    /// The replicas of the set that have sent nothing for [`UNRESPONSIVE_TIMEOUT`], all of it spent
+    /// in contact with a majority: a process that was partitioned or paused can't tell.
     pub fn unresponsive(&self, now: Instant, set: &ReplicaSet) -> Vec<ReplicaId> {
         let observed = self.in_contact_for(now, set);
         let since_last_message = |id: &ReplicaId| {
--- a/crates/mintlb-control/src/controller/contact/ping_state.rs
+++ b/crates/mintlb-control/src/controller/contact/ping_state.rs
@@ -29,8 +29,8 @@
 }
 
 impl PingState {
-    /// No peer is known yet. `own` is the id of the local replica, if there is one, `random_seed` a random number of this
-    /// incarnation of the process.
+    /// No peer is known yet. `own` is the id of the local replica, if there is one, `random_seed` a
+    /// random number of this incarnation of the process.
     pub fn new(
         now: Instant,
         own: Option<ReplicaId>,
@@ -46,14 +46,15 @@
         }
     }
 
-    /// Whether the local replica is a member of this replica set, the old one of a joint set included.
+    /// Whether the local replica is a member of this replica set, the old one of a joint set
+    /// included.
     pub fn is_member(&self, set: &ReplicaSet) -> bool {
         self.own
             .is_some_and(|own| set.members().any(|replica| replica.id == own))
     }
 
-    /// The controllers to ping now. Of two replicas that receive each other's messages, the one with the lower address
-    /// pings.
+    /// The controllers to ping now. Of two replicas that receive each other's messages, the one
+    /// with the lower address pings.
     pub fn targets(&self, now: Instant, set: &ReplicaSet) -> Vec<SocketAddr> {
         let is_member = self.is_member(set);
         let is_target = |address: &SocketAddr| {
@@ -78,7 +79,8 @@
         }
     }
 
-    /// Handles a ping and returns its response. `set` is the newest known replica set, if there is one.
+    /// Handles a ping and returns its response. `set` is the newest known replica set, if there is
+    /// one.
     pub fn on_ping(
         &mut self,
         now: Instant,
@@ -113,7 +115,8 @@
         }
     }
 
-    /// Records the status of a controller that is known to have received what was sent to it at `acknowledged_at`.
+    /// Records the status of a controller that is known to have received what was sent to it at
+    /// `acknowledged_at`.
     fn record(
         &mut self,
         now: Instant,
--- a/crates/mintlb-control/src/controller/contact/quorum_contact.rs
+++ b/crates/mintlb-control/src/controller/contact/quorum_contact.rs
@@ -1,8 +1,9 @@
 //! The lease that proves contact with a majority of the register's replicas; pure.
 //!
-//! The lease runs from the moment at which an acknowledged message was sent, not from the moment at which its
-//! acknowledgement was read, and it is checked whenever it is relied on. So an acknowledgement that lay in a buffer while
-//! the process was paused proves nothing, nor does a message from a replica that can't receive ours.
+//! The lease runs from the moment at which an acknowledged message was sent, not from the moment at
+//! which its acknowledgement was read, and it is checked whenever it is relied on. So an
+//! acknowledgement that lay in a buffer while the process was paused proves nothing, nor does a
+//! message from a replica that can't receive ours.
 
 use mintlb_register::replica_set::{ReplicaId, ReplicaSet};
 use rustc_hash::FxHashMap;
@@ -25,7 +26,8 @@
 }
 
 impl QuorumContact {
-    /// No contact is proved yet. `own` is the id of the local replica, if there is one: it needs no proof.
+    /// No contact is proved yet. `own` is the id of the local replica, if there is one: it needs no
+    /// proof.
     pub fn new(own: Option<ReplicaId>) -> QuorumContact {
         QuorumContact {
             own,
@@ -53,7 +55,8 @@
         );
     }
 
-    /// Whether this replica has acknowledged a message sent less than `max_age` ago. The local replica always has.
+    /// Whether this replica has acknowledged a message sent less than `max_age` ago. The local
+    /// replica always has.
     pub fn is_acknowledged_within(
         &self,
         now: Instant,
--- a/crates/mintlb-control/src/controller/error.rs
+++ b/crates/mintlb-control/src/controller/error.rs
@@ -4,14 +4,15 @@
 use crate::bind::BindError;
 use std::net::SocketAddr;
 
-/// The reason for which a controller can't run. None of them goes away without a change to the settings, the machine or its
-/// disk.
+/// The reason for which a controller can't run. None of them goes away without a change to the
+/// settings, the machine or its disk.
 #[derive(Debug, thiserror::Error)]
 pub enum ControllerError {
     /// The settings lack the address of the HTTP API.
     #[error("M431 listen_addresses.control_plane: is missing")]
     NoAddress,
-    /// An address can't be listened on, not even after the time that a predecessor has to release it.
+    /// An address can't be listened on, not even after the time that a predecessor has to release
+    /// it.
     #[error("M432 {address}: {cause}")]
     Listen {
         /// The address.
--- a/crates/mintlb-control/src/controller/http/configuration_api.rs
+++ b/crates/mintlb-control/src/controller/http/configuration_api.rs
@@ -22,13 +22,15 @@
 const MAX_BODY_BYTES: usize = 8 << 20;
 /// The time that the body is given to arrive.
 const BODY_READ_TIMEOUT: Duration = Duration::from_secs(4);
-/// The time within which the operator has to be answered: after a second he calls another controller.
+/// The time within which the operator has to be answered: after a second he calls another
+/// controller.
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(850);
 /// The time that the register is given, so that some is left for a neighbor's confirmation.
 const REGISTER_TIMEOUT: Duration = Duration::from_millis(700);
 /// The time after the start within which all replicas have joined.
 const JOIN_PERIOD: Duration = Duration::from_secs(6);
-/// The time that the response to an accepted configuration may wait for a neighbor that confirms it.
+/// The time that the response to an accepted configuration may wait for a neighbor that confirms
+/// it.
 const CONFIRMATION_TIMEOUT: Duration = Duration::from_millis(150);
 
 /// What the calls need.
--- a/crates/mintlb-control/src/controller/http/retirement_api.rs
+++ b/crates/mintlb-control/src/controller/http/retirement_api.rs
@@ -1,5 +1,5 @@
-//! The operator's calls on the retirement of stores. A controller that hears the stores handles them; another one forwards
-//! them.
+//! The operator's calls on the retirement of stores. A controller that receives the stores'
+//! heartbeats handles them; another one forwards them.
 
 use super::responses::{error_response, unavailable};
 use crate::controller::contact::monitor::ContactMonitor;
@@ -27,7 +27,7 @@
 /// What the calls need.
 #[derive(Clone)]
 pub struct RetirementApi {
-    /// Handles the calls where the stores are heard.
+    /// Handles the calls, with the stores' heartbeats.
     pub handler: Arc<RetirementHandler>,
     /// Tells whether this process may answer at all.
     pub contact: Arc<ContactMonitor>,
--- a/crates/mintlb-control/src/controller/http/server.rs
+++ b/crates/mintlb-control/src/controller/http/server.rs
@@ -12,7 +12,8 @@
 use tokio::time::{sleep, timeout};
 use tokio_util::sync::CancellationToken;
 
-/// The time that the header of a request is given, which is also the time after which an idle connection is closed.
+/// The time that the header of a request is given, which is also the time after which an idle
+/// connection is closed.
 const HEADER_READ_TIMEOUT: Duration = Duration::from_secs(10);
 /// The longest header, in bytes.
 const MAX_HEADER_BYTES: usize = 32 << 10;
@@ -20,7 +21,8 @@
 const LISTEN_BACKLOG: u32 = 1024;
 /// The age at which a connection ends after its current request.
 const MAX_CONNECTION_AGE: Duration = Duration::from_secs(60);
-/// The time that a connection is given for its last request, from the header to the end of the response.
+/// The time that a connection is given for its last request, from the header to the end of the
+/// response.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(8);
 /// The delay after a failed accept.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
@@ -37,8 +39,9 @@
     socket.listen(LISTEN_BACKLOG)
 }
 
-/// Serves until `shutdown` is cancelled. Then no more connections are accepted, and the open ones end after their current
-/// request. Returns once they have. Connections beyond `max_connections` are closed at once.
+/// Serves until `shutdown` is cancelled. Then no more connections are accepted, and the open ones
+/// end after their current request. Returns once they have. Connections beyond `max_connections`
+/// are closed at once.
 pub async fn serve(
     listener: TcpListener,
     router: Router,
--- a/crates/mintlb-control/src/controller/mod.rs
+++ b/crates/mintlb-control/src/controller/mod.rs
@@ -1,10 +1,13 @@
-//! The controller: serves the HTTP API of workers and the operator, runs a replica of the register where the machine has a
-//! disk, and competes for the singleton role, which one controller at a time fills.
+//! The controller: serves the HTTP API of workers and the operator, runs a replica of the register
+//! where the machine has a disk, and competes for the singleton role, which one controller at a
+//! time fills.
 //!
 //! - [`process`]: the process, from its start to its shutdown.
 //! - [`startup`]: assembles a [`Controller`] and starts its tasks.
-//! - [`register`]: the replicated register, its replica on this machine, and membership of the replica set.
-//! - [`contact`]: liveness of the other controllers, contact with a quorum, election of the singleton leader.
+//! - [`register`]: the replicated register, its replica on this machine, and membership of the
+//!   replica set.
+//! - [`contact`]: liveness of the other controllers, contact with a quorum, election of the
+//!   singleton leader.
 //! - [`singleton`]: the work of the leader, and the protocol between controllers.
 //! - [`workers`]: the workers that send their heartbeats to this controller.
 //! - [`http`]: the HTTP API.
@@ -34,8 +37,8 @@
 use std::sync::Arc;
 use workers::service::WorkerService;
 
-/// The parts of a controller that its process uses from the start to the shutdown. Each part holds what it needs of the
-/// others.
+/// The parts of a controller that its process uses from the start to the shutdown. Each part holds
+/// what it needs of the others.
 pub struct Controller {
     /// The HTTP API.
     pub http: HttpApi,
--- a/crates/mintlb-control/src/controller/process.rs
+++ b/crates/mintlb-control/src/controller/process.rs
@@ -59,8 +59,8 @@
     signals.shutdown_requested().await;
     log::info!("controller: shutting down on a signal");
     shutdown.cancel();
-    // Half of the grace period is left for what follows. The background tasks run on: to leave the replica set, the replica
-    // has to vote and to stay in contact.
+    // Half of the grace period is left for what follows. The background tasks run on: to leave the
+    // replica set, the replica has to vote and to stay in contact.
     let time_limit = grace_period(&controller.settings.get()) / 2;
     let drained = async { tokio::join!(server.join_next(), controller.membership.leave()) };
     timeout(time_limit, drained).await.ok();
--- a/crates/mintlb-control/src/controller/register/acceptor_file.rs
+++ b/crates/mintlb-control/src/controller/register/acceptor_file.rs
@@ -1,4 +1,5 @@
-//! The file in which a replica of the register keeps its identity and acceptor state: its creation, reads and writes.
+//! The file in which a replica of the register keeps its identity and acceptor state: its creation,
+//! reads and writes.
 
 use super::acceptor_file_error::{AcceptorFileError, Damage};
 use minicbor::{Decode, Encode};
@@ -46,8 +47,8 @@
     builder().open(path).map_err(AcceptorFileError::opening)
 }
 
-/// Creates the file of a new replica. It is written and synced under a temporary name, so that a file under the final name
-/// is complete even after a crash.
+/// Creates the file of a new replica. It is written and synced under a temporary name, so that a
+/// file under the final name is complete even after a crash.
 ///
 /// # Errors
 ///
--- a/crates/mintlb-control/src/controller/register/acceptor_file_error.rs
+++ b/crates/mintlb-control/src/controller/register/acceptor_file_error.rs
@@ -9,8 +9,9 @@
 
 /// The reason for which the file can't be used.
 ///
-/// [`AcceptorFileError::Io`] and [`AcceptorFileError::Database`] may go away by themselves, as when a full disk has space
-/// again: the operation may be tried again after the file has been reopened. [`AcceptorFileError::Damaged`] stays.
+/// [`AcceptorFileError::Io`] and [`AcceptorFileError::Database`] may go away by themselves, as when
+/// a full disk has space again: the operation may be tried again after the file has been reopened.
+/// [`AcceptorFileError::Damaged`] stays.
 #[derive(Debug, thiserror::Error)]
 pub enum AcceptorFileError {
     /// The operating system refuses an operation on a file or folder.
--- a/crates/mintlb-control/src/controller/register/client.rs
+++ b/crates/mintlb-control/src/controller/register/client.rs
@@ -24,11 +24,12 @@
 const SINGLE_ROUND_TIMEOUT: Duration = Duration::from_millis(120);
 /// Capacity of the queue of replies to one proposal or read.
 const REPLY_QUEUE_CAPACITY: usize = 64;
-/// The step between two proposer numbers: odd, so that they repeat only after 2^64 of them (a Weyl sequence).
+/// The step between two proposer numbers: odd, so that they repeat only after 2^64 of them (a Weyl
+/// sequence).
 const PROPOSER_STEP: u64 = 0x9e37_79b9_7f4a_7c15;
 
-/// No quorum replied in time. A change may or may not become part of the value: it may be tried again, as changes are
-/// idempotent.
+/// No quorum replied in time. A change may or may not become part of the value: it may be tried
+/// again, as changes are idempotent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("M451 no majority of the register's replicas answered in time")]
 pub struct QuorumUnavailable;
@@ -51,7 +52,8 @@
 }
 
 impl RegisterClient {
-    /// Access through this transport. `random_seed` is a random number of this start of the process.
+    /// Access through this transport. `random_seed` is a random number of this start of the
+    /// process.
     pub fn new(
         transport: Arc<Transport>,
         replica: Option<Arc<LocalReplica>>,
@@ -89,8 +91,8 @@
         self.cache.lock().chosen().cloned()
     }
 
-    /// The replica set to query: the chosen one or, if a newer one was reported since or none is known, one that may never
-    /// have been chosen.
+    /// The replica set to query: the chosen one or, if a newer one was reported since or none is
+    /// known, one that may never have been chosen.
     pub fn set(&self) -> Option<ReplicaSet> {
         self.cache.lock().set().cloned()
     }
@@ -105,7 +107,8 @@
         self.cache.lock().hint(set);
     }
 
-    /// Initializes the register with the replica of this process as its only member. Returns whether that is durable.
+    /// Initializes the register with the replica of this process as its only member. Returns
+    /// whether that is durable.
     pub async fn bootstrap(&self) -> bool {
         let Some(replica) = &self.replica else {
             return false;
@@ -120,7 +123,8 @@
         }
     }
 
-    /// Changes the value. Changes of one process run one after the other; the wait counts towards the time limit.
+    /// Changes the value. Changes of one process run one after the other; the wait counts towards
+    /// the time limit.
     ///
     /// # Errors
     ///
@@ -168,7 +172,8 @@
         }
     }
 
-    /// Reads the newest value (linearizable): at least as new as any that was acknowledged before the call.
+    /// Reads the newest value (linearizable): at least as new as any that was acknowledged before
+    /// the call.
     ///
     /// # Errors
     ///
@@ -209,7 +214,8 @@
         }
     }
 
-    /// Queries another process for what it knows of the register; `None` if it doesn't respond in time.
+    /// Queries another process for what it knows of the register; `None` if it doesn't respond in
+    /// time.
     pub async fn status_of(&self, address: SocketAddr, time_limit: Duration) -> Option<SeedStatus> {
         match self
             .call(address, &RegisterRequest::Status, time_limit)
@@ -223,8 +229,8 @@
         }
     }
 
-    /// Requests the vote of a seed without a disk for the local replica as the one that bootstraps the register. Returns
-    /// whether the seed has granted it.
+    /// Requests the vote of a seed without a disk for the local replica as the one that bootstraps
+    /// the register. Returns whether the seed has granted it.
     pub async fn request_bootstrap_vote(&self, seed: SocketAddr, time_limit: Duration) -> bool {
         let Some(id) = self.replica_id() else {
             return false;
@@ -285,8 +291,8 @@
         }
     }
 
-    /// A number that no other proposal has: ballots of concurrent proposals must differ. Unique within the process by the
-    /// step, among processes by the random start.
+    /// A number that no other proposal has: ballots of concurrent proposals must differ. Unique
+    /// within the process by the step, among processes by the random start.
     fn next_proposer(&self) -> u64 {
         self.next_proposer.fetch_add(PROPOSER_STEP, Relaxed)
     }
--- a/crates/mintlb-control/src/controller/register/discovery.rs
+++ b/crates/mintlb-control/src/controller/register/discovery.rs
@@ -1,4 +1,5 @@
-//! Finding the register through the gossip records and the seeds, and bootstrapping it at the first start of a cluster.
+//! Finding the register through the gossip records and the seeds, and bootstrapping it at the first
+//! start of a cluster.
 
 use super::client::RegisterClient;
 use crate::controller::settings::SharedSettings;
@@ -71,7 +72,8 @@
         }
     }
 
-    /// Looks for a newer replica set than the known one, whose replicas may all have been replaced since.
+    /// Looks for a newer replica set than the known one, whose replicas may all have been replaced
+    /// since.
     pub async fn discover_newer_replica_set(&self) {
         self.hint_from_gossip();
         let seeds = self.settings.get().seed_addresses();
--- a/crates/mintlb-control/src/controller/register/local_replica.rs
+++ b/crates/mintlb-control/src/controller/register/local_replica.rs
@@ -1,4 +1,5 @@
-//! The register's replica of this process: its acceptor in memory, the storage behind it, and its replies.
+//! The register's replica of this process: its acceptor in memory, the storage behind it, and its
+//! replies.
 
 use super::acceptor_storage::{AcceptorStorage, Health, OpenedAcceptor};
 use mintlb_register::acceptor::{Acceptor, DurableWrite};
@@ -42,8 +43,8 @@
         self.storage.close();
     }
 
-    /// Handles a request and replies once everything that the reply promises is durable; `None` if it could not be made
-    /// durable, or while the queue of writes is full.
+    /// Handles a request and replies once everything that the reply promises is durable; `None` if
+    /// it could not be made durable, or while the queue of writes is full.
     pub async fn answer(&self, request: Request) -> Option<Reply> {
         self.persist(|acceptor| {
             let response = acceptor.handle(request);
@@ -52,8 +53,9 @@
         .await
     }
 
-    /// Learns a chosen value that has not reached this replica, so that its disk is as recent as those of the majority.
-    /// Does nothing if it has this value or a newer one, or is no member of the value's replica set.
+    /// Learns a chosen value that has not reached this replica, so that its disk is as recent as
+    /// those of the majority. Does nothing if it has this value or a newer one, or is no member of
+    /// the value's replica set.
     pub async fn catch_up(&self, chosen: &AcceptedValue) {
         let is_behind = self
             .accepted()
@@ -68,7 +70,8 @@
         }
     }
 
-    /// Writes the first value of a new register, with this replica as the only member; `None` if it could not be synced.
+    /// Writes the first value of a new register, with this replica as the only member; `None` if it
+    /// could not be synced.
     pub async fn bootstrap(&self, ballot: Ballot) -> Option<AcceptedValue> {
         let proposed = AcceptedValue {
             ballot,
@@ -86,7 +89,8 @@
         }
     }
 
-    /// Applies a step to the acceptor and returns its result once all that the acceptor remembers is durable.
+    /// Applies a step to the acceptor and returns its result once all that the acceptor remembers
+    /// is durable.
     async fn persist<T>(&self, step: impl FnOnce(&mut Acceptor) -> (DurableWrite, T)) -> Option<T> {
         let (result, synced) = {
             let mut acceptor = self.acceptor.lock();
--- a/crates/mintlb-control/src/controller/register/membership.rs
+++ b/crates/mintlb-control/src/controller/register/membership.rs
@@ -1,4 +1,5 @@
-//! Membership of the local replica in the replica set: finding the register, joining, catching up, leaving.
+//! Membership of the local replica in the replica set: finding the register, joining, catching up,
+//! leaving.
 
 use super::client::RegisterClient;
 use super::discovery::Discovery;
@@ -29,7 +30,8 @@
 /// Delays are lengthened by up to a quarter, so that the controllers don't poll in step.
 const JITTER_DIVISOR: u64 = 4;
 
-/// Completes a change of the replica set: leaves the joint set for the new one. Returns whether a quorum has done so.
+/// Completes a change of the replica set: leaves the joint set for the new one. Returns whether a
+/// quorum has done so.
 pub async fn complete_reconfiguration(register: &RegisterClient) -> bool {
     register
         .change(Change::LeaveJoint, RECONFIGURATION_TIMEOUT)
@@ -84,9 +86,9 @@
         }
     }
 
-    /// Removes the local replica from a replica set that is larger than the fault tolerance requires, before the process
-    /// ends: a member that is gone for good would still count against the tolerated losses. The replica keeps voting until
-    /// the change is complete.
+    /// Removes the local replica from a replica set that is larger than the fault tolerance
+    /// requires, before the process ends: a member that is gone for good would still count against
+    /// the tolerated losses. The replica keeps voting until the change is complete.
     pub async fn leave(&self) {
         self.shutting_down.store(true, Relaxed);
         let Some(id) = self.register.replica_id() else {
@@ -116,8 +118,8 @@
         Duration::from_millis(self.jitter.lock().u64(0..=limit))
     }
 
-    /// Reads the register; after several inconclusive reads a proposal determines the value. Returns whether the value is
-    /// known.
+    /// Reads the register; after several inconclusive reads a proposal determines the value.
+    /// Returns whether the value is known.
     async fn read(&self, inconclusive_reads: &mut u32) -> bool {
         let deadline = Instant::now() + READ_TIMEOUT;
         if self.register.read_once(deadline).await.is_some() {
@@ -135,7 +137,8 @@
             .is_ok()
     }
 
-    /// Catches up, joins the replica set and completes changes of it, as needed. Returns the delay until the next look.
+    /// Catches up, joins the replica set and completes changes of it, as needed. Returns the delay
+    /// until the next look.
     async fn maintain(&self) -> Duration {
         let Some(chosen) = self.register.chosen() else {
             return JOIN_RETRY_INTERVAL;
@@ -157,7 +160,8 @@
         READ_INTERVAL
     }
 
-    /// Joins the replica set, in place of an unresponsive replica if it is full. Returns the delay until the next look.
+    /// Joins the replica set, in place of an unresponsive replica if it is full. Returns the delay
+    /// until the next look.
     async fn join(&self, unresponsive: Vec<ReplicaId>) -> Duration {
         let Some(replica) = self.register.replica() else {
             return READ_INTERVAL;
--- a/crates/mintlb-control/src/controller/register/messages.rs
+++ b/crates/mintlb-control/src/controller/register/messages.rs
@@ -1,5 +1,5 @@
-//! The messages on the register's channel. Their minicbor indexes are fixed: controllers of different releases exchange
-//! them.
+//! The messages on the register's channel. Their minicbor indexes are fixed: controllers of
+//! different releases exchange them.
 
 use bytes::Bytes;
 use minicbor::{Decode, Encode};
--- a/crates/mintlb-control/src/controller/register/mod.rs
+++ b/crates/mintlb-control/src/controller/register/mod.rs
@@ -1,16 +1,20 @@
-//! The replicated register that holds the replica set, the configuration and the placement, as seen by one controller.
+//! The replicated register that holds the replica set, the configuration and the placement, as seen
+//! by one controller.
 //!
 //! - [`client`]: proposals and reads; `replica_calls` carries their messages.
 //! - [`service`], [`messages`]: replies to other processes, and the protocol.
-//! - [`local_replica`], [`acceptor_storage`], [`acceptor_file`]: the replica of this process and its disk.
+//! - [`local_replica`], [`acceptor_storage`], `committer`, [`acceptor_file`]: the replica of this
+//!   process and its disk.
 //! - [`register_cache`]: what this process knows of the register.
-//! - [`membership`], [`discovery`]: finding or bootstrapping the register, joining and leaving the replica set.
+//! - [`membership`], [`discovery`]: finding or bootstrapping the register, joining and leaving the
+//!   replica set.
 //! - [`publisher`]: distribution of chosen values as gossip records.
 
 pub mod acceptor_file;
 pub mod acceptor_file_error;
 pub mod acceptor_storage;
 pub mod client;
+mod committer;
 pub mod discovery;
 pub mod local_replica;
 pub mod membership;
@@ -28,8 +32,8 @@
 use service::RegisterService;
 use std::sync::Arc;
 
-/// Opens access to the register, and serves its channel for other processes from now on. `random_seed` is a random number
-/// of this start, `first_start` as in the settings.
+/// Opens access to the register, and serves its channel for other processes from now on.
+/// `random_seed` is a random number of this start, `first_start` as in the settings.
 pub fn start(
     transport: Arc<Transport>,
     replica: Option<Arc<LocalReplica>>,
--- a/crates/mintlb-control/src/controller/register/register_cache.rs
+++ b/crates/mintlb-control/src/controller/register/register_cache.rs
@@ -1,4 +1,5 @@
-//! The register as known to this process: the newest value known to be chosen, and replica sets learned from others.
+//! The register as known to this process: the newest value known to be chosen, and replica sets
+//! learned from others.
 
 use mintlb_register::ballot::Ballot;
 use mintlb_register::message::AcceptedValue;
@@ -9,15 +10,16 @@
 pub struct RegisterCache {
     /// The newest value known to be chosen.
     chosen: Option<AcceptedValue>,
-    /// The newest replica set learned from other processes or from the local disk: the replicas to query until a chosen
-    /// value is known. It may never have been chosen.
+    /// The newest replica set learned from other processes or from the local disk: the replicas to
+    /// query until a chosen value is known. It may never have been chosen.
     hint: Option<ReplicaSet>,
     /// The highest ballot seen.
     ballot_floor: Ballot,
 }
 
 impl RegisterCache {
-    /// A cache that knows only the value accepted last by the local replica, which may not be chosen.
+    /// A cache that knows only the value accepted last by the local replica, which may not be
+    /// chosen.
     pub fn stored(accepted: Option<AcceptedValue>) -> RegisterCache {
         let hint = accepted.map(|accepted| accepted.state.replicas.clone());
         RegisterCache {
@@ -48,8 +50,9 @@
         }
     }
 
-    /// Records a chosen value that a majority has just reported. If it is newer than the known one, returns the epoch of
-    /// the replica set known before, 0 for none. The hint is dropped, as it may never have been chosen.
+    /// Records a chosen value that a majority has just reported. If it is newer than the known one,
+    /// returns the epoch of the replica set known before, 0 for none. The hint is dropped, as it
+    /// may never have been chosen.
     pub fn record_chosen(&mut self, accepted: &AcceptedValue) -> Option<u64> {
         self.hint = None;
         if self
--- a/crates/mintlb-control/src/controller/register/replica_calls.rs
+++ b/crates/mintlb-control/src/controller/register/replica_calls.rs
@@ -35,8 +35,8 @@
 
 /// Sends a request to a replica, and its reply or loss to `replies`.
 ///
-/// The task is detached, as a proposal that has its quorum must not cancel its requests to the slower replicas. It ends
-/// within [`PHASE_TIMEOUT`], for the local replica with its sync.
+/// The task is detached, as a proposal that has its quorum must not cancel its requests to the
+/// slower replicas. It ends within [`PHASE_TIMEOUT`], for the local replica with its sync.
 pub(super) fn send_request(
     transport: &Arc<Transport>,
     local: Option<Arc<LocalReplica>>,
--- a/crates/mintlb-control/src/controller/singleton/leader.rs
+++ b/crates/mintlb-control/src/controller/singleton/leader.rs
@@ -52,7 +52,8 @@
             timeout(STEP, self.work.notified()).await.ok();
             let leader_epoch = self.contact.leader_epoch();
             if led_epoch != leader_epoch {
-                // Workers count as unclaimed from what this term has observed, not from an earlier one.
+                // Workers count as unclaimed from what this term has observed, not from an earlier
+                // one.
                 led_epoch = leader_epoch;
                 unclaimed = UnclaimedWorkers::default();
                 next_scan = Instant::now() + UNCLAIMED_SCAN_INTERVAL;
--- a/crates/mintlb-control/src/controller/singleton/messages.rs
+++ b/crates/mintlb-control/src/controller/singleton/messages.rs
@@ -1,5 +1,5 @@
-//! The messages between controllers on the control channel. Their minicbor indexes are fixed: controllers of different
-//! releases exchange them.
+//! The messages between controllers on the control channel. Their minicbor indexes are fixed:
+//! controllers of different releases exchange them.
 
 use crate::controller::contact::messages::{Ping, Pong};
 use bytes::Bytes;
@@ -11,14 +11,16 @@
     /// A ping.
     #[n(0)]
     Ping(#[n(0)] Ping),
-    /// Which workers send their heartbeats to the receiver? Rejected under an epoch that is outdated.
+    /// Which workers send their heartbeats to the receiver? Rejected under an epoch that is
+    /// outdated.
     #[n(1)]
     Workers {
         /// The epoch under which the sender leads.
         #[n(0)]
         epoch: u64,
     },
-    /// The operator's request on the retirement of a store, forwarded by a controller that doesn't hear the stores.
+    /// The operator's request on the retirement of a store, forwarded by a controller that doesn't
+    /// receive the stores' heartbeats.
     #[n(2)]
     Retirement(#[n(0)] RetirementRequest),
 }
--- a/crates/mintlb-control/src/controller/singleton/mod.rs
+++ b/crates/mintlb-control/src/controller/singleton/mod.rs
@@ -1,11 +1,13 @@
-//! The singleton role, which one controller at a time fills: the leader places the shards on the stores, removes unresponsive
-//! replicas from the register's replica set, and ends the records of workers that no controller claims. Each controller with
-//! a replica listens to the stores' heartbeats, so that it can take the role over at once.
+//! The singleton role, which one controller at a time fills: the leader places the shards on the
+//! stores, removes unresponsive replicas from the register's replica set, and ends the records of
+//! workers that no controller claims. Each controller with a replica receives the stores'
+//! heartbeats, so that it can take the role over at once.
 //!
 //! - [`leader`]: the task that does the leader's work.
 //! - [`shard_placement`], [`replica_removal`], [`worker_expiry`]: its parts.
 //! - [`store_monitor`]: what is known of the stores.
-//! - [`retirement`]: retirement of stores, which any controller that hears the stores can handle.
+//! - [`retirement`]: retirement of stores, which any controller that receives the stores'
+//!   heartbeats handles.
 //! - [`messages`], [`service`]: the protocol between controllers.
 
 pub mod leader;
--- a/crates/mintlb-control/src/controller/singleton/replica_removal.rs
+++ b/crates/mintlb-control/src/controller/singleton/replica_removal.rs
@@ -29,8 +29,8 @@
         }
     }
 
-    /// Removes one unresponsive replica from a replica set that is larger than the fault tolerance requires. In a smaller
-    /// one it stays: its disk may hold what was acknowledged.
+    /// Removes one unresponsive replica from a replica set that is larger than the fault tolerance
+    /// requires. In a smaller one it stays: its disk may hold what was acknowledged.
     pub async fn remove_unresponsive(&self) {
         let Some(chosen) = self.register.chosen() else {
             return;
--- a/crates/mintlb-control/src/controller/singleton/retirement.rs
+++ b/crates/mintlb-control/src/controller/singleton/retirement.rs
@@ -1,4 +1,5 @@
-//! Retirement of stores at the operator's request, at a controller that hears the stores.
+//! Retirement of stores at the operator's request, at a controller that receives the stores'
+//! heartbeats.
 
 use super::messages::{RetirementRequest, RetirementStatus};
 use super::store_monitor::StoreMonitor;
@@ -15,12 +16,13 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// The time within which the operator has to be answered: after a second he calls another controller.
+/// The time within which the operator has to be answered: after a second he calls another
+/// controller.
 pub const RESPONSE_TIMEOUT: Duration = Duration::from_millis(850);
 /// The time that a read of the newest placement is given.
 const READ_TIMEOUT: Duration = Duration::from_millis(400);
-/// The time in contact after which the stores' heartbeats count as complete again: two intervals of them. Earlier, a
-/// partition or pause may have hidden some.
+/// The time in contact after which the stores' heartbeats count as complete again: two intervals of
+/// them. Earlier, a partition or pause may have hidden some.
 const MIN_CONTACT: Duration = Duration::from_millis(900);
 
 /// Handles requests on the retirement of stores.
@@ -47,7 +49,8 @@
         }
     }
 
-    /// Handles a request within [`RESPONSE_TIMEOUT`]. A change that lost against another one is planned again.
+    /// Handles a request within [`RESPONSE_TIMEOUT`]. A change that lost against another one is
+    /// planned again.
     pub async fn handle(&self, request: &RetirementRequest) -> RetirementStatus {
         let deadline = Instant::now() + RESPONSE_TIMEOUT;
         let tolerance = self.settings.tolerated_failures();
@@ -91,8 +94,8 @@
     }
 }
 
-/// The progress of a retirement by the newest placement. Its completion counts only with recent reports of all primaries,
-/// and at a process whose heartbeats are complete.
+/// The progress of a retirement by the newest placement. Its completion counts only with recent
+/// reports of all primaries, and at a process whose heartbeats are complete.
 pub fn progress(
     placement: &Placement,
     snapshot: &ClusterSnapshot,
--- a/crates/mintlb-control/src/controller/singleton/shard_placement.rs
+++ b/crates/mintlb-control/src/controller/singleton/shard_placement.rs
@@ -39,7 +39,8 @@
         }
     }
 
-    /// Reads the register if another controller has published a newer placement than the one known here.
+    /// Reads the register if another controller has published a newer placement than the one known
+    /// here.
     pub async fn refresh(&self) {
         let published = self
             .gossip
--- a/crates/mintlb-control/src/controller/singleton/store_monitor.rs
+++ b/crates/mintlb-control/src/controller/singleton/store_monitor.rs
@@ -17,7 +17,8 @@
 }
 
 impl StoreMonitor {
-    /// No store is known yet. `leader_work` is notified of heartbeats that may require another placement.
+    /// No store is known yet. `leader_work` is notified of heartbeats that may require another
+    /// placement.
     pub fn new(leader_work: Arc<Notify>) -> StoreMonitor {
         StoreMonitor {
             table: Mutex::new(StoreTable::new(Duration::ZERO)),
--- a/crates/mintlb-control/src/controller/singleton/worker_expiry.rs
+++ b/crates/mintlb-control/src/controller/singleton/worker_expiry.rs
@@ -40,8 +40,8 @@
         }
     }
 
-    /// Publishes the end of workers that no controller has claimed for long. `epoch` is that under which this process
-    /// leads.
+    /// Publishes the end of workers that no controller has claimed for long. `epoch` is that under
+    /// which this process leads.
     pub async fn scan(&self, unclaimed: &mut UnclaimedWorkers, epoch: u64) {
         let Some(claimed) = self.claimed_workers(epoch).await else {
             return;
@@ -58,8 +58,8 @@
         }
     }
 
-    /// The hashes of the ids of all workers that a controller claims; `None` unless all live controllers have responded,
-    /// as without all of them no worker counts as unclaimed.
+    /// The hashes of the ids of all workers that a controller claims; `None` unless all live
+    /// controllers have responded, as without all of them no worker counts as unclaimed.
     async fn claimed_workers(&self, epoch: u64) -> Option<FxHashSet<u32>> {
         let mut claimed: FxHashSet<u32> = self.workers.id_hashes().into_iter().collect();
         let body = encode(&ControllerRequest::Workers { epoch });
--- a/crates/mintlb-control/src/controller/workers/mod.rs
+++ b/crates/mintlb-control/src/controller/workers/mod.rs
@@ -1,4 +1,5 @@
-//! The workers that send their heartbeats to this controller, and workers that no controller claims.
+//! The workers that send their heartbeats to this controller, and workers that no controller
+//! claims.
 //!
 //! - [`registry`], [`unclaimed_workers`]: their state, in virtual time.
 //! - [`service`]: heartbeats and their publication.
--- a/crates/mintlb-control/src/controller/workers/registry.rs
+++ b/crates/mintlb-control/src/controller/workers/registry.rs
@@ -1,7 +1,9 @@
-//! The workers that send their heartbeats to this controller, and the records to publish of them; pure.
+//! The workers that send their heartbeats to this controller, and the records to publish of them;
+//! pure.
 //!
-//! A worker's record is published when it changes, and when the worker has come from another controller: then with the new
-//! call sequence, so that it supersedes a report of the earlier controller that the worker is unresponsive.
+//! A worker's record is published when it changes, and when the worker has come from another
+//! controller: then with the new call sequence, so that it supersedes a report of the earlier
+//! controller that the worker is unresponsive.
 
 use mintlb_common::record::{WorkerRecord, WorkerState};
 use rustc_hash::FxHashMap;
@@ -12,7 +14,8 @@
 pub const MAX_WORKERS: usize = 20_000;
 /// The end of the slow start may move by this much without being published, in ms.
 const SLOW_START_TOLERANCE_MS: u64 = 500;
-/// A gap of this length between two ticks means that the process was paused, so that no heartbeat could have been received.
+/// A gap of this length between two ticks means that the process was paused, so that no heartbeat
+/// could have been received.
 pub const PROCESS_PAUSE: Duration = Duration::from_millis(1000);
 
 /// What a heartbeat requires.
@@ -154,12 +157,12 @@
         }
     }
 
-    /// Removes the workers whose heartbeats have stopped, and returns the records to publish of them. `current_version`
-    /// tells the version of a worker's published record: a worker whose record another controller has published since is
-    /// no longer this one's.
+    /// Removes the workers whose heartbeats have stopped, and returns the records to publish of
+    /// them. `current_version` tells the version of a worker's published record: a worker whose
+    /// record another controller has published since is no longer this one's.
     ///
-    /// No worker is unresponsive to a process that was paused or is out of contact with a majority of the replica set: its
-    /// workers may call others. The time starts anew once that is over.
+    /// No worker is unresponsive to a process that was paused or is out of contact with a majority
+    /// of the replica set: its workers may call others. The time starts anew once that is over.
     pub fn tick(
         &mut self,
         now: Instant,
@@ -193,7 +196,8 @@
     }
 }
 
-/// The record that a worker's call adds to the published one, for a controller that doesn't register the worker.
+/// The record that a worker's call adds to the published one, for a controller that doesn't
+/// register the worker.
 pub fn newer_record(
     reported: WorkerRecord,
     current: Option<&WorkerRecord>,
--- a/crates/mintlb-control/src/controller/workers/service.rs
+++ b/crates/mintlb-control/src/controller/workers/service.rs
@@ -1,7 +1,8 @@
 //! The workers of this controller: their calls, and the publication of their records.
 //!
-//! Out of contact with a majority nothing is acknowledged, so that the worker calls another controller. What it reported is
-//! true all the same and is published as far as it gets: the call sequence orders it among the records of others.
+//! Out of contact with a majority nothing is acknowledged, so that the worker calls another
+//! controller. What it reported is true all the same and is published as far as it gets: the call
+//! sequence orders it among the records of others.
 
 use super::registry::{HeartbeatOutcome, Registry, newer_record};
 use super::unclaimed_workers::id_hash;
@@ -15,11 +16,13 @@
 
 /// The interval between two checks for workers whose heartbeats have stopped.
 const CHECK_INTERVAL: Duration = Duration::from_millis(200);
-/// The time that the acknowledgement of a drain or an end may wait for a neighbor that confirms the record: while a process
-/// finds its first neighbors, the record is offered to them two or three times. A worker waits for a second.
+/// The time that the acknowledgement of a drain or an end may wait for a neighbor that confirms the
+/// record: while a process finds its first neighbors, the record is offered to them two or three
+/// times. A worker waits for a second.
 const CONFIRMATION_TIMEOUT: Duration = Duration::from_millis(600);
 
-/// The reason for which a worker's call isn't acknowledged. The worker may try again, best at another controller.
+/// The reason for which a worker's call isn't acknowledged. The worker may try again, best at
+/// another controller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum NotAcknowledged {
     /// This process is out of contact with a majority of the register's replicas.
@@ -72,7 +75,8 @@
         self.registry.lock().ids().map(id_hash).collect()
     }
 
-    /// Handles a heartbeat, with which a worker may also report that it drains. Returns once it may be acknowledged.
+    /// Handles a heartbeat, with which a worker may also report that it drains. Returns once it may
+    /// be acknowledged.
     ///
     /// # Errors
     ///
@@ -115,7 +119,8 @@
         self.publish_confirmed(record).await
     }
 
-    /// Publishes the unresponsiveness of workers whose heartbeats have stopped, until it is aborted.
+    /// Publishes the unresponsiveness of workers whose heartbeats have stopped, until it is
+    /// aborted.
     pub async fn expire_unresponsive_workers(self: Arc<Self>) {
         let mut ticks = interval(CHECK_INTERVAL);
         loop {
@@ -138,8 +143,9 @@
         registry.tick(now, in_contact, published_version)
     }
 
-    /// Publishes the record of a worker that must not get new requests. That is acknowledged only once a neighbor has the
-    /// record, and by a process that is in contact at that moment: otherwise a partition could hide it from the dispatchers.
+    /// Publishes the record of a worker that must not get new requests. That is acknowledged only
+    /// once a neighbor has the record, and by a process that is in contact at that moment:
+    /// otherwise a partition could hide it from the dispatchers.
     async fn publish_confirmed(&self, record: WorkerRecord) -> Result<(), NotAcknowledged> {
         let confirmed = self
             .gossip
--- a/crates/mintlb-control/src/controller/workers/unclaimed_workers.rs
+++ b/crates/mintlb-control/src/controller/workers/unclaimed_workers.rs
@@ -1,5 +1,5 @@
-//! Workers whose records are published although no controller claims them: their controller ended at about the same time as
-//! they did. Found by the singleton leader; pure.
+//! Workers whose records are published although no controller claims them: their controller ended
+//! at about the same time as they did. Found by the singleton leader; pure.
 
 use mintlb_common::record::{WORKER_PREFIX, WorkerRecord, WorkerState};
 use mintlb_gossip::Table;
@@ -7,7 +7,8 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// The time after which an unclaimed worker expires: partitions and restarts of controllers are over by then.
+/// The time after which an unclaimed worker expires: partitions and restarts of controllers are
+/// over by then.
 pub const UNCLAIMED_TIMEOUT: Duration = Duration::from_secs(12);
 
 /// The initial value of the 32-bit FNV-1a hash.
@@ -36,8 +37,8 @@
 }
 
 impl UnclaimedWorkers {
-    /// Compares the published records with the workers that controllers claim. Returns the records to publish of workers
-    /// that have been unclaimed for [`UNCLAIMED_TIMEOUT`].
+    /// Compares the published records with the workers that controllers claim. Returns the records
+    /// to publish of workers that have been unclaimed for [`UNCLAIMED_TIMEOUT`].
     pub fn expire(
         &mut self,
         now: Instant,
--- a/crates/mintlb-control/tests/contact_simulation/mod.rs
+++ b/crates/mintlb-control/tests/contact_simulation/mod.rs
@@ -1,5 +1,6 @@
-//! Controllers that ping each other in virtual time, over links that can be partitioned in one direction and that deliver
-//! what was sent meanwhile later; processes that are paused and then read what has queued up.
+//! Controllers that ping each other in virtual time, over links that can be partitioned in one
+//! direction and that deliver what was sent meanwhile later; processes that are paused and then
+//! read what has queued up.
 
 use mintlb_control::controller::contact::messages::{Ping, Pong};
 use mintlb_control::controller::contact::ping_state::{PingState, STEP};
@@ -169,7 +170,8 @@
         self.max_leaders = self.max_leaders.max(self.leaders().len());
     }
 
-    /// Delivers what is due where the link is connected and the receiver runs; the rest stays queued.
+    /// Delivers what is due where the link is connected and the receiver runs; the rest stays
+    /// queued.
     fn deliver(&mut self) {
         let mut queued = Vec::new();
         for message in std::mem::take(&mut self.messages) {
@@ -192,7 +194,8 @@
             Message::Ping(ping) => {
                 let sent_at = message.due;
                 let pong = state.on_ping(now, address(from), ping, Some(&set));
-                // The sender of the ping knows when it sent it; here that is its due time less the longest delay.
+                // The sender of the ping knows when it sent it; here that is its due time less the
+                // longest delay.
                 let ping_sent_at = sent_at - TICK * MAX_DELAY_TICKS as u32;
                 self.send(to, from, Message::Pong { ping_sent_at, pong });
             }
@@ -236,8 +239,8 @@
         self.random.u64(0..limit)
     }
 
-    /// The invariants: a process in contact could reach a majority, there and back, within the lease; a leader is in contact;
-    /// a process out of contact reports no replica unresponsive.
+    /// The invariants: a process in contact could reach a majority, there and back, within the
+    /// lease; a leader is in contact; a process out of contact reports no replica unresponsive.
     fn check(&mut self, index: usize) {
         if self.nodes[index].paused {
             return;
--- a/crates/mintlb-control/tests/controller_configuration.rs
+++ b/crates/mintlb-control/tests/controller_configuration.rs
@@ -40,8 +40,8 @@
         cluster.configure(0, 4, &configuration_text(9)),
         StatusCode::OK
     );
-    let cut = &configuration_text(12)[..40];
-    assert_eq!(cluster.configure(0, 9, cut), StatusCode::BAD_REQUEST);
+    let truncated = &configuration_text(12)[..40];
+    assert_eq!(cluster.configure(0, 9, truncated), StatusCode::BAD_REQUEST);
     let (status, text) = cluster.call(
         0,
         Method::PUT,
@@ -91,12 +91,12 @@
             _ => [configuration_text(version), configuration_text(version)],
         };
         let statuses = std::thread::scope(|scope| {
-            let orders = texts.each_ref().map(|text| {
+            let changes = texts.each_ref().map(|text| {
                 let index = if *text == texts[0] { 0 } else { 1 };
                 let cluster = &cluster;
                 scope.spawn(move || cluster.configure(index + (iteration as usize % 2), base, text))
             });
-            orders.map(|order| order.join().unwrap())
+            changes.map(|change| change.join().unwrap())
         });
         let confirmed: Vec<&String> = statuses
             .iter()
@@ -154,7 +154,7 @@
     assert_eq!(
         cluster.configure(2, 0, &configuration_text(4)),
         StatusCode::OK,
-        "the order that was taken, as it was"
+        "the change that was applied, repeated"
     );
     assert_eq!(
         cluster.read_configuration(0),
@@ -207,7 +207,7 @@
     assert_eq!(
         cluster.configure(2, 4, &configuration_text(5)),
         StatusCode::OK,
-        "an order of that time, sent again"
+        "a superseded change, repeated"
     );
     let another = configuration_text(5).replace("/a/", "/b/");
     assert_eq!(
--- a/crates/mintlb-control/tests/controller_contact_simulation.rs
+++ b/crates/mintlb-control/tests/controller_contact_simulation.rs
@@ -1,4 +1,5 @@
-//! Contact and leadership under partitions of each kind and under pauses of processes, in virtual time.
+//! Contact and leadership under partitions of each kind and under pauses of processes, in virtual
+//! time.
 
 mod contact_simulation;
 
--- a/crates/mintlb-control/tests/controller_disk_faults.rs
+++ b/crates/mintlb-control/tests/controller_disk_faults.rs
@@ -1,5 +1,5 @@
-//! A replica on a disk that is full, that fails at a sync or that hangs: it replies nothing that is not durable, and it
-//! resumes once the disk accepts writes again, without a restart.
+//! A replica on a disk that is full, that fails at a sync or that hangs: it replies nothing that is
+//! not durable, and it resumes once the disk accepts writes again, without a restart.
 
 mod builders;
 mod faulty_disk;
--- a/crates/mintlb-control/tests/controller_membership.rs
+++ b/crates/mintlb-control/tests/controller_membership.rs
@@ -1,4 +1,5 @@
-//! Membership of the replica set, at a cluster of controllers: bootstrap, loss of disks, restart, shutdown.
+//! Membership of the replica set, at a cluster of controllers: bootstrap, loss of disks, restart,
+//! shutdown.
 
 mod builders;
 mod controllers;
--- a/crates/mintlb-control/tests/controller_peers.rs
+++ b/crates/mintlb-control/tests/controller_peers.rs
@@ -18,7 +18,8 @@
     replica_set(1, &[11, 9, 10])
 }
 
-/// A replica sends a message and acknowledges what was sent at this moment; it votes like the local one.
+/// A replica sends a message and acknowledges what was sent at this moment; it votes like the local
+/// one.
 fn respond(peers: &mut Peers, now: Instant, id: u64) {
     let vote = peers.preferred_leader(now, &set()).unwrap_or(ReplicaId(id));
     peers.record_message(now, address(id), Some(ReplicaId(id)), 0);
@@ -148,7 +149,8 @@
     assert_eq!(peers.leader_epoch(now, &set()), Some(1));
     let sent_before = now;
     now += Duration::from_secs(20);
-    // What lay in the buffers is read first: pings of the others, and answers to what was sent before.
+    // What lay in the buffers is read first: pings of the others, and answers to what was sent
+    // before.
     for id in [10, 11] {
         peers.record_message(now, address(id), Some(ReplicaId(id)), 1);
         peers.record_acknowledgement(ReplicaId(id), sent_before, Some(ReplicaId(9)));
@@ -187,7 +189,8 @@
     assert_eq!(peers.leader_epoch(now, &set()), None);
 }
 
-/// Replica 10, which reaches 11 and receives messages of 9, for long enough to be elected. 9 acknowledges or doesn't.
+/// Replica 10, which reaches 11 and receives messages of 9, for long enough to be elected. 9
+/// acknowledges or doesn't.
 fn beside_the_leader(leader_acknowledges: bool) -> (Instant, Peers) {
     let mut now = Instant::now();
     let mut peers = Peers::new(now, Some(ReplicaId(10)));
--- a/crates/mintlb-control/tests/controller_register_cache.rs
+++ b/crates/mintlb-control/tests/controller_register_cache.rs
@@ -1,4 +1,5 @@
-//! The replica set that a controller queries: a chosen one replaces one that may never have been chosen.
+//! The replica set that a controller queries: a chosen one replaces one that may never have been
+//! chosen.
 
 mod builders;
 
--- a/crates/mintlb-control/tests/controller_wire_fixtures.rs
+++ b/crates/mintlb-control/tests/controller_wire_fixtures.rs
@@ -1,7 +1,8 @@
-//! The bytes that controllers send each other, and the register's file on disk. Controllers of different releases read
-//! them from each other and find them on their disks, so that no release may change them. The fixtures were taken from
-//! the program before its names were changed; the register's channel, whose types are private, is composed around the
-//! encoded requests and replies and was compared with what that program sends.
+//! The bytes that controllers send each other, and the register's file on disk. Controllers of
+//! different releases read them from each other and find them on their disks, so that no release
+//! may change them. The fixtures were taken from the program before its names were changed; the
+//! register's channel, whose types are private, is composed around the encoded requests and replies
+//! and was compared with what that program sends.
 
 #[path = "../../mintlb-common/tests/fixture/mod.rs"]
 mod fixture;
--- a/crates/mintlb-control/tests/controller_worker_calls.rs
+++ b/crates/mintlb-control/tests/controller_worker_calls.rs
@@ -1,4 +1,5 @@
-//! The workers' calls at a cluster of controllers, and calls to a controller that is partitioned or paused.
+//! The workers' calls at a cluster of controllers, and calls to a controller that is partitioned or
+//! paused.
 
 mod builders;
 mod controllers;
@@ -55,10 +56,11 @@
             .map(|worker| worker.state)
     };
     assert_eq!(state(1), Some(WorkerState::Draining));
-    let (status, _) = cluster.call(2, Method::DELETE, "/v1/instances/i-1", None, "");
+    let (status, text) = cluster.call(2, Method::DELETE, "/v1/instances/i-1", None, "");
     assert_eq!(
         (status, state(2)),
-        (StatusCode::OK, Some(WorkerState::Deregistered))
+        (StatusCode::OK, Some(WorkerState::Deregistered)),
+        "{text}"
     );
     assert_eq!(put(0, "{}".to_string()), StatusCode::BAD_REQUEST);
 }
@@ -136,7 +138,7 @@
     assert_eq!(
         state("i-1"),
         Some(WorkerState::InService),
-        "nobody is called silent"
+        "no worker is reported as unresponsive"
     );
     assert_eq!(
         state("i-2"),
--- a/crates/mintlb-control/tests/controller_worker_records.rs
+++ b/crates/mintlb-control/tests/controller_worker_records.rs
@@ -1,6 +1,6 @@
-//! The records of one worker at several controllers whose tables differ for a while: its calls arrive late, duplicated and in
-//! any order, and records pass between the controllers now and then. No older record undoes an acknowledged one, and at the
-//! end all have the worker's last state.
+//! The records of one worker at several controllers whose tables differ for a while: its calls
+//! arrive late, duplicated and in any order, and records pass between the controllers now and then.
+//! No older record undoes an acknowledged one, and at the end all have the worker's last state.
 
 mod builders;
 
@@ -152,7 +152,8 @@
     }
 }
 
-/// One scenario: the worker's calls in their order, each delivered at once or later, to any controller.
+/// One scenario: the worker's calls in their order, each delivered at once or later, to any
+/// controller.
 fn run_scenario(u: &mut Unstructured<'_>) -> Result<()> {
     let mut cluster = Cluster::new();
     let count = u.int_in_range(1..=12)?;
--- a/crates/mintlb-control/tests/controllers/mod.rs
+++ b/crates/mintlb-control/tests/controllers/mod.rs
@@ -1,5 +1,5 @@
-//! A cluster of controllers on one machine, each with a runtime of its own, so that one of them can end like a process.
-//! Calls go into their routers; their messages go over loopback sockets.
+//! A cluster of controllers on one machine, each with a runtime of its own, so that one of them can
+//! end like a process. Calls go into their routers; their messages go over loopback sockets.
 #![allow(dead_code)]
 
 use axum::body::{Body, to_bytes};
@@ -57,7 +57,8 @@
 }
 
 impl Cluster {
-    /// Starts `count` controllers with empty disks for the first time; each of them knows that all have joined.
+    /// Starts `count` controllers with empty disks for the first time; each of them knows that all
+    /// have joined.
     pub fn of_size(count: usize) -> Cluster {
         Cluster::with_disks(&vec![true; count])
     }
@@ -186,7 +187,8 @@
         answered.recv_timeout(TEST_TIMEOUT).expect("no answer")
     }
 
-    /// Replaces the configuration as an operator does: an indeterminate call is tried again for a while.
+    /// Replaces the configuration as an operator does: an indeterminate call is tried again for a
+    /// while.
     pub fn configure(&self, index: usize, base: u64, body: &str) -> StatusCode {
         let until = std::time::Instant::now() + OPERATOR_TIMEOUT;
         loop {
