--- a/crates/mintlb-control/src/store/driver.rs
+++ b/crates/mintlb-control/src/store/driver.rs
@@ -1,7 +1,7 @@
 //! Drives a store: its ticks, the continuations of commits, and opening the file again after a
 //! commit has failed.
 
-use super::StoreError;
+use super::error::StoreError;
 use super::handle::Store;
 use super::storage::commit_queue::CommitOutcome;
 use super::storage::{DiskError, LoadedShards, LoadedStorage, ShardStorage};
--- a/crates/mintlb-control/src/store/shutdown.rs
+++ b/crates/mintlb-control/src/store/running.rs
@@ -1,8 +1,14 @@
-//! Graceful shutdown: the store reports that it is draining and goes on until its shards have other
-//! primaries, its replicas have moved, and all writes are durable.
+//! A store that serves, and its graceful shutdown: it reports that it is draining and goes on until
+//! its shards have other primaries, its replicas have moved, and all writes are durable.
 
-use super::{RunningStore, StoreError};
+use super::driver::Driver;
+use super::error::StoreError;
+use super::handle::Store;
+use super::storage::CommitQueue;
+use std::convert::Infallible;
+use std::sync::Arc;
 use std::time::Duration;
+use tokio::task::JoinSet;
 use tokio::time::{Instant, sleep};
 
 /// How long a draining store goes on at most.
@@ -36,7 +42,28 @@
     }
 }
 
+/// A store that serves, with the tasks that it owns.
+pub(super) struct RunningStore {
+    pub store: Arc<Store>,
+    pub driver: Driver,
+    pub commit_queue: CommitQueue,
+    pub handover: HandoverLimits,
+    /// Aborted when the store ends.
+    pub tasks: JoinSet<()>,
+}
+
 impl RunningStore {
+    /// Serves until it is dropped.
+    ///
+    /// # Errors
+    ///
+    /// If the file turns out to be damaged when it is opened again.
+    pub(super) async fn serve(&mut self) -> Result<Infallible, StoreError> {
+        loop {
+            self.driver.step().await?;
+        }
+    }
+
     /// Hands the shards over and ends the store's tasks.
     ///
     /// # Errors
--- a/crates/mintlb-control/src/store/startup.rs
+++ b/crates/mintlb-control/src/store/startup.rs
@@ -1,12 +1,12 @@
 //! Start of a store: opens its file, binds its address, joins gossip and starts its tasks.
 
 use super::driver::{self, Driver};
+use super::error::StoreError;
 use super::handle::Store;
 use super::heartbeats;
+use super::running::{HandoverLimits, RunningStore};
 use super::service::StoreService;
-use super::shutdown::HandoverLimits;
 use super::storage::{CommitQueue, LoadedStorage, OpenedStorage, file};
-use super::{RunningStore, StoreError};
 use crate::bind::bind_with_retry;
 use mintlb_batch::replica::ReplicaSettings;
 use mintlb_common::placement::Placement;
--- a/crates/mintlb-simulation/src/store/mod.rs
+++ b/crates/mintlb-simulation/src/store/mod.rs
@@ -1,4 +1,4 @@
-//! A store's process, as a state machine; mirrors `store/shard_host`, `store/heartbeats.rs` and `store/shutdown.rs` around the
+//! A store's process, as a state machine; mirrors `store/shard_host`, `store/heartbeats.rs` and `store/running.rs` around the
 //! product's replicas.
 
 mod calls;
