--- a/crates/mintlb-batch/src/job_table/retention.rs
+++ b/crates/mintlb-batch/src/job_table/retention.rs
@@ -65,8 +65,9 @@
         result_retention: Duration,
         now: Timestamp,
     ) -> Vec<LogIndex> {
-        let is_expired =
-            |job: &&BatchJob| now.saturating_sub(job.applied_at) > retention(job, result_retention);
+        let is_expired = |job: &&BatchJob| {
+            now.saturating_since(job.applied_at) > retention(job, result_retention)
+        };
         self.iter()
             .filter(|job| job.last_index() <= commit_index)
             .filter(is_expired)
--- a/crates/mintlb-batch/src/leases/job_leases.rs
+++ b/crates/mintlb-batch/src/leases/job_leases.rs
@@ -26,7 +26,7 @@
 
 impl ItemLease {
     pub(super) fn is_live(&self, now: Timestamp) -> bool {
-        self.owner != NOBODY && now.saturating_sub(self.renewed_at) < LEASE_DURATION
+        self.owner != NOBODY && now.saturating_since(self.renewed_at) < LEASE_DURATION
     }
 
     pub(super) fn grant(&mut self, owner: DispatcherId, now: Timestamp) {
--- a/crates/mintlb-batch/src/replica.rs
+++ b/crates/mintlb-batch/src/replica.rs
@@ -199,7 +199,7 @@
 
     /// Handles time-outs and sweeps; call it every [`TICK_INTERVAL`].
     pub fn tick(&mut self, now: Timestamp) {
-        if now.saturating_sub(self.last_tick) > MAX_TICK_GAP {
+        if now.saturating_since(self.last_tick) > MAX_TICK_GAP {
             self.leases.pause(now);
         }
         self.last_tick = now;
@@ -208,7 +208,7 @@
             Role::TakingOver(_) => self.tick_takeover(now),
             Role::Primary(_) => self.tick_primary(now),
         }
-        if now.saturating_sub(self.last_sweep) >= SWEEP_INTERVAL {
+        if now.saturating_since(self.last_sweep) >= SWEEP_INTERVAL {
             self.last_sweep = now;
             self.sweep(now);
         }
--- a/crates/mintlb-batch/src/replica/primary.rs
+++ b/crates/mintlb-batch/src/replica/primary.rs
@@ -68,7 +68,7 @@
 
     /// Whether it is active and its commit index advances.
     pub(super) fn is_making_progress(&self, now: Timestamp) -> bool {
-        let is_stalled = |since: Timestamp| now.saturating_sub(since) >= COMMIT_STALL_TIMEOUT;
+        let is_stalled = |since: Timestamp| now.saturating_since(since) >= COMMIT_STALL_TIMEOUT;
         self.is_active && !self.stalled_since.is_some_and(is_stalled)
     }
 
@@ -143,7 +143,7 @@
 
     /// Each follower, and whether its response is overdue.
     pub(super) fn take_timeouts(&mut self, now: Timestamp) -> Vec<(StoreId, bool)> {
-        let is_starting = now.saturating_sub(self.started_at) < STARTUP_PERIOD;
+        let is_starting = now.saturating_since(self.started_at) < STARTUP_PERIOD;
         self.followers
             .iter_mut()
             .map(|follower| (follower.id, follower.take_timeout(is_starting, now)))
--- a/crates/mintlb-batch/src/replica/primary/progress.rs
+++ b/crates/mintlb-batch/src/replica/primary/progress.rs
@@ -55,7 +55,7 @@
         self.confirmed_at = self.confirmed_at.max(Some(sent_at));
         if self
             .in_flight_since
-            .is_some_and(|since| since.as_millis() as u64 <= echo)
+            .is_some_and(|since| since.as_millis() <= echo)
         {
             self.in_flight_since = None;
         }
@@ -74,7 +74,7 @@
             true => INITIAL_RESPONSE_TIMEOUT,
             false => RESPONSE_TIMEOUT,
         };
-        let is_over = |since: Timestamp| now.saturating_sub(since) >= timeout;
+        let is_over = |since: Timestamp| now.saturating_since(since) >= timeout;
         let is_overdue = self.in_flight_since.is_some_and(is_over) && is_over(self.last_sent);
         if is_overdue {
             self.in_flight_since = None;
--- a/crates/mintlb-batch/src/replica/replication.rs
+++ b/crates/mintlb-batch/src/replica/replication.rs
@@ -158,7 +158,7 @@
             None => self.send_probe(id, durable, now),
             Some(matched) if matched < durable => self.send_entries(id, matched, durable, now),
             Some(matched) => {
-                let is_idle = now.saturating_sub(follower.last_sent) >= COMMIT_NOTIFY_INTERVAL;
+                let is_idle = now.saturating_since(follower.last_sent) >= COMMIT_NOTIFY_INTERVAL;
                 let commit_index = self.meta.commit_index.min(matched);
                 if is_idle && follower.notified_commit_index < commit_index {
                     self.send_probe(id, matched, now);
@@ -191,7 +191,7 @@
             entries,
         } = range;
         append.commit_index = self.meta.commit_index;
-        append.sent_at = now.as_millis() as u64;
+        append.sent_at = now.as_millis();
         let Some(primary) = self.role.primary_mut() else {
             return;
         };
@@ -240,12 +240,12 @@
         };
         if primary
             .confirmed_at(others, now)
-            .is_some_and(|at| now.saturating_sub(at) <= CONFIRMATION_VALIDITY)
+            .is_some_and(|at| now.saturating_since(at) <= CONFIRMATION_VALIDITY)
         {
             return true;
         }
         let is_due = |follower: &&FollowerProgress| {
-            now.saturating_sub(follower.last_sent) >= CONFIRM_INTERVAL
+            now.saturating_since(follower.last_sent) >= CONFIRM_INTERVAL
         };
         let durable = primary.durable_index;
         let probes: Vec<(StoreId, LogIndex)> = primary
--- a/crates/mintlb-batch/src/replica/takeover.rs
+++ b/crates/mintlb-batch/src/replica/takeover.rs
@@ -76,7 +76,7 @@
     /// Gives up a source that has timed out; whether it has.
     fn drop_silent_source(&mut self, now: Timestamp) -> bool {
         let is_silent =
-            |source: &Source| now.saturating_sub(source.last_received) >= SOURCE_TIMEOUT;
+            |source: &Source| now.saturating_since(source.last_received) >= SOURCE_TIMEOUT;
         if !self.source.as_ref().is_some_and(is_silent) {
             return false;
         }
@@ -246,7 +246,7 @@
         };
         let epoch = takeover.epoch;
         let has_lost_source = takeover.drop_silent_source(now);
-        let is_due = now.saturating_sub(takeover.last_request) >= RETRY_INTERVAL;
+        let is_due = now.saturating_since(takeover.last_request) >= RETRY_INTERVAL;
         if is_due {
             takeover.last_request = now;
         }
--- a/crates/mintlb-batch/tests/cluster/driver.rs
+++ b/crates/mintlb-batch/tests/cluster/driver.rs
@@ -37,7 +37,7 @@
                 let replica = store.replica.as_mut().unwrap();
                 after
                     .into_iter()
-                    .for_each(|after| replica.on_synced(after, self.now));
+                    .for_each(|after| replica.on_synced(after, self.now.into()));
             } else {
                 store.unsynced.push((writes, after));
             }
@@ -78,7 +78,7 @@
         if let Some(replica) = &mut store.replica {
             follow
                 .into_iter()
-                .for_each(|after| replica.on_synced(after, self.now));
+                .for_each(|after| replica.on_synced(after, self.now.into()));
         }
         self.run_effects(store_index);
     }
@@ -109,7 +109,7 @@
         let Some(replica) = &mut self.stores[store_index].replica else {
             return;
         };
-        replica.on_message(envelope, raw, self.now);
+        replica.on_message(envelope, raw, self.now.into());
         self.run_effects(store_index);
     }
 
@@ -128,7 +128,7 @@
         else {
             return;
         };
-        replica.set_assignment(shard, self.now);
+        replica.set_assignment(shard, self.now.into());
         self.run_effects(store_index);
     }
 
@@ -140,7 +140,7 @@
                 continue;
             }
             if let Some(replica) = &mut self.stores[store_index].replica {
-                replica.tick(self.now);
+                replica.tick(self.now.into());
                 self.run_effects(store_index);
             }
         }
--- a/crates/mintlb-batch/tests/cluster/mod.rs
+++ b/crates/mintlb-batch/tests/cluster/mod.rs
@@ -157,7 +157,7 @@
             settings,
             store.disk.meta.clone(),
             store.disk.load(),
-            self.now,
+            self.now.into(),
         );
         store.replica = Some(replica);
         store.placement = 0;
--- a/crates/mintlb-batch/tests/cluster/requests.rs
+++ b/crates/mintlb-batch/tests/cluster/requests.rs
@@ -57,7 +57,7 @@
             max_queued_tokens: MAX_QUEUED_TOKENS,
             job: head,
         };
-        let proposal = replica.submit(submit, &raw, self.now);
+        let proposal = replica.submit(submit, &raw, self.now.into());
         self.propose(store_index, proposal, Expected::Accepted { job, items });
     }
 
@@ -67,7 +67,13 @@
         };
         let text = format!("text {} of {job} {item}", self.random.below(1000));
         let name = name(&job);
-        let proposal = replica.record(&name, item, ItemState::Completed, &text.into(), self.now);
+        let proposal = replica.record(
+            &name,
+            item,
+            ItemState::Completed,
+            &text.into(),
+            self.now.into(),
+        );
         self.propose(store_index, proposal, Expected::Recorded { job });
     }
 
@@ -75,7 +81,7 @@
         let Some(replica) = &mut self.stores[store_index].replica else {
             return;
         };
-        let proposal = replica.end(&name(&job), self.now);
+        let proposal = replica.end(&name(&job), self.now.into());
         self.propose(store_index, proposal, Expected::Ended { job });
     }
 
@@ -88,7 +94,7 @@
         if !replica.is_serving() {
             return;
         }
-        let is_confirmed = replica.confirm(self.now);
+        let is_confirmed = replica.confirm(self.now.into());
         let plan = replica.page(&name(job), 0, u64::MAX);
         let results = plan.map(|plan| {
             let entries = plan.entries.iter().zip(&plan.page.results);
@@ -115,9 +121,9 @@
         let Some(replica) = &mut self.stores[store_index].replica else {
             return;
         };
-        let is_confirmed = replica.confirm(self.now);
+        let is_confirmed = replica.confirm(self.now.into());
         let leased = if is_confirmed {
-            replica.lease(9, 1000, u64::MAX, self.now)
+            replica.lease(9, 1000, u64::MAX, self.now.into())
         } else {
             Vec::new()
         };
--- a/crates/mintlb-batch/tests/cluster/workload.rs
+++ b/crates/mintlb-batch/tests/cluster/workload.rs
@@ -102,7 +102,7 @@
         .replica
         .as_mut()
         .unwrap()
-        .confirm(cluster.now);
+        .confirm(cluster.now.into());
     cluster.run_effects(store_index);
     deliver_all(cluster);
     deliver_all(cluster);
@@ -111,7 +111,7 @@
             .replica
             .as_mut()
             .unwrap()
-            .confirm(cluster.now)
+            .confirm(cluster.now.into())
     );
     let jobs: Vec<(String, usize)> = cluster
         .oracle
--- a/crates/mintlb-batch/tests/takeover.rs
+++ b/crates/mintlb-batch/tests/takeover.rs
@@ -132,7 +132,7 @@
     cluster.run_until_idle();
     assert_eq!(cluster.oracle.accepted.keys().collect::<Vec<_>>(), ["new"]);
     cluster.now += Duration::from_millis(500);
-    let now = cluster.now;
+    let now = cluster.now.into();
     assert!(!cluster.replica_mut(0).confirm(now));
     cluster.stores[0].partitioned = false;
     cluster.run_until_idle();
@@ -280,7 +280,7 @@
         cluster.tick(LONG_TICK);
         cluster.run_until_idle();
     }
-    let now = cluster.now;
+    let now = cluster.now.into();
     let leased = LeasedItems {
         job: name("a"),
         items: vec![0, 1, 2],
--- a/crates/mintlb-control/src/store/handle.rs
+++ b/crates/mintlb-control/src/store/handle.rs
@@ -60,7 +60,7 @@
             opened,
             settings,
             report_changed.clone(),
-            clock_offset,
+            clock_offset.into(),
         );
         Arc::new(Store {
             shard_host: Mutex::new(shard_host),
@@ -75,7 +75,7 @@
 
     /// The present time on the replicas' clock.
     pub(super) fn now(&self) -> Timestamp {
-        self.clock_offset + self.started.elapsed()
+        Timestamp::from(self.clock_offset + self.started.elapsed())
     }
 
     /// Locks the replicas.
--- a/crates/mintlb-control/tests/single_replica/mod.rs
+++ b/crates/mintlb-control/tests/single_replica/mod.rs
@@ -6,6 +6,7 @@
 use mintlb_batch::entry::{ItemHeader, ItemState, JobHeader, JobTerms};
 use mintlb_batch::messages::{JobName, Submit};
 use mintlb_batch::replica::{AfterSync, Effect, Replica, ReplicaSettings};
+use mintlb_batch::timestamp::Timestamp;
 use mintlb_common::placement::ShardAssignment;
 use mintlb_control::store::storage::{LoadedStorage, ShardStorage, ShardWrite};
 use std::path::Path;
@@ -15,14 +16,14 @@
 /// How long a job is readable after it was sent.
 pub const RESULT_RETENTION: Duration = Duration::from_secs(20);
 /// The time on the replica's clock at its first start.
-pub const START: Duration = Duration::from_secs(50);
+pub const START: Timestamp = Timestamp::from_millis(50_000);
 /// Items of each job.
 pub const ITEMS: usize = 8;
 
 pub struct SingleReplica {
     pub storage: ShardStorage,
     pub replica: Replica,
-    pub now: Duration,
+    pub now: Timestamp,
 }
 
 /// What a replica has in memory and on disk.
@@ -43,7 +44,7 @@
 
 impl SingleReplica {
     /// A replica on the file in `directory`, as the primary of its shard.
-    pub fn open(directory: &Path, now: Duration) -> SingleReplica {
+    pub fn open(directory: &Path, now: Timestamp) -> SingleReplica {
         let LoadedStorage {
             storage,
             mut shards,
@@ -133,7 +134,7 @@
     }
 
     pub fn advance(&mut self, by: Duration) {
-        self.now += by;
+        self.now = self.now + by;
         self.replica.tick(self.now);
         self.run_effects();
     }
--- a/crates/mintlb-control/tests/store_fixture/mod.rs
+++ b/crates/mintlb-control/tests/store_fixture/mod.rs
@@ -6,6 +6,7 @@
 use mintlb_batch::epoch_history::EpochHistory;
 use mintlb_batch::framing;
 use mintlb_batch::replica::{DiskWrite, Effect, Replica, ReplicaSettings, ShardMeta};
+use mintlb_batch::timestamp::Timestamp;
 use mintlb_control::store::storage::{LoadedShards, LoadedStorage, ShardStorage, ShardWrite};
 use redb::{Database, ReadableDatabase, ReadableTable, TableDefinition, TableHandle};
 use std::path::{Path, PathBuf};
@@ -41,7 +42,7 @@
         settings,
         loaded.meta,
         loaded.entries.into_iter(),
-        Duration::ZERO,
+        Timestamp::ZERO,
     )
 }
 
@@ -106,7 +107,7 @@
 fn sweep(storage: &ShardStorage, shard: u32, now: Duration) {
     storage.close();
     let mut replica = replica(&mut storage.reopen().unwrap(), shard);
-    replica.tick(now);
+    replica.tick(now.into());
     let writes = replica
         .take_effects()
         .into_iter()
--- a/crates/mintlb-simulation/src/store/calls.rs
+++ b/crates/mintlb-simulation/src/store/calls.rs
@@ -39,7 +39,7 @@
         call: messages::StoreRequest,
         raw: Bytes,
     ) {
-        let now = context.now;
+        let now = context.now.into();
         let host = match &call {
             messages::StoreRequest::Submit(submit) => &submit.job.host,
             messages::StoreRequest::Read(read) => &read.job.host,
@@ -195,7 +195,7 @@
             return;
         }
         let serving = replica.is_serving();
-        if serving && !replica.confirm(context.now) {
+        if serving && !replica.confirm(context.now.into()) {
             return;
         }
         for (_, caller, answer) in waiting.confirmations.drain(..) {
--- a/crates/mintlb-simulation/src/store/mod.rs
+++ b/crates/mintlb-simulation/src/store/mod.rs
@@ -58,7 +58,13 @@
         };
         let replicas = (0..SHARDS).map(|shard| {
             let held = disk.shards.get(&shard).cloned().unwrap_or_default();
-            Replica::load(shard, settings, held.meta.clone(), held.load(), context.now)
+            Replica::load(
+                shard,
+                settings,
+                held.meta.clone(),
+                held.load(),
+                context.now.into(),
+            )
         });
         let mut store = Store {
             name: name.to_string(),
@@ -129,7 +135,7 @@
             Timer::Tick => {
                 context.wake(TICK_INTERVAL, Timer::Tick);
                 for shard in 0..SHARDS {
-                    self.replicas[shard as usize].tick(context.now);
+                    self.replicas[shard as usize].tick(context.now.into());
                     self.act(context, shard);
                 }
                 self.give_up_waiting(context);
@@ -155,7 +161,7 @@
                 _ => (),
             }
         }
-        self.replicas[shard as usize].on_message(envelope, raw, context.now);
+        self.replicas[shard as usize].on_message(envelope, raw, context.now.into());
         self.act(context, shard);
     }
 
@@ -176,7 +182,7 @@
             .filter_map(|store| Some((store.id, store.address.parse().ok()?)));
         self.addresses = addresses.collect();
         for (shard, assignment) in (0..SHARDS).zip(&placement.shards) {
-            self.replicas[shard as usize].set_assignment(assignment, context.now);
+            self.replicas[shard as usize].set_assignment(assignment, context.now.into());
             self.act(context, shard);
         }
         self.placement = placement;
@@ -184,7 +190,7 @@
 
     fn synced(&mut self, context: &mut Context, after: Vec<(u32, AfterSync)>) {
         for (shard, after) in after {
-            self.replicas[shard as usize].on_synced(after, context.now);
+            self.replicas[shard as usize].on_synced(after, context.now.into());
             self.act(context, shard);
         }
     }
@@ -222,9 +228,9 @@
                 }
                 _ => self.writer.write(context, shard, writes, after),
             };
-            at_once
-                .into_iter()
-                .for_each(|after| self.replicas[shard as usize].on_synced(after, context.now));
+            at_once.into_iter().for_each(|after| {
+                self.replicas[shard as usize].on_synced(after, context.now.into())
+            });
         }
     }
 
