--- a/crates/mintlb-batch/src/epoch_history.rs
+++ b/crates/mintlb-batch/src/epoch_history.rs
@@ -12,7 +12,7 @@
 pub type LogIndex = u64;
 
 /// Number of an epoch: the reign of one primary of a shard. Each change of a shard's assignment
-/// raises it, so that messages of deposed primaries can be told and rejected (fencing).
+/// raises it, so that messages of deposed primaries are recognized and rejected (fencing).
 pub type Epoch = u64;
 
 /// Consecutive entries of one epoch.
--- a/crates/mintlb-batch/src/job_table.rs
+++ b/crates/mintlb-batch/src/job_table.rs
@@ -1,8 +1,8 @@
 //! The batch jobs of one shard: the state machine that its replicated log drives.
 //!
 //! Entries are applied as soon as they are in the log, before they are committed; an entry that
-//! never gets committed is undone by [`JobTable::truncate`]. What may be shown to clients is told
-//! apart by the commit index. Payloads and result texts are on disk only: the table knows their
+//! never gets committed is undone by [`JobTable::truncate`]. The commit index tells
+//! what may be shown to clients. Payloads and result texts are on disk only: the table knows their
 //! entries and lengths.
 
 mod apply;
--- a/crates/mintlb-batch/src/replica/primary.rs
+++ b/crates/mintlb-batch/src/replica/primary.rs
@@ -20,8 +20,8 @@
 pub(super) struct Primary {
     pub epoch: Epoch,
     /// End of the log when this process became the primary: the first entry of the epoch or, after
-    /// a restart within it, a later one. Clients may have been told of anything up to here, so
-    /// nothing is served before it is committed.
+    /// a restart within it, a later one. Anything up to here may have been acknowledged to a
+    /// client, so nothing is served before it is committed.
     base_index: LogIndex,
     /// A quorum has the log up to `base_index`.
     pub is_active: bool,
--- a/crates/mintlb-batch/tests/dropped_jobs.rs
+++ b/crates/mintlb-batch/tests/dropped_jobs.rs
@@ -1,16 +1,16 @@
 //! Jobs that are no longer needed: they are removed from the disks, and don't come back from a
 //! replica that was away.
 
-mod cluster;
+mod shard_cluster;
 
-use cluster::Cluster;
+use shard_cluster::ShardCluster;
 use std::time::Duration;
 
 /// Finished jobs are dropped after this long.
 const RETENTION: Duration = Duration::from_secs(100_011);
 
 /// Lets so much time pass that what is not needed is dropped.
-fn pass_retention(cluster: &mut Cluster) {
+fn pass_retention(cluster: &mut ShardCluster) {
     let second = Duration::from_secs(1);
     for passed in [second, RETENTION, second, second] {
         cluster.tick(passed);
@@ -19,21 +19,21 @@
 }
 
 /// Ends a job at the first store.
-fn end(cluster: &mut Cluster, job: &str) {
+fn end(cluster: &mut ShardCluster, job: &str) {
     cluster.oracle.end_requested.insert(job.to_string());
     cluster.end(0, job.to_string());
 }
 
 /// Records a result at the first store.
-fn record(cluster: &mut Cluster, job: &str, item: u32) {
+fn record(cluster: &mut ShardCluster, job: &str, item: u32) {
     cluster.oracle.finished(job, item);
     cluster.record(0, job.to_string(), item);
 }
 
 /// The third store has two jobs as pending that the others saw done, and dropped, while it was
 /// away.
-fn one_was_away() -> Cluster {
-    let mut cluster = Cluster::of_three();
+fn one_was_away() -> ShardCluster {
+    let mut cluster = ShardCluster::of_three();
     cluster.submit(0, "ended".to_string(), 2);
     cluster.submit(0, "finished".to_string(), 2);
     cluster.submit(0, "open".to_string(), 1);
@@ -54,13 +54,13 @@
 }
 
 /// Ids of the jobs at a store, in the order of their acceptance.
-fn names(cluster: &Cluster, store_index: usize) -> Vec<&str> {
+fn names(cluster: &ShardCluster, store_index: usize) -> Vec<&str> {
     let jobs = cluster.jobs(store_index).iter();
     jobs.map(|job| job.name.id.as_str()).collect()
 }
 
 /// The third store has the open job and no other one, also after a restart.
-fn assert_only_open_job_left(cluster: &mut Cluster) {
+fn assert_only_open_job_left(cluster: &mut ShardCluster) {
     for _ in 0..2 {
         assert_eq!(names(cluster, 2), ["open"], "a dropped job has come back");
         assert_eq!(cluster.queued_tokens(2), 30);
@@ -99,7 +99,7 @@
     entries_in_memory: usize,
 }
 
-fn usage(cluster: &Cluster, store_index: usize) -> Usage {
+fn usage(cluster: &ShardCluster, store_index: usize) -> Usage {
     let jobs = cluster.jobs(store_index);
     Usage {
         entries_on_disk: cluster.stores[store_index].disk.entries.len(),
@@ -111,7 +111,7 @@
 
 #[test]
 fn finished_jobs_leave_nothing_on_disk_or_in_memory() {
-    let mut cluster = Cluster::of_three();
+    let mut cluster = ShardCluster::of_three();
     let mut usages = Vec::new();
     for day in 0..6 {
         for i in 0..100 {
--- a/crates/mintlb-batch/tests/cluster/controller.rs
+++ b/crates/mintlb-batch/tests/shard_cluster/controller.rs
@@ -1,11 +1,11 @@
 //! The controller: collects heartbeats and plans placements.
 
-use super::{Cluster, START};
+use super::{START, ShardCluster};
 use mintlb_batch::heartbeat::StoreHeartbeat;
 use mintlb_batch::placement_planner::{DecommissionStatus, decommission_status, plan};
 use mintlb_common::placement::{Placement, ShardAssignment, StoreId};
 
-impl Cluster {
+impl ShardCluster {
     /// Reachable stores report, and the controller plans a placement.
     pub fn run_controller(&mut self) {
         for store in self
--- a/crates/mintlb-batch/tests/cluster/driver.rs
+++ b/crates/mintlb-batch/tests/shard_cluster/driver.rs
@@ -1,13 +1,13 @@
 //! Carries the effects of replicas out on simulated disks and a simulated network.
 
-use super::{Cluster, Expected};
+use super::{Expected, ShardCluster};
 use bytes::Bytes;
 use mintlb_batch::peer::{EntryLength, Envelope, PeerMessage};
 use mintlb_batch::replica::Effect;
 use mintlb_common::placement::StoreId;
 use std::time::Duration;
 
-impl Cluster {
+impl ShardCluster {
     /// Carries out all effects of a store's replica.
     pub fn run_effects(&mut self, store_index: usize) {
         loop {
--- a/crates/mintlb-batch/tests/cluster/machines.rs
+++ b/crates/mintlb-batch/tests/shard_cluster/machines.rs
@@ -1,6 +1,6 @@
 //! Faults and maintenance of machines, and which of them count as lost.
 
-use super::{Cluster, Disk, START};
+use super::{Disk, START, ShardCluster};
 use mintlb_batch::placement_planner::{DecommissionStart, start_decommission};
 use mintlb_common::placement::StoreId;
 use std::time::Duration;
@@ -59,7 +59,7 @@
     }
 }
 
-impl Cluster {
+impl ShardCluster {
     /// Whether a machine counts as lost: down, partitioned or frozen, and for `catch_up` after its
     /// return or, if it is new, its start. A removed one counts until its successor has started.
     fn counts_as_lost(&self, store_index: usize) -> bool {
@@ -108,7 +108,7 @@
         store.unsynced.clear();
     }
 
-    /// Loses a disk amid other faults in any number, more than the guarantee permits (see
+    /// Loses a disk during other faults in any number, more than the guarantee permits (see
     /// `may_lose`). At most `tolerance` disks are lost at a time: one counts until the newest
     /// placement doesn't name it any more, and for a while after.
     pub fn lose_disk(&mut self, store_index: usize) -> bool {
--- a/crates/mintlb-batch/tests/cluster/mod.rs
+++ b/crates/mintlb-batch/tests/shard_cluster/mod.rs
@@ -1,4 +1,4 @@
-//! A simulated cluster of stores with one shard: virtual time, disks that lose what is not synced,
+//! A simulated cluster of stores that replicate one shard: virtual time, disks that lose what is not synced,
 //! messages that are lost, duplicated and reordered, and a register whose placements arrive late.
 
 // Each test binary uses a part of it.
@@ -36,7 +36,7 @@
 pub const START: Duration = Duration::from_secs(1000);
 pub const RESULT_RETENTION: Duration = Duration::from_secs(100_000);
 
-/// What a client will have been told once its request is committed.
+/// What is acknowledged to a client once its request is committed.
 #[derive(Clone, Debug)]
 pub enum Expected {
     Accepted { job: String, items: usize },
@@ -63,7 +63,7 @@
     pub machine: Machine,
 }
 
-pub struct Cluster {
+pub struct ShardCluster {
     pub random: Random,
     pub now: Duration,
     pub tolerance: usize,
@@ -91,10 +91,10 @@
     pub takeovers: u64,
 }
 
-impl Cluster {
-    pub fn new(seed: u64, count: usize, tolerance: usize) -> Cluster {
+impl ShardCluster {
+    pub fn new(seed: u64, count: usize, tolerance: usize) -> ShardCluster {
         let now = START;
-        let mut cluster = Cluster {
+        let mut cluster = ShardCluster {
             random: Random(seed),
             now,
             tolerance,
--- a/crates/mintlb-batch/tests/cluster/oracle.rs
+++ b/crates/mintlb-batch/tests/shard_cluster/oracle.rs
@@ -1,4 +1,4 @@
-//! The oracle: what clients were told, and so what they may be told after that.
+//! The oracle: what was acknowledged to clients, and so which responses are correct afterwards.
 
 use super::{ITEM_TOKENS, MAX_QUEUED_TOKENS};
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/mintlb-batch/tests/cluster/requests.rs
+++ b/crates/mintlb-batch/tests/shard_cluster/requests.rs
@@ -1,13 +1,13 @@
 //! Requests of dispatchers to the replicas; what is acknowledged goes to the oracle.
 
-use super::{Cluster, Expected, HOST, ITEM_TOKENS, MAX_QUEUED_TOKENS};
+use super::{Expected, HOST, ITEM_TOKENS, MAX_QUEUED_TOKENS, ShardCluster};
 use bytes::Bytes;
 use mintlb_batch::entry::{Entry, ItemHeader, ItemState, JobHeader, JobTerms};
 use mintlb_batch::framing;
 use mintlb_batch::messages::{JobName, StoreResponse, Submit};
 use mintlb_batch::replica::Proposal;
 
-impl Cluster {
+impl ShardCluster {
     /// Acknowledges a request at once or once it is committed.
     fn propose(&mut self, store_index: usize, proposal: Proposal, expected: Expected) {
         match proposal {
--- a/crates/mintlb-batch/tests/cluster/scripted.rs
+++ b/crates/mintlb-batch/tests/shard_cluster/scripted.rs
@@ -1,8 +1,8 @@
 //! Clusters for scripted tests: placements are given, and messages arrive when the test says so.
 //!
-//! The stores of [`Cluster::of_three`] have the ids 1 to 3 at the indexes 0 to 2.
+//! The stores of [`ShardCluster::of_three`] have the ids 1 to 3 at the indexes 0 to 2.
 
-use super::{Cluster, requests::name};
+use super::{ShardCluster, requests::name};
 use mintlb_batch::job_table::JobTable;
 use mintlb_batch::peer::PeerMessage;
 use mintlb_batch::replica::Replica;
@@ -11,10 +11,10 @@
 /// Rounds of delivery after which nothing is in flight any more.
 const IDLE_AFTER_ROUNDS: usize = 30;
 
-impl Cluster {
+impl ShardCluster {
     /// Three stores that tolerate one loss; the first one is the active primary of epoch 1.
-    pub fn of_three() -> Cluster {
-        let mut cluster = Cluster::new(1, 3, 1);
+    pub fn of_three() -> ShardCluster {
+        let mut cluster = ShardCluster::new(1, 3, 1);
         cluster.assign(1, &[1, 2, 3], &[]);
         cluster.run_until_idle();
         assert!(cluster.is_serving(0));
--- a/crates/mintlb-batch/tests/cluster/workload.rs
+++ b/crates/mintlb-batch/tests/shard_cluster/workload.rs
@@ -1,11 +1,11 @@
 //! Random requests and deliveries over time, and the checks at the end of a simulation.
 
-use super::Cluster;
+use super::ShardCluster;
 use super::requests::name;
 use std::time::Duration;
 
 /// Sends a random request, mostly to a store that serves, otherwise to `fallback`.
-pub fn random_request(cluster: &mut Cluster, fallback: usize) {
+pub fn random_request(cluster: &mut ShardCluster, fallback: usize) {
     let is_serving = |store_index: &usize| {
         cluster.stores[*store_index]
             .replica
@@ -45,7 +45,7 @@
     }
 }
 
-fn random_job(cluster: &mut Cluster) -> Option<(String, usize)> {
+fn random_job(cluster: &mut ShardCluster) -> Option<(String, usize)> {
     let count = cluster.oracle.accepted.len() as u64;
     // Among the newest ones: those are the least replicated.
     let back = cluster.random.below(count.min(8)) as usize;
@@ -55,7 +55,7 @@
 }
 
 /// Ends all faults, and lets the cluster recover.
-pub fn heal(cluster: &mut Cluster) {
+pub fn heal(cluster: &mut ShardCluster) {
     for store_index in 0..cluster.stores.len() {
         cluster.restore(store_index);
     }
@@ -68,7 +68,7 @@
 }
 
 /// Syncs all disks, and delivers all placements and messages.
-pub fn deliver_all(cluster: &mut Cluster) {
+pub fn deliver_all(cluster: &mut ShardCluster) {
     for store_index in 0..cluster.stores.len() {
         cluster.receive_placement(store_index);
         cluster.sync(store_index);
@@ -81,7 +81,7 @@
 }
 
 /// Checks that everything acknowledged can be read at the one store that serves.
-pub fn check_all(cluster: &mut Cluster) {
+pub fn check_all(cluster: &mut ShardCluster) {
     let serving: Vec<usize> = (0..cluster.stores.len())
         .filter(|store_index| {
             cluster.stores[*store_index]
@@ -136,7 +136,7 @@
 
 /// Lets time pass, with requests and a network that loses, duplicates and delays little. Returns
 /// early once a job was accepted, if `until_accepted`.
-pub fn run_for(cluster: &mut Cluster, time: Duration, until_accepted: bool) {
+pub fn run_for(cluster: &mut ShardCluster, time: Duration, until_accepted: bool) {
     let end = cluster.now + time;
     cluster.just_accepted = false;
     while cluster.now < end && !(until_accepted && cluster.just_accepted) {
@@ -159,7 +159,7 @@
     }
 }
 
-fn deliver_some(cluster: &mut Cluster, until_accepted: bool) {
+fn deliver_some(cluster: &mut ShardCluster, until_accepted: bool) {
     for store_index in 0..cluster.stores.len() {
         if cluster.random.percent(80) {
             cluster.receive_placement(store_index);
--- a/crates/mintlb-batch/tests/shard_faults.rs
+++ b/crates/mintlb-batch/tests/shard_faults.rs
@@ -1,17 +1,17 @@
 //! A shard under power losses, lost disks, partitions, and lost, duplicated and reordered messages:
 //! acknowledgements hold.
 
-mod cluster;
+mod shard_cluster;
 
-use cluster::Cluster;
-use cluster::workload::{check_all, heal, random_request};
+use shard_cluster::ShardCluster;
+use shard_cluster::workload::{check_all, heal, random_request};
 use std::time::Duration;
 
 /// Random events of a run.
 const STEPS: u64 = 1500;
 
 /// One random event.
-fn step(cluster: &mut Cluster, faults: bool) {
+fn step(cluster: &mut ShardCluster, faults: bool) {
     let store_index = cluster.random.below(cluster.stores.len() as u64) as usize;
     match cluster.random.below(200) {
         0..=99 => {
@@ -54,8 +54,8 @@
     }
 }
 
-fn run(seed: u64, count: usize, tolerance: usize, faults: bool) -> Cluster {
-    let mut cluster = Cluster::new(seed, count, tolerance);
+fn run(seed: u64, count: usize, tolerance: usize, faults: bool) -> ShardCluster {
+    let mut cluster = ShardCluster::new(seed, count, tolerance);
     // The first placement.
     heal(&mut cluster);
     for _ in 0..STEPS {
--- a/crates/mintlb-batch/tests/shard_losses.rs
+++ b/crates/mintlb-batch/tests/shard_losses.rs
@@ -1,11 +1,11 @@
 //! A shard under losses that the guarantee to the operators permits, also while its placement is
 //! being changed: acknowledgements hold, and the shard becomes active again.
 
-mod cluster;
+mod shard_cluster;
 
-use cluster::Cluster;
-use cluster::workload::{check_all, heal, run_for};
 use mintlb_batch::placement_planner::StoreTable;
+use shard_cluster::ShardCluster;
+use shard_cluster::workload::{check_all, heal, run_for};
 use std::time::Duration;
 
 const SECOND: Duration = Duration::from_secs(1);
@@ -30,7 +30,7 @@
 }
 
 impl Event {
-    fn draw(cluster: &mut Cluster) -> Event {
+    fn draw(cluster: &mut ShardCluster) -> Event {
         match cluster.random.below(16) {
             0 | 1 => Event::PowerLoss,
             2..=4 => Event::DiskLoss,
@@ -48,7 +48,7 @@
 }
 
 /// One random event, if the guarantee permits another loss now.
-fn random_event(cluster: &mut Cluster) {
+fn random_event(cluster: &mut ShardCluster) {
     let store_index = cluster.random.below(cluster.stores.len() as u64) as usize;
     if !cluster.may_lose(store_index) {
         return;
@@ -94,7 +94,7 @@
 
 /// The controller that plans placements is lost. Another one succeeds it, which knows the stores or
 /// has just started.
-fn lose_controller(cluster: &mut Cluster, pause: Duration) {
+fn lose_controller(cluster: &mut ShardCluster, pause: Duration) {
     cluster.record_event(format!("the controller is lost for {pause:?}"));
     cluster.paused_until = cluster.now + pause;
     if cluster.random.percent(50) {
@@ -102,12 +102,12 @@
     }
 }
 
-fn lose_disk_for(cluster: &mut Cluster, store_index: usize, time: Duration) {
+fn lose_disk_for(cluster: &mut ShardCluster, store_index: usize, time: Duration) {
     cluster.wipe(store_index);
     cluster.stores[store_index].machine.returns_at = Some(cluster.now + time);
 }
 
-fn wait_until_recovered(cluster: &mut Cluster) {
+fn wait_until_recovered(cluster: &mut ShardCluster) {
     let end = cluster.now + MAX_RECOVERY;
     while cluster.lost_count() > 0 && cluster.now < end {
         run_for(cluster, SECOND / 10, false);
@@ -115,7 +115,7 @@
 }
 
 /// Right after a job was accepted some stores lose their disks, and all others lose power.
-fn closing_fault(cluster: &mut Cluster) {
+fn closing_fault(cluster: &mut ShardCluster) {
     wait_until_recovered(cluster);
     cluster.idle = false;
     run_for(cluster, SECOND * 3, true);
@@ -148,8 +148,8 @@
     run_for(cluster, SECOND * 2, false);
 }
 
-fn run_scenario(seed: u64, count: usize, tolerance: usize) -> Cluster {
-    let mut cluster = Cluster::new(seed, count, tolerance);
+fn run_scenario(seed: u64, count: usize, tolerance: usize) -> ShardCluster {
+    let mut cluster = ShardCluster::new(seed, count, tolerance);
     heal(&mut cluster);
     for _ in 0..1 + cluster.random.below(8) {
         random_event(&mut cluster);
--- a/crates/mintlb-batch/tests/takeover.rs
+++ b/crates/mintlb-batch/tests/takeover.rs
@@ -1,11 +1,11 @@
 //! Takeovers: what replicas wait for before they say something, and which log a new primary adopts.
 
-mod cluster;
+mod shard_cluster;
 
-use cluster::Cluster;
-use cluster::requests::name;
 use mintlb_batch::messages::{ItemFailures, LeasedItems, RenewResult};
 use mintlb_batch::peer::PeerMessage;
+use shard_cluster::ShardCluster;
+use shard_cluster::requests::name;
 use std::time::Duration;
 
 const NO_MESSAGES: Vec<&PeerMessage> = Vec::new();
@@ -14,8 +14,8 @@
 
 /// The first store is lost, and the request for epoch 2 of the second one has reached the third
 /// one.
-fn requested_epoch() -> Cluster {
-    let mut cluster = Cluster::of_three();
+fn requested_epoch() -> ShardCluster {
+    let mut cluster = ShardCluster::of_three();
     cluster.stores[0].partitioned = true;
     cluster.assign(2, &[2, 3, 1], &[1, 2, 3]);
     cluster.receive_all_placements(1);
@@ -45,7 +45,7 @@
 
 #[test]
 fn an_entry_is_sent_and_acknowledged_after_it_is_synced() {
-    let mut cluster = Cluster::of_three();
+    let mut cluster = ShardCluster::of_three();
     cluster.submit(0, "a".to_string(), 1);
     assert_eq!(cluster.messages_from(0), NO_MESSAGES);
     cluster.sync(0);
@@ -62,8 +62,8 @@
 }
 
 /// The first store has the longest log, the second and the third have one of a later epoch.
-fn longer_log_of_an_older_epoch() -> Cluster {
-    let mut cluster = Cluster::of_three();
+fn longer_log_of_an_older_epoch() -> ShardCluster {
+    let mut cluster = ShardCluster::of_three();
     // The old primary appends entries that reach nobody.
     (0..6).for_each(|i| cluster.submit(0, format!("lost{i}"), 1));
     cluster.sync(0);
@@ -104,7 +104,7 @@
 
 #[test]
 fn a_primary_serves_once_the_register_has_confirmed_it() {
-    let mut cluster = Cluster::of_three();
+    let mut cluster = ShardCluster::of_three();
     cluster.assign(2, &[2, 3, 1], &[1, 2, 3]);
     cluster.run_until_idle();
     let report = cluster.replica(1).report().unwrap();
@@ -120,7 +120,7 @@
 
 #[test]
 fn a_stale_primary_commits_nothing_and_confirms_no_reads() {
-    let mut cluster = Cluster::of_three();
+    let mut cluster = ShardCluster::of_three();
     cluster.stores[0].partitioned = true;
     cluster.take_over(2, &[2, 3, 1], &[1, 2, 3]);
     assert!(
@@ -145,7 +145,7 @@
 
 /// Leases all items at a store, after its followers have confirmed it; returns how many were leased
 /// so far.
-fn lease_all(cluster: &mut Cluster, store_index: usize) -> u64 {
+fn lease_all(cluster: &mut ShardCluster, store_index: usize) -> u64 {
     cluster.lease(store_index);
     cluster.run_until_idle();
     cluster.lease(store_index);
@@ -154,7 +154,7 @@
 
 #[test]
 fn leases_wait_for_renewals_after_a_takeover() {
-    let mut cluster = Cluster::of_three();
+    let mut cluster = ShardCluster::of_three();
     cluster.submit(0, "a".to_string(), 2);
     cluster.run_until_idle();
     cluster.stores[0].partitioned = true;
@@ -168,7 +168,7 @@
 
 #[test]
 fn a_suspended_process_does_not_expire_leases() {
-    let mut cluster = Cluster::of_three();
+    let mut cluster = ShardCluster::of_three();
     cluster.submit(0, "a".to_string(), 2);
     cluster.run_until_idle();
     cluster.tick(Duration::from_secs(10));
@@ -176,8 +176,8 @@
 }
 
 /// The first two stores are the replicas, and a job is accepted; the third store has nothing.
-fn two_of_three() -> Cluster {
-    let mut cluster = Cluster::of_three();
+fn two_of_three() -> ShardCluster {
+    let mut cluster = ShardCluster::of_three();
     cluster.take_over(2, &[1, 2], &[1, 2, 3]);
     cluster.submit(0, "kept".to_string(), 1);
     cluster.run_until_idle();
@@ -244,7 +244,7 @@
 
 #[test]
 fn the_last_active_primary_takes_over_without_other_replicas() {
-    let mut cluster = Cluster::of_three();
+    let mut cluster = ShardCluster::of_three();
     cluster.submit(0, "kept".to_string(), 1);
     cluster.run_until_idle();
     assert!(cluster.oracle.accepted.contains_key("kept"));
@@ -260,7 +260,7 @@
 
 #[test]
 fn a_follower_alone_cannot_take_over() {
-    let mut cluster = Cluster::of_three();
+    let mut cluster = ShardCluster::of_three();
     cluster.submit(0, "kept".to_string(), 1);
     cluster.run_until_idle();
     cluster.stores[0].partitioned = true;
@@ -272,7 +272,7 @@
 
 #[test]
 fn a_lease_reports_the_failed_attempts_of_its_item() {
-    let mut cluster = Cluster::of_three();
+    let mut cluster = ShardCluster::of_three();
     cluster.submit(0, "a".to_string(), 3);
     cluster.run_until_idle();
     // Before that owners of an earlier primary might renew.
--- a/crates/mintlb-batch/tests/wire_fixtures.rs
+++ b/crates/mintlb-batch/tests/wire_fixtures.rs
@@ -167,7 +167,7 @@
     }
 }
 
-fn held(failures: &[(u32, u32)]) -> LeasedItems {
+fn leased_items(failures: &[(u32, u32)]) -> LeasedItems {
     let failures = failures.iter().map(|(item, attempts)| ItemFailures {
         item: *item,
         attempts: *attempts,
@@ -254,7 +254,7 @@
 }
 
 #[test]
-fn calls_of_dispatchers() {
+fn requests_of_dispatchers() {
     let mut fixtures = Fixtures::of("calls.txt");
     let mut check = |name: &str, call: StoreRequest, raw: &[u8]| fixtures.check(name, call, raw);
     let submit = Submit {
@@ -288,7 +288,7 @@
         }),
         b"",
     );
-    let jobs = vec![held(&[(25, 3), (0, 1)]), held(&[])];
+    let jobs = vec![leased_items(&[(25, 3), (0, 1)]), leased_items(&[])];
     check(
         "renew",
         StoreRequest::Renew(Renew { owner: LONG, jobs }),
@@ -314,14 +314,14 @@
     check("release", StoreRequest::Release(LONG), b"");
     let renew = StoreRequest::Renew(Renew {
         owner: LONG,
-        jobs: vec![held(&[])],
+        jobs: vec![leased_items(&[])],
     });
     fixtures.check_earlier("earlier_renew_without_failures", renew);
     fixtures.end();
 }
 
 #[test]
-fn answers_of_stores() {
+fn responses_of_stores() {
     let mut fixtures = Fixtures::of("answers.txt");
     let mut check =
         |name: &str, answer: StoreResponse, raw: &[u8]| fixtures.check(name, answer, raw);
@@ -369,7 +369,7 @@
     check(
         "renewed",
         StoreResponse::Renewed(RenewResult {
-            lost: vec![held(&[(25, 3)])],
+            lost: vec![leased_items(&[(25, 3)])],
             open: 40,
         }),
         b"",
