--- a/crates/mintlb-control/src/store/handle.rs
+++ b/crates/mintlb-control/src/store/handle.rs
@@ -45,7 +45,7 @@
 }
 
 impl Store {
-    /// A store with what its disk held. `disk_bytes` is the capacity of the disk.
+    /// A store on an opened file. `disk_bytes` is the capacity of the disk.
     pub fn new(
         transport: Arc<Transport>,
         opened: OpenedStorage,
@@ -135,7 +135,7 @@
         self.report_changed.notify_one();
     }
 
-    /// Goes on with what the file held when it was opened again.
+    /// Continues with the contents of the file that was opened again.
     pub fn resume(&self, shards: LoadedShards) {
         self.shard_host().resume(shards, self.now());
         self.report_changed.notify_one();
--- a/crates/mintlb-control/src/store/running.rs
+++ b/crates/mintlb-control/src/store/running.rs
@@ -1,5 +1,6 @@
-//! A store that serves, and its graceful shutdown: it reports that it is draining and goes on until
-//! its shards have other primaries, its replicas have moved, and all writes are durable.
+//! A store that serves, and its graceful shutdown: it reports that it is draining and continues to
+//! serve until its shards have other primaries, its replicas have moved, and all writes are
+//! durable.
 
 use super::driver::Driver;
 use super::error::StoreError;
@@ -11,12 +12,12 @@
 use tokio::task::JoinSet;
 use tokio::time::{Instant, sleep};
 
-/// How long a draining store goes on at most.
+/// Maximum duration of a handover, the time for which a draining store continues to serve.
 const MAX_HANDOVER_TIME: Duration = Duration::from_millis(4000);
-/// How long it goes on at least: the controllers need this long to answer whether its replicas
+/// Minimum duration of a handover: the controllers need this long to answer whether its replicas
 /// move.
 const MIN_HANDOVER_TIME: Duration = Duration::from_millis(800);
-/// The grace period is not taken to be longer than this many seconds.
+/// Upper bound of the grace period, in seconds.
 const MAX_GRACE_PERIOD_S: f64 = 60.0;
 /// Share of the grace period that the handover may take.
 const GRACE_PERIOD_SHARE: f64 = 0.5;
--- a/crates/mintlb-control/src/store/shard_host/mod.rs
+++ b/crates/mintlb-control/src/store/shard_host/mod.rs
@@ -44,8 +44,8 @@
 }
 
 impl ShardHost {
-    /// Replicas with what the disk held. `report_changed` is notified when [`ShardHost::reports`]
-    /// changes.
+    /// Replicas loaded from the opened file. `report_changed` is notified when
+    /// [`ShardHost::reports`] changes.
     pub fn new(
         transport: Arc<Transport>,
         opened: OpenedStorage,
@@ -78,7 +78,7 @@
         self.entry_cache = EntryCache::default();
     }
 
-    /// Goes on with what the disk holds, like a process that starts.
+    /// Loads the replicas from the file that was opened again, as a process does at its start.
     pub fn resume(&mut self, shards: LoadedShards, now: Timestamp) {
         self.replicas = load_replicas(shards, self.settings, now);
         self.commit_queue.resume();
@@ -203,7 +203,7 @@
             .for_each(PendingCalls::remove_abandoned_readers);
     }
 
-    /// What the heartbeat to the controllers says of the shards whose primary this is.
+    /// Reports of the shards whose primary this is, for the heartbeat to the controllers.
     pub fn reports(&self) -> Vec<ShardReport> {
         self.replicas.iter().filter_map(Replica::report).collect()
     }
--- a/crates/mintlb-control/src/store/storage/mod.rs
+++ b/crates/mintlb-control/src/store/storage/mod.rs
@@ -27,6 +27,6 @@
     pub storage: ShardStorage,
     /// The queue of its commit thread.
     pub commit_queue: CommitQueue,
-    /// What the file held when it was opened.
+    /// The file's contents when it was opened.
     pub shards: LoadedShards,
 }
--- a/crates/mintlb-control/src/store/storage/shard_storage.rs
+++ b/crates/mintlb-control/src/store/storage/shard_storage.rs
@@ -58,13 +58,13 @@
 pub struct LoadedStorage {
     /// The file.
     pub storage: ShardStorage,
-    /// What it held when it was opened.
+    /// Its contents when it was opened.
     pub shards: LoadedShards,
 }
 
 impl ShardStorage {
     /// Opens the file in `directory`, or creates it with `new_id` as the store's identity. A
-    /// damaged file is quarantined: the store then begins anew, like one that has lost its disk.
+    /// damaged file is quarantined: the store then starts empty, like one that has lost its disk.
     ///
     /// # Errors
     ///
--- a/crates/mintlb-control/tests/store_cluster.rs
+++ b/crates/mintlb-control/tests/store_cluster.rs
@@ -136,7 +136,7 @@
         node.store.apply_placement(during_takeover.clone());
     }
     cluster.wait_until_active(1, 2).await;
-    cluster.place(takeover.epoch(3).shard_epoch(2).build());
+    cluster.apply_placement(takeover.epoch(3).shard_epoch(2).build());
 
     assert_eq!(cluster.results("a", 0).await, [completed("a-1", "one")]);
     assert_eq!(cluster.client.body(HOST, "a", "a-2").await, Ok(payload(2)));
@@ -155,7 +155,7 @@
         cluster.nodes.insert(i, node);
     }
     let rejoined = cluster.placement(&[1, 2, 0]).epoch(4).shard_epoch(2);
-    cluster.place(rejoined.build());
+    cluster.apply_placement(rejoined.build());
     assert_eq!(cluster.results("a", 0).await, [completed("a-1", "one")]);
     let result = ItemResult::Completed("b".into());
     assert_eq!(cluster.client.record(HOST, "b", 0, result).await, Ok(()));
@@ -189,16 +189,16 @@
 #[tokio::test]
 async fn a_store_has_shards_to_hand_over_until_its_replicas_have_moved() {
     let cluster = Cluster::start(4).await;
-    cluster.place(cluster.placement(&[0, 1, 2]).build());
+    cluster.apply_placement(cluster.placement(&[0, 1, 2]).build());
     let has_shards = |node: usize| cluster.nodes[node].store.has_shards_to_hand_over();
     assert!(has_shards(0), "it is the primary");
     assert!(!has_shards(2));
     // The third one's replicas move to the fourth: while the takeover may have to read them, they
     // are needed.
     let moved = cluster.placement(&[0, 1, 3]).epoch(2);
-    cluster.place(moved.clone().previous(&[0, 1, 2]).build());
+    cluster.apply_placement(moved.clone().previous(&[0, 1, 2]).build());
     assert!(has_shards(2));
     cluster.wait_until_active(0, 2).await;
-    cluster.place(moved.epoch(3).shard_epoch(2).build());
+    cluster.apply_placement(moved.epoch(3).shard_epoch(2).build());
     assert!(!has_shards(2));
 }
--- a/crates/mintlb-control/tests/store_disk_faults.rs
+++ b/crates/mintlb-control/tests/store_disk_faults.rs
@@ -30,7 +30,7 @@
     lengths.collect()
 }
 
-/// Whether the file can't be opened for a reason that a retry may mend.
+/// Whether the file can't be opened for a reason that may pass.
 fn is_unavailable(disk: &Disk, directory: &Path) -> bool {
     match ShardStorage::open_with(disk.opener(), directory, NEW_ID) {
         Err(DiskError::Unavailable(_)) => true,
--- a/crates/mintlb-control/tests/store_full_disk.rs
+++ b/crates/mintlb-control/tests/store_full_disk.rs
@@ -24,7 +24,7 @@
         nodes.push(Node::start_with(disk.opener(), directory.path(), id).await);
     }
     let cluster = Cluster::of(nodes, directories).await;
-    cluster.place(cluster.placement(&[0, 1, 2]).build());
+    cluster.apply_placement(cluster.placement(&[0, 1, 2]).build());
     cluster.wait_until_active(0, 1).await;
     cluster
 }
--- a/crates/mintlb-control/tests/store_retention.rs
+++ b/crates/mintlb-control/tests/store_retention.rs
@@ -52,7 +52,7 @@
     );
     assert!(last.file_bytes <= samples[1].file_bytes, "{samples:?}");
 
-    // A restart loads as much, and begins the retention anew.
+    // A restart loads as much, and restarts the retention.
     let now = store.now;
     drop(store);
     let mut restarted = SingleReplica::open(directory.path(), now);
--- a/crates/mintlb-control/tests/stores/mod.rs
+++ b/crates/mintlb-control/tests/stores/mod.rs
@@ -246,7 +246,7 @@
     /// Three stores, the first of them the primary of all shards.
     pub async fn start_placed() -> Cluster {
         let cluster = Cluster::start(3).await;
-        cluster.place(cluster.placement(&[0, 1, 2]).build());
+        cluster.apply_placement(cluster.placement(&[0, 1, 2]).build());
         cluster
     }
 
@@ -270,7 +270,7 @@
     }
 
     /// All stores and the client apply this placement.
-    pub fn place(&self, placement: Placement) {
+    pub fn apply_placement(&self, placement: Placement) {
         self.nodes
             .iter()
             .for_each(|node| node.store.apply_placement(placement.clone()));
