--- a/crates/mintlb-control/src/controller/register/client.rs
+++ b/crates/mintlb-control/src/controller/register/client.rs
@@ -1,6 +1,6 @@
 //! Proposals and reads of the register, driven over the transport.
 
-use super::local_replica::LocalReplica;
+use super::local_replica::{BootstrapError, LocalReplica};
 use super::messages::{RegisterRequest, RegisterResponse, encode};
 use super::register_cache::RegisterCache;
 use super::replica_calls::{ReplicaReply, send_request};
@@ -34,6 +34,12 @@
 #[error("M451 no majority of the register's replicas answered in time")]
 pub struct QuorumUnavailable;
 
+/// A read in a single round has found no quorum that agrees. It may be tried again; a proposal
+/// determines the value.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+#[error("no quorum agreed in a single round")]
+pub struct InconclusiveRead;
+
 /// A callback for each value newly known to be chosen.
 pub type ChosenListener = Box<dyn Fn(&AcceptedValue) + Send + Sync>;
 
@@ -107,20 +113,17 @@
         self.cache.lock().hint(set);
     }
 
-    /// Initializes the register with the replica of this process as its only member. Returns
-    /// whether that is durable.
-    pub async fn bootstrap(&self) -> bool {
-        let Some(replica) = &self.replica else {
-            return false;
-        };
+    /// Initializes the register with the replica of this process as its only member.
+    ///
+    /// # Errors
+    ///
+    /// If there is no replica here, it is not new, or the value could not be made durable.
+    pub async fn bootstrap(&self) -> Result<(), BootstrapError> {
+        let replica = self.replica.as_ref().ok_or(BootstrapError::NoReplica)?;
         let ballot = Ballot::default().next(self.next_proposer());
-        match replica.bootstrap(ballot).await {
-            Some(accepted) => {
-                self.record_chosen(accepted);
-                true
-            }
-            None => false,
-        }
+        let accepted = replica.bootstrap(ballot).await?;
+        self.record_chosen(accepted);
+        Ok(())
     }
 
     /// Changes the value. Changes of one process run one after the other; the wait counts towards
@@ -181,7 +184,7 @@
     pub async fn read(&self, time_limit: Duration) -> Result<AcceptedValue, QuorumUnavailable> {
         let deadline = Instant::now() + time_limit;
         let single_round_deadline = deadline.min(Instant::now() + SINGLE_ROUND_TIMEOUT);
-        if let Some(chosen) = self.read_once(single_round_deadline).await {
+        if let Ok(chosen) = self.read_once(single_round_deadline).await {
             return Ok(chosen);
         }
         let remaining = deadline.saturating_duration_since(Instant::now());
@@ -189,26 +192,32 @@
         Ok(outcome.chosen)
     }
 
-    /// Reads in a single round; `None` unless a quorum agrees before the deadline.
-    pub async fn read_once(&self, deadline: Instant) -> Option<AcceptedValue> {
+    /// Reads in a single round.
+    ///
+    /// # Errors
+    ///
+    /// Unless a quorum agrees before the deadline.
+    pub async fn read_once(&self, deadline: Instant) -> Result<AcceptedValue, InconclusiveRead> {
         let started_at = Instant::now();
-        let (mut read, mut progress) = QuorumRead::start(self.set()?, self.chosen());
+        let set = self.set().ok_or(InconclusiveRead)?;
+        let (mut read, mut progress) = QuorumRead::start(set, self.chosen());
         let (replies, mut inputs) = mpsc::channel(REPLY_QUEUE_CAPACITY);
         loop {
             match progress {
                 ReadProgress::Chosen(accepted) => {
                     self.record_majority(started_at);
                     self.record_chosen(accepted.clone());
-                    return Some(accepted);
+                    return Ok(accepted);
                 }
-                ReadProgress::Inconclusive => return None,
+                ReadProgress::Inconclusive => return Err(InconclusiveRead),
                 ReadProgress::Send(requests) => {
                     for OutboundRequest { to, request } in requests {
                         self.send(to, request, replies.clone());
                     }
                 }
             }
-            let reply: ReplicaReply = timeout_at(deadline, inputs.recv()).await.ok()??;
+            let received = timeout_at(deadline, inputs.recv()).await;
+            let reply: ReplicaReply = received.ok().flatten().ok_or(InconclusiveRead)?;
             progress = read.handle_reply(reply.from, reply.reply);
             self.raise_ballot_floor(read.highest_ballot());
         }
--- a/crates/mintlb-control/src/controller/register/discovery.rs
+++ b/crates/mintlb-control/src/controller/register/discovery.rs
@@ -85,7 +85,7 @@
     }
 
     async fn bootstrap(&self) {
-        if self.register.bootstrap().await {
+        if self.register.bootstrap().await.is_ok() {
             log::info!(
                 "register: initialized with replica {:x} as the only member",
                 self.register.replica_id().unwrap_or_default().0
--- a/crates/mintlb-control/src/controller/register/local_replica.rs
+++ b/crates/mintlb-control/src/controller/register/local_replica.rs
@@ -10,6 +10,31 @@
 use parking_lot::Mutex;
 use std::sync::Arc;
 
+/// The reason for which the replica gives no reply. The request may be tried again.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum NotDurable {
+    /// The disk has failed and is being reopened, or the file is closed.
+    #[error("the reply could not be made durable")]
+    DiskFailed,
+    /// The queue of writes is full.
+    #[error("too many writes wait for the disk")]
+    QueueFull,
+}
+
+/// The reason for which the register can't be initialized with a replica.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum BootstrapError {
+    /// This process has no replica.
+    #[error("there is no replica here")]
+    NoReplica,
+    /// The replica has promised a higher ballot: it is not new.
+    #[error("the replica has promised a higher ballot")]
+    Rejected,
+    /// The first value could not be made durable.
+    #[error(transparent)]
+    NotDurable(#[from] NotDurable),
+}
+
 /// The replica of this process.
 pub struct LocalReplica {
     identity: Replica,
@@ -43,9 +68,12 @@
         self.storage.close();
     }
 
-    /// Handles a request and replies once everything that the reply promises is durable; `None` if
-    /// it could not be made durable, or while the queue of writes is full.
-    pub async fn answer(&self, request: Request) -> Option<Reply> {
+    /// Handles a request and replies once everything that the reply promises is durable.
+    ///
+    /// # Errors
+    ///
+    /// If it could not be made durable, or while the queue of writes is full.
+    pub async fn answer(&self, request: Request) -> Result<Reply, NotDurable> {
         self.persist(|acceptor| {
             let response = acceptor.handle(request);
             (response.durable_write, response.reply)
@@ -66,13 +94,19 @@
             .members()
             .any(|member| member.id == self.identity.id);
         if is_behind && is_member {
-            self.persist(|acceptor| (acceptor.learn(chosen), ())).await;
+            // Without success the replica stays behind, and catches up after the next read.
+            self.persist(|acceptor| (acceptor.learn(chosen), ()))
+                .await
+                .ok();
         }
     }
 
-    /// Writes the first value of a new register, with this replica as the only member; `None` if it
-    /// could not be synced.
-    pub async fn bootstrap(&self, ballot: Ballot) -> Option<AcceptedValue> {
+    /// Writes the first value of a new register, with this replica as the only member.
+    ///
+    /// # Errors
+    ///
+    /// If the value could not be made durable, or the replica is not new.
+    pub async fn bootstrap(&self, ballot: Ballot) -> Result<AcceptedValue, BootstrapError> {
         let proposed = AcceptedValue {
             ballot,
             state: Arc::new(ControlState::bootstrap(self.identity.clone())),
@@ -83,31 +117,35 @@
                 proposed: proposed.clone(),
             },
         };
-        match self.answer(request).await {
-            Some(Reply::Accepted { .. }) => Some(proposed),
-            _ => None,
+        match self.answer(request).await? {
+            Reply::Accepted { .. } => Ok(proposed),
+            _ => Err(BootstrapError::Rejected),
         }
     }
 
     /// Applies a step to the acceptor and returns its result once all that the acceptor remembers
     /// is durable.
-    async fn persist<T>(&self, step: impl FnOnce(&mut Acceptor) -> (DurableWrite, T)) -> Option<T> {
+    async fn persist<T>(
+        &self,
+        step: impl FnOnce(&mut Acceptor) -> (DurableWrite, T),
+    ) -> Result<T, NotDurable> {
         let (result, synced) = {
             let mut acceptor = self.acceptor.lock();
             match self.storage.take_health() {
                 Health::Good => (),
-                Health::Failed => return None,
+                Health::Failed => return Err(NotDurable::DiskFailed),
                 Health::Reloaded(state) => *acceptor = Acceptor::new(self.identity.id, state),
             }
             if self.storage.is_full() {
-                return None;
+                return Err(NotDurable::QueueFull);
             }
             let (write, result) = step(&mut acceptor);
             if write == DurableWrite::Nothing && self.storage.is_synced() {
-                return Some(result);
+                return Ok(result);
             }
             (result, self.storage.sync(write))
         };
-        synced.await.ok().map(|()| result)
+        synced.await.map_err(|_| NotDurable::DiskFailed)?;
+        Ok(result)
     }
 }
--- a/crates/mintlb-control/src/controller/register/membership.rs
+++ b/crates/mintlb-control/src/controller/register/membership.rs
@@ -1,7 +1,7 @@
 //! Membership of the local replica in the replica set: finding the register, joining, catching up,
 //! leaving.
 
-use super::client::RegisterClient;
+use super::client::{QuorumUnavailable, RegisterClient};
 use super::discovery::Discovery;
 use crate::controller::contact::monitor::ContactMonitor;
 use crate::controller::settings::SharedSettings;
@@ -30,13 +30,16 @@
 /// Delays are lengthened by up to a quarter, so that the controllers don't poll in step.
 const JITTER_DIVISOR: u64 = 4;
 
-/// Completes a change of the replica set: leaves the joint set for the new one. Returns whether a
-/// quorum has done so.
-pub async fn complete_reconfiguration(register: &RegisterClient) -> bool {
+/// Completes a change of the replica set: leaves the joint set for the new one.
+///
+/// # Errors
+///
+/// If no quorum has replied in time.
+pub async fn complete_reconfiguration(register: &RegisterClient) -> Result<(), QuorumUnavailable> {
     register
         .change(Change::LeaveJoint, RECONFIGURATION_TIMEOUT)
-        .await
-        .is_ok()
+        .await?;
+    Ok(())
 }
 
 /// Keeps the local replica in the replica set.
@@ -108,7 +111,7 @@
             .change(removal, RECONFIGURATION_TIMEOUT)
             .await
             .is_ok_and(|outcome| outcome.change.is_applied());
-        if removed && complete_reconfiguration(&self.register).await {
+        if removed && complete_reconfiguration(&self.register).await.is_ok() {
             log::info!("register: replica {:x} has left the replica set", id.0);
         }
     }
@@ -122,7 +125,7 @@
     /// Returns whether the value is known.
     async fn read(&self, inconclusive_reads: &mut u32) -> bool {
         let deadline = Instant::now() + READ_TIMEOUT;
-        if self.register.read_once(deadline).await.is_some() {
+        if self.register.read_once(deadline).await.is_ok() {
             *inconclusive_reads = 0;
             return true;
         }
@@ -155,7 +158,8 @@
             }
         }
         if set.is_joint() {
-            complete_reconfiguration(&self.register).await;
+            // Without success the next look tries again.
+            complete_reconfiguration(&self.register).await.ok();
         }
         READ_INTERVAL
     }
@@ -174,7 +178,7 @@
         match self.register.change(change, RECONFIGURATION_TIMEOUT).await {
             Ok(outcome)
                 if outcome.change.is_applied()
-                    && complete_reconfiguration(&self.register).await =>
+                    && complete_reconfiguration(&self.register).await.is_ok() =>
             {
                 Duration::ZERO
             }
--- a/crates/mintlb-control/src/controller/register/replica_calls.rs
+++ b/crates/mintlb-control/src/controller/register/replica_calls.rs
@@ -48,7 +48,7 @@
     let transport = transport.clone();
     tokio::spawn(async move {
         let reply = match local {
-            Some(local) => local.answer(request).await,
+            Some(local) => local.answer(request).await.ok(),
             None => call(&transport, &replica, request).await,
         };
         let reply = ReplicaReply {
--- a/crates/mintlb-control/src/controller/register/service.rs
+++ b/crates/mintlb-control/src/controller/register/service.rs
@@ -57,7 +57,7 @@
     }
 
     async fn acceptor_reply(&self, request: Request) -> Option<RegisterResponse> {
-        let reply = self.client.replica()?.answer(request).await?;
+        let reply = self.client.replica()?.answer(request).await.ok()?;
         Some(RegisterResponse::Acceptor(reply))
     }
 
--- a/crates/mintlb-control/src/controller/singleton/replica_removal.rs
+++ b/crates/mintlb-control/src/controller/singleton/replica_removal.rs
@@ -53,7 +53,8 @@
                 id.0,
                 outcome.chosen.state.replicas.epoch
             );
-            complete_reconfiguration(&self.register).await;
+            // Without success, membership completes it after its next read.
+            complete_reconfiguration(&self.register).await.ok();
         }
     }
 }
--- a/crates/mintlb-control/src/controller/singleton/shard_placement.rs
+++ b/crates/mintlb-control/src/controller/singleton/shard_placement.rs
@@ -51,7 +51,9 @@
             .chosen()
             .map_or(0, |chosen| chosen.state.placement.epoch);
         if published > known {
-            self.register.read_once(Instant::now() + READ_TIMEOUT).await;
+            // Without success the plan is based on an older placement, and the register rejects it.
+            let deadline = Instant::now() + READ_TIMEOUT;
+            self.register.read_once(deadline).await.ok();
         }
     }
 
--- a/crates/mintlb-control/tests/controller_catch_up.rs
+++ b/crates/mintlb-control/tests/controller_catch_up.rs
@@ -68,7 +68,7 @@
         target: ReplicaId(7),
         body,
     }));
-    assert!(matches!(reply, Some(Reply::Promise { .. })), "{reply:?}");
+    assert!(matches!(reply, Ok(Reply::Promise { .. })), "{reply:?}");
     wait(local.catch_up(&chosen(8, 7)));
     assert_eq!(
         local.accepted(),
--- a/crates/mintlb-control/tests/controller_disk_faults.rs
+++ b/crates/mintlb-control/tests/controller_disk_faults.rs
@@ -7,7 +7,7 @@
 use builders::{ValueBuilder, ballot, replica_set};
 use faulty_disk::{FaultyDisk, Mode};
 use mintlb_control::controller::register::acceptor_storage::{AcceptorStorage, MAX_PENDING_SYNCS};
-use mintlb_control::controller::register::local_replica::LocalReplica;
+use mintlb_control::controller::register::local_replica::{LocalReplica, NotDurable};
 use mintlb_register::ballot::Ballot;
 use mintlb_register::message::{AcceptedValue, Reply, ReportedValue, Request, RequestBody};
 use mintlb_register::replica_set::ReplicaId;
@@ -60,7 +60,7 @@
 }
 
 /// Waits for a reply on the calling thread.
-fn reply_to(replica: &LocalReplica, request: Request) -> Option<Reply> {
+fn reply_to(replica: &LocalReplica, request: Request) -> Result<Reply, NotDurable> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_time()
         .build()
@@ -77,8 +77,8 @@
     let until = Instant::now() + TEST_TIMEOUT;
     loop {
         match reply_to(replica, request.clone()) {
-            Some(reply) => return reply,
-            None => assert!(Instant::now() < until, "the replica does not resume"),
+            Ok(reply) => return reply,
+            Err(_) => assert!(Instant::now() < until, "the replica does not resume"),
         }
         std::thread::yield_now();
     }
@@ -101,10 +101,14 @@
         let replica = replica(&disk);
         assert_eq!(
             reply_to(&replica, accept(1)),
-            Some(Reply::Accepted { ballot: ballot(1) })
+            Ok(Reply::Accepted { ballot: ballot(1) })
         );
         disk.set_mode(mode);
-        assert_eq!(reply_to(&replica, accept(2)), None, "{mode:?}");
+        assert_eq!(
+            reply_to(&replica, accept(2)),
+            Err(NotDurable::DiskFailed),
+            "{mode:?}"
+        );
         for request in [
             accept(2),
             prepare(2),
@@ -115,7 +119,7 @@
         ] {
             assert_eq!(
                 reply_to(&replica, request.clone()),
-                None,
+                Err(NotDurable::DiskFailed),
                 "{mode:?}, {request:?}"
             );
         }
@@ -131,7 +135,10 @@
         for iteration in 1..=4 {
             let counter = 10 * iteration;
             disk.set_mode(mode);
-            assert_eq!(reply_to(&replica, accept(counter)), None);
+            assert_eq!(
+                reply_to(&replica, accept(counter)),
+                Err(NotDurable::DiskFailed)
+            );
             disk.set_mode(Mode::Good);
             let reported = reported_ballot(retry_until_reply(&replica, read())).unwrap();
             assert!(
@@ -141,9 +148,9 @@
             assert_eq!(
                 reply_to(&replica, prepare(counter + 1))
                     .map(|reply| reported_ballot(reply).is_some()),
-                Some(true)
+                Ok(true)
             );
-            let accepted = Some(Reply::Accepted {
+            let accepted = Ok(Reply::Accepted {
                 ballot: ballot(counter + 1),
             });
             assert_eq!(
@@ -161,7 +168,7 @@
     let before = replica(&disk);
     reply_to(&before, accept(1));
     disk.set_mode(Mode::SyncFails);
-    assert_eq!(reply_to(&before, accept(2)), None);
+    assert_eq!(reply_to(&before, accept(2)), Err(NotDurable::DiskFailed));
     disk.set_mode(Mode::Good);
     let reported_before = reported_ballot(retry_until_reply(&before, read()));
     disk.lose_power();
@@ -181,7 +188,7 @@
 fn pending<'a>(
     replica: &'a LocalReplica,
     request: Request,
-) -> std::pin::Pin<Box<dyn Future<Output = Option<Reply>> + 'a>> {
+) -> std::pin::Pin<Box<dyn Future<Output = Result<Reply, NotDurable>> + 'a>> {
     let mut call = Box::pin(replica.answer(request));
     let polled = call.as_mut().poll(&mut Context::from_waker(Waker::noop()));
     assert!(polled.is_pending(), "{polled:?}");
@@ -202,21 +209,25 @@
     let over = Box::pin(replica.answer(prepare(9000)))
         .as_mut()
         .poll(&mut Context::from_waker(Waker::noop()));
-    assert_eq!(over, Poll::Ready(None), "the queue is bounded");
+    assert_eq!(
+        over,
+        Poll::Ready(Err(NotDurable::QueueFull)),
+        "the queue is bounded"
+    );
     disk.set_mode(Mode::Good);
     let runtime = tokio::runtime::Builder::new_current_thread()
         .build()
         .unwrap();
     assert_eq!(
         runtime.block_on(first),
-        Some(Reply::Accepted { ballot: ballot(2) })
+        Ok(Reply::Accepted { ballot: ballot(2) })
     );
     assert!(
         waiting
             .into_iter()
-            .all(|call| runtime.block_on(call).is_some())
+            .all(|call| runtime.block_on(call).is_ok())
     );
-    let Some(Reply::Promise {
+    let Ok(Reply::Promise {
         last_accepted: ReportedValue::Value(accepted),
         ..
     }) = reply_to(&replica, prepare(9001))
@@ -240,7 +251,7 @@
     let waiting: Vec<_> = (1..MAX_PENDING_SYNCS)
         .map(|_| pending(&replica, read()))
         .collect();
-    assert_eq!(reply_to(&replica, accept(50)), None);
+    assert_eq!(reply_to(&replica, accept(50)), Err(NotDurable::QueueFull));
     disk.set_mode(Mode::Good);
     drop((first, waiting));
     let reply = retry_until_reply(&replica, accept(49));
