--- a/crates/mintlb-control/tests/controller_disk_faults.rs
+++ b/crates/mintlb-control/tests/controller_disk_faults.rs
@@ -131,7 +131,7 @@
     for mode in [Mode::SyncFails, Mode::Full] {
         let disk = FaultyDisk::with_replica(ID);
         let replica = replica(&disk);
-        reply_to(&replica, accept(1));
+        reply_to(&replica, accept(1)).unwrap();
         for iteration in 1..=4 {
             let counter = 10 * iteration;
             disk.set_mode(mode);
@@ -166,7 +166,7 @@
 fn a_reply_after_the_recovery_survives_a_power_loss() {
     let disk = FaultyDisk::with_replica(ID);
     let before = replica(&disk);
-    reply_to(&before, accept(1));
+    reply_to(&before, accept(1)).unwrap();
     disk.set_mode(Mode::SyncFails);
     assert_eq!(reply_to(&before, accept(2)), Err(NotDurable::DiskFailed));
     disk.set_mode(Mode::Good);
@@ -199,7 +199,7 @@
 fn requests_to_a_hanging_disk_wait_in_a_bounded_queue() {
     let disk = FaultyDisk::with_replica(ID);
     let replica = replica(&disk);
-    reply_to(&replica, accept(1));
+    reply_to(&replica, accept(1)).unwrap();
     disk.set_mode(Mode::Hangs);
     let first = pending(&replica, accept(2));
     disk.wait_until_it_hangs();
