--- a/crates/mintlb-control/src/controller/contact/monitor.rs
+++ b/crates/mintlb-control/src/controller/contact/monitor.rs
@@ -1,7 +1,7 @@
 //! Contact and leadership of this process, shared by its tasks. Each question is answered for the
 //! moment at which it is asked, with the newest replica set known.
 
-use super::messages::{Ping, Pong};
+use super::messages::{LeaderEpoch, Ping, Pong};
 use super::ping_state::PingState;
 use crate::controller::register::RegisterClient;
 use mintlb_register::replica_set::{ReplicaId, ReplicaSet};
@@ -55,18 +55,18 @@
     }
 
     /// The epoch under which this process is the singleton leader now.
-    pub fn leader_epoch(&self) -> Option<u64> {
+    pub fn leader_epoch(&self) -> Option<LeaderEpoch> {
         let set = self.register.set()?;
         self.pings.lock().peers.leader_epoch(Instant::now(), &set)
     }
 
     /// Whether this process is the singleton leader now, still under this epoch.
-    pub fn is_leader(&self, epoch: u64) -> bool {
+    pub fn is_leader(&self, epoch: LeaderEpoch) -> bool {
         self.leader_epoch() == Some(epoch)
     }
 
     /// The highest leader epoch known.
-    pub fn highest_epoch(&self) -> u64 {
+    pub fn highest_epoch(&self) -> LeaderEpoch {
         self.pings.lock().peers.epoch()
     }
 
@@ -86,7 +86,7 @@
     }
 
     /// Advances the election. Returns the epoch under which this process leads.
-    pub(super) fn step(&self, set: &ReplicaSet) -> Option<u64> {
+    pub(super) fn step(&self, set: &ReplicaSet) -> Option<LeaderEpoch> {
         let majority_at = self.register.majority_at();
         let now = Instant::now();
         let peers = &mut self.pings.lock().peers;
--- a/crates/mintlb-control/src/controller/contact/peers.rs
+++ b/crates/mintlb-control/src/controller/contact/peers.rs
@@ -11,6 +11,7 @@
 //! Each answer that depends on the time is given for the moment of the question, so also in the
 //! first question after the process was paused.
 
+use super::messages::LeaderEpoch;
 use super::quorum_contact::QuorumContact;
 use mintlb_register::replica_set::{Replica, ReplicaId, ReplicaSet};
 use rustc_hash::FxHashMap;
@@ -45,8 +46,8 @@
     last_step: Instant,
     preferred_since: Option<Instant>,
     /// The highest leader epoch known.
-    epoch: u64,
-    leader_epoch: Option<u64>,
+    epoch: LeaderEpoch,
+    leader_epoch: Option<LeaderEpoch>,
 }
 
 impl Peers {
@@ -61,7 +62,7 @@
             in_contact_since: None,
             last_step: now,
             preferred_since: None,
-            epoch: 0,
+            epoch: LeaderEpoch::default(),
             leader_epoch: None,
         }
     }
@@ -73,7 +74,7 @@
         now: Instant,
         address: SocketAddr,
         replica: Option<ReplicaId>,
-        epoch: u64,
+        epoch: LeaderEpoch,
     ) {
         self.addresses.retain(|_, received_at| {
             now.saturating_duration_since(*received_at) < UNRESPONSIVE_TIMEOUT
@@ -115,12 +116,12 @@
     }
 
     /// The highest leader epoch known.
-    pub fn epoch(&self) -> u64 {
+    pub fn epoch(&self) -> LeaderEpoch {
         self.epoch
     }
 
     /// The epoch under which this process leads now.
-    pub fn leader_epoch(&self, now: Instant, set: &ReplicaSet) -> Option<u64> {
+    pub fn leader_epoch(&self, now: Instant, set: &ReplicaSet) -> Option<LeaderEpoch> {
         self.leader_epoch
             .filter(|_| !self.has_paused(now) && self.is_in_contact(now, set))
     }
@@ -176,7 +177,7 @@
         }
         let since = *self.preferred_since.get_or_insert(now);
         if self.leader_epoch.is_none() && now.saturating_duration_since(since) >= ELECTION_TIMEOUT {
-            self.epoch += 1;
+            self.epoch = self.epoch.next();
             self.leader_epoch = Some(self.epoch);
         }
     }
--- a/crates/mintlb-control/src/controller/contact/pings.rs
+++ b/crates/mintlb-control/src/controller/contact/pings.rs
@@ -1,5 +1,6 @@
 //! The task that pings the other controllers and drives the election.
 
+use super::messages::LeaderEpoch;
 use super::monitor::ContactMonitor;
 use super::ping_state::STEP;
 use crate::controller::register::RegisterClient;
@@ -106,7 +107,7 @@
     }
 }
 
-fn log_leadership(previous: Option<u64>, current: Option<u64>) {
+fn log_leadership(previous: Option<LeaderEpoch>, current: Option<LeaderEpoch>) {
     match (previous, current) {
         (_, Some(epoch)) => log::info!("singleton: became the leader, epoch {epoch}"),
         (Some(epoch), None) => log::info!("singleton: stepped down as the leader, epoch {epoch}"),
--- a/crates/mintlb-control/src/controller/singleton/leader.rs
+++ b/crates/mintlb-control/src/controller/singleton/leader.rs
@@ -3,6 +3,7 @@
 use super::replica_removal::ReplicaRemoval;
 use super::shard_placement::ShardPlacement;
 use super::worker_expiry::WorkerExpiry;
+use crate::controller::contact::messages::LeaderEpoch;
 use crate::controller::contact::monitor::ContactMonitor;
 use crate::controller::contact::ping_state::STEP;
 use crate::controller::workers::unclaimed_workers::UnclaimedWorkers;
@@ -69,7 +70,7 @@
         }
     }
 
-    async fn maintain_cluster(&self, epoch: u64) {
+    async fn maintain_cluster(&self, epoch: LeaderEpoch) {
         self.placement.refresh().await;
         if self.contact.is_leader(epoch) {
             self.placement.place_shards().await;
--- a/crates/mintlb-control/src/controller/singleton/messages.rs
+++ b/crates/mintlb-control/src/controller/singleton/messages.rs
@@ -1,7 +1,7 @@
 //! The messages between controllers on the control channel. Their minicbor indexes are fixed:
 //! controllers of different releases exchange them.
 
-use crate::controller::contact::messages::{Ping, Pong};
+use crate::controller::contact::messages::{LeaderEpoch, Ping, Pong};
 use bytes::Bytes;
 use minicbor::{Decode, Encode};
 
@@ -17,7 +17,7 @@
     Workers {
         /// The epoch under which the sender leads.
         #[n(0)]
-        epoch: u64,
+        epoch: LeaderEpoch,
     },
     /// The operator's request on the retirement of a store, forwarded by a controller that doesn't
     /// receive the stores' heartbeats.
@@ -39,7 +39,7 @@
     StaleEpoch {
         /// That epoch.
         #[n(0)]
-        epoch: u64,
+        epoch: LeaderEpoch,
     },
     /// The result for the operator.
     #[n(3)]
--- a/crates/mintlb-control/src/controller/singleton/service.rs
+++ b/crates/mintlb-control/src/controller/singleton/service.rs
@@ -3,6 +3,7 @@
 use super::messages::{ControllerRequest, ControllerResponse, encode};
 use super::retirement::RetirementHandler;
 use super::store_monitor::StoreMonitor;
+use crate::controller::contact::messages::LeaderEpoch;
 use crate::controller::contact::monitor::ContactMonitor;
 use crate::controller::workers::service::WorkerService;
 use bytes::Bytes;
@@ -75,7 +76,7 @@
         }
     }
 
-    fn workers(&self, epoch: u64) -> ControllerResponse {
+    fn workers(&self, epoch: LeaderEpoch) -> ControllerResponse {
         let highest = self.contact.highest_epoch();
         if epoch < highest {
             return ControllerResponse::StaleEpoch { epoch: highest };
--- a/crates/mintlb-control/src/controller/singleton/worker_expiry.rs
+++ b/crates/mintlb-control/src/controller/singleton/worker_expiry.rs
@@ -1,6 +1,7 @@
 //! Expiry of the records of workers that no controller claims.
 
 use super::messages::{ControllerRequest, ControllerResponse, encode};
+use crate::controller::contact::messages::LeaderEpoch;
 use crate::controller::contact::monitor::ContactMonitor;
 use crate::controller::workers::service::WorkerService;
 use crate::controller::workers::unclaimed_workers::UnclaimedWorkers;
@@ -42,7 +43,7 @@
 
     /// Publishes the end of workers that no controller has claimed for long. `epoch` is that under
     /// which this process leads.
-    pub async fn scan(&self, unclaimed: &mut UnclaimedWorkers, epoch: u64) {
+    pub async fn scan(&self, unclaimed: &mut UnclaimedWorkers, epoch: LeaderEpoch) {
         let Some(claimed) = self.claimed_workers(epoch).await else {
             return;
         };
@@ -60,7 +61,7 @@
 
     /// The hashes of the ids of all workers that a controller claims; `None` unless all live
     /// controllers have responded, as without all of them no worker counts as unclaimed.
-    async fn claimed_workers(&self, epoch: u64) -> Option<FxHashSet<u32>> {
+    async fn claimed_workers(&self, epoch: LeaderEpoch) -> Option<FxHashSet<u32>> {
         let mut claimed: FxHashSet<u32> = self.workers.id_hashes().into_iter().collect();
         let body = encode(&ControllerRequest::Workers { epoch });
         let mut calls = JoinSet::new();
--- a/crates/mintlb-control/src/controller/startup.rs
+++ b/crates/mintlb-control/src/controller/startup.rs
@@ -59,24 +59,24 @@
     transport: Arc<Transport>,
 ) -> Result<StartedController, AcceptorFileError> {
     let mut random = random_generator(transport.local_address(), &settings);
-    let parts = Parts::new(settings, transport, &mut random)?;
-    let membership = Arc::new(parts.membership(random));
+    let components = Components::new(settings, transport, &mut random)?;
+    let membership = Arc::new(components.membership(random));
     let mut tasks = JoinSet::new();
     tasks.spawn(membership.clone().run());
-    tasks.spawn(parts.workers.clone().expire_unresponsive_workers());
-    parts
+    tasks.spawn(components.workers.clone().expire_unresponsive_workers());
+    components
         .transport
-        .register_service(Channel::Control, Arc::new(parts.control_service()));
-    tasks.spawn(parts.pinger().run());
-    tasks.spawn(parts.leader().run());
+        .register_service(Channel::Control, Arc::new(components.control_service()));
+    tasks.spawn(components.pinger().run());
+    tasks.spawn(components.leader().run());
     let controller = Controller {
-        http: parts.http_api(),
-        gossip: parts.gossip,
-        register: parts.register,
+        http: components.http_api(),
+        gossip: components.gossip,
+        register: components.register,
         membership,
-        workers: parts.workers,
-        settings: parts.settings,
-        transport: parts.transport,
+        workers: components.workers,
+        settings: components.settings,
+        transport: components.transport,
     };
     Ok(StartedController {
         controller: Arc::new(controller),
@@ -84,8 +84,8 @@
     })
 }
 
-/// The shared parts, of which the tasks and the API are composed.
-struct Parts {
+/// The shared components, of which the tasks and the API are composed.
+struct Components {
     settings: Arc<SharedSettings>,
     transport: Arc<Transport>,
     gossip: Arc<GossipService>,
@@ -99,12 +99,12 @@
     leader_work: Arc<Notify>,
 }
 
-impl Parts {
+impl Components {
     fn new(
         settings: NodeSettings,
         transport: Arc<Transport>,
         random: &mut fastrand::Rng,
-    ) -> Result<Parts, AcceptorFileError> {
+    ) -> Result<Components, AcceptorFileError> {
         let own_address = transport.local_address();
         let replica = open_replica(&settings, own_address, random)?;
         let gossip = start_gossip(&settings, transport.clone());
@@ -127,7 +127,7 @@
             stores.clone(),
             settings.clone(),
         );
-        Ok(Parts {
+        Ok(Components {
             settings,
             transport,
             gossip,
--- a/crates/mintlb-control/tests/controller_peers.rs
+++ b/crates/mintlb-control/tests/controller_peers.rs
@@ -3,6 +3,7 @@
 mod builders;
 
 use builders::{address, replica_set};
+use mintlb_control::controller::contact::messages::LeaderEpoch;
 use mintlb_control::controller::contact::peers::{
     ELECTION_TIMEOUT, LIVE_TIMEOUT, Peers, UNRESPONSIVE_TIMEOUT,
 };
@@ -22,7 +23,7 @@
 /// one.
 fn respond(peers: &mut Peers, now: Instant, id: u64) {
     let vote = peers.preferred_leader(now, &set()).unwrap_or(ReplicaId(id));
-    peers.record_message(now, address(id), Some(ReplicaId(id)), 0);
+    peers.record_message(now, address(id), Some(ReplicaId(id)), LeaderEpoch(0));
     peers.record_acknowledgement(ReplicaId(id), now, Some(vote));
 }
 
@@ -43,7 +44,7 @@
     pass(&mut peers, &mut now, ELECTION_TIMEOUT, &[10, 11]);
     assert_eq!(peers.leader_epoch(now, &set()), None);
     pass(&mut peers, &mut now, STEP, &[10, 11]);
-    assert_eq!(peers.leader_epoch(now, &set()), Some(1));
+    assert_eq!(peers.leader_epoch(now, &set()), Some(LeaderEpoch(1)));
 }
 
 #[test]
@@ -58,7 +59,7 @@
         LIVE_TIMEOUT + ELECTION_TIMEOUT + STEP,
         &[11],
     );
-    assert_eq!(peers.leader_epoch(now, &set()), Some(1));
+    assert_eq!(peers.leader_epoch(now, &set()), Some(LeaderEpoch(1)));
     pass(&mut peers, &mut now, STEP, &[9, 11]);
     assert_eq!(
         peers.leader_epoch(now, &set()),
@@ -72,11 +73,11 @@
     let mut now = Instant::now();
     let mut peers = Peers::new(now, Some(ReplicaId(9)));
     pass(&mut peers, &mut now, ELECTION_TIMEOUT + STEP, &[10, 11]);
-    assert_eq!(peers.leader_epoch(now, &set()), Some(1));
-    peers.record_message(now, address(10), Some(ReplicaId(10)), 5);
+    assert_eq!(peers.leader_epoch(now, &set()), Some(LeaderEpoch(1)));
+    peers.record_message(now, address(10), Some(ReplicaId(10)), LeaderEpoch(5));
     assert_eq!(peers.leader_epoch(now, &set()), None);
     pass(&mut peers, &mut now, ELECTION_TIMEOUT + STEP, &[10, 11]);
-    assert_eq!(peers.leader_epoch(now, &set()), Some(6));
+    assert_eq!(peers.leader_epoch(now, &set()), Some(LeaderEpoch(6)));
 }
 
 #[test]
@@ -108,7 +109,7 @@
     pass(&mut peers, &mut now, STEP, &[10, 11]);
     pass(&mut peers, &mut now, UNRESPONSIVE_TIMEOUT, &[10]);
     assert_eq!(peers.unresponsive(now, &set()), [ReplicaId(11)]);
-    peers.record_message(now, address(11), Some(ReplicaId(11)), 0);
+    peers.record_message(now, address(11), Some(ReplicaId(11)), LeaderEpoch(0));
     assert!(peers.unresponsive(now, &set()).is_empty());
 }
 
@@ -134,7 +135,7 @@
     while now < end {
         now += STEP;
         respond(&mut peers, now, 10);
-        peers.record_message(now, address(11), Some(ReplicaId(77)), 0);
+        peers.record_message(now, address(11), Some(ReplicaId(77)), LeaderEpoch(0));
         peers.step(now, &set());
     }
     assert_eq!(peers.unresponsive(now, &set()), [ReplicaId(11)]);
@@ -146,13 +147,13 @@
     let mut now = Instant::now();
     let mut peers = Peers::new(now, Some(ReplicaId(9)));
     pass(&mut peers, &mut now, ELECTION_TIMEOUT + STEP, &[10, 11]);
-    assert_eq!(peers.leader_epoch(now, &set()), Some(1));
+    assert_eq!(peers.leader_epoch(now, &set()), Some(LeaderEpoch(1)));
     let sent_before = now;
     now += Duration::from_secs(20);
     // What lay in the buffers is read first: pings of the others, and answers to what was sent
     // before.
     for id in [10, 11] {
-        peers.record_message(now, address(id), Some(ReplicaId(id)), 1);
+        peers.record_message(now, address(id), Some(ReplicaId(id)), LeaderEpoch(1));
         peers.record_acknowledgement(ReplicaId(id), sent_before, Some(ReplicaId(9)));
     }
     assert!(!peers.is_in_contact(now, &set()));
@@ -180,9 +181,9 @@
     let end = now + CONTACT_LEASE;
     while now < end {
         now += STEP;
-        [10, 11]
-            .into_iter()
-            .for_each(|id| peers.record_message(now, address(id), Some(ReplicaId(id)), 0));
+        [10, 11].into_iter().for_each(|id| {
+            peers.record_message(now, address(id), Some(ReplicaId(id)), LeaderEpoch(0))
+        });
         peers.step(now, &set());
     }
     assert!(!peers.is_in_contact(now, &set()));
@@ -197,7 +198,7 @@
     let end = now + LIVE_TIMEOUT + ELECTION_TIMEOUT * 2;
     while now < end {
         now += STEP;
-        peers.record_message(now, address(9), Some(ReplicaId(9)), 0);
+        peers.record_message(now, address(9), Some(ReplicaId(9)), LeaderEpoch(0));
         if leader_acknowledges {
             peers.record_acknowledgement(ReplicaId(9), now, None);
         }
@@ -210,13 +211,13 @@
 #[test]
 fn the_next_replica_is_elected_if_the_first_receives_nothing() {
     let (now, peers) = beside_the_leader(false);
-    assert_eq!(peers.leader_epoch(now, &set()), Some(1));
+    assert_eq!(peers.leader_epoch(now, &set()), Some(LeaderEpoch(1)));
 }
 
 #[test]
 fn the_next_replica_is_elected_if_the_first_reaches_a_minority_only() {
     let (now, mut peers) = beside_the_leader(true);
-    assert_eq!(peers.leader_epoch(now, &set()), Some(1));
+    assert_eq!(peers.leader_epoch(now, &set()), Some(LeaderEpoch(1)));
     respond(&mut peers, now, 9);
     peers.step(now, &set());
     assert_eq!(
@@ -233,7 +234,7 @@
     let end = now + ELECTION_TIMEOUT * 5;
     while now < end {
         now += STEP;
-        peers.record_message(now, address(11), Some(ReplicaId(11)), 0);
+        peers.record_message(now, address(11), Some(ReplicaId(11)), LeaderEpoch(0));
         peers.record_acknowledgement(ReplicaId(11), now, Some(ReplicaId(9)));
         peers.step(now, &set());
         assert_eq!(peers.leader_epoch(now, &set()), None);
--- a/crates/mintlb-control/tests/controller_wire_fixtures.rs
+++ b/crates/mintlb-control/tests/controller_wire_fixtures.rs
@@ -11,7 +11,7 @@
 use fixture::{Fixtures, path};
 use mintlb_common::placement::{Placement, ShardAssignment, StoreEntry};
 use mintlb_common::transport::{Channel, ResponseFuture, Service, Transport};
-use mintlb_control::controller::contact::messages::{PeerStatus, Ping, Pong};
+use mintlb_control::controller::contact::messages::{LeaderEpoch, PeerStatus, Ping, Pong};
 use mintlb_control::controller::register;
 use mintlb_control::controller::register::acceptor_storage::{AcceptorStorage, FILE};
 use mintlb_control::controller::register::local_replica::LocalReplica;
@@ -108,12 +108,12 @@
     let mut fixtures = Fixtures::read("duty_calls.txt");
     let full = PeerStatus {
         replica: Some(ReplicaId(51)),
-        epoch: 52,
+        epoch: LeaderEpoch(52),
         preferred_leader: Some(ReplicaId(53)),
     };
     let empty = PeerStatus {
         replica: None,
-        epoch: 54,
+        epoch: LeaderEpoch(54),
         preferred_leader: None,
     };
     let retire = |begin| {
@@ -147,7 +147,12 @@
                 echo: Some(55),
             }),
         ),
-        ("workers", ControllerRequest::Workers { epoch: 56 }),
+        (
+            "workers",
+            ControllerRequest::Workers {
+                epoch: LeaderEpoch(56),
+            },
+        ),
         ("retire-begin", retire(true)),
         ("retire-ask", retire(false)),
     ];
@@ -162,12 +167,12 @@
     let mut fixtures = Fixtures::read("duty_answers.txt");
     let full = PeerStatus {
         replica: Some(ReplicaId(51)),
-        epoch: 52,
+        epoch: LeaderEpoch(52),
         preferred_leader: Some(ReplicaId(53)),
     };
     let empty = PeerStatus {
         replica: None,
-        epoch: 54,
+        epoch: LeaderEpoch(54),
         preferred_leader: None,
     };
     let answers = [
@@ -190,7 +195,12 @@
             ControllerResponse::Workers(vec![1, 70_000, u32::MAX]),
         ),
         ("workers-none", ControllerResponse::Workers(Vec::new())),
-        ("stale", ControllerResponse::StaleEpoch { epoch: 58 }),
+        (
+            "stale",
+            ControllerResponse::StaleEpoch {
+                epoch: LeaderEpoch(58),
+            },
+        ),
         (
             "retire-ordered",
             ControllerResponse::Retirement(RetirementStatus::Ordered),
--- a/crates/mintlb-simulation/src/controller/duties.rs
+++ b/crates/mintlb-simulation/src/controller/duties.rs
@@ -147,7 +147,9 @@
             .into_iter()
             .for_each(|at| peers.record_majority_round(at));
         peers.step(context.instant, &set);
-        let held = peers.leader_epoch(context.instant, &set);
+        let held = peers
+            .leader_epoch(context.instant, &set)
+            .map(|epoch| epoch.0);
         if held != self.duties.held {
             self.duties.held = held;
             context
