--- a/crates/mintlb-batch/src/client/store_backlogs.rs
+++ b/crates/mintlb-batch/src/client/store_backlogs.rs
@@ -59,7 +59,7 @@
         };
         stores.retain(|store| !is_idle(store.id));
         stores.sort_by_key(|store| {
-            let order_of_owner = (store.id ^ owner).rotate_left(17);
+            let order_of_owner = (store.id.0 ^ owner).rotate_left(17);
             (Reverse(has_backlog(store.id)), order_of_owner)
         });
         stores
--- a/crates/mintlb-batch/src/placement_planner/store_selection.rs
+++ b/crates/mintlb-batch/src/placement_planner/store_selection.rs
@@ -145,7 +145,7 @@
 
 /// A hash that spreads equally suited stores over the shards.
 fn spread(shard: usize, id: StoreId) -> u64 {
-    let mixed = (id ^ (shard as u64 + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15))
+    let mixed = (id.0 ^ (shard as u64 + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15))
         .wrapping_mul(0xbf58_476d_1ce4_e5b9);
     mixed ^ (mixed >> 31)
 }
--- a/crates/mintlb-batch/tests/client.rs
+++ b/crates/mintlb-batch/tests/client.rs
@@ -5,6 +5,7 @@
 use mintlb_batch::entry::JobTerms;
 use mintlb_batch::framing;
 use mintlb_batch::messages::{StoreRequest, StoreResponse};
+use mintlb_common::placement::StoreId;
 use mintlb_common::placement::{Placement, SHARD_COUNT, ShardAssignment, StoreEntry};
 use mintlb_common::transport::{Channel, ResponseFuture, Service, Transport};
 use parking_lot::Mutex;
@@ -64,7 +65,7 @@
 /// A placement with all shards on one store.
 fn placement(address: SocketAddr) -> Placement {
     let store = StoreEntry {
-        id: 1,
+        id: StoreId(1),
         node_name: String::new(),
         address: address.to_string(),
         zone: String::new(),
--- a/crates/mintlb-batch/tests/decommission.rs
+++ b/crates/mintlb-batch/tests/decommission.rs
@@ -6,6 +6,7 @@
     DecommissionError, DecommissionStart, DecommissionStatus, decommission_status,
     start_decommission,
 };
+use mintlb_common::placement::StoreId;
 use planner_harness::{PlannerHarness, STEP};
 use std::time::Duration;
 
@@ -45,10 +46,10 @@
     assert_eq!(status(&mut cluster, "node-1"), IN_PROGRESS);
     cluster.settle();
     assert_eq!(status(&mut cluster, "node-1"), DECOMMISSIONED);
-    assert_eq!(cluster.replicas_on(1), 0);
+    assert_eq!(cluster.replicas_on(StoreId(1)), 0);
     cluster.assert_replica_count(3);
     // After the machine is taken away its status is kept for a while.
-    cluster.live.remove(&1);
+    cluster.live.remove(&StoreId(1));
     cluster.settle();
     assert_eq!(status(&mut cluster, "node-1"), DECOMMISSIONED);
 }
@@ -74,7 +75,7 @@
 #[test]
 fn draining_store_does_not_count_as_remaining() {
     let mut cluster = PlannerHarness::settled(&["a", "b", "c"], 1);
-    cluster.draining.insert(3);
+    cluster.draining.insert(StoreId(3));
     cluster.run(STEP);
     let while_draining = order(&mut cluster, "node-2");
     assert_eq!(while_draining, Err(DecommissionError::StoreDraining));
@@ -87,7 +88,7 @@
 #[test]
 fn incomplete_until_other_replicas_have_caught_up() {
     let mut cluster = PlannerHarness::settled(&["a", "b", "c", "d"], 1);
-    cluster.lagging.insert(4);
+    cluster.lagging.insert(StoreId(4));
     assert_planned(&mut cluster, "node-1");
     cluster.run(Duration::from_secs(30));
     assert_eq!(status(&mut cluster, "node-1"), IN_PROGRESS);
@@ -100,11 +101,16 @@
 fn goes_on_after_loss_of_the_disk() {
     let mut cluster = PlannerHarness::settled(&["a", "b", "c"], 1);
     assert_planned(&mut cluster, "node-3");
-    let machine = cluster.live.remove(&3).unwrap();
+    let machine = cluster.live.remove(&StoreId(3)).unwrap();
     cluster.run(STEP);
-    cluster.live.insert(33, machine);
+    cluster.live.insert(StoreId(33), machine);
     cluster.settle();
-    assert_eq!(cluster.replicas_on(33), 0, "{:?}", cluster.placement);
+    assert_eq!(
+        cluster.replicas_on(StoreId(33)),
+        0,
+        "{:?}",
+        cluster.placement
+    );
     assert_eq!(status(&mut cluster, "node-3"), DECOMMISSIONED);
 }
 
@@ -115,8 +121,8 @@
     cluster.settle();
     // An idle primary does not notice that the other replica is gone, and reports as before.
     let primary = cluster.placement.shards[0].replicas[0];
-    let follower = if primary == 1 { 2 } else { 1 };
-    cluster.live.remove(&follower);
+    let follower = if primary == StoreId(1) { 2 } else { 1 };
+    cluster.live.remove(&StoreId(follower));
     cluster.idle = true;
     cluster.run(Duration::from_millis(3500));
     assert_eq!(status(&mut cluster, "node-3"), IN_PROGRESS);
--- a/crates/mintlb-batch/tests/placement.rs
+++ b/crates/mintlb-batch/tests/placement.rs
@@ -57,7 +57,9 @@
         let zones = zones_of(&cluster.placement, &shard.replicas);
         assert_eq!(zones.len(), 4, "{shard:?}");
     }
-    let loads: Vec<usize> = (1..=12).map(|id| cluster.replicas_on(id)).collect();
+    let loads: Vec<usize> = (1..=12)
+        .map(|id| cluster.replicas_on(StoreId(id)))
+        .collect();
     let spread = loads.iter().max().unwrap() - loads.iter().min().unwrap();
     assert!(spread <= 2, "{loads:?}");
     let led = led_shards(&cluster.placement);
@@ -67,67 +69,71 @@
 #[test]
 fn dead_primary_is_replaced_by_live_replica() {
     let mut cluster = PlannerHarness::settled(&["a", "b", "c"], 1);
-    let machine = cluster.live.remove(&1).unwrap();
+    let machine = cluster.live.remove(&StoreId(1)).unwrap();
     cluster.run(Duration::from_millis(2500));
     // Without another store the set of replicas stays.
     cluster.assert_replica_count(3);
     for shard in &cluster.placement.shards {
-        assert_ne!(shard.replicas[0], 1);
+        assert_ne!(shard.replicas[0], StoreId(1));
         assert!(shard.previous.is_empty());
     }
     let changes = cluster.changes;
     cluster.run(Duration::from_secs(20));
     assert_eq!(cluster.changes, changes);
-    cluster.live.insert(1, machine);
+    cluster.live.insert(StoreId(1), machine);
     cluster.settle();
-    assert_eq!(cluster.replicas_on(1), ALL_SHARDS);
+    assert_eq!(cluster.replicas_on(StoreId(1)), ALL_SHARDS);
 }
 
 #[test]
 fn store_with_empty_disk_replaces_its_predecessor() {
     let mut cluster = PlannerHarness::settled(&["a", "b", "c", "a"], 1);
-    let machine = cluster.live.remove(&2).unwrap();
-    cluster.live.insert(22, machine);
+    let machine = cluster.live.remove(&StoreId(2)).unwrap();
+    cluster.live.insert(StoreId(22), machine);
     cluster.settle();
-    assert_eq!(cluster.replicas_on(2), 0);
-    assert!(cluster.placement.store(2).is_none());
+    assert_eq!(cluster.replicas_on(StoreId(2)), 0);
+    assert!(cluster.placement.store(StoreId(2)).is_none());
     cluster.assert_replica_count(3);
 }
 
 #[test]
 fn short_outage_moves_no_replica_of_a_redundant_shard() {
     let mut cluster = PlannerHarness::settled(&["a", "a", "b", "b", "c", "c"], 2);
-    let replicas = cluster.replicas_on(3);
-    let machine = cluster.live.remove(&3).unwrap();
+    let replicas = cluster.replicas_on(StoreId(3));
+    let machine = cluster.live.remove(&StoreId(3)).unwrap();
     cluster.run(Duration::from_secs(4));
-    cluster.live.insert(3, machine);
+    cluster.live.insert(StoreId(3), machine);
     cluster.settle();
-    assert_eq!(cluster.replicas_on(3), replicas);
+    assert_eq!(cluster.replicas_on(StoreId(3)), replicas);
 }
 
 #[test]
 fn new_store_moves_no_replica() {
     let mut cluster = PlannerHarness::settled(&["a", "b", "c"], 1);
-    cluster.add(4, "a", "node-4");
+    cluster.add(StoreId(4), "a", "node-4");
     cluster.settle();
-    assert_eq!(cluster.replicas_on(4), 0);
-    assert!(cluster.placement.store(4).is_some());
+    assert_eq!(cluster.replicas_on(StoreId(4)), 0);
+    assert!(cluster.placement.store(StoreId(4)).is_some());
 }
 
 #[test]
 fn draining_store_hands_over_its_primaries() {
     let mut cluster = PlannerHarness::settled(&["a", "b", "c"], 1);
-    cluster.draining.insert(1);
+    cluster.draining.insert(StoreId(1));
     cluster.run(STEP * 3);
     for shard in &cluster.placement.shards {
-        assert_ne!(shard.replicas[0], 1);
+        assert_ne!(shard.replicas[0], StoreId(1));
         assert!(shard.previous.is_empty());
     }
-    assert_eq!(cluster.replicas_on(1), ALL_SHARDS, "its replicas stay");
-    cluster.live.remove(&1);
+    assert_eq!(
+        cluster.replicas_on(StoreId(1)),
+        ALL_SHARDS,
+        "its replicas stay"
+    );
+    cluster.live.remove(&StoreId(1));
     cluster.run(STEP * 5);
     cluster.draining.clear();
-    cluster.add(1, "a", "node-1");
+    cluster.add(StoreId(1), "a", "node-1");
     cluster.settle();
 }
 
@@ -168,7 +174,11 @@
             let machine = cluster.live.remove(&id).unwrap();
             cluster.run(STEP * u.int_in_range(0..=40)?);
             let keeps_disk = u.arbitrary()?;
-            let returning = if keeps_disk { id } else { 100 + failure };
+            let returning = if keeps_disk {
+                id
+            } else {
+                StoreId(100 + failure)
+            };
             cluster.live.insert(returning, machine);
             cluster.settle();
             cluster.assert_replica_count(2 * tolerance + 1);
--- a/crates/mintlb-batch/tests/placement_losses.rs
+++ b/crates/mintlb-batch/tests/placement_losses.rs
@@ -4,6 +4,7 @@
 mod simulated_cluster;
 
 use arbtest::arbitrary::{Result, Unstructured};
+use mintlb_common::placement::StoreId;
 use simulated_cluster::{RepairTimes, STEP, SimulatedCluster};
 use std::time::Duration;
 
@@ -175,7 +176,7 @@
         cluster.step();
     }
     for shard in &cluster.placement.shards {
-        let is_named = shard.replicas.contains(&1) || shard.previous.contains(&1);
+        let is_named = shard.replicas.contains(&StoreId(1)) || shard.previous.contains(&StoreId(1));
         assert!(!is_named, "{shard:?}");
     }
     // The successor has been there for long: the next machine may be lost at once.
--- a/crates/mintlb-batch/tests/planner_harness/mod.rs
+++ b/crates/mintlb-batch/tests/planner_harness/mod.rs
@@ -49,7 +49,7 @@
             changes: 0,
         };
         for (id, zone) in (1..).zip(zones) {
-            harness.add(id, zone, &format!("node-{id}"));
+            harness.add(StoreId(id), zone, &format!("node-{id}"));
         }
         harness
     }
--- a/crates/mintlb-batch/tests/shard_cluster/machines.rs
+++ b/crates/mintlb-batch/tests/shard_cluster/machines.rs
@@ -138,7 +138,7 @@
         let store = &mut self.stores[store_index];
         self.lost_disks.insert(store.id, self.now);
         store.disk = Disk::default();
-        store.id = self.next_id;
+        store.id = StoreId(self.next_id);
         store.machine.disk_since = self.now;
         self.next_id += 1;
     }
--- a/crates/mintlb-batch/tests/shard_cluster/mod.rs
+++ b/crates/mintlb-batch/tests/shard_cluster/mod.rs
@@ -85,7 +85,7 @@
     /// The controller is down until then.
     pub paused_until: Duration,
     pub history: Vec<String>,
-    pub next_id: StoreId,
+    pub next_id: u64,
     pub next_job: u64,
     pub losses: u64,
     pub takeovers: u64,
@@ -122,7 +122,7 @@
     }
 
     pub fn add_store(&mut self) {
-        let id = self.next_id;
+        let id = StoreId(self.next_id);
         self.next_id += 1;
         self.stores.push(Store {
             id,
@@ -131,10 +131,10 @@
             replica: None,
             pending: Vec::new(),
             placement: 0,
-            zone: format!("z{}", id % 3),
+            zone: format!("z{}", id.0 % 3),
             partitioned: false,
             frozen: false,
-            machine: Machine::new(id, self.now),
+            machine: Machine::new(id.0, self.now),
         });
         let store_index = self.stores.len() - 1;
         self.start(store_index);
--- a/crates/mintlb-batch/tests/shard_cluster/scripted.rs
+++ b/crates/mintlb-batch/tests/shard_cluster/scripted.rs
@@ -6,7 +6,7 @@
 use mintlb_batch::job_table::JobTable;
 use mintlb_batch::peer::PeerMessage;
 use mintlb_batch::replica::Replica;
-use mintlb_common::placement::{Placement, ShardAssignment};
+use mintlb_common::placement::{Placement, ShardAssignment, StoreId};
 
 /// Rounds of delivery after which nothing is in flight any more.
 const IDLE_AFTER_ROUNDS: usize = 30;
@@ -36,8 +36,8 @@
     ) {
         let shard = ShardAssignment {
             epoch,
-            replicas: replicas.to_vec(),
-            previous: previous.to_vec(),
+            replicas: store_ids(replicas),
+            previous: store_ids(previous),
             last_active_epoch: Some(last_active_epoch),
         };
         self.placements.push(Placement {
@@ -117,3 +117,7 @@
         sent.map(|(envelope, _)| &envelope.message).collect()
     }
 }
+
+fn store_ids(numbers: &[u64]) -> Vec<StoreId> {
+    numbers.iter().copied().map(StoreId).collect()
+}
--- a/crates/mintlb-batch/tests/simulated_cluster/machine.rs
+++ b/crates/mintlb-batch/tests/simulated_cluster/machine.rs
@@ -56,7 +56,7 @@
     pub fn new(id: StoreId, now: Duration) -> Machine {
         Machine {
             id,
-            number: id,
+            number: id.0,
             state: State::Up,
             up_since: now,
             disk_since: now,
--- a/crates/mintlb-batch/tests/simulated_cluster/mod.rs
+++ b/crates/mintlb-batch/tests/simulated_cluster/mod.rs
@@ -47,7 +47,7 @@
     controller_lost_until: Duration,
     /// Machines whose stores are being decommissioned.
     pub decommissioning: Vec<String>,
-    next_id: StoreId,
+    next_id: u64,
     /// Without calls a primary does not notice that it can't commit.
     pub idle: bool,
     /// What has happened, for the messages of failed assertions.
@@ -86,7 +86,7 @@
     }
 
     fn new_store_id(&mut self) -> StoreId {
-        let id = self.next_id;
+        let id = StoreId(self.next_id);
         self.next_id += 1;
         id
     }
@@ -136,7 +136,7 @@
                 .filter_map(|shard| self.report(shard, machine.id))
                 .collect();
             let active = reports.iter().filter(|report| report.active).count();
-            let is_due = (step + machine.id).is_multiple_of(HEARTBEAT_STEPS);
+            let is_due = (step + machine.id.0).is_multiple_of(HEARTBEAT_STEPS);
             if !is_due && active <= machine.reported_active.get() {
                 continue;
             }
--- a/crates/mintlb-batch/tests/store_table.rs
+++ b/crates/mintlb-batch/tests/store_table.rs
@@ -8,15 +8,15 @@
 const NOW: Duration = Duration::from_secs(100);
 
 /// The heartbeat of a store that is the active primary of shard 0 in this epoch.
-fn primary_heartbeat(id: StoreId, epoch: u64, caught_up: &[StoreId]) -> StoreHeartbeat {
+fn primary_heartbeat(id: u64, epoch: u64, caught_up: [u64; 2]) -> StoreHeartbeat {
     let report = ShardReport {
         shard: 0,
         epoch,
         active: true,
-        caught_up: caught_up.to_vec(),
+        caught_up: caught_up.map(StoreId).to_vec(),
     };
     StoreHeartbeat {
-        id,
+        id: StoreId(id),
         node_name: format!("node-{id}"),
         address: format!("node-{id}:1"),
         zone: "a".to_string(),
@@ -32,13 +32,13 @@
 fn report_of_earlier_epoch_does_not_replace_a_newer_one() {
     let mut table = StoreTable::new(NOW);
     for (heartbeat, expected) in [
-        (primary_heartbeat(1, 3, &[1, 2]), [1, 2]),
-        (primary_heartbeat(2, 4, &[2, 3]), [2, 3]),
-        (primary_heartbeat(1, 3, &[1, 3]), [2, 3]),
-        (primary_heartbeat(2, 4, &[2, 1]), [2, 1]),
+        (primary_heartbeat(1, 3, [1, 2]), [1, 2]),
+        (primary_heartbeat(2, 4, [2, 3]), [2, 3]),
+        (primary_heartbeat(1, 3, [1, 3]), [2, 3]),
+        (primary_heartbeat(2, 4, [2, 1]), [2, 1]),
     ] {
         table.record_heartbeat(heartbeat, NOW);
         let snapshot = table.snapshot(&Placement::default(), NOW);
-        assert_eq!(snapshot.last_caught_up(0), expected);
+        assert_eq!(snapshot.last_caught_up(0), expected.map(StoreId));
     }
 }
--- a/crates/mintlb-batch/tests/wire_fixtures.rs
+++ b/crates/mintlb-batch/tests/wire_fixtures.rs
@@ -14,6 +14,7 @@
 use mintlb_batch::messages::*;
 use mintlb_batch::peer::*;
 use mintlb_batch::replica::ShardMeta;
+use mintlb_common::placement::StoreId;
 use std::collections::BTreeMap;
 use std::fmt::Debug;
 
@@ -199,8 +200,8 @@
         fixtures.check(
             name,
             Envelope {
-                from: LONG,
-                to: 2,
+                from: StoreId(LONG),
+                to: StoreId(2),
                 shard: 63,
                 epoch: 17,
                 message,
@@ -396,7 +397,7 @@
             shard: 63,
             epoch: 17,
             active: true,
-            caught_up: vec![LONG, 2],
+            caught_up: vec![StoreId(LONG), StoreId(2)],
         },
         ShardReport {
             shard: 0,
@@ -406,7 +407,7 @@
         },
     ];
     let heartbeat = |shards, draining| StoreHeartbeat {
-        id: LONG,
+        id: StoreId(LONG),
         node_name: text("node-1"),
         address: text("10.0.0.1:7001"),
         zone: text("zone-b"),
--- a/crates/mintlb-common/src/placement.rs
+++ b/crates/mintlb-common/src/placement.rs
@@ -5,12 +5,23 @@
 //! process as the record [`crate::record::PLACEMENT`].
 
 use minicbor::{Decode, Encode};
+use std::fmt;
 
 /// The number of shards, fixed for the lifetime of a tier.
 pub const SHARD_COUNT: u32 = 16;
 
 /// Identifies a store together with its disk: with an emptied disk it is another store.
-pub type StoreId = u64;
+///
+/// It is shown in hexadecimal.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
+#[cbor(transparent)]
+pub struct StoreId(#[n(0)] pub u64);
+
+impl fmt::Display for StoreId {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        fmt::LowerHex::fmt(&self.0, f)
+    }
+}
 
 /// The agreed placement; each change increments `epoch`.
 #[derive(Clone, Debug, Default, PartialEq, Encode, Decode)]
--- a/crates/mintlb-common/tests/wire_fixtures.rs
+++ b/crates/mintlb-common/tests/wire_fixtures.rs
@@ -15,7 +15,7 @@
     ClientLimits, Configuration, Engine, Route, RouteType, Service, WeightedService,
 };
 use mintlb_common::incarnation::Incarnation;
-use mintlb_common::placement::{Placement, SHARD_COUNT, ShardAssignment, StoreEntry};
+use mintlb_common::placement::{Placement, SHARD_COUNT, ShardAssignment, StoreEntry, StoreId};
 use mintlb_common::record::{
     CONFIGURATION, ENDED_JOB_PREFIX, PLACEMENT, REPLICAS, WORKER_PREFIX, WorkerRecord, WorkerState,
 };
@@ -320,7 +320,7 @@
 #[test]
 fn placements() {
     let store = |id: u64, decommissioning| StoreEntry {
-        id,
+        id: StoreId(id),
         node_name: format!("disk-{id}"),
         address: format!("10.{id}.0.36:7662"),
         zone: format!("zone-{id}"),
@@ -328,13 +328,13 @@
     };
     let joint = ShardAssignment {
         epoch: 8,
-        replicas: vec![21, 22],
-        previous: vec![22],
+        replicas: vec![StoreId(21), StoreId(22)],
+        previous: vec![StoreId(22)],
         last_active_epoch: Some(7),
     };
     let active = ShardAssignment {
         epoch: 9,
-        replicas: vec![22],
+        replicas: vec![StoreId(22)],
         previous: vec![],
         last_active_epoch: None,
     };
--- a/crates/mintlb-control/src/store/startup.rs
+++ b/crates/mintlb-control/src/store/startup.rs
@@ -9,7 +9,7 @@
 use super::storage::{CommitQueue, LoadedStorage, OpenedStorage, file};
 use crate::bind::bind_with_retry;
 use mintlb_batch::replica::ReplicaSettings;
-use mintlb_common::placement::Placement;
+use mintlb_common::placement::{Placement, StoreId};
 use mintlb_common::record::{PLACEMENT, Record};
 use mintlb_common::settings::{InternalPort, NodeSettings};
 use mintlb_common::signals::Signals;
@@ -31,14 +31,14 @@
     let address = settings.internal_address(InternalPort::Store);
     let random_seed =
         RandomState::new().hash_one((address, &settings.node_name, SystemTime::now()));
-    let opening = driver::open_with_retry(directory.clone(), random_seed.max(1));
+    let opening = driver::open_with_retry(directory.clone(), StoreId(random_seed.max(1)));
     let LoadedStorage { storage, shards } = tokio::select! {
         opened = opening => opened?,
         () = signals.shutdown_requested() => return Ok(None),
     };
     let transport = bind_with_retry(address, async || Transport::start(address).await).await?;
     log::info!(
-        "store: {:x} listens at {address}, {} MB of batch jobs",
+        "store: {} listens at {address}, {} MB of batch jobs",
         storage.id(),
         storage.file_bytes() >> 20
     );
--- a/crates/mintlb-control/src/store/storage/file.rs
+++ b/crates/mintlb-control/src/store/storage/file.rs
@@ -66,7 +66,7 @@
     {
         transaction.open_table(ENTRY_CHUNKS)?;
         transaction.open_table(SHARD_META)?;
-        transaction.open_table(STORE)?.insert(IDENTITY, id)?;
+        transaction.open_table(STORE)?.insert(IDENTITY, id.0)?;
     }
     Ok(transaction.commit()?)
 }
@@ -105,7 +105,7 @@
 
 fn read_identity(transaction: &ReadTransaction) -> Result<Option<StoreId>, redb::Error> {
     let table = transaction.open_table(STORE)?;
-    Ok(table.get(IDENTITY)?.map(|id| id.value()))
+    Ok(table.get(IDENTITY)?.map(|id| StoreId(id.value())))
 }
 
 fn read_shards(transaction: &ReadTransaction) -> Result<LoadedShards, DiskError> {
--- a/crates/mintlb-control/tests/controller_retirement.rs
+++ b/crates/mintlb-control/tests/controller_retirement.rs
@@ -2,7 +2,7 @@
 
 use mintlb_batch::heartbeat::{ShardReport, StoreHeartbeat};
 use mintlb_batch::placement_planner::{ClusterSnapshot, LIVE_TIMEOUT, StoreStatus};
-use mintlb_common::placement::{Placement, ShardAssignment, StoreEntry};
+use mintlb_common::placement::{Placement, ShardAssignment, StoreEntry, StoreId};
 use mintlb_control::controller::singleton::messages::RetirementStatus;
 use mintlb_control::controller::singleton::retirement::progress;
 use std::time::Duration;
@@ -10,7 +10,7 @@
 fn entry(id: u64, decommissioning: bool) -> StoreEntry {
     let (node_name, address) = (format!("storage-{id}"), format!("10.0.1.{id}:7662"));
     StoreEntry {
-        id,
+        id: StoreId(id),
         node_name,
         address,
         zone: String::new(),
@@ -22,7 +22,7 @@
 fn placement() -> Placement {
     let shard = ShardAssignment {
         epoch: 4,
-        replicas: vec![2, 3, 4],
+        replicas: vec![StoreId(2), StoreId(3), StoreId(4)],
         previous: Vec::new(),
         last_active_epoch: None,
     };
@@ -45,7 +45,7 @@
         shard: 0,
         epoch: 4,
         active: true,
-        caught_up: vec![2, 3, 4],
+        caught_up: vec![StoreId(2), StoreId(3), StoreId(4)],
     };
     let store = |id, shards| StoreStatus {
         heartbeat: StoreHeartbeat {
@@ -57,10 +57,14 @@
     };
     let primary = StoreStatus {
         since_heartbeat,
-        ..store(2, vec![report])
+        ..store(StoreId(2), vec![report])
     };
     ClusterSnapshot {
-        stores: vec![primary, store(3, vec![]), store(4, vec![])],
+        stores: vec![
+            primary,
+            store(StoreId(3), vec![]),
+            store(StoreId(4), vec![]),
+        ],
         ..ClusterSnapshot::default()
     }
 }
--- a/crates/mintlb-control/tests/controller_wire_fixtures.rs
+++ b/crates/mintlb-control/tests/controller_wire_fixtures.rs
@@ -9,7 +9,7 @@
 
 use bytes::Bytes;
 use fixture::{Fixtures, path};
-use mintlb_common::placement::{Placement, ShardAssignment, StoreEntry};
+use mintlb_common::placement::{Placement, ShardAssignment, StoreEntry, StoreId};
 use mintlb_common::transport::{Channel, ResponseFuture, Service, Transport};
 use mintlb_control::controller::contact::messages::{LeaderEpoch, PeerStatus, Ping, Pong};
 use mintlb_control::controller::register;
@@ -60,7 +60,7 @@
     let mut taken = AppliedHistory::starting_after(3);
     taken.push(4, b"four");
     let store = StoreEntry {
-        id: 21,
+        id: StoreId(21),
         node_name: "disk-21".to_string(),
         address: "10.21.0.36:7662".to_string(),
         zone: "zone-21".to_string(),
@@ -68,8 +68,8 @@
     };
     let shard = ShardAssignment {
         epoch: 8,
-        replicas: vec![21],
-        previous: vec![21],
+        replicas: vec![StoreId(21)],
+        previous: vec![StoreId(21)],
         last_active_epoch: Some(7),
     };
     let state = ControlState {
--- a/crates/mintlb-control/tests/single_replica/mod.rs
+++ b/crates/mintlb-control/tests/single_replica/mod.rs
@@ -7,7 +7,7 @@
 use mintlb_batch::messages::{JobName, Submit};
 use mintlb_batch::replica::{AfterSync, Effect, Replica, ReplicaSettings};
 use mintlb_batch::timestamp::Timestamp;
-use mintlb_common::placement::ShardAssignment;
+use mintlb_common::placement::{ShardAssignment, StoreId};
 use mintlb_control::store::storage::{LoadedStorage, ShardStorage, ShardWrite};
 use std::path::Path;
 use std::time::Duration;
@@ -48,7 +48,7 @@
         let LoadedStorage {
             storage,
             mut shards,
-        } = ShardStorage::open_with(Disk::default().opener(), directory, 7).unwrap();
+        } = ShardStorage::open_with(Disk::default().opener(), directory, StoreId(7)).unwrap();
         let settings = ReplicaSettings {
             store_id: storage.id(),
             tolerance: 0,
--- a/crates/mintlb-control/tests/store_capacity.rs
+++ b/crates/mintlb-control/tests/store_capacity.rs
@@ -5,6 +5,7 @@
 mod single_replica;
 mod store_entries;
 
+use mintlb_common::placement::StoreId;
 use mintlb_control::store::storage::capacity::{fits, max_file_bytes};
 use mintlb_control::store::storage::{LoadedStorage, ShardStorage};
 use single_replica::{ITEMS, START, SingleReplica};
@@ -31,7 +32,8 @@
 fn chunked_entries_have_little_overhead_at_any_length() {
     for bytes in [30, 900, 1001, 2100, 4300, 9000, 96_000, 300_000] {
         let directory = tempfile::tempdir().unwrap();
-        let LoadedStorage { storage, .. } = ShardStorage::open(directory.path(), 77).unwrap();
+        let LoadedStorage { storage, .. } =
+            ShardStorage::open(directory.path(), StoreId(77)).unwrap();
         let job = accepted_job(&vec![7; bytes]);
         let (mut index, mut payload_bytes, mut full_file) = (0, 0, 0);
         while storage.file_bytes() < FILE_BYTES {
--- a/crates/mintlb-control/tests/store_cluster.rs
+++ b/crates/mintlb-control/tests/store_cluster.rs
@@ -6,6 +6,7 @@
 use mintlb_batch::client::{ItemResult, JobError, LeasedJob, SubmitError, Submitted};
 use mintlb_batch::entry::ItemState;
 use mintlb_batch::messages::ItemFailures;
+use mintlb_common::placement::StoreId;
 use std::time::Duration;
 use stores::{
     ACCEPTED, Cluster, DISPATCHER, HOST, JobBuilder, Node, ReadResult, TEST_TIMEOUT, completed,
@@ -151,7 +152,7 @@
         let copy = directory.join("copy");
         std::fs::create_dir(&copy).unwrap();
         std::fs::copy(directory.join("lots.redb"), copy.join("lots.redb")).unwrap();
-        let node = Node::start(&copy, 99).await;
+        let node = Node::start(&copy, StoreId(99)).await;
         cluster.nodes.insert(i, node);
     }
     let rejoined = cluster.placement(&[1, 2, 0]).epoch(4).shard_epoch(2);
--- a/crates/mintlb-control/tests/store_commit_queue.rs
+++ b/crates/mintlb-control/tests/store_commit_queue.rs
@@ -5,6 +5,7 @@
 
 use faulty_file::Disk;
 use mintlb_batch::replica::{AfterSync, DiskWrite};
+use mintlb_common::placement::StoreId;
 use mintlb_control::store::storage::commit_queue::{Enqueued, ShardContinuation};
 use mintlb_control::store::storage::{CommitQueue, LoadedStorage, ShardStorage};
 use std::time::{Duration, Instant};
@@ -20,7 +21,7 @@
 #[tokio::test]
 async fn continuations_run_after_their_commit() {
     let directory = tempfile::tempdir().unwrap();
-    let LoadedStorage { storage, .. } = ShardStorage::open(directory.path(), 77).unwrap();
+    let LoadedStorage { storage, .. } = ShardStorage::open(directory.path(), StoreId(77)).unwrap();
     let (outcomes, mut commits) = tokio::sync::mpsc::unbounded_channel();
     let queue = CommitQueue::start(storage.clone(), outcomes).unwrap();
     assert_eq!(
@@ -65,7 +66,7 @@
     let directory = tempfile::tempdir().unwrap();
     let disk = Disk::default();
     let LoadedStorage { storage, .. } =
-        ShardStorage::open_with(disk.opener(), directory.path(), 77).unwrap();
+        ShardStorage::open_with(disk.opener(), directory.path(), StoreId(77)).unwrap();
     let (outcomes, mut commits) = tokio::sync::mpsc::unbounded_channel();
     let queue = CommitQueue::start(storage, outcomes).unwrap();
     let later = |seconds: u64| Instant::now() + Duration::from_secs(seconds);
--- a/crates/mintlb-control/tests/store_disk_faults.rs
+++ b/crates/mintlb-control/tests/store_disk_faults.rs
@@ -5,6 +5,7 @@
 
 use faulty_file::Disk;
 use mintlb_batch::replica::DiskWrite;
+use mintlb_common::placement::StoreId;
 use mintlb_control::store::storage::file::{FILE_NAME, QUARANTINED_FILE};
 use mintlb_control::store::storage::{
     DiskError, LoadedShards, LoadedStorage, ShardStorage, ShardWrite,
@@ -14,9 +15,9 @@
 use store_entries::{completed_result, put, write};
 
 const SHARD: u32 = 3;
-const ID: u64 = 77;
+const ID: StoreId = StoreId(77);
 /// The identity that a new file would get.
-const NEW_ID: u64 = 99;
+const NEW_ID: StoreId = StoreId(99);
 
 /// Lengths of entries by their indexes.
 type EntryLengths = BTreeMap<u64, u64>;
--- a/crates/mintlb-control/tests/store_disk_fixture.rs
+++ b/crates/mintlb-control/tests/store_disk_fixture.rs
@@ -9,6 +9,7 @@
 
 use mintlb_batch::entry::ItemState;
 use mintlb_batch::replica::Replica;
+use mintlb_common::placement::StoreId;
 use mintlb_control::store::storage::{LoadedStorage, ShardStorage};
 use std::path::Path;
 
@@ -121,7 +122,7 @@
     let LoadedStorage {
         storage,
         mut shards,
-    } = ShardStorage::open(directory.path(), 1).unwrap();
+    } = ShardStorage::open(directory.path(), StoreId(1)).unwrap();
     assert_eq!(
         storage.id(),
         store_fixture::IDENTITY,
@@ -181,7 +182,7 @@
 fn a_damaged_file_is_quarantined_under_its_name() {
     let directory = tempfile::tempdir().unwrap();
     std::fs::write(directory.path().join("lots.redb"), [1; 20_000]).unwrap();
-    ShardStorage::open(directory.path(), 1).unwrap();
+    ShardStorage::open(directory.path(), StoreId(1)).unwrap();
     let mut names = file_names(directory.path());
     names.sort();
     assert_eq!(names, ["lots.redb", "lots.redb.unreadable"]);
--- a/crates/mintlb-control/tests/store_file.rs
+++ b/crates/mintlb-control/tests/store_file.rs
@@ -7,15 +7,16 @@
 use mintlb_batch::epoch_history::EpochHistory;
 use mintlb_batch::framing;
 use mintlb_batch::replica::{DiskWrite, ShardMeta};
+use mintlb_common::placement::StoreId;
 use mintlb_control::store::storage::file::FILE_NAME;
 use mintlb_control::store::storage::{LoadedShards, LoadedStorage, ShardStorage};
 use redb::{Database, TableDefinition};
 use std::path::Path;
 use store_entries::{accepted_job, epoch_start, put, stored, write};
 
-const ID: u64 = 77;
+const ID: StoreId = StoreId(77);
 /// The identity that a new file would get.
-const NEW_ID: u64 = 99;
+const NEW_ID: StoreId = StoreId(99);
 
 fn open(directory: &Path) -> LoadedStorage {
     ShardStorage::open(directory, ID).unwrap()
--- a/crates/mintlb-control/tests/store_fixture/mod.rs
+++ b/crates/mintlb-control/tests/store_fixture/mod.rs
@@ -7,13 +7,14 @@
 use mintlb_batch::framing;
 use mintlb_batch::replica::{DiskWrite, Effect, Replica, ReplicaSettings, ShardMeta};
 use mintlb_batch::timestamp::Timestamp;
+use mintlb_common::placement::StoreId;
 use mintlb_control::store::storage::{LoadedShards, LoadedStorage, ShardStorage, ShardWrite};
 use redb::{Database, ReadableDatabase, ReadableTable, TableDefinition, TableHandle};
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
 /// The identity of the fixture's store.
-pub const IDENTITY: u64 = 0x1122_3344_5566_7788;
+pub const IDENTITY: StoreId = StoreId(0x1122_3344_5566_7788);
 /// How long its jobs are readable after they were sent.
 const RESULT_RETENTION: Duration = Duration::from_secs(30);
 
--- a/crates/mintlb-control/tests/store_full_disk.rs
+++ b/crates/mintlb-control/tests/store_full_disk.rs
@@ -7,6 +7,7 @@
 use bytes::Bytes;
 use faulty_file::Disk;
 use mintlb_batch::client::{JobError, SubmitError, Submitted};
+use mintlb_common::placement::StoreId;
 use mintlb_control::store::storage::file::FILE_NAME;
 use mintlb_control::store::storage::{LoadedStorage, ShardStorage};
 use std::time::Duration;
@@ -21,7 +22,7 @@
     let directories: Vec<_> = disks.iter().map(|_| tempfile::tempdir().unwrap()).collect();
     let mut nodes = Vec::new();
     for ((directory, disk), id) in directories.iter().zip(disks).zip(1..) {
-        nodes.push(Node::start_with(disk.opener(), directory.path(), id).await);
+        nodes.push(Node::start_with(disk.opener(), directory.path(), StoreId(id)).await);
     }
     let cluster = Cluster::of(nodes, directories).await;
     cluster.apply_placement(cluster.placement(&[0, 1, 2]).build());
@@ -111,8 +112,9 @@
     for disk in &disks {
         let directory = tempfile::tempdir().unwrap();
         disk.lose_power(&directory.path().join(FILE_NAME), |_| 0);
-        let LoadedStorage { storage, shards } = ShardStorage::open(directory.path(), 99).unwrap();
-        assert!((1..=3).contains(&storage.id()), "{}", storage.id());
+        let LoadedStorage { storage, shards } =
+            ShardStorage::open(directory.path(), StoreId(99)).unwrap();
+        assert!((1..=3).contains(&storage.id().0), "{}", storage.id().0);
         let entries: usize = shards.values().map(|shard| shard.entries.len()).sum();
         durable_jobs += entries.saturating_sub(EPOCH_STARTS);
     }
--- a/crates/mintlb-control/tests/stores/mod.rs
+++ b/crates/mintlb-control/tests/stores/mod.rs
@@ -47,13 +47,13 @@
     /// A store on the file in `directory`, or on a new one there with this identity.
     pub async fn start(directory: &Path, new_id: StoreId) -> Node {
         let opened = ShardStorage::open(directory, new_id).unwrap();
-        Node::serve(opened, new_id).await
+        Node::serve(opened, new_id.0).await
     }
 
     /// The same with another way to open the file.
     pub async fn start_with(open: DatabaseOpener, directory: &Path, new_id: StoreId) -> Node {
         let opened = ShardStorage::open_with(open, directory, new_id).unwrap();
-        Node::serve(opened, new_id).await
+        Node::serve(opened, new_id.0).await
     }
 
     async fn serve(LoadedStorage { storage, shards }: LoadedStorage, random_seed: u64) -> Node {
@@ -102,7 +102,7 @@
     pub fn new(nodes: &[Node], replicas: &[usize]) -> PlacementBuilder {
         let stores = nodes.iter().map(|node| StoreEntry {
             id: node.id,
-            node_name: format!("store-{}", node.id),
+            node_name: format!("store-{}", node.id.0),
             address: node.address.to_string(),
             zone: "z".to_string(),
             decommissioning: false,
@@ -238,7 +238,7 @@
         let directories: Vec<TempDir> = (0..count).map(|_| tempfile::tempdir().unwrap()).collect();
         let mut nodes = Vec::new();
         for (directory, id) in directories.iter().zip(1..) {
-            nodes.push(Node::start(directory.path(), id).await);
+            nodes.push(Node::start(directory.path(), StoreId(id)).await);
         }
         Cluster::of(nodes, directories).await
     }
--- a/crates/mintlb-register/tests/wire_fixtures.rs
+++ b/crates/mintlb-register/tests/wire_fixtures.rs
@@ -6,7 +6,7 @@
 mod fixture;
 
 use fixture::Fixtures;
-use mintlb_common::placement::{Placement, ShardAssignment, StoreEntry};
+use mintlb_common::placement::{Placement, ShardAssignment, StoreEntry, StoreId};
 use mintlb_register::applied_history::{AppliedHistory, HistoryLookup};
 use mintlb_register::ballot::Ballot;
 use mintlb_register::message::{AcceptedValue, Reply, ReportedValue, Request, RequestBody};
@@ -50,7 +50,7 @@
 
 fn placement() -> Placement {
     let store = |id: u64, decommissioning| StoreEntry {
-        id,
+        id: StoreId(id),
         node_name: format!("disk-{id}"),
         address: format!("10.{id}.0.36:7662"),
         zone: format!("zone-{id}"),
@@ -62,13 +62,13 @@
         shards: vec![
             ShardAssignment {
                 epoch: 8,
-                replicas: vec![21, 22],
-                previous: vec![22],
+                replicas: vec![StoreId(21), StoreId(22)],
+                previous: vec![StoreId(22)],
                 last_active_epoch: Some(7),
             },
             ShardAssignment {
                 epoch: 9,
-                replicas: vec![22],
+                replicas: vec![StoreId(22)],
                 previous: vec![],
                 last_active_epoch: None,
             },
--- a/crates/mintlb-simulation/src/controller/placing.rs
+++ b/crates/mintlb-simulation/src/controller/placing.rs
@@ -11,7 +11,7 @@
 use mintlb_batch::placement_planner::{
     DecommissionError, DecommissionStart, plan, start_decommission,
 };
-use mintlb_common::placement::Placement;
+use mintlb_common::placement::{Placement, StoreId};
 use mintlb_common::record::PLACEMENT;
 use mintlb_control::controller::singleton::messages::RetirementStatus;
 use mintlb_control::controller::singleton::retirement::progress;
@@ -149,10 +149,13 @@
 }
 
 fn described(placement: &Placement) -> String {
+    let numbers = |ids: &[StoreId]| ids.iter().map(|id| id.0).collect::<Vec<_>>();
     let shard = |shard: &mintlb_common::placement::ShardAssignment| {
         format!(
             "{}: {:?} from {:?}",
-            shard.epoch, shard.replicas, shard.previous
+            shard.epoch,
+            numbers(&shard.replicas),
+            numbers(&shard.previous)
         )
     };
     let shards: Vec<String> = placement.shards.iter().map(shard).collect();
--- a/crates/mintlb-simulation/src/world/faults.rs
+++ b/crates/mintlb-simulation/src/world/faults.rs
@@ -6,6 +6,7 @@
 use crate::planted::Planted;
 use crate::process::{Disk, Role};
 use crate::store::disk::StoreDisk;
+use mintlb_common::placement::StoreId;
 use mintlb_register::replica_set::ReplicaId;
 use std::time::Duration;
 
@@ -207,7 +208,7 @@
             }
             Disk::Lots(disk) => {
                 *disk = StoreDisk {
-                    id: new_id,
+                    id: StoreId(new_id),
                     ..StoreDisk::default()
                 }
             }
@@ -256,7 +257,7 @@
                 ..VoteDisk::default()
             }),
             Role::Store => Disk::Lots(StoreDisk {
-                id: self.draw_identity(),
+                id: StoreId(self.draw_identity()),
                 ..StoreDisk::default()
             }),
             Role::Dispatcher => Disk::None,
