--- a/crates/mintlb-common/src/lib.rs
+++ b/crates/mintlb-common/src/lib.rs
@@ -8,10 +8,12 @@
 //! - [`transport`]: framed messages between the tier's own processes.
 //! - [`signals`]: the signals of the platform.
 //! - [`logging`]: the log of a process.
+//! - [`mix64`](mod@mix64): a mixing function for stable hashes.
 
 pub mod configuration;
 pub mod incarnation;
 pub mod logging;
+pub mod mix64;
 pub mod placement;
 pub mod record;
 pub mod settings;
--- a/crates/mintlb-control/src/controller/register/client.rs
+++ b/crates/mintlb-control/src/controller/register/client.rs
@@ -4,6 +4,7 @@
 use super::messages::{RegisterRequest, RegisterResponse, encode};
 use super::register_cache::RegisterCache;
 use super::replica_calls::{ReplicaReply, send_request};
+use mintlb_common::mix64::{SPLITMIX64_INCREMENT, mix64};
 use mintlb_common::transport::{Channel, Transport};
 use mintlb_register::ballot::Ballot;
 use mintlb_register::bootstrap::SeedStatus;
@@ -24,9 +25,6 @@
 const SINGLE_ROUND_TIMEOUT: Duration = Duration::from_millis(120);
 /// Capacity of the queue of replies to one proposal or read.
 const REPLY_QUEUE_CAPACITY: usize = 64;
-/// The step between two proposer numbers: odd, so that they repeat only after 2^64 of them (a Weyl
-/// sequence).
-const PROPOSER_STEP: u64 = 0x9e37_79b9_7f4a_7c15;
 
 /// No quorum replied in time. A change may or may not become part of the value: it may be tried
 /// again, as changes are idempotent.
@@ -48,8 +46,8 @@
     transport: Arc<Transport>,
     replica: Option<Arc<LocalReplica>>,
     cache: Mutex<RegisterCache>,
-    /// The number of the next proposer.
-    next_proposer: AtomicU64,
+    /// The number that the next proposer is mixed from.
+    proposer_counter: AtomicU64,
     /// Serializes the changes of this process.
     proposal_lock: tokio::sync::Mutex<()>,
     /// The start of the newest round that a majority answered.
@@ -70,7 +68,7 @@
             transport,
             replica,
             cache: Mutex::new(RegisterCache::stored(stored)),
-            next_proposer: AtomicU64::new(random_seed),
+            proposer_counter: AtomicU64::new(random_seed),
             proposal_lock: tokio::sync::Mutex::default(),
             majority_at: Mutex::default(),
             listener: Mutex::default(),
@@ -300,9 +298,14 @@
         }
     }
 
-    /// A number that no other proposal has: ballots of concurrent proposals must differ. Unique
-    /// within the process by the step, among processes by the random start.
+    /// A number that no other proposal has, as ballots of concurrent proposals must differ: distinct
+    /// within the process, as the counter takes each number once and mixing is a bijection, and
+    /// among processes by the random start. Scattered, so that of two competing processes neither
+    /// always has the higher ballot.
     fn next_proposer(&self) -> u64 {
-        self.next_proposer.fetch_add(PROPOSER_STEP, Relaxed)
+        let counter = self
+            .proposer_counter
+            .fetch_add(SPLITMIX64_INCREMENT, Relaxed);
+        mix64(counter)
     }
 }
--- a/crates/mintlb-gossip/src/record_id.rs
+++ b/crates/mintlb-gossip/src/record_id.rs
@@ -1,6 +1,7 @@
 //! Record identifiers: a stable 64-bit hash of the record's key.
 
 use minicbor::{Decode, Encode};
+use mintlb_common::mix64::mix64;
 
 /// Identifies a record in digests, announcements and requests, in place of its key.
 ///
@@ -31,12 +32,3 @@
         self.0
     }
 }
-
-/// A bijection that spreads every input bit over all output bits: one step of SplitMix64 (Steele,
-/// Lea and Flood, "Fast Splittable Pseudorandom Number Generators", 2014).
-pub(crate) const fn mix64(number: u64) -> u64 {
-    let mut mixed = number.wrapping_add(0x9e37_79b9_7f4a_7c15);
-    mixed = (mixed ^ (mixed >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
-    mixed = (mixed ^ (mixed >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
-    mixed ^ (mixed >> 31)
-}
--- a/crates/mintlb-gossip/src/table.rs
+++ b/crates/mintlb-gossip/src/table.rs
@@ -8,7 +8,8 @@
 //! unchanged.
 
 use crate::message::RecordVersion;
-use crate::record_id::{RecordId, mix64};
+use crate::record_id::RecordId;
+use mintlb_common::mix64::mix64;
 use mintlb_common::record::Record;
 use rustc_hash::FxHashMap;
 use std::sync::Arc;
