--- a/crates/mintlb-dispatcher/src/answer.rs
+++ b/crates/mintlb-dispatcher/src/answer.rs
@@ -1,11 +1,11 @@
 //! Reads a worker's answer, and passes on what is certain of it.
 
-use crate::back::Came;
 use crate::connection::Connection;
 use crate::events::EventReader;
-use crate::exchange::{Exchange, Head, Manner};
+use crate::exchange::{Exchange, ExchangeMode, Head};
 use crate::load::Load;
 use crate::request::{LOAD, NOT_EXECUTED, REQUEST_ID, SIGNATURE, strip_connection_headers};
+use crate::upstream::WorkerEvent;
 use crate::wire::{AnswerHead, BodyReader, Framing};
 use crate::workers::WorkerEntry;
 use axum::http::header::{CONTENT_LENGTH, CONTENT_TYPE};
@@ -22,17 +22,17 @@
 use tokio::time::{Instant, Sleep, sleep_until, timeout};
 
 /// An answer that is no stream is held until it is whole, up to so many bytes.
-const MOST_HELD_BYTES: usize = 256 << 10;
+const MAX_BUFFERED_BYTES: usize = 256 << 10;
 /// Answers to earlier requests that are passed over in one send.
-const MOST_SURPLUS: usize = 2;
+const MAX_SURPLUS_RESPONSES: usize = 2;
 /// The body of a refusal, or of an item's failure, says nothing more: it is waited for so long, only to keep the
 /// connection.
 const UNUSED_BODY: Duration = Duration::from_millis(50);
 /// A worker that says nothing for so long, and for so many times what is usual, may be gone: what may run again and goes
 /// on elsewhere is sent elsewhere.
-const LEAST_SILENCE: f64 = 0.8;
-const SILENT_TARGETS: f64 = 2.5;
-const SILENT_GAPS: f64 = 3.0;
+const MIN_READ_TIMEOUT: f64 = 0.8;
+const READ_TIMEOUT_TARGETS: f64 = 2.5;
+const READ_TIMEOUT_GAPS: f64 = 3.0;
 
 /// Reads the answer to one send.
 pub struct Reading<'a> {
@@ -41,11 +41,11 @@
     /// To what.
     pub exchange: &'a Arc<Exchange>,
     /// The send's number.
-    pub alloc: AllocId,
+    pub attempt: AllocId,
 }
 
 /// The connection may carry another request, and stays open for so long when idle, if the worker says so.
-pub struct Keep {
+pub struct Reuse {
     /// See [`AnswerHead::keep_alive`].
     pub idle: Option<Duration>,
 }
@@ -53,19 +53,19 @@
 /// What came of reading an answer.
 pub struct Answered {
     /// For the decisions.
-    pub came: Came,
+    pub event: WorkerEvent,
     /// The worker says that it has not run the request.
     pub not_run: bool,
     /// Whether the connection is good for another request.
-    pub keep: Option<Keep>,
+    pub reuse: Option<Reuse>,
 }
 
 impl From<Outcome> for Answered {
     fn from(outcome: Outcome) -> Answered {
         Answered {
-            came: Came::with(outcome),
+            event: WorkerEvent::with(outcome),
             not_run: false,
-            keep: None,
+            reuse: None,
         }
     }
 }
@@ -73,51 +73,55 @@
 /// The worker broke off, sent what is no answer, or said nothing for too long: the request may have run.
 enum Failed {
     Broken,
-    Silent,
+    TimedOut,
 }
 
 impl From<Failed> for Answered {
     fn from(failed: Failed) -> Answered {
         match failed {
             Failed::Broken => Outcome::Dropped.into(),
-            Failed::Silent => Outcome::TimedOut.into(),
+            Failed::TimedOut => Outcome::TimedOut.into(),
         }
     }
 }
 
 /// Tells when a worker has been silent for too long. One timer a send: it is set anew only when it rings.
-struct Silence {
-    heard: Instant,
-    most: Option<Duration>,
+struct ReadTimeout {
+    last_read: Instant,
+    limit: Option<Duration>,
     timer: Pin<Box<Sleep>>,
 }
 
-impl Silence {
-    fn new(most: Option<f64>) -> Silence {
-        let most = most.map(|seconds| Duration::from_secs_f64(seconds.clamp(0.0, 3600.0)));
-        let heard = Instant::now();
+impl ReadTimeout {
+    fn new(limit: Option<f64>) -> ReadTimeout {
+        let limit = limit.map(|seconds| Duration::from_secs_f64(seconds.clamp(0.0, 3600.0)));
+        let last_read = Instant::now();
         let timer = Box::pin(sleep_until(
-            heard + most.unwrap_or(Duration::from_secs(3600)),
+            last_read + limit.unwrap_or(Duration::from_secs(3600)),
         ));
-        Silence { heard, most, timer }
+        ReadTimeout {
+            last_read,
+            limit,
+            timer,
+        }
     }
 
     async fn fill(&mut self, connection: &mut Connection) -> Result<(), Failed> {
-        let Some(most) = self.most else {
+        let Some(limit) = self.limit else {
             return connection.fill().await.map_err(|_| Failed::Broken);
         };
         loop {
             tokio::select! {
                 biased;
                 filled = connection.fill() => {
-                    self.heard = Instant::now();
+                    self.last_read = Instant::now();
                     return filled.map_err(|_| Failed::Broken);
                 }
                 () = &mut self.timer => {
-                    if self.heard.elapsed() >= most {
-                        return Err(Failed::Silent);
+                    if self.last_read.elapsed() >= limit {
+                        return Err(Failed::TimedOut);
                     }
-                    self.timer.as_mut().reset(self.heard + most);
+                    self.timer.as_mut().reset(self.last_read + limit);
                 }
             }
         }
@@ -133,35 +137,37 @@
     }
 
     async fn try_read(&self, connection: &mut Connection) -> Result<Answered, Failed> {
-        let mut silence = Silence::new(self.patience());
-        let head = self.own_head(connection, &mut silence).await?;
+        let mut read_timeout = ReadTimeout::new(self.read_timeout_seconds());
+        let head = self.own_head(connection, &mut read_timeout).await?;
         let load = head
             .headers
             .get(LOAD)
             .and_then(|load| Load::read(load.to_str().ok()?));
         if let Some(load) = load {
-            self.worker.told_load(load, self.exchange.hub().clock.now());
+            self.worker
+                .record_load(load, self.exchange.shared().clock.now());
         }
-        let mut answered = self.sort(connection, &mut silence, &head).await?;
-        answered.came.free_slots = load.map(|load| load.free());
-        let keep = Keep {
+        let mut answered = self.sort(connection, &mut read_timeout, &head).await?;
+        answered.event.free_slots = load.map(|load| load.free());
+        let reuse = Reuse {
             idle: head.keep_alive(),
         };
-        answered.keep = answered.keep.filter(|_| head.keeps_alive).map(|_| keep);
+        answered.reuse = answered.reuse.filter(|_| head.keeps_alive).map(|_| reuse);
         Ok(answered)
     }
 
     /// How many seconds the worker may be silent. Only what may be sent again, and is better off elsewhere then, has
     /// such a bound; all else ends with its own time.
-    fn patience(&self) -> Option<f64> {
+    fn read_timeout_seconds(&self) -> Option<f64> {
         let terms = &self.exchange.terms;
-        let another =
-            terms.idempotent && self.exchange.may_be_sent() && self.exchange.manner == Manner::Live;
+        let another = terms.idempotent
+            && self.exchange.may_be_sent()
+            && self.exchange.mode == ExchangeMode::Live;
         let usual = terms
             .gap
-            .map_or(0.0, |gap| SILENT_GAPS * gap)
-            .max(SILENT_TARGETS * terms.target);
-        another.then_some(usual.max(LEAST_SILENCE))
+            .map_or(0.0, |gap| READ_TIMEOUT_GAPS * gap)
+            .max(READ_TIMEOUT_TARGETS * terms.target);
+        another.then_some(usual.max(MIN_READ_TIMEOUT))
     }
 
     /// The head of the answer to this request; those to earlier ones are passed over, and the connection then carries no
@@ -169,13 +175,13 @@
     async fn own_head(
         &self,
         connection: &mut Connection,
-        silence: &mut Silence,
+        read_timeout: &mut ReadTimeout,
     ) -> Result<AnswerHead, Failed> {
-        for _ in 0..=MOST_SURPLUS {
+        for _ in 0..=MAX_SURPLUS_RESPONSES {
             let head = loop {
                 match AnswerHead::take(&mut connection.buffer) {
                     Ok(Some(head)) => break head,
-                    Ok(None) => silence.fill(connection).await?,
+                    Ok(None) => read_timeout.fill(connection).await?,
                     Err(_) => return Err(Failed::Broken),
                 }
             };
@@ -184,7 +190,7 @@
                 (Some(id), None) if *id == self.exchange.request.id => return Ok(head),
                 (Some(_), None) if head.framing != Framing::UntilClose => {
                     connection.spoil();
-                    self.skip(connection, silence, head.framing).await?;
+                    self.skip(connection, read_timeout, head.framing).await?;
                 }
                 _ => return Err(Failed::Broken),
             }
@@ -195,7 +201,7 @@
     async fn skip(
         &self,
         connection: &mut Connection,
-        silence: &mut Silence,
+        read_timeout: &mut ReadTimeout,
         framing: Framing,
     ) -> Result<(), Failed> {
         let mut body = BodyReader::new(framing);
@@ -208,7 +214,7 @@
             if body.is_done() {
                 return Ok(());
             }
-            silence.fill(connection).await?;
+            read_timeout.fill(connection).await?;
         }
     }
 
@@ -216,7 +222,7 @@
     async fn sort(
         &self,
         connection: &mut Connection,
-        silence: &mut Silence,
+        read_timeout: &mut ReadTimeout,
         head: &AnswerHead,
     ) -> Result<Answered, Failed> {
         let framing = match self.exchange.request.method == Method::HEAD {
@@ -226,14 +232,14 @@
         let misplaced = head.status == StatusCode::MISDIRECTED_REQUEST;
         if misplaced || head.headers.contains_key(NOT_EXECUTED) {
             if misplaced && !self.exchange.request.headers.contains_key("expect-version") {
-                self.worker.mark_gone();
+                self.worker.take_out_of_service();
             }
-            let whole = self.skip_soon(connection, silence, framing).await;
-            let keep = (whole && !misplaced).then_some(Keep { idle: None });
+            let complete = self.skip_soon(connection, read_timeout, framing).await;
+            let reuse = (complete && !misplaced).then_some(Reuse { idle: None });
             return Ok(Answered {
-                came: Came::with(Outcome::Full),
+                event: WorkerEvent::with(Outcome::Full),
                 not_run: true,
-                keep,
+                reuse,
             });
         }
         if head.status.is_success() {
@@ -243,13 +249,15 @@
                 return Err(Failed::Broken);
             }
             return match stream {
-                true => self.events(connection, silence, head, framing).await,
-                false => self.success(connection, silence, head, framing).await,
+                true => self.events(connection, read_timeout, head, framing).await,
+                false => self.success(connection, read_timeout, head, framing).await,
             };
         }
-        match self.exchange.manner {
-            Manner::Live => self.failure(connection, silence, head, framing).await,
-            Manner::Item => Ok(self.item_failure(connection, silence, head, framing).await),
+        match self.exchange.mode {
+            ExchangeMode::Live => self.failure(connection, read_timeout, head, framing).await,
+            ExchangeMode::Item => Ok(self
+                .item_failure(connection, read_timeout, head, framing)
+                .await),
         }
     }
 
@@ -257,10 +265,10 @@
     async fn skip_soon(
         &self,
         connection: &mut Connection,
-        silence: &mut Silence,
+        read_timeout: &mut ReadTimeout,
         framing: Framing,
     ) -> bool {
-        let rest = timeout(UNUSED_BODY, self.skip(connection, silence, framing)).await;
+        let rest = timeout(UNUSED_BODY, self.skip(connection, read_timeout, framing)).await;
         matches!(rest, Ok(Ok(())))
     }
 
@@ -268,36 +276,36 @@
     async fn item_failure(
         &self,
         connection: &mut Connection,
-        silence: &mut Silence,
+        read_timeout: &mut ReadTimeout,
         head: &AnswerHead,
         framing: Framing,
     ) -> Answered {
-        let whole = self.skip_soon(connection, silence, framing).await;
+        let complete = self.skip_soon(connection, read_timeout, framing).await;
         self.exchange.fail_item(client_head(head));
-        let keep = whole.then_some(Keep { idle: None });
+        let reuse = complete.then_some(Reuse { idle: None });
         Answered {
-            came: Came::with(Outcome::Completed),
+            event: WorkerEvent::with(Outcome::Completed),
             not_run: false,
-            keep,
+            reuse,
         }
     }
 
     fn is_stream(&self, head: &AnswerHead) -> bool {
-        let told = head
+        let content_type = head
             .headers
             .get(CONTENT_TYPE)
             .map(|value| value.as_bytes().to_ascii_lowercase());
         matches!(
             self.exchange.terms.route_type,
             RouteType::Streaming | RouteType::Batch
-        ) || told.is_some_and(|told| told.starts_with(b"text/event-stream"))
+        ) || content_type.is_some_and(|content_type| content_type.starts_with(b"text/event-stream"))
     }
 
     fn started(&self) {
         self.exchange
-            .hub()
-            .tell
-            .send(Event::Started(self.alloc))
+            .shared()
+            .event_sender
+            .send(Event::Started(self.attempt))
             .ok();
     }
 
@@ -305,7 +313,7 @@
     async fn events(
         &self,
         connection: &mut Connection,
-        silence: &mut Silence,
+        read_timeout: &mut ReadTimeout,
         head: &AnswerHead,
         framing: Framing,
     ) -> Result<Answered, Failed> {
@@ -313,13 +321,13 @@
         let mut events = EventReader::after(self.exchange.last_event());
         let mut started = false;
         loop {
-            while let Some(piece) = body
+            while let Some(chunk) = body
                 .take(&mut connection.buffer)
                 .map_err(|_| Failed::Broken)?
             {
-                let whole = events.take(piece).map_err(|_| Failed::Broken)?;
-                if !whole.is_empty() {
-                    self.exchange.pass(&mut given, whole, events.last());
+                let complete = events.take(chunk).map_err(|_| Failed::Broken)?;
+                if !complete.is_empty() {
+                    self.exchange.pass(&mut given, complete, events.last());
                     if !std::mem::replace(&mut started, true) {
                         self.started();
                     }
@@ -327,17 +335,17 @@
             }
             if body.is_done() {
                 // A worker that ends in the middle of an event has broken off, whatever the framing says.
-                if events.has_part() && self.exchange.terms.resumable {
+                if events.has_partial() && self.exchange.terms.resumable {
                     return Err(Failed::Broken);
                 }
                 // The framing says that the body is whole, so what is left is its end.
                 let last = events.last();
                 self.exchange.pass(&mut given, events.into_rest(), last);
                 self.exchange.complete();
-                return Ok(whole(connection));
+                return Ok(completed(connection));
             }
-            poll_fn(|cx| self.exchange.poll_room(cx)).await;
-            silence.fill(connection).await?;
+            poll_fn(|cx| self.exchange.poll_queue_space(cx)).await;
+            read_timeout.fill(connection).await?;
         }
     }
 
@@ -345,7 +353,7 @@
     async fn success(
         &self,
         connection: &mut Connection,
-        silence: &mut Silence,
+        read_timeout: &mut ReadTimeout,
         head: &AnswerHead,
         framing: Framing,
     ) -> Result<Answered, Failed> {
@@ -356,27 +364,28 @@
         self.started();
         let mut given = Some(client_head(head));
         if let (Some(given), Framing::Length(length)) = (&mut given, framing)
-            && length > MOST_HELD_BYTES as u64
+            && length > MAX_BUFFERED_BYTES as u64
         {
             given.headers.insert(CONTENT_LENGTH, length.into());
         }
-        let (mut body, mut held) = (BodyReader::new(framing), BytesMut::new());
+        let (mut body, mut buffered) = (BodyReader::new(framing), BytesMut::new());
         loop {
-            while let Some(piece) = body
+            while let Some(chunk) = body
                 .take(&mut connection.buffer)
                 .map_err(|_| Failed::Broken)?
             {
-                held.extend_from_slice(&piece);
+                buffered.extend_from_slice(&chunk);
             }
             if body.is_done() {
-                self.exchange.finish(&mut given, held.freeze());
-                return Ok(whole(connection));
+                self.exchange.finish(&mut given, buffered.freeze());
+                return Ok(completed(connection));
             }
-            if held.len() > MOST_HELD_BYTES {
-                self.exchange.pass(&mut given, held.split().freeze(), None);
-                poll_fn(|cx| self.exchange.poll_room(cx)).await;
+            if buffered.len() > MAX_BUFFERED_BYTES {
+                self.exchange
+                    .pass(&mut given, buffered.split().freeze(), None);
+                poll_fn(|cx| self.exchange.poll_queue_space(cx)).await;
             }
-            more(connection, silence, &mut body).await?;
+            more(connection, read_timeout, &mut body).await?;
         }
     }
 
@@ -384,28 +393,28 @@
     async fn failure(
         &self,
         connection: &mut Connection,
-        silence: &mut Silence,
+        read_timeout: &mut ReadTimeout,
         head: &AnswerHead,
         framing: Framing,
     ) -> Result<Answered, Failed> {
-        let (mut body, mut held) = (BodyReader::new(framing), BytesMut::new());
+        let (mut body, mut buffered) = (BodyReader::new(framing), BytesMut::new());
         while !body.is_done() {
-            while let Some(piece) = body
+            while let Some(chunk) = body
                 .take(&mut connection.buffer)
                 .map_err(|_| Failed::Broken)?
             {
-                held.extend_from_slice(&piece);
+                buffered.extend_from_slice(&chunk);
             }
-            if held.len() > MOST_HELD_BYTES {
+            if buffered.len() > MAX_BUFFERED_BYTES {
                 return Err(Failed::Broken);
             }
             if !body.is_done() {
-                more(connection, silence, &mut body).await?;
+                more(connection, read_timeout, &mut body).await?;
             }
         }
         let failed = Answered {
-            came: Came::with(Outcome::Error),
-            ..whole(connection)
+            event: WorkerEvent::with(Outcome::Error),
+            ..completed(connection)
         };
         if self.exchange.has_begun() {
             return Ok(failed);
@@ -420,10 +429,12 @@
         );
         match (promises, head.status.is_server_error()) {
             (true, _) => {}
-            (false, true) => self.exchange.keep_failure(client_head(head), held.freeze()),
+            (false, true) => self
+                .exchange
+                .store_failure(client_head(head), buffered.freeze()),
             (false, false) => {
-                self.exchange.finish(&mut given, held.freeze());
-                return Ok(whole(connection));
+                self.exchange.finish(&mut given, buffered.freeze());
+                return Ok(completed(connection));
             }
         }
         Ok(failed)
@@ -433,10 +444,10 @@
 /// Waits for more of a body that is no stream's. One without a length ends with its connection, unless that is reset.
 async fn more(
     connection: &mut Connection,
-    silence: &mut Silence,
+    read_timeout: &mut ReadTimeout,
     body: &mut BodyReader,
 ) -> Result<(), Failed> {
-    let filled = silence.fill(connection).await;
+    let filled = read_timeout.fill(connection).await;
     match filled.is_err() && connection.has_ended() && body.ends_with_connection() {
         true => Ok(()),
         false => filled,
@@ -444,12 +455,12 @@
 }
 
 /// The answer is whole, and the connection good unless more has come, or something was out of order.
-fn whole(connection: &Connection) -> Answered {
-    let keep = connection.buffer.is_empty().then_some(Keep { idle: None });
+fn completed(connection: &Connection) -> Answered {
+    let reuse = connection.buffer.is_empty().then_some(Reuse { idle: None });
     Answered {
-        came: Came::with(Outcome::Completed),
+        event: WorkerEvent::with(Outcome::Completed),
         not_run: false,
-        keep,
+        reuse,
     }
 }
 
--- a/crates/mintlb-dispatcher/src/batch/calls.rs
+++ b/crates/mintlb-dispatcher/src/batch/calls.rs
@@ -3,7 +3,7 @@
 use super::page;
 use super::runner::Runner;
 use super::submission;
-use crate::intake::{BatchCall, BatchHandler};
+use crate::batch_executor::{BatchCall, BatchHandler};
 use axum::body::Body;
 use axum::http::header::{CONTENT_TYPE, RETRY_AFTER};
 use axum::http::{HeaderMap, HeaderValue, Method, StatusCode};
@@ -21,9 +21,9 @@
 use std::time::Duration;
 
 /// The most bytes of results in one answer.
-const MOST_PAGE_BYTES: usize = 1 << 20;
+const MAX_PAGE_BYTES: usize = 1 << 20;
 /// The longest that a read waits for a result.
-const LONGEST_READ_WAIT: Duration = Duration::from_millis(1000);
+const MAX_READ_WAIT: Duration = Duration::from_millis(1000);
 /// A submission without a deadline of its client is given up after so long.
 const SUBMIT_WITHIN: Duration = Duration::from_millis(3000);
 /// So long before its client's deadline a submission gets its answer.
@@ -42,13 +42,13 @@
     client: Arc<BatchClient>,
     runner: Arc<Runner>,
     gossip: Arc<GossipService>,
-    holder: DispatcherId,
-    leaving: AtomicBool,
+    dispatcher_id: DispatcherId,
+    draining: AtomicBool,
 }
 
 /// What a path under `/v1/` names.
 enum Named<'a> {
-    Lot(&'a str),
+    Job(&'a str),
     Items(&'a str),
 }
 
@@ -58,14 +58,14 @@
         client: Arc<BatchClient>,
         runner: Arc<Runner>,
         gossip: Arc<GossipService>,
-        holder: DispatcherId,
+        dispatcher_id: DispatcherId,
     ) -> BatchCalls {
         BatchCalls {
             client,
             runner,
             gossip,
-            holder,
-            leaving: AtomicBool::new(false),
+            dispatcher_id,
+            draining: AtomicBool::new(false),
         }
     }
 }
@@ -83,17 +83,17 @@
             .split_once('?')
             .unwrap_or((&call.path_and_query, ""));
         match (named(path), &call.method) {
-            (Some(Named::Lot(id)), &Method::GET) => self.read(&call, id, query),
-            (Some(Named::Lot(id)), &Method::DELETE) => self.end(&call, id),
+            (Some(Named::Job(id)), &Method::GET) => self.read(&call, id, query),
+            (Some(Named::Job(id)), &Method::DELETE) => self.end(&call, id),
             (Some(Named::Items(id)), &Method::GET) => self.body(&call, id, query),
             (Some(_), _) => answer(StatusCode::METHOD_NOT_ALLOWED),
             (None, _) => answer(StatusCode::NOT_FOUND),
         }
     }
 
-    fn leave(&self) {
-        self.leaving.store(true, Relaxed);
-        self.runner.leave();
+    fn start_draining(&self) {
+        self.draining.store(true, Relaxed);
+        self.runner.start_draining();
     }
 }
 
@@ -104,7 +104,7 @@
         let Some(route) = call.configuration.route_list.get(route) else {
             return answer(StatusCode::NOT_FOUND);
         };
-        if self.leaving.load(Relaxed) {
+        if self.draining.load(Relaxed) {
             return Box::pin(async { later(StatusCode::SERVICE_UNAVAILABLE, COME_BACK) });
         }
         let id = call
@@ -127,9 +127,11 @@
             items,
         };
         let within = submit_within(&call.headers);
-        let (client, runner, holder) = (self.client.clone(), self.runner.clone(), self.holder);
+        let (client, runner, dispatcher_id) =
+            (self.client.clone(), self.runner.clone(), self.dispatcher_id);
         // On its own task: what is taken is run here, also when its client has left meanwhile.
-        let task = tokio::spawn(async move { submit(&client, &runner, holder, job, within).await });
+        let task =
+            tokio::spawn(async move { submit(&client, &runner, dispatcher_id, job, within).await });
         Box::pin(async move {
             task.await
                 .unwrap_or_else(|_| StatusCode::BAD_GATEWAY.into_response())
@@ -143,7 +145,7 @@
         };
         let wait = milliseconds(&call.headers, "mintlb-wait-ms")
             .unwrap_or_default()
-            .min(LONGEST_READ_WAIT);
+            .min(MAX_READ_WAIT);
         let (client, host, job_id) = (
             self.client.clone(),
             host_name(&call.host),
@@ -151,7 +153,7 @@
         );
         Box::pin(async move {
             match client
-                .read(&host, &job_id, start_after, wait, MOST_PAGE_BYTES)
+                .read(&host, &job_id, start_after, wait, MAX_PAGE_BYTES)
                 .await
             {
                 Ok(found) => json(page::to_json(found.total, found.next, &found.results)),
@@ -189,7 +191,7 @@
         Box::pin(async move {
             match client.end(&host, &job_id).await {
                 Ok(()) => {
-                    runner.lot_ended(&host, &job_id);
+                    runner.job_ended(&host, &job_id);
                     gossip.publish_now(Record {
                         key: format!("{ENDED_JOB_PREFIX}{job_id}"),
                         version: 1,
@@ -208,11 +210,11 @@
 async fn submit(
     client: &BatchClient,
     runner: &Arc<Runner>,
-    holder: DispatcherId,
+    dispatcher_id: DispatcherId,
     job: Submission,
     within: Duration,
 ) -> Response {
-    match client.submit(job.clone(), holder, within).await {
+    match client.submit(job.clone(), dispatcher_id, within).await {
         Ok(Submitted { items_leased }) => {
             if items_leased {
                 runner.take(leased(job));
@@ -275,7 +277,7 @@
 
 fn named(path: &str) -> Option<Named<'_>> {
     let is_id = |id: &&str| !id.is_empty() && !id.contains('/');
-    let job = path.strip_prefix("/v1/lots/").filter(is_id).map(Named::Lot);
+    let job = path.strip_prefix("/v1/lots/").filter(is_id).map(Named::Job);
     job.or_else(|| {
         path.strip_prefix("/v1/items/")
             .filter(is_id)
--- a/crates/mintlb-dispatcher/src/batch/mod.rs
+++ b/crates/mintlb-dispatcher/src/batch/mod.rs
@@ -9,7 +9,7 @@
 pub mod runner;
 pub mod submission;
 
-use crate::intake::{BatchHandler, Intake};
+use crate::batch_executor::{BatchExecutor, BatchHandler};
 use arc_swap::ArcSwap;
 use mintlb_batch::client::BatchClient;
 use mintlb_batch::messages::DispatcherId;
@@ -19,12 +19,12 @@
 use mintlb_gossip::GossipService;
 use std::sync::Arc;
 
-/// Starts what serves lots at this dispatcher. `holder` names it towards the stores, another number at each start.
+/// Starts what serves lots at this dispatcher. `dispatcher_id` names it towards the stores, another number at each start.
 pub fn start(
     transport: Arc<Transport>,
     gossip: Arc<GossipService>,
-    intake: Intake,
-    holder: DispatcherId,
+    batch_executor: BatchExecutor,
+    dispatcher_id: DispatcherId,
 ) -> Arc<dyn BatchHandler> {
     let placement = Arc::new(ArcSwap::from_pointee(Placement::default()));
     let current = placement.clone();
@@ -32,7 +32,7 @@
         transport,
         Arc::new(move || current.load_full()),
     ));
-    let runner = runner::Runner::start(client.clone(), intake, holder);
+    let runner = runner::Runner::start(client.clone(), batch_executor, dispatcher_id);
     let listener = runner.clone();
     gossip.subscribe(Arc::new(move |record: &Record| {
         if record.key == PLACEMENT {
@@ -44,8 +44,13 @@
                 ),
             }
         } else if let Some(job_id) = record.key.strip_prefix(ENDED_JOB_PREFIX) {
-            listener.lot_ended(&String::from_utf8_lossy(&record.body), job_id);
+            listener.job_ended(&String::from_utf8_lossy(&record.body), job_id);
         }
     }));
-    Arc::new(calls::BatchCalls::new(client, runner, gossip, holder))
+    Arc::new(calls::BatchCalls::new(
+        client,
+        runner,
+        gossip,
+        dispatcher_id,
+    ))
 }
--- a/crates/mintlb-dispatcher/src/batch/page.rs
+++ b/crates/mintlb-dispatcher/src/batch/page.rs
@@ -8,11 +8,11 @@
 struct Page<'a> {
     total: u64,
     next_page_token: u64,
-    results: Vec<ResultLine<'a>>,
+    results: Vec<ResultEntry<'a>>,
 }
 
 #[derive(Serialize)]
-struct ResultLine<'a> {
+struct ResultEntry<'a> {
     instance_id: &'a str,
     state: &'static str,
     text: std::borrow::Cow<'a, str>,
@@ -23,17 +23,17 @@
     let page = Page {
         total,
         next_page_token: next,
-        results: results.iter().map(line).collect(),
+        results: results.iter().map(result_entry).collect(),
     };
     serde_json::to_vec(&page).unwrap_or_default()
 }
 
-fn line(result: &CommittedResult) -> ResultLine<'_> {
+fn result_entry(result: &CommittedResult) -> ResultEntry<'_> {
     let state = match result.state {
         ItemState::Completed => "completed",
         ItemState::Unrecoverable => "unrecoverable",
     };
-    ResultLine {
+    ResultEntry {
         instance_id: &result.instance_id,
         state,
         text: String::from_utf8_lossy(&result.text),
--- a/crates/mintlb-dispatcher/src/batch/progress.rs
+++ b/crates/mintlb-dispatcher/src/batch/progress.rs
@@ -6,11 +6,11 @@
 use std::time::Duration;
 
 /// The pause before an item is tried again, doubled with each attempt that brought nothing.
-const FIRST_PAUSE: Duration = Duration::from_millis(100);
+const INITIAL_BACKOFF: Duration = Duration::from_millis(100);
 /// The longest of these pauses.
-const LONGEST_PAUSE: Duration = Duration::from_millis(800);
+const MAX_BACKOFF: Duration = Duration::from_millis(800);
 /// An item whose route is gone for so long can't be done: a configuration that has the route may be under way.
-const ROUTE_GONE_MS: u64 = 6_000;
+const ROUTE_MISSING_TIMEOUT_MS: u64 = 6_000;
 /// By so much the time of day of the dispatcher that took a lot may have been behind the one here, in ms: either clock
 /// may be two seconds off when its process starts.
 const CLOCK_TOLERANCE_MS: u64 = 5_000;
@@ -48,7 +48,7 @@
     has_events: bool,
     last_event: Option<u64>,
     failures: u32,
-    fruitless: u32,
+    attempts_without_progress: u32,
     /// When no route was first found for it, in ms of the steady clock below.
     no_route_since: Option<u64>,
 }
@@ -88,7 +88,7 @@
         self.text.extend_from_slice(data);
         self.has_events = true;
         self.last_event = id.or(self.last_event);
-        self.fruitless = 0;
+        self.attempts_without_progress = 0;
     }
 
     /// The attempt under way has ended. `now_ms` is the time of day at the start of this process and the time that it
@@ -107,21 +107,21 @@
         }
         let no_route = *outcome == AttemptOutcome::NoRoute;
         self.no_route_since = no_route.then(|| self.no_route_since.unwrap_or(now_ms));
-        let is_gone = self
+        let route_is_missing = self
             .no_route_since
-            .is_some_and(|since| now_ms >= since + ROUTE_GONE_MS);
+            .is_some_and(|since| now_ms >= since + ROUTE_MISSING_TIMEOUT_MS);
         let given_up_at = terms
             .sent_at_ms
             .saturating_add(terms.retention_ms)
             .saturating_add(CLOCK_TOLERANCE_MS);
         let too_old = terms.retention_ms > 0 && now_ms >= given_up_at;
-        if self.is_spent(terms) || too_old || is_gone {
+        if self.is_spent(terms) || too_old || route_is_missing {
             return Next::Record(ItemResult::Unrecoverable);
         }
-        let pause = FIRST_PAUSE
-            .saturating_mul(1 << self.fruitless.min(3))
-            .min(LONGEST_PAUSE);
-        self.fruitless += 1;
+        let pause = INITIAL_BACKOFF
+            .saturating_mul(1 << self.attempts_without_progress.min(3))
+            .min(MAX_BACKOFF);
+        self.attempts_without_progress += 1;
         Next::RunAgain(if *outcome == AttemptOutcome::Broken {
             pause / 4
         } else {
--- a/crates/mintlb-dispatcher/src/batch/queue.rs
+++ b/crates/mintlb-dispatcher/src/batch/queue.rs
@@ -5,25 +5,25 @@
 use std::collections::{BTreeMap, HashMap, HashSet, VecDeque};
 
 /// Ended lots that are remembered: their items may still come with an answer that was under way.
-const MOST_ENDED: usize = 4096;
+const MAX_ENDED_JOBS: usize = 4096;
 
 /// An item's place among those held here.
 pub type ItemNumber = u64;
 
 /// A lot by its host and id.
-pub type LotKey = (String, String);
+pub type JobKey = (String, String);
 
 /// Items held, the one due first in front.
 #[derive(Default)]
 pub struct ItemQueue {
     waiting: BTreeMap<(u64, ItemNumber), LeasedItem>,
-    held: HashMap<LotKey, HashSet<u32>>,
-    running: HashMap<ItemNumber, (LotKey, u32)>,
+    leased: HashMap<JobKey, HashSet<u32>>,
+    running: HashMap<ItemNumber, (JobKey, u32)>,
     /// Failed attempts of the items that run.
-    failures: HashMap<LotKey, BTreeMap<u32, u32>>,
+    failures: HashMap<JobKey, BTreeMap<u32, u32>>,
     /// Lots that ended last, and the same in their order.
-    ended: HashSet<LotKey>,
-    ended_order: VecDeque<LotKey>,
+    ended: HashSet<JobKey>,
+    ended_order: VecDeque<JobKey>,
     next_number: ItemNumber,
 }
 
@@ -31,7 +31,7 @@
     /// Takes an item in, unless it is here already or its lot is known to be ended.
     pub fn add(&mut self, item: LeasedItem) {
         let key = (item.host.clone(), item.job_id.clone());
-        if self.ended.contains(&key) || !self.held.entry(key).or_default().insert(item.index) {
+        if self.ended.contains(&key) || !self.leased.entry(key).or_default().insert(item.index) {
             return;
         }
         let due = item
@@ -42,9 +42,9 @@
         self.next_number += 1;
     }
 
-    /// The next item to run, if fewer than `most` run.
-    pub fn start(&mut self, most: usize) -> Option<(ItemNumber, LeasedItem)> {
-        if self.running.len() >= most {
+    /// The next item to run, if fewer than `limit` run.
+    pub fn start(&mut self, limit: usize) -> Option<(ItemNumber, LeasedItem)> {
+        if self.running.len() >= limit {
             return None;
         }
         let ((_, number), item) = self.waiting.pop_first()?;
@@ -82,25 +82,25 @@
     }
 
     /// Whether an item that runs is still held: its lot is not ended, its lease not lost.
-    pub fn is_held(&self, number: ItemNumber) -> bool {
+    pub fn is_leased(&self, number: ItemNumber) -> bool {
         let running = self.running.get(&number);
         running.is_some_and(|(key, index)| {
-            self.held
+            self.leased
                 .get(key)
                 .is_some_and(|items| items.contains(index))
         })
     }
 
     /// These items, or with no items named the whole lot, are no longer to run here. Returns those that run.
-    pub fn drop_items(&mut self, key: &LotKey, items: Option<&[u32]>) -> Vec<ItemNumber> {
+    pub fn drop_items(&mut self, key: &JobKey, items: Option<&[u32]>) -> Vec<ItemNumber> {
         let fits = |index: u32| items.is_none_or(|items| items.contains(&index));
         self.waiting.retain(|_, item| {
             !((&item.host, &item.job_id) == (&key.0, &key.1) && fits(item.index))
         });
-        if let Some(held) = self.held.get_mut(key) {
-            held.retain(|index| !fits(*index));
-            if held.is_empty() {
-                self.held.remove(key);
+        if let Some(leased) = self.leased.get_mut(key) {
+            leased.retain(|index| !fits(*index));
+            if leased.is_empty() {
+                self.leased.remove(key);
             }
         }
         let running = self
@@ -111,12 +111,12 @@
     }
 
     /// A lot is ended: none of its items is to run here, nor those that come later. Returns those that run.
-    pub fn end_lot(&mut self, key: LotKey) -> Vec<ItemNumber> {
+    pub fn end_job(&mut self, key: JobKey) -> Vec<ItemNumber> {
         let stopped = self.drop_items(&key, None);
         if self.ended.insert(key.clone()) {
             self.ended_order.push_back(key);
         }
-        if self.ended_order.len() > MOST_ENDED
+        if self.ended_order.len() > MAX_ENDED_JOBS
             && let Some(oldest) = self.ended_order.pop_front()
         {
             self.ended.remove(&oldest);
@@ -125,8 +125,8 @@
     }
 
     /// What is held, for the renewal of its leases.
-    pub fn held(&self) -> Vec<LeasedJob> {
-        let job = |(key, items): (&LotKey, &HashSet<u32>)| {
+    pub fn leased(&self) -> Vec<LeasedJob> {
+        let job = |(key, items): (&JobKey, &HashSet<u32>)| {
             let (host, job_id) = key.clone();
             let failures = self.failures.get(key).into_iter().flatten();
             let failures = failures.map(|(item, attempts)| ItemFailures {
@@ -140,7 +140,7 @@
                 failures: failures.collect(),
             }
         };
-        self.held.iter().map(job).collect()
+        self.leased.iter().map(job).collect()
     }
 
     /// Items that wait to run.
@@ -153,17 +153,17 @@
         self.running.len()
     }
 
-    fn forget(&mut self, key: &LotKey, index: u32) {
+    fn forget(&mut self, key: &JobKey, index: u32) {
         if let Some(failures) = self.failures.get_mut(key) {
             failures.remove(&index);
             if failures.is_empty() {
                 self.failures.remove(key);
             }
         }
-        if let Some(items) = self.held.get_mut(key) {
+        if let Some(items) = self.leased.get_mut(key) {
             items.remove(&index);
             if items.is_empty() {
-                self.held.remove(key);
+                self.leased.remove(key);
             }
         }
     }
--- a/crates/mintlb-dispatcher/src/batch/runner.rs
+++ b/crates/mintlb-dispatcher/src/batch/runner.rs
@@ -2,8 +2,8 @@
 
 use super::progress::{AttemptOutcome, Next, Progress};
 use super::queue::{ItemNumber, ItemQueue};
+use crate::batch_executor::{BatchExecutor, ItemOutcome, ItemRequest, ItemStep};
 use crate::events::{event_data, event_id, split_events};
-use crate::intake::{Intake, ItemOutcome, ItemRequest, ItemStep};
 use axum::http::{HeaderMap, HeaderName, HeaderValue, StatusCode};
 use mintlb_batch::client::{BatchClient, ItemResult, LeasedItem};
 use mintlb_batch::messages::DispatcherId;
@@ -16,7 +16,7 @@
 use tokio_util::sync::CancellationToken;
 
 /// Items that run at once here.
-const MOST_RUNNING: usize = 192;
+const MAX_RUNNING: usize = 192;
 /// How often leases are renewed.
 const RENEWAL: Duration = Duration::from_millis(1000);
 /// Items that are asked for at once, where this dispatcher has nothing waiting.
@@ -25,30 +25,34 @@
 const NEXT_LEASE: Duration = Duration::from_millis(120);
 /// The pause before a result that could not be recorded is recorded again, and how often that is tried.
 const RECORD_PAUSE: Duration = Duration::from_millis(300);
-const MOST_RECORDS: usize = 40;
+const MAX_RECORD_ATTEMPTS: usize = 40;
 /// The longest that one attempt of an item is held.
-const LONGEST_ATTEMPT: Duration = Duration::from_secs(60);
+const MAX_ATTEMPT_TIME: Duration = Duration::from_secs(60);
 
 /// Runs items of lots.
 pub struct Runner {
     client: Arc<BatchClient>,
-    intake: Intake,
-    holder: DispatcherId,
+    batch_executor: BatchExecutor,
+    dispatcher_id: DispatcherId,
     queue: Mutex<ItemQueue>,
     running: Mutex<HashMap<ItemNumber, CancellationToken>>,
-    leaving: AtomicBool,
+    draining: AtomicBool,
 }
 
 impl Runner {
     /// Starts with nothing to run.
-    pub fn start(client: Arc<BatchClient>, intake: Intake, holder: DispatcherId) -> Arc<Runner> {
+    pub fn start(
+        client: Arc<BatchClient>,
+        batch_executor: BatchExecutor,
+        dispatcher_id: DispatcherId,
+    ) -> Arc<Runner> {
         let runner = Arc::new(Runner {
             client,
-            intake,
-            holder,
+            batch_executor,
+            dispatcher_id,
             queue: Mutex::default(),
             running: Mutex::default(),
-            leaving: AtomicBool::new(false),
+            draining: AtomicBool::new(false),
         });
         tokio::spawn(runner.clone().renew());
         tokio::spawn(runner.clone().lease());
@@ -57,12 +61,12 @@
 
     /// Unix time in ms, which never steps while the process runs.
     pub fn now_ms(&self) -> u64 {
-        self.intake.now_ms()
+        self.batch_executor.now_ms()
     }
 
     /// Takes items in whose leases this dispatcher holds.
     pub fn take(self: &Arc<Self>, items: Vec<LeasedItem>) {
-        if self.leaving.load(Relaxed) {
+        if self.draining.load(Relaxed) {
             return;
         }
         items
@@ -72,24 +76,24 @@
     }
 
     /// No item of this lot runs here any more, nor one whose lease is still under way.
-    pub fn lot_ended(&self, host: &str, job_id: &str) {
+    pub fn job_ended(&self, host: &str, job_id: &str) {
         let stopped = self
             .queue
             .lock()
-            .end_lot((host.to_string(), job_id.to_string()));
+            .end_job((host.to_string(), job_id.to_string()));
         self.cancel(&stopped);
     }
 
     /// Stops all items and gives their leases up: the process is to end.
-    pub fn leave(self: &Arc<Self>) {
-        self.leaving.store(true, Relaxed);
+    pub fn start_draining(self: &Arc<Self>) {
+        self.draining.store(true, Relaxed);
         *self.queue.lock() = ItemQueue::default();
         self.running
             .lock()
             .values()
             .for_each(CancellationToken::cancel);
-        let (client, holder) = (self.client.clone(), self.holder);
-        tokio::spawn(async move { client.release(holder).await });
+        let (client, dispatcher_id) = (self.client.clone(), self.dispatcher_id);
+        tokio::spawn(async move { client.release(dispatcher_id).await });
     }
 
     fn cancel(&self, numbers: &[ItemNumber]) {
@@ -102,7 +106,7 @@
 
     fn run_next(self: &Arc<Self>) {
         loop {
-            let Some((number, item)) = self.queue.lock().start(MOST_RUNNING) else {
+            let Some((number, item)) = self.queue.lock().start(MAX_RUNNING) else {
                 return;
             };
             let stop = CancellationToken::new();
@@ -129,7 +133,7 @@
         if progress.is_spent(&item.terms) {
             return self.record(&item, ItemResult::Unrecoverable).await;
         }
-        while self.queue.lock().is_held(number) {
+        while self.queue.lock().is_leased(number) {
             let outcome = self
                 .attempt(&item, id.clone(), headers.clone(), &mut progress)
                 .await;
@@ -140,7 +144,7 @@
                 Next::RunAgain(pause) => {
                     // The store knows at once, so that another holder does not begin to count anew.
                     if let Some(failed) = failed.filter(|_| outcome == AttemptOutcome::Failed) {
-                        self.client.renew(self.holder, vec![failed]).await;
+                        self.client.renew(self.dispatcher_id, vec![failed]).await;
                     }
                     sleep(pause).await;
                 }
@@ -155,13 +159,13 @@
         headers: HeaderMap,
         progress: &mut Progress,
     ) -> AttemptOutcome {
-        let mut run = self.intake.run(ItemRequest {
+        let mut run = self.batch_executor.run(ItemRequest {
             host: item.host.clone(),
             path: item.item.path.clone(),
             id,
             headers,
             body: item.item.body.clone(),
-            time: LONGEST_ATTEMPT,
+            time: MAX_ATTEMPT_TIME,
             last_event_id: progress.last_event(),
         });
         loop {
@@ -177,7 +181,7 @@
     }
 
     async fn record(&self, item: &LeasedItem, result: ItemResult) {
-        for _ in 0..MOST_RECORDS {
+        for _ in 0..MAX_RECORD_ATTEMPTS {
             if self
                 .client
                 .record(&item.host, &item.job_id, item.index, result.clone())
@@ -198,13 +202,13 @@
     async fn renew(self: Arc<Self>) {
         let mut tick = interval(RENEWAL);
         tick.set_missed_tick_behavior(MissedTickBehavior::Delay);
-        while !self.leaving.load(Relaxed) {
+        while !self.draining.load(Relaxed) {
             tick.tick().await;
-            let held = self.queue.lock().held();
-            if held.is_empty() {
+            let leased = self.queue.lock().leased();
+            if leased.is_empty() {
                 continue;
             }
-            for lost in self.client.renew(self.holder, held).await {
+            for lost in self.client.renew(self.dispatcher_id, leased).await {
                 let key = (lost.host, lost.job_id);
                 let stopped = self.queue.lock().drop_items(&key, Some(&lost.items));
                 self.cancel(&stopped);
@@ -214,13 +218,13 @@
 
     /// Asks for items that nobody runs, while this dispatcher has few.
     async fn lease(self: Arc<Self>) {
-        while !self.leaving.load(Relaxed) {
+        while !self.draining.load(Relaxed) {
             let has_few = {
                 let queue = self.queue.lock();
-                queue.waiting() == 0 && queue.running() < MOST_RUNNING / 2
+                queue.waiting() == 0 && queue.running() < MAX_RUNNING / 2
             };
             let leased = match has_few {
-                true => self.client.lease(self.holder, LEASE_AT_ONCE).await,
+                true => self.client.lease(self.dispatcher_id, LEASE_AT_ONCE).await,
                 false => Vec::new(),
             };
             let pause = if leased.is_empty() {
--- a/crates/mintlb-dispatcher/src/batch/submission.rs
+++ b/crates/mintlb-dispatcher/src/batch/submission.rs
@@ -10,7 +10,7 @@
 use std::collections::{BTreeMap, HashSet};
 
 /// The most items of a lot.
-pub const MOST_ITEMS: usize = 200;
+pub const MAX_ITEMS: usize = 200;
 
 /// Why a lot is not taken. Its client gets the text with a 400.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
@@ -19,7 +19,7 @@
     #[error("M411 the lot can't be read: {0}")]
     Unreadable(String),
     /// It has no items, or too many.
-    #[error("M412 requests: {0} items, from 1 to {MOST_ITEMS} are taken")]
+    #[error("M412 requests: {0} items, from 1 to {MAX_ITEMS} are taken")]
     Count(usize),
     /// A field of an item is wrong.
     #[error("M413 requests[{position}].{field}: {reason}")]
@@ -34,7 +34,8 @@
 }
 
 #[derive(Deserialize)]
-struct Lot<'a> {
+#[serde(rename = "Lot")]
+struct SubmittedJob<'a> {
     #[serde(borrow)]
     requests: Vec<Request<'a>>,
 }
@@ -55,9 +56,9 @@
 
 /// The items of a lot for this route.
 pub fn parse(json: &[u8], route: &Route) -> Result<Vec<Item>, SubmissionError> {
-    let job: Lot =
+    let job: SubmittedJob =
         serde_json::from_slice(json).map_err(|e| SubmissionError::Unreadable(e.to_string()))?;
-    if job.requests.is_empty() || job.requests.len() > MOST_ITEMS {
+    if job.requests.is_empty() || job.requests.len() > MAX_ITEMS {
         return Err(SubmissionError::Count(job.requests.len()));
     }
     let mut ids = HashSet::new();
--- a/crates/mintlb-dispatcher/src/intake.rs
+++ b/crates/mintlb-dispatcher/src/batch_executor.rs
@@ -1,10 +1,10 @@
 //! The way of lots' items to workers: each runs as a request of its route, through the same reducer.
 //!
-//! Batch code implements [`BatchHandler`] for the calls of clients and runs items by [`Intake`].
+//! Batch code implements [`BatchHandler`] for the calls of clients and runs items by [`BatchExecutor`].
 
-use crate::exchange::{ClientRequest, Exchange, Manner, NewExchange, Piece, Refusal};
-use crate::hub::Hub;
+use crate::exchange::{BodyChunk, ClientRequest, Exchange, ExchangeMode, NewExchange, Refusal};
 use crate::request::{LAST_EVENT_ID, strip_connection_headers, strip_own_headers};
+use crate::shared::Shared;
 use axum::http::{HeaderMap, HeaderValue, Method, StatusCode};
 use axum::response::Response;
 use bytes::Bytes;
@@ -37,7 +37,7 @@
     /// Answers a call. Dropped, its client has left.
     fn handle(&self, call: BatchCall) -> Pin<Box<dyn Future<Output = Response> + Send>>;
     /// The process is to end: nothing new may begin.
-    fn leave(&self) {}
+    fn start_draining(&self) {}
 }
 
 /// An item to be run.
@@ -89,36 +89,36 @@
 
 /// Takes items in.
 #[derive(Clone)]
-pub struct Intake {
-    hub: Arc<Hub>,
+pub struct BatchExecutor {
+    shared: Arc<Shared>,
 }
 
-impl Intake {
+impl BatchExecutor {
     /// Into this dispatcher's reducer.
-    pub fn new(hub: Arc<Hub>) -> Intake {
-        Intake { hub }
+    pub fn new(shared: Arc<Shared>) -> BatchExecutor {
+        BatchExecutor { shared }
     }
 
     /// Unix time in ms, which never steps while the process runs.
     pub fn now_ms(&self) -> u64 {
-        (self.hub.clock.now() * 1e3) as u64
+        (self.shared.clock.now() * 1e3) as u64
     }
 
     /// Whether workers of some service of the item's route take requests.
     pub fn has_workers(&self, host: &str, path: &str) -> bool {
         let target = self
-            .hub
+            .shared
             .routing()
-            .and_then(|table| self.hub.target(&table, host, path));
-        target.is_some_and(|target| self.hub.workers.serves(&target.service))
+            .and_then(|table| self.shared.target(&table, host, path));
+        target.is_some_and(|target| self.shared.workers.serves(&target.service))
     }
 
     /// Runs an item. Dropped, the run ends.
     pub fn run(&self, item: ItemRequest) -> ItemRun {
         let target = self
-            .hub
+            .shared
             .routing()
-            .and_then(|table| self.hub.target(&table, &item.host, &item.path));
+            .and_then(|table| self.shared.target(&table, &item.host, &item.path));
         let Some(target) = target else {
             return ItemRun {
                 exchange: None,
@@ -151,12 +151,12 @@
             body,
             terms: target.terms,
             service: target.service,
-            manner: Manner::Item,
+            mode: ExchangeMode::Item,
             project_type: target.project_type,
             time_budget: time.as_secs_f64(),
         };
         ItemRun {
-            exchange: Some(Exchange::start(&self.hub, new)),
+            exchange: Some(Exchange::start(&self.shared, new)),
             status: None,
         }
     }
@@ -188,14 +188,14 @@
             },
         };
         loop {
-            match poll_fn(|cx| exchange.poll_piece(cx)).await {
-                Piece::Data(events) if status.is_success() => return ItemStep::Events(events),
-                Piece::Data(_) => {}
-                Piece::Complete | Piece::Broken if exchange.item_failure().is_some() => {
+            match poll_fn(|cx| exchange.poll_chunk(cx)).await {
+                BodyChunk::Data(events) if status.is_success() => return ItemStep::Events(events),
+                BodyChunk::Data(_) => {}
+                BodyChunk::Complete | BodyChunk::Broken if exchange.item_failure().is_some() => {
                     return ItemStep::Ended(failed(exchange.item_failure().unwrap_or(status)));
                 }
-                Piece::Complete => return ItemStep::Ended(ItemOutcome::Completed),
-                Piece::Broken => {
+                BodyChunk::Complete => return ItemStep::Ended(ItemOutcome::Completed),
+                BodyChunk::Broken => {
                     return ItemStep::Ended(ItemOutcome::Broken {
                         last_event_id: exchange.last_event(),
                     });
@@ -214,7 +214,7 @@
 
 impl Drop for ItemRun {
     fn drop(&mut self) {
-        self.exchange.iter().for_each(|exchange| exchange.leave());
+        self.exchange.iter().for_each(|exchange| exchange.abandon());
     }
 }
 
--- a/crates/mintlb-dispatcher/src/body.rs
+++ b/crates/mintlb-dispatcher/src/body.rs
@@ -1,7 +1,7 @@
 //! The bodies of answers to clients.
 
-use crate::exchange::{Exchange, Piece};
-use crate::hub::OnceId;
+use crate::exchange::{BodyChunk, Exchange};
+use crate::shared::OnceId;
 use axum::body::Body as AxumBody;
 use bytes::Bytes;
 use http_body::{Body, Frame, SizeHint};
@@ -15,7 +15,7 @@
 /// Where the body of an answer comes from.
 pub enum Source {
     /// It is whole.
-    Whole(Option<Bytes>),
+    Complete(Option<Bytes>),
     /// A worker still writes it.
     Relay(Relay),
     /// Batch code made it.
@@ -23,10 +23,10 @@
 }
 
 /// The body of an answer to a client.
-pub struct FrontBody {
+pub struct ResponseBody {
     source: Source,
     /// The connection that it goes out on, until the answer is whole.
-    seen: Option<Arc<Seen>>,
+    sniffer: Option<Arc<Seen>>,
 }
 
 /// Reads the answer of an exchange. Dropped before its end, the client has left.
@@ -34,18 +34,22 @@
     exchange: Arc<Exchange>,
     is_over: bool,
     /// Room for the request, and for its body.
-    _room: (Held, Option<Held>),
-    _once: Option<OnceId>,
+    _reservation: (Held, Option<Held>),
+    _once_id: Option<OnceId>,
 }
 
 impl Relay {
     /// The body of this exchange's answer. Room and id are held until it is over.
-    pub fn new(exchange: Arc<Exchange>, room: (Held, Option<Held>), once: Option<OnceId>) -> Relay {
+    pub fn new(
+        exchange: Arc<Exchange>,
+        reservation: (Held, Option<Held>),
+        once: Option<OnceId>,
+    ) -> Relay {
         Relay {
             exchange,
             is_over: false,
-            _room: room,
-            _once: once,
+            _reservation: reservation,
+            _once_id: once,
         }
     }
 
@@ -57,45 +61,45 @@
 
 impl Drop for Relay {
     fn drop(&mut self) {
-        self.exchange.leave();
+        self.exchange.abandon();
     }
 }
 
 impl Source {
     fn is_over(&self) -> bool {
         match self {
-            Source::Whole(bytes) => bytes.as_ref().is_none_or(Bytes::is_empty),
-            Source::Relay(relay) => relay.is_over || relay.exchange.whole_length() == Some(0),
+            Source::Complete(bytes) => bytes.as_ref().is_none_or(Bytes::is_empty),
+            Source::Relay(relay) => relay.is_over || relay.exchange.remaining_length() == Some(0),
             Source::Boxed(body) => body.is_end_stream(),
         }
     }
 
     fn poll(&mut self, cx: &mut Context) -> Poll<Option<io::Result<Frame<Bytes>>>> {
         match self {
-            Source::Whole(bytes) => {
+            Source::Complete(bytes) => {
                 let bytes = bytes.take().filter(|bytes| !bytes.is_empty());
                 Poll::Ready(bytes.map(|bytes| Ok(Frame::data(bytes))))
             }
-            Source::Relay(relay) => relay.exchange.poll_piece(cx).map(|piece| match piece {
-                Piece::Data(bytes) => Some(Ok(Frame::data(bytes))),
-                Piece::Complete => {
+            Source::Relay(relay) => relay.exchange.poll_chunk(cx).map(|chunk| match chunk {
+                BodyChunk::Data(bytes) => Some(Ok(Frame::data(bytes))),
+                BodyChunk::Complete => {
                     relay.is_over = true;
                     None
                 }
                 // The library ends the connection without the last chunk: nothing looks complete.
-                Piece::Broken => Some(Err(io::ErrorKind::ConnectionAborted.into())),
+                BodyChunk::Broken => Some(Err(io::ErrorKind::ConnectionAborted.into())),
             }),
             Source::Boxed(body) => Pin::new(body).poll_frame(cx).map_err(io::Error::other),
         }
     }
 }
 
-impl FrontBody {
+impl ResponseBody {
     /// A body that goes out on this connection.
-    pub fn new(source: Source, seen: Arc<Seen>) -> FrontBody {
-        let mut body = FrontBody {
+    pub fn new(source: Source, sniffer: Arc<Seen>) -> ResponseBody {
+        let mut body = ResponseBody {
             source,
-            seen: Some(seen),
+            sniffer: Some(sniffer),
         };
         body.look_over();
         body
@@ -105,14 +109,14 @@
     /// once all of its told length is there, so this is looked at after each piece.
     fn look_over(&mut self) {
         if self.source.is_over()
-            && let Some(seen) = self.seen.take()
+            && let Some(sniffer) = self.sniffer.take()
         {
-            seen.answered();
+            sniffer.answered();
         }
     }
 }
 
-impl Body for FrontBody {
+impl Body for ResponseBody {
     type Data = Bytes;
     type Error = io::Error;
 
@@ -134,12 +138,12 @@
 
     fn size_hint(&self) -> SizeHint {
         match &self.source {
-            Source::Whole(bytes) => {
+            Source::Complete(bytes) => {
                 SizeHint::with_exact(bytes.as_ref().map_or(0, Bytes::len) as u64)
             }
             Source::Relay(relay) => relay
                 .exchange
-                .whole_length()
+                .remaining_length()
                 .map_or_else(SizeHint::new, SizeHint::with_exact),
             Source::Boxed(body) => body.size_hint(),
         }
--- a/crates/mintlb-dispatcher/src/knowledge.rs
+++ b/crates/mintlb-dispatcher/src/cluster_state.rs
@@ -2,10 +2,10 @@
 //!
 //! Records are taken in by the loop round the reducer, in the order in which they came into force.
 
-use crate::back::Way;
-use crate::hub::Hub;
+use crate::shared::Shared;
 use crate::tuning::ServiceNumbers;
-use crate::workers::LineNumbers;
+use crate::upstream::WorkerUpstream;
+use crate::workers::EndpointNumbers;
 use mintlb_common::configuration::Configuration;
 use mintlb_common::record::{CONFIGURATION, Record, WORKER_PREFIX, WorkerRecord};
 use mintlb_core::members::{Source, Told};
@@ -14,7 +14,7 @@
 use std::sync::Arc;
 
 /// A record as far as a dispatcher goes by it.
-pub enum Known {
+pub enum ClusterUpdate {
     /// A configuration, with its version.
     Configuration(u64, Arc<Configuration>),
     /// A worker.
@@ -24,10 +24,10 @@
 }
 
 /// Reads a record; nothing for those that other parts go by.
-pub fn read(record: &Record) -> Option<Known> {
+pub fn read(record: &Record) -> Option<ClusterUpdate> {
     if record.key == CONFIGURATION {
         return match Configuration::parse(&record.body) {
-            Ok(configuration) => Some(Known::Configuration(
+            Ok(configuration) => Some(ClusterUpdate::Configuration(
                 record.version,
                 Arc::new(configuration),
             )),
@@ -42,7 +42,7 @@
     }
     record.key.strip_prefix(WORKER_PREFIX)?;
     match minicbor::decode(&record.body) {
-        Ok(worker) => Some(Known::Worker(worker)),
+        Ok(worker) => Some(ClusterUpdate::Worker(worker)),
         Err(error) => {
             log::warn!("dispatch: record {} can't be read: {error}", record.key);
             None
@@ -73,19 +73,19 @@
     }
 
     /// What the reducer has to hear of a worker.
-    pub fn worker_event(&mut self, hub: &Hub, record: &WorkerRecord) -> Option<Event> {
-        let numbers = LineNumbers {
+    pub fn worker_event(&mut self, shared: &Shared, record: &WorkerRecord) -> Option<Event> {
+        let numbers = EndpointNumbers {
             zone: self.zone(&record.zone),
             kind: self.services.of(&record.service),
         };
-        let member = hub
+        let member = shared
             .workers
-            .hear(record, numbers, |entry| Arc::new(Way(entry)))?;
-        let told = Told {
+            .apply_record(record, numbers, |entry| Arc::new(WorkerUpstream(entry)))?;
+        let members = Told {
             source: Source::List,
             full: false,
             members: vec![member],
         };
-        Some(Event::Members(None, told))
+        Some(Event::Members(None, members))
     }
 }
--- a/crates/mintlb-dispatcher/src/connection.rs
+++ b/crates/mintlb-dispatcher/src/connection.rs
@@ -21,20 +21,20 @@
 /// Bytes that are unacknowledged for so long, and probes, tell that the other side is gone.
 const UNACKNOWLEDGED: Duration = Duration::from_millis(1000);
 /// Idle connections are kept no longer than this, whatever the worker says, as it counts them for all callers.
-const LONGEST_IDLE: Duration = Duration::from_secs(20);
+const MAX_IDLE_TIME: Duration = Duration::from_secs(20);
 /// Where the worker does not say when it closes idle connections it may be soon: so long they are kept for what may be
 /// sent again, and for what may not.
-const UNTOLD_IDLE: Duration = Duration::from_secs(2);
-const UNTOLD_IDLE_ONCE: Duration = Duration::from_millis(150);
+const DEFAULT_IDLE_TIME: Duration = Duration::from_secs(2);
+const DEFAULT_IDLE_TIME_ONCE: Duration = Duration::from_millis(150);
 /// A connection is used no later than so long before the worker closes it.
 const CLOSE_MARGIN: Duration = Duration::from_millis(900);
 /// A connection that was idle for less is taken to be sound.
 const FRESH: Duration = Duration::from_millis(50);
 /// Room that is made in a connection's buffer when less than the second is left.
 const READ_BYTES: usize = 8 << 10;
-const LEAST_ROOM: usize = 1 << 10;
+const MIN_BUFFER_SPACE: usize = 1 << 10;
 /// Idle connections to one worker.
-const MOST_IDLE: usize = 16;
+const MAX_IDLE: usize = 16;
 /// Requests that a connection remembers to have carried.
 const CARRIED: usize = 8;
 
@@ -47,7 +47,7 @@
     unwritten: Bytes,
     state: ConnectionState,
     idle_since: Instant,
-    keep: Option<Duration>,
+    idle_timeout: Option<Duration>,
     /// The requests that it carried last, by a hash of their ids: one that is sent once more would take a surplus answer
     /// to its first send for its own.
     carried: [u64; CARRIED],
@@ -113,11 +113,11 @@
                 idle.push(connection);
                 return None;
             }
-            if now < connection.good_until(once) && connection.is_quiet() {
+            if now < connection.usable_until(once) && connection.is_quiet() {
                 return Some(connection);
             }
             // What is too old for this one may still do for another; all below it are older.
-            if once && now < connection.good_until(false) {
+            if once && now < connection.usable_until(false) {
                 idle.push(connection);
                 return None;
             }
@@ -142,24 +142,24 @@
             unwritten: Bytes::new(),
             state: ConnectionState::Sound,
             idle_since: Instant::now(),
-            keep: None,
+            idle_timeout: None,
             carried: [0; CARRIED],
             answers: 0,
             _open: open,
         })
     }
 
-    /// Keeps a connection whose last answer is whole; `keep` is how long the worker keeps it when idle. One on which
+    /// Keeps a connection whose last answer is whole; `idle_timeout` is how long the worker keeps it when idle. One on which
     /// anything is left over or was out of order is closed.
-    pub fn give_back(&self, mut connection: Connection, keep: Option<Duration>) {
+    pub fn give_back(&self, mut connection: Connection, idle_timeout: Option<Duration>) {
         if !connection.is_sound() {
             return;
         }
         connection.buffer = BytesMut::new();
-        (connection.idle_since, connection.keep) = (Instant::now(), keep);
+        (connection.idle_since, connection.idle_timeout) = (Instant::now(), idle_timeout);
         connection.answers += 1;
         let mut idle = self.idle.lock();
-        if idle.len() < MOST_IDLE && Instant::now() < connection.good_until(false) {
+        if idle.len() < MAX_IDLE && Instant::now() < connection.usable_until(false) {
             idle.push(connection);
         }
     }
@@ -169,7 +169,7 @@
         let now = Instant::now();
         let mut idle = self.idle.lock();
         idle.retain(|connection| {
-            !all && now < connection.good_until(false) && connection.is_quiet()
+            !all && now < connection.usable_until(false) && connection.is_quiet()
         });
     }
 }
@@ -188,11 +188,11 @@
 }
 
 impl Connection {
-    fn good_until(&self, once: bool) -> Instant {
-        let length = match (self.keep, once) {
-            (Some(keep), _) => keep.saturating_sub(CLOSE_MARGIN).min(LONGEST_IDLE),
-            (None, true) => UNTOLD_IDLE_ONCE,
-            (None, false) => UNTOLD_IDLE,
+    fn usable_until(&self, once: bool) -> Instant {
+        let length = match (self.idle_timeout, once) {
+            (Some(idle_timeout), _) => idle_timeout.saturating_sub(CLOSE_MARGIN).min(MAX_IDLE_TIME),
+            (None, true) => DEFAULT_IDLE_TIME_ONCE,
+            (None, false) => DEFAULT_IDLE_TIME,
         };
         self.idle_since + length
     }
@@ -293,7 +293,7 @@
 
     /// Reads what has come; whether anything has.
     fn read_some(&mut self) -> io::Result<bool> {
-        if self.buffer.capacity() - self.buffer.len() < LEAST_ROOM {
+        if self.buffer.capacity() - self.buffer.len() < MIN_BUFFER_SPACE {
             self.buffer.reserve(READ_BYTES);
         }
         match self.stream.try_read_buf(&mut self.buffer) {
--- a/crates/mintlb-dispatcher/src/dispatcher.rs
+++ b/crates/mintlb-dispatcher/src/dispatcher.rs
@@ -1,13 +1,13 @@
 //! The one loop round the reducer: what was read goes in, what is to be done is carried out.
 
-use crate::front::{Front, FrontParts};
-use crate::hub::Hub;
-use crate::intake::{BatchHandler, Intake};
-use crate::knowledge::{Known, Numbering};
+use crate::batch_executor::{BatchExecutor, BatchHandler};
+use crate::cluster_state::{ClusterUpdate, Numbering};
+use crate::downstream::{Downstream, DownstreamConfig};
 use crate::log_bridge;
 use crate::permits::Permits;
 use crate::readiness;
 use crate::routing::RoutingTable;
+use crate::shared::Shared;
 use crate::tuning;
 use mintlb_common::configuration::Configuration;
 use mintlb_core::clock::Clock;
@@ -31,7 +31,7 @@
 
 /// Between two looks at connections and at the end; the second while the process is to end.
 const TICK: Duration = Duration::from_millis(500);
-const LEAVING_TICK: Duration = Duration::from_millis(40);
+const DRAINING_TICK: Duration = Duration::from_millis(40);
 /// After so long with a configuration it is ready, also if a service has no worker.
 const WORKERS_WAIT: Duration = Duration::from_millis(1500);
 /// A process that is to end keeps idle connections for so many seconds, until the platform has noticed.
@@ -56,7 +56,7 @@
 
 /// What a dispatcher may use, and how long it has to end.
 #[derive(Clone, Debug)]
-pub struct Grants {
+pub struct DispatcherConfig {
     /// The own zone.
     pub zone: String,
     /// All zones.
@@ -74,14 +74,14 @@
 /// A dispatcher that does not serve yet.
 pub struct Dispatcher {
     /// What its parts share.
-    pub hub: Arc<Hub>,
+    pub shared: Arc<Shared>,
     /// Tells it what the records say.
-    pub tell: UnboundedSender<Known>,
+    pub update_sender: UnboundedSender<ClusterUpdate>,
     /// Who answers calls that concern lots.
     pub batch: Option<Arc<dyn BatchHandler>>,
-    grants: Grants,
+    config: DispatcherConfig,
     events: UnboundedReceiver<Event>,
-    known: UnboundedReceiver<Known>,
+    known: UnboundedReceiver<ClusterUpdate>,
 }
 
 /// The lists of workers come by records, not by a watch.
@@ -93,16 +93,16 @@
 
 /// The loop's own state.
 struct Loop {
-    hub: Arc<Hub>,
+    shared: Arc<Shared>,
     reducer: Reducer,
-    hands: Hands<NoWatch>,
+    effects: Hands<NoWatch>,
     numbering: Numbering,
-    standing: Arc<Mutex<Standing>>,
-    front: Arc<Front>,
+    lifecycle: Arc<Mutex<Standing>>,
+    downstream: Arc<Downstream>,
     batch: Option<Arc<dyn BatchHandler>>,
     version: Option<u64>,
     /// A configuration that the reducer could not take yet.
-    untaken: Option<(u64, Arc<Configuration>)>,
+    deferred: Option<(u64, Arc<Configuration>)>,
     configured: Option<Instant>,
     joined: bool,
     look: Option<Instant>,
@@ -112,23 +112,23 @@
 
 impl Dispatcher {
     /// One that knows nothing yet.
-    pub fn new(grants: Grants) -> Dispatcher {
-        let (tell_event, events) = unbounded_channel();
-        let (tell, known) = unbounded_channel();
-        let hub = Arc::new(Hub::new(Clock::start(), tell_event, grants.seed));
+    pub fn new(config: DispatcherConfig) -> Dispatcher {
+        let (event_sender, events) = unbounded_channel();
+        let (update_sender, known) = unbounded_channel();
+        let shared = Arc::new(Shared::new(Clock::start(), event_sender, config.seed));
         Dispatcher {
-            hub,
-            tell,
+            shared,
+            update_sender,
             batch: None,
-            grants,
+            config,
             events,
             known,
         }
     }
 
     /// Takes items of lots in.
-    pub fn intake(&self) -> Intake {
-        Intake::new(self.hub.clone())
+    pub fn batch_executor(&self) -> BatchExecutor {
+        BatchExecutor::new(self.shared.clone())
     }
 
     /// Serves until `stop` resolves, and then until all that was taken is answered.
@@ -139,10 +139,10 @@
         stop: impl Future<Output = ()>,
     ) {
         let Dispatcher {
-            hub,
-            tell: _tell,
+            shared,
+            update_sender: _update_sender,
             batch,
-            grants,
+            config,
             mut events,
             mut known,
         } = self;
@@ -150,58 +150,58 @@
             leave: NOTICE,
             stop: NOTICE,
         };
-        let standing = Arc::new(Mutex::new(Standing::new(notice)));
-        let descriptors = grants
+        let lifecycle = Arc::new(Mutex::new(Standing::new(notice)));
+        let descriptors = config
             .max_open_files
             .saturating_sub(OTHER_DESCRIPTORS)
             .max(64) as usize;
-        let bodies = (grants.memory_mb as f64 * BODY_MEMORY_SHARE * 1e6) as usize;
-        let front = Front::new(FrontParts {
-            hub: hub.clone(),
-            room: Room::new(descriptors / 2, bodies),
+        let bodies = (config.memory_mb as f64 * BODY_MEMORY_SHARE * 1e6) as usize;
+        let downstream = Downstream::new(DownstreamConfig {
+            shared: shared.clone(),
+            capacity: Room::new(descriptors / 2, bodies),
             connections: descriptors / 2,
-            standing: standing.clone(),
-            takes_late: TAKES_LATE.min(grants.grace_period_s * TAKES_LATE_SHARE),
+            lifecycle: lifecycle.clone(),
+            accepts_late: TAKES_LATE.min(config.grace_period_s * TAKES_LATE_SHARE),
             batch: batch.clone(),
         });
-        let asked = standing.clone();
+        let readiness_lifecycle = lifecycle.clone();
         tokio::spawn(readiness::listen(
             readiness,
-            Arc::new(move || asked.lock().is_ready()),
+            Arc::new(move || readiness_lifecycle.lock().is_ready()),
         ));
-        tokio::spawn(front.clone().listen(frontend));
-        let numbering = Numbering::new(grants.zones.iter());
+        tokio::spawn(downstream.clone().listen(frontend));
+        let numbering = Numbering::new(config.zones.iter());
         let mut reducer = Reducer::new(
-            scheduler(&grants, &numbering),
+            scheduler(&config, &numbering),
             Types::new(Vec::new()),
             descriptors / 2,
             SEND_MARGIN,
         );
-        reducer.take_permit(Arc::new(Permits::new(hub.clone())));
-        let hands = Hands::new(
+        reducer.take_permit(Arc::new(Permits::new(shared.clone())));
+        let effects = Hands::new(
             NoWatch,
-            hub.clock,
+            shared.clock,
             log_bridge::logger(),
             Arc::new(Figures::default()),
         );
         let mut main = Loop {
-            hub: hub.clone(),
+            shared: shared.clone(),
             reducer,
-            hands,
+            effects,
             numbering,
-            standing,
-            front,
+            lifecycle,
+            downstream,
             batch,
             version: None,
-            untaken: None,
+            deferred: None,
             configured: None,
             joined: false,
             look: None,
             last_call: false,
-            grace: grants.grace_period_s,
+            grace: config.grace_period_s,
         };
-        let acts = main.reducer.start(hub.clock.now(), None, false);
-        acts.into_iter().for_each(|act| main.hands.carry_out(act));
+        let acts = main.reducer.start(shared.clock.now(), None, false);
+        acts.into_iter().for_each(|act| main.effects.carry_out(act));
         let (mut stop, mut stopping) = (pin!(stop), false);
         let (mut tick, mut timer) = (Instant::now() + TICK, pin!(sleep_until(Instant::now())));
         loop {
@@ -222,12 +222,12 @@
                     while let Ok(event) = events.try_recv() {
                         main.step(event);
                     }
-                    main.hear(known);
+                    main.apply_update(known);
                 }
                 () = &mut timer => {
                     main.wake();
                     if Instant::now() >= tick {
-                        tick = Instant::now() + if stopping { LEAVING_TICK } else { TICK };
+                        tick = Instant::now() + if stopping { DRAINING_TICK } else { TICK };
                         if main.tick(&mut events) {
                             return;
                         }
@@ -235,70 +235,72 @@
                 }
                 () = &mut stop, if !stopping => {
                     stopping = true;
-                    tick = Instant::now() + LEAVING_TICK;
-                    main.leave();
+                    tick = Instant::now() + DRAINING_TICK;
+                    main.start_draining();
                 }
             }
         }
     }
 }
 
-fn scheduler(grants: &Grants, numbering: &Numbering) -> Scheduler {
-    let cold = ColdRule {
+fn scheduler(config: &DispatcherConfig, numbering: &Numbering) -> Scheduler {
+    let slow_start = ColdRule {
         among: 1.0,
         ..ColdRule::default()
     };
     let fleet = Fleet::new(
-        cold,
-        numbering.zone(&grants.zone),
+        slow_start,
+        numbering.zone(&config.zone),
         true,
         tuning::costs(),
         &[],
     );
     let buffers = Buffers::new(Vec::new(), 1.0, tuning::come_back());
     let chain = (Shares::new(&[]), buffers, tuning::repeats(), fleet);
-    Scheduler::new(Chance::new(grants.seed), chain, Follow::default())
+    Scheduler::new(Chance::new(config.seed), chain, Follow::default())
 }
 
 impl Loop {
     fn step(&mut self, event: Event) {
         match &event {
-            Event::Back(back) => self.hands.back(back),
-            Event::Started(alloc) => self.hands.started(*alloc),
-            Event::Left(wu) => self.hands.left(*wu),
+            Event::Back(back) => self.effects.back(back),
+            Event::Started(alloc) => self.effects.started(*alloc),
+            Event::Left(wu) => self.effects.left(*wu),
             _ => {}
         }
-        let acts = self.reducer.reduce(self.hub.clock.now(), event);
-        acts.into_iter().for_each(|act| self.hands.carry_out(act));
+        let acts = self.reducer.reduce(self.shared.clock.now(), event);
+        acts.into_iter().for_each(|act| self.effects.carry_out(act));
         if let Some(at) = self.reducer.take_look() {
-            let at = self.hub.clock.instant(at);
+            let at = self.shared.clock.instant(at);
             self.look = Some(self.look.map_or(at, |look| look.min(at)));
         }
     }
 
     /// When the reducer is to be woken.
     fn due(&self) -> Option<Instant> {
-        self.hands.due.into_iter().chain(self.look).min()
+        self.effects.due.into_iter().chain(self.look).min()
     }
 
     fn wake(&mut self) {
         let now = Instant::now();
         let rings = |due: &mut Option<Instant>| due.take_if(|due| *due <= now).is_some();
-        let (due, look) = (rings(&mut self.hands.due), rings(&mut self.look));
+        let (due, look) = (rings(&mut self.effects.due), rings(&mut self.look));
         if due || look {
             self.step(Event::Woke);
         }
     }
 
-    fn hear(&mut self, known: Known) {
+    fn apply_update(&mut self, known: ClusterUpdate) {
         match known {
-            Known::Configuration(version, configuration) => self.configure(version, configuration),
-            Known::Worker(record) => {
-                if let Some(event) = self.numbering.worker_event(&self.hub, &record) {
+            ClusterUpdate::Configuration(version, configuration) => {
+                self.configure(version, configuration)
+            }
+            ClusterUpdate::Worker(record) => {
+                if let Some(event) = self.numbering.worker_event(&self.shared, &record) {
                     self.step(event);
                 }
             }
-            Known::Joined => self.joined = true,
+            ClusterUpdate::Joined => self.joined = true,
         }
         self.look_ready();
     }
@@ -311,14 +313,14 @@
         let types = tuning::project_types(&configuration, &mut self.numbering.services);
         if let Err(why) = self.reducer.retune(&types, &tuning::terms()) {
             log::warn!("dispatch: configuration {version} has to wait: {why}");
-            self.untaken = Some((version, configuration));
+            self.deferred = Some((version, configuration));
             return;
         }
-        self.untaken = None;
+        self.deferred = None;
         self.version = Some(version);
         self.configured = self.configured.or(Some(Instant::now()));
-        self.hands.take_types(self.reducer.types());
-        self.hub
+        self.effects.take_types(self.reducer.types());
+        self.shared
             .take_routing(RoutingTable::new(configuration, self.reducer.types()));
         log::info!(
             "dispatch: configuration {version} is in force, {} project types",
@@ -329,10 +331,10 @@
 
     /// Clients may come once a configuration and the workers are known.
     fn look_ready(&mut self) {
-        if self.standing.lock().is_ready() {
+        if self.lifecycle.lock().is_ready() {
             return;
         }
-        let Some((configured, table)) = self.configured.zip(self.hub.routing()) else {
+        let Some((configured, table)) = self.configured.zip(self.shared.routing()) else {
             return;
         };
         let served = || {
@@ -340,39 +342,39 @@
                 .configuration
                 .service_list
                 .iter()
-                .all(|service| self.hub.workers.serves(&service.name))
+                .all(|service| self.shared.workers.serves(&service.name))
         };
         if self.joined && (configured.elapsed() >= WORKERS_WAIT || served()) {
-            self.standing
+            self.lifecycle
                 .lock()
-                .hear(self.hub.clock.now(), Word::Ready)
+                .hear(self.shared.clock.now(), Word::Ready)
                 .ok();
         }
     }
 
-    fn leave(&mut self) {
+    fn start_draining(&mut self) {
         log::info!(
             "dispatch: told to end, {} requests are held",
             self.reducer.held()
         );
-        self.standing
+        self.lifecycle
             .lock()
-            .hear(self.hub.clock.now(), Word::Stop { succeeded: true })
+            .hear(self.shared.clock.now(), Word::Stop { succeeded: true })
             .ok();
-        self.batch.iter().for_each(|batch| batch.leave());
+        self.batch.iter().for_each(|batch| batch.start_draining());
     }
 
     /// What is due now and then; whether the process may end.
     fn tick(&mut self, events: &mut UnboundedReceiver<Event>) -> bool {
-        if let Some((version, configuration)) = self.untaken.take() {
+        if let Some((version, configuration)) = self.deferred.take() {
             while let Ok(event) = events.try_recv() {
                 self.step(event);
             }
             self.configure(version, configuration);
         }
         self.look_ready();
-        self.hub.workers.sweep();
-        let members = self.hub.workers.forget_silent();
+        self.shared.workers.sweep();
+        let members = self.shared.workers.remove_unresponsive();
         if !members.is_empty() {
             self.step(Event::Members(
                 None,
@@ -383,29 +385,29 @@
                 },
             ));
         }
-        let (now, standing) = (self.hub.clock.now(), *self.standing.lock());
-        let Some(stopped) = standing.stopped() else {
+        let (now, lifecycle) = (self.shared.clock.now(), *self.lifecycle.lock());
+        let Some(stopped) = lifecycle.stopped() else {
             return false;
         };
         let since = now - stopped;
-        if standing.closes_idle(now) {
-            self.front.close_idle();
+        if lifecycle.closes_idle(now) {
+            self.downstream.close_idle();
         }
         if since >= self.grace - LAST_CALL && !std::mem::replace(&mut self.last_call, true) {
             log::warn!(
                 "dispatch: the time to end is over, {} requests are held",
                 self.reducer.held()
             );
-            self.hub.end();
+            self.shared.end();
             self.step(Event::LastCall);
         }
-        let quiet = self.reducer.held() == 0 && self.front.connected() == 0;
+        let quiet = self.reducer.held() == 0 && self.downstream.connected() == 0;
         let over = since >= self.grace - LAST_EXIT
             || quiet && since >= LATE_ARRIVALS.min(self.grace - LAST_CALL);
         if over {
             log::info!(
                 "dispatch: ends, {} connections are open",
-                self.front.connected()
+                self.downstream.connected()
             );
         }
         over
--- a/crates/mintlb-dispatcher/src/front.rs
+++ b/crates/mintlb-dispatcher/src/downstream.rs
@@ -3,12 +3,12 @@
 //! A request is read whole before it is handed on. Its answer goes out as it comes; if its client leaves, the body is
 //! dropped, and the reducer is told. A client that sends what can't be taken gets an error and loses its connection.
 
-use crate::body::{FrontBody, Relay, Source};
-use crate::exchange::{ClientRequest, Exchange, Manner, NewExchange, Refusal};
-use crate::hub::Hub;
-use crate::intake::{BatchCall, BatchHandler, last_event_id};
+use crate::batch_executor::{BatchCall, BatchHandler, last_event_id};
+use crate::body::{Relay, ResponseBody, Source};
+use crate::exchange::{ClientRequest, Exchange, ExchangeMode, NewExchange, Refusal};
 use crate::request::{DEADLINE, REQUEST_ID, strip_connection_headers, strip_own_headers};
 use crate::routing::{RoutingTable, Target};
+use crate::shared::Shared;
 use axum::http::header::{CONNECTION, HOST, RETRY_AFTER};
 use axum::http::{HeaderMap, HeaderValue, Method, Request, Response, StatusCode};
 use bytes::{Bytes, BytesMut};
@@ -52,41 +52,41 @@
 /// The paths of calls that concern lots.
 const BATCH_PATHS: [&str; 2] = ["/v1/lots/", "/v1/items/"];
 /// A body whose length is not told is expected to have so many bytes.
-const UNTOLD_BODY: u64 = 64 << 10;
+const DEFAULT_BODY_SIZE: u64 = 64 << 10;
 /// The least buffer that the library takes.
-const LEAST_BUFFER: usize = 8 << 10;
+const MIN_BUFFER: usize = 8 << 10;
 
 /// What the front is made of.
-pub struct FrontParts {
+pub struct DownstreamConfig {
     /// What it shares.
-    pub hub: Arc<Hub>,
+    pub shared: Arc<Shared>,
     /// What may be held at once.
-    pub room: Room,
+    pub capacity: Room,
     /// Connections from clients.
     pub connections: usize,
     /// Whether clients are to come and to stay.
-    pub standing: Arc<Mutex<Standing>>,
+    pub lifecycle: Arc<Mutex<Standing>>,
     /// For so many seconds after the process was told to end, requests that still come are taken.
-    pub takes_late: f64,
+    pub accepts_late: f64,
     /// Who answers calls that concern lots, if anybody does.
     pub batch: Option<Arc<dyn BatchHandler>>,
 }
 
 /// The front of a dispatcher.
-pub struct Front {
-    hub: Arc<Hub>,
-    room: Room,
-    places: Arc<Places>,
-    standing: Arc<Mutex<Standing>>,
-    takes_late: f64,
+pub struct Downstream {
+    shared: Arc<Shared>,
+    capacity: Room,
+    slots: Arc<Places>,
+    lifecycle: Arc<Mutex<Standing>>,
+    accepts_late: f64,
     batch: Option<Arc<dyn BatchHandler>>,
 }
 
 /// An answer to a client.
 type Answer = Response<Source>;
 
-/// A request that was read whole.
-struct Whole {
+/// A request that was read received.
+struct ReceivedRequest {
     method: Method,
     path_and_query: String,
     host: String,
@@ -94,43 +94,43 @@
     body: Bytes,
     /// When its head had come, in seconds of the clock: its client counts its time from then, or earlier.
     began: f64,
-    room: (Held, Option<Held>),
+    reservation: (Held, Option<Held>),
 }
 
-impl Front {
+impl Downstream {
     /// One that does not listen yet.
-    pub fn new(parts: FrontParts) -> Arc<Front> {
-        let FrontParts {
-            hub,
-            room,
+    pub fn new(config: DownstreamConfig) -> Arc<Downstream> {
+        let DownstreamConfig {
+            shared,
+            capacity,
             connections,
-            standing,
-            takes_late,
+            lifecycle,
+            accepts_late,
             batch,
-        } = parts;
-        let places = Places::new(connections, Duration::from_millis(500));
-        Arc::new(Front {
-            hub,
-            room,
-            places,
-            standing,
-            takes_late,
+        } = config;
+        let slots = Places::new(connections, Duration::from_millis(500));
+        Arc::new(Downstream {
+            shared,
+            capacity,
+            slots,
+            lifecycle,
+            accepts_late,
             batch,
         })
     }
 
     /// Takes clients until it is dropped.
-    pub async fn listen(self: Arc<Front>, listener: TcpListener) {
+    pub async fn listen(self: Arc<Downstream>, listener: TcpListener) {
         for number in 0.. {
-            self.places.wait().await;
+            self.slots.wait().await;
             match listener.accept().await {
                 Ok((stream, _)) => {
-                    let place = self.places.take(number);
-                    tokio::spawn(self.clone().connection(stream, place));
+                    let slot = self.slots.take(number);
+                    tokio::spawn(self.clone().connection(stream, slot));
                 }
                 Err(error) => {
                     log::debug!("front: a connection could not be accepted: {error}");
-                    self.places.make_room();
+                    self.slots.make_room();
                     sleep(ACCEPT_PAUSE).await;
                 }
             }
@@ -139,59 +139,59 @@
 
     /// Idle connections close. To be said again and again while clients are to leave.
     pub fn close_idle(&self) {
-        self.places.close_idle();
+        self.slots.close_idle();
     }
 
     /// How many connections clients have.
     pub fn connected(&self) -> usize {
-        self.places.count()
+        self.slots.count()
     }
 
     fn limits(&self) -> ClientLimits {
-        self.hub
+        self.shared
             .routing()
             .map(|table| table.configuration.limits.clone())
             .unwrap_or_default()
     }
 
     fn closes(&self) -> bool {
-        self.standing.lock().closes(self.hub.clock.now())
+        self.lifecycle.lock().closes(self.shared.clock.now())
     }
 
-    async fn connection(self: Arc<Front>, stream: TcpStream, place: Place) {
+    async fn connection(self: Arc<Downstream>, stream: TcpStream, slot: Place) {
         stream.set_nodelay(true).ok();
         let limits = self.limits();
-        let (seen, socket) = (place.seen.clone(), Arc::new(stream));
-        let looking = seen.clone();
+        let (sniffer, socket) = (slot.seen.clone(), Arc::new(stream));
+        let looking = sniffer.clone();
         let stream = InspectReader::new(Socket(socket.clone()), move |bytes: &[u8]| {
             looking.look(bytes)
         });
         let service = service_fn(|request: Request<Incoming>| {
-            let (front, seen) = (self.clone(), seen.clone());
-            async move { Ok::<_, Infallible>(front.answer(request, &seen).await) }
+            let (downstream, sniffer) = (self.clone(), sniffer.clone());
+            async move { Ok::<_, Infallible>(downstream.answer(request, &sniffer).await) }
         });
         let mut served = http1::Builder::new()
             .header_read_timeout(None)
             .auto_date_header(false)
-            .max_buf_size(limits.max_header_bytes.max(LEAST_BUFFER))
+            .max_buf_size(limits.max_header_bytes.max(MIN_BUFFER))
             .serve_connection(TokioIo::new(stream), service);
         let (mut called, mut alarm) = (
-            pin!(place.seen.called()),
-            pin!(sleep_until(due(&place.seen, &limits))),
+            pin!(slot.seen.called()),
+            pin!(sleep_until(due(&slot.seen, &limits))),
         );
         let ended = poll_fn(|cx| {
             if let Poll::Ready(ended) = Pin::new(&mut served).poll(cx) {
                 return Poll::Ready(Some(ended.is_ok()));
             }
             while called.as_mut().poll(cx).is_ready() {
-                if place.may_close() && !has_come(socket.as_raw_fd()) {
+                if slot.may_close() && !has_come(socket.as_raw_fd()) {
                     return Poll::Ready(None);
                 }
-                called.set(place.seen.called());
+                called.set(slot.seen.called());
             }
             // What waits for its answer has its own bounds.
-            if place.seen.phase() == Phase::Open {
-                if place.seen.may_go_on() {
+            if slot.seen.phase() == Phase::Open {
+                if slot.seen.may_go_on() {
                     return Poll::Pending;
                 }
                 // More has come than the request. The library reads none of it, and so misses that its client leaves.
@@ -207,7 +207,7 @@
                 return Poll::Pending;
             }
             loop {
-                let due = due(&place.seen, &limits);
+                let due = due(&slot.seen, &limits);
                 // The timer is set anew only when it rings early, or late.
                 if alarm.deadline() > due {
                     alarm.as_mut().reset(due);
@@ -215,8 +215,7 @@
                 if alarm.as_mut().poll(cx).is_pending() {
                     return Poll::Pending;
                 }
-                if Instant::now() >= due && !(place.seen.is_idle() && has_come(socket.as_raw_fd()))
-                {
+                if Instant::now() >= due && !(slot.seen.is_idle() && has_come(socket.as_raw_fd())) {
                     return Poll::Ready(None);
                 }
                 alarm.as_mut().reset(due.max(Instant::now() + ACCEPT_PAUSE));
@@ -233,56 +232,66 @@
     }
 
     /// Answers a request, and says whether its connection goes on.
-    async fn answer(&self, request: Request<Incoming>, seen: &Arc<Seen>) -> Response<FrontBody> {
-        let mut answer = match self.read(request, seen).await {
-            Ok(whole) => {
-                seen.taken();
-                self.whole(whole).await
+    async fn answer(
+        &self,
+        request: Request<Incoming>,
+        sniffer: &Arc<Seen>,
+    ) -> Response<ResponseBody> {
+        let mut answer = match self.read(request, sniffer).await {
+            Ok(received) => {
+                sniffer.taken();
+                self.respond(received).await
             }
             // Without a configuration nobody knows how long a body may be.
-            Err(StatusCode::PAYLOAD_TOO_LARGE) if self.hub.routing().is_none() => {
+            Err(StatusCode::PAYLOAD_TOO_LARGE) if self.shared.routing().is_none() => {
                 refused(COME_BACK)
             }
             Err(status) => plain(status),
         };
-        if self.closes() || !seen.may_go_on() {
+        if self.closes() || !sniffer.may_go_on() {
             answer
                 .headers_mut()
                 .insert(CONNECTION, HeaderValue::from_static("close"));
         }
-        answer.map(|source| FrontBody::new(source, seen.clone()))
+        answer.map(|source| ResponseBody::new(source, sniffer.clone()))
     }
 
     /// Reads a request whole, or says why not.
-    async fn read(&self, request: Request<Incoming>, seen: &Seen) -> Result<Whole, StatusCode> {
-        if seen.fault().is_some() {
+    async fn read(
+        &self,
+        request: Request<Incoming>,
+        sniffer: &Seen,
+    ) -> Result<ReceivedRequest, StatusCode> {
+        if sniffer.fault().is_some() {
             return Err(StatusCode::BAD_REQUEST);
         }
-        let began = self.hub.clock.now();
-        let most = self.limits().max_body_bytes;
+        let began = self.shared.clock.now();
+        let max = self.limits().max_body_bytes;
         let (head, body) = request.into_parts();
-        if body.size_hint().lower() > most as u64 {
+        if body.size_hint().lower() > max as u64 {
             return Err(StatusCode::PAYLOAD_TOO_LARGE);
         }
         let expected = body
             .size_hint()
             .exact()
-            .unwrap_or(UNTOLD_BODY)
-            .min(most as u64) as usize;
+            .unwrap_or(DEFAULT_BODY_SIZE)
+            .min(max as u64) as usize;
         // What is held at once is bounded. What has no room is read, or a reset would lose the answer.
-        let mut body_room = self.room.body(expected);
-        let work_room = self.room.work_unit();
-        let body = match timeout(BODY_TIME, collect(body, most)).await {
+        let mut body_reservation = self.capacity.body(expected);
+        let request_reservation = self.capacity.work_unit();
+        let body = match timeout(BODY_TIME, collect(body, max)).await {
             Ok(body) => body?,
             Err(_) => return Err(StatusCode::REQUEST_TIMEOUT),
         };
-        if seen.fault().is_some() {
+        if sniffer.fault().is_some() {
             return Err(StatusCode::BAD_REQUEST);
         }
         if body.len() > expected {
-            body_room = body_room.and(self.room.body(body.len()));
+            body_reservation = body_reservation.and(self.capacity.body(body.len()));
         }
-        let (Some(body_room), Some(work_room)) = (body_room, work_room) else {
+        let (Some(body_reservation), Some(request_reservation)) =
+            (body_reservation, request_reservation)
+        else {
             return Err(StatusCode::SERVICE_UNAVAILABLE);
         };
         let path_and_query = head.uri.path_and_query().map_or("/", |path| path.as_str());
@@ -291,79 +300,88 @@
         }
         let host = head.headers.get(HOST).and_then(|host| host.to_str().ok());
         let host = host.ok_or(StatusCode::BAD_REQUEST)?.to_string();
-        Ok(Whole {
+        Ok(ReceivedRequest {
             method: head.method,
             path_and_query: path_and_query.to_string(),
             host,
             headers: head.headers,
             body,
             began,
-            room: (work_room, Some(body_room)),
+            reservation: (request_reservation, Some(body_reservation)),
         })
     }
 
-    /// Answers a request that was read whole. It goes by the routes in force now.
-    async fn whole(&self, whole: Whole) -> Answer {
-        let Some(table) = self.hub.routing() else {
+    /// Answers a request that was read received. It goes by the routes in force now.
+    async fn respond(&self, received: ReceivedRequest) -> Answer {
+        let Some(table) = self.shared.routing() else {
             return refused(COME_BACK);
         };
-        let path = whole.path_and_query.split('?').next().unwrap_or_default();
-        let route = table.route(&whole.host, path);
-        let is_lot = route.is_some_and(|(_, terms)| terms.route_type == RouteType::Batch)
-            && whole.method == Method::POST;
-        if is_lot || BATCH_PATHS.iter().any(|prefix| path.starts_with(prefix)) {
-            let route = route.map(|(index, _)| index).filter(|_| is_lot);
-            return self.batch(whole, &table, route).await;
+        let path = received
+            .path_and_query
+            .split('?')
+            .next()
+            .unwrap_or_default();
+        let route = table.route(&received.host, path);
+        let is_submission = route.is_some_and(|(_, terms)| terms.route_type == RouteType::Batch)
+            && received.method == Method::POST;
+        if is_submission || BATCH_PATHS.iter().any(|prefix| path.starts_with(prefix)) {
+            let route = route.map(|(index, _)| index).filter(|_| is_submission);
+            return self.batch(received, &table, route).await;
         }
-        let id = whole.headers.get(REQUEST_ID).cloned();
+        let id = received.headers.get(REQUEST_ID).cloned();
         let Some(id) = id.filter(|id| !id.is_empty()) else {
             return plain(StatusCode::BAD_REQUEST);
         };
-        let Some(target) = self.hub.target(&table, &whole.host, path) else {
+        let Some(target) = self.shared.target(&table, &received.host, path) else {
             return plain(StatusCode::NOT_FOUND);
         };
         if self.is_too_late() {
             return refused(COME_BACK);
         }
-        self.live(whole, id, target).await
+        self.live(received, id, target).await
     }
 
     /// Whether the process was told to end so long ago that a request which comes now might be cut by its end.
     fn is_too_late(&self) -> bool {
-        let stopped = self.standing.lock().stopped();
-        stopped.is_some_and(|stopped| self.hub.clock.now() - stopped >= self.takes_late)
+        let stopped = self.lifecycle.lock().stopped();
+        stopped.is_some_and(|stopped| self.shared.clock.now() - stopped >= self.accepts_late)
     }
 
-    async fn batch(&self, whole: Whole, table: &RoutingTable, route: Option<usize>) -> Answer {
+    async fn batch(
+        &self,
+        received: ReceivedRequest,
+        table: &RoutingTable,
+        route: Option<usize>,
+    ) -> Answer {
         let Some(handler) = &self.batch else {
             return refused(COME_BACK);
         };
         let call = BatchCall {
-            method: whole.method,
-            host: whole.host,
-            path_and_query: whole.path_and_query,
-            headers: whole.headers,
-            body: whole.body,
+            method: received.method,
+            host: received.host,
+            path_and_query: received.path_and_query,
+            headers: received.headers,
+            body: received.body,
             configuration: table.configuration.clone(),
             route,
         };
         handler.handle(call).await.map(Source::Boxed)
     }
 
-    async fn live(&self, whole: Whole, id: HeaderValue, target: Target) -> Answer {
-        let Whole {
+    async fn live(&self, received: ReceivedRequest, id: HeaderValue, target: Target) -> Answer {
+        let ReceivedRequest {
             method,
             path_and_query,
             mut headers,
             body,
             began,
-            room,
+            reservation,
             ..
-        } = whole;
+        } = received;
         // The same request twice at once would run twice, and nothing can be promised of the one that runs.
         let once = match target.terms.idempotent {
             true => None,
-            false => match self.hub.once(&id) {
+            false => match self.shared.once(&id) {
                 Some(once) => Some(once),
                 None => return plain(StatusCode::BAD_GATEWAY),
             },
@@ -387,14 +405,14 @@
         let new = NewExchange {
             request,
             body,
-            time_budget: (deadline.min(target.terms.timeout) - (self.hub.clock.now() - began))
+            time_budget: (deadline.min(target.terms.timeout) - (self.shared.clock.now() - began))
                 .max(0.0),
             terms: target.terms,
             service: target.service,
-            manner: Manner::Live,
+            mode: ExchangeMode::Live,
             project_type: target.project_type,
         };
-        let relay = Relay::new(Exchange::start(&self.hub, new), room, once);
+        let relay = Relay::new(Exchange::start(&self.shared, new), reservation, once);
         // Dropped while it waits, the client has left: `relay` tells.
         match poll_fn(|cx| relay.exchange().poll_head(cx)).await {
             Ok(head) => {
@@ -410,28 +428,28 @@
 }
 
 /// When a connection is closed if nothing more comes.
-fn due(seen: &Seen, limits: &ClientLimits) -> Instant {
+fn due(sniffer: &Seen, limits: &ClientLimits) -> Instant {
     let idle = limits.idle_timeout() + IDLE_MARGIN;
     let head = limits.header_timeout();
-    match seen.phase() {
-        Phase::Coming(since) if seen.is_busy() => since + head + BODY_TIME,
+    match sniffer.phase() {
+        Phase::Coming(since) if sniffer.is_busy() => since + head + BODY_TIME,
         Phase::Coming(since) | Phase::Idle(since) => since + idle,
         Phase::Open => Instant::now() + BODY_TIME,
     }
 }
 
 /// All of a body that is not too long.
-async fn collect(mut body: Incoming, most: usize) -> Result<Bytes, StatusCode> {
+async fn collect(mut body: Incoming, max: usize) -> Result<Bytes, StatusCode> {
     let mut first = Bytes::new();
     let mut all: Option<BytesMut> = None;
-    let length = body.size_hint().exact().unwrap_or(0).min(most as u64) as usize;
+    let length = body.size_hint().exact().unwrap_or(0).min(max as u64) as usize;
     while let Some(frame) = body.frame().await {
         let frame = frame.map_err(|_| StatusCode::BAD_REQUEST)?;
         let Ok(data) = frame.into_data() else {
             continue;
         };
         let so_far = all.as_ref().map_or(first.len(), BytesMut::len);
-        if so_far + data.len() > most {
+        if so_far + data.len() > max {
             return Err(StatusCode::PAYLOAD_TOO_LARGE);
         }
         match &mut all {
@@ -452,14 +470,14 @@
     if status == StatusCode::SERVICE_UNAVAILABLE {
         return refused(COME_BACK);
     }
-    let mut answer = Response::new(Source::Whole(None));
+    let mut answer = Response::new(Source::Complete(None));
     *answer.status_mut() = status;
     answer
 }
 
 /// It has not run and never will.
 fn refused(come_back: f64) -> Answer {
-    let mut answer = Response::new(Source::Whole(None));
+    let mut answer = Response::new(Source::Complete(None));
     *answer.status_mut() = StatusCode::SERVICE_UNAVAILABLE;
     if let Ok(after) = HeaderValue::from_str(&format!("{:.3}", come_back.max(0.001))) {
         answer.headers_mut().insert(RETRY_AFTER, after);
--- a/crates/mintlb-dispatcher/src/events.rs
+++ b/crates/mintlb-dispatcher/src/events.rs
@@ -5,13 +5,13 @@
 use bytes::{Bytes, BytesMut};
 
 /// The longest event that is held until it is whole.
-const MOST_EVENT_BYTES: usize = 1 << 20;
+const MAX_EVENT_BYTES: usize = 1 << 20;
 
 /// Why the bytes of a worker are not the stream that goes on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum StreamError {
     /// An event is longer than any may be.
-    #[error("M401 an event of over {MOST_EVENT_BYTES} bytes")]
+    #[error("M401 an event of over {MAX_EVENT_BYTES} bytes")]
     TooLong,
     /// Events are missing between what the client has and what came.
     #[error("M402 events are missing")]
@@ -25,7 +25,7 @@
 #[derive(Debug, Default)]
 pub struct EventReader {
     /// Part of an event.
-    held: BytesMut,
+    partial: BytesMut,
     /// The id of the last event that the client has or that it asked to go on after.
     last: Option<u64>,
     /// This run was asked to go on after `last`, and has sent no event with an id yet.
@@ -36,7 +36,7 @@
     /// A run that was asked to go on after this event, if one is named.
     pub fn after(last: Option<u64>) -> EventReader {
         EventReader {
-            held: BytesMut::new(),
+            partial: BytesMut::new(),
             last,
             resumes: last.is_some(),
         }
@@ -48,22 +48,22 @@
     }
 
     /// Whether it holds part of an event.
-    pub fn has_part(&self) -> bool {
-        !self.held.is_empty()
+    pub fn has_partial(&self) -> bool {
+        !self.partial.is_empty()
     }
 
     /// What is left of a stream whose last event has no blank line.
     pub fn into_rest(self) -> Bytes {
-        self.held.freeze()
+        self.partial.freeze()
     }
 
     /// Takes the next bytes and gives the whole events in them that are new.
     pub fn take(&mut self, bytes: Bytes) -> Result<Bytes, StreamError> {
-        let joined = match self.held.is_empty() {
+        let joined = match self.partial.is_empty() {
             true => bytes,
             false => {
-                self.held.extend_from_slice(&bytes);
-                self.held.split().freeze()
+                self.partial.extend_from_slice(&bytes);
+                self.partial.split().freeze()
             }
         };
         let mut passed = 0;
@@ -79,11 +79,11 @@
             }
             passed += end;
         }
-        if joined.len() - passed > MOST_EVENT_BYTES {
+        if joined.len() - passed > MAX_EVENT_BYTES {
             return Err(StreamError::TooLong);
         }
         if passed < joined.len() {
-            self.held.extend_from_slice(&joined[passed..]);
+            self.partial.extend_from_slice(&joined[passed..]);
         }
         Ok(gathered.map_or_else(|| joined.slice(..passed), BytesMut::freeze))
     }
--- a/crates/mintlb-dispatcher/src/exchange.rs
+++ b/crates/mintlb-dispatcher/src/exchange.rs
@@ -4,9 +4,9 @@
 //! A request may take several sends, one after the other. Of the answer only what is certain passes: whole events of a
 //! stream, in order, each once; of other answers the whole, or a head once its body is too long to be held.
 
-use crate::hub::Hub;
 use crate::prompts::{PREFERRED, Prompt};
 use crate::routing::RouteTerms;
+use crate::shared::Shared;
 use axum::http::{HeaderMap, HeaderValue, Method, StatusCode};
 use bytes::Bytes;
 use mintlb_core::reducer::Event;
@@ -17,13 +17,13 @@
 use std::task::{Context, Poll, Waker};
 
 /// So many bytes may wait for a client that reads slowly before the worker has to wait, too.
-const MOST_QUEUED_BYTES: usize = 256 << 10;
+const MAX_QUEUED_BYTES: usize = 256 << 10;
 /// A request that is not over by so many seconds before its limit is not sent again.
-const LEAST_TIME_LEFT: f64 = 0.05;
+const MIN_TIME_LEFT: f64 = 0.05;
 /// What was given up before it was sent anywhere is best tried again after so many seconds.
 const NEVER_SENT_COME_BACK: f64 = 0.05;
 /// Workers that are remembered as tried by one request.
-const MOST_TRIED: usize = 4;
+const MAX_ATTEMPTED: usize = 4;
 
 /// What was asked.
 #[derive(Debug)]
@@ -42,7 +42,7 @@
 
 /// How the answers of workers are taken.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Manner {
+pub enum ExchangeMode {
     /// A client waits: a worker's failure is tried elsewhere where that is allowed.
     Live,
     /// An item of a lot: each failure that a worker answers is told as it is.
@@ -77,7 +77,7 @@
 }
 
 /// What a reader of the answer gets next.
-pub enum Piece {
+pub enum BodyChunk {
     /// Bytes of the body.
     Data(Bytes),
     /// The body is whole.
@@ -92,7 +92,7 @@
     wu: u64,
     /// Workers that were handed its whole head.
     attempts: u32,
-    tried: [Option<u64>; MOST_TRIED],
+    attempted: [Option<u64>; MAX_ATTEMPTED],
     may_have_run: bool,
     head: Option<Head>,
     /// The head was taken by the reader, or bytes are queued for it.
@@ -109,7 +109,7 @@
     end: Option<End>,
     /// The last event that was queued for the client.
     last_event: Option<u64>,
-    left: bool,
+    abandoned: bool,
     reader: Option<Waker>,
     writer: Option<Waker>,
     preferred: Option<(u64, [Option<u64>; PREFERRED])>,
@@ -128,12 +128,12 @@
     /// What it says of its prompt.
     pub prompt: Option<Prompt>,
     /// How workers' failures are taken.
-    pub manner: Manner,
+    pub mode: ExchangeMode,
     /// When it was read, and when its time is over, in seconds of the clock.
     pub arrived: f64,
     /// See `arrived`.
     pub limit: f64,
-    hub: Arc<Hub>,
+    shared: Arc<Shared>,
     state: Mutex<State>,
 }
 
@@ -148,7 +148,7 @@
     /// See [`Exchange`].
     pub service: Arc<str>,
     /// See [`Exchange`].
-    pub manner: Manner,
+    pub mode: ExchangeMode,
     /// Its project type.
     pub project_type: usize,
     /// Seconds from now until its time is over.
@@ -156,14 +156,14 @@
 }
 
 impl Exchange {
-    /// Hands a request to the reducer. Whoever reads its answer leaves by [`Exchange::leave`].
-    pub fn start(hub: &Arc<Hub>, new: NewExchange) -> Arc<Exchange> {
+    /// Hands a request to the reducer. Whoever reads its answer leaves by [`Exchange::abandon`].
+    pub fn start(shared: &Arc<Shared>, new: NewExchange) -> Arc<Exchange> {
         let NewExchange {
             request,
             body,
             terms,
             service,
-            manner,
+            mode,
             project_type,
             time_budget,
         } = new;
@@ -174,7 +174,7 @@
                 .and_then(|value| value.to_str().ok())
         };
         let prompt = Prompt::read(header("mintlb-prompt-prefix"), header("mintlb-token-usage"));
-        let arrived = hub.clock.now();
+        let arrived = shared.clock.now();
         let state = State {
             last_event: request.last_event_id,
             ..State::default()
@@ -185,10 +185,10 @@
             terms,
             service,
             prompt,
-            manner,
+            mode,
             arrived,
             limit: arrived + time_budget,
-            hub: hub.clone(),
+            shared: shared.clone(),
             state: Mutex::new(state),
         });
         exchange.clone().arrive(project_type, arrived);
@@ -196,7 +196,7 @@
     }
 
     fn arrive(self: Arc<Self>, project_type: usize, now: f64) {
-        let id = self.hub.numbers.next();
+        let id = self.shared.numbers.next();
         self.state.lock().wu = id;
         let once = !self.terms.idempotent;
         let payload = Payload {
@@ -217,16 +217,16 @@
             payload,
             answer,
         };
-        let hub = match arrival.payload.own.downcast_ref::<Exchange>() {
-            Some(exchange) => exchange.hub.clone(),
+        let shared = match arrival.payload.own.downcast_ref::<Exchange>() {
+            Some(exchange) => exchange.shared.clone(),
             None => return,
         };
-        hub.tell.send(Event::Arrived(arrival)).ok();
+        shared.event_sender.send(Event::Arrived(arrival)).ok();
     }
 
     /// What links it with the rest of the dispatcher.
-    pub fn hub(&self) -> &Arc<Hub> {
-        &self.hub
+    pub fn shared(&self) -> &Arc<Shared> {
+        &self.shared
     }
 
     // What the back asks and tells.
@@ -234,19 +234,19 @@
     /// Whether it may be sent to a worker at all.
     pub fn may_be_sent(&self) -> bool {
         let state = self.state.lock();
-        state.attempts < self.terms.max_attempts || self.manner == Manner::Item
+        state.attempts < self.terms.max_attempts || self.mode == ExchangeMode::Item
     }
 
     /// Whether it was sent to this worker before.
-    pub fn has_tried(&self, worker: u64) -> bool {
-        self.state.lock().tried.contains(&Some(worker))
+    pub fn has_attempted(&self, worker: u64) -> bool {
+        self.state.lock().attempted.contains(&Some(worker))
     }
 
     /// The head of the request is about to be whole at this worker, which may begin then.
     pub fn sent(&self, worker: u64) {
         let mut state = self.state.lock();
-        let place = state.attempts as usize % MOST_TRIED;
-        state.tried[place] = Some(worker);
+        let position = state.attempts as usize % MAX_ATTEMPTED;
+        state.attempted[position] = Some(worker);
         state.attempts += 1;
         state.may_have_run = true;
     }
@@ -342,14 +342,14 @@
     }
 
     /// Keeps a failure that a worker answered.
-    pub fn keep_failure(&self, head: Head, body: Bytes) {
+    pub fn store_failure(&self, head: Head, body: Bytes) {
         self.state.lock().failure = Some((head, body));
     }
 
     /// Waits until the client has taken most of what is queued for it.
-    pub fn poll_room(&self, cx: &Context) -> Poll<()> {
+    pub fn poll_queue_space(&self, cx: &Context) -> Poll<()> {
         let mut state = self.state.lock();
-        if state.queued_bytes < MOST_QUEUED_BYTES {
+        if state.queued_bytes < MAX_QUEUED_BYTES {
             return Poll::Ready(());
         }
         state.writer = Some(cx.waker().clone());
@@ -386,18 +386,18 @@
     }
 
     /// The next of the answer's body.
-    pub fn poll_piece(&self, cx: &Context) -> Poll<Piece> {
+    pub fn poll_chunk(&self, cx: &Context) -> Poll<BodyChunk> {
         let mut state = self.state.lock();
         if let Some(bytes) = state.queue.pop_front() {
             state.queued_bytes -= bytes.len();
             if let Some(writer) = state.writer.take() {
                 writer.wake();
             }
-            return Poll::Ready(Piece::Data(bytes));
+            return Poll::Ready(BodyChunk::Data(bytes));
         }
         match state.end {
-            Some(End::Complete) => Poll::Ready(Piece::Complete),
-            Some(End::Broken) => Poll::Ready(Piece::Broken),
+            Some(End::Complete) => Poll::Ready(BodyChunk::Complete),
+            Some(End::Broken) => Poll::Ready(BodyChunk::Broken),
             None => {
                 state.reader = Some(cx.waker().clone());
                 Poll::Pending
@@ -406,47 +406,50 @@
     }
 
     /// How many bytes of the body are left, if it is whole.
-    pub fn whole_length(&self) -> Option<u64> {
+    pub fn remaining_length(&self) -> Option<u64> {
         let state = self.state.lock();
         (state.end == Some(End::Complete)).then_some(state.queued_bytes as u64)
     }
 
     /// Nobody reads the answer any more.
-    pub fn leave(&self) {
+    pub fn abandon(&self) {
         let mut state = self.state.lock();
-        if std::mem::replace(&mut state.left, true)
+        if std::mem::replace(&mut state.abandoned, true)
             || state.end.is_some()
             || state.refusal.is_some()
         {
             return;
         }
-        self.hub.tell.send(Event::Left(state.wu)).ok();
+        self.shared.event_sender.send(Event::Left(state.wu)).ok();
     }
 
     // What the reducer decided.
 
     /// The reducer has nothing more to try under this number.
-    fn settle(self: Arc<Self>, refusal: Refusal) {
-        let now = self.hub.clock.now();
-        let again = {
+    fn retry_or_conclude(self: Arc<Self>, refusal: Refusal) {
+        let now = self.shared.clock.now();
+        let retry = {
             let mut state = self.state.lock();
-            if state.left || state.end.is_some() {
+            if state.abandoned || state.end.is_some() {
                 return;
             }
             // What was begun, or may have run, and may run again, is worth another try past its first promise.
-            let worth = state.begun && can_go_on(&state, &self.terms)
+            let is_resumable_or_unconfirmed = state.begun && can_go_on(&state, &self.terms)
                 || !state.begun && state.may_have_run && state.failure.is_none();
             let allowed = self.terms.idempotent && state.attempts < self.terms.max_attempts;
-            let in_time = now + LEAST_TIME_LEFT < self.limit && !self.hub.is_ending();
-            let again = worth && allowed && in_time && self.manner == Manner::Live;
-            if !again {
+            let in_time = now + MIN_TIME_LEFT < self.limit && !self.shared.is_ending();
+            let retry = is_resumable_or_unconfirmed
+                && allowed
+                && in_time
+                && self.mode == ExchangeMode::Live;
+            if !retry {
                 conclude(&mut state, refusal);
                 wake(&mut state);
             }
-            again
+            retry
         };
-        if again {
-            let table = self.hub.routing();
+        if retry {
+            let table = self.shared.routing();
             let number = table.and_then(|table| table.type_of(&self.terms.name, &self.service));
             match number {
                 Some(number) => self.arrive(number, now),
@@ -499,13 +502,15 @@
     fn settle(self: Box<Self>, answer: Answer) {
         let exchange = self.0;
         // The last send ends shortly before its client's time is over.
-        let over = exchange.hub.clock.now() + LEAST_TIME_LEFT >= exchange.limit;
+        let over = exchange.shared.clock.now() + MIN_TIME_LEFT >= exchange.limit;
         match answer {
             // The back has passed it on already.
             Answer::Completed(_) => {}
-            Answer::Deferred(_) | Answer::Aborted if over => exchange.settle(Refusal::TimedOut),
-            Answer::Deferred(come_back) => exchange.settle(Refusal::NotRun(come_back)),
-            Answer::Aborted | Answer::Repeated => exchange.settle(Refusal::Unknown),
+            Answer::Deferred(_) | Answer::Aborted if over => {
+                exchange.retry_or_conclude(Refusal::TimedOut)
+            }
+            Answer::Deferred(come_back) => exchange.retry_or_conclude(Refusal::NotRun(come_back)),
+            Answer::Aborted | Answer::Repeated => exchange.retry_or_conclude(Refusal::Unknown),
         }
     }
 }
--- a/crates/mintlb-dispatcher/src/lib.rs
+++ b/crates/mintlb-dispatcher/src/lib.rs
@@ -10,23 +10,21 @@
 //! configuration. What has to be known of routes and workers comes as records by the overlay.
 //!
 //! Pure: [`routing`], [`tuning`], [`prompts`], [`events`], [`wire`]. State of one request: [`exchange`]. Shared by all:
-//! [`hub`] with [`workers`]; filled by [`knowledge`]. Sockets: [`front`] with [`body`], [`readiness`], [`back`] with
-//! [`connection`], [`request`], [`answer`]. What may go where: [`permits`]. Lots: [`intake`], [`batch`]. Joined by
+//! [`shared`] with [`workers`]; filled by [`cluster_state`]. Sockets: [`front`] with [`body`], [`readiness`], [`back`] with
+//! [`connection`], [`request`], [`answer`]. What may go where: [`permits`]. Lots: [`batch_executor`], [`batch`]. Joined by
 //! [`dispatcher`], started by [`mod@run`].
 
 pub mod answer;
-pub mod back;
 pub mod batch;
+pub mod batch_executor;
 pub mod body;
+pub mod cluster_state;
 pub mod connection;
 pub mod dispatcher;
+pub mod downstream;
 pub mod error;
 pub mod events;
 pub mod exchange;
-pub mod front;
-pub mod hub;
-pub mod intake;
-pub mod knowledge;
 pub mod load;
 mod log_bridge;
 pub mod permits;
@@ -35,7 +33,9 @@
 pub mod request;
 pub mod routing;
 pub mod run;
+pub mod shared;
 pub mod tuning;
+pub mod upstream;
 pub mod wire;
 pub mod workers;
 
--- a/crates/mintlb-dispatcher/src/load.rs
+++ b/crates/mintlb-dispatcher/src/load.rs
@@ -22,16 +22,16 @@
 impl Load {
     /// Reads `RUNNING,WAITING,SLOTS`.
     pub fn read(header: &str) -> Option<Load> {
-        let figures: Vec<f64> = header
+        let values: Vec<f64> = header
             .split(',')
-            .map_while(|figure| figure.trim().parse().ok())
+            .map_while(|value| value.trim().parse().ok())
             .collect();
-        let [running, waiting, slots] = figures[..] else {
+        let [running, waiting, slots] = values[..] else {
             return None;
         };
-        let good = figures
+        let good = values
             .iter()
-            .all(|figure| figure.is_finite() && *figure >= 0.0);
+            .all(|value| value.is_finite() && *value >= 0.0);
         good.then_some(Load {
             running,
             waiting,
@@ -48,17 +48,17 @@
 /// What is known of a worker's load.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct KnownLoad {
-    told: Load,
-    told_at: f64,
+    reported: Load,
+    reported_at: f64,
     sent_since: f64,
 }
 
 impl KnownLoad {
     /// The worker says this at `now` (seconds of the clock).
-    pub fn told(&mut self, load: Load, now: f64) {
+    pub fn record(&mut self, load: Load, now: f64) {
         *self = KnownLoad {
-            told: load,
-            told_at: now,
+            reported: load,
+            reported_at: now,
             sent_since: 0.0,
         };
     }
@@ -69,27 +69,27 @@
     }
 
     /// Whether a live request finds a place, as far as can be told.
-    pub fn has_place(&self, now: f64) -> bool {
-        !self.is_fresh(now) || self.taken() < self.told.slots
+    pub fn has_free_slot(&self, now: f64) -> bool {
+        !self.is_fresh(now) || self.taken() < self.reported.slots
     }
 
     /// Whether an item of a lot finds a place and leaves enough of them to live requests; `own` requests of this
     /// dispatcher are there.
-    pub fn has_place_for_item(&self, now: f64, own: f64) -> bool {
-        let most = self.told.slots * (1.0 - LIVE_SHARE);
+    pub fn has_free_slot_for_item(&self, now: f64, own: f64) -> bool {
+        let limit = self.reported.slots * (1.0 - LIVE_SHARE);
         let taken = if self.is_fresh(now) {
             self.taken()
         } else {
             own
         };
-        self.told.slots == 0.0 || taken < most
+        self.reported.slots == 0.0 || taken < limit
     }
 
     fn taken(&self) -> f64 {
-        self.told.running + self.told.waiting + self.sent_since
+        self.reported.running + self.reported.waiting + self.sent_since
     }
 
     fn is_fresh(&self, now: f64) -> bool {
-        self.told.slots > 0.0 && now - self.told_at < FRESH
+        self.reported.slots > 0.0 && now - self.reported_at < FRESH
     }
 }
--- a/crates/mintlb-dispatcher/src/permits.rs
+++ b/crates/mintlb-dispatcher/src/permits.rs
@@ -1,10 +1,10 @@
 //! What is asked, beside the decisions, whether a request may go to a worker now: attempts, connections, memory, and
 //! where its prompt is likely to be kept.
 
-use crate::exchange::{Exchange, Manner};
-use crate::hub::Hub;
+use crate::exchange::{Exchange, ExchangeMode};
 use crate::prompts::{Prompt, preferred};
 use crate::routing::ServiceTerms;
+use crate::shared::Shared;
 use crate::workers::WorkerEntry;
 use mintlb_core::permit::{Permission, Permit};
 use mintlb_core::work::Payload;
@@ -22,19 +22,19 @@
 
 /// The permit of a dispatcher.
 pub struct Permits {
-    hub: Arc<Hub>,
+    shared: Arc<Shared>,
 }
 
 impl Permits {
     /// For the workers and routes of this dispatcher.
-    pub fn new(hub: Arc<Hub>) -> Permits {
-        Permits { hub }
+    pub fn new(shared: Arc<Shared>) -> Permits {
+        Permits { shared }
     }
 
     /// Connections that this dispatcher may have to one worker.
     fn connections(&self, service: ServiceTerms) -> usize {
-        let share =
-            f64::from(service.max_connections) * CONNECTION_SHARE / self.hub.dispatchers() as f64;
+        let share = f64::from(service.max_connections) * CONNECTION_SHARE
+            / self.shared.dispatchers() as f64;
         if service.max_connections == 0 {
             usize::MAX
         } else {
@@ -60,7 +60,7 @@
         worker: &WorkerEntry,
         service: ServiceTerms,
     ) -> bool {
-        let workers = &self.hub.workers;
+        let workers = &self.shared.workers;
         let rank = || workers.with_service(&worker.service, |ids| preferred(prompt.subject, ids));
         let best = exchange.preferred(workers.age(), rank);
         let others = || best.iter().flatten().filter_map(|id| workers.get(*id));
@@ -74,11 +74,11 @@
         let Some(exchange) = payload.own.downcast_ref::<Exchange>() else {
             return Permission::Granted;
         };
-        let Some(entry) = self.hub.workers.get(worker.line.id) else {
+        let Some(entry) = self.shared.workers.get(worker.line.id) else {
             return Permission::Refused;
         };
         let service = self
-            .hub
+            .shared
             .routing()
             .map(|table| table.service(&entry.service))
             .unwrap_or_default();
@@ -86,22 +86,26 @@
             return Permission::Refused;
         }
         let load = entry.load();
-        let has_place = match exchange.manner {
-            Manner::Live => load.has_place(now),
-            Manner::Item => load.has_place_for_item(now, entry.requests() as f64),
+        let has_free_slot = match exchange.mode {
+            ExchangeMode::Live => load.has_free_slot(now),
+            ExchangeMode::Item => load.has_free_slot_for_item(now, entry.requests() as f64),
         };
-        if !has_place {
+        if !has_free_slot {
             return Permission::Refused;
         }
-        if exchange.has_tried(entry.id) && self.hub.workers.has_other(&entry) {
+        if exchange.has_attempted(entry.id) && self.shared.workers.has_other(&entry) {
             return Permission::Refused;
         }
-        let patience = wu.arrived + exchange.terms.target * WAIT_SHARE;
-        let looks =
-            exchange.terms.session_affinity && exchange.manner == Manner::Live && now < patience;
-        match exchange.prompt.filter(|prompt| looks && prompt.is_long()) {
+        let wait_until = wu.arrived + exchange.terms.target * WAIT_SHARE;
+        let prefers_cached = exchange.terms.session_affinity
+            && exchange.mode == ExchangeMode::Live
+            && now < wait_until;
+        match exchange
+            .prompt
+            .filter(|prompt| prefers_cached && prompt.is_long())
+        {
             Some(prompt) if self.has_better(exchange, prompt, &entry, service) => {
-                Permission::NotBefore(patience)
+                Permission::NotBefore(wait_until)
             }
             _ => Permission::Granted,
         }
--- a/crates/mintlb-dispatcher/src/prompts.rs
+++ b/crates/mintlb-dispatcher/src/prompts.rs
@@ -22,18 +22,18 @@
 impl Prompt {
     /// Reads `Mintlb-Prompt-Prefix` (`ID:TOKENS,...`) and `Mintlb-Token-Usage` (`PROMPT,OUT`).
     pub fn read(prefix: Option<&str>, usage: Option<&str>) -> Option<Prompt> {
-        let parts: Vec<(&str, u64)> = prefix
+        let segments: Vec<(&str, u64)> = prefix
             .unwrap_or_default()
             .split(',')
-            .filter_map(part)
+            .filter_map(segment)
             .collect();
-        let shared = &parts[..parts.len().saturating_sub(1)];
+        let shared = &segments[..segments.len().saturating_sub(1)];
         let subject = shared
             .iter()
             .fold(HASH_START, |hash, (id, _)| hash_bytes(hash, id.as_bytes()));
         let used = usage.map(|usage| usage.split(',').filter_map(number).sum());
-        let in_parts = parts.iter().map(|(_, tokens)| tokens).sum();
-        let tokens = used.unwrap_or(0).max(in_parts);
+        let segment_tokens = segments.iter().map(|(_, tokens)| tokens).sum();
+        let tokens = used.unwrap_or(0).max(segment_tokens);
         let shared_tokens = shared.iter().map(|(_, tokens)| tokens).sum();
         (tokens > 0).then_some(Prompt {
             subject,
@@ -48,7 +48,7 @@
     }
 }
 
-fn part(text: &str) -> Option<(&str, u64)> {
+fn segment(text: &str) -> Option<(&str, u64)> {
     let (id, tokens) = text.trim().split_once(':')?;
     Some((id, tokens.trim().parse().ok()?))
 }
@@ -80,11 +80,11 @@
     let mut best: [Option<(u64, u64)>; PREFERRED] = [None; PREFERRED];
     for worker in workers {
         let mut next = Some((rank(subject, worker), worker));
-        for place in &mut best {
-            if next > *place {
-                std::mem::swap(&mut next, place);
+        for candidate in &mut best {
+            if next > *candidate {
+                std::mem::swap(&mut next, candidate);
             }
         }
     }
-    best.map(|place| place.map(|(_, worker)| worker))
+    best.map(|candidate| candidate.map(|(_, worker)| worker))
 }
--- a/crates/mintlb-dispatcher/src/readiness.rs
+++ b/crates/mintlb-dispatcher/src/readiness.rs
@@ -7,7 +7,7 @@
 use tokio::time::{sleep, timeout};
 
 /// The longest question.
-const MOST_BYTES: usize = 4 << 10;
+const MAX_REQUEST_BYTES: usize = 4 << 10;
 /// A connection that asks nothing for so long is closed.
 const IDLE: Duration = Duration::from_secs(10);
 /// After a failure to accept, so long until the next try.
@@ -32,22 +32,22 @@
 
 async fn answer(mut stream: TcpStream, is_ready: IsReady) {
     stream.set_nodelay(true).ok();
-    let mut asked = Vec::with_capacity(512);
+    let mut request = Vec::with_capacity(512);
     loop {
-        let end = asked.windows(4).position(|bytes| bytes == b"\r\n\r\n");
+        let end = request.windows(4).position(|bytes| bytes == b"\r\n\r\n");
         let Some(end) = end else {
-            let read = timeout(IDLE, stream.read_buf(&mut asked)).await;
-            if asked.len() > MOST_BYTES || !matches!(read, Ok(Ok(1..))) {
+            let read = timeout(IDLE, stream.read_buf(&mut request)).await;
+            if request.len() > MAX_REQUEST_BYTES || !matches!(read, Ok(Ok(1..))) {
                 return;
             }
             continue;
         };
-        let answer = match (asked.starts_with(b"GET /v1/readiness "), is_ready()) {
+        let answer = match (request.starts_with(b"GET /v1/readiness "), is_ready()) {
             (false, _) => NOT_FOUND,
             (true, true) => READY,
             (true, false) => NOT_READY,
         };
-        asked.drain(..end + 4);
+        request.drain(..end + 4);
         if stream.write_all(answer).await.is_err() {
             return;
         }
--- a/crates/mintlb-dispatcher/src/request.rs
+++ b/crates/mintlb-dispatcher/src/request.rs
@@ -72,8 +72,8 @@
         .headers
         .iter()
         .map(|(name, value)| name.as_str().len() + value.len() + 4);
-    let most = headers.sum::<usize>() + request.target.len() + exchange.body.len() + 320;
-    let mut bytes = Vec::with_capacity(most);
+    let capacity = headers.sum::<usize>() + request.target.len() + exchange.body.len() + 320;
+    let mut bytes = Vec::with_capacity(capacity);
     bytes.extend_from_slice(request.method.as_str().as_bytes());
     bytes.push(b' ');
     bytes.extend_from_slice(request.target.as_bytes());
--- a/crates/mintlb-dispatcher/src/routing.rs
+++ b/crates/mintlb-dispatcher/src/routing.rs
@@ -77,7 +77,7 @@
 }
 
 /// The longest time that a request without a `timeout_ms` of its route is held, in s.
-const LONGEST_HELD: f64 = 60.0;
+const DEFAULT_TIMEOUT: f64 = 60.0;
 
 impl RouteTerms {
     fn new(route: &Route) -> RouteTerms {
@@ -87,7 +87,9 @@
             resumable: route.resumable || route.route_type == RouteType::Batch,
             idempotent: route.is_idempotent(),
             max_attempts: route.max_attempts.max(1),
-            timeout: route.timeout_ms.map_or(LONGEST_HELD, |ms| ms as f64 / 1e3),
+            timeout: route
+                .timeout_ms
+                .map_or(DEFAULT_TIMEOUT, |ms| ms as f64 / 1e3),
             target: route.target_latency_ms as f64 / 1e3,
             gap: route.max_event_gap_ms.map(|ms| ms / 1e3),
             session_affinity: route.session_affinity,
--- a/crates/mintlb-dispatcher/src/run.rs
+++ b/crates/mintlb-dispatcher/src/run.rs
@@ -1,10 +1,10 @@
 //! The verb `mintlb dispatch`: a dispatcher from its settings, on the overlay.
 
 use crate::batch;
-use crate::dispatcher::{Dispatcher, Grants};
+use crate::cluster_state::{self, ClusterUpdate};
+use crate::dispatcher::{Dispatcher, DispatcherConfig};
 use crate::error::DispatchError;
-use crate::hub::Hub;
-use crate::knowledge::{self, Known};
+use crate::shared::Shared;
 use mintlb_common::incarnation::Incarnation;
 use mintlb_common::record::Record;
 use mintlb_common::settings::{InternalPort, NodeSettings};
@@ -62,27 +62,27 @@
         seeds: settings.seed_addresses(),
         member,
     });
-    let grants = grants(&settings, transport.incarnation());
-    let holder = grants.seed;
-    let mut dispatcher = Dispatcher::new(grants);
+    let config = config(&settings, transport.incarnation());
+    let dispatcher_id = config.seed;
+    let mut dispatcher = Dispatcher::new(config);
     dispatcher.batch = Some(batch::start(
         transport,
         gossip.clone(),
-        dispatcher.intake(),
-        holder,
+        dispatcher.batch_executor(),
+        dispatcher_id,
     ));
-    let tell = dispatcher.tell.clone();
+    let update_sender = dispatcher.update_sender.clone();
     gossip.subscribe(Arc::new(move |record: &Record| {
-        if let Some(known) = knowledge::read(record) {
-            tell.send(known).ok();
+        if let Some(known) = cluster_state::read(record) {
+            update_sender.send(known).ok();
         }
     }));
-    let (tell, joining) = (dispatcher.tell.clone(), gossip.clone());
+    let (update_sender, joining) = (dispatcher.update_sender.clone(), gossip.clone());
     tokio::spawn(async move {
         joining.wait_until_joined().await;
-        tell.send(Known::Joined).ok();
+        update_sender.send(ClusterUpdate::Joined).ok();
     });
-    tokio::spawn(estimate(gossip, dispatcher.hub.clone()));
+    tokio::spawn(estimate(gossip, dispatcher.shared.clone()));
     log::info!(
         "dispatch: {} serves on {:?}",
         settings.node_name,
@@ -97,20 +97,20 @@
 }
 
 /// Keeps the number of dispatchers that share the workers.
-async fn estimate(gossip: Arc<GossipService>, hub: Arc<Hub>) {
+async fn estimate(gossip: Arc<GossipService>, shared: Arc<Shared>) {
     loop {
         let others = gossip
             .members()
             .iter()
             .filter(|member| member.role == Role::Dispatcher)
             .count();
-        hub.take_dispatchers(others + 1);
+        shared.take_dispatchers(others + 1);
         sleep(ESTIMATE).await;
     }
 }
 
-fn grants(settings: &NodeSettings, incarnation: Incarnation) -> Grants {
-    Grants {
+fn config(settings: &NodeSettings, incarnation: Incarnation) -> DispatcherConfig {
+    DispatcherConfig {
         zone: settings.zone.clone(),
         zones: settings.zones.keys().cloned().collect(),
         memory_mb: settings.limits.memory_mb,
--- a/crates/mintlb-dispatcher/src/hub.rs
+++ b/crates/mintlb-dispatcher/src/shared.rs
@@ -15,47 +15,47 @@
 use tokio::sync::mpsc::UnboundedSender;
 
 /// What all parts of a dispatcher share.
-pub struct Hub {
+pub struct Shared {
     /// The one clock.
     pub clock: Clock,
     /// Numbers of requests.
     pub numbers: Numbers,
     /// The way to the reducer.
-    pub tell: UnboundedSender<Event>,
+    pub event_sender: UnboundedSender<Event>,
     /// The workers, as the overlay's records tell.
     pub workers: WorkerTable,
     routing: ArcSwapOption<RoutingTable>,
     dispatchers: AtomicUsize,
     ending: AtomicBool,
-    chance: Mutex<Chance>,
+    rng: Mutex<Chance>,
     once_ids: Mutex<FxHashSet<HeaderValue>>,
 }
 
 /// The id of a request that may run once only, for as long as its client waits for the answer.
 pub struct OnceId {
-    hub: Arc<Hub>,
+    shared: Arc<Shared>,
     id: HeaderValue,
 }
 
 impl Drop for OnceId {
     fn drop(&mut self) {
-        self.hub.once_ids.lock().remove(&self.id);
+        self.shared.once_ids.lock().remove(&self.id);
     }
 }
 
-impl Hub {
+impl Shared {
     /// With no routes and no workers yet.
-    pub fn new(clock: Clock, tell: UnboundedSender<Event>, seed: u64) -> Hub {
+    pub fn new(clock: Clock, event_sender: UnboundedSender<Event>, seed: u64) -> Shared {
         let (numbers, workers, routing) = Default::default();
-        Hub {
+        Shared {
             clock,
             numbers,
-            tell,
+            event_sender,
             workers,
             routing,
             dispatchers: AtomicUsize::new(1),
             ending: AtomicBool::new(false),
-            chance: Mutex::new(Chance::new(seed)),
+            rng: Mutex::new(Chance::new(seed)),
             once_ids: Mutex::default(),
         }
     }
@@ -64,7 +64,7 @@
     pub fn once(self: &Arc<Self>, id: &HeaderValue) -> Option<OnceId> {
         let is_new = self.once_ids.lock().insert(id.clone());
         is_new.then(|| OnceId {
-            hub: self.clone(),
+            shared: self.clone(),
             id: id.clone(),
         })
     }
@@ -84,7 +84,7 @@
         self.dispatchers.load(Relaxed)
     }
 
-    /// See [`Hub::dispatchers`].
+    /// See [`Shared::dispatchers`].
     pub fn take_dispatchers(&self, count: usize) {
         self.dispatchers.store(count.max(1), Relaxed);
     }
@@ -94,14 +94,14 @@
         self.ending.load(Relaxed)
     }
 
-    /// See [`Hub::is_ending`].
+    /// See [`Shared::is_ending`].
     pub fn end(&self) {
         self.ending.store(true, Relaxed);
     }
 
     /// Where a request goes by these routes.
     pub fn target(&self, table: &RoutingTable, host: &str, path: &str) -> Option<Target> {
-        let draw = self.chance.lock().draw();
+        let draw = self.rng.lock().draw();
         table.target(host, path, draw, |service| self.workers.serves(service))
     }
 }
--- a/crates/mintlb-dispatcher/src/tuning.rs
+++ b/crates/mintlb-dispatcher/src/tuning.rs
@@ -10,16 +10,16 @@
 use std::collections::{HashMap, HashSet};
 
 /// The part of its worth that an answer after the target still earns, as deployments have it.
-const LATE_CREDIT: f64 = 0.3;
+const LATE_VALUE: f64 = 0.3;
 /// Each rank of priority weighs so many times the next one.
 const RANK_WEIGHT: f64 = 4.0;
 /// Ranks beyond this weigh as much as it.
-const MOST_RANK: u32 = 8;
+const MAX_RANK: u32 = 8;
 /// Items of lots weigh this part of a request of the same rank.
 const BATCH_WEIGHT: f64 = 1.0 / 16.0;
 /// Sends of one request, those that reached no worker included. How many workers a request may be sent to is its
 /// route's `max_attempts`, which the permit keeps.
-const MOST_SENDS: usize = 8;
+const MAX_SENDS: usize = 8;
 /// Clients heed advice on when to come back up to this, in s.
 const COME_BACK: f64 = 1.0;
 /// What crossing zones costs, in points for each send.
@@ -27,7 +27,7 @@
 /// A request without a target has this one, in s.
 const USUAL_TARGET: f64 = 1.0;
 /// The longest that an item of a lot is held, in s.
-const LONGEST_ITEM: f64 = 120.0;
+const MAX_ITEM_TIME: f64 = 120.0;
 
 /// Numbers of services, the same for as long as the process lasts.
 #[derive(Debug, Default)]
@@ -64,24 +64,24 @@
 
 fn project_type(route: &Route, kind: u16) -> ProjectType {
     let batch = route.route_type == RouteType::Batch;
-    let rank = RANK_WEIGHT.powi((MOST_RANK - route.priority.min(MOST_RANK)) as i32);
+    let rank = RANK_WEIGHT.powi((MAX_RANK - route.priority.min(MAX_RANK)) as i32);
     let seconds = |ms: u64| ms as f64 / 1e3;
     let target = Some(route.target_latency_ms)
         .filter(|ms| *ms > 0)
         .map_or(USUAL_TARGET, seconds);
-    let (promise, hard_limit) = match batch {
+    let (latency_target, hard_limit) = match batch {
         true => {
             let due = route
                 .completion_target_ms
-                .map_or(LONGEST_ITEM / 4.0, seconds);
-            (due, LONGEST_ITEM.max(2.0 * due))
+                .map_or(MAX_ITEM_TIME / 4.0, seconds);
+            (due, MAX_ITEM_TIME.max(2.0 * due))
         }
         false => (target, route.timeout_ms.map_or(4.0 * target, seconds)),
     };
     ProjectType {
         credit: rank * if batch { BATCH_WEIGHT } else { 1.0 },
-        late_credit: LATE_CREDIT,
-        promised_turnaround: promise,
+        late_credit: LATE_VALUE,
+        promised_turnaround: latency_target,
         stretch: 1.0,
         hard_limit,
         effect: if route.is_idempotent() {
@@ -108,7 +108,7 @@
     Repeats {
         parallel: false,
         may_recall: true,
-        most_allocations: MOST_SENDS,
+        most_allocations: MAX_SENDS,
     }
 }
 
--- a/crates/mintlb-dispatcher/src/back.rs
+++ b/crates/mintlb-dispatcher/src/upstream.rs
@@ -22,131 +22,134 @@
 const PROVING: Duration = Duration::from_millis(3);
 
 /// The way to one worker.
-pub struct Way(pub Arc<WorkerEntry>);
+pub struct WorkerUpstream(pub Arc<WorkerEntry>);
 
-impl Display for Way {
+impl Display for WorkerUpstream {
     fn fmt(&self, f: &mut Formatter) -> std::fmt::Result {
         self.0.pool.address().fmt(f)
     }
 }
 
-impl Reach for Way {
+impl Reach for WorkerUpstream {
     fn send(&self, order: Order) -> Box<dyn Recall> {
         let Ok(exchange) = order.payload.own.clone().downcast::<Exchange>() else {
             return Box::new(());
         };
-        let send = Send {
+        let send = Attempt {
             worker: self.0.clone(),
             exchange,
             order,
         };
-        Box::new(Out(tokio::spawn(send.run()).abort_handle()))
+        Box::new(SpawnedSend(tokio::spawn(send.run()).abort_handle()))
     }
 
     fn probe(&self, _worker: u64) {}
 }
 
 /// Closing its connection is the protocol's only way to call a send off.
-struct Out(AbortHandle);
+struct SpawnedSend(AbortHandle);
 
-impl Recall for Out {
+impl Recall for SpawnedSend {
     fn recall(self: Box<Self>) {
         self.0.abort();
     }
 }
 
 /// One send of a request to a worker.
-struct Send {
+struct Attempt {
     worker: Arc<WorkerEntry>,
     exchange: Arc<Exchange>,
     order: Order,
 }
 
 /// What came of a send.
-pub struct Came {
+pub struct WorkerEvent {
     /// For the decisions.
     pub outcome: Outcome,
     /// Places that the worker says are free.
     pub free_slots: Option<f64>,
 }
 
-impl Came {
+impl WorkerEvent {
     /// With nothing told of places.
-    pub fn with(outcome: Outcome) -> Came {
-        Came {
+    pub fn with(outcome: Outcome) -> WorkerEvent {
+        WorkerEvent {
             outcome,
             free_slots: None,
         }
     }
 }
 
-impl Send {
+impl Attempt {
     async fn run(self) {
-        let hub = self.exchange.hub().clone();
+        let shared = self.exchange.shared().clone();
         let occupied = self
             .worker
             .occupy(self.exchange.prompt.map_or(0, |prompt| prompt.tokens));
-        let end = hub.clock.instant(self.order.until);
-        let came = timeout_at(end, self.carry_out()).await;
-        let Came {
+        let end = shared.clock.instant(self.order.until);
+        let event = timeout_at(end, self.carry_out()).await;
+        let WorkerEvent {
             outcome,
             free_slots,
-        } = came.unwrap_or_else(|_| Came::with(Outcome::TimedOut));
+        } = event.unwrap_or_else(|_| WorkerEvent::with(Outcome::TimedOut));
         drop(occupied);
         log::debug!("back: {} {:?}", self.worker.instance_id, outcome);
         let back = Back {
             report: Report { free_slots },
             ..Back::with(self.order.alloc, outcome)
         };
-        hub.tell.send(Event::Back(back)).ok();
+        shared.event_sender.send(Event::Back(back)).ok();
         // Nothing more will be sent for it, so its answer is due.
         if outcome != Outcome::Completed && !self.exchange.may_be_sent() {
-            hub.tell.send(Event::GivenUp(self.order.alloc.0)).ok();
+            shared
+                .event_sender
+                .send(Event::GivenUp(self.order.alloc.0))
+                .ok();
         }
     }
 
-    async fn carry_out(&self) -> Came {
+    async fn carry_out(&self) -> WorkerEvent {
         // A part of an answer that can't go on must not begin again.
         if self.exchange.has_begun() && !self.exchange.can_go_on() {
-            return Came::with(Outcome::Moot);
+            return WorkerEvent::with(Outcome::Moot);
         }
         let id = self.exchange.request.id.as_bytes();
         let connection = match self.worker.pool.reuse(self.order.payload.once, id) {
             Some(connection) => Ok(connection),
             None => tokio::select! {
                 connection = self.worker.pool.connect() => connection,
-                () = self.order.taken_back.cancelled() => return Came::with(Outcome::Full),
+                () = self.order.taken_back.cancelled() => return WorkerEvent::with(Outcome::Full),
             },
         };
         let Ok(mut connection) = connection else {
-            return Came::with(Outcome::NoConnection);
+            return WorkerEvent::with(Outcome::NoConnection);
         };
         let ran_before = self.exchange.may_have_run();
         if let Err(outcome) = self.send(&mut connection).await {
-            return Came::with(outcome);
+            return WorkerEvent::with(outcome);
         }
         let reading = Reading {
             worker: &self.worker,
             exchange: &self.exchange,
-            alloc: self.order.alloc,
+            attempt: self.order.alloc,
         };
         let Answered {
-            came,
+            event,
             not_run,
-            keep,
+            reuse,
         } = reading.read(&mut connection).await;
         if not_run {
             self.exchange.not_run(ran_before);
         }
-        if let Some(keep) = keep {
-            self.worker.pool.give_back(connection, keep.idle);
+        if let Some(reuse) = reuse {
+            self.worker.pool.give_back(connection, reuse.idle);
         }
-        came
+        event
     }
 
     /// Sends the request. An error where its head is not whole at the worker, so that it can't run.
     async fn send(&self, connection: &mut Connection) -> Result<(), Outcome> {
-        let left = self.order.until - self.exchange.hub().clock.now();
+        let left = self.order.until - self.exchange.shared().clock.now();
         let RequestBytes {
             mut bytes,
             head_length,
--- a/crates/mintlb-dispatcher/src/wire.rs
+++ b/crates/mintlb-dispatcher/src/wire.rs
@@ -9,11 +9,11 @@
 use std::time::Duration;
 
 /// The longest head of an answer.
-const MOST_HEAD_BYTES: usize = 32 << 10;
+const MAX_HEAD_BYTES: usize = 32 << 10;
 /// The most headers of an answer.
-const MOST_HEADERS: usize = 96;
+const MAX_HEADERS: usize = 96;
 /// The longest line that tells a chunk's size, or is a trailer.
-const MOST_LINE_BYTES: usize = 4 << 10;
+const MAX_LINE_BYTES: usize = 4 << 10;
 
 /// The bytes form no answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
@@ -49,7 +49,7 @@
     pub fn take(bytes: &mut BytesMut) -> Result<Option<AnswerHead>, Garbled> {
         loop {
             let Some((length, head)) = parse(bytes)? else {
-                return if bytes.len() > MOST_HEAD_BYTES {
+                return if bytes.len() > MAX_HEAD_BYTES {
                     Err(Garbled("a long head"))
                 } else {
                     Ok(None)
@@ -67,14 +67,14 @@
         let value = self.headers.get("keep-alive")?.to_str().ok()?;
         let seconds = value
             .split(',')
-            .find_map(|part| part.trim().strip_prefix("timeout="))?;
+            .find_map(|parameter| parameter.trim().strip_prefix("timeout="))?;
         Some(Duration::from_secs(seconds.trim().parse().ok()?))
     }
 }
 
 /// The head's length, and the head unless it is an interim one, which only says that another will come.
 fn parse(bytes: &[u8]) -> Result<Option<(usize, Option<AnswerHead>)>, Garbled> {
-    let mut headers = [EMPTY_HEADER; MOST_HEADERS];
+    let mut headers = [EMPTY_HEADER; MAX_HEADERS];
     let mut answer = httparse::Response::new(&mut headers);
     let length = match answer.parse(bytes) {
         Ok(Status::Complete(length)) => length,
@@ -202,20 +202,20 @@
                 _ if bytes.is_empty() => return Ok(None),
                 At::UntilClose => return Ok(Some(bytes.split().freeze())),
                 At::Rest(left) => {
-                    let piece = split(bytes, left);
-                    let left = left - piece.len() as u64;
+                    let chunk = split(bytes, left);
+                    let left = left - chunk.len() as u64;
                     self.at = if left == 0 { At::Done } else { At::Rest(left) };
-                    return Ok(Some(piece));
+                    return Ok(Some(chunk));
                 }
                 At::Chunk(left) => {
-                    let piece = split(bytes, left);
-                    let left = left - piece.len() as u64;
+                    let chunk = split(bytes, left);
+                    let left = left - chunk.len() as u64;
                     self.at = if left == 0 {
                         At::ChunkEnd
                     } else {
                         At::Chunk(left)
                     };
-                    return Ok(Some(piece));
+                    return Ok(Some(chunk));
                 }
                 At::ChunkEnd => match line(bytes)? {
                     None => return Ok(None),
@@ -239,8 +239,8 @@
     }
 }
 
-fn split(bytes: &mut BytesMut, most: u64) -> Bytes {
-    let length = (bytes.len() as u64).min(most) as usize;
+fn split(bytes: &mut BytesMut, max: u64) -> Bytes {
+    let length = (bytes.len() as u64).min(max) as usize;
     bytes.split_to(length).freeze()
 }
 
@@ -248,10 +248,10 @@
 fn line(bytes: &mut BytesMut) -> Result<Option<BytesMut>, Garbled> {
     let Some(end) = bytes
         .iter()
-        .take(MOST_LINE_BYTES)
+        .take(MAX_LINE_BYTES)
         .position(|byte| *byte == b'\n')
     else {
-        return if bytes.len() >= MOST_LINE_BYTES {
+        return if bytes.len() >= MAX_LINE_BYTES {
             Err(Garbled("a long line"))
         } else {
             Ok(None)
--- a/crates/mintlb-dispatcher/src/workers.rs
+++ b/crates/mintlb-dispatcher/src/workers.rs
@@ -15,7 +15,7 @@
 use tokio::time::Instant;
 
 /// A worker that is silent for so long has ended; its record is dropped by then.
-const FORGOTTEN: Duration = Duration::from_secs(60);
+const UNRESPONSIVE_RETENTION: Duration = Duration::from_secs(60);
 
 /// One worker: an incarnation, which never changes its address or service.
 pub struct WorkerEntry {
@@ -28,17 +28,17 @@
     /// Its connections.
     pub pool: Pool,
     /// How the decisions know it.
-    numbers: LineNumbers,
+    numbers: EndpointNumbers,
     in_service: AtomicBool,
     /// Its heartbeats have stopped, since then.
-    silent_since: Mutex<Option<Instant>>,
+    unresponsive_since: Mutex<Option<Instant>>,
     requests: AtomicUsize,
     tokens: AtomicU64,
     load: Mutex<KnownLoad>,
 }
 
 impl WorkerEntry {
-    fn line(&self, listed: Listed) -> Line {
+    fn endpoint(&self, listed: Listed) -> Line {
         Line {
             id: self.id,
             zone: self.numbers.zone,
@@ -57,7 +57,7 @@
     }
 
     /// It is not what the records say.
-    pub fn mark_gone(&self) {
+    pub fn take_out_of_service(&self) {
         self.in_service.store(false, Relaxed);
         self.pool.sweep(true);
     }
@@ -73,8 +73,8 @@
     }
 
     /// The worker says this of its load.
-    pub fn told_load(&self, load: Load, now: f64) {
-        self.load.lock().told(load, now);
+    pub fn record_load(&self, load: Load, now: f64) {
+        self.load.lock().record(load, now);
     }
 
     /// What is known of its load.
@@ -117,7 +117,7 @@
 
 /// The numbers by which the decisions know zones and services.
 #[derive(Clone, Copy, Debug)]
-pub struct LineNumbers {
+pub struct EndpointNumbers {
     /// Of the zone.
     pub zone: u16,
     /// Of the service.
@@ -180,16 +180,16 @@
     }
 
     /// Takes a record in, and gives what the reducer has to hear of it. Nothing for a record that can't be used.
-    pub fn hear(
+    pub fn apply_record(
         &self,
         record: &WorkerRecord,
-        numbers: LineNumbers,
+        numbers: EndpointNumbers,
         reach: impl FnOnce(Arc<WorkerEntry>) -> Arc<dyn Reach>,
     ) -> Option<Member> {
         // A controller that did not know the worker says no more of it than that it has ended.
         let address: Option<SocketAddr> = record.address.parse().ok();
         let id = worker_id(&record.instance_id);
-        let gone = record.state == WorkerState::Deregistered;
+        let is_deregistered = record.state == WorkerState::Deregistered;
         let mut entries = self.entries.lock();
         let entry = match entries.get(&id) {
             Some(entry) => entry.clone(),
@@ -201,12 +201,12 @@
                     pool: Pool::new(address?),
                     numbers,
                     in_service: AtomicBool::new(false),
-                    silent_since: Mutex::default(),
+                    unresponsive_since: Mutex::default(),
                     requests: AtomicUsize::new(0),
                     tokens: AtomicU64::new(0),
                     load: Mutex::default(),
                 });
-                if !gone {
+                if !is_deregistered {
                     entries.insert(id, entry.clone());
                 }
                 entry
@@ -215,10 +215,11 @@
         entry
             .in_service
             .store(record.state == WorkerState::InService, Relaxed);
-        let silent = record.state == WorkerState::Unresponsive;
-        let since = silent.then(|| entry.silent_since.lock().unwrap_or_else(Instant::now));
-        *entry.silent_since.lock() = since;
-        if gone {
+        let is_unresponsive = record.state == WorkerState::Unresponsive;
+        let since =
+            is_unresponsive.then(|| entry.unresponsive_since.lock().unwrap_or_else(Instant::now));
+        *entry.unresponsive_since.lock() = since;
+        if is_deregistered {
             entries.remove(&id);
             entry.pool.sweep(true);
         }
@@ -228,10 +229,10 @@
             WorkerState::Draining | WorkerState::Unresponsive => Listed::Draining,
             WorkerState::Deregistered => Listed::Gone,
         };
-        let (name, line) = (record.instance_id.clone(), entry.line(listed));
+        let (name, endpoint) = (record.instance_id.clone(), entry.endpoint(listed));
         Some(Member {
             name,
-            line,
+            line: endpoint,
             host: address.map(|address| address.ip()),
             reach: Some(reach(entry)),
         })
@@ -239,11 +240,12 @@
 
     /// Forgets the workers that have been silent for long and have none of our requests: one that comes back has to
     /// register as any other. What the reducer has to hear of them.
-    pub fn forget_silent(&self) -> Vec<Member> {
+    pub fn remove_unresponsive(&self) -> Vec<Member> {
         let mut entries = self.entries.lock();
         let is_over = |entry: &WorkerEntry| {
-            let since = *entry.silent_since.lock();
-            entry.requests() == 0 && since.is_some_and(|since| since.elapsed() >= FORGOTTEN)
+            let since = *entry.unresponsive_since.lock();
+            entry.requests() == 0
+                && since.is_some_and(|since| since.elapsed() >= UNRESPONSIVE_RETENTION)
         };
         let over: Vec<_> = entries
             .values()
@@ -254,7 +256,7 @@
             .for_each(|entry| drop(entries.remove(&entry.id)));
         let member = |entry: &Arc<WorkerEntry>| Member {
             name: entry.instance_id.clone(),
-            line: entry.line(Listed::Gone),
+            line: entry.endpoint(Listed::Gone),
             host: None,
             reach: None,
         };
--- a/crates/mintlb-dispatcher/tests/batch.rs
+++ b/crates/mintlb-dispatcher/tests/batch.rs
@@ -255,10 +255,10 @@
     queue.add(leased("other", 0, 5_000));
     let (number, _) = queue.start(1).unwrap();
     let key = ("a.example".to_string(), "ended".to_string());
-    assert_eq!(queue.end_lot(key), [number]);
-    assert!(!queue.is_held(number));
+    assert_eq!(queue.end_job(key), [number]);
+    assert!(!queue.is_leased(number));
     queue.finish(number);
-    assert_eq!(queue.held().len(), 1);
+    assert_eq!(queue.leased().len(), 1);
     assert_eq!(queue.start(9).unwrap().1.job_id, "other");
     assert!(queue.start(9).is_none());
 }
@@ -269,7 +269,7 @@
     let host = "a.example".to_string();
     assert!(
         queue
-            .end_lot((host.clone(), "ended".to_string()))
+            .end_job((host.clone(), "ended".to_string()))
             .is_empty()
     );
     // The store had granted it before the end; the answer comes after it.
@@ -286,14 +286,14 @@
         "another lot"
     );
     assert_eq!(next(&mut queue), None);
-    assert_eq!(queue.held().len(), 2, "its lease is not renewed");
+    assert_eq!(queue.leased().len(), 2, "its lease is not renewed");
 }
 
 #[test]
 fn ended_lots_are_remembered_within_a_bound() {
     let mut queue = ItemQueue::default();
     for number in 0..5000 {
-        queue.end_lot(("a.example".to_string(), number.to_string()));
+        queue.end_job(("a.example".to_string(), number.to_string()));
     }
     for job in ["0", "4999", "904"] {
         queue.add(leased(job, 0, 0));
@@ -329,12 +329,12 @@
     };
     assert_eq!((told.items, told.failures), (vec![2], vec![failures]));
     assert_eq!(
-        queue.held()[0].failures,
+        queue.leased()[0].failures,
         [failures],
         "and again with each renewal"
     );
     queue.finish(number);
-    assert!(queue.held().is_empty());
+    assert!(queue.leased().is_empty());
     // The next holder is told of it with the lease: the third failure is the last.
     let mut next = Progress::after_failures(2);
     assert!(!next.is_spent(&TERMS));
--- a/crates/mintlb-dispatcher/tests/chaos.rs
+++ b/crates/mintlb-dispatcher/tests/chaos.rs
@@ -2,7 +2,9 @@
 
 mod machine;
 
-use machine::{Asked, CONFIGURATION, Client, Machine, Worker, event, header, on_one_thread};
+use machine::{
+    CONFIGURATION, Client, Machine, ReceivedRequest, Worker, event, header, on_one_thread,
+};
 use mintlb_common::record::WorkerState;
 use mintlb_scheduler::tools::Chance;
 use std::cell::RefCell;
@@ -30,40 +32,40 @@
     (chance.draw() * of as f64) as u64
 }
 
-async fn misbehave(mut asked: Asked, runs: Runs, chance: &mut Chance) {
-    let id = asked.id();
+async fn misbehave(mut received: ReceivedRequest, runs: Runs, chance: &mut Chance) {
+    let id = received.id();
     match one_of(chance, 20) {
-        0 | 1 => return asked.refuse().await,
+        0 | 1 => return received.refuse().await,
         2 => {
             let own = "mintlb-request-id: {id}\r\nmintlb-not-executed: full\r\ncontent-length: 4\r\n\r\nbusy";
             let own = own.replace("{id}", &id);
-            return asked
+            return received
                 .answer_with(&format!("HTTP/1.1 429 Busy\r\n{own}"))
                 .await;
         }
         3 => {
             // A surplus refusal stands where the answer to the next request is due.
             let refusal = machine::raw::not_run(&id);
-            return asked.answer_with(&refusal.repeat(2)).await;
+            return received.answer_with(&refusal.repeat(2)).await;
         }
         _ => *runs.borrow_mut().entry(id.clone()).or_default() += 1,
     }
-    let is_stream = asked.head.starts_with("POST /s/") || asked.head.starts_with("POST /r/");
+    let is_stream = received.head.starts_with("POST /s/") || received.head.starts_with("POST /r/");
     match one_of(chance, 34) {
-        0 => drop(asked),
-        1 => asked.on.reset(),
+        0 => drop(received),
+        1 => received.on.reset(),
         2 => {
-            asked
+            received
                 .answer_as("500 Oh", "content-length: 3\r\n\r\nwhy")
                 .await
         }
         3 => {
-            asked
+            received
                 .answer_as("503 Oh", "content-length: 3\r\n\r\nwhy")
                 .await
         }
         4 => {
-            asked
+            received
                 .answer_with("nonsense\r\n\r\nHTTP/1.1 200 OK\r\n\r\n")
                 .await
         }
@@ -71,12 +73,12 @@
             let unsigned = format!(
                 "HTTP/1.1 200 OK\r\nmintlb-request-id: {id}\r\ncontent-length: 2\r\n\r\nno"
             );
-            asked.answer_with(&unsigned).await;
+            received.answer_with(&unsigned).await;
         }
-        6 if is_stream => stream(asked, &id, true).await,
+        6 if is_stream => stream(received, &id, true).await,
         6 => {
-            let own = asked.own();
-            asked
+            let own = received.own();
+            received
                 .on
                 .write(&format!(
                     "HTTP/1.1 200 OK\r\n{own}content-length: 5000\r\n\r\ncut"
@@ -85,55 +87,59 @@
         }
         7 => {
             let late = "mintlb-request-id: another\r\nmintlb-response-signature: s\r\ncontent-length: 4\r\n\r\nlate";
-            asked.on.write(&format!("HTTP/1.1 200 OK\r\n{late}")).await;
-            succeed(asked, &id, is_stream, "").await;
+            received
+                .on
+                .write(&format!("HTTP/1.1 200 OK\r\n{late}"))
+                .await;
+            succeed(received, &id, is_stream, "").await;
         }
         9 | 10 if !is_stream => {
-            let head = format!("HTTP/1.1 200 OK\r\n{}\r\n", asked.own());
-            asked.on.write(&(head + &body(&id))).await;
+            let head = format!("HTTP/1.1 200 OK\r\n{}\r\n", received.own());
+            received.on.write(&(head + &body(&id))).await;
         }
         11 if !is_stream => {
-            let head = format!("HTTP/1.1 200 OK\r\n{}\r\n", asked.own());
-            asked.on.write(&(head + &body(&id)[..4])).await;
-            asked.on.reset();
+            let head = format!("HTTP/1.1 200 OK\r\n{}\r\n", received.own());
+            received.on.write(&(head + &body(&id)[..4])).await;
+            received.on.reset();
         }
         12 if !is_stream => {
             let again = machine::raw::ok(&id, &body(&id));
-            succeed(asked, &id, is_stream, &again).await;
+            succeed(received, &id, is_stream, &again).await;
         }
         8 => {
             succeed(
-                asked,
+                received,
                 &id,
                 is_stream,
                 "HTTP/1.1 200 OK\r\ncontent-length: 5\r\n\r\nextra",
             )
             .await
         }
-        _ => succeed(asked, &id, is_stream, "").await,
+        _ => succeed(received, &id, is_stream, "").await,
     }
 }
 
-async fn succeed(asked: Asked, id: &str, is_stream: bool, behind: &str) {
+async fn succeed(received: ReceivedRequest, id: &str, is_stream: bool, behind: &str) {
     if is_stream {
-        return stream(asked, id, false).await;
+        return stream(received, id, false).await;
     }
     let text = body(id);
     let rest = format!("content-length: {}\r\n\r\n{text}{behind}", text.len());
-    asked.answer_as("200 OK", &rest).await;
+    received.answer_as("200 OK", &rest).await;
 }
 
-async fn stream(mut asked: Asked, id: &str, cut: bool) {
-    let after = header(&asked.head, "last-event-id").map_or(0, |last| last.parse::<u64>().unwrap());
-    asked.begin_stream().await;
+async fn stream(mut received: ReceivedRequest, id: &str, cut: bool) {
+    let after =
+        header(&received.head, "last-event-id").map_or(0, |last| last.parse::<u64>().unwrap());
+    received.begin_stream().await;
     for number in after + 1..=length(id) {
         if cut && number > after + 1 && number.is_multiple_of(2) {
-            asked.chunk(&event(number)[..5]).await;
+            received.chunk(&event(number)[..5]).await;
             return;
         }
-        asked.event(number).await;
+        received.event(number).await;
     }
-    asked.end_stream().await;
+    received.end_stream().await;
 }
 
 /// Sends requests one after the other and checks each answer.
@@ -174,22 +180,22 @@
                 "/s/" | "/r/" => (1..=length(&id)).map(event).collect(),
                 _ => body(&id),
             };
-            match got.whole {
+            match got.complete {
                 true => assert_eq!(got.text(), expected, "{id}"),
                 false => assert!(expected.starts_with(&got.text()), "{id}: {}", got.text()),
             }
             assert!(
-                got.whole || once || resumes,
+                got.complete || once || resumes,
                 "{id}: only a stream may break after its head"
             );
         } else {
             assert!(
-                got.whole && [500, 502, 503].contains(&got.status),
+                got.complete && [500, 502, 503].contains(&got.status),
                 "{id}: {got:?}"
             );
         }
         let closes = header(&got.head, "connection").is_some();
-        connection = (got.whole && !closes).then_some(on);
+        connection = (got.complete && !closes).then_some(on);
     }
     seen
 }
@@ -203,11 +209,16 @@
             let runs = Runs::default();
             for number in 0..WORKERS {
                 let mut worker = Worker::start(&format!("i-{number}"), "s").await;
-                machine.know(&worker, WorkerState::InService, 1).await;
+                machine.set_worker(&worker, WorkerState::InService, 1).await;
                 let (runs, mut chance) = (runs.clone(), Chance::new(seed * 100 + number as u64));
                 tokio::task::spawn_local(async move {
                     loop {
-                        misbehave(worker.asked_at_last().await, runs.clone(), &mut chance).await;
+                        misbehave(
+                            worker.next_request_untimed().await,
+                            runs.clone(),
+                            &mut chance,
+                        )
+                        .await;
                     }
                 });
             }
--- a/crates/mintlb-dispatcher/tests/clients.rs
+++ b/crates/mintlb-dispatcher/tests/clients.rs
@@ -2,7 +2,9 @@
 
 mod machine;
 
-use machine::{Asked, CONFIGURATION, Client, Machine, Worker, event, header, on_one_thread};
+use machine::{
+    CONFIGURATION, Client, Machine, ReceivedRequest, Worker, event, header, on_one_thread,
+};
 use mintlb_common::record::WorkerState;
 use std::ops::Range;
 use std::time::Duration;
@@ -25,7 +27,7 @@
 
 async fn another(machine: &Machine, instance_id: &str) -> Worker {
     let worker = Worker::start(instance_id, "s").await;
-    machine.know(&worker, WorkerState::InService, 1).await;
+    machine.set_worker(&worker, WorkerState::InService, 1).await;
     worker
 }
 
@@ -36,8 +38,8 @@
     resume();
 }
 
-fn deadline(asked: &Asked) -> u64 {
-    header(&asked.head, "mintlb-deadline-ms")
+fn deadline(received: &ReceivedRequest) -> u64 {
+    header(&received.head, "mintlb-deadline-ms")
         .unwrap()
         .parse()
         .unwrap()
@@ -78,7 +80,7 @@
     let (machine, mut worker) = with_worker().await;
     let began = Instant::now();
     let mut client = patient(&machine, path).await;
-    let silent = worker.asked().await;
+    let silent = worker.next_request().await;
     assert!(
         (4500..=5000).contains(&deadline(&silent)),
         "the route's 5 s are the shorter"
@@ -105,9 +107,9 @@
     let (machine, mut worker) = with_worker_of(CONFIGURATION).await;
     let began = Instant::now();
     let mut client = patient(&machine, path).await;
-    let _silent = worker.asked().await;
+    let _silent = worker.next_request().await;
     pass(Duration::from_millis(3000) - began.elapsed()).await;
-    let _again = worker.asked().await;
+    let _again = worker.next_request().await;
     pass(Duration::from_millis(4900) - began.elapsed()).await;
     assert_eq!(client.get().await.status, 504, "{path}");
     began.elapsed()
@@ -127,15 +129,15 @@
     let (machine, mut worker) = with_worker().await;
     let began = Instant::now();
     let mut client = patient(&machine, "/s/1").await;
-    let mut asked = worker.asked().await;
-    asked.begin_stream().await;
-    asked.event(1).await;
+    let mut received = worker.next_request().await;
+    received.begin_stream().await;
+    received.event(1).await;
     client.head().await;
     client.chunks(event(1).len()).await;
     pass(Duration::from_millis(4900) - began.elapsed()).await;
     assert_eq!(client.rest().await, (event(1), false));
     let waited = began.elapsed();
-    asked.on.closed().await;
+    received.on.closed().await;
     waited
 }
 
@@ -158,13 +160,13 @@
         assert_eq!(client.head().await.0, 100, "its head was read");
         pass(Duration::from_millis(1200)).await;
         client.write("body").await;
-        let asked = worker.asked().await;
+        let received = worker.next_request().await;
         assert!(
-            (1000..=1800).contains(&deadline(&asked)),
+            (1000..=1800).contains(&deadline(&received)),
             "{}",
-            deadline(&asked)
+            deadline(&received)
         );
-        asked.answer("ok").await;
+        received.answer("ok").await;
         assert_eq!(client.get().await.text(), "ok");
     });
 }
@@ -175,13 +177,13 @@
         let (machine, mut one) = with_worker().await;
         let mut client = machine.client().await;
         client.post("/p/1", "a", "", "").await;
-        let first = one.asked().await;
+        let first = one.next_request().await;
         assert!(deadline(&first) <= 5000);
         let mut two = another(&machine, "i-2").await;
         pass(Duration::from_millis(600)).await;
         let before = deadline(&first);
         first.on.reset();
-        let second = two.asked().await;
+        let second = two.next_request().await;
         assert!(
             deadline(&second) + 600 <= before,
             "{before} {}",
@@ -198,14 +200,13 @@
         let (machine, mut one) = with_worker().await;
         let mut client = machine.client().await;
         client.post("/p/1", "a", "", "").await;
-        let first = one.asked().await;
+        let first = one.next_request().await;
         let (mut two, mut three) = (
             another(&machine, "i-2").await,
             another(&machine, "i-3").await,
         );
         first.on.reset();
-        let second =
-            tokio::select! { asked = two.asked() => asked, asked = three.asked() => asked };
+        let second = tokio::select! { received = two.next_request() => received, received = three.next_request() => received };
         second.on.reset();
         assert_eq!(client.get().await.status, 502);
         assert!(!one.has_request() && !two.has_request() && !three.has_request());
@@ -218,15 +219,18 @@
         let (machine, mut one) = with_worker().await;
         let mut client = machine.client().await;
         client.post("/o/1", "a", "Expect-Version: 7\r\n", "").await;
-        let asked = one.asked().await;
-        assert_eq!(header(&asked.head, "expect-version").as_deref(), Some("7"));
+        let received = one.next_request().await;
+        assert_eq!(
+            header(&received.head, "expect-version").as_deref(),
+            Some("7")
+        );
         let mut two = another(&machine, "i-2").await;
-        asked
+        received
             .answer_with(
                 "HTTP/1.1 421 No\r\nmintlb-request-id: a\r\nversions: 6\r\ncontent-length: 0\r\n\r\n",
             )
             .await;
-        two.asked()
+        two.next_request()
             .await
             .answer_as("200 OK", "versions: 7\r\ncontent-length: 2\r\n\r\nok")
             .await;
@@ -238,7 +242,7 @@
             ),
             ("ok", Some("7"))
         );
-        assert_eq!(machine.hub.workers.in_service(), 2);
+        assert_eq!(machine.shared.workers.in_service(), 2);
     });
 }
 
@@ -249,32 +253,35 @@
             let (machine, mut one) = with_worker().await;
             let mut client = machine.client().await;
             client.post("/r/1", "a", "", "prompt").await;
-            let mut asked = one.asked().await;
+            let mut received = one.next_request().await;
             let mut two = another(&machine, "i-2").await;
             let head = "HTTP/1.1 200 OK\r\nmintlb-request-id: a\r\ncontent-type: text/event-stream\r\n\
                     transfer-encoding: chunked\r\nmintlb-response-signature: ";
-            asked
+            received
                 .on
                 .write(&format!("{head}first\r\nversions: 1\r\n\r\n"))
                 .await;
-            asked.event(1).await;
+            received.event(1).await;
             // It breaks off in the middle of an event.
-            asked.chunk("id: 2\ndata: ha").await;
+            received.chunk("id: 2\ndata: ha").await;
             let (_, given) = client.head().await;
             client.chunks(event(1).len()).await;
             match reset {
-                true => asked.on.reset(),
-                false => asked.end_stream().await,
+                true => received.on.reset(),
+                false => received.end_stream().await,
             }
-            let mut asked = two.asked().await;
-            assert_eq!(header(&asked.head, "last-event-id").as_deref(), Some("1"));
-            asked
+            let mut received = two.next_request().await;
+            assert_eq!(
+                header(&received.head, "last-event-id").as_deref(),
+                Some("1")
+            );
+            received
                 .on
                 .write(&format!("{head}second\r\nversions: 2\r\n\r\n"))
                 .await;
             let second = format!("versions: 2\n{}", event(2));
-            asked.chunk(&second).await;
-            asked.end_stream().await;
+            received.chunk(&second).await;
+            received.end_stream().await;
             assert_eq!(client.rest().await, (event(1) + &second, true));
             assert_eq!(
                 header(&given, "mintlb-response-signature").as_deref(),
@@ -290,11 +297,11 @@
     let (machine, mut worker) = with_worker().await;
     let mut client = machine.client().await;
     client.post(path, "a", "", "").await;
-    let asked = worker.asked().await;
+    let received = worker.next_request().await;
     client.post(path, "b", "", "").await;
     drop(client);
     let left = Instant::now();
-    asked.on.closed().await;
+    received.on.closed().await;
     assert!(!worker.has_request());
     left.elapsed()
 }
@@ -314,9 +321,9 @@
         let (machine, mut worker) = with_worker().await;
         let mut client = machine.client().await;
         client.post("/o/1", "a", "", "").await;
-        let asked = worker.asked().await;
+        let received = worker.next_request().await;
         client.post("/o/1", "b", "", "").await;
-        asked.answer("to a").await;
+        received.answer("to a").await;
         let got = client.get().await;
         assert_eq!(
             (
@@ -337,16 +344,16 @@
             let (machine, mut worker) = with_worker().await;
             let (mut one, mut two) = (machine.client().await, machine.client().await);
             one.post(path, "a", "", "").await;
-            let asked = worker.asked().await;
+            let received = worker.next_request().await;
             two.post(path, "a", "", "").await;
             assert_eq!(two.get().await.status, 502, "nothing is promised of it");
             // Its two sends are refused.
-            asked.refuse().await;
-            worker.asked().await.refuse().await;
+            received.refuse().await;
+            worker.next_request().await.refuse().await;
             assert_eq!(one.get().await.status, 503, "{path}");
             // With that promise it may come again.
             two.post(path, "a", "", "").await;
-            worker.asked().await.answer("ran").await;
+            worker.next_request().await.answer("ran").await;
             assert!(two.get().await.text().contains("ran"));
             assert!(!worker.has_request());
         }
--- a/crates/mintlb-dispatcher/tests/events.rs
+++ b/crates/mintlb-dispatcher/tests/events.rs
@@ -29,12 +29,12 @@
         let (mut rest, mut passed) = (Bytes::from(all), Vec::new());
         while !rest.is_empty() {
             let length = u.int_in_range(1..=rest.len())?;
-            let whole = reader.take(rest.split_to(length)).unwrap();
+            let complete = reader.take(rest.split_to(length)).unwrap();
             assert!(
-                whole.is_empty() || whole.ends_with(b"\n\n"),
+                complete.is_empty() || complete.ends_with(b"\n\n"),
                 "only whole events pass"
             );
-            passed.extend_from_slice(&whole);
+            passed.extend_from_slice(&complete);
         }
         assert_eq!(
             String::from_utf8(passed).unwrap(),
--- a/crates/mintlb-dispatcher/tests/items.rs
+++ b/crates/mintlb-dispatcher/tests/items.rs
@@ -5,7 +5,7 @@
 use axum::http::{HeaderMap, HeaderValue, StatusCode};
 use machine::{CONFIGURATION, Machine, Worker, event, header, on_one_thread};
 use mintlb_common::record::WorkerState;
-use mintlb_dispatcher::intake::{ItemOutcome, ItemRequest, ItemStep};
+use mintlb_dispatcher::batch_executor::{ItemOutcome, ItemRequest, ItemStep};
 use std::time::Duration;
 
 fn item(id: &'static str, last_event_id: Option<u64>) -> ItemRequest {
@@ -26,7 +26,7 @@
     let machine = Machine::start().await;
     let worker = Worker::start("i-1", "s").await;
     machine.configure(CONFIGURATION).await;
-    machine.know(&worker, WorkerState::InService, 1).await;
+    machine.set_worker(&worker, WorkerState::InService, 1).await;
     (machine, worker)
 }
 
@@ -34,21 +34,28 @@
 fn an_item_runs_to_its_end() {
     on_one_thread(async {
         let (machine, mut worker) = with_worker().await;
-        assert!(machine.intake.has_workers("shop.example", "/b/3/91c4"));
-        let mut run = machine.intake.run(item("e5", None));
-        let mut asked = worker.asked().await;
-        assert!(asked.head.starts_with("POST /b/3/91c4 HTTP/1.1\r\n"));
+        assert!(
+            machine
+                .batch_executor
+                .has_workers("shop.example", "/b/3/91c4")
+        );
+        let mut run = machine.batch_executor.run(item("e5", None));
+        let mut received = worker.next_request().await;
+        assert!(received.head.starts_with("POST /b/3/91c4 HTTP/1.1\r\n"));
         assert_eq!(
-            (asked.id().as_str(), &asked.body[..]),
+            (received.id().as_str(), &received.body[..]),
             ("e5", &b"the item"[..])
         );
-        assert_eq!(header(&asked.head, "host").as_deref(), Some("shop.example"));
-        assert_eq!(header(&asked.head, "mintlb-model").as_deref(), Some("m"));
-        asked.begin_stream().await;
-        asked.event(1).await;
+        assert_eq!(
+            header(&received.head, "host").as_deref(),
+            Some("shop.example")
+        );
+        assert_eq!(header(&received.head, "mintlb-model").as_deref(), Some("m"));
+        received.begin_stream().await;
+        received.event(1).await;
         assert_eq!(run.next().await, ItemStep::Events(event(1).into()));
-        asked.event(2).await;
-        asked.end_stream().await;
+        received.event(2).await;
+        received.end_stream().await;
         assert_eq!(run.next().await, ItemStep::Events(event(2).into()));
         assert_eq!(run.next().await, ItemStep::Ended(ItemOutcome::Completed));
         assert_eq!(run.last_event_id(), Some(2));
@@ -60,19 +67,25 @@
     on_one_thread(async {
         let (machine, mut one) = with_worker().await;
         let mut two = Worker::start("i-2", "s").await;
-        let mut run = machine.intake.run(item("e5", Some(7)));
-        let mut asked = one.asked().await;
-        assert_eq!(header(&asked.head, "last-event-id").as_deref(), Some("7"));
-        machine.know(&two, WorkerState::InService, 1).await;
-        asked.begin_stream().await;
-        asked.event(8).await;
+        let mut run = machine.batch_executor.run(item("e5", Some(7)));
+        let mut received = one.next_request().await;
+        assert_eq!(
+            header(&received.head, "last-event-id").as_deref(),
+            Some("7")
+        );
+        machine.set_worker(&two, WorkerState::InService, 1).await;
+        received.begin_stream().await;
+        received.event(8).await;
         assert_eq!(run.next().await, ItemStep::Events(event(8).into()));
-        drop(asked);
-        let mut asked = two.asked().await;
-        assert_eq!(header(&asked.head, "last-event-id").as_deref(), Some("8"));
-        asked.begin_stream().await;
-        asked.event(9).await;
-        asked.end_stream().await;
+        drop(received);
+        let mut received = two.next_request().await;
+        assert_eq!(
+            header(&received.head, "last-event-id").as_deref(),
+            Some("8")
+        );
+        received.begin_stream().await;
+        received.event(9).await;
+        received.end_stream().await;
         assert_eq!(run.next().await, ItemStep::Events(event(9).into()));
         assert_eq!(run.next().await, ItemStep::Ended(ItemOutcome::Completed));
     });
@@ -82,17 +95,17 @@
 fn failures_are_told_as_they_are() {
     on_one_thread(async {
         let (machine, mut worker) = with_worker().await;
-        let mut run = machine.intake.run(item("e5", None));
+        let mut run = machine.batch_executor.run(item("e5", None));
         worker
-            .asked()
+            .next_request()
             .await
             .answer_as("500 Oh", "content-length: 3\r\n\r\nwhy")
             .await;
         let failed = ItemOutcome::Failed(StatusCode::INTERNAL_SERVER_ERROR);
         assert_eq!(run.next().await, ItemStep::Ended(failed));
-        let mut run = machine.intake.run(item("e5", None));
+        let mut run = machine.batch_executor.run(item("e5", None));
         worker
-            .asked()
+            .next_request()
             .await
             .answer_as("422 Never", "content-length: 0\r\n\r\n")
             .await;
@@ -100,7 +113,7 @@
         let mut gone = item("e5", None);
         gone.path = "/nowhere/1".to_string();
         assert_eq!(
-            machine.intake.run(gone).next().await,
+            machine.batch_executor.run(gone).next().await,
             ItemStep::Ended(ItemOutcome::NoRoute)
         );
     });
@@ -123,14 +136,14 @@
                 "\r\nwhy",
             ] {
                 let (machine, mut worker) = with_worker().await;
-                let mut run = machine.intake.run(item("e5", None));
-                let mut asked = worker.asked().await;
-                let own = asked.own();
-                asked
+                let mut run = machine.batch_executor.run(item("e5", None));
+                let mut received = worker.next_request().await;
+                let own = received.own();
+                received
                     .on
                     .write(&format!("HTTP/1.1 {status}\r\n{own}{rest}"))
                     .await;
-                asked.on.reset();
+                received.on.reset();
                 assert_eq!(
                     run.next().await,
                     ItemStep::Ended(outcome),
@@ -147,14 +160,14 @@
     on_one_thread(async {
         let (machine, mut one) = with_worker().await;
         let mut two = Worker::start("i-2", "s").await;
-        let mut run = machine.intake.run(item("e5", None));
-        let mut asked = one.asked().await;
-        machine.know(&two, WorkerState::InService, 1).await;
-        asked.begin_stream().await;
-        asked.event(1).await;
+        let mut run = machine.batch_executor.run(item("e5", None));
+        let mut received = one.next_request().await;
+        machine.set_worker(&two, WorkerState::InService, 1).await;
+        received.begin_stream().await;
+        received.event(1).await;
         assert_eq!(run.next().await, ItemStep::Events(event(1).into()));
-        asked.on.reset();
-        two.asked()
+        received.on.reset();
+        two.next_request()
             .await
             .answer_as("422 Never", "content-length: 0\r\n\r\n")
             .await;
@@ -168,19 +181,22 @@
     on_one_thread(async {
         let (machine, mut one) = with_worker().await;
         let mut two = Worker::start("i-2", "s").await;
-        let mut run = machine.intake.run(item("e5", None));
-        let mut asked = one.asked().await;
-        machine.know(&two, WorkerState::InService, 1).await;
-        asked.begin_stream().await;
-        asked.event(1).await;
+        let mut run = machine.batch_executor.run(item("e5", None));
+        let mut received = one.next_request().await;
+        machine.set_worker(&two, WorkerState::InService, 1).await;
+        received.begin_stream().await;
+        received.event(1).await;
         assert_eq!(run.next().await, ItemStep::Events(event(1).into()));
-        asked.chunk("id: 2\ndata: e").await;
-        asked.end_stream().await;
-        let mut asked = two.asked().await;
-        assert_eq!(header(&asked.head, "last-event-id").as_deref(), Some("1"));
-        asked.begin_stream().await;
-        asked.event(2).await;
-        asked.end_stream().await;
+        received.chunk("id: 2\ndata: e").await;
+        received.end_stream().await;
+        let mut received = two.next_request().await;
+        assert_eq!(
+            header(&received.head, "last-event-id").as_deref(),
+            Some("1")
+        );
+        received.begin_stream().await;
+        received.event(2).await;
+        received.end_stream().await;
         assert_eq!(run.next().await, ItemStep::Events(event(2).into()));
         assert_eq!(run.next().await, ItemStep::Ended(ItemOutcome::Completed));
     });
@@ -190,9 +206,9 @@
 fn an_item_that_is_dropped_leaves_its_worker() {
     on_one_thread(async {
         let (machine, mut worker) = with_worker().await;
-        let run = machine.intake.run(item("e5", None));
-        let asked = worker.asked().await;
+        let run = machine.batch_executor.run(item("e5", None));
+        let received = worker.next_request().await;
         drop(run);
-        asked.on.closed().await;
+        received.on.closed().await;
     });
 }
--- a/crates/mintlb-dispatcher/tests/lifecycle.rs
+++ b/crates/mintlb-dispatcher/tests/lifecycle.rs
@@ -4,7 +4,7 @@
 
 use machine::{CONFIGURATION, Client, Machine, Worker, header, on_one_thread};
 use mintlb_common::record::WorkerState;
-use mintlb_dispatcher::knowledge::Known;
+use mintlb_dispatcher::cluster_state::ClusterUpdate;
 use std::time::Duration;
 
 async fn is_ready(machine: &Machine) -> bool {
@@ -26,9 +26,9 @@
         Worker::start("i-2", "t").await,
     );
     machine.configure(CONFIGURATION).await;
-    machine.know(&one, WorkerState::InService, 1).await;
-    machine.know(&two, WorkerState::InService, 1).await;
-    machine.tell.send(Known::Joined).unwrap();
+    machine.set_worker(&one, WorkerState::InService, 1).await;
+    machine.set_worker(&two, WorkerState::InService, 1).await;
+    machine.update_sender.send(ClusterUpdate::Joined).unwrap();
     ready(&machine).await;
     (machine, one, two)
 }
@@ -42,11 +42,11 @@
             Worker::start("i-1", "s").await,
             Worker::start("i-2", "t").await,
         );
-        machine.tell.send(Known::Joined).unwrap();
+        machine.update_sender.send(ClusterUpdate::Joined).unwrap();
         machine.configure(CONFIGURATION).await;
-        machine.know(&one, WorkerState::InService, 1).await;
+        machine.set_worker(&one, WorkerState::InService, 1).await;
         assert!(!is_ready(&machine).await, "a service has no worker yet");
-        machine.know(&two, WorkerState::InService, 1).await;
+        machine.set_worker(&two, WorkerState::InService, 1).await;
         ready(&machine).await;
     });
 }
@@ -60,8 +60,8 @@
             Worker::start("i-2", "t").await,
         );
         machine.configure(CONFIGURATION).await;
-        machine.know(&one, WorkerState::InService, 1).await;
-        machine.know(&two, WorkerState::InService, 1).await;
+        machine.set_worker(&one, WorkerState::InService, 1).await;
+        machine.set_worker(&two, WorkerState::InService, 1).await;
         assert!(!is_ready(&machine).await);
     });
 }
@@ -72,8 +72,8 @@
     on_one_thread(async {
         let machine = Machine::start().await;
         let worker = Worker::start("i-1", "s").await;
-        machine.know(&worker, WorkerState::InService, 1).await;
-        machine.tell.send(Known::Joined).unwrap();
+        machine.set_worker(&worker, WorkerState::InService, 1).await;
+        machine.update_sender.send(ClusterUpdate::Joined).unwrap();
         for path in [
             "/p/1",
             "/o/1",
@@ -111,28 +111,28 @@
         let (mut machine, mut worker, _other) = with_workers().await;
         let (mut before, mut idle) = (machine.client().await, machine.client().await);
         before.post("/s/1", "a", "", "").await;
-        let mut asked = worker.asked().await;
-        asked.begin_stream().await;
-        asked.event(1).await;
+        let mut received = worker.next_request().await;
+        received.begin_stream().await;
+        received.event(1).await;
         before.head().await;
         machine.stop.take().unwrap().send(()).unwrap();
         while is_ready(&machine).await {}
         // Connections from before still bring requests, and new ones may.
         idle.post("/p/1", "b", "", "").await;
-        worker.asked().await.answer("late").await;
+        worker.next_request().await.answer("late").await;
         let got = idle.get().await;
         assert_eq!((got.status, got.text().as_str()), (200, "late"));
         assert_eq!(header(&got.head, "connection").as_deref(), Some("close"));
         assert!(idle.ends().await);
         let mut after = machine.client().await;
         after.post("/p/1", "c", "", "").await;
-        worker.asked().await.answer("later").await;
+        worker.next_request().await.answer("later").await;
         assert_eq!(after.get().await.text(), "later");
-        asked.event(2).await;
-        asked.end_stream().await;
-        let (text, whole) = before.rest().await;
+        received.event(2).await;
+        received.end_stream().await;
+        let (text, complete) = before.rest().await;
         assert_eq!(
-            (text, whole),
+            (text, complete),
             (machine::event(1) + &machine::event(2), true)
         );
         assert!(before.ends().await);
@@ -147,9 +147,9 @@
         // It keeps the process.
         let mut before = machine.client().await;
         before.post("/s/1", "a", "", "").await;
-        let mut asked = worker.asked().await;
-        asked.begin_stream().await;
-        asked.event(1).await;
+        let mut received = worker.next_request().await;
+        received.begin_stream().await;
+        received.event(1).await;
         before.head().await;
         machine.stop.take().unwrap().send(()).unwrap();
         let told = std::time::Instant::now();
@@ -157,7 +157,7 @@
             let mut client = machine.client().await;
             client.post("/p/1", &format!("p{number}"), "", "").await;
             tokio::select! {
-                asked = worker.asked() => asked.answer("taken").await,
+                received = worker.next_request() => received.answer("taken").await,
                 got = client.get() => {
                     assert_eq!(got.status, 503, "it has not run");
                     assert!(told.elapsed() > Duration::from_millis(1500), "{number} were taken");
@@ -173,7 +173,7 @@
             );
         }
         assert!(!worker.has_request());
-        asked.end_stream().await;
+        received.end_stream().await;
         machine.ended.await.unwrap();
     });
 }
@@ -185,11 +185,11 @@
         let mut client = machine.client().await;
         // Longer than the grace that is left.
         client.post("/o/1", "a", "", "").await;
-        let asked = worker.asked().await;
+        let received = worker.next_request().await;
         machine.stop.take().unwrap().send(()).unwrap();
         assert_eq!(client.get().await.status, 502, "it may have run");
         machine.ended.await.unwrap();
-        drop(asked);
+        drop(received);
     });
 }
 
@@ -202,8 +202,8 @@
             .replace("/p/", "/q/");
         let older = mintlb_common::configuration::Configuration::parse(older.as_bytes()).unwrap();
         machine
-            .tell
-            .send(Known::Configuration(2, std::sync::Arc::new(older)))
+            .update_sender
+            .send(ClusterUpdate::Configuration(2, std::sync::Arc::new(older)))
             .unwrap();
         let newer = CONFIGURATION
             .replace("\"config_version\":3", "\"config_version\":9")
@@ -211,7 +211,7 @@
         machine.configure(&newer).await;
         let route = |path: &str| {
             machine
-                .hub
+                .shared
                 .routing()
                 .unwrap()
                 .route("shop.example", path)
--- a/crates/mintlb-dispatcher/tests/load.rs
+++ b/crates/mintlb-dispatcher/tests/load.rs
@@ -23,7 +23,7 @@
 
 fn known(running: f64, waiting: f64) -> KnownLoad {
     let mut load = KnownLoad::default();
-    load.told(
+    load.record(
         Load {
             running,
             waiting,
@@ -36,26 +36,26 @@
 
 #[test]
 fn nothing_told_holds_nobody_back() {
-    assert!(KnownLoad::default().has_place(0.0));
-    assert!(KnownLoad::default().has_place_for_item(0.0, 1000.0));
+    assert!(KnownLoad::default().has_free_slot(0.0));
+    assert!(KnownLoad::default().has_free_slot_for_item(0.0, 1000.0));
 }
 
 #[test]
 fn live_requests_may_have_every_place_and_items_leave_some() {
-    assert!(known(5.0, 0.0).has_place_for_item(100.1, 0.0));
-    assert!(!known(6.0, 0.0).has_place_for_item(100.1, 0.0));
-    assert!(known(7.0, 0.0).has_place(100.1));
-    assert!(!known(7.0, 1.0).has_place(100.1));
+    assert!(known(5.0, 0.0).has_free_slot_for_item(100.1, 0.0));
+    assert!(!known(6.0, 0.0).has_free_slot_for_item(100.1, 0.0));
+    assert!(known(7.0, 0.0).has_free_slot(100.1));
+    assert!(!known(7.0, 1.0).has_free_slot(100.1));
 }
 
 #[test]
 fn what_was_sent_since_counts() {
     let mut load = known(6.0, 0.0);
     load.sent();
-    assert!(load.has_place(100.1));
+    assert!(load.has_free_slot(100.1));
     load.sent();
-    assert!(!load.has_place(100.1));
-    load.told(
+    assert!(!load.has_free_slot(100.1));
+    load.record(
         Load {
             running: 2.0,
             waiting: 0.0,
@@ -63,14 +63,14 @@
         },
         100.2,
     );
-    assert!(load.has_place_for_item(100.3, 0.0));
+    assert!(load.has_free_slot_for_item(100.3, 0.0));
 }
 
 #[test]
 fn an_old_word_holds_no_live_request_back_and_items_go_by_our_own_count() {
     let load = known(8.0, 3.0);
-    assert!(!load.has_place(100.4));
-    assert!(load.has_place(100.6));
-    assert!(load.has_place_for_item(100.6, 5.0));
-    assert!(!load.has_place_for_item(100.6, 6.0));
+    assert!(!load.has_free_slot(100.4));
+    assert!(load.has_free_slot(100.6));
+    assert!(load.has_free_slot_for_item(100.6, 5.0));
+    assert!(!load.has_free_slot_for_item(100.6, 6.0));
 }
