--- a/crates/mintlb-dispatcher/tests/machine/mod.rs
+++ b/crates/mintlb-dispatcher/tests/machine/mod.rs
@@ -6,10 +6,10 @@
 
 use mintlb_common::configuration::Configuration;
 use mintlb_common::record::{WorkerRecord, WorkerState};
-use mintlb_dispatcher::dispatcher::{Dispatcher, Grants};
-use mintlb_dispatcher::hub::Hub;
-use mintlb_dispatcher::intake::Intake;
-use mintlb_dispatcher::knowledge::Known;
+use mintlb_dispatcher::batch_executor::BatchExecutor;
+use mintlb_dispatcher::cluster_state::ClusterUpdate;
+use mintlb_dispatcher::dispatcher::{Dispatcher, DispatcherConfig};
+use mintlb_dispatcher::shared::Shared;
 use std::future::Future;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -42,16 +42,16 @@
 pub struct Machine {
     pub frontend: SocketAddr,
     pub readiness: SocketAddr,
-    pub hub: Arc<Hub>,
-    pub intake: Intake,
-    pub tell: UnboundedSender<Known>,
+    pub shared: Arc<Shared>,
+    pub batch_executor: BatchExecutor,
+    pub update_sender: UnboundedSender<ClusterUpdate>,
     pub stop: Option<oneshot::Sender<()>>,
     pub ended: oneshot::Receiver<()>,
 }
 
 impl Machine {
     pub async fn start() -> Machine {
-        let grants = Grants {
+        let config = DispatcherConfig {
             zone: "a".to_string(),
             zones: vec!["a".to_string(), "b".to_string()],
             memory_mb: 200,
@@ -59,16 +59,16 @@
             grace_period_s: 5.0,
             seed: 1,
         };
-        let dispatcher = Dispatcher::new(grants);
+        let dispatcher = Dispatcher::new(config);
         let (frontend, readiness) = (listener().await, listener().await);
         let (stop, stopped) = oneshot::channel();
         let (end, ended) = oneshot::channel();
         let machine = Machine {
             frontend: frontend.local_addr().unwrap(),
             readiness: readiness.local_addr().unwrap(),
-            hub: dispatcher.hub.clone(),
-            intake: dispatcher.intake(),
-            tell: dispatcher.tell.clone(),
+            shared: dispatcher.shared.clone(),
+            batch_executor: dispatcher.batch_executor(),
+            update_sender: dispatcher.update_sender.clone(),
             stop: Some(stop),
             ended,
         };
@@ -85,40 +85,46 @@
     pub async fn configure(&self, json: &str) {
         let configuration = Configuration::parse(json.as_bytes()).unwrap();
         let version = configuration.config_version;
-        self.tell
-            .send(Known::Configuration(version, Arc::new(configuration)))
+        self.update_sender
+            .send(ClusterUpdate::Configuration(
+                version,
+                Arc::new(configuration),
+            ))
             .unwrap();
-        self.until(|hub| {
-            hub.routing()
+        self.until(|shared| {
+            shared
+                .routing()
                 .is_some_and(|t| t.configuration.config_version >= version)
         })
         .await;
     }
 
     /// Tells it of a worker and waits until it knows.
-    pub async fn know(&self, worker: &Worker, state: WorkerState, call: u64) {
-        self.hear(worker_record(worker, state, call)).await;
+    pub async fn set_worker(&self, worker: &Worker, state: WorkerState, call: u64) {
+        self.apply_record(worker_record(worker, state, call)).await;
     }
 
     /// Tells it this of a worker and waits until it knows.
-    pub async fn hear(&self, record: WorkerRecord) {
-        let age = self.hub.workers.age();
-        self.tell.send(Known::Worker(record)).unwrap();
-        self.until(|hub| hub.workers.age() > age).await;
+    pub async fn apply_record(&self, record: WorkerRecord) {
+        let age = self.shared.workers.age();
+        self.update_sender
+            .send(ClusterUpdate::Worker(record))
+            .unwrap();
+        self.until(|shared| shared.workers.age() > age).await;
     }
 
     /// Tells it of a worker whose connections the test handles, and waits until it knows.
-    pub async fn know_raw(&self, worker: &raw::RawWorker) {
-        let age = self.hub.workers.age();
-        self.tell
-            .send(Known::Worker(worker.record.clone()))
+    pub async fn set_raw_worker(&self, worker: &raw::RawWorker) {
+        let age = self.shared.workers.age();
+        self.update_sender
+            .send(ClusterUpdate::Worker(worker.record.clone()))
             .unwrap();
-        self.until(|hub| hub.workers.age() > age).await;
+        self.until(|shared| shared.workers.age() > age).await;
     }
 
-    async fn until(&self, holds: impl Fn(&Hub) -> bool) {
+    async fn until(&self, holds: impl Fn(&Shared) -> bool) {
         let reached = async {
-            while !holds(&self.hub) {
+            while !holds(&self.shared) {
                 tokio::task::yield_now().await;
             }
         };
@@ -155,12 +161,12 @@
     pub instance_id: String,
     pub service: String,
     pub address: SocketAddr,
-    requests: UnboundedReceiver<Asked>,
+    requests: UnboundedReceiver<ReceivedRequest>,
     connections: Arc<AtomicUsize>,
 }
 
 /// A request at a worker, whole, and the connection to answer it on.
-pub struct Asked {
+pub struct ReceivedRequest {
     pub head: String,
     pub body: Vec<u8>,
     pub on: Connection,
@@ -170,14 +176,14 @@
 pub struct Connection {
     stream: TcpStream,
     read: Vec<u8>,
-    tell: UnboundedSender<Asked>,
+    update_sender: UnboundedSender<ReceivedRequest>,
 }
 
 impl Worker {
     pub async fn start(instance_id: &str, service: &str) -> Worker {
         let listener = listener().await;
         let address = listener.local_addr().unwrap();
-        let (tell, requests) = unbounded_channel();
+        let (update_sender, requests) = unbounded_channel();
         let connections: Arc<AtomicUsize> = Arc::default();
         let count = connections.clone();
         tokio::spawn(async move {
@@ -186,7 +192,7 @@
                 let connection = Connection {
                     stream,
                     read: Vec::new(),
-                    tell: tell.clone(),
+                    update_sender: update_sender.clone(),
                 };
                 tokio::spawn(connection.next());
             }
@@ -221,7 +227,7 @@
     }
 
     /// The next request that comes whole.
-    pub async fn asked(&mut self) -> Asked {
+    pub async fn next_request(&mut self) -> ReceivedRequest {
         timeout(STEP, self.requests.recv())
             .await
             .expect("no request comes")
@@ -229,7 +235,7 @@
     }
 
     /// The next request that comes whole, however long it takes.
-    pub async fn asked_at_last(&mut self) -> Asked {
+    pub async fn next_request_untimed(&mut self) -> ReceivedRequest {
         self.requests.recv().await.unwrap()
     }
 
@@ -243,18 +249,19 @@
     /// Waits for the next request on this connection.
     pub async fn next(mut self) {
         loop {
-            if let Some((head, length, body_length)) = self.whole_head()
+            if let Some((head, length, body_length)) = self.complete_head()
                 && self.read.len() >= length + body_length
             {
                 let body = self.read[length..length + body_length].to_vec();
                 self.read.drain(..length + body_length);
-                let tell = self.tell.clone();
-                tell.send(Asked {
-                    head,
-                    body,
-                    on: self,
-                })
-                .ok();
+                let update_sender = self.update_sender.clone();
+                update_sender
+                    .send(ReceivedRequest {
+                        head,
+                        body,
+                        on: self,
+                    })
+                    .ok();
                 return;
             }
             if !matches!(self.stream.read_buf(&mut self.read).await, Ok(1..)) {
@@ -263,7 +270,7 @@
         }
     }
 
-    fn whole_head(&self) -> Option<(String, usize, usize)> {
+    fn complete_head(&self) -> Option<(String, usize, usize)> {
         let length = self
             .read
             .windows(4)
@@ -292,7 +299,7 @@
     }
 }
 
-impl Asked {
+impl ReceivedRequest {
     pub fn id(&self) -> String {
         header(&self.head, "mintlb-request-id").unwrap()
     }
@@ -393,7 +400,7 @@
     pub head: String,
     pub body: Vec<u8>,
     /// It ended as its framing says.
-    pub whole: bool,
+    pub complete: bool,
 }
 
 impl Got {
@@ -458,12 +465,12 @@
     /// The rest of a chunked body, once its head was read.
     pub async fn rest(&mut self) -> (String, bool) {
         loop {
-            let (body, used, whole) = unchunk(&self.read);
-            if whole {
+            let (body, used, complete) = unchunk(&self.read);
+            if complete {
                 self.read.drain(..used);
             }
-            if whole || !self.more().await {
-                return (String::from_utf8(body).unwrap(), whole);
+            if complete || !self.more().await {
+                return (String::from_utf8(body).unwrap(), complete);
             }
         }
     }
@@ -479,7 +486,7 @@
                         status,
                         head,
                         body: std::mem::take(&mut self.read),
-                        whole: false,
+                        complete: false,
                     };
                 }
             }
@@ -487,7 +494,7 @@
                 status,
                 head,
                 body: self.read.drain(..length).collect(),
-                whole: true,
+                complete: true,
             };
         }
         assert_eq!(
@@ -495,12 +502,12 @@
             Some("chunked"),
             "{head}"
         );
-        let (body, whole) = self.rest().await;
+        let (body, complete) = self.rest().await;
         Got {
             status,
             head,
             body: body.into_bytes(),
-            whole,
+            complete,
         }
     }
 
--- a/crates/mintlb-dispatcher/tests/requests.rs
+++ b/crates/mintlb-dispatcher/tests/requests.rs
@@ -9,7 +9,7 @@
     let machine = Machine::start().await;
     let worker = Worker::start("i-1", "s").await;
     machine.configure(CONFIGURATION).await;
-    machine.know(&worker, WorkerState::InService, 1).await;
+    machine.set_worker(&worker, WorkerState::InService, 1).await;
     (machine, worker)
 }
 
@@ -28,30 +28,35 @@
                     "body",
                 )
                 .await;
-            let asked = worker.asked().await;
+            let received = worker.next_request().await;
             assert!(
-                asked.head.starts_with("POST /p/7?x=%20&y=1 HTTP/1.1\r\n"),
+                received
+                    .head
+                    .starts_with("POST /p/7?x=%20&y=1 HTTP/1.1\r\n"),
                 "{}",
-                asked.head
+                received.head
             );
-            assert_eq!(asked.body, b"body");
-            assert_eq!(asked.id(), id);
-            assert_eq!(header(&asked.head, "host").as_deref(), Some("shop.example"));
-            assert_eq!(header(&asked.head, "x-own").as_deref(), Some("a"));
-            assert_eq!(header(&asked.head, "x-hop"), None);
+            assert_eq!(received.body, b"body");
+            assert_eq!(received.id(), id);
             assert_eq!(
-                header(&asked.head, "mintlb-target-instance").as_deref(),
+                header(&received.head, "host").as_deref(),
+                Some("shop.example")
+            );
+            assert_eq!(header(&received.head, "x-own").as_deref(), Some("a"));
+            assert_eq!(header(&received.head, "x-hop"), None);
+            assert_eq!(
+                header(&received.head, "mintlb-target-instance").as_deref(),
                 Some("i-1")
             );
-            let left: u64 = header(&asked.head, "mintlb-deadline-ms")
+            let left: u64 = header(&received.head, "mintlb-deadline-ms")
                 .unwrap()
                 .parse()
                 .unwrap();
             assert!((1000..=5000).contains(&left), "{left}");
-            asked.answer("the answer").await;
+            received.answer("the answer").await;
             let got = client.get().await;
             assert_eq!(
-                (got.status, got.text().as_str(), got.whole),
+                (got.status, got.text().as_str(), got.complete),
                 (200, "the answer", true)
             );
             assert_eq!(
@@ -75,10 +80,10 @@
                 "{head}Transfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n"
             ))
             .await;
-        let asked = worker.asked().await;
-        assert_eq!(asked.body, b"abcde");
-        assert_eq!(header(&asked.head, "transfer-encoding"), None);
-        asked.answer("ok").await;
+        let received = worker.next_request().await;
+        assert_eq!(received.body, b"abcde");
+        assert_eq!(header(&received.head, "transfer-encoding"), None);
+        received.answer("ok").await;
         assert_eq!(client.get().await.status, 200);
     });
 }
@@ -107,13 +112,13 @@
     on_one_thread(async {
         let (machine, mut worker) = with_worker().await;
         let mut deep = Worker::start("i-2", "t").await;
-        machine.know(&deep, WorkerState::InService, 1).await;
+        machine.set_worker(&deep, WorkerState::InService, 1).await;
         let (mut one, mut two) = (machine.client().await, machine.client().await);
         one.post("/p/deep/1", "a", "", "").await;
-        deep.asked().await.answer("deep").await;
+        deep.next_request().await.answer("deep").await;
         assert_eq!(one.get().await.text(), "deep");
         two.post("/p/1", "b", "", "").await;
-        worker.asked().await.answer("plain").await;
+        worker.next_request().await.answer("plain").await;
         assert_eq!(two.get().await.text(), "plain");
     });
 }
@@ -145,11 +150,11 @@
         let (machine, mut worker) = with_worker().await;
         let mut client = machine.client().await;
         client.post("/s/1", "a", "", "prompt").await;
-        let mut asked = worker.asked().await;
-        asked.begin_stream().await;
+        let mut received = worker.next_request().await;
+        received.begin_stream().await;
         let mut so_far = String::new();
         for id in 1..=5 {
-            asked.event(id).await;
+            received.event(id).await;
             so_far += &event(id);
             if id == 1 {
                 let (status, head) = client.head().await;
@@ -165,10 +170,10 @@
             }
             assert_eq!(client.chunks(so_far.len()).await, so_far);
         }
-        asked.end_stream().await;
+        received.end_stream().await;
         assert_eq!(client.rest().await, (so_far, true));
         client.post("/p/1", "b", "", "").await;
-        worker.asked().await.answer("next").await;
+        worker.next_request().await.answer("next").await;
     });
 }
 
@@ -178,13 +183,13 @@
         let (machine, mut worker) = with_worker().await;
         let mut client = machine.client().await;
         client.post("/s/1", "a", "", "prompt").await;
-        let mut asked = worker.asked().await;
-        asked.begin_stream().await;
-        asked.event(1).await;
-        asked.chunk("id: 2\nda").await;
-        drop(asked);
+        let mut received = worker.next_request().await;
+        received.begin_stream().await;
+        received.event(1).await;
+        received.chunk("id: 2\nda").await;
+        drop(received);
         let got = client.get().await;
-        assert!(!got.whole);
+        assert!(!got.complete);
         assert_eq!(got.text(), event(1), "and no part of an event passes");
         assert!(!worker.has_request(), "it may not run again");
     });
@@ -197,23 +202,26 @@
         let mut two = Worker::start("i-2", "s").await;
         let mut client = machine.client().await;
         client.post("/r/1", "a", "", "prompt").await;
-        let mut asked = one.asked().await;
-        machine.know(&two, WorkerState::InService, 1).await;
-        asked.begin_stream().await;
-        asked.event(1).await;
-        asked.event(2).await;
+        let mut received = one.next_request().await;
+        machine.set_worker(&two, WorkerState::InService, 1).await;
+        received.begin_stream().await;
+        received.event(1).await;
+        received.event(2).await;
         client.head().await;
         client.chunks(event(1).len() * 2).await;
-        asked.on.reset();
-        let mut asked = two.asked().await;
-        assert_eq!(header(&asked.head, "last-event-id").as_deref(), Some("2"));
-        asked.begin_stream().await;
+        received.on.reset();
+        let mut received = two.next_request().await;
+        assert_eq!(
+            header(&received.head, "last-event-id").as_deref(),
+            Some("2")
+        );
+        received.begin_stream().await;
         // An event that the client has must not pass twice.
-        asked.event(2).await;
-        asked.event(3).await;
+        received.event(2).await;
+        received.event(3).await;
         let so_far = event(1) + &event(2) + &event(3);
         assert_eq!(client.chunks(so_far.len()).await, so_far);
-        asked.end_stream().await;
+        received.end_stream().await;
         assert_eq!(client.rest().await, (so_far, true));
     });
 }
@@ -225,17 +233,17 @@
         let mut two = Worker::start("i-2", "s").await;
         let mut client = machine.client().await;
         client.post("/r/1", "a", "", "prompt").await;
-        let mut asked = one.asked().await;
-        machine.know(&two, WorkerState::InService, 1).await;
-        asked.begin_stream().await;
-        asked.event(1).await;
-        drop(asked);
-        let mut asked = two.asked().await;
-        asked.begin_stream().await;
-        asked.event(3).await;
-        asked.end_stream().await;
+        let mut received = one.next_request().await;
+        machine.set_worker(&two, WorkerState::InService, 1).await;
+        received.begin_stream().await;
+        received.event(1).await;
+        drop(received);
+        let mut received = two.next_request().await;
+        received.begin_stream().await;
+        received.event(3).await;
+        received.end_stream().await;
         let got = client.get().await;
-        assert_eq!((got.text(), got.whole), (event(1), false));
+        assert_eq!((got.text(), got.complete), (event(1), false));
     });
 }
 
@@ -246,14 +254,14 @@
         let mut two = Worker::start("i-2", "s").await;
         let mut client = machine.client().await;
         client.post("/p/1", "a", "", "").await;
-        let asked = one.asked().await;
-        machine.know(&two, WorkerState::InService, 1).await;
-        drop(asked);
-        two.asked().await.answer("from two").await;
+        let received = one.next_request().await;
+        machine.set_worker(&two, WorkerState::InService, 1).await;
+        drop(received);
+        two.next_request().await.answer("from two").await;
         assert_eq!(client.get().await.text(), "from two");
         client.post("/o/1", "b", "", "").await;
-        let asked = tokio::select! { asked = one.asked() => asked, asked = two.asked() => asked };
-        drop(asked);
+        let received = tokio::select! { received = one.next_request() => received, received = two.next_request() => received };
+        drop(received);
         assert_eq!(client.get().await.status, 502);
         assert!(!one.has_request() && !two.has_request());
     });
@@ -266,17 +274,16 @@
         let mut two = Worker::start("i-2", "s").await;
         let mut client = machine.client().await;
         client.post("/o/1", "a", "", "").await;
-        let asked = one.asked().await;
-        machine.know(&two, WorkerState::InService, 1).await;
-        asked.refuse().await;
-        two.asked().await.answer("ran").await;
+        let received = one.next_request().await;
+        machine.set_worker(&two, WorkerState::InService, 1).await;
+        received.refuse().await;
+        two.next_request().await.answer("ran").await;
         assert_eq!(client.get().await.text(), "ran");
         // Refused everywhere, its client is told that it has not run.
         client.post("/o/2", "b", "", "").await;
         for _ in 0..2 {
-            let asked =
-                tokio::select! { asked = one.asked() => asked, asked = two.asked() => asked };
-            asked.refuse().await;
+            let received = tokio::select! { received = one.next_request() => received, received = two.next_request() => received };
+            received.refuse().await;
         }
         let got = client.get().await;
         assert_eq!(got.status, 503);
@@ -291,7 +298,7 @@
         let mut client = machine.client().await;
         client.post("/o/1", "a", "", "").await;
         worker
-            .asked()
+            .next_request()
             .await
             .answer_as("500 Oh", "content-length: 3\r\n\r\nwhy")
             .await;
@@ -300,7 +307,7 @@
         // A 503 that does not say that it has not run must not look as if it did.
         client.post("/o/1", "b", "", "").await;
         worker
-            .asked()
+            .next_request()
             .await
             .answer_as("503 Oh", "content-length: 0\r\n\r\n")
             .await;
@@ -314,25 +321,30 @@
         let (machine, mut worker) = with_worker().await;
         let mut client = machine.client().await;
         client.post("/o/1", "a", "", "").await;
-        let mut asked = worker.asked().await;
-        asked
+        let mut received = worker.next_request().await;
+        received
             .on
             .write("HTTP/1.1 200 OK\r\nmintlb-request-id: a\r\ncontent-length: 2\r\n\r\nok")
             .await;
         assert_eq!(client.get().await.status, 502);
         client.post("/o/1", "b", "", "").await;
-        let mut asked = worker.asked().await;
-        let own = asked.own();
-        asked
+        let mut received = worker.next_request().await;
+        let own = received.own();
+        received
             .on
             .write(&format!(
                 "HTTP/1.1 200 OK\r\n{own}content-length: 9\r\n\r\nok"
             ))
             .await;
-        drop(asked);
+        drop(received);
         assert_eq!(client.get().await.status, 502);
         client.post("/o/1", "c", "", "").await;
-        worker.asked().await.on.write("nonsense\r\n\r\n").await;
+        worker
+            .next_request()
+            .await
+            .on
+            .write("nonsense\r\n\r\n")
+            .await;
         assert_eq!(client.get().await.status, 502);
     });
 }
@@ -343,14 +355,17 @@
         let (machine, mut worker) = with_worker().await;
         let mut client = machine.client().await;
         client.post("/o/1", "a", "", "").await;
-        worker.asked().await.answer("first").await;
+        worker.next_request().await.answer("first").await;
         assert_eq!(client.get().await.text(), "first");
         client.post("/o/2", "b", "", "").await;
-        let mut asked = worker.asked().await;
+        let mut received = worker.next_request().await;
         let late =
             "mintlb-request-id: a\r\nmintlb-response-signature: s\r\ncontent-length: 4\r\n\r\nlate";
-        asked.on.write(&format!("HTTP/1.1 200 OK\r\n{late}")).await;
-        asked.answer("second").await;
+        received
+            .on
+            .write(&format!("HTTP/1.1 200 OK\r\n{late}"))
+            .await;
+        received.answer("second").await;
         assert_eq!(client.get().await.text(), "second");
     });
 }
@@ -361,8 +376,8 @@
         let (machine, mut worker) = with_worker().await;
         let mut client = machine.client().await;
         client.post("/o/1", "a", "", "").await;
-        let mut asked = worker.asked().await;
-        asked
+        let mut received = worker.next_request().await;
+        received
             .on
             .write("HTTP/1.1 421 No\r\nmintlb-request-id: a\r\ncontent-length: 0\r\n\r\n")
             .await;
@@ -378,11 +393,11 @@
         let (machine, mut worker) = with_worker().await;
         let (mut one, mut two) = (machine.client().await, machine.client().await);
         one.post("/o/1", "a", "", "").await;
-        let asked = worker.asked().await;
-        machine.know(&worker, WorkerState::Draining, 2).await;
+        let received = worker.next_request().await;
+        machine.set_worker(&worker, WorkerState::Draining, 2).await;
         two.post("/o/2", "b", "", "").await;
         assert_eq!(two.get().await.status, 503);
-        asked.answer("finished").await;
+        received.answer("finished").await;
         assert_eq!(
             one.get().await.text(),
             "finished",
@@ -398,14 +413,14 @@
         for path in ["/o/1", "/s/1"] {
             let mut client: Client = machine.client().await;
             client.post(path, "a", "", "").await;
-            let mut asked = worker.asked().await;
+            let mut received = worker.next_request().await;
             if path == "/s/1" {
-                asked.begin_stream().await;
-                asked.event(1).await;
+                received.begin_stream().await;
+                received.event(1).await;
                 client.head().await;
             }
             drop(client);
-            asked.on.closed().await;
+            received.on.closed().await;
         }
     });
 }
--- a/crates/mintlb-dispatcher/tests/whose_answer.rs
+++ b/crates/mintlb-dispatcher/tests/whose_answer.rs
@@ -20,13 +20,13 @@
         .replace("\"max_body_bytes\":4096", "\"max_body_bytes\":30000000")
         .replace("\"target_latency_ms\":300", "\"target_latency_ms\":3000");
     machine.configure(&configuration).await;
-    machine.know_raw(&worker).await;
+    machine.set_raw_worker(&worker).await;
     (machine, worker)
 }
 
 async fn with_another(machine: &Machine) -> Worker {
     let worker = Worker::start("i-2", "s").await;
-    machine.know(&worker, WorkerState::InService, 1).await;
+    machine.set_worker(&worker, WorkerState::InService, 1).await;
     worker
 }
 
@@ -111,9 +111,9 @@
             early.head().await;
             let mut other = with_another(&machine).await;
             early.write(&not_run("a")).await;
-            let asked = other.asked().await;
-            assert_eq!(asked.body.len(), LONG);
-            asked.answer("ran").await;
+            let received = other.next_request().await;
+            assert_eq!(received.body.len(), LONG);
+            received.answer("ran").await;
             assert_eq!(client.get().await.text(), "ran");
             let rest = early.rest().await;
             assert!(
@@ -180,7 +180,7 @@
                     _ => client.get().await,
                 };
                 assert_eq!(
-                    (got.text().as_str(), got.whole),
+                    (got.text().as_str(), got.complete),
                     ("all of it", true),
                     "{path} {status}"
                 );
@@ -238,7 +238,7 @@
             refuses
                 .write(&format!("HTTP/1.1 503 Full\r\n{own}{rest}"))
                 .await;
-            let came = timeout(Duration::from_secs(1), other.asked()).await;
+            let came = timeout(Duration::from_secs(1), other.next_request()).await;
             came.expect("its time goes by at the worker that refused it")
                 .answer("ran")
                 .await;
--- a/crates/mintlb-dispatcher/tests/wire.rs
+++ b/crates/mintlb-dispatcher/tests/wire.rs
@@ -37,11 +37,11 @@
         );
         let mut rest = &wire[..];
         while !rest.is_empty() {
-            let (piece, others) = rest.split_at(u.int_in_range(1..=rest.len())?);
-            buffer.extend_from_slice(piece);
+            let (chunk, others) = rest.split_at(u.int_in_range(1..=rest.len())?);
+            buffer.extend_from_slice(chunk);
             rest = others;
-            while let Some(piece) = body.take(&mut buffer).unwrap() {
-                read.extend(piece);
+            while let Some(chunk) = body.take(&mut buffer).unwrap() {
+                read.extend(chunk);
             }
         }
         assert!(body.is_done());
