--- a/crates/mintlb-control/src/controller/register/acceptor_storage.rs
+++ b/crates/mintlb-control/src/controller/register/acceptor_storage.rs
@@ -1,34 +1,32 @@
-//! Durable storage of a replica's acceptor state. A thread of its own syncs the file; writes that
-//! queue up during a sync are committed together (group commit).
+//! Durable storage of a replica's acceptor state: the driver of its [`ReplicaCore`]. A thread of
+//! its own syncs the file; writes that queue up during a sync are committed together (group
+//! commit).
 //!
-//! After a failed commit the state in memory may be ahead of the disk, so that the replica must not
-//! reply from it. The thread discards the queue and reopens the file, with a bounded backoff, until
-//! the disk accepts writes again. It then rewrites the state that it finds in the file and hands it
-//! back, and the replica resumes from what is durable.
+//! After a failed commit the thread reopens the file, with a bounded backoff, until the disk
+//! accepts writes again. It then rewrites the state that it finds in the file and hands it back,
+//! and the replica resumes from what is durable.
 
 pub use super::acceptor_file::FILE;
 use super::acceptor_file::{self, Contents};
 use super::acceptor_file_error::AcceptorFileError;
-use super::committer::{Committer, Shared, SyncJob};
-pub use super::committer::{Health, Opener};
-use mintlb_register::acceptor::{AcceptorState, DurableWrite};
+pub use super::committer::Opener;
+use super::committer::{Caller, Committer, Shared};
+pub use super::replica_core::MAX_PENDING_SYNCS;
+use super::replica_core::{Command, Completion, NotDurable, ReplicaCore};
+use mintlb_register::acceptor::AcceptorState;
+use mintlb_register::message::{AcceptedValue, Request};
 use mintlb_register::replica_set::ReplicaId;
-use parking_lot::Mutex;
+use parking_lot::{Condvar, Mutex};
 use std::path::Path;
 use std::sync::Arc;
-use std::sync::atomic::Ordering::SeqCst;
-use std::sync::mpsc::{SyncSender, sync_channel};
 use std::thread::JoinHandle;
 use tokio::sync::oneshot;
 
 /// The name under which a damaged file is kept for examination.
 const QUARANTINED_FILE: &str = "register.redb.unreadable";
-/// Capacity of the queue of writes that are not synced yet.
-pub const MAX_PENDING_SYNCS: usize = 256;
 
 /// The file and its thread. Dropping it waits until the thread has closed the file.
 pub struct AcceptorStorage {
-    jobs: Mutex<Option<SyncSender<SyncJob>>>,
     thread: Mutex<Option<JoinHandle<()>>>,
     shared: Arc<Shared>,
 }
@@ -85,12 +83,13 @@
     pub fn start(opener: Opener) -> Result<OpenedAcceptor, AcceptorFileError> {
         let database = opener()?;
         let Contents { id, state } = acceptor_file::read(&database)?;
-        let (jobs, queue) = sync_channel(MAX_PENDING_SYNCS);
-        let shared = Arc::new(Shared::default());
+        let shared = Arc::new(Shared {
+            core: Mutex::new(ReplicaCore::new(id, state.clone())),
+            wake: Condvar::new(),
+        });
         let committer = Committer {
             opener,
             id,
-            queue,
             shared: shared.clone(),
         };
         let thread = std::thread::Builder::new()
@@ -98,7 +97,6 @@
             .spawn(move || committer.run(database))
             .map_err(|cause| AcceptorFileError::io(Path::new(FILE), cause))?;
         let storage = AcceptorStorage {
-            jobs: Mutex::new(Some(jobs)),
             thread: Mutex::new(Some(thread)),
             shared,
         };
@@ -107,61 +105,45 @@
 
     /// Waits until all queued writes are synced and the file is closed. Later writes fail.
     pub fn close(&self) {
-        self.jobs.lock().take();
+        self.shared.core.lock().close();
+        self.shared.wake.notify_all();
         if let Some(thread) = self.thread.lock().take() {
             thread.join().ok();
         }
     }
 
-    /// Whether the replica may reply from the state in memory. A reloaded state is handed over
-    /// once.
-    pub fn take_health(&self) -> Health {
-        let mut health = self.shared.health.lock();
-        match &*health {
-            Health::Failed => Health::Failed,
-            _ => std::mem::take(&mut *health),
-        }
+    /// The value that the replica accepted last, which may not be chosen.
+    pub fn accepted(&self) -> Option<AcceptedValue> {
+        self.shared.core.lock().accepted().cloned()
     }
 
     /// Whether queued writes are not finished yet.
     pub fn is_busy(&self) -> bool {
-        self.shared.unfinished.load(SeqCst) > 0
+        self.shared.core.lock().is_busy()
     }
 
-    /// Whether all queued writes are on disk.
-    pub fn is_synced(&self) -> bool {
-        !self.is_busy() && *self.shared.health.lock() == Health::Good
+    /// Handles a request. The receiver resolves to the reply once everything that it promises is
+    /// durable, and fails if that could not be done, or while the queue of writes is full.
+    pub fn request(&self, request: Request) -> oneshot::Receiver<Result<Completion, NotDurable>> {
+        self.submit(|core, caller| core.on_request(request, caller))
     }
 
-    /// Whether the queue of writes is full.
-    pub fn is_full(&self) -> bool {
-        self.shared.unfinished.load(SeqCst) >= MAX_PENDING_SYNCS
+    /// Learns a chosen value if the replica is a member of its replica set and has an older one.
+    /// The receiver resolves once it is durable, and fails if that could not be done.
+    pub fn learn(
+        &self,
+        chosen: &AcceptedValue,
+    ) -> oneshot::Receiver<Result<Completion, NotDurable>> {
+        self.submit(|core, caller| core.on_chosen(chosen, caller))
     }
 
-    /// Queues a write behind all earlier ones. The receiver resolves once it is synced, and fails
-    /// if it could not be.
-    pub fn sync(&self, write: DurableWrite) -> oneshot::Receiver<()> {
-        let (done, receiver) = oneshot::channel();
-        let mut health = self.shared.health.lock();
-        if *health != Health::Good {
-            return receiver;
-        }
-        let job = SyncJob {
-            write,
-            generation: self.shared.generation.load(SeqCst),
-            done,
-        };
-        self.shared.unfinished.fetch_add(1, SeqCst);
-        if self
-            .jobs
-            .lock()
-            .as_ref()
-            .is_none_or(|jobs| jobs.try_send(job).is_err())
-        {
-            // The state in memory is ahead of the disk for good, as the file is closed.
-            *health = Health::Failed;
-            self.shared.finish(1);
-        }
+    fn submit(
+        &self,
+        event: impl FnOnce(&mut ReplicaCore<Caller>, Caller) -> Vec<Command<Caller>>,
+    ) -> oneshot::Receiver<Result<Completion, NotDurable>> {
+        let (caller, receiver) = oneshot::channel();
+        let commands = event(&mut self.shared.core.lock(), caller);
+        self.shared.carry_out(commands);
         receiver
     }
 }
--- a/crates/mintlb-control/src/controller/register/committer.rs
+++ b/crates/mintlb-control/src/controller/register/committer.rs
@@ -2,13 +2,12 @@
 
 use super::acceptor_file;
 use super::acceptor_file_error::{AcceptorFileError, Damage};
-use mintlb_register::acceptor::{AcceptorState, DurableWrite};
+use super::replica_core::{Command, Commit, Completion, NotDurable, ReplicaCore};
+use mintlb_register::acceptor::AcceptorState;
 use mintlb_register::replica_set::ReplicaId;
-use parking_lot::Mutex;
+use parking_lot::{Condvar, Mutex};
 use redb::Database;
 use std::sync::Arc;
-use std::sync::atomic::{AtomicU64, AtomicUsize, Ordering::SeqCst};
-use std::sync::mpsc::{Receiver, RecvTimeoutError};
 use std::time::Duration;
 use tokio::sync::oneshot;
 
@@ -20,44 +19,33 @@
 /// Opens the file, at the start and after each failure.
 pub type Opener = Box<dyn Fn() -> Result<Database, AcceptorFileError> + Send>;
 
-/// A queued write, and the sender that reports its sync.
-pub(super) struct SyncJob {
-    pub(super) write: DurableWrite,
-    /// The generation of the state in memory that the write belongs to.
-    pub(super) generation: u64,
-    pub(super) done: oneshot::Sender<()>,
-}
-
-/// Whether the replica may reply from the state in memory.
-#[derive(Debug, Default, PartialEq)]
-pub enum Health {
-    /// The state is on disk or queued to be synced.
-    #[default]
-    Good,
-    /// A commit has failed: no reply may be given.
-    Failed,
-    /// The disk accepts writes again: this state, which is durable, replaces the one in memory.
-    Reloaded(AcceptorState),
-}
+/// The sender that resolves a caller's completion.
+pub(super) type Caller = oneshot::Sender<Result<Completion, NotDurable>>;
 
 /// State shared by the thread and its owner.
-#[derive(Default)]
 pub(super) struct Shared {
-    pub(super) unfinished: AtomicUsize,
-    pub(super) generation: AtomicU64,
-    pub(super) health: Mutex<Health>,
+    /// Never locked across a sync or an await.
+    pub(super) core: Mutex<ReplicaCore<Caller>>,
+    /// Notified when writes wait for the thread, and at the close.
+    pub(super) wake: Condvar,
 }
 
 impl Shared {
-    /// Has to precede [`Shared::finish`] for the failed jobs: otherwise a reader that sees no
-    /// unfinished job could take the state for durable.
-    fn fail(&self) {
-        *self.health.lock() = Health::Failed;
-        self.generation.fetch_add(1, SeqCst);
-    }
-
-    pub(super) fn finish(&self, jobs: usize) {
-        self.unfinished.fetch_sub(jobs, SeqCst);
+    /// Carries out commands. The core must not be locked by the caller.
+    pub(super) fn carry_out(&self, commands: Vec<Command<Caller>>) {
+        for command in commands {
+            match command {
+                Command::StartCommit => {
+                    self.wake.notify_one();
+                }
+                Command::Complete { token, completion } => {
+                    token.send(Ok(completion)).ok();
+                }
+                Command::Fail { token, error } => {
+                    token.send(Err(error)).ok();
+                }
+            }
+        }
     }
 }
 
@@ -65,33 +53,37 @@
 pub(super) struct Committer {
     pub(super) opener: Opener,
     pub(super) id: ReplicaId,
-    pub(super) queue: Receiver<SyncJob>,
     pub(super) shared: Arc<Shared>,
 }
 
+/// If the thread panics, the writes that wait for it fail, as do later ones.
+impl Drop for Committer {
+    fn drop(&mut self) {
+        let commands = self.shared.core.lock().on_committer_stopped();
+        self.shared.carry_out(commands);
+    }
+}
+
 impl Committer {
-    /// Commits queued writes until the queue is closed.
+    /// Commits queued writes until the replica is closed and none is left.
     pub(super) fn run(self, mut database: Database) {
-        while let Ok(first) = self.queue.recv() {
-            let mut jobs = vec![first];
-            jobs.extend(self.queue.try_iter());
-            let taken = jobs.len();
-            let generation = self.shared.generation.load(SeqCst);
-            jobs.retain(|job| job.generation == generation);
-            let Err(error) = commit(&database, &jobs) else {
-                self.shared.finish(taken);
-                for job in jobs {
-                    job.done.send(()).ok();
-                }
+        while let Some(commit) = self.next_commit() {
+            let Err(error) = write(&database, &commit) else {
+                let commands = self
+                    .shared
+                    .core
+                    .lock()
+                    .on_commit_succeeded(commit.generation);
+                self.shared.carry_out(commands);
                 continue;
             };
             log::error!(
                 "register: a sync of the acceptor state failed, replica {:x} stops replying until its disk recovers: {error}",
                 self.id.0
             );
-            self.shared.fail();
-            self.shared.finish(taken);
-            drop((jobs, database));
+            let commands = self.shared.core.lock().on_commit_failed(commit.generation);
+            self.shared.carry_out(commands);
+            drop(database);
             match self.reopen() {
                 Some(reopened) => database = reopened,
                 None => return,
@@ -103,28 +95,43 @@
         }
     }
 
-    /// The file, once it can be read and written again; `None` if the queue is closed.
+    /// Waits for the next batch; `None` once the replica is closed and no write is left.
+    fn next_commit(&self) -> Option<Commit> {
+        let mut core = self.shared.core.lock();
+        loop {
+            if let Some(commit) = core.begin_commit() {
+                return Some(commit);
+            }
+            if core.is_closed() {
+                return None;
+            }
+            self.shared.wake.wait(&mut core);
+        }
+    }
+
+    /// The file, once it can be read and written again; `None` if the replica is closed.
     fn reopen(&self) -> Option<Database> {
         let mut backoff = INITIAL_BACKOFF;
-        loop {
-            match self.queue.recv_timeout(backoff) {
-                // The write belongs to the generation that failed: it must not reach the disk.
-                Ok(_) => self.shared.finish(1),
-                Err(RecvTimeoutError::Disconnected) => return None,
-                Err(RecvTimeoutError::Timeout) => {
-                    match self.reload() {
-                        Ok((database, state)) => {
-                            *self.shared.health.lock() = Health::Reloaded(state);
-                            return Some(database);
-                        }
-                        Err(error) => {
-                            log::debug!("register: the file can't be reopened yet: {error}")
-                        }
-                    }
-                    backoff = (2 * backoff).min(MAX_BACKOFF);
+        while !self.is_closed_within(backoff) {
+            match self.reload() {
+                Ok((database, state)) => {
+                    self.shared.core.lock().on_reloaded(state);
+                    return Some(database);
                 }
+                Err(error) => log::debug!("register: the file can't be reopened yet: {error}"),
             }
+            backoff = (2 * backoff).min(MAX_BACKOFF);
         }
+        None
+    }
+
+    /// Waits for a delay, or until the replica is closed.
+    fn is_closed_within(&self, delay: Duration) -> bool {
+        let mut core = self.shared.core.lock();
+        self.shared
+            .wake
+            .wait_while_for(&mut core, |core| !core.is_closed(), delay);
+        core.is_closed()
     }
 
     /// Reads the state and writes it once more: a failed commit may have left it where no later
@@ -140,24 +147,12 @@
     }
 }
 
-/// Writes the last promise and the last accepted value of the jobs: ballots only rise, so that
-/// these supersede the others.
-fn commit(database: &Database, jobs: &[SyncJob]) -> Result<(), AcceptorFileError> {
-    let promised = jobs.iter().rev().find_map(|job| match &job.write {
-        DurableWrite::Nothing => None,
-        DurableWrite::Promise(ballot) => Some(*ballot),
-        DurableWrite::Accepted(accepted) => Some(accepted.ballot),
-        DurableWrite::Learned { promised, .. } => Some(*promised),
-    });
-    let Some(promised) = promised else {
-        return Ok(());
-    };
-    let accepted = jobs.iter().rev().find_map(|job| match &job.write {
-        DurableWrite::Accepted(accepted)
-        | DurableWrite::Learned {
-            chosen: accepted, ..
-        } => Some(accepted),
-        _ => None,
-    });
-    acceptor_file::write_state(database, promised, accepted)
+/// Writes and syncs a batch; one without changes needs no sync.
+fn write(database: &Database, commit: &Commit) -> Result<(), AcceptorFileError> {
+    match &commit.write {
+        Some(write) => {
+            acceptor_file::write_state(database, write.promised, write.accepted.as_ref())
+        }
+        None => Ok(()),
+    }
 }
--- a/crates/mintlb-control/src/controller/register/mod.rs
+++ b/crates/mintlb-control/src/controller/register/mod.rs
@@ -3,8 +3,8 @@
 //!
 //! - [`client`]: proposals and reads; `replica_calls` carries their messages.
 //! - [`service`], [`messages`]: replies to other processes, and the protocol.
-//! - [`local_replica`], [`acceptor_storage`], `committer`, [`acceptor_file`]: the replica of this
-//!   process and its disk.
+//! - [`replica_core`]: the replica of this process as a state machine without I/O.
+//! - [`local_replica`], [`acceptor_storage`], `committer`, [`acceptor_file`]: its driver and its disk.
 //! - [`register_cache`]: what this process knows of the register.
 //! - [`membership`], [`discovery`]: finding or bootstrapping the register, joining and leaving the
 //!   replica set.
@@ -22,6 +22,7 @@
 pub mod publisher;
 pub mod register_cache;
 mod replica_calls;
+pub mod replica_core;
 pub mod service;
 
 pub use acceptor_file_error::AcceptorFileError;
--- a/crates/mintlb-control/tests/controller_acceptor_storage.rs
+++ b/crates/mintlb-control/tests/controller_acceptor_storage.rs
@@ -4,17 +4,45 @@
 
 use builders::{ValueBuilder, ballot, replica_set};
 use mintlb_control::controller::register::acceptor_storage::{AcceptorStorage, FILE};
-use mintlb_register::acceptor::DurableWrite;
-use mintlb_register::message::AcceptedValue;
+use mintlb_control::controller::register::replica_core::Completion;
+use mintlb_register::message::{AcceptedValue, Reply, Request, RequestBody};
 use mintlb_register::replica_set::ReplicaId;
 
 fn accepted(counter: u64) -> AcceptedValue {
     ValueBuilder::new(counter, replica_set(1, &[1])).build()
 }
 
-/// Writes, and waits for the sync on the calling thread.
-fn write(storage: &AcceptorStorage, write: DurableWrite) {
-    storage.sync(write).blocking_recv().unwrap();
+fn prepare(counter: u64) -> Request {
+    request(RequestBody::Prepare {
+        ballot: ballot(counter),
+        known: None,
+    })
+}
+
+fn accept(counter: u64) -> Request {
+    request(RequestBody::Accept {
+        proposed: accepted(counter),
+    })
+}
+
+fn request(body: RequestBody) -> Request {
+    Request {
+        target: ReplicaId(41),
+        body,
+    }
+}
+
+fn is_granted(completion: &Completion) -> bool {
+    matches!(
+        completion,
+        Completion::Reply(Reply::Promise { .. } | Reply::Accepted { .. } | Reply::Read { .. })
+    )
+}
+
+/// Waits on the calling thread until a request is granted, and so synced.
+fn grant(storage: &AcceptorStorage, request: Request) {
+    let completion = storage.request(request).blocking_recv().unwrap().unwrap();
+    assert!(is_granted(&completion), "{completion:?}");
 }
 
 #[test]
@@ -22,10 +50,10 @@
     let directory = tempfile::tempdir().unwrap();
     let opened = AcceptorStorage::open(directory.path(), ReplicaId(41)).unwrap();
     assert_eq!((opened.id, opened.state.accepted), (ReplicaId(41), None));
-    write(&opened.storage, DurableWrite::Promise(ballot(3)));
-    write(&opened.storage, DurableWrite::Accepted(accepted(3)));
-    write(&opened.storage, DurableWrite::Promise(ballot(5)));
-    write(&opened.storage, DurableWrite::Nothing);
+    grant(&opened.storage, prepare(3));
+    grant(&opened.storage, accept(3));
+    grant(&opened.storage, prepare(5));
+    grant(&opened.storage, request(RequestBody::Read { known: None }));
     assert!(!opened.storage.is_busy());
     drop(opened.storage);
     let reopened = AcceptorStorage::open(directory.path(), ReplicaId(99)).unwrap();
@@ -45,7 +73,7 @@
     let directory = tempfile::tempdir().unwrap();
     let opened = AcceptorStorage::open(directory.path(), ReplicaId(41)).unwrap();
     assert!(AcceptorStorage::open(directory.path(), ReplicaId(42)).is_err());
-    write(&opened.storage, DurableWrite::Promise(ballot(3)));
+    grant(&opened.storage, prepare(3));
     drop(opened.storage);
     assert_eq!(
         AcceptorStorage::open(directory.path(), ReplicaId(43))
@@ -61,15 +89,13 @@
     let opened = AcceptorStorage::open(directory.path(), ReplicaId(41)).unwrap();
     let waiting: Vec<_> = (1..=50)
         .map(|counter| match counter % 2 {
-            0 => opened.storage.sync(DurableWrite::Promise(ballot(counter))),
-            _ => opened
-                .storage
-                .sync(DurableWrite::Accepted(accepted(counter))),
+            0 => opened.storage.request(prepare(counter)),
+            _ => opened.storage.request(accept(counter)),
         })
         .collect();
     waiting
         .into_iter()
-        .for_each(|sync| sync.blocking_recv().unwrap());
+        .for_each(|sync| assert!(is_granted(&sync.blocking_recv().unwrap().unwrap())));
     drop(opened.storage);
     let reopened = AcceptorStorage::open(directory.path(), ReplicaId(99)).unwrap();
     assert_eq!(
--- a/crates/mintlb-control/tests/controller_wire_fixtures.rs
+++ b/crates/mintlb-control/tests/controller_wire_fixtures.rs
@@ -13,15 +13,16 @@
 use mintlb_common::transport::{Channel, ResponseFuture, Service, Transport};
 use mintlb_control::controller::contact::messages::{LeaderEpoch, PeerStatus, Ping, Pong};
 use mintlb_control::controller::register;
+use mintlb_control::controller::register::acceptor_file;
 use mintlb_control::controller::register::acceptor_storage::{AcceptorStorage, FILE};
 use mintlb_control::controller::register::local_replica::LocalReplica;
+use mintlb_control::controller::register::replica_core::Completion;
 use mintlb_control::controller::singleton::messages::{
     ControllerRequest, ControllerResponse, RetirementRequest, RetirementStatus, encode,
 };
-use mintlb_register::acceptor::DurableWrite;
 use mintlb_register::applied_history::AppliedHistory;
 use mintlb_register::ballot::Ballot;
-use mintlb_register::message::AcceptedValue;
+use mintlb_register::message::{AcceptedValue, Reply, ReportedValue, Request, RequestBody};
 use mintlb_register::replica_set::{Replica, ReplicaId, ReplicaSet};
 use mintlb_register::state::ControlState;
 use parking_lot::Mutex;
@@ -271,15 +272,10 @@
     assert_eq!(opened.id, ReplicaId(ID));
     assert_eq!(opened.state.promised, ballot(8));
     assert_eq!(opened.state.accepted, Some(accepted()));
-    opened
-        .storage
-        .sync(DurableWrite::Learned {
-            promised: ballot(8),
-            chosen: accepted(),
-        })
-        .blocking_recv()
-        .unwrap();
     drop(opened.storage);
+    let database = acceptor_file::open(&folder.path().join(FILE)).unwrap();
+    acceptor_file::write_state(&database, ballot(8), Some(&accepted())).unwrap();
+    drop(database);
     check_tables(&folder.path().join("register.redb"));
     let files: Vec<_> = std::fs::read_dir(folder.path())
         .unwrap()
@@ -288,15 +284,39 @@
     assert_eq!(files, ["register.redb"], "nothing was quarantined");
 }
 
+fn prepare(counter: u64) -> RequestBody {
+    RequestBody::Prepare {
+        ballot: ballot(counter),
+        known: None,
+    }
+}
+
+fn promise(counter: u64, last_accepted: ReportedValue) -> Reply {
+    Reply::Promise {
+        ballot: ballot(counter),
+        last_accepted,
+    }
+}
+
 /// Makes the register's file as a controller does.
 fn make_file(directory: &Path) {
     let opened = AcceptorStorage::open(directory, ReplicaId(ID)).unwrap();
-    for sync in [
-        DurableWrite::Promise(ballot(3)),
-        DurableWrite::Accepted(accepted()),
-        DurableWrite::Promise(ballot(8)),
+    for (body, reply) in [
+        (prepare(3), promise(3, ReportedValue::Nothing)),
+        (
+            RequestBody::Accept {
+                proposed: accepted(),
+            },
+            Reply::Accepted {
+                ballot: accepted().ballot,
+            },
+        ),
+        (prepare(8), promise(8, ReportedValue::Value(accepted()))),
     ] {
-        opened.storage.sync(sync).blocking_recv().unwrap();
+        let target = ReplicaId(ID);
+        let request = Request { target, body };
+        let completion = opened.storage.request(request).blocking_recv();
+        assert_eq!(completion, Ok(Ok(Completion::Reply(reply))));
     }
 }
 
--- a/crates/mintlb-simulation/src/controller/membership.rs
+++ b/crates/mintlb-simulation/src/controller/membership.rs
@@ -10,7 +10,7 @@
 use mintlb_register::ballot::Ballot;
 use mintlb_register::bootstrap::{Bootstrap, BootstrapStep, SeedStatus};
 use mintlb_register::change::{Change, ChangeOutcome};
-use mintlb_register::message::{AcceptedValue, Request, RequestBody};
+use mintlb_register::message::{AcceptedValue, Reply, Request, RequestBody};
 use mintlb_register::replica_set::ReplicaSet;
 use mintlb_register::state::ControlState;
 use std::sync::Arc;
@@ -120,16 +120,23 @@
                 proposed: proposed.clone(),
             },
         };
-        let replies = self
+        let commands = self
             .replica
-            .answer(context, request, ReplyTo::Found(proposed));
-        self.hand_out(context, replies);
+            .request(context, request, ReplyTo::Found(proposed));
+        self.hand_out(context, commands);
     }
 
-    /// The founding value is on disk.
-    pub(super) fn founded(&mut self, context: &mut Context, accepted: AcceptedValue) {
-        context.out.push(Out::Note(format!("{} founds", self.name)));
-        self.learn(context, accepted);
+    /// The replica has replied to the founding value, or could not sync it.
+    pub(super) fn founded(
+        &mut self,
+        context: &mut Context,
+        accepted: AcceptedValue,
+        reply: Option<Reply>,
+    ) {
+        if matches!(reply, Some(Reply::Accepted { .. })) {
+            context.out.push(Out::Note(format!("{} founds", self.name)));
+            self.learn(context, accepted);
+        }
         self.pause(context, SEED_PAUSE);
     }
 
--- a/crates/mintlb-simulation/src/controller/mod.rs
+++ b/crates/mintlb-simulation/src/controller/mod.rs
@@ -63,7 +63,7 @@
 impl Controller {
     /// Starts the process with what its disk holds.
     pub fn start(context: &mut Context, start: Start, disk: VoteDisk) -> Controller {
-        let replica = LocalReplica::new(disk, context.own.to_string(), start.name.clone());
+        let replica = LocalReplica::new(context, disk, context.own.to_string(), start.name.clone());
         let hint = replica
             .accepted()
             .map(|accepted| accepted.state.replicas.clone());
@@ -130,10 +130,10 @@
     fn call(&mut self, context: &mut Context, caller: Caller, call: Call) {
         match call {
             Call::Vote(request) => {
-                let replies = self
+                let commands = self
                     .replica
-                    .answer(context, request, ReplyTo::Remote(caller));
-                self.hand_out(context, replies);
+                    .request(context, request, ReplyTo::Remote(caller));
+                self.hand_out(context, commands);
             }
             Call::Lots(..) => (),
             Call::Status => {
@@ -173,8 +173,8 @@
                 self.confirmed(context, &confirmed);
             }
             Timer::Disk => {
-                let replies = self.replica.committed(context);
-                self.hand_out(context, replies);
+                let commands = self.replica.committed(context);
+                self.hand_out(context, commands);
             }
             Timer::Attempt { task, generation } => self.attempt_timer(context, task, generation),
             Timer::Deadline(task) => self.out_of_time(context, task),
--- a/crates/mintlb-simulation/src/controller/tasks.rs
+++ b/crates/mintlb-simulation/src/controller/tasks.rs
@@ -5,6 +5,7 @@
 use crate::context::{Context, Out, Time, Timer};
 use crate::message::{Answer, Call};
 use crate::planted::Planted;
+use mintlb_control::controller::register::replica_core::{Command, Completion};
 use mintlb_register::ballot::Ballot;
 use mintlb_register::change::Change;
 use mintlb_register::message::{AcceptedValue, OutboundRequest, Reply, ReportedValue, Request};
@@ -294,7 +295,7 @@
             }
             Awaited::Task { task, from, ballot } => {
                 let reply = match answer {
-                    Some(Answer::Vote(reply)) => Some(altered(context.planted, reply)),
+                    Some(Answer::Vote(reply)) => reply.map(|reply| altered(context.planted, reply)),
                     _ => None,
                 };
                 self.give_reply(context, task, from, ballot, reply);
@@ -457,8 +458,8 @@
             ballot,
         });
         if replica.id == self.replica.identity().id {
-            let replies = self.replica.answer(context, request, ReplyTo::Local(id));
-            return self.hand_out(context, replies);
+            let commands = self.replica.request(context, request, ReplyTo::Local(id));
+            return self.hand_out(context, commands);
         }
         context.wake(PHASE_TIMEOUT, Timer::CallLost(id));
         match replica.address.parse() {
@@ -467,21 +468,35 @@
         }
     }
 
-    /// Gives replies of the replica here to who waits for them.
-    pub(super) fn hand_out(&mut self, context: &mut Context, replies: Vec<(ReplyTo, Reply)>) {
-        for (to, reply) in replies {
-            match to {
-                ReplyTo::Remote(caller) => context.answer(&caller, Answer::Vote(reply)),
-                ReplyTo::Local(id) => self
-                    .register
-                    .replies
-                    .push_back((id, Some(Answer::Vote(reply)))),
-                ReplyTo::Found(accepted) => self.founded(context, accepted),
-                ReplyTo::Nobody => (),
+    /// Gives replies of the replica here, or their absence, to who waits for them.
+    pub(super) fn hand_out(&mut self, context: &mut Context, commands: Vec<Command<ReplyTo>>) {
+        for command in commands {
+            match command {
+                Command::Complete {
+                    token,
+                    completion: Completion::Reply(reply),
+                } => self.hand_out_reply(context, token, Some(reply)),
+                Command::Fail { token, .. } => self.hand_out_reply(context, token, None),
+                Command::Complete {
+                    completion: Completion::Learned,
+                    ..
+                }
+                | Command::StartCommit => (),
             }
         }
     }
 
+    fn hand_out_reply(&mut self, context: &mut Context, to: ReplyTo, reply: Option<Reply>) {
+        match to {
+            ReplyTo::Remote(caller) => context.answer(&caller, Answer::Vote(reply)),
+            ReplyTo::Local(id) => self
+                .register
+                .replies
+                .push_back((id, Some(Answer::Vote(reply)))),
+            ReplyTo::Found(accepted) => self.founded(context, accepted, reply),
+        }
+    }
+
     /// Hands over what the replica here has answered.
     pub(super) fn hand_over_replies(&mut self, context: &mut Context) {
         while let Some((id, answer)) = self.register.replies.pop_front() {
--- a/crates/mintlb-simulation/src/controller/vote.rs
+++ b/crates/mintlb-simulation/src/controller/vote.rs
@@ -1,13 +1,14 @@
-//! A controller's replica with its disk; mirrors `controller/register/local_replica.rs` and `controller/register/acceptor_storage.rs`: an answer
-//! waits for the commit of all that was asked for before it, and what waits is committed at once.
+//! A controller's replica on a simulated disk: the driver of the program's [`ReplicaCore`], which
+//! keeps one commit at a time under way.
 
 use crate::context::{Caller, Context, Timer};
-use crate::planted::Planted;
 use crate::random::Random;
-use mintlb_register::acceptor::{Acceptor, AcceptorState, DurableWrite};
-use mintlb_register::message::{AcceptedValue, Reply, Request};
+use mintlb_control::controller::register::replica_core::{
+    Command, Commit, ReplicaCore, StateWrite,
+};
+use mintlb_register::acceptor::AcceptorState;
+use mintlb_register::message::{AcceptedValue, Request};
 use mintlb_register::replica_set::{Replica, ReplicaId};
-use std::collections::VecDeque;
 
 /// What a disk holds.
 #[derive(Clone, Debug, Default)]
@@ -19,8 +20,15 @@
 }
 
 impl VoteDisk {
-    fn apply(&mut self, write: &DurableWrite) {
-        self.vote.apply(write);
+    /// Applies a batch at the end of its sync.
+    fn apply(&mut self, write: Option<StateWrite>) {
+        let Some(StateWrite { promised, accepted }) = write else {
+            return;
+        };
+        self.vote.promised = promised;
+        if accepted.is_some() {
+            self.vote.accepted = accepted;
+        }
     }
 }
 
@@ -33,41 +41,38 @@
     Local(u64),
     /// The founding of a register with this value.
     Found(AcceptedValue),
-    /// Nobody.
-    Nobody,
-}
-
-struct Job {
-    sync: DurableWrite,
-    reply: Reply,
-    to: ReplyTo,
 }
 
 /// A replica in its process.
 pub struct LocalReplica {
     identity: Replica,
-    acceptor: Acceptor,
+    core: ReplicaCore<ReplyTo>,
     disk: VoteDisk,
-    jobs: VecDeque<Job>,
-    committing: usize,
+    /// The commit under way.
+    commit: Option<Commit>,
 }
 
 impl LocalReplica {
     /// A replica with what its disk holds.
-    pub fn new(disk: VoteDisk, address: String, node_name: String) -> LocalReplica {
+    pub fn new(
+        context: &Context,
+        disk: VoteDisk,
+        address: String,
+        node_name: String,
+    ) -> LocalReplica {
         let identity = Replica {
             id: disk.id,
             address,
             node_name,
             zone: "z".to_string(),
         };
-        let acceptor = Acceptor::new(disk.id, disk.vote.clone());
+        let mut core = ReplicaCore::new(disk.id, disk.vote.clone());
+        plant(context, &mut core);
         LocalReplica {
             identity,
-            acceptor,
+            core,
             disk,
-            jobs: VecDeque::new(),
-            committing: 0,
+            commit: None,
         }
     }
 
@@ -78,79 +83,68 @@
 
     /// The value that it accepted last, which may not be chosen.
     pub fn accepted(&self) -> Option<AcceptedValue> {
-        self.acceptor.state().accepted.clone()
+        self.core.accepted().cloned()
     }
 
-    /// Handles a request; returns the replies that can be given at once.
-    pub fn answer(
+    /// Handles a request; returns the commands that concern its callers.
+    pub fn request(
         &mut self,
         context: &mut Context,
         request: Request,
         to: ReplyTo,
-    ) -> Vec<(ReplyTo, Reply)> {
-        let answered = self.acceptor.handle(request);
-        let at_once = match context.planted {
-            Planted::AnswerBeforeSync => true,
-            Planted::PromiseNotSynced => matches!(answered.durable_write, DurableWrite::Promise(_)),
-            _ => false,
-        };
-        if at_once {
-            let sync = match context.planted {
-                Planted::PromiseNotSynced => DurableWrite::Nothing,
-                _ => answered.durable_write,
-            };
-            self.queue(
-                context,
-                Job {
-                    sync,
-                    reply: answered.reply.clone(),
-                    to: ReplyTo::Nobody,
-                },
-            );
-            return vec![(to, answered.reply)];
-        }
-        if answered.durable_write == DurableWrite::Nothing && self.jobs.is_empty() {
-            return vec![(to, answered.reply)];
-        }
-        self.queue(
-            context,
-            Job {
-                sync: answered.durable_write,
-                reply: answered.reply,
-                to,
-            },
-        );
-        Vec::new()
+    ) -> Vec<Command<ReplyTo>> {
+        let commands = self.core.on_request(request, to);
+        self.carry_out(context, commands)
     }
 
-    /// The commit under way is on disk; returns the replies that can be given now.
-    pub fn committed(&mut self, context: &mut Context) -> Vec<(ReplyTo, Reply)> {
-        let done: Vec<Job> = self.jobs.drain(..self.committing).collect();
-        self.committing = 0;
-        done.iter().for_each(|job| self.disk.apply(&job.sync));
-        self.begin_commit(context);
-        done.into_iter().map(|job| (job.to, job.reply)).collect()
+    /// The commit under way is on disk; returns the commands that concern its callers.
+    pub fn committed(&mut self, context: &mut Context) -> Vec<Command<ReplyTo>> {
+        let Some(commit) = self.commit.take() else {
+            return Vec::new();
+        };
+        self.disk.apply(commit.write);
+        let commands = self.core.on_commit_succeeded(commit.generation);
+        self.carry_out(context, commands)
     }
 
     /// The process ends: the commit under way has got to the disk or not, what waited has not.
     pub fn crash(mut self, random: &mut Random) -> VoteDisk {
         if random.chance(50) {
-            for job in self.jobs.iter().take(self.committing) {
-                self.disk.apply(&job.sync);
-            }
+            self.disk.apply(self.commit.and_then(|commit| commit.write));
         }
         self.disk
     }
 
-    fn queue(&mut self, context: &mut Context, job: Job) {
-        self.jobs.push_back(job);
-        self.begin_commit(context);
-    }
-
-    fn begin_commit(&mut self, context: &mut Context) {
-        if self.committing == 0 && !self.jobs.is_empty() {
-            self.committing = self.jobs.len();
+    /// Carries out the commands to the disk and returns the others.
+    fn carry_out(
+        &mut self,
+        context: &mut Context,
+        mut commands: Vec<Command<ReplyTo>>,
+    ) -> Vec<Command<ReplyTo>> {
+        let count = commands.len();
+        commands.retain(|command| !matches!(command, Command::StartCommit));
+        let has_to_start = commands.len() < count;
+        if has_to_start && let Some(commit) = self.core.begin_commit() {
+            self.commit = Some(commit);
             context.wake(context.commit_time, Timer::Disk);
         }
+        commands
     }
 }
+
+/// Plants the faults of the core.
+#[cfg(feature = "mutations")]
+fn plant(context: &Context, core: &mut ReplicaCore<ReplyTo>) {
+    use crate::planted::Planted;
+    use mintlb_control::controller::register::replica_core::Mutation;
+
+    core.plant(match context.planted {
+        Planted::PromiseNotSynced => Mutation::PromiseNotSynced,
+        Planted::AnswerBeforeSync => Mutation::AnswerBeforeSync,
+        _ => Mutation::None,
+    });
+}
+
+/// Without the feature there is nothing to plant.
+#[cfg(not(feature = "mutations"))]
+fn plant(_context: &Context, _core: &mut ReplicaCore<ReplyTo>) {}
--- a/crates/mintlb-simulation/src/message.rs
+++ b/crates/mintlb-simulation/src/message.rs
@@ -68,8 +68,8 @@
 /// The answer to a [`Call`].
 #[derive(Clone, Debug)]
 pub enum Answer {
-    /// To [`Call::Vote`].
-    Vote(Reply),
+    /// To [`Call::Vote`]; `None` if the replica gives no reply.
+    Vote(Option<Reply>),
     /// To [`Call::Status`].
     Status(SeedStatus),
     /// To [`Call::Lots`], with what is raw in it.
