--- a/crates/mintlb-dispatcher/src/answer.rs
+++ b/crates/mintlb-dispatcher/src/answer.rs
@@ -1,4 +1,4 @@
-//! Reads a worker's answer, and passes on what is certain of it.
+//! Reads a worker's response to one attempt and forwards what is known to be valid.
 
 use crate::connection::Connection;
 use crate::events::EventReader;
@@ -21,48 +21,48 @@
 use std::time::Duration;
 use tokio::time::{Instant, Sleep, sleep_until, timeout};
 
-/// An answer that is no stream is held until it is whole, up to so many bytes.
+/// A response that is no event stream is buffered until it is complete, up to this many bytes.
 const MAX_BUFFERED_BYTES: usize = 256 << 10;
-/// Answers to earlier requests that are passed over in one send.
+/// Responses to earlier requests that are skipped in one attempt.
 const MAX_SURPLUS_RESPONSES: usize = 2;
-/// The body of a refusal, or of an item's failure, says nothing more: it is waited for so long, only to keep the
-/// connection.
-const UNUSED_BODY: Duration = Duration::from_millis(50);
-/// A worker that says nothing for so long, and for so many times what is usual, may be gone: what may run again and goes
-/// on elsewhere is sent elsewhere.
+/// How long the unused body of a rejection, or of an item's failure, is awaited, only so that the connection can be
+/// reused.
+const UNUSED_BODY_TIMEOUT: Duration = Duration::from_millis(50);
+/// Read timeout in seconds, and in multiples of the route's latency target and event gap; the largest of the three
+/// applies. An idempotent request is then retried at another worker.
 const MIN_READ_TIMEOUT: f64 = 0.8;
 const READ_TIMEOUT_TARGETS: f64 = 2.5;
 const READ_TIMEOUT_GAPS: f64 = 3.0;
 
-/// Reads the answer to one send.
-pub struct Reading<'a> {
-    /// Who answers.
+/// Reads the response to one attempt.
+pub struct ResponseReader<'a> {
+    /// The worker that responds.
     pub worker: &'a WorkerEntry,
-    /// To what.
+    /// The request it responds to.
     pub exchange: &'a Arc<Exchange>,
-    /// The send's number.
+    /// The attempt's number.
     pub attempt: AllocId,
 }
 
-/// The connection may carry another request, and stays open for so long when idle, if the worker says so.
+/// The connection may carry another request.
 pub struct Reuse {
-    /// See [`AnswerHead::keep_alive`].
+    /// The worker's idle timeout, see [`AnswerHead::declared_idle_timeout`].
     pub idle: Option<Duration>,
 }
 
-/// What came of reading an answer.
-pub struct Answered {
-    /// For the decisions.
+/// The result of reading a response.
+pub struct ReadOutcome {
+    /// For the scheduler.
     pub event: WorkerEvent,
     /// The worker says that it has not run the request.
     pub not_run: bool,
-    /// Whether the connection is good for another request.
+    /// How the connection may be reused, if at all.
     pub reuse: Option<Reuse>,
 }
 
-impl From<Outcome> for Answered {
-    fn from(outcome: Outcome) -> Answered {
-        Answered {
+impl From<Outcome> for ReadOutcome {
+    fn from(outcome: Outcome) -> ReadOutcome {
+        ReadOutcome {
             event: WorkerEvent::with(outcome),
             not_run: false,
             reuse: None,
@@ -70,14 +70,14 @@
     }
 }
 
-/// The worker broke off, sent what is no answer, or said nothing for too long: the request may have run.
+/// The connection broke, its bytes were no valid response, or the read timed out: the request may have run.
 enum Failed {
     Broken,
     TimedOut,
 }
 
-impl From<Failed> for Answered {
-    fn from(failed: Failed) -> Answered {
+impl From<Failed> for ReadOutcome {
+    fn from(failed: Failed) -> ReadOutcome {
         match failed {
             Failed::Broken => Outcome::Dropped.into(),
             Failed::TimedOut => Outcome::TimedOut.into(),
@@ -85,7 +85,7 @@
     }
 }
 
-/// Tells when a worker has been silent for too long. One timer a send: it is set anew only when it rings.
+/// Bounds the time between two reads of a worker's response. One timer per attempt, reset only when it fires.
 struct ReadTimeout {
     last_read: Instant,
     limit: Option<Duration>,
@@ -128,17 +128,17 @@
     }
 }
 
-impl Reading<'_> {
-    /// Reads the whole answer.
-    pub async fn read(&self, connection: &mut Connection) -> Answered {
+impl ResponseReader<'_> {
+    /// Reads the complete response.
+    pub async fn read(&self, connection: &mut Connection) -> ReadOutcome {
         self.try_read(connection)
             .await
-            .unwrap_or_else(Answered::from)
+            .unwrap_or_else(ReadOutcome::from)
     }
 
-    async fn try_read(&self, connection: &mut Connection) -> Result<Answered, Failed> {
+    async fn try_read(&self, connection: &mut Connection) -> Result<ReadOutcome, Failed> {
         let mut read_timeout = ReadTimeout::new(self.read_timeout_seconds());
-        let head = self.own_head(connection, &mut read_timeout).await?;
+        let head = self.read_head(connection, &mut read_timeout).await?;
         let load = head
             .headers
             .get(LOAD)
@@ -147,32 +147,34 @@
             self.worker
                 .record_load(load, self.exchange.shared().clock.now());
         }
-        let mut answered = self.sort(connection, &mut read_timeout, &head).await?;
+        let mut answered = self
+            .read_by_status(connection, &mut read_timeout, &head)
+            .await?;
         answered.event.free_slots = load.map(|load| load.free());
         let reuse = Reuse {
-            idle: head.keep_alive(),
+            idle: head.declared_idle_timeout(),
         };
         answered.reuse = answered.reuse.filter(|_| head.keeps_alive).map(|_| reuse);
         Ok(answered)
     }
 
-    /// How many seconds the worker may be silent. Only what may be sent again, and is better off elsewhere then, has
-    /// such a bound; all else ends with its own time.
+    /// The read timeout in seconds. Only requests that may be retried elsewhere have one; all others end at their own
+    /// deadline.
     fn read_timeout_seconds(&self) -> Option<f64> {
         let terms = &self.exchange.terms;
-        let another = terms.idempotent
+        let may_retry = terms.idempotent
             && self.exchange.may_be_sent()
             && self.exchange.mode == ExchangeMode::Live;
-        let usual = terms
+        let expected = terms
             .gap
             .map_or(0.0, |gap| READ_TIMEOUT_GAPS * gap)
             .max(READ_TIMEOUT_TARGETS * terms.target);
-        another.then_some(usual.max(MIN_READ_TIMEOUT))
+        may_retry.then_some(expected.max(MIN_READ_TIMEOUT))
     }
 
-    /// The head of the answer to this request; those to earlier ones are passed over, and the connection then carries no
-    /// other request.
-    async fn own_head(
+    /// The head of the response to this request. Responses to earlier requests are skipped, after which the connection
+    /// is not reused.
+    async fn read_head(
         &self,
         connection: &mut Connection,
         read_timeout: &mut ReadTimeout,
@@ -189,7 +191,7 @@
             match (ids.next(), ids.next()) {
                 (Some(id), None) if *id == self.exchange.request.id => return Ok(head),
                 (Some(_), None) if head.framing != Framing::UntilClose => {
-                    connection.spoil();
+                    connection.disable_reuse();
                     self.skip(connection, read_timeout, head.framing).await?;
                 }
                 _ => return Err(Failed::Broken),
@@ -218,25 +220,25 @@
         }
     }
 
-    /// Takes an answer by what its head says.
-    async fn sort(
+    /// Dispatches on the status and headers of the response.
+    async fn read_by_status(
         &self,
         connection: &mut Connection,
         read_timeout: &mut ReadTimeout,
         head: &AnswerHead,
-    ) -> Result<Answered, Failed> {
+    ) -> Result<ReadOutcome, Failed> {
         let framing = match self.exchange.request.method == Method::HEAD {
             true => Framing::Length(0),
             false => head.framing,
         };
-        let misplaced = head.status == StatusCode::MISDIRECTED_REQUEST;
-        if misplaced || head.headers.contains_key(NOT_EXECUTED) {
-            if misplaced && !self.exchange.request.headers.contains_key("expect-version") {
+        let misdirected = head.status == StatusCode::MISDIRECTED_REQUEST;
+        if misdirected || head.headers.contains_key(NOT_EXECUTED) {
+            if misdirected && !self.exchange.request.headers.contains_key("expect-version") {
                 self.worker.take_out_of_service();
             }
-            let complete = self.skip_soon(connection, read_timeout, framing).await;
-            let reuse = (complete && !misplaced).then_some(Reuse { idle: None });
-            return Ok(Answered {
+            let complete = self.skip_unused(connection, read_timeout, framing).await;
+            let reuse = (complete && !misdirected).then_some(Reuse { idle: None });
+            return Ok(ReadOutcome {
                 event: WorkerEvent::with(Outcome::Full),
                 not_run: true,
                 reuse,
@@ -244,7 +246,7 @@
         }
         if head.status.is_success() {
             let stream = self.is_stream(head);
-            // A stream that ends with its connection may have been cut between two events.
+            // A stream that ends with its connection may be truncated between two events.
             if !head.headers.contains_key(SIGNATURE) || stream && framing == Framing::UntilClose {
                 return Err(Failed::Broken);
             }
@@ -261,29 +263,33 @@
         }
     }
 
-    /// Passes over a body that is not used; whether it came whole, and soon.
-    async fn skip_soon(
+    /// Skips an unused body; returns whether it was complete within [`UNUSED_BODY_TIMEOUT`].
+    async fn skip_unused(
         &self,
         connection: &mut Connection,
         read_timeout: &mut ReadTimeout,
         framing: Framing,
     ) -> bool {
-        let rest = timeout(UNUSED_BODY, self.skip(connection, read_timeout, framing)).await;
+        let rest = timeout(
+            UNUSED_BODY_TIMEOUT,
+            self.skip(connection, read_timeout, framing),
+        )
+        .await;
         matches!(rest, Ok(Ok(())))
     }
 
-    /// The head alone tells how an item failed, also where the rest of the answer breaks off.
+    /// The head alone determines how an item failed, also if the body breaks off.
     async fn item_failure(
         &self,
         connection: &mut Connection,
         read_timeout: &mut ReadTimeout,
         head: &AnswerHead,
         framing: Framing,
-    ) -> Answered {
-        let complete = self.skip_soon(connection, read_timeout, framing).await;
+    ) -> ReadOutcome {
+        let complete = self.skip_unused(connection, read_timeout, framing).await;
         self.exchange.fail_item(client_head(head));
         let reuse = complete.then_some(Reuse { idle: None });
-        Answered {
+        ReadOutcome {
             event: WorkerEvent::with(Outcome::Completed),
             not_run: false,
             reuse,
@@ -309,15 +315,15 @@
             .ok();
     }
 
-    /// Passes events on as they come.
+    /// Forwards events as they arrive.
     async fn events(
         &self,
         connection: &mut Connection,
         read_timeout: &mut ReadTimeout,
         head: &AnswerHead,
         framing: Framing,
-    ) -> Result<Answered, Failed> {
-        let (mut body, mut given) = (BodyReader::new(framing), Some(client_head(head)));
+    ) -> Result<ReadOutcome, Failed> {
+        let (mut body, mut pending_head) = (BodyReader::new(framing), Some(client_head(head)));
         let mut events = EventReader::after(self.exchange.last_event());
         let mut started = false;
         loop {
@@ -327,20 +333,22 @@
             {
                 let complete = events.take(chunk).map_err(|_| Failed::Broken)?;
                 if !complete.is_empty() {
-                    self.exchange.pass(&mut given, complete, events.last());
+                    self.exchange
+                        .pass(&mut pending_head, complete, events.last());
                     if !std::mem::replace(&mut started, true) {
                         self.started();
                     }
                 }
             }
             if body.is_done() {
-                // A worker that ends in the middle of an event has broken off, whatever the framing says.
+                // A body that ends in the middle of an event is truncated, whatever the framing says.
                 if events.has_partial() && self.exchange.terms.resumable {
                     return Err(Failed::Broken);
                 }
-                // The framing says that the body is whole, so what is left is its end.
+                // The framing says that the body is complete, so the remaining bytes are its end.
                 let last = events.last();
-                self.exchange.pass(&mut given, events.into_rest(), last);
+                self.exchange
+                    .pass(&mut pending_head, events.into_rest(), last);
                 self.exchange.complete();
                 return Ok(completed(connection));
             }
@@ -349,24 +357,24 @@
         }
     }
 
-    /// Passes an answer on when it is whole, or when it is too long to be held.
+    /// Forwards a response once it is complete, or once it exceeds the buffer.
     async fn success(
         &self,
         connection: &mut Connection,
         read_timeout: &mut ReadTimeout,
         head: &AnswerHead,
         framing: Framing,
-    ) -> Result<Answered, Failed> {
-        // An answer that is no stream does not go on where another broke off.
+    ) -> Result<ReadOutcome, Failed> {
+        // A response that is no stream can't be resumed.
         if self.exchange.has_begun() {
             return Ok(Outcome::Error.into());
         }
         self.started();
-        let mut given = Some(client_head(head));
-        if let (Some(given), Framing::Length(length)) = (&mut given, framing)
+        let mut pending_head = Some(client_head(head));
+        if let (Some(pending_head), Framing::Length(length)) = (&mut pending_head, framing)
             && length > MAX_BUFFERED_BYTES as u64
         {
-            given.headers.insert(CONTENT_LENGTH, length.into());
+            pending_head.headers.insert(CONTENT_LENGTH, length.into());
         }
         let (mut body, mut buffered) = (BodyReader::new(framing), BytesMut::new());
         loop {
@@ -377,26 +385,26 @@
                 buffered.extend_from_slice(&chunk);
             }
             if body.is_done() {
-                self.exchange.finish(&mut given, buffered.freeze());
+                self.exchange.finish(&mut pending_head, buffered.freeze());
                 return Ok(completed(connection));
             }
             if buffered.len() > MAX_BUFFERED_BYTES {
                 self.exchange
-                    .pass(&mut given, buffered.split().freeze(), None);
+                    .pass(&mut pending_head, buffered.split().freeze(), None);
                 poll_fn(|cx| self.exchange.poll_queue_space(cx)).await;
             }
-            more(connection, read_timeout, &mut body).await?;
+            read_more(connection, read_timeout, &mut body).await?;
         }
     }
 
-    /// A worker's own failure is the answer, unless another worker may do better.
+    /// A worker's own failure is the response, unless a retry at another worker may succeed.
     async fn failure(
         &self,
         connection: &mut Connection,
         read_timeout: &mut ReadTimeout,
         head: &AnswerHead,
         framing: Framing,
-    ) -> Result<Answered, Failed> {
+    ) -> Result<ReadOutcome, Failed> {
         let (mut body, mut buffered) = (BodyReader::new(framing), BytesMut::new());
         while !body.is_done() {
             while let Some(chunk) = body
@@ -409,18 +417,18 @@
                 return Err(Failed::Broken);
             }
             if !body.is_done() {
-                more(connection, read_timeout, &mut body).await?;
+                read_more(connection, read_timeout, &mut body).await?;
             }
         }
-        let failed = Answered {
+        let failed = ReadOutcome {
             event: WorkerEvent::with(Outcome::Error),
             ..completed(connection)
         };
         if self.exchange.has_begun() {
             return Ok(failed);
         }
-        let mut given = Some(client_head(head));
-        // These would promise that it has not run, which only the worker can say, and has not said.
+        let mut pending_head = Some(client_head(head));
+        // These statuses would assert that it has not run, which the worker has not stated.
         let promises = matches!(
             head.status,
             StatusCode::REQUEST_TIMEOUT
@@ -433,7 +441,7 @@
                 .exchange
                 .store_failure(client_head(head), buffered.freeze()),
             (false, false) => {
-                self.exchange.finish(&mut given, buffered.freeze());
+                self.exchange.finish(&mut pending_head, buffered.freeze());
                 return Ok(completed(connection));
             }
         }
@@ -441,8 +449,8 @@
     }
 }
 
-/// Waits for more of a body that is no stream's. One without a length ends with its connection, unless that is reset.
-async fn more(
+/// Reads more of a body that is no stream. One without a length ends with its connection, unless that is reset.
+async fn read_more(
     connection: &mut Connection,
     read_timeout: &mut ReadTimeout,
     body: &mut BodyReader,
@@ -454,17 +462,17 @@
     }
 }
 
-/// The answer is whole, and the connection good unless more has come, or something was out of order.
-fn completed(connection: &Connection) -> Answered {
+/// The response is complete; the connection can be reused unless it holds surplus bytes.
+fn completed(connection: &Connection) -> ReadOutcome {
     let reuse = connection.buffer.is_empty().then_some(Reuse { idle: None });
-    Answered {
+    ReadOutcome {
         event: WorkerEvent::with(Outcome::Completed),
         not_run: false,
         reuse,
     }
 }
 
-/// A worker's head as the client gets it.
+/// The head of a worker's response as the client gets it.
 fn client_head(head: &AnswerHead) -> Head {
     let mut headers: HeaderMap = head.headers.clone();
     strip_connection_headers(&mut headers);
--- a/crates/mintlb-dispatcher/src/batch/calls.rs
+++ b/crates/mintlb-dispatcher/src/batch/calls.rs
@@ -1,4 +1,4 @@
-//! Clients' calls about lots: submit, read, ask for a body, end.
+//! Clients' calls on batch jobs: submit, read results, read a body, end.
 
 use super::page;
 use super::runner::Runner;
@@ -20,24 +20,24 @@
 use std::sync::atomic::{AtomicBool, Ordering::Relaxed};
 use std::time::Duration;
 
-/// The most bytes of results in one answer.
+/// Size limit of the results in one response.
 const MAX_PAGE_BYTES: usize = 1 << 20;
 /// The longest that a read waits for a result.
 const MAX_READ_WAIT: Duration = Duration::from_millis(1000);
-/// A submission without a deadline of its client is given up after so long.
-const SUBMIT_WITHIN: Duration = Duration::from_millis(3000);
-/// So long before its client's deadline a submission gets its answer.
+/// Timeout of a submission without a client's deadline.
+const SUBMIT_TIMEOUT: Duration = Duration::from_millis(3000);
+/// A submission gets its response this long before the client's deadline.
 const SUBMIT_MARGIN: Duration = Duration::from_millis(300);
-/// When a refused client is to come back, in s.
-const COME_BACK: &str = "0.5";
-/// When a client whose lot does not fit is to come back, in s.
-const QUOTA_COME_BACK: &str = "1";
-/// How long other dispatchers remember that a lot is ended, in s.
+/// `Retry-After` of a rejected call, in seconds.
+const RETRY_AFTER_SECONDS: &str = "0.5";
+/// `Retry-After` of a submission over the quota, in seconds.
+const QUOTA_RETRY_AFTER_SECONDS: &str = "1";
+/// Lifetime of the record that a job was ended, in seconds.
 const ENDED_LIFETIME_S: u32 = 60;
-/// Items are given up so long after their lot was sent where the route does not say, in ms.
+/// Default retention of a job's items, in milliseconds.
 const USUAL_RETENTION_MS: u64 = 60_000;
 
-/// Answers clients' calls about lots.
+/// Handles clients' calls on batch jobs.
 pub struct BatchCalls {
     client: Arc<BatchClient>,
     runner: Arc<Runner>,
@@ -46,8 +46,8 @@
     draining: AtomicBool,
 }
 
-/// What a path under `/v1/` names.
-enum Named<'a> {
+/// The resource that a path under `/v1/` names.
+enum Resource<'a> {
     Job(&'a str),
     Items(&'a str),
 }
@@ -82,10 +82,10 @@
             .path_and_query
             .split_once('?')
             .unwrap_or((&call.path_and_query, ""));
-        match (named(path), &call.method) {
-            (Some(Named::Job(id)), &Method::GET) => self.read(&call, id, query),
-            (Some(Named::Job(id)), &Method::DELETE) => self.end(&call, id),
-            (Some(Named::Items(id)), &Method::GET) => self.body(&call, id, query),
+        match (resource(path), &call.method) {
+            (Some(Resource::Job(id)), &Method::GET) => self.read(&call, id, query),
+            (Some(Resource::Job(id)), &Method::DELETE) => self.end(&call, id),
+            (Some(Resource::Items(id)), &Method::GET) => self.body(&call, id, query),
             (Some(_), _) => answer(StatusCode::METHOD_NOT_ALLOWED),
             (None, _) => answer(StatusCode::NOT_FOUND),
         }
@@ -105,18 +105,20 @@
             return answer(StatusCode::NOT_FOUND);
         };
         if self.draining.load(Relaxed) {
-            return Box::pin(async { later(StatusCode::SERVICE_UNAVAILABLE, COME_BACK) });
+            return Box::pin(async {
+                retry_later(StatusCode::SERVICE_UNAVAILABLE, RETRY_AFTER_SECONDS)
+            });
         }
         let id = call
             .headers
             .get("mintlb-request-id")
             .and_then(|id| id.to_str().ok());
         let Some(job_id) = id.filter(|id| !id.is_empty()) else {
-            return wrong("M414 Mintlb-Request-Id: one is needed".to_string());
+            return bad_request("M414 Mintlb-Request-Id: one is needed".to_string());
         };
         let items = match submission::parse(&call.body, route) {
             Ok(items) => items,
-            Err(error) => return wrong(error.to_string()),
+            Err(error) => return bad_request(error.to_string()),
         };
         let job = Submission {
             host: host_name(&call.host),
@@ -126,12 +128,14 @@
             max_queued_tokens: route.max_queued_tokens,
             items,
         };
-        let within = submit_within(&call.headers);
+        let time_limit = submit_timeout(&call.headers);
         let (client, runner, dispatcher_id) =
             (self.client.clone(), self.runner.clone(), self.dispatcher_id);
-        // On its own task: what is taken is run here, also when its client has left meanwhile.
+        // On its own task: an accepted job is run here, also if its client has disconnected meanwhile.
         let task =
-            tokio::spawn(async move { submit(&client, &runner, dispatcher_id, job, within).await });
+            tokio::spawn(
+                async move { submit(&client, &runner, dispatcher_id, job, time_limit).await },
+            );
         Box::pin(async move {
             task.await
                 .unwrap_or_else(|_| StatusCode::BAD_GATEWAY.into_response())
@@ -141,7 +145,7 @@
     fn read(&self, call: &BatchCall, job_id: &str, query: &str) -> Answer {
         let start_after = match parameter(query, "start_after").map_or(Ok(0), str::parse) {
             Ok(position) => position,
-            Err(_) => return wrong("M415 start_after: is no position".to_string()),
+            Err(_) => return bad_request("M415 start_after: is no position".to_string()),
         };
         let wait = milliseconds(&call.headers, "mintlb-wait-ms")
             .unwrap_or_default()
@@ -158,14 +162,16 @@
             {
                 Ok(found) => json(page::to_json(found.total, found.next, &found.results)),
                 Err(JobError::NotFound) => StatusCode::NOT_FOUND.into_response(),
-                Err(JobError::Unavailable) => later(StatusCode::SERVICE_UNAVAILABLE, COME_BACK),
+                Err(JobError::Unavailable) => {
+                    retry_later(StatusCode::SERVICE_UNAVAILABLE, RETRY_AFTER_SECONDS)
+                }
             }
         })
     }
 
     fn body(&self, call: &BatchCall, job_id: &str, query: &str) -> Answer {
         let Some(instance_id) = parameter(query, "instance_id").map(str::to_string) else {
-            return wrong("M416 instance_id: one is needed".to_string());
+            return bad_request("M416 instance_id: one is needed".to_string());
         };
         let (client, host, job_id) = (
             self.client.clone(),
@@ -176,7 +182,9 @@
             match client.body(&host, &job_id, &instance_id).await {
                 Ok(body) => Response::new(Body::from(body)),
                 Err(JobError::NotFound) => StatusCode::NOT_FOUND.into_response(),
-                Err(JobError::Unavailable) => later(StatusCode::SERVICE_UNAVAILABLE, COME_BACK),
+                Err(JobError::Unavailable) => {
+                    retry_later(StatusCode::SERVICE_UNAVAILABLE, RETRY_AFTER_SECONDS)
+                }
             }
         })
     }
@@ -201,7 +209,9 @@
                     StatusCode::OK.into_response()
                 }
                 Err(JobError::NotFound) => StatusCode::NOT_FOUND.into_response(),
-                Err(JobError::Unavailable) => later(StatusCode::SERVICE_UNAVAILABLE, COME_BACK),
+                Err(JobError::Unavailable) => {
+                    retry_later(StatusCode::SERVICE_UNAVAILABLE, RETRY_AFTER_SECONDS)
+                }
             }
         })
     }
@@ -212,21 +222,25 @@
     runner: &Arc<Runner>,
     dispatcher_id: DispatcherId,
     job: Submission,
-    within: Duration,
+    time_limit: Duration,
 ) -> Response {
-    match client.submit(job.clone(), dispatcher_id, within).await {
+    match client.submit(job.clone(), dispatcher_id, time_limit).await {
         Ok(Submitted { items_leased }) => {
             if items_leased {
                 runner.take(leased(job));
             }
             StatusCode::ACCEPTED.into_response()
         }
-        Err(SubmitError::QuotaExceeded) => later(StatusCode::TOO_MANY_REQUESTS, QUOTA_COME_BACK),
+        Err(SubmitError::QuotaExceeded) => {
+            retry_later(StatusCode::TOO_MANY_REQUESTS, QUOTA_RETRY_AFTER_SECONDS)
+        }
         Err(SubmitError::Conflict) => {
             (StatusCode::CONFLICT, "M417 another lot has this id").into_response()
         }
-        Err(SubmitError::Rejected) => later(StatusCode::SERVICE_UNAVAILABLE, COME_BACK),
-        // It may be in: a status that promises that it is not would be a lie.
+        Err(SubmitError::Rejected) => {
+            retry_later(StatusCode::SERVICE_UNAVAILABLE, RETRY_AFTER_SECONDS)
+        }
+        // It may be committed: no status that denies it is allowed.
         Err(SubmitError::Indeterminate) => StatusCode::GATEWAY_TIMEOUT.into_response(),
     }
 }
@@ -263,10 +277,10 @@
     }
 }
 
-fn submit_within(headers: &HeaderMap) -> Duration {
+fn submit_timeout(headers: &HeaderMap) -> Duration {
     let deadline = milliseconds(headers, "mintlb-deadline-ms");
-    deadline.map_or(SUBMIT_WITHIN, |deadline| {
-        deadline.saturating_sub(SUBMIT_MARGIN).min(SUBMIT_WITHIN)
+    deadline.map_or(SUBMIT_TIMEOUT, |deadline| {
+        deadline.saturating_sub(SUBMIT_MARGIN).min(SUBMIT_TIMEOUT)
     })
 }
 
@@ -275,13 +289,16 @@
     (value.is_finite() && value >= 0.0).then(|| Duration::from_secs_f64(value.min(1e6) / 1e3))
 }
 
-fn named(path: &str) -> Option<Named<'_>> {
+fn resource(path: &str) -> Option<Resource<'_>> {
     let is_id = |id: &&str| !id.is_empty() && !id.contains('/');
-    let job = path.strip_prefix("/v1/lots/").filter(is_id).map(Named::Job);
+    let job = path
+        .strip_prefix("/v1/lots/")
+        .filter(is_id)
+        .map(Resource::Job);
     job.or_else(|| {
         path.strip_prefix("/v1/items/")
             .filter(is_id)
-            .map(Named::Items)
+            .map(Resource::Items)
     })
 }
 
@@ -292,7 +309,7 @@
         .map(|(_, value)| value)
 }
 
-/// The host's name without a port, as lots are found by it.
+/// The host's name without a port, by which jobs are keyed.
 fn host_name(host: &str) -> String {
     host.rsplit_once(':')
         .map_or(host, |(name, _)| name)
@@ -303,12 +320,16 @@
     Box::pin(async move { status.into_response() })
 }
 
-fn wrong(why: String) -> Answer {
+fn bad_request(why: String) -> Answer {
     Box::pin(async move { (StatusCode::BAD_REQUEST, why).into_response() })
 }
 
-fn later(status: StatusCode, come_back: &'static str) -> Response {
-    (status, [(RETRY_AFTER, HeaderValue::from_static(come_back))]).into_response()
+fn retry_later(status: StatusCode, retry_after: &'static str) -> Response {
+    (
+        status,
+        [(RETRY_AFTER, HeaderValue::from_static(retry_after))],
+    )
+        .into_response()
 }
 
 fn json(body: Vec<u8>) -> Response {
--- a/crates/mintlb-dispatcher/src/batch/mod.rs
+++ b/crates/mintlb-dispatcher/src/batch/mod.rs
@@ -1,4 +1,4 @@
-//! Lots at a dispatcher: clients' calls about them, and the items that this dispatcher runs.
+//! Batch jobs at a dispatcher: clients' calls, and the execution of leased items.
 //!
 //! Pure: [`submission`], [`page`], [`progress`], [`queue`]. Joined with the stores and the reducer: [`calls`], [`runner`].
 
@@ -19,7 +19,8 @@
 use mintlb_gossip::GossipService;
 use std::sync::Arc;
 
-/// Starts what serves lots at this dispatcher. `dispatcher_id` names it towards the stores, another number at each start.
+/// Starts the handler of batch calls and the runner of leased items. `dispatcher_id` owns the leases; it differs at each
+/// start.
 pub fn start(
     transport: Arc<Transport>,
     gossip: Arc<GossipService>,
@@ -38,10 +39,7 @@
         if record.key == PLACEMENT {
             match minicbor::decode(&record.body) {
                 Ok(newer) => placement.store(Arc::new(newer)),
-                Err(why) => log::warn!(
-                    "lots: the placement {} can't be read: {why}",
-                    record.version
-                ),
+                Err(why) => log::warn!("batch: can't decode placement {}: {why}", record.version),
             }
         } else if let Some(job_id) = record.key.strip_prefix(ENDED_JOB_PREFIX) {
             listener.job_ended(&String::from_utf8_lossy(&record.body), job_id);
--- a/crates/mintlb-dispatcher/src/batch/page.rs
+++ b/crates/mintlb-dispatcher/src/batch/page.rs
@@ -1,4 +1,4 @@
-//! A page of a lot's results, as its client reads it.
+//! JSON encoding of a page of a batch job's results.
 
 use mintlb_batch::client::CommittedResult;
 use mintlb_batch::entry::ItemState;
--- a/crates/mintlb-dispatcher/src/batch/progress.rs
+++ b/crates/mintlb-dispatcher/src/batch/progress.rs
@@ -1,47 +1,47 @@
-//! How far an item of a lot has come, over all its attempts. Pure: events and outcomes go in, what is next comes out.
+//! Progress of a batch item over all its attempts: output so far, retry decision and backoff. Pure.
 
 use bytes::Bytes;
 use mintlb_batch::client::ItemResult;
 use mintlb_batch::entry::JobTerms;
 use std::time::Duration;
 
-/// The pause before an item is tried again, doubled with each attempt that brought nothing.
+/// The first backoff before a retry, doubled with each attempt without progress.
 const INITIAL_BACKOFF: Duration = Duration::from_millis(100);
-/// The longest of these pauses.
+/// Limit of the backoff.
 const MAX_BACKOFF: Duration = Duration::from_millis(800);
-/// An item whose route is gone for so long can't be done: a configuration that has the route may be under way.
+/// An item whose route is missing for so long is unrecoverable; until then a configuration with the route may arrive.
 const ROUTE_MISSING_TIMEOUT_MS: u64 = 6_000;
-/// By so much the time of day of the dispatcher that took a lot may have been behind the one here, in ms: either clock
-/// may be two seconds off when its process starts.
+/// Clock skew between the dispatcher that accepted a job and this one, in milliseconds: either clock may be two seconds
+/// off when its process starts.
 const CLOCK_TOLERANCE_MS: u64 = 5_000;
 
 /// How one attempt ended.
 #[derive(Clone, Debug, PartialEq)]
 pub enum AttemptOutcome {
-    /// The worker's whole output has come.
+    /// The worker's output is complete.
     Completed,
-    /// It did not run: no worker took it.
+    /// It did not run: no worker accepted it.
     NotRun,
-    /// The worker answered 500.
+    /// The worker responded 500.
     Failed,
-    /// The worker answered 422: it can never be done.
+    /// The worker responded 422: it can never succeed.
     CannotBeDone,
     /// The stream or the connection broke; it may have run.
     Broken,
-    /// No route in force takes it any more.
+    /// No route in force matches it any more.
     NoRoute,
 }
 
-/// What is to be done with an item.
+/// The next action for an item.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Next {
     /// Its result is to be recorded.
     Record(ItemResult),
-    /// It is to run again after this pause, from the last event on.
+    /// It is retried after this backoff, resuming after the last event.
     RunAgain(Duration),
 }
 
-/// What an item has put out so far.
+/// An item's output and failures so far.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Progress {
     text: Vec<u8>,
@@ -54,7 +54,7 @@
 }
 
 impl Progress {
-    /// Of an item that has failed so often before, at whatever dispatcher.
+    /// The progress of an item with this many failed attempts, at any dispatcher.
     pub fn after_failures(failures: u32) -> Progress {
         Progress {
             failures,
@@ -68,7 +68,7 @@
     }
 
     /// Whether it has failed as often as it may.
-    pub fn is_spent(&self, terms: &JobTerms) -> bool {
+    pub fn has_exhausted_attempts(&self, terms: &JobTerms) -> bool {
         self.failures >= terms.max_attempts.max(1)
     }
 
@@ -115,17 +115,17 @@
             .saturating_add(terms.retention_ms)
             .saturating_add(CLOCK_TOLERANCE_MS);
         let too_old = terms.retention_ms > 0 && now_ms >= given_up_at;
-        if self.is_spent(terms) || too_old || route_is_missing {
+        if self.has_exhausted_attempts(terms) || too_old || route_is_missing {
             return Next::Record(ItemResult::Unrecoverable);
         }
-        let pause = INITIAL_BACKOFF
+        let backoff = INITIAL_BACKOFF
             .saturating_mul(1 << self.attempts_without_progress.min(3))
             .min(MAX_BACKOFF);
         self.attempts_without_progress += 1;
         Next::RunAgain(if *outcome == AttemptOutcome::Broken {
-            pause / 4
+            backoff / 4
         } else {
-            pause
+            backoff
         })
     }
 
--- a/crates/mintlb-dispatcher/src/batch/queue.rs
+++ b/crates/mintlb-dispatcher/src/batch/queue.rs
@@ -1,19 +1,19 @@
-//! The items that this dispatcher holds leases of: which runs next, and how many run at once. Pure.
+//! Queue of the items leased by this dispatcher, ordered by due time. Pure.
 
 use mintlb_batch::client::{LeasedItem, LeasedJob};
 use mintlb_batch::messages::ItemFailures;
 use std::collections::{BTreeMap, HashMap, HashSet, VecDeque};
 
-/// Ended lots that are remembered: their items may still come with an answer that was under way.
+/// Number of ended jobs remembered: a lease response in flight may still bring their items.
 const MAX_ENDED_JOBS: usize = 4096;
 
-/// An item's place among those held here.
+/// Local number of a leased item.
 pub type ItemNumber = u64;
 
-/// A lot by its host and id.
+/// A batch job's host and id.
 pub type JobKey = (String, String);
 
-/// Items held, the one due first in front.
+/// Leased items, the earliest due first.
 #[derive(Default)]
 pub struct ItemQueue {
     waiting: BTreeMap<(u64, ItemNumber), LeasedItem>,
@@ -21,14 +21,14 @@
     running: HashMap<ItemNumber, (JobKey, u32)>,
     /// Failed attempts of the items that run.
     failures: HashMap<JobKey, BTreeMap<u32, u32>>,
-    /// Lots that ended last, and the same in their order.
+    /// The jobs that ended last, as a set and in order.
     ended: HashSet<JobKey>,
     ended_order: VecDeque<JobKey>,
     next_number: ItemNumber,
 }
 
 impl ItemQueue {
-    /// Takes an item in, unless it is here already or its lot is known to be ended.
+    /// Adds an item, unless it is queued already or its job is known to be ended.
     pub fn add(&mut self, item: LeasedItem) {
         let key = (item.host.clone(), item.job_id.clone());
         if self.ended.contains(&key) || !self.leased.entry(key).or_default().insert(item.index) {
@@ -55,14 +55,14 @@
         Some((number, item))
     }
 
-    /// An item is over here: recorded, ended or given back.
+    /// Removes a running item: recorded, ended or released.
     pub fn finish(&mut self, number: ItemNumber) {
         if let Some((key, index)) = self.running.remove(&number) {
-            self.forget(&key, index);
+            self.remove_lease(&key, index);
         }
     }
 
-    /// An item that runs has failed so often, over all holders. What is to be told of it at once.
+    /// Records a running item's failed attempts, over all lease holders. Returns the renewal that reports them.
     pub fn failed(&mut self, number: ItemNumber, count: u32) -> Option<LeasedJob> {
         let (key, index) = self.running.get(&number).filter(|_| count > 0)?;
         self.failures
@@ -81,7 +81,7 @@
         })
     }
 
-    /// Whether an item that runs is still held: its lot is not ended, its lease not lost.
+    /// Whether a running item is still leased: its job has not ended, its lease was not lost.
     pub fn is_leased(&self, number: ItemNumber) -> bool {
         let running = self.running.get(&number);
         running.is_some_and(|(key, index)| {
@@ -91,7 +91,7 @@
         })
     }
 
-    /// These items, or with no items named the whole lot, are no longer to run here. Returns those that run.
+    /// Drops these items, or without `items` the complete job. Returns those that are running.
     pub fn drop_items(&mut self, key: &JobKey, items: Option<&[u32]>) -> Vec<ItemNumber> {
         let fits = |index: u32| items.is_none_or(|items| items.contains(&index));
         self.waiting.retain(|_, item| {
@@ -110,7 +110,7 @@
         running.map(|(number, _)| *number).collect()
     }
 
-    /// A lot is ended: none of its items is to run here, nor those that come later. Returns those that run.
+    /// Ends a job: none of its items runs here any more, nor those leased later. Returns those that are running.
     pub fn end_job(&mut self, key: JobKey) -> Vec<ItemNumber> {
         let stopped = self.drop_items(&key, None);
         if self.ended.insert(key.clone()) {
@@ -124,7 +124,7 @@
         stopped
     }
 
-    /// What is held, for the renewal of its leases.
+    /// The leased items, for the renewal of their leases.
     pub fn leased(&self) -> Vec<LeasedJob> {
         let job = |(key, items): (&JobKey, &HashSet<u32>)| {
             let (host, job_id) = key.clone();
@@ -153,7 +153,7 @@
         self.running.len()
     }
 
-    fn forget(&mut self, key: &JobKey, index: u32) {
+    fn remove_lease(&mut self, key: &JobKey, index: u32) {
         if let Some(failures) = self.failures.get_mut(key) {
             failures.remove(&index);
             if failures.is_empty() {
--- a/crates/mintlb-dispatcher/src/batch/runner.rs
+++ b/crates/mintlb-dispatcher/src/batch/runner.rs
@@ -1,4 +1,4 @@
-//! Runs the items that this dispatcher holds leases of, beside live requests and through the same reducer.
+//! Runs the items leased by this dispatcher, beside live requests and through the same reducer.
 
 use super::progress::{AttemptOutcome, Next, Progress};
 use super::queue::{ItemNumber, ItemQueue};
@@ -15,21 +15,21 @@
 use tokio::time::{MissedTickBehavior, interval, sleep};
 use tokio_util::sync::CancellationToken;
 
-/// Items that run at once here.
+/// Limit of items that run at once.
 const MAX_RUNNING: usize = 192;
 /// How often leases are renewed.
-const RENEWAL: Duration = Duration::from_millis(1000);
-/// Items that are asked for at once, where this dispatcher has nothing waiting.
+const RENEWAL_INTERVAL: Duration = Duration::from_millis(1000);
+/// Items requested in one lease call, if none are queued.
 const LEASE_AT_ONCE: usize = 16;
-/// How soon it asks again after it was given some.
-const NEXT_LEASE: Duration = Duration::from_millis(120);
-/// The pause before a result that could not be recorded is recorded again, and how often that is tried.
-const RECORD_PAUSE: Duration = Duration::from_millis(300);
+/// Interval of lease calls after one that returned items.
+const LEASE_INTERVAL: Duration = Duration::from_millis(120);
+/// Backoff before a result is recorded again, and the limit of attempts.
+const RECORD_BACKOFF: Duration = Duration::from_millis(300);
 const MAX_RECORD_ATTEMPTS: usize = 40;
-/// The longest that one attempt of an item is held.
+/// Time limit of one attempt of an item.
 const MAX_ATTEMPT_TIME: Duration = Duration::from_secs(60);
 
-/// Runs items of lots.
+/// Leases items of batch jobs and runs them.
 pub struct Runner {
     client: Arc<BatchClient>,
     batch_executor: BatchExecutor,
@@ -64,7 +64,7 @@
         self.batch_executor.now_ms()
     }
 
-    /// Takes items in whose leases this dispatcher holds.
+    /// Queues items leased by this dispatcher.
     pub fn take(self: &Arc<Self>, items: Vec<LeasedItem>) {
         if self.draining.load(Relaxed) {
             return;
@@ -75,7 +75,7 @@
         self.run_next();
     }
 
-    /// No item of this lot runs here any more, nor one whose lease is still under way.
+    /// Stops all items of an ended job, also those whose lease is still in flight.
     pub fn job_ended(&self, host: &str, job_id: &str) {
         let stopped = self
             .queue
@@ -84,7 +84,7 @@
         self.cancel(&stopped);
     }
 
-    /// Stops all items and gives their leases up: the process is to end.
+    /// Stops all items and releases their leases, as the process shuts down.
     pub fn start_draining(self: &Arc<Self>) {
         self.draining.store(true, Relaxed);
         *self.queue.lock() = ItemQueue::default();
@@ -130,7 +130,7 @@
             return self.record(&item, ItemResult::Unrecoverable).await;
         };
         let mut progress = Progress::after_failures(item.failures);
-        if progress.is_spent(&item.terms) {
+        if progress.has_exhausted_attempts(&item.terms) {
             return self.record(&item, ItemResult::Unrecoverable).await;
         }
         while self.queue.lock().is_leased(number) {
@@ -141,12 +141,12 @@
             let failed = self.queue.lock().failed(number, progress.failures());
             match next {
                 Next::Record(result) => return self.record(&item, result).await,
-                Next::RunAgain(pause) => {
-                    // The store knows at once, so that another holder does not begin to count anew.
+                Next::RunAgain(backoff) => {
+                    // Reported at once, so that another lease holder does not restart the count.
                     if let Some(failed) = failed.filter(|_| outcome == AttemptOutcome::Failed) {
                         self.client.renew(self.dispatcher_id, vec![failed]).await;
                     }
-                    sleep(pause).await;
+                    sleep(backoff).await;
                 }
             }
         }
@@ -190,17 +190,14 @@
             {
                 return;
             }
-            sleep(RECORD_PAUSE).await;
+            sleep(RECORD_BACKOFF).await;
         }
-        log::warn!(
-            "lots: a result of lot {} could not be recorded",
-            item.job_id
-        );
+        log::warn!("batch: could not record a result of job {}", item.job_id);
     }
 
-    /// Renews the leases of what is held.
+    /// Renews leases.
     async fn renew(self: Arc<Self>) {
-        let mut tick = interval(RENEWAL);
+        let mut tick = interval(RENEWAL_INTERVAL);
         tick.set_missed_tick_behavior(MissedTickBehavior::Delay);
         while !self.draining.load(Relaxed) {
             tick.tick().await;
@@ -216,7 +213,7 @@
         }
     }
 
-    /// Asks for items that nobody runs, while this dispatcher has few.
+    /// Leases unclaimed items, while this dispatcher has few.
     async fn lease(self: Arc<Self>) {
         while !self.draining.load(Relaxed) {
             let has_few = {
@@ -227,13 +224,13 @@
                 true => self.client.lease(self.dispatcher_id, LEASE_AT_ONCE).await,
                 false => Vec::new(),
             };
-            let pause = if leased.is_empty() {
-                RENEWAL
+            let delay = if leased.is_empty() {
+                RENEWAL_INTERVAL
             } else {
-                NEXT_LEASE
+                LEASE_INTERVAL
             };
             self.take(leased);
-            sleep(pause).await;
+            sleep(delay).await;
         }
     }
 }
--- a/crates/mintlb-dispatcher/src/batch/submission.rs
+++ b/crates/mintlb-dispatcher/src/batch/submission.rs
@@ -1,4 +1,4 @@
-//! A lot as its client submits it: read whole and checked whole, before anything of it is kept.
+//! Parser of a submitted batch job: validated completely before anything of it is stored.
 
 use base64::Engine;
 use base64::engine::general_purpose::STANDARD;
@@ -9,10 +9,10 @@
 use std::borrow::Cow;
 use std::collections::{BTreeMap, HashSet};
 
-/// The most items of a lot.
+/// Limit of items in a job.
 pub const MAX_ITEMS: usize = 200;
 
-/// Why a lot is not taken. Its client gets the text with a 400.
+/// Why a submission is invalid. The client gets the text with a 400.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum SubmissionError {
     /// It is no JSON of this shape.
@@ -24,18 +24,18 @@
     /// A field of an item is wrong.
     #[error("M413 requests[{position}].{field}: {reason}")]
     Item {
-        /// Its place in the lot.
+        /// Its position in the job.
         position: usize,
         /// The field.
         field: &'static str,
-        /// What is wrong with it.
+        /// Why it is invalid.
         reason: String,
     },
 }
 
+/// A submitted batch job. serde puts the type's name into the texts of M411, which clients see, so it stays `Lot`.
 #[derive(Deserialize)]
-#[serde(rename = "Lot")]
-struct SubmittedJob<'a> {
+struct Lot<'a> {
     #[serde(borrow)]
     requests: Vec<Request<'a>>,
 }
@@ -54,9 +54,13 @@
     tokens: i64,
 }
 
-/// The items of a lot for this route.
+/// Parses the items of a job for this route.
+///
+/// # Errors
+///
+/// If the JSON is malformed, or the number of items or a field is invalid.
 pub fn parse(json: &[u8], route: &Route) -> Result<Vec<Item>, SubmissionError> {
-    let job: SubmittedJob =
+    let job: Lot =
         serde_json::from_slice(json).map_err(|e| SubmissionError::Unreadable(e.to_string()))?;
     if job.requests.is_empty() || job.requests.len() > MAX_ITEMS {
         return Err(SubmissionError::Count(job.requests.len()));
--- a/crates/mintlb-dispatcher/src/batch_executor.rs
+++ b/crates/mintlb-dispatcher/src/batch_executor.rs
@@ -1,6 +1,6 @@
-//! The way of lots' items to workers: each runs as a request of its route, through the same reducer.
+//! Execution of batch items: each runs as a request of its route, through the same reducer as live requests.
 //!
-//! Batch code implements [`BatchHandler`] for the calls of clients and runs items by [`BatchExecutor`].
+//! The batch modules implement [`BatchHandler`] for clients' calls and run items by [`BatchExecutor`].
 
 use crate::exchange::{BodyChunk, ClientRequest, Exchange, ExchangeMode, NewExchange, Refusal};
 use crate::request::{LAST_EVENT_ID, strip_connection_headers, strip_own_headers};
@@ -14,13 +14,13 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// A client's call that concerns lots.
+/// A client's call on batch jobs.
 pub struct BatchCall {
     /// Its method.
     pub method: Method,
     /// The route's host.
     pub host: String,
-    /// Path and query, as they came.
+    /// Path and query as received.
     pub path_and_query: String,
     /// Its headers, all of them.
     pub headers: HeaderMap,
@@ -28,73 +28,73 @@
     pub body: Bytes,
     /// The configuration in force when it was read.
     pub configuration: Arc<Configuration>,
-    /// The place of its route in `route_list`; none for calls under `/v1/`.
+    /// Index of its route in `route_list`; `None` for calls under `/v1/`.
     pub route: Option<usize>,
 }
 
-/// What answers the calls that concern lots.
+/// Handles calls on batch jobs.
 pub trait BatchHandler: Send + Sync {
-    /// Answers a call. Dropped, its client has left.
+    /// Handles a call. Dropping the future means that its client has disconnected.
     fn handle(&self, call: BatchCall) -> Pin<Box<dyn Future<Output = Response> + Send>>;
-    /// The process is to end: nothing new may begin.
+    /// Starts the graceful shutdown: no new work may begin.
     fn start_draining(&self) {}
 }
 
-/// An item to be run.
+/// A batch item to execute.
 pub struct ItemRequest {
-    /// The host of its lot's route.
+    /// The host of its job's route.
     pub host: String,
     /// Its path, which picks the route.
     pub path: String,
-    /// Its id, which workers get as the request's.
+    /// Its id, sent to workers as the request id.
     pub id: HeaderValue,
     /// Its headers.
     pub headers: HeaderMap,
     /// Its decoded body.
     pub body: Bytes,
-    /// For how long it may be run.
+    /// Time limit of the execution.
     pub time: Duration,
-    /// The last event of it that is known already.
+    /// The last event already received in an earlier attempt.
     pub last_event_id: Option<u64>,
 }
 
-/// How an item's run ended.
+/// How the execution of an item ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ItemOutcome {
-    /// All of its output has come.
+    /// Its output is complete.
     Completed,
-    /// It has not run, and will not run under this request.
+    /// It was rejected: it has not run under this request and will not.
     Refused,
-    /// A worker answered 500, or with another failure of its own.
+    /// A worker responded 500, or with another failure of its own.
     Failed(StatusCode),
-    /// A worker answered 422: it can never be done.
+    /// A worker responded 422: it can never succeed.
     CannotBeDone,
-    /// It may have run in part. What came up to this event is good, and it may go on after it.
+    /// It may have run in part. Output up to this event is valid, and the item can be resumed after it.
     Broken {
-        /// The last event that came, or that was known before.
+        /// The last event received, or known before.
         last_event_id: Option<u64>,
     },
-    /// No route of the configuration in force takes it.
+    /// No route of the configuration in force matches it.
     NoRoute,
 }
 
-/// What comes of an item next.
+/// The next step of an item's execution.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ItemStep {
-    /// Whole events, each once and in order.
+    /// Complete events, each once and in order.
     Events(Bytes),
-    /// Nothing more.
+    /// The end of the execution.
     Ended(ItemOutcome),
 }
 
-/// Takes items in.
+/// Executes batch items through this dispatcher's reducer.
 #[derive(Clone)]
 pub struct BatchExecutor {
     shared: Arc<Shared>,
 }
 
 impl BatchExecutor {
-    /// Into this dispatcher's reducer.
+    /// Creates an executor on the shared state.
     pub fn new(shared: Arc<Shared>) -> BatchExecutor {
         BatchExecutor { shared }
     }
@@ -104,7 +104,7 @@
         (self.shared.clock.now() * 1e3) as u64
     }
 
-    /// Whether workers of some service of the item's route take requests.
+    /// Whether workers of some service of the item's route accept requests.
     pub fn has_workers(&self, host: &str, path: &str) -> bool {
         let target = self
             .shared
@@ -113,7 +113,7 @@
         target.is_some_and(|target| self.shared.workers.serves(&target.service))
     }
 
-    /// Runs an item. Dropped, the run ends.
+    /// Executes an item. Dropping the returned value cancels the execution.
     pub fn run(&self, item: ItemRequest) -> ItemRun {
         let target = self
             .shared
@@ -162,15 +162,15 @@
     }
 }
 
-/// An item that runs.
+/// The execution of one item.
 pub struct ItemRun {
     exchange: Option<Arc<Exchange>>,
-    /// The status of the answer, once its head is there.
+    /// The status of the response, once its head was read.
     status: Option<StatusCode>,
 }
 
 impl ItemRun {
-    /// What comes next. After [`ItemStep::Ended`] it is not to be called again.
+    /// The next step. Must not be called again after [`ItemStep::Ended`].
     pub async fn next(&mut self) -> ItemStep {
         let Some(exchange) = self.exchange.clone() else {
             return ItemStep::Ended(ItemOutcome::NoRoute);
@@ -204,7 +204,7 @@
         }
     }
 
-    /// The last event that came, or that was known before.
+    /// The last event received, or known before.
     pub fn last_event_id(&self) -> Option<u64> {
         self.exchange
             .as_ref()
@@ -218,7 +218,7 @@
     }
 }
 
-/// How an item ended that a worker answered with this status.
+/// The outcome of an item whose worker responded with this error status.
 fn failed(status: StatusCode) -> ItemOutcome {
     match status {
         StatusCode::UNPROCESSABLE_ENTITY => ItemOutcome::CannotBeDone,
@@ -226,7 +226,7 @@
     }
 }
 
-/// The last event that a client says it has.
+/// The last event that a client has, by its `Last-Event-Id`.
 pub fn last_event_id(headers: &HeaderMap) -> Option<u64> {
     headers
         .get(LAST_EVENT_ID)?
--- a/crates/mintlb-dispatcher/src/body.rs
+++ b/crates/mintlb-dispatcher/src/body.rs
@@ -1,7 +1,7 @@
-//! The bodies of answers to clients.
+//! Bodies of responses to clients.
 
 use crate::exchange::{BodyChunk, Exchange};
-use crate::shared::OnceId;
+use crate::shared::RequestIdReservation;
 use axum::body::Body as AxumBody;
 use bytes::Bytes;
 use http_body::{Body, Frame, SizeHint};
@@ -12,48 +12,48 @@
 use std::sync::Arc;
 use std::task::{Context, Poll};
 
-/// Where the body of an answer comes from.
+/// Where the body of a response comes from.
 pub enum Source {
-    /// It is whole.
+    /// It is complete.
     Complete(Option<Bytes>),
-    /// A worker still writes it.
+    /// It is relayed from a worker.
     Relay(Relay),
-    /// Batch code made it.
+    /// A batch handler made it.
     Boxed(AxumBody),
 }
 
-/// The body of an answer to a client.
+/// The body of a response to a client.
 pub struct ResponseBody {
     source: Source,
-    /// The connection that it goes out on, until the answer is whole.
+    /// The sniffer of the client's connection, until the response is complete.
     sniffer: Option<Arc<Seen>>,
 }
 
-/// Reads the answer of an exchange. Dropped before its end, the client has left.
+/// Reads the response of an exchange. Dropping it before its end means that the client has disconnected.
 pub struct Relay {
     exchange: Arc<Exchange>,
     is_over: bool,
-    /// Room for the request, and for its body.
+    /// Capacity reserved for the request and its body.
     _reservation: (Held, Option<Held>),
-    _once_id: Option<OnceId>,
+    _request_id: Option<RequestIdReservation>,
 }
 
 impl Relay {
-    /// The body of this exchange's answer. Room and id are held until it is over.
+    /// The body of this exchange's response. Reservation and id are released when it ends.
     pub fn new(
         exchange: Arc<Exchange>,
         reservation: (Held, Option<Held>),
-        once: Option<OnceId>,
+        request_id: Option<RequestIdReservation>,
     ) -> Relay {
         Relay {
             exchange,
             is_over: false,
             _reservation: reservation,
-            _once_id: once,
+            _request_id: request_id,
         }
     }
 
-    /// What it reads.
+    /// The exchange that it reads.
     pub fn exchange(&self) -> &Exchange {
         &self.exchange
     }
@@ -95,7 +95,7 @@
 }
 
 impl ResponseBody {
-    /// A body that goes out on this connection.
+    /// A body sent on the connection of this sniffer.
     pub fn new(source: Source, sniffer: Arc<Seen>) -> ResponseBody {
         let mut body = ResponseBody {
             source,
@@ -105,8 +105,8 @@
         body
     }
 
-    /// Once the answer is whole, the next byte of the connection begins another request. Nobody asks a body for more
-    /// once all of its told length is there, so this is looked at after each piece.
+    /// Once the response is complete, the next byte of the connection begins another request. A body is not polled
+    /// again once all of its declared length was read, so this is checked after each chunk.
     fn look_over(&mut self) {
         if self.source.is_over()
             && let Some(sniffer) = self.sniffer.take()
--- a/crates/mintlb-dispatcher/src/cluster_state.rs
+++ b/crates/mintlb-dispatcher/src/cluster_state.rs
@@ -1,6 +1,6 @@
-//! What the overlay's records tell a dispatcher: the configuration and the workers.
+//! Cluster state from gossip records: the configuration and the workers.
 //!
-//! Records are taken in by the loop round the reducer, in the order in which they came into force.
+//! Updates are applied by the reducer's loop, in the order in which they came into force.
 
 use crate::shared::Shared;
 use crate::tuning::ServiceNumbers;
@@ -13,17 +13,17 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// A record as far as a dispatcher goes by it.
+/// A decoded record that concerns a dispatcher.
 pub enum ClusterUpdate {
     /// A configuration, with its version.
     Configuration(u64, Arc<Configuration>),
     /// A worker.
     Worker(WorkerRecord),
-    /// What was known before this process started has come.
+    /// The records from before this process joined were received.
     Joined,
 }
 
-/// Reads a record; nothing for those that other parts go by.
+/// Decodes a record; `None` for those that don't concern a dispatcher or can't be decoded.
 pub fn read(record: &Record) -> Option<ClusterUpdate> {
     if record.key == CONFIGURATION {
         return match Configuration::parse(&record.body) {
@@ -44,13 +44,13 @@
     match minicbor::decode(&record.body) {
         Ok(worker) => Some(ClusterUpdate::Worker(worker)),
         Err(error) => {
-            log::warn!("dispatch: record {} can't be read: {error}", record.key);
+            log::warn!("dispatch: can't decode record {}: {error}", record.key);
             None
         }
     }
 }
 
-/// The numbers by which the decisions know what the records name.
+/// The scheduler's numbers of zones and services, by name.
 pub struct Numbering {
     zones: BTreeMap<String, u16>,
     /// Of services.
@@ -67,12 +67,12 @@
         }
     }
 
-    /// The number of a zone. One that is not known is far from all others.
+    /// The number of a zone. An unknown one counts as remote from all others.
     pub fn zone(&self, name: &str) -> u16 {
         self.zones.get(name).copied().unwrap_or(u16::MAX)
     }
 
-    /// What the reducer has to hear of a worker.
+    /// Applies a worker's record and returns the membership event for the reducer.
     pub fn worker_event(&mut self, shared: &Shared, record: &WorkerRecord) -> Option<Event> {
         let numbers = EndpointNumbers {
             zone: self.zone(&record.zone),
--- a/crates/mintlb-dispatcher/src/connection.rs
+++ b/crates/mintlb-dispatcher/src/connection.rs
@@ -1,4 +1,4 @@
-//! Connections to one worker, kept for further requests while it is sure that they are still good.
+//! Pooled connections to one worker, reused only while they are certain to be open and in order.
 
 use bytes::{Buf, Bytes, BytesMut};
 use nix::errno::Errno;
@@ -16,42 +16,42 @@
 use tokio::net::{TcpSocket, TcpStream};
 use tokio::time::{Instant, timeout};
 
-/// A connection that is not up by then comes up in seconds, if ever: its opening packet was dropped.
-const CONNECT: Duration = Duration::from_millis(120);
-/// Bytes that are unacknowledged for so long, and probes, tell that the other side is gone.
-const UNACKNOWLEDGED: Duration = Duration::from_millis(1000);
-/// Idle connections are kept no longer than this, whatever the worker says, as it counts them for all callers.
+/// Connect timeout. A connection that takes longer lost its SYN and would take seconds.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(120);
+/// `TCP_USER_TIMEOUT`: unacknowledged bytes or keep-alive probes for so long mean that the peer is unreachable.
+const USER_TIMEOUT: Duration = Duration::from_millis(1000);
+/// Limit of the idle time, whatever the worker says, as its connection limit is shared by all callers.
 const MAX_IDLE_TIME: Duration = Duration::from_secs(20);
-/// Where the worker does not say when it closes idle connections it may be soon: so long they are kept for what may be
-/// sent again, and for what may not.
+/// Idle time if the worker declares no timeout and may close the connection soon: for idempotent requests, and for
+/// others.
 const DEFAULT_IDLE_TIME: Duration = Duration::from_secs(2);
 const DEFAULT_IDLE_TIME_ONCE: Duration = Duration::from_millis(150);
-/// A connection is used no later than so long before the worker closes it.
+/// A connection is not reused within this time before the worker closes it.
 const CLOSE_MARGIN: Duration = Duration::from_millis(900);
-/// A connection that was idle for less is taken to be sound.
-const FRESH: Duration = Duration::from_millis(50);
-/// Room that is made in a connection's buffer when less than the second is left.
+/// A connection that was idle for less is assumed to be open.
+const PROVEN_FOR: Duration = Duration::from_millis(50);
+/// Bytes reserved in a read buffer that has less than the second constant left.
 const READ_BYTES: usize = 8 << 10;
 const MIN_BUFFER_SPACE: usize = 1 << 10;
 /// Idle connections to one worker.
 const MAX_IDLE: usize = 16;
 /// Requests that a connection remembers to have carried.
-const CARRIED: usize = 8;
+const REMEMBERED_REQUESTS: usize = 8;
 
 /// A connection to a worker. It carries one request at a time.
 pub struct Connection {
     stream: TcpStream,
-    /// What was read and not used yet.
+    /// Bytes read and not consumed yet.
     pub buffer: BytesMut,
-    /// The part of the request under way that the system has not taken yet.
+    /// The part of the current request that the kernel has not accepted yet.
     unwritten: Bytes,
     state: ConnectionState,
     idle_since: Instant,
     idle_timeout: Option<Duration>,
-    /// The requests that it carried last, by a hash of their ids: one that is sent once more would take a surplus answer
-    /// to its first send for its own.
-    carried: [u64; CARRIED],
-    /// Whole answers that it has carried.
+    /// The requests that it carried last, by a hash of their ids: a retry could mistake a surplus response to its first
+    /// attempt for its own.
+    recent_requests: [u64; REMEMBERED_REQUESTS],
+    /// Complete responses that it has carried.
     answers: usize,
     _open: Open,
 }
@@ -59,11 +59,11 @@
 /// Whether a connection may carry another request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ConnectionState {
-    /// Nothing out of order has come.
-    Sound,
-    /// A surplus or an early answer has come: nobody knows what comes next.
-    Spoiled,
-    /// The worker has closed its side, after whole bytes.
+    /// Nothing unexpected was received.
+    Reusable,
+    /// A surplus or an early response was received: what follows is undefined.
+    Unusable,
+    /// The worker has closed its side in order, without a reset.
     Ended,
 }
 
@@ -103,9 +103,9 @@
         self.open.load(Relaxed)
     }
 
-    /// An idle connection for the request with this id, the one used last first; `once` if the request may not be sent
-    /// again. One that has carried a request with this id is passed over.
-    pub fn reuse(&self, once: bool, id: &[u8]) -> Option<Connection> {
+    /// An idle connection for the request with this id, the most recently used first; `non_idempotent` if the request may
+    /// not be retried. One that has carried a request with this id is skipped.
+    pub fn reuse(&self, non_idempotent: bool, id: &[u8]) -> Option<Connection> {
         let now = Instant::now();
         let mut idle = self.idle.lock();
         while let Some(connection) = idle.pop() {
@@ -113,11 +113,11 @@
                 idle.push(connection);
                 return None;
             }
-            if now < connection.usable_until(once) && connection.is_quiet() {
+            if now < connection.usable_until(non_idempotent) && connection.has_nothing_to_read() {
                 return Some(connection);
             }
-            // What is too old for this one may still do for another; all below it are older.
-            if once && now < connection.usable_until(false) {
+            // One that is too old for this request may still serve an idempotent one; all below it are older.
+            if non_idempotent && now < connection.usable_until(false) {
                 idle.push(connection);
                 return None;
             }
@@ -125,34 +125,38 @@
         None
     }
 
-    /// A new connection.
+    /// Opens a new connection.
+    ///
+    /// # Errors
+    ///
+    /// If it is not established within the connect timeout.
     pub async fn connect(&self) -> io::Result<Connection> {
         self.open.fetch_add(1, Relaxed);
         let open = Open(self.open.clone());
         let socket = TcpSocket::new_v4()?;
         socket.set_nodelay(true)?;
-        watch_over(&socket).ok();
+        enable_dead_peer_detection(&socket).ok();
         let late = |_| io::Error::from(io::ErrorKind::TimedOut);
-        let stream = timeout(CONNECT, socket.connect(self.address))
+        let stream = timeout(CONNECT_TIMEOUT, socket.connect(self.address))
             .await
             .map_err(late)??;
         Ok(Connection {
             stream,
             buffer: BytesMut::new(),
             unwritten: Bytes::new(),
-            state: ConnectionState::Sound,
+            state: ConnectionState::Reusable,
             idle_since: Instant::now(),
             idle_timeout: None,
-            carried: [0; CARRIED],
+            recent_requests: [0; REMEMBERED_REQUESTS],
             answers: 0,
             _open: open,
         })
     }
 
-    /// Keeps a connection whose last answer is whole; `idle_timeout` is how long the worker keeps it when idle. One on which
-    /// anything is left over or was out of order is closed.
-    pub fn give_back(&self, mut connection: Connection, idle_timeout: Option<Duration>) {
-        if !connection.is_sound() {
+    /// Returns a connection whose last response is complete to the pool; `idle_timeout` is the worker's. One with
+    /// surplus or unexpected bytes is closed.
+    pub fn release(&self, mut connection: Connection, idle_timeout: Option<Duration>) {
+        if !connection.is_reusable() {
             return;
         }
         connection.buffer = BytesMut::new();
@@ -164,22 +168,22 @@
         }
     }
 
-    /// Closes what will not be used again.
+    /// Closes idle connections that can't be reused, or all of them.
     pub fn sweep(&self, all: bool) {
         let now = Instant::now();
         let mut idle = self.idle.lock();
         idle.retain(|connection| {
-            !all && now < connection.usable_until(false) && connection.is_quiet()
+            !all && now < connection.usable_until(false) && connection.has_nothing_to_read()
         });
     }
 }
 
-/// Peers that are gone without a word must be known as such in time.
-fn watch_over(socket: &impl AsFd) -> nix::Result<()> {
+/// Makes the kernel detect peers that vanish without closing.
+fn enable_dead_peer_detection(socket: &impl AsFd) -> nix::Result<()> {
     setsockopt(
         socket,
         sockopt::TcpUserTimeout,
-        &(UNACKNOWLEDGED.as_millis() as u32),
+        &(USER_TIMEOUT.as_millis() as u32),
     )?;
     setsockopt(socket, sockopt::KeepAlive, &true)?;
     setsockopt(socket, sockopt::TcpKeepIdle, &1)?;
@@ -188,8 +192,8 @@
 }
 
 impl Connection {
-    fn usable_until(&self, once: bool) -> Instant {
-        let length = match (self.idle_timeout, once) {
+    fn usable_until(&self, non_idempotent: bool) -> Instant {
+        let length = match (self.idle_timeout, non_idempotent) {
             (Some(idle_timeout), _) => idle_timeout.saturating_sub(CLOSE_MARGIN).min(MAX_IDLE_TIME),
             (None, true) => DEFAULT_IDLE_TIME_ONCE,
             (None, false) => DEFAULT_IDLE_TIME,
@@ -197,33 +201,35 @@
         self.idle_since + length
     }
 
-    /// Nothing has come since its last answer: neither its end nor a surplus answer. The system is asked as well, as the
-    /// runtime may not have heard of it yet.
-    fn is_quiet(&self) -> bool {
+    /// Nothing was received since its last response: neither its end nor a surplus response. The kernel is asked as
+    /// well, as the runtime may not have been notified yet.
+    fn has_nothing_to_read(&self) -> bool {
         let known = self.stream.try_read(&mut [0]);
         let look = MsgFlags::MSG_PEEK | MsgFlags::MSG_DONTWAIT;
         let come = recv(self.stream.as_raw_fd(), &mut [0], look);
         let nothing = known.is_err_and(|error| error.kind() == io::ErrorKind::WouldBlock);
-        self.is_sound() && nothing && come == Err(Errno::EAGAIN)
+        self.is_reusable() && nothing && come == Err(Errno::EAGAIN)
     }
 
-    /// Nothing of its last request or answer is left over, and nothing was out of order.
-    fn is_sound(&self) -> bool {
-        self.state == ConnectionState::Sound && self.buffer.is_empty() && self.unwritten.is_empty()
+    /// No bytes of its last request or response are left over, and nothing unexpected was received.
+    fn is_reusable(&self) -> bool {
+        self.state == ConnectionState::Reusable
+            && self.buffer.is_empty()
+            && self.unwritten.is_empty()
     }
 
-    /// Whether it has just carried an answer, so that it can't have died unnoticed.
-    pub fn is_proven(&self) -> bool {
-        self.answers > 0 && self.idle_since.elapsed() < FRESH
+    /// Whether it has just carried a response, so that it can't have closed unnoticed.
+    pub fn was_active_just_now(&self) -> bool {
+        self.answers > 0 && self.idle_since.elapsed() < PROVEN_FOR
     }
 
     fn has_carried(&self, id: &[u8]) -> bool {
-        self.carried.contains(&hash(id))
+        self.recent_requests.contains(&hash(id))
     }
 
-    /// It never carries another request: something has come that was not asked for.
-    pub fn spoil(&mut self) {
-        self.state = ConnectionState::Spoiled;
+    /// Excludes it from reuse: something unexpected was received.
+    pub fn disable_reuse(&mut self) {
+        self.state = ConnectionState::Unusable;
     }
 
     /// Whether the worker has closed its side, with no reset.
@@ -231,18 +237,26 @@
         self.state == ConnectionState::Ended
     }
 
-    /// Writes all of it.
+    /// Writes all bytes.
+    ///
+    /// # Errors
+    ///
+    /// If the connection breaks.
     pub async fn write(&mut self, bytes: &[u8]) -> io::Result<()> {
         self.stream.write_all(bytes).await
     }
 
-    /// Begins to write the rest of the request with this id; [`Connection::fill`] goes on with what the system does not
-    /// take at once, so that an answer that comes early is read meanwhile. An error where nothing of it was written.
+    /// Begins to write the rest of the request with this id; [`Connection::fill`] continues with what the kernel does not
+    /// accept at once, so that an early response is read meanwhile.
+    ///
+    /// # Errors
+    ///
+    /// If nothing of it was written.
     pub fn send(&mut self, id: &[u8], rest: Bytes) -> io::Result<()> {
-        self.carried[self.answers % CARRIED] = hash(id);
+        self.recent_requests[self.answers % REMEMBERED_REQUESTS] = hash(id);
         self.unwritten = rest;
         let all = self.unwritten.len();
-        let written = self.write_on();
+        let written = self.write_available();
         if self.unwritten.len() == all {
             written
         } else {
@@ -250,8 +264,8 @@
         }
     }
 
-    /// Writes what the system takes now.
-    fn write_on(&mut self) -> io::Result<()> {
+    /// Writes what the kernel accepts now.
+    fn write_available(&mut self) -> io::Result<()> {
         while !self.unwritten.is_empty() {
             match self.stream.try_write(&self.unwritten) {
                 Ok(written) => self.unwritten.advance(written),
@@ -262,12 +276,16 @@
         Ok(())
     }
 
-    /// Whether it stays without an end, an error or an unexpected byte for so long.
-    pub async fn stays_quiet(&mut self, length: Duration) -> bool {
+    /// Whether neither an end, an error nor an unexpected byte arrives during `length`.
+    pub async fn stays_silent(&mut self, length: Duration) -> bool {
         timeout(length, self.stream.readable()).await.is_err()
     }
 
-    /// Waits until more bytes have come, or more of the request was written; an error where no byte will come.
+    /// Waits until more bytes were read, or more of the request was written.
+    ///
+    /// # Errors
+    ///
+    /// If no further byte can be read.
     pub async fn fill(&mut self) -> io::Result<()> {
         loop {
             let waits = !self.unwritten.is_empty();
@@ -277,22 +295,22 @@
                 Interest::READABLE
             };
             let ready = self.stream.ready(interest).await?;
-            if ready.is_readable() && self.read_some()? {
+            if ready.is_readable() && self.read_available()? {
                 return Ok(());
             }
             if waits && ready.is_writable() {
-                // What came before the connection broke is still to be read.
-                if self.write_on().is_err() {
+                // Bytes received before the connection broke are still to be read.
+                if self.write_available().is_err() {
                     self.unwritten = Bytes::new();
-                    self.spoil();
+                    self.disable_reuse();
                 }
                 return Ok(());
             }
         }
     }
 
-    /// Reads what has come; whether anything has.
-    fn read_some(&mut self) -> io::Result<bool> {
+    /// Reads what the kernel has buffered; returns whether that was anything.
+    fn read_available(&mut self) -> io::Result<bool> {
         if self.buffer.capacity() - self.buffer.len() < MIN_BUFFER_SPACE {
             self.buffer.reserve(READ_BYTES);
         }
@@ -303,7 +321,7 @@
             }
             Ok(_) => {
                 if !self.unwritten.is_empty() {
-                    self.spoil();
+                    self.disable_reuse();
                 }
                 Ok(true)
             }
--- a/crates/mintlb-dispatcher/src/dispatcher.rs
+++ b/crates/mintlb-dispatcher/src/dispatcher.rs
@@ -1,4 +1,4 @@
-//! The one loop round the reducer: what was read goes in, what is to be done is carried out.
+//! The event loop around the reducer: events go in, its actions are carried out.
 
 use crate::batch_executor::{BatchExecutor, BatchHandler};
 use crate::cluster_state::{ClusterUpdate, Numbering};
@@ -29,32 +29,33 @@
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender, unbounded_channel};
 use tokio::time::{Instant, sleep_until};
 
-/// Between two looks at connections and at the end; the second while the process is to end.
-const TICK: Duration = Duration::from_millis(500);
-const DRAINING_TICK: Duration = Duration::from_millis(40);
-/// After so long with a configuration it is ready, also if a service has no worker.
-const WORKERS_WAIT: Duration = Duration::from_millis(1500);
-/// A process that is to end keeps idle connections for so many seconds, until the platform has noticed.
-const NOTICE: f64 = 2.2;
-/// Requests that come later than so many seconds after it was told to end are refused: they could outlast it. Also no
-/// later than this part of the grace.
-const TAKES_LATE: f64 = 2.6;
-const TAKES_LATE_SHARE: f64 = 1.0 / 3.0;
-/// It ends no sooner, as clients may still be sent here.
-const LATE_ARRIVALS: f64 = 3.2;
-/// What is still held gets its answer so many seconds before the process is killed, and it ends so many before.
-const LAST_CALL: f64 = 1.2;
-const LAST_EXIT: f64 = 0.6;
-/// A send ends so many seconds before its client's time is over.
+/// Interval of housekeeping; the second applies during a graceful shutdown.
+const HOUSEKEEPING_INTERVAL: Duration = Duration::from_millis(500);
+const DRAINING_HOUSEKEEPING_INTERVAL: Duration = Duration::from_millis(40);
+/// After this time with a configuration the process is ready, also if a service has no worker.
+const MAX_READINESS_WAIT: Duration = Duration::from_millis(1500);
+/// Seconds for which a draining process keeps idle connections, until the platform has noticed.
+const IDLE_CLOSE_DELAY: f64 = 2.2;
+/// Requests that arrive this many seconds after the shutdown began are rejected, as they could outlast it; limited to
+/// this share of the grace period.
+const LATE_ACCEPT: f64 = 2.6;
+const LATE_ACCEPT_SHARE: f64 = 1.0 / 3.0;
+/// The process exits no sooner than this many seconds after the shutdown began, as clients may still be routed here.
+const MIN_SHUTDOWN: f64 = 3.2;
+/// Requests in flight get their final response the first number of seconds before the kill; the process exits the
+/// second number before it.
+const FINAL_RESPONSE_MARGIN: f64 = 1.2;
+const EXIT_MARGIN: f64 = 0.6;
+/// An attempt ends this many seconds before its client's deadline.
 const SEND_MARGIN: f64 = 0.02;
-/// The number of requests that are taken in at once, at the most.
-const BATCH_OF_EVENTS: usize = 64;
-/// Bodies of requests may take this part of the process's memory.
+/// Limit of events handled in one turn of the loop.
+const MAX_EVENTS_PER_TURN: usize = 64;
+/// The share of the process's memory for bodies of requests.
 const BODY_MEMORY_SHARE: f64 = 0.25;
-/// Descriptors that are kept for all that is no client's or worker's.
+/// File descriptors reserved for anything but clients and workers.
 const OTHER_DESCRIPTORS: u64 = 400;
 
-/// What a dispatcher may use, and how long it has to end.
+/// Zones, resource limits and grace period of a dispatcher.
 #[derive(Clone, Debug)]
 pub struct DispatcherConfig {
     /// The own zone.
@@ -63,36 +64,36 @@
     pub zones: Vec<String>,
     /// Memory in MB.
     pub memory_mb: u64,
-    /// Descriptors.
+    /// Limit of open file descriptors.
     pub max_open_files: u64,
-    /// Seconds between the word to end and the kill.
+    /// Seconds between SIGTERM and the kill.
     pub grace_period_s: f64,
-    /// For chance.
+    /// Seed of the random number generator.
     pub seed: u64,
 }
 
 /// A dispatcher that does not serve yet.
 pub struct Dispatcher {
-    /// What its parts share.
+    /// State shared by its tasks.
     pub shared: Arc<Shared>,
-    /// Tells it what the records say.
+    /// Channel for updates of the cluster state.
     pub update_sender: UnboundedSender<ClusterUpdate>,
-    /// Who answers calls that concern lots.
+    /// Handler of calls on batch jobs.
     pub batch: Option<Arc<dyn BatchHandler>>,
     config: DispatcherConfig,
     events: UnboundedReceiver<Event>,
-    known: UnboundedReceiver<ClusterUpdate>,
+    updates: UnboundedReceiver<ClusterUpdate>,
 }
 
-/// The lists of workers come by records, not by a watch.
+/// Worker lists come from records, not from a watch.
 struct NoWatch;
 
 impl Watcher for NoWatch {
     fn watch(&mut self, _after: Option<u64>) {}
 }
 
-/// The loop's own state.
-struct Loop {
+/// State of the event loop.
+struct EventLoop {
     shared: Arc<Shared>,
     reducer: Reducer,
     effects: Hands<NoWatch>,
@@ -101,20 +102,20 @@
     downstream: Arc<Downstream>,
     batch: Option<Arc<dyn BatchHandler>>,
     version: Option<u64>,
-    /// A configuration that the reducer could not take yet.
+    /// A configuration that the reducer could not apply yet.
     deferred: Option<(u64, Arc<Configuration>)>,
     configured: Option<Instant>,
     joined: bool,
-    look: Option<Instant>,
-    last_call: bool,
+    recheck_at: Option<Instant>,
+    final_responses_sent: bool,
     grace: f64,
 }
 
 impl Dispatcher {
-    /// One that knows nothing yet.
+    /// Creates a dispatcher without any cluster state.
     pub fn new(config: DispatcherConfig) -> Dispatcher {
         let (event_sender, events) = unbounded_channel();
-        let (update_sender, known) = unbounded_channel();
+        let (update_sender, updates) = unbounded_channel();
         let shared = Arc::new(Shared::new(Clock::start(), event_sender, config.seed));
         Dispatcher {
             shared,
@@ -122,16 +123,16 @@
             batch: None,
             config,
             events,
-            known,
+            updates,
         }
     }
 
-    /// Takes items of lots in.
+    /// An executor of batch items on this dispatcher.
     pub fn batch_executor(&self) -> BatchExecutor {
         BatchExecutor::new(self.shared.clone())
     }
 
-    /// Serves until `stop` resolves, and then until all that was taken is answered.
+    /// Serves until `stop` resolves, and then until all accepted requests got their response.
     pub async fn serve(
         self,
         frontend: TcpListener,
@@ -144,11 +145,11 @@
             batch,
             config,
             mut events,
-            mut known,
+            mut updates,
         } = self;
         let notice = Notice {
-            leave: NOTICE,
-            stop: NOTICE,
+            leave: IDLE_CLOSE_DELAY,
+            stop: IDLE_CLOSE_DELAY,
         };
         let lifecycle = Arc::new(Mutex::new(Standing::new(notice)));
         let descriptors = config
@@ -161,7 +162,7 @@
             capacity: Room::new(descriptors / 2, bodies),
             connections: descriptors / 2,
             lifecycle: lifecycle.clone(),
-            accepts_late: TAKES_LATE.min(config.grace_period_s * TAKES_LATE_SHARE),
+            late_accept_seconds: LATE_ACCEPT.min(config.grace_period_s * LATE_ACCEPT_SHARE),
             batch: batch.clone(),
         });
         let readiness_lifecycle = lifecycle.clone();
@@ -184,7 +185,7 @@
             log_bridge::logger(),
             Arc::new(Figures::default()),
         );
-        let mut main = Loop {
+        let mut event_loop = EventLoop {
             shared: shared.clone(),
             reducer,
             effects,
@@ -196,47 +197,57 @@
             deferred: None,
             configured: None,
             joined: false,
-            look: None,
-            last_call: false,
+            recheck_at: None,
+            final_responses_sent: false,
             grace: config.grace_period_s,
         };
-        let acts = main.reducer.start(shared.clock.now(), None, false);
-        acts.into_iter().for_each(|act| main.effects.carry_out(act));
+        let actions = event_loop.reducer.start(shared.clock.now(), None, false);
+        actions
+            .into_iter()
+            .for_each(|action| event_loop.effects.carry_out(action));
         let (mut stop, mut stopping) = (pin!(stop), false);
-        let (mut tick, mut timer) = (Instant::now() + TICK, pin!(sleep_until(Instant::now())));
+        let (mut tick, mut timer) = (
+            Instant::now() + HOUSEKEEPING_INTERVAL,
+            pin!(sleep_until(Instant::now())),
+        );
         loop {
-            let due = main.due().map_or(tick, |due| due.min(tick));
+            let due = event_loop.due().map_or(tick, |due| due.min(tick));
             if timer.deadline() != due {
                 timer.as_mut().reset(due);
             }
             tokio::select! {
                 Some(event) = events.recv() => {
-                    main.step(event);
-                    for _ in 0..BATCH_OF_EVENTS {
+                    event_loop.step(event);
+                    for _ in 0..MAX_EVENTS_PER_TURN {
                         let Ok(event) = events.try_recv() else { break };
-                        main.step(event);
+                        event_loop.step(event);
                     }
                 }
-                Some(known) = known.recv() => {
-                    // What was read before goes by the project types of then.
+                Some(update) = updates.recv() => {
+                    // Events from before the update go by the project types in force until now.
                     while let Ok(event) = events.try_recv() {
-                        main.step(event);
+                        event_loop.step(event);
                     }
-                    main.apply_update(known);
+                    event_loop.apply_update(update);
                 }
                 () = &mut timer => {
-                    main.wake();
+                    event_loop.wake();
                     if Instant::now() >= tick {
-                        tick = Instant::now() + if stopping { DRAINING_TICK } else { TICK };
-                        if main.tick(&mut events) {
+                        let interval = if stopping {
+                            DRAINING_HOUSEKEEPING_INTERVAL
+                        } else {
+                            HOUSEKEEPING_INTERVAL
+                        };
+                        tick = Instant::now() + interval;
+                        if event_loop.tick(&mut events) {
                             return;
                         }
                     }
                 }
                 () = &mut stop, if !stopping => {
                     stopping = true;
-                    tick = Instant::now() + DRAINING_TICK;
-                    main.start_draining();
+                    tick = Instant::now() + DRAINING_HOUSEKEEPING_INTERVAL;
+                    event_loop.start_draining();
                 }
             }
         }
@@ -260,38 +271,40 @@
     Scheduler::new(Chance::new(config.seed), chain, Follow::default())
 }
 
-impl Loop {
+impl EventLoop {
     fn step(&mut self, event: Event) {
         match &event {
             Event::Back(back) => self.effects.back(back),
-            Event::Started(alloc) => self.effects.started(*alloc),
+            Event::Started(attempt) => self.effects.started(*attempt),
             Event::Left(wu) => self.effects.left(*wu),
             _ => {}
         }
-        let acts = self.reducer.reduce(self.shared.clock.now(), event);
-        acts.into_iter().for_each(|act| self.effects.carry_out(act));
+        let actions = self.reducer.reduce(self.shared.clock.now(), event);
+        actions
+            .into_iter()
+            .for_each(|action| self.effects.carry_out(action));
         if let Some(at) = self.reducer.take_look() {
             let at = self.shared.clock.instant(at);
-            self.look = Some(self.look.map_or(at, |look| look.min(at)));
+            self.recheck_at = Some(self.recheck_at.map_or(at, |recheck_at| recheck_at.min(at)));
         }
     }
 
-    /// When the reducer is to be woken.
+    /// When the reducer's next timer is due.
     fn due(&self) -> Option<Instant> {
-        self.effects.due.into_iter().chain(self.look).min()
+        self.effects.due.into_iter().chain(self.recheck_at).min()
     }
 
     fn wake(&mut self) {
         let now = Instant::now();
-        let rings = |due: &mut Option<Instant>| due.take_if(|due| *due <= now).is_some();
-        let (due, look) = (rings(&mut self.effects.due), rings(&mut self.look));
-        if due || look {
+        let is_due = |due: &mut Option<Instant>| due.take_if(|due| *due <= now).is_some();
+        let (due, recheck_at) = (is_due(&mut self.effects.due), is_due(&mut self.recheck_at));
+        if due || recheck_at {
             self.step(Event::Woke);
         }
     }
 
-    fn apply_update(&mut self, known: ClusterUpdate) {
-        match known {
+    fn apply_update(&mut self, update: ClusterUpdate) {
+        match update {
             ClusterUpdate::Configuration(version, configuration) => {
                 self.configure(version, configuration)
             }
@@ -302,17 +315,17 @@
             }
             ClusterUpdate::Joined => self.joined = true,
         }
-        self.look_ready();
+        self.update_readiness();
     }
 
-    /// This configuration is in force from now on, whole, unless a newer one is.
+    /// Puts a complete configuration in force, unless a newer one is.
     fn configure(&mut self, version: u64, configuration: Arc<Configuration>) {
-        if self.version.is_some_and(|known| known >= version) {
+        if self.version.is_some_and(|current| current >= version) {
             return;
         }
         let types = tuning::project_types(&configuration, &mut self.numbering.services);
         if let Err(why) = self.reducer.retune(&types, &tuning::terms()) {
-            log::warn!("dispatch: configuration {version} has to wait: {why}");
+            log::warn!("dispatch: configuration {version} deferred: {why}");
             self.deferred = Some((version, configuration));
             return;
         }
@@ -321,7 +334,7 @@
         self.configured = self.configured.or(Some(Instant::now()));
         self.effects.take_types(self.reducer.types());
         self.shared
-            .take_routing(RoutingTable::new(configuration, self.reducer.types()));
+            .set_routing(RoutingTable::new(configuration, self.reducer.types()));
         log::info!(
             "dispatch: configuration {version} is in force, {} project types",
             types.len()
@@ -329,8 +342,8 @@
         self.step(Event::Woke);
     }
 
-    /// Clients may come once a configuration and the workers are known.
-    fn look_ready(&mut self) {
+    /// Reports readiness once a configuration and the workers are known.
+    fn update_readiness(&mut self) {
         if self.lifecycle.lock().is_ready() {
             return;
         }
@@ -344,7 +357,7 @@
                 .iter()
                 .all(|service| self.shared.workers.serves(&service.name))
         };
-        if self.joined && (configured.elapsed() >= WORKERS_WAIT || served()) {
+        if self.joined && (configured.elapsed() >= MAX_READINESS_WAIT || served()) {
             self.lifecycle
                 .lock()
                 .hear(self.shared.clock.now(), Word::Ready)
@@ -354,7 +367,7 @@
 
     fn start_draining(&mut self) {
         log::info!(
-            "dispatch: told to end, {} requests are held",
+            "dispatch: shutting down, {} requests in flight",
             self.reducer.held()
         );
         self.lifecycle
@@ -364,7 +377,7 @@
         self.batch.iter().for_each(|batch| batch.start_draining());
     }
 
-    /// What is due now and then; whether the process may end.
+    /// Housekeeping; returns whether the process may exit.
     fn tick(&mut self, events: &mut UnboundedReceiver<Event>) -> bool {
         if let Some((version, configuration)) = self.deferred.take() {
             while let Ok(event) = events.try_recv() {
@@ -372,7 +385,7 @@
             }
             self.configure(version, configuration);
         }
-        self.look_ready();
+        self.update_readiness();
         self.shared.workers.sweep();
         let members = self.shared.workers.remove_unresponsive();
         if !members.is_empty() {
@@ -393,20 +406,22 @@
         if lifecycle.closes_idle(now) {
             self.downstream.close_idle();
         }
-        if since >= self.grace - LAST_CALL && !std::mem::replace(&mut self.last_call, true) {
+        if since >= self.grace - FINAL_RESPONSE_MARGIN
+            && !std::mem::replace(&mut self.final_responses_sent, true)
+        {
             log::warn!(
-                "dispatch: the time to end is over, {} requests are held",
+                "dispatch: shutdown deadline reached, {} requests in flight",
                 self.reducer.held()
             );
             self.shared.end();
             self.step(Event::LastCall);
         }
         let quiet = self.reducer.held() == 0 && self.downstream.connected() == 0;
-        let over = since >= self.grace - LAST_EXIT
-            || quiet && since >= LATE_ARRIVALS.min(self.grace - LAST_CALL);
+        let over = since >= self.grace - EXIT_MARGIN
+            || quiet && since >= MIN_SHUTDOWN.min(self.grace - FINAL_RESPONSE_MARGIN);
         if over {
             log::info!(
-                "dispatch: ends, {} connections are open",
+                "dispatch: stopped, {} connections open",
                 self.downstream.connected()
             );
         }
--- a/crates/mintlb-dispatcher/src/downstream.rs
+++ b/crates/mintlb-dispatcher/src/downstream.rs
@@ -1,7 +1,7 @@
-//! The sockets towards clients.
+//! The HTTP server towards clients.
 //!
-//! A request is read whole before it is handed on. Its answer goes out as it comes; if its client leaves, the body is
-//! dropped, and the reducer is told. A client that sends what can't be taken gets an error and loses its connection.
+//! A request is read completely before it is forwarded. Its response is streamed; if the client disconnects, the body
+//! is dropped and the reducer is notified. An invalid request gets an error, and its connection is closed.
 
 use crate::batch_executor::{BatchCall, BatchHandler, last_event_id};
 use crate::body::{Relay, ResponseBody, Source};
@@ -37,75 +37,75 @@
 use tokio::time::{Instant, sleep, sleep_until, timeout};
 use tokio_util::io::InspectReader;
 
-/// A request whose head has come has so long for its body.
-const BODY_TIME: Duration = Duration::from_secs(10);
-/// A connection that has sent an error is read on for so long, so that the error is not lost by a reset.
+/// Timeout for a request's body once its head was read.
+const BODY_TIMEOUT: Duration = Duration::from_secs(10);
+/// How long a connection is still read after an error response, so that no reset loses the response.
 const LINGER: Duration = Duration::from_millis(500);
-/// So often a client that has sent more than its request is looked at, whether it has left.
-const LEFT_LOOK: Duration = Duration::from_millis(200);
-/// After a failure to accept, so long until the next try.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
-/// A client that came before the first configuration, or found no room, is told to come back after so many seconds.
-const COME_BACK: f64 = 0.2;
-/// Idle connections are closed this much later than the operator allows, so that no request crosses the close.
+/// How often a client that has sent more than its request is checked for a disconnect.
+const DISCONNECT_CHECK_INTERVAL: Duration = Duration::from_millis(200);
+/// Backoff after a failed accept.
+const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
+/// `Retry-After` in seconds before the first configuration, and when capacity is exhausted.
+const RETRY_AFTER_SECONDS: f64 = 0.2;
+/// Idle connections are closed this much after the configured timeout, so that no request crosses the close.
 const IDLE_MARGIN: Duration = Duration::from_millis(500);
-/// The paths of calls that concern lots.
+/// Path prefixes of calls on batch jobs.
 const BATCH_PATHS: [&str; 2] = ["/v1/lots/", "/v1/items/"];
-/// A body whose length is not told is expected to have so many bytes.
+/// Bytes reserved for a body of undeclared length.
 const DEFAULT_BODY_SIZE: u64 = 64 << 10;
-/// The least buffer that the library takes.
+/// The smallest buffer that hyper accepts.
 const MIN_BUFFER: usize = 8 << 10;
 
-/// What the front is made of.
+/// Configuration of [`Downstream`].
 pub struct DownstreamConfig {
-    /// What it shares.
+    /// State shared by the dispatcher's tasks.
     pub shared: Arc<Shared>,
-    /// What may be held at once.
+    /// Limits of requests and body bytes in memory.
     pub capacity: Room,
-    /// Connections from clients.
+    /// Limit of connections from clients.
     pub connections: usize,
-    /// Whether clients are to come and to stay.
+    /// Whether the process is ready or shutting down.
     pub lifecycle: Arc<Mutex<Standing>>,
-    /// For so many seconds after the process was told to end, requests that still come are taken.
-    pub accepts_late: f64,
-    /// Who answers calls that concern lots, if anybody does.
+    /// For how many seconds after the shutdown began new requests are still accepted.
+    pub late_accept_seconds: f64,
+    /// Handler of calls on batch jobs, if there is one.
     pub batch: Option<Arc<dyn BatchHandler>>,
 }
 
-/// The front of a dispatcher.
+/// Accepts clients' connections and serves their requests.
 pub struct Downstream {
     shared: Arc<Shared>,
     capacity: Room,
     slots: Arc<Places>,
     lifecycle: Arc<Mutex<Standing>>,
-    accepts_late: f64,
+    late_accept_seconds: f64,
     batch: Option<Arc<dyn BatchHandler>>,
 }
 
-/// An answer to a client.
+/// A response to a client.
 type Answer = Response<Source>;
 
-/// A request that was read received.
+/// A request that was read completely.
 struct ReceivedRequest {
     method: Method,
     path_and_query: String,
     host: String,
     headers: HeaderMap,
     body: Bytes,
-    /// When its head had come, in seconds of the clock: its client counts its time from then, or earlier.
+    /// When its head was read, in seconds of the clock: its client's deadline counts from then, or earlier.
     began: f64,
     reservation: (Held, Option<Held>),
 }
 
 impl Downstream {
-    /// One that does not listen yet.
+    /// Creates a server that does not listen yet.
     pub fn new(config: DownstreamConfig) -> Arc<Downstream> {
         let DownstreamConfig {
             shared,
             capacity,
             connections,
             lifecycle,
-            accepts_late,
+            late_accept_seconds,
             batch,
         } = config;
         let slots = Places::new(connections, Duration::from_millis(500));
@@ -114,12 +114,12 @@
             capacity,
             slots,
             lifecycle,
-            accepts_late,
+            late_accept_seconds,
             batch,
         })
     }
 
-    /// Takes clients until it is dropped.
+    /// Accepts connections until it is dropped.
     pub async fn listen(self: Arc<Downstream>, listener: TcpListener) {
         for number in 0.. {
             self.slots.wait().await;
@@ -129,20 +129,20 @@
                     tokio::spawn(self.clone().connection(stream, slot));
                 }
                 Err(error) => {
-                    log::debug!("front: a connection could not be accepted: {error}");
+                    log::debug!("downstream: could not accept a connection: {error}");
                     self.slots.make_room();
-                    sleep(ACCEPT_PAUSE).await;
+                    sleep(ACCEPT_BACKOFF).await;
                 }
             }
         }
     }
 
-    /// Idle connections close. To be said again and again while clients are to leave.
+    /// Closes idle connections. To be called repeatedly during a graceful shutdown.
     pub fn close_idle(&self) {
         self.slots.close_idle();
     }
 
-    /// How many connections clients have.
+    /// Number of open connections from clients.
     pub fn connected(&self) -> usize {
         self.slots.count()
     }
@@ -154,7 +154,7 @@
             .unwrap_or_default()
     }
 
-    fn closes(&self) -> bool {
+    fn should_close(&self) -> bool {
         self.lifecycle.lock().closes(self.shared.clock.now())
     }
 
@@ -162,9 +162,9 @@
         stream.set_nodelay(true).ok();
         let limits = self.limits();
         let (sniffer, socket) = (slot.seen.clone(), Arc::new(stream));
-        let looking = sniffer.clone();
+        let inspecting = sniffer.clone();
         let stream = InspectReader::new(Socket(socket.clone()), move |bytes: &[u8]| {
-            looking.look(bytes)
+            inspecting.look(bytes)
         });
         let service = service_fn(|request: Request<Incoming>| {
             let (downstream, sniffer) = (self.clone(), sniffer.clone());
@@ -175,55 +175,63 @@
             .auto_date_header(false)
             .max_buf_size(limits.max_header_bytes.max(MIN_BUFFER))
             .serve_connection(TokioIo::new(stream), service);
-        let (mut called, mut alarm) = (
+        let (mut close_request, mut timer) = (
             pin!(slot.seen.called()),
-            pin!(sleep_until(due(&slot.seen, &limits))),
+            pin!(sleep_until(idle_deadline(&slot.seen, &limits))),
         );
         let ended = poll_fn(|cx| {
             if let Poll::Ready(ended) = Pin::new(&mut served).poll(cx) {
                 return Poll::Ready(Some(ended.is_ok()));
             }
-            while called.as_mut().poll(cx).is_ready() {
-                if slot.may_close() && !has_come(socket.as_raw_fd()) {
+            while close_request.as_mut().poll(cx).is_ready() {
+                if slot.may_close() && !has_unread_bytes(socket.as_raw_fd()) {
                     return Poll::Ready(None);
                 }
-                called.set(slot.seen.called());
+                close_request.set(slot.seen.called());
             }
-            // What waits for its answer has its own bounds.
+            // A request that awaits its response has its own timeouts.
             if slot.seen.phase() == Phase::Open {
                 if slot.seen.may_go_on() {
                     return Poll::Pending;
                 }
-                // More has come than the request. The library reads none of it, and so misses that its client leaves.
-                if alarm.deadline() > Instant::now() + LEFT_LOOK {
-                    alarm.as_mut().reset(Instant::now() + LEFT_LOOK);
+                // More was received than the request. hyper reads none of it, and so misses a disconnect.
+                if timer.deadline() > Instant::now() + DISCONNECT_CHECK_INTERVAL {
+                    timer
+                        .as_mut()
+                        .reset(Instant::now() + DISCONNECT_CHECK_INTERVAL);
                 }
-                while alarm.as_mut().poll(cx).is_ready() {
-                    if has_left(&socket, cx) {
+                while timer.as_mut().poll(cx).is_ready() {
+                    if has_disconnected(&socket, cx) {
                         return Poll::Ready(None);
                     }
-                    alarm.as_mut().reset(Instant::now() + LEFT_LOOK);
+                    timer
+                        .as_mut()
+                        .reset(Instant::now() + DISCONNECT_CHECK_INTERVAL);
                 }
                 return Poll::Pending;
             }
             loop {
-                let due = due(&slot.seen, &limits);
+                let idle_deadline = idle_deadline(&slot.seen, &limits);
                 // The timer is set anew only when it rings early, or late.
-                if alarm.deadline() > due {
-                    alarm.as_mut().reset(due);
+                if timer.deadline() > idle_deadline {
+                    timer.as_mut().reset(idle_deadline);
                 }
-                if alarm.as_mut().poll(cx).is_pending() {
+                if timer.as_mut().poll(cx).is_pending() {
                     return Poll::Pending;
                 }
-                if Instant::now() >= due && !(slot.seen.is_idle() && has_come(socket.as_raw_fd())) {
+                if Instant::now() >= idle_deadline
+                    && !(slot.seen.is_idle() && has_unread_bytes(socket.as_raw_fd()))
+                {
                     return Poll::Ready(None);
                 }
-                alarm.as_mut().reset(due.max(Instant::now() + ACCEPT_PAUSE));
+                timer
+                    .as_mut()
+                    .reset(idle_deadline.max(Instant::now() + ACCEPT_BACKOFF));
             }
         });
         let Some(clean) = ended.await else { return };
         if clean {
-            // Closed with bytes unread, it would be reset, and the answer lost on its way.
+            // Closing it with unread bytes would reset it and could lose the response.
             let mut stream = served.into_parts().io.into_inner().into_inner();
             let mut unread = vec![0; 4 << 10];
             let rest = async { while stream.read(&mut unread).await.is_ok_and(|read| read > 0) {} };
@@ -231,7 +239,7 @@
         }
     }
 
-    /// Answers a request, and says whether its connection goes on.
+    /// Serves a request and announces whether its connection is closed afterwards.
     async fn answer(
         &self,
         request: Request<Incoming>,
@@ -242,13 +250,13 @@
                 sniffer.taken();
                 self.respond(received).await
             }
-            // Without a configuration nobody knows how long a body may be.
+            // Without a configuration the limit of a body is unknown.
             Err(StatusCode::PAYLOAD_TOO_LARGE) if self.shared.routing().is_none() => {
-                refused(COME_BACK)
+                service_unavailable(RETRY_AFTER_SECONDS)
             }
-            Err(status) => plain(status),
+            Err(status) => status_only(status),
         };
-        if self.closes() || !sniffer.may_go_on() {
+        if self.should_close() || !sniffer.may_go_on() {
             answer
                 .headers_mut()
                 .insert(CONNECTION, HeaderValue::from_static("close"));
@@ -256,7 +264,7 @@
         answer.map(|source| ResponseBody::new(source, sniffer.clone()))
     }
 
-    /// Reads a request whole, or says why not.
+    /// Reads a complete request, or returns the status of its rejection.
     async fn read(
         &self,
         request: Request<Incoming>,
@@ -276,10 +284,10 @@
             .exact()
             .unwrap_or(DEFAULT_BODY_SIZE)
             .min(max as u64) as usize;
-        // What is held at once is bounded. What has no room is read, or a reset would lose the answer.
+        // Memory is bounded. A request without a reservation is read all the same, or a reset would lose the response.
         let mut body_reservation = self.capacity.body(expected);
         let request_reservation = self.capacity.work_unit();
-        let body = match timeout(BODY_TIME, collect(body, max)).await {
+        let body = match timeout(BODY_TIMEOUT, collect(body, max)).await {
             Ok(body) => body?,
             Err(_) => return Err(StatusCode::REQUEST_TIMEOUT),
         };
@@ -311,10 +319,10 @@
         })
     }
 
-    /// Answers a request that was read received. It goes by the routes in force now.
+    /// Routes a request by the configuration in force now.
     async fn respond(&self, received: ReceivedRequest) -> Answer {
         let Some(table) = self.shared.routing() else {
-            return refused(COME_BACK);
+            return service_unavailable(RETRY_AFTER_SECONDS);
         };
         let path = received
             .path_and_query
@@ -330,21 +338,21 @@
         }
         let id = received.headers.get(REQUEST_ID).cloned();
         let Some(id) = id.filter(|id| !id.is_empty()) else {
-            return plain(StatusCode::BAD_REQUEST);
+            return status_only(StatusCode::BAD_REQUEST);
         };
         let Some(target) = self.shared.target(&table, &received.host, path) else {
-            return plain(StatusCode::NOT_FOUND);
+            return status_only(StatusCode::NOT_FOUND);
         };
         if self.is_too_late() {
-            return refused(COME_BACK);
+            return service_unavailable(RETRY_AFTER_SECONDS);
         }
         self.live(received, id, target).await
     }
 
-    /// Whether the process was told to end so long ago that a request which comes now might be cut by its end.
+    /// Whether the shutdown began so long ago that a request accepted now might be cut by its end.
     fn is_too_late(&self) -> bool {
         let stopped = self.lifecycle.lock().stopped();
-        stopped.is_some_and(|stopped| self.shared.clock.now() - stopped >= self.accepts_late)
+        stopped.is_some_and(|stopped| self.shared.clock.now() - stopped >= self.late_accept_seconds)
     }
 
     async fn batch(
@@ -354,7 +362,7 @@
         route: Option<usize>,
     ) -> Answer {
         let Some(handler) = &self.batch else {
-            return refused(COME_BACK);
+            return service_unavailable(RETRY_AFTER_SECONDS);
         };
         let call = BatchCall {
             method: received.method,
@@ -378,12 +386,12 @@
             reservation,
             ..
         } = received;
-        // The same request twice at once would run twice, and nothing can be promised of the one that runs.
-        let once = match target.terms.idempotent {
+        // The same request twice at once would run twice, and the status of the one that runs would be unknown.
+        let reserved_id = match target.terms.idempotent {
             true => None,
-            false => match self.shared.once(&id) {
-                Some(once) => Some(once),
-                None => return plain(StatusCode::BAD_GATEWAY),
+            false => match self.shared.reserve_request_id(&id) {
+                Some(reserved_id) => Some(reserved_id),
+                None => return status_only(StatusCode::BAD_GATEWAY),
             },
         };
         let deadline = headers
@@ -412,33 +420,33 @@
             mode: ExchangeMode::Live,
             project_type: target.project_type,
         };
-        let relay = Relay::new(Exchange::start(&self.shared, new), reservation, once);
-        // Dropped while it waits, the client has left: `relay` tells.
+        let relay = Relay::new(Exchange::start(&self.shared, new), reservation, reserved_id);
+        // If this future is dropped, the client has disconnected: dropping `relay` reports it.
         match poll_fn(|cx| relay.exchange().poll_head(cx)).await {
             Ok(head) => {
                 let mut answer = Response::new(Source::Relay(relay));
                 (*answer.status_mut(), *answer.headers_mut()) = (head.status, head.headers);
                 answer
             }
-            Err(Refusal::NotRun(come_back)) => refused(come_back),
-            Err(Refusal::Unknown) => plain(StatusCode::BAD_GATEWAY),
-            Err(Refusal::TimedOut) => plain(StatusCode::GATEWAY_TIMEOUT),
+            Err(Refusal::NotRun(retry_after)) => service_unavailable(retry_after),
+            Err(Refusal::Unknown) => status_only(StatusCode::BAD_GATEWAY),
+            Err(Refusal::TimedOut) => status_only(StatusCode::GATEWAY_TIMEOUT),
         }
     }
 }
 
-/// When a connection is closed if nothing more comes.
-fn due(sniffer: &Seen, limits: &ClientLimits) -> Instant {
+/// When a connection is closed if nothing more is received.
+fn idle_deadline(sniffer: &Seen, limits: &ClientLimits) -> Instant {
     let idle = limits.idle_timeout() + IDLE_MARGIN;
     let head = limits.header_timeout();
     match sniffer.phase() {
-        Phase::Coming(since) if sniffer.is_busy() => since + head + BODY_TIME,
+        Phase::Coming(since) if sniffer.is_busy() => since + head + BODY_TIMEOUT,
         Phase::Coming(since) | Phase::Idle(since) => since + idle,
-        Phase::Open => Instant::now() + BODY_TIME,
+        Phase::Open => Instant::now() + BODY_TIMEOUT,
     }
 }
 
-/// All of a body that is not too long.
+/// The complete body, up to `max` bytes.
 async fn collect(mut body: Incoming, max: usize) -> Result<Bytes, StatusCode> {
     let mut first = Bytes::new();
     let mut all: Option<BytesMut> = None;
@@ -466,33 +474,33 @@
     Ok(all.map_or(first, BytesMut::freeze))
 }
 
-fn plain(status: StatusCode) -> Answer {
+fn status_only(status: StatusCode) -> Answer {
     if status == StatusCode::SERVICE_UNAVAILABLE {
-        return refused(COME_BACK);
+        return service_unavailable(RETRY_AFTER_SECONDS);
     }
     let mut answer = Response::new(Source::Complete(None));
     *answer.status_mut() = status;
     answer
 }
 
-/// It has not run and never will.
-fn refused(come_back: f64) -> Answer {
+/// A 503: the request has not run and never will.
+fn service_unavailable(retry_after: f64) -> Answer {
     let mut answer = Response::new(Source::Complete(None));
     *answer.status_mut() = StatusCode::SERVICE_UNAVAILABLE;
-    if let Ok(after) = HeaderValue::from_str(&format!("{:.3}", come_back.max(0.001))) {
+    if let Ok(after) = HeaderValue::from_str(&format!("{:.3}", retry_after.max(0.001))) {
         answer.headers_mut().insert(RETRY_AFTER, after);
     }
     answer
 }
 
-/// Whether bytes wait to be read there, also such as we have not been told of.
-fn has_come(socket: RawFd) -> bool {
-    let look = MsgFlags::MSG_PEEK | MsgFlags::MSG_DONTWAIT;
-    recv(socket, &mut [0], look).is_ok_and(|bytes| bytes > 0)
+/// Whether the kernel has unread bytes, also such as the runtime was not notified of.
+fn has_unread_bytes(socket: RawFd) -> bool {
+    let flags = MsgFlags::MSG_PEEK | MsgFlags::MSG_DONTWAIT;
+    recv(socket, &mut [0], flags).is_ok_and(|bytes| bytes > 0)
 }
 
-/// Whether the client has closed its side, also with bytes unread before that.
-fn has_left(socket: &TcpStream, cx: &mut Context) -> bool {
+/// Whether the client has closed its side, also behind unread bytes.
+fn has_disconnected(socket: &TcpStream, cx: &mut Context) -> bool {
     match pin!(socket.ready(Interest::READABLE)).poll(cx) {
         Poll::Ready(ready) => ready.map_or(true, |ready| ready.is_read_closed()),
         Poll::Pending => false,
--- a/crates/mintlb-dispatcher/src/error.rs
+++ b/crates/mintlb-dispatcher/src/error.rs
@@ -1,9 +1,9 @@
-//! Why a dispatcher can't run.
+//! Errors that prevent a dispatcher from starting.
 
 use std::io;
 use std::net::SocketAddr;
 
-/// Why a dispatcher can't run.
+/// A dispatcher can't start.
 #[derive(Debug, thiserror::Error)]
 pub enum DispatchError {
     /// The settings name no address for this.
@@ -12,9 +12,9 @@
     /// It can't listen there.
     #[error("M422 can't listen on {address}: {cause}")]
     Listen {
-        /// Where.
+        /// The address.
         address: SocketAddr,
-        /// What the system said.
+        /// The cause.
         cause: io::Error,
     },
     /// The runtime or its signals can't be set up.
--- a/crates/mintlb-dispatcher/src/events.rs
+++ b/crates/mintlb-dispatcher/src/events.rs
@@ -1,19 +1,19 @@
-//! Events of a stream (`text/event-stream`), cut out of the bytes that came and put in order by their ids.
+//! Parser of server-sent events (`text/event-stream`) that checks the order of their ids.
 //!
-//! Pure. Only whole events pass, so that a stream that breaks never leaves part of one, and none passes twice.
+//! Pure. Only complete events pass, so that a broken stream never leaves part of one, and none passes twice.
 
 use bytes::{Bytes, BytesMut};
 
-/// The longest event that is held until it is whole.
+/// Size limit of a buffered incomplete event.
 const MAX_EVENT_BYTES: usize = 1 << 20;
 
-/// Why the bytes of a worker are not the stream that goes on.
+/// Why a worker's bytes don't continue the stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum StreamError {
     /// An event is longer than any may be.
     #[error("M401 an event of over {MAX_EVENT_BYTES} bytes")]
     TooLong,
-    /// Events are missing between what the client has and what came.
+    /// Events are missing between the client's last one and the first received.
     #[error("M402 events are missing")]
     Gap,
     /// The ids do not rise.
@@ -24,7 +24,7 @@
 /// The events of one run at one worker.
 #[derive(Debug, Default)]
 pub struct EventReader {
-    /// Part of an event.
+    /// The beginning of an incomplete event.
     partial: BytesMut,
     /// The id of the last event that the client has or that it asked to go on after.
     last: Option<u64>,
@@ -47,17 +47,21 @@
         self.last
     }
 
-    /// Whether it holds part of an event.
+    /// Whether an incomplete event is buffered.
     pub fn has_partial(&self) -> bool {
         !self.partial.is_empty()
     }
 
-    /// What is left of a stream whose last event has no blank line.
+    /// The rest of a stream whose last event has no blank line.
     pub fn into_rest(self) -> Bytes {
         self.partial.freeze()
     }
 
-    /// Takes the next bytes and gives the whole events in them that are new.
+    /// Consumes the next bytes and returns the complete new events in them.
+    ///
+    /// # Errors
+    ///
+    /// If an event is too long, or the ids show a gap or don't rise.
     pub fn take(&mut self, bytes: Bytes) -> Result<Bytes, StreamError> {
         let joined = match self.partial.is_empty() {
             true => bytes,
@@ -67,7 +71,7 @@
             }
         };
         let mut passed = 0;
-        // Where events were passed over, what goes on is gathered; usually it is the bytes as they came.
+        // Copies only if events were skipped; usually the received bytes are forwarded as they are.
         let mut gathered: Option<BytesMut> = None;
         while let Some(end) = event_end(&joined[passed..]) {
             let event = &joined[passed..passed + end];
@@ -144,7 +148,7 @@
     data
 }
 
-/// Cuts whole events out of bytes that hold nothing but whole events.
+/// Splits bytes that consist of complete events.
 pub fn split_events(mut events: Bytes) -> impl Iterator<Item = Bytes> {
     std::iter::from_fn(move || {
         let end = event_end(&events)?;
--- a/crates/mintlb-dispatcher/src/exchange.rs
+++ b/crates/mintlb-dispatcher/src/exchange.rs
@@ -1,8 +1,8 @@
-//! One request from its client's side to its workers' side: what was asked, how far the answer has come, and who is to
-//! be woken. The front (or the runner of lots' items) reads the answer while the back writes it.
+//! The state of one request between its client and its workers: request, progress of the response, and wakers. The
+//! downstream side (or the batch executor) reads the response while the upstream side writes it.
 //!
-//! A request may take several sends, one after the other. Of the answer only what is certain passes: whole events of a
-//! stream, in order, each once; of other answers the whole, or a head once its body is too long to be held.
+//! A request may take several attempts, one after the other. Only valid parts of the response pass: complete events of
+//! a stream, in order, each once; other responses completely, or the head once the body exceeds the buffer.
 
 use crate::prompts::{PREFERRED, Prompt};
 use crate::routing::RouteTerms;
@@ -16,23 +16,23 @@
 use std::sync::Arc;
 use std::task::{Context, Poll, Waker};
 
-/// So many bytes may wait for a client that reads slowly before the worker has to wait, too.
+/// Bytes queued for a slow client before its worker is no longer read (backpressure).
 const MAX_QUEUED_BYTES: usize = 256 << 10;
-/// A request that is not over by so many seconds before its limit is not sent again.
+/// A request with less than this many seconds left is not retried.
 const MIN_TIME_LEFT: f64 = 0.05;
-/// What was given up before it was sent anywhere is best tried again after so many seconds.
-const NEVER_SENT_COME_BACK: f64 = 0.05;
-/// Workers that are remembered as tried by one request.
+/// `Retry-After` in seconds for a request that was given up before any attempt.
+const UNSENT_RETRY_AFTER: f64 = 0.05;
+/// Number of workers that a request remembers as attempted.
 const MAX_ATTEMPTED: usize = 4;
 
-/// What was asked.
+/// A client's request.
 #[derive(Debug)]
 pub struct ClientRequest {
     /// Its method.
     pub method: Method,
-    /// Path and query, as they came.
+    /// Path and query as received.
     pub target: String,
-    /// Its headers, without those of one connection only and without those that each send sets.
+    /// Its headers, without hop-by-hop headers and those that each attempt sets.
     pub headers: HeaderMap,
     /// Its id.
     pub id: HeaderValue,
@@ -40,16 +40,16 @@
     pub last_event_id: Option<u64>,
 }
 
-/// How the answers of workers are taken.
+/// How workers' failures are handled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ExchangeMode {
-    /// A client waits: a worker's failure is tried elsewhere where that is allowed.
+    /// A client waits: after a failure the request is retried elsewhere if that is allowed.
     Live,
-    /// An item of a lot: each failure that a worker answers is told as it is.
+    /// An item of a batch job: each failure is reported with the worker's status.
     Item,
 }
 
-/// The head of an answer, as the client gets it.
+/// The head of a response, as the client gets it.
 #[derive(Clone, Debug)]
 pub struct Head {
     /// Its status.
@@ -58,51 +58,51 @@
     pub headers: HeaderMap,
 }
 
-/// How a request ended without an answer of a worker.
+/// How a request ended without a worker's response.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Refusal {
-    /// It has not run and never will; best tried again after so many seconds.
+    /// It has not run and never will; `Retry-After` in seconds.
     NotRun(f64),
-    /// Nobody knows.
+    /// It may have run.
     Unknown,
-    /// Its time is over.
+    /// Its deadline has passed.
     TimedOut,
 }
 
-/// How the body of an answer ended.
+/// How the body of a response ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum End {
     Complete,
     Broken,
 }
 
-/// What a reader of the answer gets next.
+/// The next step of reading a response's body.
 pub enum BodyChunk {
     /// Bytes of the body.
     Data(Bytes),
-    /// The body is whole.
+    /// The body is complete.
     Complete,
-    /// The body will never be whole.
+    /// The body will never be complete.
     Broken,
 }
 
 #[derive(Default)]
 struct State {
-    /// The number under which it is with the reducer now.
-    wu: u64,
-    /// Workers that were handed its whole head.
+    /// Its current number at the reducer.
+    request_number: u64,
+    /// Workers that were sent its complete head.
     attempts: u32,
     attempted: [Option<u64>; MAX_ATTEMPTED],
     may_have_run: bool,
     head: Option<Head>,
-    /// The head was taken by the reader, or bytes are queued for it.
+    /// The reader has got the head, or bytes are queued for it.
     begun: bool,
-    /// The head was handed to the reader.
+    /// The reader has got the head.
     head_taken: bool,
     refusal: Option<Refusal>,
-    /// A failure that a worker answered, kept in case no other does better.
+    /// A worker's failure, which is the response if no retry succeeds.
     failure: Option<(Head, Bytes)>,
-    /// The status by which a worker ended an item that it does not do.
+    /// The status of a worker's failure of an item.
     item_failure: Option<StatusCode>,
     queue: VecDeque<Bytes>,
     queued_bytes: usize,
@@ -115,9 +115,9 @@
     preferred: Option<(u64, [Option<u64>; PREFERRED])>,
 }
 
-/// One request and the state of its answer.
+/// One request and the state of its response.
 pub struct Exchange {
-    /// What was asked.
+    /// A client's request.
     pub request: ClientRequest,
     /// Its body.
     pub body: Bytes,
@@ -125,11 +125,11 @@
     pub terms: Arc<RouteTerms>,
     /// The service drawn for it.
     pub service: Arc<str>,
-    /// What it says of its prompt.
+    /// What its headers say of its prompt.
     pub prompt: Option<Prompt>,
-    /// How workers' failures are taken.
+    /// How workers' failures are handled.
     pub mode: ExchangeMode,
-    /// When it was read, and when its time is over, in seconds of the clock.
+    /// When it was read, and its deadline, in seconds of the clock.
     pub arrived: f64,
     /// See `arrived`.
     pub limit: f64,
@@ -137,7 +137,7 @@
     state: Mutex<State>,
 }
 
-/// What a new exchange is made of.
+/// The parameters of a new exchange.
 pub struct NewExchange {
     /// See [`Exchange`].
     pub request: ClientRequest,
@@ -151,12 +151,12 @@
     pub mode: ExchangeMode,
     /// Its project type.
     pub project_type: usize,
-    /// Seconds from now until its time is over.
+    /// Seconds from now to its deadline.
     pub time_budget: f64,
 }
 
 impl Exchange {
-    /// Hands a request to the reducer. Whoever reads its answer leaves by [`Exchange::abandon`].
+    /// Submits a request to the reducer. A reader that stops early calls [`Exchange::abandon`].
     pub fn start(shared: &Arc<Shared>, new: NewExchange) -> Arc<Exchange> {
         let NewExchange {
             request,
@@ -191,13 +191,13 @@
             shared: shared.clone(),
             state: Mutex::new(state),
         });
-        exchange.clone().arrive(project_type, arrived);
+        exchange.clone().submit(project_type, arrived);
         exchange
     }
 
-    fn arrive(self: Arc<Self>, project_type: usize, now: f64) {
+    fn submit(self: Arc<Self>, project_type: usize, now: f64) {
         let id = self.shared.numbers.next();
-        self.state.lock().wu = id;
+        self.state.lock().request_number = id;
         let once = !self.terms.idempotent;
         let payload = Payload {
             body: self.body.clone(),
@@ -224,12 +224,12 @@
         shared.event_sender.send(Event::Arrived(arrival)).ok();
     }
 
-    /// What links it with the rest of the dispatcher.
+    /// State shared by the dispatcher's tasks.
     pub fn shared(&self) -> &Arc<Shared> {
         &self.shared
     }
 
-    // What the back asks and tells.
+    // Called by the upstream side.
 
     /// Whether it may be sent to a worker at all.
     pub fn may_be_sent(&self) -> bool {
@@ -242,7 +242,7 @@
         self.state.lock().attempted.contains(&Some(worker))
     }
 
-    /// The head of the request is about to be whole at this worker, which may begin then.
+    /// Records that the complete head is about to reach this worker, which may then start.
     pub fn sent(&self, worker: u64) {
         let mut state = self.state.lock();
         let position = state.attempts as usize % MAX_ATTEMPTED;
@@ -251,35 +251,35 @@
         state.may_have_run = true;
     }
 
-    /// The worker has said that it has not run what was sent last.
+    /// Records the worker's statement that the last attempt has not run.
     pub fn not_run(&self, ran_before: bool) {
         self.state.lock().may_have_run = ran_before;
     }
 
-    /// Its head was not written whole after all.
+    /// Revokes [`Exchange::sent`]: the head was not written completely.
     pub fn not_sent(&self, ran_before: bool) {
         let mut state = self.state.lock();
         state.attempts -= 1;
         state.may_have_run = ran_before;
     }
 
-    /// Whether an earlier send may have run.
+    /// Whether an earlier attempt may have run.
     pub fn may_have_run(&self) -> bool {
         self.state.lock().may_have_run
     }
 
-    /// The last event that the client has got or will get.
+    /// The last event sent to the client or queued for it.
     pub fn last_event(&self) -> Option<u64> {
         self.state.lock().last_event
     }
 
-    /// Whether part of an answer has passed: all that follows has to go on from there.
+    /// Whether part of a response has passed, so that any retry has to resume there.
     pub fn has_begun(&self) -> bool {
         self.state.lock().begun
     }
 
-    /// Passes on part of an answer. The first part brings the head; a head that comes with a later run is dropped, as the
-    /// answer keeps its first.
+    /// Queues part of a response. The first part brings the head; the head of a later attempt is dropped, as the
+    /// response keeps its first.
     pub fn pass(&self, head: &mut Option<Head>, bytes: Bytes, last_event: Option<u64>) {
         let mut state = self.state.lock();
         if !state.begun {
@@ -294,19 +294,19 @@
         wake(&mut state);
     }
 
-    /// Whether an answer that has begun can go on with another run.
-    pub fn can_go_on(&self) -> bool {
-        can_go_on(&self.state.lock(), &self.terms)
+    /// Whether a response that has begun can be resumed by another attempt.
+    pub fn can_resume(&self) -> bool {
+        can_resume(&self.state.lock(), &self.terms)
     }
 
-    /// Passes on the last part of an answer that is no stream.
+    /// Queues the last part of a response that is no stream.
     pub fn finish(&self, head: &mut Option<Head>, bytes: Bytes) {
         let last_event = self.last_event();
         self.pass(head, bytes, last_event);
         self.complete();
     }
 
-    /// A worker has answered an item with a failure, also after others had done part of it.
+    /// Records a worker's failure of an item, also after other attempts produced part of its output.
     pub fn fail_item(&self, head: Head) {
         let mut state = self.state.lock();
         state.item_failure = Some(head.status);
@@ -322,31 +322,31 @@
         wake(&mut state);
     }
 
-    /// The status by which a worker ended an item that it does not do.
+    /// The status of a worker's failure of an item.
     pub fn item_failure(&self) -> Option<StatusCode> {
         self.state.lock().item_failure
     }
 
-    /// The answer is whole.
+    /// Completes the response.
     pub fn complete(&self) {
         let mut state = self.state.lock();
         state.end = state.end.or(Some(End::Complete));
         wake(&mut state);
     }
 
-    /// The answer will never be whole.
-    pub fn break_off(&self) {
+    /// Ends the response as truncated.
+    pub fn truncate(&self) {
         let mut state = self.state.lock();
         state.end = state.end.or(Some(End::Broken));
         wake(&mut state);
     }
 
-    /// Keeps a failure that a worker answered.
+    /// Stores a worker's failure as the response if no retry succeeds.
     pub fn store_failure(&self, head: Head, body: Bytes) {
         self.state.lock().failure = Some((head, body));
     }
 
-    /// Waits until the client has taken most of what is queued for it.
+    /// Ready while fewer than `MAX_QUEUED_BYTES` are queued for the client.
     pub fn poll_queue_space(&self, cx: &Context) -> Poll<()> {
         let mut state = self.state.lock();
         if state.queued_bytes < MAX_QUEUED_BYTES {
@@ -356,7 +356,7 @@
         Poll::Pending
     }
 
-    /// The workers that are preferred for its prompt, as ranked when the table of workers was of this age.
+    /// The workers preferred for its prompt, ranked once per age of the worker table.
     pub fn preferred(
         &self,
         age: u64,
@@ -369,9 +369,9 @@
         }
     }
 
-    // What the reader asks and tells.
+    // Called by the reader.
 
-    /// The head of the answer, or why there is none.
+    /// The head of the response, or why there is none.
     pub fn poll_head(&self, cx: &Context) -> Poll<Result<Head, Refusal>> {
         let mut state = self.state.lock();
         if let Some(head) = state.head.take() {
@@ -385,7 +385,7 @@
         Poll::Pending
     }
 
-    /// The next of the answer's body.
+    /// The next chunk of the response's body.
     pub fn poll_chunk(&self, cx: &Context) -> Poll<BodyChunk> {
         let mut state = self.state.lock();
         if let Some(bytes) = state.queue.pop_front() {
@@ -405,13 +405,13 @@
         }
     }
 
-    /// How many bytes of the body are left, if it is whole.
+    /// The unread bytes of the body, if it is complete.
     pub fn remaining_length(&self) -> Option<u64> {
         let state = self.state.lock();
         (state.end == Some(End::Complete)).then_some(state.queued_bytes as u64)
     }
 
-    /// Nobody reads the answer any more.
+    /// Cancels the request: its client has disconnected.
     pub fn abandon(&self) {
         let mut state = self.state.lock();
         if std::mem::replace(&mut state.abandoned, true)
@@ -420,12 +420,15 @@
         {
             return;
         }
-        self.shared.event_sender.send(Event::Left(state.wu)).ok();
+        self.shared
+            .event_sender
+            .send(Event::Left(state.request_number))
+            .ok();
     }
 
-    // What the reducer decided.
+    // Decisions of the reducer.
 
-    /// The reducer has nothing more to try under this number.
+    /// The reducer makes no further attempt under this number: submits the request again, or ends it.
     fn retry_or_conclude(self: Arc<Self>, refusal: Refusal) {
         let now = self.shared.clock.now();
         let retry = {
@@ -433,11 +436,11 @@
             if state.abandoned || state.end.is_some() {
                 return;
             }
-            // What was begun, or may have run, and may run again, is worth another try past its first promise.
-            let is_resumable_or_unconfirmed = state.begun && can_go_on(&state, &self.terms)
+            // An idempotent request that has begun or may have run gets another deadline at the scheduler.
+            let is_resumable_or_unconfirmed = state.begun && can_resume(&state, &self.terms)
                 || !state.begun && state.may_have_run && state.failure.is_none();
             let allowed = self.terms.idempotent && state.attempts < self.terms.max_attempts;
-            let in_time = now + MIN_TIME_LEFT < self.limit && !self.shared.is_ending();
+            let in_time = now + MIN_TIME_LEFT < self.limit && !self.shared.is_exiting();
             let retry = is_resumable_or_unconfirmed
                 && allowed
                 && in_time
@@ -452,7 +455,7 @@
             let table = self.shared.routing();
             let number = table.and_then(|table| table.type_of(&self.terms.name, &self.service));
             match number {
-                Some(number) => self.arrive(number, now),
+                Some(number) => self.submit(number, now),
                 None => {
                     let mut state = self.state.lock();
                     conclude(&mut state, refusal);
@@ -463,7 +466,7 @@
     }
 }
 
-/// The final state of an answer that no worker completes.
+/// The final state of a response that no worker completes.
 fn conclude(state: &mut State, refusal: Refusal) {
     if state.begun {
         state.end = Some(End::Broken);
@@ -477,15 +480,15 @@
     }
     state.refusal = Some(match refusal {
         Refusal::NotRun(_) if state.may_have_run => Refusal::Unknown,
-        // No worker was handed its whole head, and none will be.
+        // No worker was sent its complete head, and none will be.
         Refusal::Unknown | Refusal::TimedOut if !state.may_have_run => {
-            Refusal::NotRun(NEVER_SENT_COME_BACK)
+            Refusal::NotRun(UNSENT_RETRY_AFTER)
         }
         refusal => refusal,
     });
 }
 
-fn can_go_on(state: &State, terms: &RouteTerms) -> bool {
+fn can_resume(state: &State, terms: &RouteTerms) -> bool {
     terms.resumable && state.last_event.is_some()
 }
 
@@ -495,21 +498,23 @@
     }
 }
 
-/// Where the reducer's answer goes.
+/// Receives the reducer's final decision on a request.
 struct Settlement(Arc<Exchange>);
 
 impl Settle for Settlement {
     fn settle(self: Box<Self>, answer: Answer) {
         let exchange = self.0;
-        // The last send ends shortly before its client's time is over.
+        // The last attempt ends shortly before the client's deadline.
         let over = exchange.shared.clock.now() + MIN_TIME_LEFT >= exchange.limit;
         match answer {
-            // The back has passed it on already.
+            // The upstream side has forwarded the response already.
             Answer::Completed(_) => {}
             Answer::Deferred(_) | Answer::Aborted if over => {
                 exchange.retry_or_conclude(Refusal::TimedOut)
             }
-            Answer::Deferred(come_back) => exchange.retry_or_conclude(Refusal::NotRun(come_back)),
+            Answer::Deferred(retry_after) => {
+                exchange.retry_or_conclude(Refusal::NotRun(retry_after))
+            }
             Answer::Aborted | Answer::Repeated => exchange.retry_or_conclude(Refusal::Unknown),
         }
     }
--- a/crates/mintlb-dispatcher/src/lib.rs
+++ b/crates/mintlb-dispatcher/src/lib.rs
@@ -1,18 +1,19 @@
-//! The data plane of the serving tier: clients' requests and the items of lots, through one reducer, to workers.
+//! The data plane of the serving tier: clients' requests and items of batch jobs, through one reducer, to workers.
 //!
 //! ```text
-//!   clients ──> front ──Event──> reducer ──Act──> hands ──Order──> back ──> workers
-//!                 ^              (decide)  └ permit                 │
-//!                 └───────────────── exchange <─────────────────────┘
+//!   clients ──> downstream ──Event──> reducer ──Act──> hands ──Order──> upstream ──> workers
+//!                   ^               (scheduler) └ permit                   │
+//!                   └─────────────────── exchange <────────────────────────┘
 //! ```
 //!
-//! The reducer and the decisions are those of `mintlb serve`; a project type is a route and a service of the operator's
-//! configuration. What has to be known of routes and workers comes as records by the overlay.
+//! Reducer and scheduler are those of `mintlb serve`; a project type is a pair of route and service of the operator's
+//! configuration. Routes and workers are known from gossip records.
 //!
-//! Pure: [`routing`], [`tuning`], [`prompts`], [`events`], [`wire`]. State of one request: [`exchange`]. Shared by all:
-//! [`shared`] with [`workers`]; filled by [`cluster_state`]. Sockets: [`front`] with [`body`], [`readiness`], [`back`] with
-//! [`connection`], [`request`], [`answer`]. What may go where: [`permits`]. Lots: [`batch_executor`], [`batch`]. Joined by
-//! [`dispatcher`], started by [`mod@run`].
+//! - Pure: [`routing`], [`tuning`], [`prompts`], [`events`], [`wire`], [`load`].
+//! - State of one request: [`exchange`]. Shared state: [`shared`] with [`workers`], updated by [`cluster_state`].
+//! - Sockets: [`downstream`] with [`body`], [`readiness`], [`upstream`] with [`connection`], [`request`], [`answer`].
+//! - Admission to workers: [`permits`]. Batch jobs: [`batch_executor`], [`batch`].
+//! - Event loop: [`dispatcher`], started by [`mod@run`].
 
 pub mod answer;
 pub mod batch;
--- a/crates/mintlb-dispatcher/src/load.rs
+++ b/crates/mintlb-dispatcher/src/load.rs
@@ -1,11 +1,10 @@
-//! How many of a worker's places are taken, as far as this dispatcher can tell: what the worker said last, and what was
-//! sent there since. Pure.
+//! Estimate of a worker's occupied slots: its last load report, and what this dispatcher sent there since. Pure.
 //!
-//! Other dispatchers send there, too, so a word counts for a short time only.
+//! Other dispatchers send there, too, so a report is valid for a short time only.
 
-/// A word of a worker's load counts for so long, in s.
-const FRESH: f64 = 0.5;
-/// Items of lots leave this part of a worker's places to live requests.
+/// How long a load report is valid, in seconds.
+const REPORT_VALIDITY: f64 = 0.5;
+/// The share of a worker's slots that batch items leave to live requests.
 const LIVE_SHARE: f64 = 0.25;
 
 /// `Mintlb-Instance-Load`: requests that run and wait at a worker, and how many may run.
@@ -29,23 +28,23 @@
         let [running, waiting, slots] = values[..] else {
             return None;
         };
-        let good = values
+        let is_valid = values
             .iter()
             .all(|value| value.is_finite() && *value >= 0.0);
-        good.then_some(Load {
+        is_valid.then_some(Load {
             running,
             waiting,
             slots,
         })
     }
 
-    /// Places that are free.
+    /// Free slots.
     pub fn free(&self) -> f64 {
         (self.slots - self.running - self.waiting).max(0.0)
     }
 }
 
-/// What is known of a worker's load.
+/// The estimate of a worker's load.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct KnownLoad {
     reported: Load,
@@ -54,7 +53,7 @@
 }
 
 impl KnownLoad {
-    /// The worker says this at `now` (seconds of the clock).
+    /// Records a worker's report received at `now` (seconds of the clock).
     pub fn record(&mut self, load: Load, now: f64) {
         *self = KnownLoad {
             reported: load,
@@ -68,28 +67,28 @@
         self.sent_since += 1.0;
     }
 
-    /// Whether a live request finds a place, as far as can be told.
+    /// Whether a slot is free for a live request; true without a valid report.
     pub fn has_free_slot(&self, now: f64) -> bool {
-        !self.is_fresh(now) || self.taken() < self.reported.slots
+        !self.has_valid_report(now) || self.occupied() < self.reported.slots
     }
 
-    /// Whether an item of a lot finds a place and leaves enough of them to live requests; `own` requests of this
+    /// Whether a slot is free for a batch item that leaves enough of them to live requests; `own` requests of this
     /// dispatcher are there.
     pub fn has_free_slot_for_item(&self, now: f64, own: f64) -> bool {
         let limit = self.reported.slots * (1.0 - LIVE_SHARE);
-        let taken = if self.is_fresh(now) {
-            self.taken()
+        let occupied = if self.has_valid_report(now) {
+            self.occupied()
         } else {
             own
         };
-        self.reported.slots == 0.0 || taken < limit
+        self.reported.slots == 0.0 || occupied < limit
     }
 
-    fn taken(&self) -> f64 {
+    fn occupied(&self) -> f64 {
         self.reported.running + self.reported.waiting + self.sent_since
     }
 
-    fn is_fresh(&self, now: f64) -> bool {
-        self.reported.slots > 0.0 && now - self.reported_at < FRESH
+    fn has_valid_report(&self, now: f64) -> bool {
+        self.reported.slots > 0.0 && now - self.reported_at < REPORT_VALIDITY
     }
 }
--- a/crates/mintlb-dispatcher/src/log_bridge.rs
+++ b/crates/mintlb-dispatcher/src/log_bridge.rs
@@ -1,4 +1,4 @@
-//! The core's log lines, passed on to the tier's log.
+//! Forwards the log of `mintlb-core` (slog) to the `log` facade.
 
 use slog::{Drain, Level, Logger, Never, OwnedKVList, Record, o};
 
@@ -18,7 +18,7 @@
     }
 }
 
-/// What the core logs to.
+/// The logger for `mintlb-core`.
 pub fn logger() -> Logger {
     Logger::root(ToLog.fuse(), o!())
 }
--- a/crates/mintlb-dispatcher/src/permits.rs
+++ b/crates/mintlb-dispatcher/src/permits.rs
@@ -1,5 +1,5 @@
-//! What is asked, beside the decisions, whether a request may go to a worker now: attempts, connections, memory, and
-//! where its prompt is likely to be kept.
+//! Admission of a request to a worker, beside the scheduler's decisions: attempts, connections, memory, load, and where
+//! its prompt is likely to be cached.
 
 use crate::exchange::{Exchange, ExchangeMode};
 use crate::prompts::{Prompt, preferred};
@@ -11,16 +11,16 @@
 use mintlb_scheduler::{WorkUnit, Worker};
 use std::sync::Arc;
 
-/// This part of a worker's memory is filled by what one dispatcher sends there.
+/// The share of a worker's memory that one dispatcher may fill.
 const MEMORY_SHARE: f64 = 0.8;
-/// This part of a request's target it waits for a worker that is likely to have its prompt.
+/// The share of its latency target for which a request waits for a worker that is likely to have its prompt cached.
 const WAIT_SHARE: f64 = 1.0 / 3.0;
-/// This part of a worker's connections is left for health checks and uneven shares.
+/// The share of a worker's connections for dispatchers; the rest is left for health checks and imbalance.
 const CONNECTION_SHARE: f64 = 0.8;
-/// A dispatcher may have so many connections to a worker at least.
+/// The least number of connections to a worker that each dispatcher may have.
 const LEAST_CONNECTIONS: usize = 2;
 
-/// The permit of a dispatcher.
+/// The admission checks of a dispatcher.
 pub struct Permits {
     shared: Arc<Shared>,
 }
@@ -34,7 +34,7 @@
     /// Connections that this dispatcher may have to one worker.
     fn connections(&self, service: ServiceTerms) -> usize {
         let share = f64::from(service.max_connections) * CONNECTION_SHARE
-            / self.shared.dispatchers() as f64;
+            / self.shared.dispatcher_count() as f64;
         if service.max_connections == 0 {
             usize::MAX
         } else {
@@ -43,7 +43,12 @@
     }
 
     /// Whether one more request fits there.
-    fn fits(&self, worker: &WorkerEntry, prompt: Option<Prompt>, service: ServiceTerms) -> bool {
+    fn has_capacity(
+        &self,
+        worker: &WorkerEntry,
+        prompt: Option<Prompt>,
+        service: ServiceTerms,
+    ) -> bool {
         let tokens = prompt.map_or(0, |prompt| prompt.tokens);
         let memory = service
             .kv_cache_tokens
@@ -52,8 +57,8 @@
         worker.in_service() && in_memory && worker.requests() < self.connections(service)
     }
 
-    /// Whether another worker is likely to have its prompt, and has room for it.
-    fn has_better(
+    /// Whether another worker is likely to have its prompt cached, and has capacity for it.
+    fn has_preferred_alternative(
         &self,
         exchange: &Exchange,
         prompt: Prompt,
@@ -65,7 +70,7 @@
         let best = exchange.preferred(workers.age(), rank);
         let others = || best.iter().flatten().filter_map(|id| workers.get(*id));
         !best.contains(&Some(worker.id))
-            && others().any(|other| self.fits(&other, Some(prompt), service))
+            && others().any(|other| self.has_capacity(&other, Some(prompt), service))
     }
 }
 
@@ -82,7 +87,7 @@
             .routing()
             .map(|table| table.service(&entry.service))
             .unwrap_or_default();
-        if !exchange.may_be_sent() || !self.fits(&entry, exchange.prompt, service) {
+        if !exchange.may_be_sent() || !self.has_capacity(&entry, exchange.prompt, service) {
             return Permission::Refused;
         }
         let load = entry.load();
@@ -93,7 +98,7 @@
         if !has_free_slot {
             return Permission::Refused;
         }
-        if exchange.has_attempted(entry.id) && self.shared.workers.has_other(&entry) {
+        if exchange.has_attempted(entry.id) && self.shared.workers.has_alternative(&entry) {
             return Permission::Refused;
         }
         let wait_until = wu.arrived + exchange.terms.target * WAIT_SHARE;
@@ -104,7 +109,7 @@
             .prompt
             .filter(|prompt| prefers_cached && prompt.is_long())
         {
-            Some(prompt) if self.has_better(exchange, prompt, &entry, service) => {
+            Some(prompt) if self.has_preferred_alternative(exchange, prompt, &entry, service) => {
                 Permission::NotBefore(wait_until)
             }
             _ => Permission::Granted,
--- a/crates/mintlb-dispatcher/src/prompts.rs
+++ b/crates/mintlb-dispatcher/src/prompts.rs
@@ -1,21 +1,21 @@
-//! Where a request with a long prompt should run: at a worker whose cache is likely to hold the shared parts of it.
+//! Prefix-cache affinity: a request with a long prompt prefers a worker that is likely to have its shared prefix cached.
 //!
 //! Pure. All dispatchers rank workers alike by a rendezvous hash of the prompt's subject, so that the requests of one
-//! subject meet at the same few workers without anybody telling anybody.
+//! subject meet at the same few workers without coordination.
 
-/// Shared parts of fewer tokens are read anew in less time than it takes to look for a worker that has them.
+/// Shorter shared prefixes are prefilled faster than a worker that has them cached becomes free.
 const LONG_TOKENS: u64 = 2000;
 /// The workers that are preferred for one subject.
 pub const PREFERRED: usize = 1;
 
-/// What a request says of its prompt.
+/// A request's declaration of its prompt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Prompt {
-    /// A hash of the parts that are shared, which a cache must hold one after the other.
+    /// A hash of the shared prefix segments, which a cache has in this order.
     pub subject: u64,
-    /// Tokens of the shared parts together.
+    /// Tokens of the shared prefix.
     pub shared_tokens: u64,
-    /// Tokens of the prompt and the most out: what it may take of a worker's memory.
+    /// Tokens of the prompt and of the longest output: its KV cache demand.
     pub tokens: u64,
 }
 
@@ -42,7 +42,7 @@
         })
     }
 
-    /// Whether it matters which worker has its shared parts.
+    /// Whether its shared prefix is long enough for an affinity.
     pub fn is_long(&self) -> bool {
         self.shared_tokens >= LONG_TOKENS
     }
@@ -60,7 +60,7 @@
 const HASH_START: u64 = 0xcbf2_9ce4_8422_2325;
 
 fn hash_bytes(hash: u64, bytes: &[u8]) -> u64 {
-    // A byte that no part holds separates them.
+    // A byte that no segment contains separates them.
     let bytes = bytes.iter().chain(std::iter::once(&0xff));
     bytes.fold(hash, |hash, byte| {
         (hash ^ u64::from(*byte)).wrapping_mul(0x0100_0000_01b3)
--- a/crates/mintlb-dispatcher/src/readiness.rs
+++ b/crates/mintlb-dispatcher/src/readiness.rs
@@ -1,4 +1,4 @@
-//! Answers the platform's question whether clients should come here.
+//! The readiness endpoint for the platform's load balancer.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -6,26 +6,26 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::{sleep, timeout};
 
-/// The longest question.
+/// Size limit of a request.
 const MAX_REQUEST_BYTES: usize = 4 << 10;
-/// A connection that asks nothing for so long is closed.
-const IDLE: Duration = Duration::from_secs(10);
-/// After a failure to accept, so long until the next try.
-const PAUSE: Duration = Duration::from_millis(50);
+/// Idle timeout of a connection.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
+/// Backoff after a failed accept.
+const ACCEPT_BACKOFF: Duration = Duration::from_millis(50);
 
 const READY: &[u8] = b"HTTP/1.1 200 OK\r\ncontent-length: 0\r\n\r\n";
 const NOT_READY: &[u8] = b"HTTP/1.1 503 Service Unavailable\r\ncontent-length: 0\r\n\r\n";
 const NOT_FOUND: &[u8] = b"HTTP/1.1 404 Not Found\r\ncontent-length: 0\r\n\r\n";
 
-/// Whether clients should come.
+/// Whether the process is ready for clients.
 pub type IsReady = Arc<dyn Fn() -> bool + Send + Sync>;
 
-/// Answers until it is dropped.
+/// Serves until it is dropped.
 pub async fn listen(listener: TcpListener, is_ready: IsReady) {
     loop {
         match listener.accept().await {
             Ok((stream, _)) => drop(tokio::spawn(answer(stream, is_ready.clone()))),
-            Err(_) => sleep(PAUSE).await,
+            Err(_) => sleep(ACCEPT_BACKOFF).await,
         }
     }
 }
@@ -36,7 +36,7 @@
     loop {
         let end = request.windows(4).position(|bytes| bytes == b"\r\n\r\n");
         let Some(end) = end else {
-            let read = timeout(IDLE, stream.read_buf(&mut request)).await;
+            let read = timeout(IDLE_TIMEOUT, stream.read_buf(&mut request)).await;
             if request.len() > MAX_REQUEST_BYTES || !matches!(read, Ok(Ok(1..))) {
                 return;
             }
--- a/crates/mintlb-dispatcher/src/request.rs
+++ b/crates/mintlb-dispatcher/src/request.rs
@@ -1,4 +1,4 @@
-//! A client's request as it goes on to a worker: as it came, but for what belongs to a connection and to each send.
+//! Encoding of a client's request for a worker: unchanged but for hop-by-hop headers and those that each attempt sets.
 
 use crate::exchange::Exchange;
 use axum::http::header::{
@@ -7,7 +7,7 @@
 use axum::http::{HeaderMap, HeaderValue, Method};
 use bytes::Bytes;
 
-/// Names the worker that is meant: any other does not run the request.
+/// Names the target worker; any other rejects the request.
 pub const TARGET_INSTANCE: &str = "mintlb-target-instance";
 /// How long the client waits, in ms.
 pub const DEADLINE: &str = "mintlb-deadline-ms";
@@ -15,14 +15,14 @@
 pub const REQUEST_ID: &str = "mintlb-request-id";
 /// The last event that a client has.
 pub const LAST_EVENT_ID: &str = "last-event-id";
-/// A worker's stamp on its answer.
+/// A worker's signature of its response.
 pub const SIGNATURE: &str = "mintlb-response-signature";
-/// An answer with it says that the request was not run.
+/// In a response: the request was not run.
 pub const NOT_EXECUTED: &str = "mintlb-not-executed";
-/// What a worker says of its load.
+/// A worker's load report.
 pub const LOAD: &str = "mintlb-instance-load";
 
-/// Takes out the headers that concern one connection only.
+/// Removes hop-by-hop headers (RFC 9110, section 7.6.1).
 pub fn strip_connection_headers(headers: &mut HeaderMap) {
     let named: Vec<HeaderName> = headers
         .get_all(CONNECTION)
@@ -50,7 +50,7 @@
     }
 }
 
-/// Takes out what each send sets anew.
+/// Removes headers that each attempt sets.
 pub fn strip_own_headers(headers: &mut HeaderMap) {
     for own in [TARGET_INSTANCE, DEADLINE, REQUEST_ID, LAST_EVENT_ID] {
         headers.remove(own);
--- a/crates/mintlb-dispatcher/src/routing.rs
+++ b/crates/mintlb-dispatcher/src/routing.rs
@@ -1,6 +1,6 @@
-//! The routes in force: which project type and service a request belongs to.
+//! The routing table: maps host and path to a route, a service and a project type.
 //!
-//! A table is built whole from one configuration and swapped whole, so that no request sees parts of two.
+//! A table is built from one configuration and swapped atomically, so that no request sees a mix of two.
 
 use mintlb_common::configuration::{Configuration, Route, RouteType};
 use mintlb_core::types::Named;
@@ -12,21 +12,21 @@
 pub struct RouteTerms {
     /// The route's name.
     pub name: String,
-    /// What may be repeated, and how answers come.
+    /// Kind of the route: idempotence and form of its responses.
     pub route_type: RouteType,
-    /// A stream may go on at another worker.
+    /// A stream may be resumed at another worker.
     pub resumable: bool,
     /// A request may run more than once.
     pub idempotent: bool,
-    /// The largest number of workers one try may be sent to.
+    /// Limit of workers that a request may be sent to.
     pub max_attempts: u32,
-    /// The longest that a request is held, in s.
+    /// Time limit of a request, in seconds.
     pub timeout: f64,
-    /// Within which an answer earns its full worth, in s.
+    /// Latency target within which a response has its full value, in seconds.
     pub target: f64,
-    /// The longest pause between events of an answer in time, in s.
+    /// Target of the gap between two events of a response, in seconds.
     pub gap: Option<f64>,
-    /// Requests name their prompts' parts.
+    /// Requests declare the segments of their prompts.
     pub session_affinity: bool,
 }
 
@@ -52,7 +52,7 @@
     services: FxHashMap<String, ServiceTerms>,
 }
 
-/// What the workers of a service bear.
+/// Limits of a service's workers.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ServiceTerms {
     /// Connections that a worker accepts from all callers together; 0 is no limit.
@@ -70,13 +70,12 @@
     shares: Vec<(f64, Arc<str>, usize)>,
 }
 
-/// The name of the project type of a route and a service. Neither holds this sign twice in the same place, as the
-/// service comes after the last one.
+/// The name of the project type of a route and a service. It is unambiguous, as the service follows the last `@`.
 pub fn type_name(route: &str, service: &str) -> String {
     format!("{route}@{service}")
 }
 
-/// The longest time that a request without a `timeout_ms` of its route is held, in s.
+/// Time limit of a request whose route has no `timeout_ms`, in seconds.
 const DEFAULT_TIMEOUT: f64 = 60.0;
 
 impl RouteTerms {
@@ -148,7 +147,7 @@
         }
     }
 
-    /// What the workers of this service bear.
+    /// Limits of this service's workers.
     pub fn service(&self, name: &str) -> ServiceTerms {
         self.services.get(name).copied().unwrap_or_default()
     }
@@ -162,7 +161,7 @@
         entries.iter().find(|entry| path.starts_with(&entry.prefix))
     }
 
-    /// The place in the configuration's list, and the terms, of the route of a request.
+    /// Index in the configuration's list, and terms, of the route of a request.
     pub fn route(&self, host: &str, path: &str) -> Option<(usize, &Arc<RouteTerms>)> {
         self.entry(host, path)
             .map(|entry| (entry.index, &entry.terms))
--- a/crates/mintlb-dispatcher/src/run.rs
+++ b/crates/mintlb-dispatcher/src/run.rs
@@ -1,4 +1,4 @@
-//! The verb `mintlb dispatch`: a dispatcher from its settings, on the overlay.
+//! The command `mintlb dispatch`: starts a dispatcher from its settings and joins it to the gossip.
 
 use crate::batch;
 use crate::cluster_state::{self, ClusterUpdate};
@@ -17,12 +17,16 @@
 use tokio::net::{TcpListener, TcpSocket};
 use tokio::time::sleep;
 
-/// Connections that wait to be accepted.
+/// Length of the accept queue.
 const BACKLOG: u32 = 1024;
-/// How often the number of dispatchers is estimated anew.
+/// Interval at which the number of dispatchers is estimated.
 const ESTIMATE: Duration = Duration::from_secs(2);
 
 /// Runs a dispatcher until SIGTERM.
+///
+/// # Errors
+///
+/// If an address is missing or can't be bound, or the runtime can't be set up.
 pub fn run(settings: NodeSettings) -> Result<(), DispatchError> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
@@ -31,7 +35,7 @@
 }
 
 async fn serve(settings: NodeSettings) -> Result<(), DispatchError> {
-    // What changes in the settings of a dispatcher holds from its next start.
+    // A dispatcher's settings are read at its start only.
     let mut signals = Signals::install()?;
     let addresses = &settings.listen_addresses;
     let frontend = listen(
@@ -96,7 +100,7 @@
     Ok(())
 }
 
-/// Keeps the number of dispatchers that share the workers.
+/// Updates the number of dispatchers that share the workers.
 async fn estimate(gossip: Arc<GossipService>, shared: Arc<Shared>) {
     loop {
         let others = gossip
@@ -104,7 +108,7 @@
             .iter()
             .filter(|member| member.role == Role::Dispatcher)
             .count();
-        shared.take_dispatchers(others + 1);
+        shared.set_dispatcher_count(others + 1);
         sleep(ESTIMATE).await;
     }
 }
--- a/crates/mintlb-dispatcher/src/shared.rs
+++ b/crates/mintlb-dispatcher/src/shared.rs
@@ -1,4 +1,4 @@
-//! What all parts of a dispatcher share.
+//! State shared by the dispatcher's tasks: clock, worker table, routes in force, ids in progress.
 
 use crate::routing::{RoutingTable, Target};
 use crate::workers::WorkerTable;
@@ -14,37 +14,37 @@
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering::Relaxed};
 use tokio::sync::mpsc::UnboundedSender;
 
-/// What all parts of a dispatcher share.
+/// State shared by the dispatcher's tasks.
 pub struct Shared {
-    /// The one clock.
+    /// The clock of all tasks.
     pub clock: Clock,
-    /// Numbers of requests.
+    /// Generator of request numbers.
     pub numbers: Numbers,
-    /// The way to the reducer.
+    /// Channel to the reducer.
     pub event_sender: UnboundedSender<Event>,
-    /// The workers, as the overlay's records tell.
+    /// The workers known from gossip records.
     pub workers: WorkerTable,
     routing: ArcSwapOption<RoutingTable>,
-    dispatchers: AtomicUsize,
+    dispatcher_count: AtomicUsize,
     ending: AtomicBool,
     rng: Mutex<Chance>,
-    once_ids: Mutex<FxHashSet<HeaderValue>>,
+    reserved_request_ids: Mutex<FxHashSet<HeaderValue>>,
 }
 
-/// The id of a request that may run once only, for as long as its client waits for the answer.
-pub struct OnceId {
+/// Reserves the id of a non-idempotent request while its client waits for the response.
+pub struct RequestIdReservation {
     shared: Arc<Shared>,
     id: HeaderValue,
 }
 
-impl Drop for OnceId {
+impl Drop for RequestIdReservation {
     fn drop(&mut self) {
-        self.shared.once_ids.lock().remove(&self.id);
+        self.shared.reserved_request_ids.lock().remove(&self.id);
     }
 }
 
 impl Shared {
-    /// With no routes and no workers yet.
+    /// Without routes or workers.
     pub fn new(clock: Clock, event_sender: UnboundedSender<Event>, seed: u64) -> Shared {
         let (numbers, workers, routing) = Default::default();
         Shared {
@@ -53,17 +53,17 @@
             event_sender,
             workers,
             routing,
-            dispatchers: AtomicUsize::new(1),
+            dispatcher_count: AtomicUsize::new(1),
             ending: AtomicBool::new(false),
             rng: Mutex::new(Chance::new(seed)),
-            once_ids: Mutex::default(),
+            reserved_request_ids: Mutex::default(),
         }
     }
 
-    /// Takes a request in that may run once only; none if one with its id is under way here, which would run again.
-    pub fn once(self: &Arc<Self>, id: &HeaderValue) -> Option<OnceId> {
-        let is_new = self.once_ids.lock().insert(id.clone());
-        is_new.then(|| OnceId {
+    /// Reserves the id of a non-idempotent request; `None` if one with this id is in progress here and would run twice.
+    pub fn reserve_request_id(self: &Arc<Self>, id: &HeaderValue) -> Option<RequestIdReservation> {
+        let is_new = self.reserved_request_ids.lock().insert(id.clone());
+        is_new.then(|| RequestIdReservation {
             shared: self.clone(),
             id: id.clone(),
         })
@@ -74,32 +74,32 @@
         self.routing.load_full()
     }
 
-    /// These routes are in force from now on.
-    pub fn take_routing(&self, table: RoutingTable) {
+    /// Puts a routing table in force.
+    pub fn set_routing(&self, table: RoutingTable) {
         self.routing.store(Some(Arc::new(table)));
     }
 
-    /// How many dispatchers there are, this one included, as far as is known.
-    pub fn dispatchers(&self) -> usize {
-        self.dispatchers.load(Relaxed)
+    /// Number of known dispatchers, this one included.
+    pub fn dispatcher_count(&self) -> usize {
+        self.dispatcher_count.load(Relaxed)
     }
 
-    /// See [`Shared::dispatchers`].
-    pub fn take_dispatchers(&self, count: usize) {
-        self.dispatchers.store(count.max(1), Relaxed);
+    /// See [`Shared::dispatcher_count`].
+    pub fn set_dispatcher_count(&self, count: usize) {
+        self.dispatcher_count.store(count.max(1), Relaxed);
     }
 
-    /// Whether the process ends now: nothing is sent again.
-    pub fn is_ending(&self) -> bool {
+    /// Whether the process is about to exit: nothing is retried any more.
+    pub fn is_exiting(&self) -> bool {
         self.ending.load(Relaxed)
     }
 
-    /// See [`Shared::is_ending`].
+    /// See [`Shared::is_exiting`].
     pub fn end(&self) {
         self.ending.store(true, Relaxed);
     }
 
-    /// Where a request goes by these routes.
+    /// The target of a request by these routes; draws the service by weight.
     pub fn target(&self, table: &RoutingTable, host: &str, path: &str) -> Option<Target> {
         let draw = self.rng.lock().draw();
         table.target(host, path, draw, |service| self.workers.serves(service))
--- a/crates/mintlb-dispatcher/src/tuning.rs
+++ b/crates/mintlb-dispatcher/src/tuning.rs
@@ -1,4 +1,4 @@
-//! What the decisions are told of a configuration: a project type for each route and service, and their terms.
+//! The scheduler's settings from a configuration: a project type for each route and service, and their terms.
 //!
 //! Pure.
 
@@ -9,24 +9,24 @@
 use mintlb_scheduler::{Costs, Effect, ProjectType};
 use std::collections::{HashMap, HashSet};
 
-/// The part of its worth that an answer after the target still earns, as deployments have it.
+/// The share of its value that a response after the latency target still has.
 const LATE_VALUE: f64 = 0.3;
-/// Each rank of priority weighs so many times the next one.
+/// Ratio of the weights of two adjacent priority ranks.
 const RANK_WEIGHT: f64 = 4.0;
 /// Ranks beyond this weigh as much as it.
 const MAX_RANK: u32 = 8;
-/// Items of lots weigh this part of a request of the same rank.
+/// The weight of batch items, relative to a request of the same rank.
 const BATCH_WEIGHT: f64 = 1.0 / 16.0;
-/// Sends of one request, those that reached no worker included. How many workers a request may be sent to is its
-/// route's `max_attempts`, which the permit keeps.
+/// Limit of attempts of one request, those that reached no worker included. How many workers a request may reach is its
+/// route's `max_attempts`, which [`crate::permits`] enforces.
 const MAX_SENDS: usize = 8;
-/// Clients heed advice on when to come back up to this, in s.
+/// Limit of `Retry-After` that clients respect, in seconds.
 const COME_BACK: f64 = 1.0;
-/// What crossing zones costs, in points for each send.
+/// Cost of an attempt in another zone, in points.
 const CROSSING: f64 = 0.02;
 /// A request without a target has this one, in s.
 const USUAL_TARGET: f64 = 1.0;
-/// The longest that an item of a lot is held, in s.
+/// Time limit of a batch item, in seconds.
 const MAX_ITEM_TIME: f64 = 120.0;
 
 /// Numbers of services, the same for as long as the process lasts.
@@ -103,7 +103,7 @@
     }
 }
 
-/// What may be sent again: one send at a time, within the module's own bound.
+/// Retry policy: one attempt at a time, within the scheduler's own limit.
 pub fn repeats() -> Repeats {
     Repeats {
         parallel: false,
@@ -112,7 +112,7 @@
     }
 }
 
-/// What costs points.
+/// Costs in points.
 pub fn costs() -> Costs {
     Costs {
         crossing: CROSSING,
@@ -120,7 +120,7 @@
     }
 }
 
-/// How long clients heed advice on when to come back, in s.
+/// Limit of `Retry-After` that clients respect, in seconds.
 pub fn come_back() -> f64 {
     COME_BACK
 }
--- a/crates/mintlb-dispatcher/src/upstream.rs
+++ b/crates/mintlb-dispatcher/src/upstream.rs
@@ -1,9 +1,9 @@
-//! Sends to workers: one send an order, its outcome told once.
+//! Attempts at workers: one task per order of the scheduler, whose outcome is reported exactly once.
 //!
-//! What has surely not run is told as such, all else may have run. A request counts as sent once the last byte of its
-//! head may have reached the worker, which may begin, and answer, before it has read a long body.
+//! Attempts that certainly did not run are reported as such; all others may have run. A request counts as sent once the
+//! last byte of its head may have reached the worker, which may start, and respond, before it has read a long body.
 
-use crate::answer::{Answered, Reading};
+use crate::answer::{ReadOutcome, ResponseReader};
 use crate::connection::Connection;
 use crate::exchange::Exchange;
 use crate::request::{self, RequestBytes};
@@ -17,11 +17,11 @@
 use tokio::task::AbortHandle;
 use tokio::time::timeout_at;
 
-/// A connection that is to be reset as it comes up, or that the worker is closing, shows it within a round trip: so long
-/// the last byte of the head of a request that may run once only waits.
-const PROVING: Duration = Duration::from_millis(3);
+/// How long the last byte of the head of a non-idempotent request is delayed on an unproven connection: one that the
+/// worker resets or closes shows it within a round trip.
+const LIVENESS_CHECK: Duration = Duration::from_millis(3);
 
-/// The way to one worker.
+/// Starts attempts at one worker.
 pub struct WorkerUpstream(pub Arc<WorkerEntry>);
 
 impl Display for WorkerUpstream {
@@ -46,7 +46,7 @@
     fn probe(&self, _worker: u64) {}
 }
 
-/// Closing its connection is the protocol's only way to call a send off.
+/// A started attempt. Closing its connection is the protocol's only way to cancel it.
 struct SpawnedSend(AbortHandle);
 
 impl Recall for SpawnedSend {
@@ -55,23 +55,23 @@
     }
 }
 
-/// One send of a request to a worker.
+/// One attempt of a request at a worker.
 struct Attempt {
     worker: Arc<WorkerEntry>,
     exchange: Arc<Exchange>,
     order: Order,
 }
 
-/// What came of a send.
+/// The result of an attempt, for the scheduler.
 pub struct WorkerEvent {
-    /// For the decisions.
+    /// How the attempt ended.
     pub outcome: Outcome,
-    /// Places that the worker says are free.
+    /// Free slots that the worker reported, if it did.
     pub free_slots: Option<f64>,
 }
 
 impl WorkerEvent {
-    /// With nothing told of places.
+    /// Without a report of free slots.
     pub fn with(outcome: Outcome) -> WorkerEvent {
         WorkerEvent {
             outcome,
@@ -87,19 +87,19 @@
             .worker
             .occupy(self.exchange.prompt.map_or(0, |prompt| prompt.tokens));
         let end = shared.clock.instant(self.order.until);
-        let event = timeout_at(end, self.carry_out()).await;
+        let event = timeout_at(end, self.execute()).await;
         let WorkerEvent {
             outcome,
             free_slots,
         } = event.unwrap_or_else(|_| WorkerEvent::with(Outcome::TimedOut));
         drop(occupied);
-        log::debug!("back: {} {:?}", self.worker.instance_id, outcome);
+        log::debug!("upstream: {} {:?}", self.worker.instance_id, outcome);
         let back = Back {
             report: Report { free_slots },
             ..Back::with(self.order.alloc, outcome)
         };
         shared.event_sender.send(Event::Back(back)).ok();
-        // Nothing more will be sent for it, so its answer is due.
+        // No further attempt is allowed, so the client's response is due.
         if outcome != Outcome::Completed && !self.exchange.may_be_sent() {
             shared
                 .event_sender
@@ -108,9 +108,9 @@
         }
     }
 
-    async fn carry_out(&self) -> WorkerEvent {
-        // A part of an answer that can't go on must not begin again.
-        if self.exchange.has_begun() && !self.exchange.can_go_on() {
+    async fn execute(&self) -> WorkerEvent {
+        // A response that has begun and can't be resumed must not begin again.
+        if self.exchange.has_begun() && !self.exchange.can_resume() {
             return WorkerEvent::with(Outcome::Moot);
         }
         let id = self.exchange.request.id.as_bytes();
@@ -128,43 +128,43 @@
         if let Err(outcome) = self.send(&mut connection).await {
             return WorkerEvent::with(outcome);
         }
-        let reading = Reading {
+        let reader = ResponseReader {
             worker: &self.worker,
             exchange: &self.exchange,
             attempt: self.order.alloc,
         };
-        let Answered {
+        let ReadOutcome {
             event,
             not_run,
             reuse,
-        } = reading.read(&mut connection).await;
+        } = reader.read(&mut connection).await;
         if not_run {
             self.exchange.not_run(ran_before);
         }
         if let Some(reuse) = reuse {
-            self.worker.pool.give_back(connection, reuse.idle);
+            self.worker.pool.release(connection, reuse.idle);
         }
         event
     }
 
-    /// Sends the request. An error where its head is not whole at the worker, so that it can't run.
+    /// Sends the request. An error means that the worker lacks its complete head, so that it can't run.
     async fn send(&self, connection: &mut Connection) -> Result<(), Outcome> {
         let left = self.order.until - self.exchange.shared().clock.now();
         let RequestBytes {
             mut bytes,
             head_length,
         } = request::bytes(&self.exchange, &self.worker.instance_id, left);
-        self.still_meant()?;
-        if self.order.payload.once && !connection.is_proven() {
+        self.check_still_valid()?;
+        if self.order.payload.once && !connection.was_active_just_now() {
             let first = bytes.split_to(head_length - 1);
             connection
                 .write(&first)
                 .await
                 .map_err(|_| Outcome::NoConnection)?;
-            if !connection.stays_quiet(PROVING).await {
+            if !connection.stays_silent(LIVENESS_CHECK).await {
                 return Err(Outcome::NoConnection);
             }
-            self.still_meant()?;
+            self.check_still_valid()?;
         }
         let ran_before = self.exchange.may_have_run();
         self.exchange.sent(self.worker.id);
@@ -175,9 +175,9 @@
         })
     }
 
-    /// An error where nothing more may go to this worker.
-    fn still_meant(&self) -> Result<(), Outcome> {
-        let meant = !self.order.taken_back.is_cancelled() && self.worker.in_service();
-        meant.then_some(()).ok_or(Outcome::Full)
+    /// An error if the attempt was cancelled or the worker is out of service.
+    fn check_still_valid(&self) -> Result<(), Outcome> {
+        let is_valid = !self.order.taken_back.is_cancelled() && self.worker.in_service();
+        is_valid.then_some(()).ok_or(Outcome::Full)
     }
 }
--- a/crates/mintlb-dispatcher/src/wire.rs
+++ b/crates/mintlb-dispatcher/src/wire.rs
@@ -1,6 +1,6 @@
-//! What a worker's answer is made of: its head, and the framing of its body.
+//! HTTP/1.1 parser of workers' responses: the head, and the framing of the body.
 //!
-//! Pure: bytes in, parts out. Whatever is no answer in the protocol is garbled, and is never passed on.
+//! Pure. Bytes that violate the protocol are [`Garbled`] and never forwarded.
 
 use axum::http::header::{CONNECTION, CONTENT_LENGTH, TRANSFER_ENCODING};
 use axum::http::{HeaderMap, HeaderName, HeaderValue, StatusCode};
@@ -8,35 +8,35 @@
 use httparse::{EMPTY_HEADER, Status};
 use std::time::Duration;
 
-/// The longest head of an answer.
+/// Size limit of a response's head.
 const MAX_HEAD_BYTES: usize = 32 << 10;
-/// The most headers of an answer.
+/// Limit of headers in a response.
 const MAX_HEADERS: usize = 96;
-/// The longest line that tells a chunk's size, or is a trailer.
+/// Length limit of a chunk-size line or a trailer.
 const MAX_LINE_BYTES: usize = 4 << 10;
 
-/// The bytes form no answer.
+/// The bytes form no valid response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("M411 the worker's bytes form no answer: {0}")]
 pub struct Garbled(pub &'static str);
 
-/// How an answer's body ends.
+/// How the body of a response ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Framing {
-    /// After so many bytes.
+    /// After this many bytes.
     Length(u64),
     /// With the last chunk.
     Chunked,
-    /// With the connection; one that is reset was not whole.
+    /// With the connection; a reset means that it was truncated.
     UntilClose,
 }
 
-/// The head of a worker's answer.
+/// The head of a worker's response.
 #[derive(Clone, Debug)]
 pub struct AnswerHead {
     /// Its status.
     pub status: StatusCode,
-    /// All headers as they came.
+    /// All headers as received.
     pub headers: HeaderMap,
     /// How its body ends.
     pub framing: Framing,
@@ -45,7 +45,11 @@
 }
 
 impl AnswerHead {
-    /// Takes a whole head off the front of the bytes, if it is there.
+    /// Consumes a head from the buffer, once it is complete.
+    ///
+    /// # Errors
+    ///
+    /// If the bytes form no valid head.
     pub fn take(bytes: &mut BytesMut) -> Result<Option<AnswerHead>, Garbled> {
         loop {
             let Some((length, head)) = parse(bytes)? else {
@@ -62,8 +66,8 @@
         }
     }
 
-    /// After how long of idleness the worker says that it closes the connection.
-    pub fn keep_alive(&self) -> Option<Duration> {
+    /// The idle timeout of the connection that the worker declares.
+    pub fn declared_idle_timeout(&self) -> Option<Duration> {
         let value = self.headers.get("keep-alive")?.to_str().ok()?;
         let seconds = value
             .split(',')
@@ -72,7 +76,7 @@
     }
 }
 
-/// The head's length, and the head unless it is an interim one, which only says that another will come.
+/// The head's length, and the head unless it is an interim response (1xx).
 fn parse(bytes: &[u8]) -> Result<Option<(usize, Option<AnswerHead>)>, Garbled> {
     let mut headers = [EMPTY_HEADER; MAX_HEADERS];
     let mut answer = httparse::Response::new(&mut headers);
@@ -145,13 +149,13 @@
         .ok_or(Garbled("a length"))
 }
 
-/// Whether a list of tokens names this one.
+/// Whether a comma-separated list contains this token.
 pub fn has_token(value: &HeaderValue, token: &str) -> bool {
     let mut tokens = value.as_bytes().split(|byte| *byte == b',');
     tokens.any(|named| named.trim_ascii().eq_ignore_ascii_case(token.as_bytes()))
 }
 
-/// Takes a body out of the bytes of a connection.
+/// Decodes a body from the bytes of a connection.
 #[derive(Debug)]
 pub struct BodyReader {
     at: At,
@@ -159,7 +163,7 @@
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum At {
-    /// So many bytes are left of the whole body.
+    /// Bytes left of a body with a length.
     Rest(u64),
     UntilClose,
     ChunkSize,
@@ -194,7 +198,11 @@
         self.is_done()
     }
 
-    /// The next piece of the body, if one is there.
+    /// The next chunk of the body, if one is buffered.
+    ///
+    /// # Errors
+    ///
+    /// If the chunked framing is invalid.
     pub fn take(&mut self, bytes: &mut BytesMut) -> Result<Option<Bytes>, Garbled> {
         loop {
             match self.at {
@@ -244,7 +252,7 @@
     bytes.split_to(length).freeze()
 }
 
-/// The next line, without its end, if it is whole.
+/// The next line without its CRLF, once it is complete.
 fn line(bytes: &mut BytesMut) -> Result<Option<BytesMut>, Garbled> {
     let Some(end) = bytes
         .iter()
--- a/crates/mintlb-dispatcher/src/workers.rs
+++ b/crates/mintlb-dispatcher/src/workers.rs
@@ -1,4 +1,4 @@
-//! The workers that the records name, each with its connections and what of this dispatcher's work is there.
+//! The worker table: each worker with its connection pool, reported load, and this dispatcher's requests there.
 
 use crate::connection::Pool;
 use crate::load::{KnownLoad, Load};
@@ -14,7 +14,7 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// A worker that is silent for so long has ended; its record is dropped by then.
+/// A worker that is unresponsive for so long is removed; its record has expired by then.
 const UNRESPONSIVE_RETENTION: Duration = Duration::from_secs(60);
 
 /// One worker: an incarnation, which never changes its address or service.
@@ -27,10 +27,10 @@
     pub service: String,
     /// Its connections.
     pub pool: Pool,
-    /// How the decisions know it.
+    /// Its zone and service at the scheduler.
     numbers: EndpointNumbers,
     in_service: AtomicBool,
-    /// Its heartbeats have stopped, since then.
+    /// When its heartbeats stopped, if they have.
     unresponsive_since: Mutex<Option<Instant>>,
     requests: AtomicUsize,
     tokens: AtomicU64,
@@ -51,12 +51,12 @@
         }
     }
 
-    /// Whether it takes new requests.
+    /// Whether it accepts new requests.
     pub fn in_service(&self) -> bool {
         self.in_service.load(Relaxed)
     }
 
-    /// It is not what the records say.
+    /// Takes it out of service: it is not the incarnation that the records name.
     pub fn take_out_of_service(&self) {
         self.in_service.store(false, Relaxed);
         self.pool.sweep(true);
@@ -67,17 +67,17 @@
         self.requests.load(Relaxed)
     }
 
-    /// What these may take of its memory, in tokens.
+    /// The KV cache demand of these, in tokens.
     pub fn tokens(&self) -> u64 {
         self.tokens.load(Relaxed)
     }
 
-    /// The worker says this of its load.
+    /// Records a load report of the worker.
     pub fn record_load(&self, load: Load, now: f64) {
         self.load.lock().record(load, now);
     }
 
-    /// What is known of its load.
+    /// The estimate of its load.
     pub fn load(&self) -> KnownLoad {
         *self.load.lock()
     }
@@ -111,11 +111,11 @@
 #[derive(Default)]
 pub struct WorkerTable {
     entries: Mutex<FxHashMap<u64, Arc<WorkerEntry>>>,
-    /// Rises whenever a worker comes, goes, or takes requests or none.
+    /// Incremented whenever a worker is added, removed, or changes whether it accepts requests.
     age: AtomicU64,
 }
 
-/// The numbers by which the decisions know zones and services.
+/// The scheduler's numbers of a worker's zone and service.
 #[derive(Clone, Copy, Debug)]
 pub struct EndpointNumbers {
     /// Of the zone.
@@ -125,7 +125,7 @@
 }
 
 impl WorkerTable {
-    /// Rises whenever a worker comes, goes, or takes requests or none.
+    /// Incremented whenever a worker is added, removed, or changes whether it accepts requests.
     pub fn age(&self) -> u64 {
         self.age.load(Relaxed)
     }
@@ -135,7 +135,7 @@
         self.entries.lock().get(&id).cloned()
     }
 
-    /// How many workers take requests.
+    /// Number of workers that accept requests.
     pub fn in_service(&self) -> usize {
         self.entries
             .lock()
@@ -144,7 +144,7 @@
             .count()
     }
 
-    /// Whether a worker of this service takes requests.
+    /// Whether a worker of this service accepts requests.
     pub fn serves(&self, service: &str) -> bool {
         self.entries
             .lock()
@@ -152,15 +152,15 @@
             .any(|entry| entry.service == service && entry.in_service())
     }
 
-    /// Whether another worker of its service takes requests.
-    pub fn has_other(&self, worker: &WorkerEntry) -> bool {
+    /// Whether another worker of its service accepts requests.
+    pub fn has_alternative(&self, worker: &WorkerEntry) -> bool {
         let entries = self.entries.lock();
         entries
             .values()
             .any(|e| e.id != worker.id && e.service == worker.service && e.in_service())
     }
 
-    /// Calls this with the numbers of all workers of a service that take requests.
+    /// Calls `call` with the numbers of all workers of a service that accept requests.
     pub fn with_service<T>(
         &self,
         service: &str,
@@ -171,7 +171,7 @@
         call(&mut entries.values().filter(ready).map(|entry| entry.id))
     }
 
-    /// Closes idle connections that will not be used again.
+    /// Closes idle connections that can't be reused.
     pub fn sweep(&self) {
         self.entries
             .lock()
@@ -179,14 +179,14 @@
             .for_each(|entry| entry.pool.sweep(!entry.in_service()));
     }
 
-    /// Takes a record in, and gives what the reducer has to hear of it. Nothing for a record that can't be used.
+    /// Applies a record and returns the change for the reducer; `None` for a record without a usable address.
     pub fn apply_record(
         &self,
         record: &WorkerRecord,
         numbers: EndpointNumbers,
         reach: impl FnOnce(Arc<WorkerEntry>) -> Arc<dyn Reach>,
     ) -> Option<Member> {
-        // A controller that did not know the worker says no more of it than that it has ended.
+        // A controller that did not know the worker publishes its end without an address.
         let address: Option<SocketAddr> = record.address.parse().ok();
         let id = worker_id(&record.instance_id);
         let is_deregistered = record.state == WorkerState::Deregistered;
@@ -238,8 +238,8 @@
         })
     }
 
-    /// Forgets the workers that have been silent for long and have none of our requests: one that comes back has to
-    /// register as any other. What the reducer has to hear of them.
+    /// Removes workers that were unresponsive for long and have none of our requests; one that returns has to register
+    /// again. Returns the changes for the reducer.
     pub fn remove_unresponsive(&self) -> Vec<Member> {
         let mut entries = self.entries.lock();
         let is_over = |entry: &WorkerEntry| {
--- a/crates/mintlb-dispatcher/tests/batch.rs
+++ b/crates/mintlb-dispatcher/tests/batch.rs
@@ -1,4 +1,4 @@
-//! Lots at a dispatcher: what is read, what is refused, how an item goes on, which is next.
+//! Batch jobs at a dispatcher: submission, rejection, retry and resumption of items, order of the queue.
 
 use mintlb_batch::client::{CommittedResult, Item, ItemResult, LeasedItem};
 use mintlb_batch::entry::{ItemState, JobTerms};
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn a_lot_is_read_as_it_was_sent() {
+fn a_submission_is_parsed_unchanged() {
     let read = items(
         r#"[{"instance_id":"e5","path":"/p/3/91","headers":{"Mintlb-Model":"m"},"body":"q83vEg==","tokens":940}]"#,
     );
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn a_wrong_item_is_named_by_its_place_and_field() {
+fn an_invalid_item_is_reported_by_position_and_field() {
     let wrong = [
         (
             r#"[{"instance_id":"a","path":"/p/1"},{"instance_id":"a","path":"/p/2"}]"#,
@@ -86,8 +86,35 @@
     );
 }
 
+/// Clients see these texts, so the type keeps the name that serde puts into them.
 #[test]
-fn a_page_says_what_is_listed() {
+fn the_texts_of_unreadable_submissions_keep_the_name_lot() {
+    let configuration = Configuration::parse(CONFIGURATION.as_bytes()).unwrap();
+    let text = |json: &str| {
+        submission::parse(json.as_bytes(), &configuration.route_list[0])
+            .unwrap_err()
+            .to_string()
+    };
+    assert_eq!(
+        text("5"),
+        "M411 the lot can't be read: invalid type: integer `5`, expected struct Lot at line 1 column 1"
+    );
+    assert_eq!(
+        text("[]"),
+        "M411 the lot can't be read: invalid length 0, expected struct Lot with 1 element at line 1 column 2"
+    );
+    assert_eq!(
+        text("{}"),
+        "M411 the lot can't be read: missing field `requests` at line 1 column 2"
+    );
+    assert_eq!(
+        text(r#"{"requests":[5]}"#),
+        "M411 the lot can't be read: invalid type: integer `5`, expected struct Request at line 1 column 14"
+    );
+}
+
+#[test]
+fn a_page_lists_results_as_json() {
     let result = CommittedResult {
         instance_id: "e5".into(),
         state: ItemState::Completed,
@@ -108,7 +135,7 @@
 };
 
 #[test]
-fn an_attempt_that_breaks_goes_on_after_its_last_event() {
+fn a_broken_attempt_resumes_after_its_last_event() {
     let mut progress = Progress::default();
     progress.event(Some(1), b"one");
     progress.event(Some(2), b"two");
@@ -164,7 +191,7 @@
     );
 }
 
-/// The lot was taken where the time of day was 2 s behind, and its item runs where it is 2 s ahead and a little more.
+/// The job was accepted by a dispatcher whose clock was 2 s behind; its item runs at one that is over 2 s ahead.
 #[test]
 fn two_clocks_that_are_off_give_no_item_up_early() {
     let clocks_apart = 4_500;
@@ -177,7 +204,7 @@
 }
 
 #[test]
-fn a_route_that_is_missing_for_a_moment_costs_no_item() {
+fn a_briefly_missing_route_fails_no_item() {
     let mut progress = Progress::default();
     assert!(matches!(
         progress.ended(&AttemptOutcome::NoRoute, &TERMS, 2_000),
@@ -217,7 +244,7 @@
 }
 
 #[test]
-fn the_item_due_first_runs_first_and_each_once() {
+fn items_run_once_in_order_of_due_time() {
     let mut queue = ItemQueue::default();
     for item in [
         leased("late", 0, 9_000),
@@ -237,7 +264,7 @@
 }
 
 #[test]
-fn no_more_run_than_may_and_what_ends_makes_room() {
+fn concurrency_is_limited_and_a_finished_item_frees_a_slot() {
     let mut queue = ItemQueue::default();
     (0..3).for_each(|index| queue.add(leased("lot", index, 0)));
     let (first, _) = queue.start(2).unwrap();
@@ -249,7 +276,7 @@
 }
 
 #[test]
-fn an_ended_lot_runs_no_more_and_is_not_renewed() {
+fn an_ended_job_is_neither_run_nor_renewed() {
     let mut queue = ItemQueue::default();
     (0..3).for_each(|index| queue.add(leased("ended", index, 0)));
     queue.add(leased("other", 0, 5_000));
@@ -264,7 +291,7 @@
 }
 
 #[test]
-fn a_lease_that_crosses_the_end_of_its_lot_brings_nothing_to_run() {
+fn a_lease_that_arrives_after_its_job_ended_queues_nothing() {
     let mut queue = ItemQueue::default();
     let host = "a.example".to_string();
     assert!(
@@ -290,7 +317,7 @@
 }
 
 #[test]
-fn ended_lots_are_remembered_within_a_bound() {
+fn the_number_of_remembered_ended_jobs_is_bounded() {
     let mut queue = ItemQueue::default();
     for number in 0..5000 {
         queue.end_job(("a.example".to_string(), number.to_string()));
@@ -309,7 +336,7 @@
 }
 
 #[test]
-fn failed_attempts_count_on_at_another_dispatcher() {
+fn failed_attempts_carry_over_to_another_dispatcher() {
     let mut queue = ItemQueue::default();
     queue.add(leased("lot", 2, 0));
     let (number, _) = queue.start(1).unwrap();
@@ -322,12 +349,12 @@
         progress.ended(&AttemptOutcome::Failed, &TERMS, 2_000),
         Next::RunAgain(_)
     ));
-    let told = queue.failed(number, progress.failures()).unwrap();
+    let report = queue.failed(number, progress.failures()).unwrap();
     let failures = ItemFailures {
         item: 2,
         attempts: 2,
     };
-    assert_eq!((told.items, told.failures), (vec![2], vec![failures]));
+    assert_eq!((report.items, report.failures), (vec![2], vec![failures]));
     assert_eq!(
         queue.leased()[0].failures,
         [failures],
@@ -335,16 +362,16 @@
     );
     queue.finish(number);
     assert!(queue.leased().is_empty());
-    // The next holder is told of it with the lease: the third failure is the last.
+    // The next lease holder gets the count with the lease: the third failure is the last.
     let mut next = Progress::after_failures(2);
-    assert!(!next.is_spent(&TERMS));
+    assert!(!next.has_exhausted_attempts(&TERMS));
     assert_eq!(
         next.ended(&AttemptOutcome::Failed, &TERMS, 2_000),
         Next::Record(ItemResult::Unrecoverable)
     );
     // After the third, or a 422, whose record got lost, nobody runs it again.
-    assert!(Progress::after_failures(next.failures()).is_spent(&TERMS));
+    assert!(Progress::after_failures(next.failures()).has_exhausted_attempts(&TERMS));
     let mut never = Progress::default();
     never.ended(&AttemptOutcome::CannotBeDone, &TERMS, 2_000);
-    assert!(Progress::after_failures(never.failures()).is_spent(&TERMS));
+    assert!(Progress::after_failures(never.failures()).has_exhausted_attempts(&TERMS));
 }
--- a/crates/mintlb-dispatcher/tests/chaos.rs
+++ b/crates/mintlb-dispatcher/tests/chaos.rs
@@ -1,4 +1,4 @@
-//! Many requests to workers that misbehave in every way at once: what the rules forbid never happens.
+//! Many concurrent requests to misbehaving workers: invariants of the tier are never violated.
 
 mod machine;
 
@@ -18,23 +18,23 @@
 /// How often each request's work was begun, by its id.
 type Runs = Rc<RefCell<HashMap<String, usize>>>;
 
-/// The events of a request's whole stream.
+/// Number of events in a request's complete stream.
 fn length(id: &str) -> u64 {
     1 + id.bytes().map(u64::from).sum::<u64>() % 9
 }
 
-/// What a whole answer that is no stream holds.
+/// The complete body of a response that is no stream.
 fn body(id: &str) -> String {
     format!("answer to {id} ").repeat(1 + length(id) as usize)
 }
 
-fn one_of(chance: &mut Chance, of: u64) -> u64 {
-    (chance.draw() * of as f64) as u64
+fn one_of(rng: &mut Chance, of: u64) -> u64 {
+    (rng.draw() * of as f64) as u64
 }
 
-async fn misbehave(mut received: ReceivedRequest, runs: Runs, chance: &mut Chance) {
+async fn misbehave(mut received: ReceivedRequest, runs: Runs, rng: &mut Chance) {
     let id = received.id();
-    match one_of(chance, 20) {
+    match one_of(rng, 20) {
         0 | 1 => return received.refuse().await,
         2 => {
             let own = "mintlb-request-id: {id}\r\nmintlb-not-executed: full\r\ncontent-length: 4\r\n\r\nbusy";
@@ -51,7 +51,7 @@
         _ => *runs.borrow_mut().entry(id.clone()).or_default() += 1,
     }
     let is_stream = received.head.starts_with("POST /s/") || received.head.starts_with("POST /r/");
-    match one_of(chance, 34) {
+    match one_of(rng, 34) {
         0 => drop(received),
         1 => received.on.reset(),
         2 => {
@@ -144,7 +144,7 @@
 
 /// Sends requests one after the other and checks each answer.
 async fn client(machine: Rc<Machine>, name: usize, runs: Runs) -> HashMap<u16, usize> {
-    let mut seen: HashMap<u16, usize> = HashMap::new();
+    let mut responses_by_status: HashMap<u16, usize> = HashMap::new();
     let mut connection: Option<Client> = None;
     for number in 0..REQUESTS {
         let path = ["/p/", "/o/", "/s/", "/r/"][(name + number) % 4];
@@ -158,7 +158,7 @@
         let got = on.get().await;
         let ran = runs.borrow().get(&id).copied().unwrap_or(0);
         let (once, resumes) = (matches!(path, "/o/" | "/s/"), path == "/r/");
-        *seen.entry(got.status).or_default() += 1;
+        *responses_by_status.entry(got.status).or_default() += 1;
         if once {
             assert!(ran <= 1, "{id} ran {ran} times");
             assert!(
@@ -197,11 +197,11 @@
         let closes = header(&got.head, "connection").is_some();
         connection = (got.complete && !closes).then_some(on);
     }
-    seen
+    responses_by_status
 }
 
 #[test]
-fn the_rules_hold_whatever_workers_do() {
+fn invariants_are_kept_with_misbehaving_workers() {
     for seed in 1..4_u64 {
         on_one_thread(async move {
             let machine = Rc::new(Machine::start().await);
@@ -210,28 +210,27 @@
             for number in 0..WORKERS {
                 let mut worker = Worker::start(&format!("i-{number}"), "s").await;
                 machine.set_worker(&worker, WorkerState::InService, 1).await;
-                let (runs, mut chance) = (runs.clone(), Chance::new(seed * 100 + number as u64));
+                let (runs, mut rng) = (runs.clone(), Chance::new(seed * 100 + number as u64));
                 tokio::task::spawn_local(async move {
                     loop {
-                        misbehave(
-                            worker.next_request_untimed().await,
-                            runs.clone(),
-                            &mut chance,
-                        )
-                        .await;
+                        misbehave(worker.next_request_untimed().await, runs.clone(), &mut rng)
+                            .await;
                     }
                 });
             }
             let clients = (0..CLIENTS)
                 .map(|name| tokio::task::spawn_local(client(machine.clone(), name, runs.clone())));
-            let mut seen: HashMap<u16, usize> = HashMap::new();
+            let mut responses_by_status: HashMap<u16, usize> = HashMap::new();
             for client in clients.collect::<Vec<_>>() {
                 for (status, count) in client.await.unwrap() {
-                    *seen.entry(status).or_default() += count;
+                    *responses_by_status.entry(status).or_default() += count;
                 }
             }
-            println!("{seen:?}");
-            assert!(seen[&200] > CLIENTS * REQUESTS / 4, "{seen:?}");
+            println!("{responses_by_status:?}");
+            assert!(
+                responses_by_status[&200] > CLIENTS * REQUESTS / 4,
+                "{responses_by_status:?}"
+            );
         });
     }
 }
--- a/crates/mintlb-dispatcher/tests/clients.rs
+++ b/crates/mintlb-dispatcher/tests/clients.rs
@@ -1,4 +1,4 @@
-//! What a client gets and when, what each send says of the time that is left, and what happens once a client has left.
+//! Deadlines, retries and disconnects from a client's point of view.
 
 mod machine;
 
--- a/crates/mintlb-dispatcher/tests/events.rs
+++ b/crates/mintlb-dispatcher/tests/events.rs
@@ -1,4 +1,4 @@
-//! Events of a stream out of bytes that come in any pieces, and their order.
+//! Parsing and ordering of server-sent events for any chunking of the bytes.
 
 use arbtest::arbtest;
 use bytes::Bytes;
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn however_the_bytes_are_cut_whole_events_pass_in_order() {
+fn complete_events_pass_in_order_for_any_chunking() {
     arbtest(|u| {
         let count: u64 = u.int_in_range(0..=12)?;
         let after: Option<u64> = if u.arbitrary()? {
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn a_run_that_leaves_events_out_or_goes_back_is_refused() {
+fn a_gap_or_disorder_of_event_ids_is_rejected() {
     let take = |after, ids: &[u64]| EventReader::after(after).take(run(ids.iter().copied()).into());
     assert_eq!(take(Some(4), &[6]), Err(StreamError::Gap));
     assert_eq!(take(Some(4), &[4, 6]), Err(StreamError::Gap));
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn an_end_without_a_blank_line_is_kept() {
+fn a_final_event_without_a_separator_is_retained() {
     let mut reader = EventReader::after(None);
     assert_eq!(
         reader
--- a/crates/mintlb-dispatcher/tests/items.rs
+++ b/crates/mintlb-dispatcher/tests/items.rs
@@ -1,4 +1,4 @@
-//! Items of lots through a dispatcher's intake.
+//! Batch items executed by a dispatcher's batch executor.
 
 mod machine;
 
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn failures_are_told_as_they_are() {
+fn worker_failures_are_reported_by_status() {
     on_one_thread(async {
         let (machine, mut worker) = with_worker().await;
         let mut run = machine.batch_executor.run(item("e5", None));
@@ -110,10 +110,10 @@
             .answer_as("422 Never", "content-length: 0\r\n\r\n")
             .await;
         assert_eq!(run.next().await, ItemStep::Ended(ItemOutcome::CannotBeDone));
-        let mut gone = item("e5", None);
-        gone.path = "/nowhere/1".to_string();
+        let mut unroutable = item("e5", None);
+        unroutable.path = "/nowhere/1".to_string();
         assert_eq!(
-            machine.batch_executor.run(gone).next().await,
+            machine.batch_executor.run(unroutable).next().await,
             ItemStep::Ended(ItemOutcome::NoRoute)
         );
     });
@@ -156,7 +156,7 @@
 }
 
 #[test]
-fn a_failure_after_part_of_an_item_counts() {
+fn a_failure_after_partial_output_counts() {
     on_one_thread(async {
         let (machine, mut one) = with_worker().await;
         let mut two = Worker::start("i-2", "s").await;
@@ -203,7 +203,7 @@
 }
 
 #[test]
-fn an_item_that_is_dropped_leaves_its_worker() {
+fn a_cancelled_item_closes_its_worker_connection() {
     on_one_thread(async {
         let (machine, mut worker) = with_worker().await;
         let run = machine.batch_executor.run(item("e5", None));
