--- a/crates/mintlb-dispatcher/tests/lifecycle.rs
+++ b/crates/mintlb-dispatcher/tests/lifecycle.rs
@@ -1,4 +1,4 @@
-//! When a dispatcher is ready, and how it ends.
+//! Readiness and graceful shutdown of a dispatcher.
 
 mod machine;
 
@@ -106,7 +106,7 @@
 }
 
 #[test]
-fn told_to_end_it_finishes_what_it_has_and_what_still_comes() {
+fn graceful_shutdown_completes_open_and_late_requests() {
     on_one_thread(async {
         let (mut machine, mut worker, _other) = with_workers().await;
         let (mut before, mut idle) = (machine.client().await, machine.client().await);
@@ -141,7 +141,7 @@
 }
 
 #[test]
-fn a_request_that_comes_long_after_the_word_to_end_is_refused_and_not_cut() {
+fn a_request_long_after_shutdown_began_is_rejected_and_not_cut() {
     on_one_thread(async {
         let (mut machine, mut worker, _other) = with_workers().await;
         // It keeps the process.
@@ -152,7 +152,7 @@
         received.event(1).await;
         before.head().await;
         machine.stop.take().unwrap().send(()).unwrap();
-        let told = std::time::Instant::now();
+        let shutdown_requested = std::time::Instant::now();
         for number in 0.. {
             let mut client = machine.client().await;
             client.post("/p/1", &format!("p{number}"), "", "").await;
@@ -160,7 +160,7 @@
                 received = worker.next_request() => received.answer("taken").await,
                 got = client.get() => {
                     assert_eq!(got.status, 503, "it has not run");
-                    assert!(told.elapsed() > Duration::from_millis(1500), "{number} were taken");
+                    assert!(shutdown_requested.elapsed() > Duration::from_millis(1500), "{number} were taken");
                     assert_eq!(header(&got.head, "connection").as_deref(), Some("close"));
                     assert!(header(&got.head, "retry-after").is_some());
                     break;
@@ -168,7 +168,7 @@
             }
             assert_eq!(client.get().await.text(), "taken");
             assert!(
-                told.elapsed() < Duration::from_secs(3),
+                shutdown_requested.elapsed() < Duration::from_secs(3),
                 "it would be cut by the end"
             );
         }
@@ -179,7 +179,7 @@
 }
 
 #[test]
-fn what_is_not_over_when_the_grace_ends_is_answered() {
+fn open_requests_are_answered_before_the_grace_period_ends() {
     on_one_thread(async {
         let (mut machine, mut worker, _other) = with_workers().await;
         let mut client = machine.client().await;
--- a/crates/mintlb-dispatcher/tests/load.rs
+++ b/crates/mintlb-dispatcher/tests/load.rs
@@ -1,4 +1,4 @@
-//! What a worker tells of its load, and which places are taken for whom.
+//! Load reports of workers, and the slots they leave to live requests and batch items.
 
 use mintlb_dispatcher::load::{KnownLoad, Load};
 
@@ -35,13 +35,13 @@
 }
 
 #[test]
-fn nothing_told_holds_nobody_back() {
+fn without_a_load_report_nothing_is_rejected() {
     assert!(KnownLoad::default().has_free_slot(0.0));
     assert!(KnownLoad::default().has_free_slot_for_item(0.0, 1000.0));
 }
 
 #[test]
-fn live_requests_may_have_every_place_and_items_leave_some() {
+fn live_requests_may_use_all_slots_and_items_leave_some() {
     assert!(known(5.0, 0.0).has_free_slot_for_item(100.1, 0.0));
     assert!(!known(6.0, 0.0).has_free_slot_for_item(100.1, 0.0));
     assert!(known(7.0, 0.0).has_free_slot(100.1));
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn what_was_sent_since_counts() {
+fn requests_sent_since_the_report_count() {
     let mut load = known(6.0, 0.0);
     load.sent();
     assert!(load.has_free_slot(100.1));
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn an_old_word_holds_no_live_request_back_and_items_go_by_our_own_count() {
+fn a_stale_report_blocks_no_live_request_and_items_use_the_own_count() {
     let load = known(8.0, 3.0);
     assert!(!load.has_free_slot(100.4));
     assert!(load.has_free_slot(100.6));
--- a/crates/mintlb-dispatcher/tests/machine/mod.rs
+++ b/crates/mintlb-dispatcher/tests/machine/mod.rs
@@ -81,7 +81,7 @@
         machine
     }
 
-    /// Tells it of a configuration and waits until it is in force.
+    /// Publishes a configuration and waits until it is in force.
     pub async fn configure(&self, json: &str) {
         let configuration = Configuration::parse(json.as_bytes()).unwrap();
         let version = configuration.config_version;
@@ -99,12 +99,12 @@
         .await;
     }
 
-    /// Tells it of a worker and waits until it knows.
+    /// Publishes the state of a worker and waits until it is applied.
     pub async fn set_worker(&self, worker: &Worker, state: WorkerState, call: u64) {
         self.apply_record(worker_record(worker, state, call)).await;
     }
 
-    /// Tells it this of a worker and waits until it knows.
+    /// Publishes a worker record and waits until it is applied.
     pub async fn apply_record(&self, record: WorkerRecord) {
         let age = self.shared.workers.age();
         self.update_sender
@@ -113,7 +113,7 @@
         self.until(|shared| shared.workers.age() > age).await;
     }
 
-    /// Tells it of a worker whose connections the test handles, and waits until it knows.
+    /// Publishes a raw worker and waits until it is applied.
     pub async fn set_raw_worker(&self, worker: &raw::RawWorker) {
         let age = self.shared.workers.age();
         self.update_sender
@@ -122,9 +122,9 @@
         self.until(|shared| shared.workers.age() > age).await;
     }
 
-    async fn until(&self, holds: impl Fn(&Shared) -> bool) {
+    async fn until(&self, condition: impl Fn(&Shared) -> bool) {
         let reached = async {
-            while !holds(&self.shared) {
+            while !condition(&self.shared) {
                 tokio::task::yield_now().await;
             }
         };
@@ -165,7 +165,7 @@
     connections: Arc<AtomicUsize>,
 }
 
-/// A request at a worker, whole, and the connection to answer it on.
+/// A complete request at a worker, and the connection to respond on.
 pub struct ReceivedRequest {
     pub head: String,
     pub body: Vec<u8>,
@@ -226,7 +226,7 @@
         self.connections.load(Relaxed)
     }
 
-    /// The next request that comes whole.
+    /// The next complete request.
     pub async fn next_request(&mut self) -> ReceivedRequest {
         timeout(STEP, self.requests.recv())
             .await
@@ -234,7 +234,7 @@
             .unwrap()
     }
 
-    /// The next request that comes whole, however long it takes.
+    /// The next complete request, without a timeout.
     pub async fn next_request_untimed(&mut self) -> ReceivedRequest {
         self.requests.recv().await.unwrap()
     }
@@ -319,7 +319,7 @@
         tokio::spawn(self.on.next());
     }
 
-    /// Answers with a whole 200.
+    /// Responds with a complete 200.
     pub async fn answer(mut self, body: &str) {
         let head = format!(
             "HTTP/1.1 200 OK\r\n{}content-length: {}\r\n\r\n",
@@ -524,7 +524,7 @@
     }
 }
 
-/// The chunked body so far, how many bytes of it are used, and whether it is whole.
+/// The chunked body so far, how many bytes of it are used, and whether it is complete.
 fn unchunk(bytes: &[u8]) -> (Vec<u8>, usize, bool) {
     let (mut body, mut at) = (Vec::new(), 0);
     loop {
--- a/crates/mintlb-dispatcher/tests/machine/raw.rs
+++ b/crates/mintlb-dispatcher/tests/machine/raw.rs
@@ -53,7 +53,7 @@
 }
 
 impl RawConnection {
-    /// Reads until the next head is whole, and takes it; what follows stays.
+    /// Reads and consumes the next head; bytes behind it stay buffered.
     pub async fn head(&mut self) -> String {
         loop {
             if let Some(end) = self.read.windows(4).position(|bytes| bytes == b"\r\n\r\n") {
@@ -67,7 +67,7 @@
         }
     }
 
-    /// The next request, whole.
+    /// The next complete request.
     pub async fn request(&mut self) -> (String, Vec<u8>) {
         let head = self.head().await;
         let length = header(&head, "content-length").map_or(0, |length| length.parse().unwrap());
@@ -100,7 +100,7 @@
         self.stream.write_all(bytes.as_bytes()).await.unwrap();
     }
 
-    /// A whole 200 to the request with this id.
+    /// A complete 200 to the request with this id.
     pub async fn answer(&mut self, id: &str, body: &str) {
         self.write(&ok(id, body)).await;
     }
@@ -111,7 +111,7 @@
     }
 }
 
-/// A whole 200 to the request with this id, its connection kept for 5 s.
+/// A complete 200 to the request with this id, its connection kept for 5 s.
 pub fn ok(id: &str, body: &str) -> String {
     let own = format!(
         "mintlb-request-id: {id}\r\nmintlb-response-signature: s-{id}\r\nkeep-alive: timeout=5\r\n"
--- a/crates/mintlb-dispatcher/tests/requests.rs
+++ b/crates/mintlb-dispatcher/tests/requests.rs
@@ -1,4 +1,4 @@
-//! Requests through a dispatcher to stand-in workers on loopback: what each side sees.
+//! Requests through a dispatcher to stand-in workers on loopback, from both sides.
 
 mod machine;
 
@@ -14,12 +14,12 @@
 }
 
 #[test]
-fn a_request_goes_on_unchanged_and_its_answer_comes_back_whole() {
+fn requests_and_responses_are_forwarded_unchanged() {
     on_one_thread(async {
         let (machine, mut worker) = with_worker().await;
         let mut client = machine.client().await;
-        for round in 0..3 {
-            let id = format!("id{round}");
+        for index in 0..3 {
+            let id = format!("id{index}");
             client
                 .post(
                     "/p/7?x=%20&y=1",
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn what_no_route_takes_is_told_as_such() {
+fn requests_without_a_route_are_rejected() {
     on_one_thread(async {
         let machine = Machine::start().await;
         let mut client = machine.client().await;
@@ -279,7 +279,7 @@
         received.refuse().await;
         two.next_request().await.answer("ran").await;
         assert_eq!(client.get().await.text(), "ran");
-        // Refused everywhere, its client is told that it has not run.
+        // Rejected everywhere, its client gets a 503: it has not run.
         client.post("/o/2", "b", "", "").await;
         for _ in 0..2 {
             let received = tokio::select! { received = one.next_request() => received, received = two.next_request() => received };
@@ -371,7 +371,7 @@
 }
 
 #[test]
-fn a_worker_that_is_another_is_not_asked_again() {
+fn a_misdirected_worker_gets_no_further_requests() {
     on_one_thread(async {
         let (machine, mut worker) = with_worker().await;
         let mut client = machine.client().await;
@@ -388,7 +388,7 @@
 }
 
 #[test]
-fn nothing_new_goes_to_a_worker_that_drains() {
+fn a_draining_worker_gets_no_new_requests() {
     on_one_thread(async {
         let (machine, mut worker) = with_worker().await;
         let (mut one, mut two) = (machine.client().await, machine.client().await);
@@ -407,7 +407,7 @@
 }
 
 #[test]
-fn a_client_that_leaves_takes_its_request_along() {
+fn a_client_disconnect_cancels_its_request() {
     on_one_thread(async {
         let (machine, mut worker) = with_worker().await;
         for path in ["/o/1", "/s/1"] {
--- a/crates/mintlb-dispatcher/tests/whose_answer.rs
+++ b/crates/mintlb-dispatcher/tests/response_matching.rs
@@ -1,5 +1,5 @@
-//! Whose answer: one message of a worker altered at a time. Nothing that belongs to another request passes, a connection
-//! on which something was out of order carries no other request, and what may run once only is never run again.
+//! Matching of responses to requests, with one altered message of a worker at a time. No response of another request
+//! passes, a connection with unexpected bytes is not reused, and a non-idempotent request never runs twice.
 
 mod machine;
 
@@ -140,15 +140,15 @@
 }
 
 #[test]
-fn what_a_worker_has_seen_the_head_of_is_not_sent_again_after_a_reset() {
+fn a_request_whose_head_reached_a_worker_is_not_resent_after_a_reset() {
     on_one_thread(async {
         for (path, body) in [("/o/1", "the body"), ("/s/1", "prompt"), ("/o/1", "")] {
             let (machine, worker) = with_raw_worker().await;
             let mut client = asks(&machine, path, "a", body).await;
-            let mut seen = worker.accept().await;
-            seen.head().await;
+            let mut connection = worker.accept().await;
+            connection.head().await;
             let mut other = with_another(&machine).await;
-            seen.reset();
+            connection.reset();
             let got = client.get().await;
             assert_eq!(got.status, 502, "it may have run: {path}");
             assert!(!other.has_request());
@@ -238,8 +238,9 @@
             refuses
                 .write(&format!("HTTP/1.1 503 Full\r\n{own}{rest}"))
                 .await;
-            let came = timeout(Duration::from_secs(1), other.next_request()).await;
-            came.expect("its time goes by at the worker that refused it")
+            let request = timeout(Duration::from_secs(1), other.next_request()).await;
+            request
+                .expect("its time goes by at the worker that refused it")
                 .answer("ran")
                 .await;
             assert_eq!(client.get().await.text(), "ran");
--- a/crates/mintlb-dispatcher/tests/routing.rs
+++ b/crates/mintlb-dispatcher/tests/routing.rs
@@ -1,4 +1,4 @@
-//! Routes, shares, project types, and how prompts rank workers.
+//! Routes, weights, project types, and prefix-cache affinity of prompts.
 
 use arbtest::arbtest;
 use mintlb_common::configuration::Configuration;
@@ -161,8 +161,8 @@
 fn subjects_spread_over_the_workers() {
     let mut counts = [0; 18];
     for subject in 0..1800_u64 {
-        let parts = format!("{subject:x}:13300,1:5");
-        let prompt = Prompt::read(Some(&parts), None).unwrap();
+        let segments = format!("{subject:x}:13300,1:5");
+        let prompt = Prompt::read(Some(&segments), None).unwrap();
         let best = preferred(prompt.subject, 0..18)[0].unwrap();
         counts[best as usize] += 1;
     }
--- a/crates/mintlb-dispatcher/tests/wire.rs
+++ b/crates/mintlb-dispatcher/tests/wire.rs
@@ -1,4 +1,4 @@
-//! Workers' answers out of bytes that come in any pieces, good and bad.
+//! Parsing of workers' responses for any chunking of the bytes, valid and invalid.
 
 use arbtest::arbtest;
 use bytes::BytesMut;
@@ -93,7 +93,7 @@
     let read = head("HTTP/1.1 200 OK\r\nContent-Length: 5\r\nKeep-Alive: max=3, timeout=7\r\n\r\n");
     assert_eq!(read.framing, Framing::Length(5));
     assert!(read.keeps_alive);
-    assert_eq!(read.keep_alive(), Some(Duration::from_secs(7)));
+    assert_eq!(read.declared_idle_timeout(), Some(Duration::from_secs(7)));
     let read =
         head("HTTP/1.1 200 OK\r\nTransfer-Encoding: Chunked\r\nConnection: x, Close\r\n\r\n");
     assert_eq!((read.framing, read.keeps_alive), (Framing::Chunked, false));
--- a/crates/mintlb-dispatcher/tests/trouble.rs
+++ b/crates/mintlb-dispatcher/tests/worker_faults.rs
@@ -1,4 +1,4 @@
-//! Workers and connections in trouble: what must never happen, and what should happen instead.
+//! Faulty workers and connections: invariants, and the expected recovery.
 
 mod machine;
 
@@ -14,12 +14,12 @@
     (machine, worker)
 }
 
-/// The controller that took the worker's word had just started and did not know the worker.
+/// The controller that received the worker's deregistration had just started and did not know the worker.
 #[test]
 fn a_worker_that_ended_is_sent_nothing_though_its_end_names_no_address() {
     on_one_thread(async {
         let (machine, mut worker) = with_worker().await;
-        let gone = worker_record(&worker, WorkerState::Deregistered, 0);
+        let ended_record = worker_record(&worker, WorkerState::Deregistered, 0);
         let (service, address, zone) = Default::default();
         machine
             .apply_record(WorkerRecord {
@@ -27,7 +27,7 @@
                 address,
                 zone,
                 capacity_slots: 0,
-                ..gone
+                ..ended_record
             })
             .await;
         assert_eq!(machine.shared.workers.in_service(), 0);
@@ -48,8 +48,8 @@
     on_one_thread(async {
         let (machine, mut worker) = with_worker().await;
         let mut client = machine.client().await;
-        for round in 0..5 {
-            client.post("/o/1", &format!("a{round}"), "", "body").await;
+        for index in 0..5 {
+            client.post("/o/1", &format!("a{index}"), "", "body").await;
             worker.next_request().await.answer("ok").await;
             assert_eq!(client.get().await.status, 200);
         }
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn bytes_behind_a_whole_answer_belong_to_no_request() {
+fn bytes_after_a_complete_response_belong_to_no_request() {
     on_one_thread(async {
         let (machine, mut worker) = with_worker().await;
         let mut client = machine.client().await;
@@ -150,7 +150,7 @@
 }
 
 #[test]
-fn what_was_never_sent_is_refused_with_a_promise() {
+fn an_unsent_request_is_rejected_as_not_run() {
     on_one_thread(async {
         let machine = Machine::start().await;
         machine.configure(CONFIGURATION).await;
@@ -175,7 +175,7 @@
 }
 
 #[test]
-fn a_silent_worker_does_not_hold_a_stream_that_may_go_on_elsewhere() {
+fn an_unresponsive_worker_does_not_block_a_resumable_stream() {
     on_one_thread(async {
         let (machine, mut one) = with_worker().await;
         let mut two = Worker::start("i-2", "s").await;
@@ -229,7 +229,7 @@
 }
 
 #[test]
-fn a_long_answer_passes_whole_or_visibly_broken() {
+fn a_long_response_is_complete_or_visibly_truncated() {
     on_one_thread(async {
         let (machine, mut worker) = with_worker().await;
         let long = "x".repeat(700_000);
@@ -254,7 +254,7 @@
             assert!(long.as_bytes().starts_with(&got.body));
             writes.await.unwrap();
         }
-        // The same in chunks, whose length is not told before.
+        // The same with chunked framing, without a declared length.
         let mut client = machine.client().await;
         client.post("/o/1", "b", "", "").await;
         let mut received = worker.next_request().await;
@@ -286,7 +286,7 @@
             machine.set_worker(&worker, WorkerState::InService, 1).await;
             workers.push(worker);
         }
-        let (update_sender, mut told) = tokio::sync::mpsc::unbounded_channel();
+        let (update_sender, mut worker_ids) = tokio::sync::mpsc::unbounded_channel();
         for (number, mut worker) in workers.into_iter().enumerate() {
             let update_sender = update_sender.clone();
             tokio::spawn(async move {
@@ -301,18 +301,18 @@
         }
         let mut met = std::collections::BTreeSet::new();
         let mut client = machine.client().await;
-        for round in 0..12 {
-            let prompt = format!("Mintlb-Prompt-Prefix: 5c:800,91bd:9000,{round:x}:50\r\n");
-            client.post("/s/1", &format!("a{round}"), &prompt, "").await;
+        for index in 0..12 {
+            let prompt = format!("Mintlb-Prompt-Prefix: 5c:800,91bd:9000,{index:x}:50\r\n");
+            client.post("/s/1", &format!("a{index}"), &prompt, "").await;
             assert!(client.get().await.complete);
-            met.insert(told.recv().await.unwrap());
+            met.insert(worker_ids.recv().await.unwrap());
         }
         assert!(met.len() <= 2, "{met:?}");
     });
 }
 
 #[test]
-fn clients_that_read_slowly_hold_their_worker_back() {
+fn slow_clients_apply_backpressure_to_their_worker() {
     on_one_thread(async {
         let (machine, mut worker) = with_worker().await;
         let mut client = machine.client().await;
@@ -320,7 +320,7 @@
         let mut received = worker.next_request().await;
         received.begin_stream().await;
         let big = "y".repeat(60_000);
-        let (update_sender, mut told) = tokio::sync::mpsc::unbounded_channel();
+        let (update_sender, mut worker_ids) = tokio::sync::mpsc::unbounded_channel();
         tokio::spawn(async move {
             for id in 1..400_u64 {
                 received.chunk(&format!("id: {id}\ndata: {big}\n\n")).await;
@@ -331,7 +331,8 @@
         client.head().await;
         // It reads nothing more until the worker can't go on.
         let mut sent = 0;
-        while let Ok(Some(id)) = tokio::time::timeout(Duration::from_millis(400), told.recv()).await
+        while let Ok(Some(id)) =
+            tokio::time::timeout(Duration::from_millis(400), worker_ids.recv()).await
         {
             sent = id;
         }
