--- a/crates/mintlb-gossip/src/message/mod.rs
+++ b/crates/mintlb-gossip/src/message/mod.rs
@@ -16,14 +16,11 @@
 pub use membership::{
     Member, MemberDescriptor, NeighborReply, NeighborRequest, Probe, Role, Shuffle,
 };
-pub use record::{FrameBatch, InvalidFrame, RecordFrame, RecordVersion};
+pub use record::{FrameBatch, InvalidFrame, MAX_MESSAGE_BYTES, RecordFrame, RecordVersion};
 
 use bytes::Bytes;
 use minicbor::{Decode, Encode};
 
-/// Size limit of a message in bytes. A message with a single record may exceed it.
-pub const MAX_MESSAGE_BYTES: usize = 256 << 10;
-
 /// A message from one process to another.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub enum Message {
--- a/crates/mintlb-gossip/src/message/record.rs
+++ b/crates/mintlb-gossip/src/message/record.rs
@@ -1,12 +1,14 @@
 //! Records as messages carry them.
 
-use crate::message::MAX_MESSAGE_BYTES;
 use crate::record_id::RecordId;
 use bytes::Bytes;
 use minicbor::{Decode, Encode};
 use mintlb_common::record::Record;
 use std::time::Duration;
 
+/// Size limit of a message in bytes. A message with a single record may exceed it.
+pub const MAX_MESSAGE_BYTES: usize = 256 << 10;
+
 /// Size limit of a record's key, in bytes.
 pub const MAX_KEY_BYTES: usize = 256;
 
--- a/crates/mintlb-gossip/src/table.rs
+++ b/crates/mintlb-gossip/src/table.rs
@@ -1,6 +1,6 @@
 //! The replicated table of records, in hashed buckets.
 //!
-//! Each bucket keeps a hash of its records, which neighbors compare (see [`crate::anti_entropy`]):
+//! Each bucket keeps a hash of its records, which neighbors compare (anti-entropy):
 //! one level of a Merkle tree, updated in place. The hash of a set of records is the XOR of a hash
 //! of each, so that it does not depend on the order of receipt.
 //!
