--- a/crates/mintlb-simulation/src/lots_told.rs
+++ b/crates/mintlb-simulation/src/batch_oracle.rs
@@ -1,15 +1,15 @@
-//! What callers were told of lots, and what they may be told after that.
+//! Oracle of the batch API: what clients had acknowledged, checked against each later response.
 
 use bytes::Bytes;
 use mintlb_batch::messages::{Page, StoreResponse};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A violation's point and what was seen.
-pub type Broken = (&'static str, String);
+/// A violated invariant and what was observed.
+pub type JobViolation = (&'static str, String);
 
-/// One lot.
+/// What is known of one job.
 #[derive(Debug, Default)]
-pub struct ToldLot {
+pub struct AcknowledgedJob {
     /// Its host.
     pub host: String,
     /// How many items it has.
@@ -19,7 +19,7 @@
     /// Its end was acknowledged.
     pub ended: bool,
     /// Its end was asked for.
-    pub end_asked: bool,
+    pub end_requested: bool,
     /// Items whose results were acknowledged.
     recorded: BTreeSet<u32>,
     /// Texts sent, by item.
@@ -28,36 +28,38 @@
     results: Vec<(String, String)>,
 }
 
-/// All lots, by id.
+/// The oracle: all jobs, by id.
 #[derive(Debug, Default)]
-pub struct LotsTold {
+pub struct BatchOracle {
     /// By id.
-    pub lots: BTreeMap<String, ToldLot>,
+    pub jobs: BTreeMap<String, AcknowledgedJob>,
     /// Results acknowledged.
     pub recorded: u64,
     /// Pages read.
     pub pages: u64,
 }
 
-impl LotsTold {
-    /// How many lots were accepted.
+impl BatchOracle {
+    /// How many jobs were accepted.
     pub fn accepted(&self) -> u64 {
-        self.lots.values().filter(|lot| lot.accepted).count() as u64
+        self.jobs.values().filter(|job| job.accepted).count() as u64
     }
 
-    /// A lot is sent.
+    /// A job is submitted.
     pub fn submitted(&mut self, id: &str, host: &str, items: u32) {
-        self.lots.entry(id.to_string()).or_insert_with(|| ToldLot {
-            host: host.to_string(),
-            items,
-            ..ToldLot::default()
-        });
+        self.jobs
+            .entry(id.to_string())
+            .or_insert_with(|| AcknowledgedJob {
+                host: host.to_string(),
+                items,
+                ..AcknowledgedJob::default()
+            });
     }
 
     /// A result is sent.
     pub fn result_sent(&mut self, id: &str, item: u32, text: &str) {
-        if let Some(lot) = self.lots.get_mut(id) {
-            lot.sent
+        if let Some(job) = self.jobs.get_mut(id) {
+            job.sent
                 .entry(item_id(id, item))
                 .or_default()
                 .insert(text.to_string());
@@ -65,16 +67,16 @@
     }
 
     /// A result was acknowledged. An end that was asked for may have come before it.
-    pub fn result_kept(&mut self, id: &str, item: u32) {
+    pub fn result_acknowledged(&mut self, id: &str, item: u32) {
         self.recorded += 1;
-        if let Some(lot) = self.lots.get_mut(id)
-            && !lot.end_asked
+        if let Some(job) = self.jobs.get_mut(id)
+            && !job.end_requested
         {
-            lot.recorded.insert(item);
+            job.recorded.insert(item);
         }
     }
 
-    /// A read was answered. `accepted` tells whether the lot was accepted when it began, `last` whether everything has
+    /// A read was answered. `accepted` tells whether the job was accepted when it began, `last` whether everything has
     /// to be there.
     pub fn read(
         &mut self,
@@ -83,84 +85,84 @@
         last: bool,
         answer: &StoreResponse,
         raw: &Bytes,
-    ) -> Result<(), Broken> {
+    ) -> Result<(), JobViolation> {
         match answer {
             StoreResponse::NotFound if accepted => {
-                Err(("P3", format!("lot {id} was accepted and is unknown")))
+                Err(("P3", format!("job {id} was accepted and is unknown")))
             }
             StoreResponse::Page(page) => self.page(id, page, raw, last),
             _ => Ok(()),
         }
     }
 
-    fn page(&mut self, id: &str, page: &Page, raw: &Bytes, last: bool) -> Result<(), Broken> {
+    fn page(&mut self, id: &str, page: &Page, raw: &Bytes, last: bool) -> Result<(), JobViolation> {
         self.pages += 1;
-        let Some(lot) = self.lots.get_mut(id) else {
+        let Some(job) = self.jobs.get_mut(id) else {
             return Ok(());
         };
-        if page.total != u64::from(lot.items) {
+        if page.total != u64::from(job.items) {
             return Err((
                 "P5",
                 format!(
-                    "lot {id} has {} items in place of {}",
-                    page.total, lot.items
+                    "job {id} has {} items in place of {}",
+                    page.total, job.items
                 ),
             ));
         }
         let results = texts(page, raw);
         let items: BTreeSet<&String> = results.iter().map(|(item, _)| item).collect();
         if items.len() != results.len() {
-            return Err(("P5", format!("lot {id} lists an item twice: {results:?}")));
+            return Err(("P5", format!("job {id} lists an item twice: {results:?}")));
         }
         let unsent = results
             .iter()
-            .find(|(item, text)| !lot.sent.get(item).is_some_and(|s| s.contains(text)));
+            .find(|(item, text)| !job.sent.get(item).is_some_and(|s| s.contains(text)));
         if let Some((item, text)) = unsent {
             return Err((
                 "P5",
-                format!("lot {id} lists {text:?} for {item}, which nobody sent"),
+                format!("job {id} lists {text:?} for {item}, which nobody sent"),
             ));
         }
-        let common = results.len().min(lot.results.len());
-        if results[..common] != lot.results[..common] {
+        let common = results.len().min(job.results.len());
+        if results[..common] != job.results[..common] {
             return Err((
                 "P5",
                 format!(
-                    "lot {id}: a position changed: {:?}, {results:?}",
-                    lot.results
+                    "job {id}: a position changed: {:?}, {results:?}",
+                    job.results
                 ),
             ));
         }
-        if last && results.len() < lot.results.len() {
-            return Err(("P3", format!("lot {id} has lost results that were read")));
+        if last && results.len() < job.results.len() {
+            return Err(("P3", format!("job {id} has lost results that were read")));
         }
-        let missing = lot
+        let missing = job
             .recorded
             .iter()
             .find(|item| !items.contains(&item_id(id, **item)));
         if let (true, Some(item)) = (last, missing) {
             return Err((
                 "P3",
-                format!("lot {id}: the result of {item} was acknowledged and is not listed"),
+                format!("job {id}: the result of {item} was acknowledged and is not listed"),
             ));
         }
-        if results.len() > lot.results.len() {
-            lot.results = results;
+        if results.len() > job.results.len() {
+            job.results = results;
         }
         Ok(())
     }
 }
 
 /// The id of an item.
-pub fn item_id(lot: &str, item: u32) -> String {
-    format!("{lot}-{item}")
+pub fn item_id(job: &str, item: u32) -> String {
+    format!("{job}-{item}")
 }
 
 fn texts(page: &Page, raw: &Bytes) -> Vec<(String, String)> {
     let mut raw = raw.clone();
     let text = |length: u64, raw: &mut Bytes| {
-        let part = raw.split_to((length as usize).min(raw.len()));
-        String::from_utf8_lossy(&part).into_owned()
+        let chunk = raw.split_to((length as usize).min(raw.len()));
+        String::from_utf8_lossy(&chunk).into_owned()
     };
     page.results
         .iter()
--- a/crates/mintlb-simulation/src/checks.rs
+++ b/crates/mintlb-simulation/src/checks.rs
@@ -2,14 +2,14 @@
 //! number, P3 second loss, P4 hundreds of changes, P5 whose answer.
 
 use crate::context::Time;
-use crate::message::Ask;
+use crate::message::ClientRequest;
 use mintlb_register::message::AcceptedValue;
 use mintlb_register::state::ControlState;
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
 /// The register remembers at least so many configurations that were taken; a repeat of an older one is not checked.
-const REPEATS_WITHIN: u64 = 4000;
+const REPEAT_WINDOW: u64 = 4000;
 
 /// An operator's order.
 #[derive(Clone, Debug, PartialEq)]
@@ -26,8 +26,8 @@
 
 impl Order {
     /// The call.
-    pub fn ask(&self) -> Ask {
-        Ask::Put {
+    pub fn request(&self) -> ClientRequest {
+        ClientRequest::Put {
             base: self.base,
             version: self.version,
             body: self.body.clone(),
@@ -50,7 +50,7 @@
     pub at: Time,
 }
 
-/// What happened, to see that histories are worth playing.
+/// What happened, to see that scenarios are worth playing.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Counts {
     /// Events handled.
@@ -69,8 +69,8 @@
     pub sets: u64,
     /// Placements, as their epochs.
     pub placements: u64,
-    /// Lots accepted.
-    pub lots: u64,
+    /// Jobs accepted.
+    pub jobs: u64,
     /// Results acknowledged.
     pub results: u64,
     /// Retirements completed.
@@ -80,7 +80,7 @@
 }
 
 impl Counts {
-    /// Adds what happened in another history.
+    /// Adds what happened in another scenario.
     pub fn add(&mut self, other: &Counts) {
         let Counts {
             events,
@@ -99,7 +99,7 @@
         self.reads += reads;
         self.sets += other.sets;
         self.placements += other.placements;
-        self.lots += other.lots;
+        self.jobs += other.jobs;
         self.results += other.results;
         self.retired += other.retired;
         self.drains += other.drains;
@@ -121,7 +121,7 @@
     taken: BTreeSet<Vec<u8>>,
     /// Chosen values by revision.
     chosen: BTreeMap<u64, Arc<ControlState>>,
-    /// By machine, life and key, the version in force.
+    /// By machine, incarnation and key, the version in force.
     in_force: BTreeMap<(usize, u64, String), u64>,
     orders: u64,
     /// What happened.
@@ -198,7 +198,7 @@
     /// An order was answered with 400 or 412.
     pub fn refused(&mut self, now: Time, order: &Order) {
         self.counts.refused += 1;
-        if self.taken.contains(&order.body) && self.orders - order.number < REPEATS_WITHIN {
+        if self.taken.contains(&order.body) && self.orders - order.number < REPEAT_WINDOW {
             self.violates(
                 "P2",
                 now,
@@ -274,10 +274,17 @@
     }
 
     /// A record has come into force at a machine.
-    pub fn in_force(&mut self, now: Time, machine: usize, life: u64, key: &str, version: u64) {
+    pub fn in_force(
+        &mut self,
+        now: Time,
+        machine: usize,
+        incarnation: u64,
+        key: &str,
+        version: u64,
+    ) {
         let before = self
             .in_force
-            .insert((machine, life, key.to_string()), version);
+            .insert((machine, incarnation, key.to_string()), version);
         if before.is_some_and(|before| before >= version) {
             self.violates(
                 "P4",
--- a/crates/mintlb-simulation/src/context.rs
+++ b/crates/mintlb-simulation/src/context.rs
@@ -1,7 +1,7 @@
-//! What a process of the model sees of the world while it handles one event, and what it wants done.
+//! The context of one event: what a simulated process reads, and the effects that it requests.
 
-use crate::message::{Answer, Body, Call, Packet, Told};
-use crate::planted::Planted;
+use crate::message::{Answer, Body, Call, ClientResponse, Packet};
+use crate::mutations::Mutation;
 use crate::random::Random;
 use mintlb_common::record::Record;
 use mintlb_register::message::AcceptedValue;
@@ -33,31 +33,31 @@
     CallLost(u64),
     /// The membership's pause is over.
     Member,
-    /// Pings and the look at the duties.
+    /// Pings are sent and the leader runs its tasks.
     Step,
-    /// The duties look again.
-    Duty,
-    /// It is looked for workers that have become silent.
+    /// The singleton tasks run again.
+    Singleton,
+    /// Expired worker heartbeats are looked for.
     Workers,
     /// A store's replicas are ticked.
     Tick,
     /// A store's heartbeat is due.
     Heartbeat,
-    /// A dispatcher tries a call on a lot again.
+    /// A dispatcher retries a call on a job.
     Retry(u64),
     /// An answer waits no longer for a neighbour's confirmation.
     Confirm(u64),
 }
 
-/// What a process wants done.
+/// An effect that a process requests.
 #[derive(Clone, Debug)]
 pub enum Out {
     /// Send this.
     Send(Box<Packet>),
     /// Wake me.
     Wake(Duration, Timer),
-    /// Answer a call from outside.
-    Tell(u64, Told),
+    /// Respond to a client.
+    Respond(u64, ClientResponse),
     /// This was learnt to be chosen.
     Chosen(AcceptedValue),
     /// This record is newly in force here.
@@ -76,12 +76,12 @@
     pub wall_ms: u64,
     /// The process's address.
     pub own: SocketAddr,
-    /// The process's life.
-    pub life: u64,
+    /// The process's incarnation.
+    pub incarnation: u64,
     /// Draws.
     pub random: &'a mut Random,
-    /// The fault that is planted.
-    pub planted: Planted,
+    /// The mutation under test.
+    pub mutation: Mutation,
     /// How long the disk takes for a commit.
     pub commit_time: Duration,
     /// What is to be done.
@@ -98,14 +98,14 @@
     pub fn call(&mut self, to: SocketAddr, id: u64, call: Call) {
         let body = Body::Call {
             id,
-            life: self.life,
+            incarnation: self.incarnation,
             call,
         };
         self.send(Packet {
             from: self.own,
-            from_life: self.life,
+            from_incarnation: self.incarnation,
             to,
-            to_life: None,
+            to_incarnation: None,
             body,
         });
     }
@@ -118,9 +118,9 @@
         };
         self.send(Packet {
             from: self.own,
-            from_life: self.life,
+            from_incarnation: self.incarnation,
             to: caller.address,
-            to_life: Some(caller.life),
+            to_incarnation: Some(caller.incarnation),
             body,
         });
     }
@@ -136,8 +136,8 @@
 pub struct Caller {
     /// Its address.
     pub address: SocketAddr,
-    /// Its life.
-    pub life: u64,
+    /// Its incarnation.
+    pub incarnation: u64,
     /// Its number of the call.
     pub id: u64,
 }
--- a/crates/mintlb-simulation/src/controller/configuration.rs
+++ b/crates/mintlb-simulation/src/controller/configuration.rs
@@ -1,40 +1,44 @@
 //! The operator's calls; mirrors `controller/http/configuration_api.rs` and `controller/register/publisher.rs`.
 
 use super::Controller;
-use super::duties::TOLERANCE;
+use super::singleton::TOLERANCE;
 use super::tasks::{Ended, Purpose};
 use crate::context::{Context, Out, Timer};
-use crate::message::{Ask, Told};
-use crate::planted::Planted;
+use crate::message::{ClientRequest, ClientResponse};
+use crate::mutations::Mutation;
 use mintlb_common::record::{CONFIGURATION, PLACEMENT, REPLICAS, Record};
 use mintlb_register::change::{Change, ChangeOutcome};
 use mintlb_register::state::ControlState;
 use std::time::Duration;
 
-const ANSWER_WITHIN: Duration = Duration::from_millis(850);
-const REGISTER_WITHIN: Duration = Duration::from_millis(700);
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(850);
+const REGISTER_TIMEOUT: Duration = Duration::from_millis(700);
 const ALL_JOINED: Duration = Duration::from_secs(6);
-const CONFIRMED_WITHIN: Duration = Duration::from_millis(150);
+const CONFIRMATION_TIMEOUT: Duration = Duration::from_millis(150);
 
 impl Controller {
     /// A call from outside the tier.
-    pub fn ask(&mut self, context: &mut Context, id: u64, ask: Ask) {
-        if !self.is_in_contact(context) && matches!(ask, Ask::Get | Ask::Put { .. }) {
-            return context.out.push(Out::Tell(id, Told::Unavailable));
+    pub fn on_client_request(&mut self, context: &mut Context, id: u64, request: ClientRequest) {
+        if !self.is_in_contact(context)
+            && matches!(request, ClientRequest::Get | ClientRequest::Put { .. })
+        {
+            return context
+                .out
+                .push(Out::Respond(id, ClientResponse::Unavailable));
         }
-        match ask {
-            Ask::Get => match self.register.chosen() {
-                Some(chosen) if context.planted == Planted::ReadWithoutMajority => {
-                    let told = configuration_of(&chosen.state);
-                    context.out.push(Out::Tell(id, told));
+        match request {
+            ClientRequest::Get => match self.register.chosen() {
+                Some(chosen) if context.mutation == Mutation::ReadWithoutMajority => {
+                    let response = configuration_of(&chosen.state);
+                    context.out.push(Out::Respond(id, response));
                 }
-                _ => self.read(context, REGISTER_WITHIN, Purpose::Get(id)),
+                _ => self.read(context, REGISTER_TIMEOUT, Purpose::Get(id)),
             },
-            Ask::Retire { node, begin } => self.retire(context, id, node, begin),
-            Ask::Heartbeat(told) => self.heartbeat(context, id, told),
-            Ask::Leave(worker) => self.leave(context, id, &worker),
-            Ask::Lots(..) => (),
-            Ask::Put {
+            ClientRequest::Retire { node, begin } => self.retire(context, id, node, begin),
+            ClientRequest::Heartbeat(record) => self.heartbeat(context, id, record),
+            ClientRequest::Leave(worker) => self.leave(context, id, &worker),
+            ClientRequest::Batch(..) => (),
+            ClientRequest::Put {
                 base,
                 version,
                 body,
@@ -48,72 +52,83 @@
                     tolerated_failures: TOLERANCE,
                     durability_suffices,
                 };
-                self.change(context, change, REGISTER_WITHIN, Purpose::Put(id));
+                self.change(context, change, REGISTER_TIMEOUT, Purpose::Put(id));
             }
         }
-        self.hand_over_replies(context);
+        self.deliver_local_replies(context);
     }
 
     /// An operator's read has ended.
-    pub(super) fn get_completed(&mut self, context: &mut Context, ask: u64, ended: Ended) {
-        let told = match ended {
+    pub(super) fn get_completed(&mut self, context: &mut Context, request_id: u64, ended: Ended) {
+        let response = match ended {
             Ended::Read(chosen) => configuration_of(&chosen.state),
             Ended::Changed(outcome) => configuration_of(&outcome.chosen.state),
-            Ended::Failed => Told::Unavailable,
+            Ended::Failed => ClientResponse::Unavailable,
         };
-        context.out.push(Out::Tell(ask, told));
+        context.out.push(Out::Respond(request_id, response));
     }
 
     /// An operator's change has ended.
-    pub(super) fn put_completed(&mut self, context: &mut Context, ask: u64, ended: Ended) {
-        let Some(begun) = self.puts.remove(&ask) else {
+    pub(super) fn put_completed(&mut self, context: &mut Context, request_id: u64, ended: Ended) {
+        let Some(begun) = self.puts.remove(&request_id) else {
             return;
         };
         let Ended::Changed(outcome) = ended else {
-            context.out.push(Out::Tell(ask, Told::Unavailable));
+            context
+                .out
+                .push(Out::Respond(request_id, ClientResponse::Unavailable));
             return;
         };
-        let forgets = context.planted == Planted::TakenForgotten;
-        let told = match outcome.change {
-            ChangeOutcome::AlreadyApplied if forgets => Told::Refused,
+        let forgets = context.mutation == Mutation::AppliedHistoryLost;
+        let response = match outcome.change {
+            ChangeOutcome::AlreadyApplied if forgets => ClientResponse::Refused,
             ChangeOutcome::Applied | ChangeOutcome::AlreadyApplied => {
-                let left = ANSWER_WITHIN
+                let left = RESPONSE_TIMEOUT
                     .saturating_sub(context.now - begun)
-                    .min(CONFIRMED_WITHIN);
-                return self.confirm_configuration(context, ask, &outcome.chosen.state, left);
+                    .min(CONFIRMATION_TIMEOUT);
+                return self.confirm_configuration(
+                    context,
+                    request_id,
+                    &outcome.chosen.state,
+                    left,
+                );
+            }
+            ChangeOutcome::StaleBase | ChangeOutcome::VersionNotIncreased => {
+                ClientResponse::Refused
             }
-            ChangeOutcome::StaleBase | ChangeOutcome::VersionNotIncreased => Told::Refused,
             ChangeOutcome::HistoryCompacted
             | ChangeOutcome::TooFewReplicas
-            | ChangeOutcome::SetFull => Told::Unavailable,
+            | ChangeOutcome::SetFull => ClientResponse::Unavailable,
         };
-        context.out.push(Out::Tell(ask, told));
+        context.out.push(Out::Respond(request_id, response));
     }
 
     fn confirm_configuration(
         &mut self,
         context: &mut Context,
-        ask: u64,
+        request_id: u64,
         state: &ControlState,
         left: Duration,
     ) {
-        self.confirming.insert(ask);
-        context.wake(left, Timer::Confirm(ask));
+        self.confirming.insert(request_id);
+        context.wake(left, Timer::Confirm(request_id));
         if let Some(record) = configuration(state) {
-            let confirmed = self.gossip.publish(context, record, left, ask);
+            let confirmed = self.gossip.publish(context, record, left, request_id);
             self.confirmed(context, &confirmed);
         }
     }
 
     /// Answers that have waited for a neighbour's confirmation.
-    pub(super) fn confirmed(&mut self, context: &mut Context, asks: &[u64]) {
-        for ask in asks {
-            if self.drain_confirmed(context, *ask, true) {
+    pub(super) fn confirmed(&mut self, context: &mut Context, request_ids: &[u64]) {
+        for request_id in request_ids {
+            if self.drain_confirmed(context, *request_id, true) {
                 continue;
             }
-            if self.confirming.remove(ask) {
-                self.gossip.give_up(*ask);
-                context.out.push(Out::Tell(*ask, Told::Done));
+            if self.confirming.remove(request_id) {
+                self.gossip.give_up(*request_id);
+                context
+                    .out
+                    .push(Out::Respond(*request_id, ClientResponse::Done));
             }
         }
     }
@@ -133,8 +148,8 @@
     }
 }
 
-fn configuration_of(state: &ControlState) -> Told {
-    Told::Configuration {
+fn configuration_of(state: &ControlState) -> ClientResponse {
+    ClientResponse::Configuration {
         version: state.configuration_version,
         body: state.configuration.clone(),
     }
--- a/crates/mintlb-simulation/src/controller/membership.rs
+++ b/crates/mintlb-simulation/src/controller/membership.rs
@@ -16,13 +16,13 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-const MOST_REPLICAS: usize = 9;
-const SEED_WITHIN: Duration = Duration::from_millis(250);
+const MAX_REPLICAS: usize = 9;
+const SEED_TIMEOUT: Duration = Duration::from_millis(250);
 const SEED_PAUSE: Duration = Duration::from_millis(40);
-const JOIN_WITHIN: Duration = Duration::from_millis(1500);
+const JOIN_TIMEOUT: Duration = Duration::from_millis(1500);
 const JOIN_PAUSE: Duration = Duration::from_millis(60);
-const READ_WITHIN: Duration = Duration::from_millis(400);
-const READ_EVERY: Duration = Duration::from_millis(1000);
+const READ_TIMEOUT: Duration = Duration::from_millis(400);
+const READ_INTERVAL: Duration = Duration::from_millis(1000);
 const UNCLEAR_READS: u32 = 2;
 
 /// How far the look is.
@@ -37,7 +37,7 @@
     /// Begins a look; the next one begins after the pause that it ends with.
     pub(super) fn look(&mut self, context: &mut Context) {
         if self.register.set().is_some() {
-            return self.read_once(context, READ_WITHIN, Purpose::MemberRead);
+            return self.read_once(context, READ_TIMEOUT, Purpose::MemberRead);
         }
         if self.hint_from_gossip() {
             return self.pause(context, SEED_PAUSE);
@@ -53,11 +53,11 @@
     fn ask_seeds(&mut self, context: &mut Context) {
         self.membership.answers = vec![None; self.seeds.len()];
         self.membership.open = 0;
-        for (place, seed) in self.seeds.clone().into_iter().enumerate() {
+        for (seed_index, seed) in self.seeds.clone().into_iter().enumerate() {
             if seed != context.own {
-                let id = self.register.await_call(Awaited::Seed(place));
+                let id = self.register.await_call(Awaited::Seed(seed_index));
                 context.call(seed, id, Call::Status);
-                context.wake(SEED_WITHIN, Timer::CallLost(id));
+                context.wake(SEED_TIMEOUT, Timer::CallLost(id));
                 self.membership.open += 1;
             }
         }
@@ -70,11 +70,11 @@
     pub(super) fn seed_answered(
         &mut self,
         context: &mut Context,
-        place: usize,
+        seed_index: usize,
         answer: Option<Answer>,
     ) {
         if let Some(Answer::Status(answer)) = answer {
-            self.membership.answers[place] = Some(answer);
+            self.membership.answers[seed_index] = Some(answer);
         }
         self.membership.open -= 1;
         if self.membership.open == 0 {
@@ -123,7 +123,7 @@
         let commands = self
             .replica
             .request(context, request, ReplyTo::Found(proposed));
-        self.hand_out(context, commands);
+        self.route_replies(context, commands);
     }
 
     /// The replica has replied to the founding value, or could not sync it.
@@ -162,27 +162,27 @@
             (Purpose::MemberRead, Ended::Failed) => self.read_failed(context),
             (Purpose::MemberRead, _) => {
                 self.membership.unclear = 0;
-                self.keep_place(context);
+                self.maintain_membership(context);
             }
             (Purpose::MemberConfirm, Ended::Failed) => self.ask_seeds(context),
-            (Purpose::MemberConfirm, _) => self.keep_place(context),
+            (Purpose::MemberConfirm, _) => self.maintain_membership(context),
             (Purpose::Join, Ended::Changed(outcome)) if outcome.change.is_applied() => {
                 self.change(
                     context,
                     Change::LeaveJoint,
-                    JOIN_WITHIN,
-                    Purpose::Settle { joined: true },
+                    JOIN_TIMEOUT,
+                    Purpose::FinishSetChange { joined: true },
                 );
             }
             (Purpose::Join, Ended::Changed(outcome))
                 if outcome.change == ChangeOutcome::SetFull =>
             {
-                self.pause(context, READ_EVERY);
+                self.pause(context, READ_INTERVAL);
             }
-            (Purpose::Settle { joined: true }, Ended::Changed(_)) => {
+            (Purpose::FinishSetChange { joined: true }, Ended::Changed(_)) => {
                 self.pause(context, Duration::ZERO)
             }
-            (Purpose::Settle { joined: false }, _) => self.pause(context, READ_EVERY),
+            (Purpose::FinishSetChange { joined: false }, _) => self.pause(context, READ_INTERVAL),
             _ => self.pause(context, JOIN_PAUSE),
         }
     }
@@ -195,33 +195,33 @@
         self.change(
             context,
             Change::Identity,
-            READ_WITHIN,
+            READ_TIMEOUT,
             Purpose::MemberConfirm,
         );
     }
 
-    fn keep_place(&mut self, context: &mut Context) {
+    fn maintain_membership(&mut self, context: &mut Context) {
         let Some(chosen) = self.register.chosen() else {
             return self.pause(context, JOIN_PAUSE);
         };
         let set = &chosen.state.replicas;
         if !set.current.contains(self.replica.identity()) {
-            let silent = self.duties.silent(context, set);
+            let unresponsive = self.singleton.unresponsive(context, set);
             let change = Change::AddReplica {
                 replica: self.replica.identity().clone(),
-                unresponsive: silent,
-                max_replicas: MOST_REPLICAS,
+                unresponsive,
+                max_replicas: MAX_REPLICAS,
             };
-            return self.change(context, change, JOIN_WITHIN, Purpose::Join);
+            return self.change(context, change, JOIN_TIMEOUT, Purpose::Join);
         }
         if set.is_joint() {
             return self.change(
                 context,
                 Change::LeaveJoint,
-                JOIN_WITHIN,
-                Purpose::Settle { joined: false },
+                JOIN_TIMEOUT,
+                Purpose::FinishSetChange { joined: false },
             );
         }
-        self.pause(context, READ_EVERY);
+        self.pause(context, READ_INTERVAL);
     }
 }
--- a/crates/mintlb-simulation/src/controller/mod.rs
+++ b/crates/mintlb-simulation/src/controller/mod.rs
@@ -1,33 +1,33 @@
 //! A controller's process, as a state machine.
 
 mod configuration;
-mod duties;
 mod membership;
-mod placing;
+mod shard_placement;
+mod singleton;
 mod tasks;
 pub mod vote;
 mod workers;
 
-pub use duties::TOLERANCE;
+pub use singleton::TOLERANCE;
 
 use crate::context::{Caller, Context, Timer};
 use crate::gossip::Gossip;
 use crate::message::{Answer, Body, Call, Packet};
 use crate::random::Random;
-use duties::Duties;
 use membership::Membership;
 use mintlb_common::record::WorkerRecord;
 use mintlb_control::controller::contact::ping_state::STEP;
 use mintlb_control::controller::workers::registry::Registry;
 use mintlb_gossip::Role;
 use mintlb_register::bootstrap::SeedStatus;
+use singleton::SingletonRole;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 use tasks::{Ended, Purpose, Register};
 use vote::{LocalReplica, ReplyTo, VoteDisk};
 
 /// Between two looks at the placement at least.
-const LEAST_PAUSE: std::time::Duration = std::time::Duration::from_millis(20);
+const MIN_PAUSE: std::time::Duration = std::time::Duration::from_millis(20);
 
 /// What a controller starts from.
 #[derive(Clone, Debug)]
@@ -49,7 +49,7 @@
     replica: LocalReplica,
     register: Register,
     membership: Membership,
-    duties: Duties,
+    singleton: SingletonRole,
     gossip: Gossip,
     /// Operators' changes under way: when each came.
     puts: BTreeMap<u64, crate::context::Time>,
@@ -68,7 +68,7 @@
             .accepted()
             .map(|accepted| accepted.state.replicas.clone());
         let mut controller = Controller {
-            duties: Duties::new(context, replica.identity().id),
+            singleton: SingletonRole::new(context, replica.identity().id),
             gossip: Gossip::start(context, Role::Controller, &start.name, &start.seeds),
             name: start.name,
             seeds: start.seeds,
@@ -79,13 +79,13 @@
             membership: Membership::default(),
             puts: BTreeMap::new(),
             confirming: BTreeSet::new(),
-            registry: Registry::new(context.instant, workers::SILENCE),
+            registry: Registry::new(context.instant, workers::WORKER_HEARTBEAT_TIMEOUT),
             draining: BTreeMap::new(),
         };
         context.wake(STEP, Timer::Step);
         context.wake(workers::WORKERS_TICK, Timer::Workers);
         controller.look(context);
-        controller.hand_over_replies(context);
+        controller.deliver_local_replies(context);
         controller
     }
 
@@ -103,28 +103,32 @@
     pub fn packet(&mut self, context: &mut Context, packet: Packet) {
         match packet.body {
             Body::Gossip(body) => {
-                let confirmed = self
-                    .gossip
-                    .received(context, packet.from, packet.from_life, body);
+                let confirmed =
+                    self.gossip
+                        .received(context, packet.from, packet.from_incarnation, body);
                 self.confirmed(context, &confirmed);
             }
-            Body::Call { id, life, call } => {
+            Body::Call {
+                id,
+                incarnation,
+                call,
+            } => {
                 let caller = Caller {
                     address: packet.from,
-                    life,
+                    incarnation,
                     id,
                 };
                 self.call(context, caller, call);
             }
             Body::Answer { id, answer } => self.task_answer(context, id, Some(answer)),
             Body::Heartbeat(heartbeat) => {
-                if self.duties.note_store(context, heartbeat) {
-                    context.wake(LEAST_PAUSE, Timer::Duty);
+                if self.singleton.record_store_heartbeat(context, heartbeat) {
+                    context.wake(MIN_PAUSE, Timer::Singleton);
                 }
             }
-            Body::Lots(..) => (),
+            Body::Batch(..) => (),
         }
-        self.hand_over_replies(context);
+        self.deliver_local_replies(context);
     }
 
     fn call(&mut self, context: &mut Context, caller: Caller, call: Call) {
@@ -133,9 +137,9 @@
                 let commands = self
                     .replica
                     .request(context, request, ReplyTo::Remote(caller));
-                self.hand_out(context, commands);
+                self.route_replies(context, commands);
             }
-            Call::Lots(..) => (),
+            Call::Batch(..) => (),
             Call::Status => {
                 let set = self.register.set().cloned();
                 context.answer(
@@ -148,7 +152,7 @@
             }
             Call::Ping(ping) => {
                 let set = self.register.set();
-                let pong = self.duties.pinged(context, caller.address, &ping, set);
+                let pong = self.singleton.pinged(context, caller.address, &ping, set);
                 context.answer(&caller, Answer::Pong(pong));
             }
         }
@@ -157,7 +161,7 @@
     /// A call's receiver can't be reached.
     pub fn call_lost(&mut self, context: &mut Context, id: u64) {
         self.task_answer(context, id, None);
-        self.hand_over_replies(context);
+        self.deliver_local_replies(context);
     }
 
     /// A process can't be reached.
@@ -174,42 +178,49 @@
             }
             Timer::Disk => {
                 let commands = self.replica.committed(context);
-                self.hand_out(context, commands);
+                self.route_replies(context, commands);
             }
             Timer::Attempt { task, generation } => self.attempt_timer(context, task, generation),
-            Timer::Deadline(task) => self.out_of_time(context, task),
+            Timer::Deadline(task) => self.task_expired(context, task),
             Timer::CallLost(id) => self.task_answer(context, id, None),
             Timer::Member => self.look(context),
             Timer::Step => self.step(context),
             Timer::Tick | Timer::Heartbeat | Timer::Retry(_) => (),
-            Timer::Duty => self.do_duties(context),
+            Timer::Singleton => self.run_singleton_work(context),
             Timer::Workers => self.watch_workers(context),
-            Timer::Confirm(ask) => {
-                if !self.drain_confirmed(context, ask, false) {
-                    self.confirmed(context, &[ask]);
+            Timer::Confirm(request_id) => {
+                if !self.drain_confirmed(context, request_id, false) {
+                    self.confirmed(context, &[request_id]);
                 }
             }
         }
-        self.hand_over_replies(context);
+        self.deliver_local_replies(context);
     }
 
     /// A change or read has ended.
     fn completed(&mut self, context: &mut Context, purpose: Purpose, ended: Ended) {
         match purpose {
-            Purpose::Put(ask) => self.put_completed(context, ask, ended),
-            Purpose::Get(ask) => self.get_completed(context, ask, ended),
-            Purpose::KeepUp | Purpose::Place | Purpose::Remove | Purpose::SettleRemoved => {
-                self.duty_completed(context, purpose, ended);
+            Purpose::Put(request_id) => self.put_completed(context, request_id, ended),
+            Purpose::Get(request_id) => self.get_completed(context, request_id, ended),
+            Purpose::RefreshPlacement
+            | Purpose::PlaceShards
+            | Purpose::Remove
+            | Purpose::FinishReplicaRemoval => {
+                self.singleton_task_completed(context, purpose, ended);
             }
-            Purpose::Retire { ask, node, begin } => {
+            Purpose::Retire {
+                request_id,
+                node,
+                begin,
+            } => {
                 let state = match &ended {
                     Ended::Changed(outcome) => Some(outcome.chosen.state.clone()),
                     Ended::Read(chosen) => Some(chosen.state.clone()),
                     Ended::Failed => None,
                 };
-                self.retire_read(context, (ask, node, begin), state.as_deref());
+                self.retire_read(context, (request_id, node, begin), state.as_deref());
             }
-            Purpose::RetireOrder(ask) => self.retire_ordered(context, ask, ended),
+            Purpose::RetireOrder(request_id) => self.retire_ordered(context, request_id, ended),
             purpose => self.member_completed(context, purpose, ended),
         }
     }
--- a/crates/mintlb-simulation/src/controller/duties.rs
+++ b/crates/mintlb-simulation/src/controller/singleton.rs
@@ -1,11 +1,11 @@
-//! A controller's pings and duties; mirrors `controller/singleton/leader.rs` and `controller/contact/pings.rs` around the product's
+//! A controller's pings and singleton role; mirrors `controller/singleton/leader.rs` and `controller/contact/pings.rs` around the product's
 //! `PingState`.
 
 use super::Controller;
 use super::tasks::{Awaited, Ended, Purpose};
 use crate::context::{Context, Out, Time, Timer};
 use crate::message::Call;
-use crate::planted::Planted;
+use crate::mutations::Mutation;
 use mintlb_batch::heartbeat::StoreHeartbeat;
 use mintlb_batch::placement_planner::{ClusterSnapshot, StoreTable};
 use mintlb_common::placement::Placement;
@@ -19,27 +19,27 @@
 
 /// A controller without a vote pings at each so many steps.
 const STEPS_WITHOUT_VOTE: u32 = 2;
-const PING_WITHIN: Duration = Duration::from_millis(600);
-const CHANGE_WITHIN: Duration = Duration::from_millis(700);
-const SETTLE_WITHIN: Duration = Duration::from_millis(1500);
+const PING_TIMEOUT: Duration = Duration::from_millis(600);
+const CHANGE_TIMEOUT: Duration = Duration::from_millis(700);
+const FINISH_SET_CHANGE_TIMEOUT: Duration = Duration::from_millis(1500);
 /// `fault_tolerance.machines` of the model.
 pub const TOLERANCE: usize = 1;
 
-/// What the duties know.
-pub struct Duties {
+/// State of the singleton role.
+pub struct SingletonRole {
     pings: PingState,
     steps: u32,
     stores: StoreTable,
     begun: Time,
-    /// As noted last.
-    held: Option<u64>,
+    /// The leader epoch that the trace shows.
+    leader_epoch: Option<u64>,
     busy: bool,
 }
 
-impl Duties {
+impl SingletonRole {
     /// Nothing is known yet.
-    pub fn new(context: &mut Context, own: ReplicaId) -> Duties {
-        Duties {
+    pub fn new(context: &mut Context, own: ReplicaId) -> SingletonRole {
+        SingletonRole {
             pings: PingState::new(
                 context.instant,
                 Some(own),
@@ -49,18 +49,18 @@
             steps: 0,
             stores: StoreTable::new(Duration::ZERO),
             begun: context.now,
-            held: None,
+            leader_epoch: None,
             busy: false,
         }
     }
 
     /// What is known of the stores under a placement.
-    pub fn store_view(&mut self, context: &Context, placement: &Placement) -> ClusterSnapshot {
+    pub fn store_snapshot(&mut self, context: &Context, placement: &Placement) -> ClusterSnapshot {
         self.stores.snapshot(placement, context.now - self.begun)
     }
 
-    /// A store has told; whether it is news.
-    pub fn note_store(&mut self, context: &Context, heartbeat: StoreHeartbeat) -> bool {
+    /// Records a store's heartbeat; returns whether it changed anything.
+    pub fn record_store_heartbeat(&mut self, context: &Context, heartbeat: StoreHeartbeat) -> bool {
         self.stores
             .record_heartbeat(heartbeat, context.now - self.begun)
     }
@@ -81,8 +81,8 @@
         self.pings.on_pong(context.instant, from, sent_at, *pong);
     }
 
-    /// Replicas that have long been silent.
-    pub fn silent(&self, context: &Context, set: &ReplicaSet) -> Vec<ReplicaId> {
+    /// Replicas that have long been unresponsive.
+    pub fn unresponsive(&self, context: &Context, set: &ReplicaSet) -> Vec<ReplicaId> {
         self.pings.peers.unresponsive(context.instant, set)
     }
 }
@@ -91,15 +91,15 @@
     /// Whether this process is in contact with a majority now.
     pub(super) fn is_in_contact(&mut self, context: &Context) -> bool {
         if matches!(
-            context.planted,
-            Planted::ContactNotChecked | Planted::DrainInIsolation
+            context.mutation,
+            Mutation::ContactNotChecked | Mutation::DrainWithoutContact
         ) {
             return true;
         }
         let Some(set) = self.register.set() else {
             return false;
         };
-        let peers = &mut self.duties.pings.peers;
+        let peers = &mut self.singleton.pings.peers;
         self.register
             .majority_at()
             .into_iter()
@@ -111,69 +111,79 @@
     pub(super) fn in_contact_for(&self, context: &Context) -> Duration {
         let set = self.register.set();
         set.map_or(Duration::ZERO, |set| {
-            self.duties.pings.peers.in_contact_for(context.instant, set)
+            self.singleton
+                .pings
+                .peers
+                .in_contact_for(context.instant, set)
         })
     }
 
-    /// Whether the duties fall to this process now.
-    pub(super) fn has_duties(&self, context: &Context) -> bool {
+    /// Whether this process is the leader now.
+    pub(super) fn is_leader(&self, context: &Context) -> bool {
         self.register
             .set()
-            .and_then(|set| self.duties.pings.peers.leader_epoch(context.instant, set))
+            .and_then(|set| {
+                self.singleton
+                    .pings
+                    .peers
+                    .leader_epoch(context.instant, set)
+            })
             .is_some()
     }
 
-    /// Whether duties are to be begun; they are under way from now on then.
-    pub(super) fn may_begin_duties(&mut self, context: &Context) -> bool {
-        let begins = !self.duties.busy && self.has_duties(context);
-        self.duties.busy |= begins;
+    /// Starts the singleton tasks if this process is the leader and none are running; returns whether it did.
+    pub(super) fn try_begin_singleton_work(&mut self, context: &Context) -> bool {
+        let begins = !self.singleton.busy && self.is_leader(context);
+        self.singleton.busy |= begins;
         begins
     }
 
-    /// Pings, looks who has the duties, and does them.
+    /// Pings the peers, determines the leader, and runs the singleton tasks.
     pub(super) fn step(&mut self, context: &mut Context) {
         context.wake(STEP, Timer::Step);
-        self.duties.steps += 1;
+        self.singleton.steps += 1;
         let Some(set) = self.register.set().cloned() else {
             return;
         };
-        if self.duties.pings.is_member(&set) || self.duties.steps.is_multiple_of(STEPS_WITHOUT_VOTE)
+        if self.singleton.pings.is_member(&set)
+            || self.singleton.steps.is_multiple_of(STEPS_WITHOUT_VOTE)
         {
             self.ping(context, &set);
         }
-        let peers = &mut self.duties.pings.peers;
+        let peers = &mut self.singleton.pings.peers;
         self.register
             .majority_at()
             .into_iter()
             .for_each(|at| peers.record_majority_round(at));
         peers.step(context.instant, &set);
-        let held = peers
+        let leader_epoch = peers
             .leader_epoch(context.instant, &set)
             .map(|epoch| epoch.0);
-        if held != self.duties.held {
-            self.duties.held = held;
-            context
-                .out
-                .push(Out::Note(format!("{} has duties {held:?}", self.name)));
+        if leader_epoch != self.singleton.leader_epoch {
+            self.singleton.leader_epoch = leader_epoch;
+            context.out.push(Out::Note(format!(
+                "{} leads in epoch {leader_epoch:?}",
+                self.name
+            )));
         }
-        self.do_duties(context);
+        self.run_singleton_work(context);
     }
 
     fn ping(&mut self, context: &mut Context, set: &ReplicaSet) {
-        for address in self.duties.pings.targets(context.instant, set) {
-            let ping = self.duties.pings.ping(context.instant, address, set);
+        for address in self.singleton.pings.targets(context.instant, set) {
+            let ping = self.singleton.pings.ping(context.instant, address, set);
             let id = self
                 .register
                 .await_call(Awaited::Ping(address, context.instant));
             context.call(address, id, Call::Ping(ping));
-            context.wake(PING_WITHIN, Timer::CallLost(id));
+            context.wake(PING_TIMEOUT, Timer::CallLost(id));
         }
     }
 
-    /// Takes a long silent replica out of a set that is larger than it has to be.
-    pub(super) fn remove_silent_replica(&mut self, context: &mut Context) {
-        self.duties.busy = false;
-        if !self.has_duties(context) {
+    /// Removes an unresponsive replica from a set that is larger than necessary.
+    pub(super) fn remove_unresponsive_replica(&mut self, context: &mut Context) {
+        self.singleton.busy = false;
+        if !self.is_leader(context) {
             return;
         }
         let Some(chosen) = self.register.chosen() else {
@@ -184,25 +194,30 @@
         if set.is_joint() || set.current.len() <= min_replicas {
             return;
         }
-        let Some(id) = self.duties.silent(context, set).first().copied() else {
+        let Some(id) = self.singleton.unresponsive(context, set).first().copied() else {
             return;
         };
-        self.duties.busy = true;
+        self.singleton.busy = true;
         self.change(
             context,
             Change::RemoveReplica { id, min_replicas },
-            CHANGE_WITHIN,
+            CHANGE_TIMEOUT,
             Purpose::Remove,
         );
     }
 
-    /// A read or change of the duties has ended.
-    pub(super) fn duty_completed(&mut self, context: &mut Context, purpose: Purpose, ended: Ended) {
-        if matches!(purpose, Purpose::KeepUp) {
+    /// A read or change of the singleton tasks completed.
+    pub(super) fn singleton_task_completed(
+        &mut self,
+        context: &mut Context,
+        purpose: Purpose,
+        ended: Ended,
+    ) {
+        if matches!(purpose, Purpose::RefreshPlacement) {
             return self.place_shards(context);
         }
-        if matches!(purpose, Purpose::Place) {
-            return self.remove_silent_replica(context);
+        if matches!(purpose, Purpose::PlaceShards) {
+            return self.remove_unresponsive_replica(context);
         }
         if let (Purpose::Remove, Ended::Changed(outcome)) = (purpose, ended)
             && outcome.change == ChangeOutcome::Applied
@@ -210,10 +225,10 @@
             return self.change(
                 context,
                 Change::LeaveJoint,
-                SETTLE_WITHIN,
-                Purpose::SettleRemoved,
+                FINISH_SET_CHANGE_TIMEOUT,
+                Purpose::FinishReplicaRemoval,
             );
         }
-        self.duties.busy = false;
+        self.singleton.busy = false;
     }
 }
--- a/crates/mintlb-simulation/src/controller/tasks.rs
+++ b/crates/mintlb-simulation/src/controller/tasks.rs
@@ -4,7 +4,7 @@
 use super::vote::ReplyTo;
 use crate::context::{Context, Out, Time, Timer};
 use crate::message::{Answer, Call};
-use crate::planted::Planted;
+use crate::mutations::Mutation;
 use mintlb_control::controller::register::replica_core::{Command, Completion};
 use mintlb_register::ballot::Ballot;
 use mintlb_register::change::Change;
@@ -19,7 +19,7 @@
 use tokio::time::Instant;
 
 /// How long a read may try to do with one round.
-const ONE_ROUND_READ: Duration = Duration::from_millis(120);
+const QUORUM_READ_TIMEOUT: Duration = Duration::from_millis(120);
 
 /// What a task is for.
 #[derive(Clone, Debug, PartialEq)]
@@ -34,19 +34,19 @@
     MemberConfirm,
     /// The replica here joins the set.
     Join,
-    /// A change of the set is ended, after a join here or not.
-    Settle {
+    /// A change of the replica set is finished, after a join of this replica or not.
+    FinishSetChange {
         /// After a join.
         joined: bool,
     },
-    /// The duties' read of a newer placement.
-    KeepUp,
-    /// The duties' next placement.
-    Place,
+    /// The leader's read of a newer placement.
+    RefreshPlacement,
+    /// The leader's next placement.
+    PlaceShards,
     /// The read for a call on a retirement.
     Retire {
         /// The call.
-        ask: u64,
+        request_id: u64,
         /// The machine.
         node: String,
         /// Whether it begins.
@@ -54,10 +54,10 @@
     },
     /// The order of a retirement, by the call's number.
     RetireOrder(u64),
-    /// A silent replica is taken out.
+    /// An unresponsive replica is removed.
     Remove,
-    /// A change of the set is ended after that.
-    SettleRemoved,
+    /// The change of the set is finished after a removal.
+    FinishReplicaRemoval,
 }
 
 /// How a task ended.
@@ -181,8 +181,8 @@
         id
     }
 
-    fn raise_floor(&mut self, seen: Ballot) {
-        self.floor = self.floor.max(seen);
+    fn raise_floor(&mut self, highest: Ballot) {
+        self.floor = self.floor.max(highest);
     }
 }
 
@@ -240,7 +240,7 @@
         let then_confirm_by = Some(context.now + within);
         self.begin_reading(
             context,
-            within.min(ONE_ROUND_READ),
+            within.min(QUORUM_READ_TIMEOUT),
             then_confirm_by,
             purpose,
         );
@@ -287,23 +287,25 @@
             return;
         };
         match awaited {
-            Awaited::Seed(place) => self.seed_answered(context, place, answer),
+            Awaited::Seed(seed_index) => self.seed_answered(context, seed_index, answer),
             Awaited::Ping(address, sent_at) => {
                 if let Some(Answer::Pong(pong)) = answer {
-                    self.duties.answered(context, address, sent_at, &pong);
+                    self.singleton.answered(context, address, sent_at, &pong);
                 }
             }
             Awaited::Task { task, from, ballot } => {
                 let reply = match answer {
-                    Some(Answer::Vote(reply)) => reply.map(|reply| altered(context.planted, reply)),
+                    Some(Answer::Vote(reply)) => {
+                        reply.map(|reply| altered(context.mutation, reply))
+                    }
                     _ => None,
                 };
-                self.give_reply(context, task, from, ballot, reply);
+                self.task_reply(context, task, from, ballot, reply);
             }
         }
     }
 
-    fn give_reply(
+    fn task_reply(
         &mut self,
         context: &mut Context,
         id: u64,
@@ -316,23 +318,23 @@
         };
         if let Work::Reading { reading, .. } = &mut task.work {
             let progress = reading.handle_reply(from, reply);
-            let promise = reading.highest_ballot();
-            self.register.raise_floor(promise);
+            let highest = reading.highest_ballot();
+            self.register.raise_floor(highest);
             return self.progress(context, id, progress);
         }
         let input = match reply {
             Some(reply) => Input::Reply { from, reply },
             None => Input::Lost { from, ballot },
         };
-        self.give(context, id, input);
+        self.proposal_input(context, id, input);
     }
 
-    fn give(&mut self, context: &mut Context, id: u64, input: Input) {
+    fn proposal_input(&mut self, context: &mut Context, id: u64, input: Input) {
         let Some(task) = self.register.tasks.get_mut(&id) else {
             return;
         };
         if context.now >= task.deadline {
-            return self.out_of_time(context, id);
+            return self.task_expired(context, id);
         }
         let Work::Proposal { proposal, .. } = &mut task.work else {
             return;
@@ -348,12 +350,12 @@
         };
         if matches!(&task.work, Work::Proposal { generation: newest, .. } if *newest == generation)
         {
-            self.give(context, id, Input::Timer);
+            self.proposal_input(context, id, Input::Timer);
         }
     }
 
     /// A task's time is over.
-    pub(super) fn out_of_time(&mut self, context: &mut Context, id: u64) {
+    pub(super) fn task_expired(&mut self, context: &mut Context, id: u64) {
         let Some(task) = self.register.tasks.get(&id) else {
             return;
         };
@@ -364,8 +366,8 @@
             return self.progress(context, id, ReadProgress::Inconclusive);
         }
         if let Work::Proposal { proposal, .. } = &task.work {
-            let seen = proposal.highest_ballot();
-            self.register.raise_floor(seen);
+            let highest = proposal.highest_ballot();
+            self.register.raise_floor(highest);
         }
         self.end(context, id, Ended::Failed);
     }
@@ -397,8 +399,8 @@
         let Some(outcome) = effects.outcome else {
             return;
         };
-        let seen = proposal.highest_ballot();
-        self.register.raise_floor(seen);
+        let highest = proposal.highest_ballot();
+        self.register.raise_floor(highest);
         self.learn(context, outcome.chosen.clone());
         self.end(context, id, Ended::Changed(outcome));
     }
@@ -459,7 +461,7 @@
         });
         if replica.id == self.replica.identity().id {
             let commands = self.replica.request(context, request, ReplyTo::Local(id));
-            return self.hand_out(context, commands);
+            return self.route_replies(context, commands);
         }
         context.wake(PHASE_TIMEOUT, Timer::CallLost(id));
         match replica.address.parse() {
@@ -469,14 +471,14 @@
     }
 
     /// Gives replies of the replica here, or their absence, to who waits for them.
-    pub(super) fn hand_out(&mut self, context: &mut Context, commands: Vec<Command<ReplyTo>>) {
+    pub(super) fn route_replies(&mut self, context: &mut Context, commands: Vec<Command<ReplyTo>>) {
         for command in commands {
             match command {
                 Command::Complete {
                     token,
                     completion: Completion::Reply(reply),
-                } => self.hand_out_reply(context, token, Some(reply)),
-                Command::Fail { token, .. } => self.hand_out_reply(context, token, None),
+                } => self.route_reply(context, token, Some(reply)),
+                Command::Fail { token, .. } => self.route_reply(context, token, None),
                 Command::Complete {
                     completion: Completion::Learned,
                     ..
@@ -486,7 +488,7 @@
         }
     }
 
-    fn hand_out_reply(&mut self, context: &mut Context, to: ReplyTo, reply: Option<Reply>) {
+    fn route_reply(&mut self, context: &mut Context, to: ReplyTo, reply: Option<Reply>) {
         match to {
             ReplyTo::Remote(caller) => context.answer(&caller, Answer::Vote(reply)),
             ReplyTo::Local(id) => self
@@ -498,13 +500,13 @@
     }
 
     /// Hands over what the replica here has answered.
-    pub(super) fn hand_over_replies(&mut self, context: &mut Context) {
+    pub(super) fn deliver_local_replies(&mut self, context: &mut Context) {
         while let Some((id, answer)) = self.register.replies.pop_front() {
             self.task_answer(context, id, answer);
         }
     }
 
-    /// Takes note of a value that is chosen, and publishes what is news in it.
+    /// Takes note of a value that is chosen, and publishes what changed.
     pub(super) fn learn(&mut self, context: &mut Context, accepted: AcceptedValue) {
         context.out.push(Out::Chosen(accepted.clone()));
         if self
@@ -530,11 +532,11 @@
     }
 }
 
-/// What a planted fault makes of a replica's reply.
-fn altered(planted: Planted, reply: Reply) -> Reply {
-    match (planted, reply) {
+/// Applies the mutation to a replica's reply.
+fn altered(mutation: Mutation, reply: Reply) -> Reply {
+    match (mutation, reply) {
         (
-            Planted::JointSetLeft,
+            Mutation::JointSetSkipped,
             Reply::Promise {
                 ballot,
                 last_accepted,
@@ -544,7 +546,7 @@
             last_accepted: left_joint(last_accepted),
         },
         (
-            Planted::JointSetLeft,
+            Mutation::JointSetSkipped,
             Reply::Read {
                 last_accepted,
                 promised,
--- a/crates/mintlb-simulation/src/controller/vote.rs
+++ b/crates/mintlb-simulation/src/controller/vote.rs
@@ -109,7 +109,7 @@
 
     /// The process ends: the commit under way has got to the disk or not, what waited has not.
     pub fn crash(mut self, random: &mut Random) -> VoteDisk {
-        if random.chance(50) {
+        if random.with_probability(50) {
             self.disk.apply(self.commit.and_then(|commit| commit.write));
         }
         self.disk
@@ -135,13 +135,13 @@
 /// Plants the faults of the core.
 #[cfg(feature = "mutations")]
 fn plant(context: &Context, core: &mut ReplicaCore<ReplyTo>) {
-    use crate::planted::Planted;
-    use mintlb_control::controller::register::replica_core::Mutation;
+    use crate::mutations::Mutation;
+    use mintlb_control::controller::register::replica_core::Mutation as CoreMutation;
 
-    core.plant(match context.planted {
-        Planted::PromiseNotSynced => Mutation::PromiseNotSynced,
-        Planted::AnswerBeforeSync => Mutation::AnswerBeforeSync,
-        _ => Mutation::None,
+    core.plant(match context.mutation {
+        Mutation::PromiseNotSynced => CoreMutation::PromiseNotSynced,
+        Mutation::AnswerBeforeSync => CoreMutation::AnswerBeforeSync,
+        _ => CoreMutation::None,
     });
 }
 
--- a/crates/mintlb-simulation/src/dispatcher.rs
+++ b/crates/mintlb-simulation/src/dispatcher.rs
@@ -1,9 +1,9 @@
-//! A dispatcher: what it knows comes by the overlay; calls on lots go to the primaries. The latter mirrors
-//! `mintlb-batch/src/client/calls.rs`.
+//! A dispatcher: gossip brings its state, and calls on jobs go to the primaries as in
+//! `mintlb-batch/src/client/attempt.rs` and `routing.rs`.
 
 use crate::context::{Context, Out, Time, Timer};
 use crate::gossip::Gossip;
-use crate::message::{Answer, Ask, Body, Call, Packet, Told};
+use crate::message::{Answer, Body, Call, ClientRequest, ClientResponse, Packet};
 use bytes::Bytes;
 use mintlb_batch::messages;
 use mintlb_common::placement::Placement;
@@ -13,14 +13,14 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Between two tries, while the primary is not in charge or out of reach.
-const PAUSE: Duration = Duration::from_millis(60);
-/// The longest that one try waits for its answer.
-const TRY: Duration = Duration::from_millis(1200);
-/// All tries together.
-const ALL_TRIES: Duration = Duration::from_millis(1300);
+/// The delay before a retry while the primary is inactive or unreachable.
+const RETRY_DELAY: Duration = Duration::from_millis(60);
+/// The time-out of one attempt.
+const ATTEMPT_TIMEOUT: Duration = Duration::from_millis(1200);
+/// The time-out of a call with all its attempts.
+const CALL_TIMEOUT: Duration = Duration::from_millis(1300);
 
-struct LotCall {
+struct JobCall {
     call: messages::StoreRequest,
     raw: Bytes,
     until: Time,
@@ -29,11 +29,11 @@
 /// A dispatcher's process.
 pub struct Dispatcher {
     gossip: Gossip,
-    /// Calls on lots by the number of who asked.
-    calls: BTreeMap<u64, LotCall>,
-    /// Tries under way, and whose.
-    tries: BTreeMap<u64, u64>,
-    next_try: u64,
+    /// Calls on jobs, by request number.
+    calls: BTreeMap<u64, JobCall>,
+    /// Attempts in flight, with the request of each.
+    attempts: BTreeMap<u64, u64>,
+    next_attempt: u64,
 }
 
 impl Dispatcher {
@@ -43,8 +43,8 @@
         Dispatcher {
             gossip,
             calls: BTreeMap::new(),
-            tries: BTreeMap::new(),
-            next_try: 0,
+            attempts: BTreeMap::new(),
+            next_attempt: 0,
         }
     }
 
@@ -59,7 +59,7 @@
             Body::Gossip(body) => {
                 _ = self
                     .gossip
-                    .received(context, packet.from, packet.from_life, body)
+                    .received(context, packet.from, packet.from_incarnation, body)
             }
             Body::Answer { id, answer } => self.answered(context, id, Some(answer)),
             _ => (),
@@ -76,7 +76,7 @@
         match timer {
             Timer::Gossip => _ = self.gossip.tick(context),
             Timer::CallLost(id) => self.answered(context, id, None),
-            Timer::Retry(ask) => self.try_once(context, ask),
+            Timer::Retry(request_id) => self.begin_attempt(context, request_id),
             _ => (),
         }
     }
@@ -87,58 +87,65 @@
     }
 
     /// A call from outside the tier.
-    pub fn ask(&mut self, context: &mut Context, id: u64, ask: Ask) {
-        if let Ask::Lots(call, raw) = ask {
+    pub fn on_client_request(&mut self, context: &mut Context, id: u64, request: ClientRequest) {
+        if let ClientRequest::Batch(call, raw) = request {
             self.calls.insert(
                 id,
-                LotCall {
+                JobCall {
                     call,
                     raw,
-                    until: context.now + ALL_TRIES,
+                    until: context.now + CALL_TIMEOUT,
                 },
             );
-            self.try_once(context, id);
+            self.begin_attempt(context, id);
         }
     }
 
-    fn try_once(&mut self, context: &mut Context, ask: u64) {
-        let Some(lot_call) = self.calls.get(&ask) else {
+    fn begin_attempt(&mut self, context: &mut Context, request_id: u64) {
+        let Some(job_call) = self.calls.get(&request_id) else {
             return;
         };
-        if context.now >= lot_call.until {
-            self.calls.remove(&ask);
-            context.out.push(Out::Tell(ask, Told::Unavailable));
+        if context.now >= job_call.until {
+            self.calls.remove(&request_id);
+            context
+                .out
+                .push(Out::Respond(request_id, ClientResponse::Unavailable));
             return;
         }
-        let (mut call, raw) = (lot_call.call.clone(), lot_call.raw.clone());
-        let left = lot_call.until - context.now;
+        let (mut call, raw) = (job_call.call.clone(), job_call.raw.clone());
+        let left = job_call.until - context.now;
         let Some((address, epoch)) = self.primary(host_of(&call)) else {
-            return context.wake(PAUSE, Timer::Retry(ask));
+            return context.wake(RETRY_DELAY, Timer::Retry(request_id));
         };
         if let messages::StoreRequest::Submit(submit) = &mut call {
             submit.epoch = epoch;
         }
-        self.next_try += 1;
-        self.tries.insert(self.next_try, ask);
-        context.call(address, self.next_try, Call::Lots(call, raw));
-        context.wake(left.min(TRY), Timer::CallLost(self.next_try));
+        self.next_attempt += 1;
+        self.attempts.insert(self.next_attempt, request_id);
+        context.call(address, self.next_attempt, Call::Batch(call, raw));
+        context.wake(
+            left.min(ATTEMPT_TIMEOUT),
+            Timer::CallLost(self.next_attempt),
+        );
     }
 
     fn answered(&mut self, context: &mut Context, id: u64, answer: Option<Answer>) {
-        let Some(ask) = self.tries.remove(&id) else {
+        let Some(request_id) = self.attempts.remove(&id) else {
             return;
         };
         match answer {
-            Some(Answer::Lots(
+            Some(Answer::Batch(
                 messages::StoreResponse::NotPrimary | messages::StoreResponse::Indeterminate,
                 _,
             ))
             | None => {
-                context.wake(PAUSE, Timer::Retry(ask));
+                context.wake(RETRY_DELAY, Timer::Retry(request_id));
             }
-            Some(Answer::Lots(answer, raw)) => {
-                if self.calls.remove(&ask).is_some() {
-                    context.out.push(Out::Tell(ask, Told::Lots(answer, raw)));
+            Some(Answer::Batch(answer, raw)) => {
+                if self.calls.remove(&request_id).is_some() {
+                    context
+                        .out
+                        .push(Out::Respond(request_id, ClientResponse::Batch(answer, raw)));
                 }
             }
             Some(_) => (),
@@ -159,7 +166,7 @@
     match call {
         messages::StoreRequest::Submit(submit) => &submit.job.host,
         messages::StoreRequest::Read(read) => &read.job.host,
-        messages::StoreRequest::End(lot) => &lot.host,
+        messages::StoreRequest::End(job) => &job.host,
         messages::StoreRequest::Record(record) => &record.job.host,
         _ => "",
     }
--- a/crates/mintlb-simulation/src/gossip.rs
+++ b/crates/mintlb-simulation/src/gossip.rs
@@ -1,9 +1,9 @@
-//! The records' overlay of one process: the product's `Node`, with the publications that wait for a confirmation as
+//! The gossip of one process: the product's `Node`, with the publications that wait for an acknowledgement as
 //! in `mintlb-gossip/src/service.rs`.
 
 use crate::context::{Context, Out, Timer};
 use crate::message::{Body, Packet};
-use crate::planted::Planted;
+use crate::mutations::Mutation;
 use bytes::Bytes;
 use mintlb_common::incarnation::Incarnation;
 use mintlb_common::record::Record;
@@ -16,8 +16,8 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Of a hundred ticks at which records are forgotten, if that fault is planted.
-const FORGETS: u32 = 1;
+/// Ticks in percent at which the mutation drops the record table.
+const TABLE_LOSS_PERCENT: u32 = 1;
 
 struct Waiter {
     id: RecordId,
@@ -25,15 +25,15 @@
     token: u64,
 }
 
-/// The overlay of one process.
+/// The gossip node of one process.
 pub struct Gossip {
     member: Member,
     seeds: Vec<SocketAddr>,
     node: Node,
     waiters: Vec<Waiter>,
     wake_at: Option<Instant>,
-    /// The newest life that was met at each address.
-    lives: BTreeMap<SocketAddr, u64>,
+    /// The newest incarnation that was met at each address.
+    incarnations: BTreeMap<SocketAddr, u64>,
 }
 
 impl Gossip {
@@ -41,7 +41,7 @@
     pub fn start(context: &mut Context, role: Role, name: &str, seeds: &[SocketAddr]) -> Gossip {
         let member = Member {
             address: context.own,
-            incarnation: incarnation(context.life),
+            incarnation: gossip_incarnation(context.incarnation),
             role,
             node_name: name.to_string(),
             zone: "z".to_string(),
@@ -59,7 +59,7 @@
             node,
             waiters: Vec::new(),
             wake_at: None,
-            lives: BTreeMap::new(),
+            incarnations: BTreeMap::new(),
         };
         gossip.handle(context, Input::Tick);
         gossip
@@ -70,26 +70,26 @@
         self.node.table().get(key)
     }
 
-    /// A message came. As in the transport, one of another life is told of before it, and one of a former life is
-    /// refused.
+    /// A message came. As in the transport, a newer incarnation is announced to the node first, and a message of a
+    /// former one is rejected.
     pub fn received(
         &mut self,
         context: &mut Context,
         from: SocketAddr,
-        life: u64,
+        incarnation: u64,
         body: Bytes,
     ) -> Vec<u64> {
-        let known = self.lives.insert(from, life);
-        if known.is_some_and(|known| known > life) {
-            self.lives.extend(known.map(|known| (from, known)));
+        let known = self.incarnations.insert(from, incarnation);
+        if known.is_some_and(|known| known > incarnation) {
+            self.incarnations.extend(known.map(|known| (from, known)));
             return Vec::new();
         }
-        if known.is_some_and(|known| known < life) {
+        if known.is_some_and(|known| known < incarnation) {
             self.handle(
                 context,
                 Input::Restarted {
                     peer: from,
-                    incarnation: incarnation(life),
+                    incarnation: gossip_incarnation(incarnation),
                 },
             );
         }
@@ -107,7 +107,9 @@
             return Vec::new();
         }
         self.wake_at = None;
-        if context.planted == Planted::OldRecordOverNewer && context.random.chance(FORGETS) {
+        if context.mutation == Mutation::StaleRecordApplied
+            && context.random.with_probability(TABLE_LOSS_PERCENT)
+        {
             let (member, draw) = (self.member.clone(), context.random.number());
             self.node = Node::new(context.instant, member, &self.seeds, draw);
         }
@@ -160,9 +162,9 @@
                 Effect::Send { to, body } => {
                     let packet = Packet {
                         from: context.own,
-                        from_life: context.life,
+                        from_incarnation: context.incarnation,
                         to,
-                        to_life: None,
+                        to_incarnation: None,
                         body: Body::Gossip(body),
                     };
                     context.send(packet);
@@ -194,7 +196,7 @@
     }
 }
 
-/// The incarnation of a life of the model, of which none is 0.
-fn incarnation(life: u64) -> Incarnation {
-    Incarnation::from_number(life.max(1)).unwrap_or_else(|| unreachable!("it is above 0"))
+/// The product's incarnation of a simulated one; neither is 0.
+fn gossip_incarnation(incarnation: u64) -> Incarnation {
+    Incarnation::from_number(incarnation.max(1)).unwrap_or_else(|| unreachable!("it is above 0"))
 }
--- a/crates/mintlb-simulation/src/message.rs
+++ b/crates/mintlb-simulation/src/message.rs
@@ -1,4 +1,4 @@
-//! What goes over the model's network.
+//! Messages of the simulated network, and the requests and responses of clients.
 
 use bytes::Bytes;
 use mintlb_batch::heartbeat::StoreHeartbeat;
@@ -15,12 +15,13 @@
 pub struct Packet {
     /// The sender's address.
     pub from: SocketAddr,
-    /// The sender's life.
-    pub from_life: u64,
+    /// The sender's incarnation.
+    pub from_incarnation: u64,
     /// The receiver's address.
     pub to: SocketAddr,
-    /// Only this life of the receiver gets it: a message goes on a connection, and an answer on the one that asked.
-    pub to_life: Option<u64>,
+    /// Only this incarnation of the receiver gets it: a message goes on a connection, and an
+    /// answer on the one of its request.
+    pub to_incarnation: Option<u64>,
     /// What it holds.
     pub body: Body,
 }
@@ -32,8 +33,8 @@
     Call {
         /// The caller's number of it.
         id: u64,
-        /// The caller's life.
-        life: u64,
+        /// The caller's incarnation.
+        incarnation: u64,
         /// The call.
         call: Call,
     },
@@ -47,7 +48,7 @@
     /// A message of the overlay.
     Gossip(Bytes),
     /// A message between stores' replicas, with its entries.
-    Lots(Envelope, Bytes),
+    Batch(Envelope, Bytes),
     /// What a store tells the controllers.
     Heartbeat(StoreHeartbeat),
 }
@@ -60,8 +61,8 @@
     /// Which set is known, and is there a disk?
     Status,
     /// A dispatcher's call to a store, with what is raw in it.
-    Lots(messages::StoreRequest, Bytes),
-    /// A ping of the duties.
+    Batch(messages::StoreRequest, Bytes),
+    /// A controller's ping.
     Ping(Ping),
 }
 
@@ -72,15 +73,15 @@
     Vote(Option<Reply>),
     /// To [`Call::Status`].
     Status(SeedStatus),
-    /// To [`Call::Lots`], with what is raw in it.
-    Lots(messages::StoreResponse, Bytes),
+    /// To [`Call::Batch`], with what is raw in it.
+    Batch(messages::StoreResponse, Bytes),
     /// To [`Call::Ping`].
     Pong(Pong),
 }
 
-/// A call from outside the tier.
+/// A request of a client outside the cluster.
 #[derive(Clone, Debug)]
-pub enum Ask {
+pub enum ClientRequest {
     /// `PUT /v1/configuration`.
     Put {
         /// `If-Match`.
@@ -99,17 +100,17 @@
         /// Whether it begins.
         begin: bool,
     },
-    /// A worker's heartbeat, or its word that it drains.
+    /// A worker's heartbeat, or its announcement that it is draining.
     Heartbeat(WorkerRecord),
     /// A worker ends, by its id.
     Leave(String),
-    /// A call on a lot at a dispatcher, with what is raw in it.
-    Lots(messages::StoreRequest, Bytes),
+    /// A call on a job at a dispatcher, with what is raw in it.
+    Batch(messages::StoreRequest, Bytes),
 }
 
-/// The answer to an [`Ask`].
+/// The response to a [`ClientRequest`].
 #[derive(Clone, Debug, PartialEq)]
-pub enum Told {
+pub enum ClientResponse {
     /// 200 to a change.
     Done,
     /// 200 to a read.
@@ -128,6 +129,6 @@
         /// Whether it is completed.
         completed: bool,
     },
-    /// An answer on a lot, with what is raw in it.
-    Lots(messages::StoreResponse, Bytes),
+    /// An answer on a job, with what is raw in it.
+    Batch(messages::StoreResponse, Bytes),
 }
--- a/crates/mintlb-simulation/src/operator.rs
+++ b/crates/mintlb-simulation/src/operator.rs
@@ -1,19 +1,19 @@
-//! Operators: they send configurations to any controller, send an order again after an unclear answer, race each
-//! other for one number, and send orders again that were taken before.
+//! Operators: they send configurations to any controller, retry one whose outcome is unknown, race each other for one
+//! version, and repeat configurations that were applied before.
 
 use crate::checks::Order;
-use crate::message::{Ask, Told};
+use crate::message::{ClientRequest, ClientResponse};
 use crate::random::Random;
 use std::time::Duration;
 
-/// An operator calls another controller after this time.
-pub const PATIENCE: Duration = Duration::from_millis(1000);
+/// After this time without a response an operator calls another controller.
+pub const RESPONSE_TIMEOUT: Duration = Duration::from_millis(1000);
 /// Orders that an operator may send again later.
 const REMEMBERED: usize = 60;
 
 /// What an operator does.
 #[derive(Clone, Debug)]
-enum Doing {
+enum Activity {
     Pausing,
     Ordering(Order),
     Reading,
@@ -24,7 +24,7 @@
     number: usize,
     /// The version that it takes for the current one.
     known: u64,
-    doing: Doing,
+    doing: Activity,
     /// Counts what it waits for: an older timer or answer does not count.
     turn: u64,
     taken: Vec<Order>,
@@ -33,8 +33,8 @@
 /// What an operator does next.
 #[derive(Clone, Debug)]
 pub enum Next {
-    /// Calls so many controllers at once, and waits for [`PATIENCE`].
-    Call(Ask, usize),
+    /// Calls so many controllers at once, and waits for [`RESPONSE_TIMEOUT`].
+    Call(ClientRequest, usize),
     /// Does nothing for a while.
     Wait(Duration),
 }
@@ -45,7 +45,7 @@
         Operator {
             number,
             known: 0,
-            doing: Doing::Pausing,
+            doing: Activity::Pausing,
             turn: 0,
             taken: Vec::new(),
         }
@@ -59,40 +59,40 @@
     /// The order that is open.
     pub fn order(&self) -> Option<&Order> {
         match &self.doing {
-            Doing::Ordering(order) => Some(order),
+            Activity::Ordering(order) => Some(order),
             _ => None,
         }
     }
 
     /// Whether nothing of it is open.
     pub fn is_idle(&self) -> bool {
-        matches!(self.doing, Doing::Pausing)
+        matches!(self.doing, Activity::Pausing)
     }
 
     /// Its pause is over, or nobody has answered. `next_number` numbers a new order.
     pub fn wake(&mut self, random: &mut Random, next_number: u64) -> Next {
         self.turn += 1;
-        if matches!(self.doing, Doing::Pausing) {
+        if matches!(self.doing, Activity::Pausing) {
             let order = self.next_order(random, next_number);
-            self.doing = Doing::Ordering(order);
+            self.doing = Activity::Ordering(order);
         }
-        let count = 1 + usize::from(random.chance(15));
+        let count = 1 + usize::from(random.with_probability(15));
         match &self.doing {
-            Doing::Ordering(order) => Next::Call(order.ask(), count),
-            _ => Next::Call(Ask::Get, 1),
+            Activity::Ordering(order) => Next::Call(order.request(), count),
+            _ => Next::Call(ClientRequest::Get, 1),
         }
     }
 
     fn next_order(&self, random: &mut Random, number: u64) -> Order {
-        if random.chance(20) && !self.taken.is_empty() {
+        if random.with_probability(20) && !self.taken.is_empty() {
             return self.taken[random.below(self.taken.len())].clone();
         }
-        let base = if random.chance(95) {
+        let base = if random.with_probability(95) {
             self.known
         } else {
             self.known.saturating_sub(1)
         };
-        let version = self.known + 1 + u64::from(random.chance(20));
+        let version = self.known + 1 + u64::from(random.with_probability(20));
         let body = format!("{version} by {} as {number}", self.number).into_bytes();
         Order {
             number,
@@ -102,31 +102,31 @@
         }
     }
 
-    /// An answer to what it waits for.
-    pub fn told(&mut self, random: &mut Random, told: &Told) -> Next {
+    /// Handles the response that it waits for.
+    pub fn on_response(&mut self, random: &mut Random, response: &ClientResponse) -> Next {
         self.turn += 1;
-        match (&self.doing, told) {
-            (_, Told::Unavailable) => return Next::Wait(random.time(20, 300)),
-            (Doing::Ordering(order), Told::Done) => {
+        match (&self.doing, response) {
+            (_, ClientResponse::Unavailable) => return Next::Wait(random.time(20, 300)),
+            (Activity::Ordering(order), ClientResponse::Done) => {
                 self.known = self.known.max(order.version);
                 let order = order.clone();
                 self.taken.retain(|other| other.number != order.number);
                 self.taken.push(order);
                 let surplus = self.taken.len().saturating_sub(REMEMBERED);
                 self.taken.drain(..surplus);
-                self.doing = Doing::Pausing;
+                self.doing = Activity::Pausing;
             }
-            (Doing::Ordering(_), _) => {
-                self.doing = Doing::Reading;
+            (Activity::Ordering(_), _) => {
+                self.doing = Activity::Reading;
                 return Next::Wait(random.time(1, 50));
             }
-            (Doing::Reading, Told::Configuration { version, .. }) => {
+            (Activity::Reading, ClientResponse::Configuration { version, .. }) => {
                 self.known = *version;
-                self.doing = Doing::Pausing;
+                self.doing = Activity::Pausing;
             }
-            _ => self.doing = Doing::Pausing,
+            _ => self.doing = Activity::Pausing,
         }
-        Next::Wait(if random.chance(40) {
+        Next::Wait(if random.with_probability(40) {
             random.time(1, 100)
         } else {
             random.time(100, 1500)
--- a/crates/mintlb-simulation/src/process.rs
+++ b/crates/mintlb-simulation/src/process.rs
@@ -5,7 +5,7 @@
 use crate::controller::vote::VoteDisk;
 use crate::dispatcher::Dispatcher;
 use crate::gossip::Gossip;
-use crate::message::{Ask, Packet};
+use crate::message::{ClientRequest, Packet};
 use crate::random::Random;
 use crate::store::Store;
 use crate::store::disk::StoreDisk;
@@ -16,7 +16,7 @@
 pub enum Role {
     /// It takes operators' calls and holds a replica of the register.
     Controller,
-    /// It keeps lots.
+    /// It keeps jobs.
     Store,
     /// It serves clients.
     Dispatcher,
@@ -28,7 +28,7 @@
     /// A controller's.
     Vote(VoteDisk),
     /// A store's.
-    Lots(StoreDisk),
+    Batch(StoreDisk),
     /// None.
     None,
 }
@@ -90,10 +90,10 @@
     }
 
     /// A call from outside the tier.
-    pub fn ask(&mut self, context: &mut Context, id: u64, ask: Ask) {
+    pub fn on_client_request(&mut self, context: &mut Context, id: u64, request: ClientRequest) {
         match self {
-            Process::Controller(controller) => controller.ask(context, id, ask),
-            Process::Dispatcher(dispatcher) => dispatcher.ask(context, id, ask),
+            Process::Controller(controller) => controller.on_client_request(context, id, request),
+            Process::Dispatcher(dispatcher) => dispatcher.on_client_request(context, id, request),
             Process::Store(_) => (),
         }
     }
@@ -102,7 +102,7 @@
     pub fn crash(self, random: &mut Random) -> Disk {
         match self {
             Process::Controller(controller) => Disk::Vote(controller.crash(random)),
-            Process::Store(store) => Disk::Lots(store.crash(random)),
+            Process::Store(store) => Disk::Batch(store.crash(random)),
             Process::Dispatcher(_) => Disk::None,
         }
     }
--- a/crates/mintlb-simulation/src/random.rs
+++ b/crates/mintlb-simulation/src/random.rs
@@ -1,4 +1,4 @@
-//! The model's random numbers: splitmix64, so that everything drawn follows from the seed.
+//! The simulation's random numbers: splitmix64, so that everything drawn follows from the seed.
 
 use std::time::Duration;
 
@@ -25,14 +25,14 @@
         (self.number() % bound.max(1) as u64) as usize
     }
 
-    /// True in so many of a hundred cases.
-    pub fn chance(&mut self, percent: u32) -> bool {
+    /// True with this probability, in percent.
+    pub fn with_probability(&mut self, percent: u32) -> bool {
         self.number() % 100 < u64::from(percent)
     }
 
-    /// A time from `least` up to `most`, both in ms; the steps are microseconds.
-    pub fn time(&mut self, least: u64, most: u64) -> Duration {
-        let span = (most.saturating_sub(least)) * 1000 + 1;
-        Duration::from_micros(least * 1000 + self.number() % span)
+    /// A time from `min` up to `max`, both in ms; the steps are microseconds.
+    pub fn time(&mut self, min: u64, max: u64) -> Duration {
+        let span = (max.saturating_sub(min)) * 1000 + 1;
+        Duration::from_micros(min * 1000 + self.number() % span)
     }
 }
--- a/crates/mintlb-simulation/src/history.rs
+++ b/crates/mintlb-simulation/src/scenario.rs
@@ -1,6 +1,6 @@
-//! Histories: a seed, and faults drawn from it that keep the operators' promise.
+//! Scenarios: a seed, and faults drawn from it within the operators' fault model.
 //!
-//! The promise: at most one of the machines that count (controllers and stores) is lost at a time. One is lost while
+//! The fault model: at most one of the machines that count (controllers and stores) is lost at a time. One is lost while
 //! it is down, frozen, cut off or its disk stands still, and for [`CATCH_UP`] after that; a new one until so long
 //! after its start. Only whole failures of power, or of all processes at once, are outside of it: disks stay then.
 //! Nothing is held back for the state that the tier is in: no fault waits for a change of a set or a placement.
@@ -12,17 +12,17 @@
 /// `catch_up_s`: how long a machine that is back still counts as lost.
 pub const CATCH_UP: Duration = Duration::from_secs(5);
 /// Faults begin at the earliest at this time: a new tier counts as caught up then.
-const FIRST: Time = Duration::from_secs(7);
-/// Power losses without number end at this time.
-const RESTLESS_UNTIL: Time = Duration::from_secs(20);
+const FIRST_FAULT: Time = Duration::from_secs(7);
+/// Repeated power losses end at this time.
+const POWER_LOSSES_END: Time = Duration::from_secs(20);
 /// After this time nothing begins any more.
-const LAST: Time = Duration::from_secs(40);
+const LAST_FAULT: Time = Duration::from_secs(40);
 
-/// How long a common loss waits for an acknowledgement.
-pub const STRIKES_WITHIN: Duration = Duration::from_secs(1);
+/// How long a correlated loss waits for an acknowledgement.
+pub const STRIKE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Stores that a tier needs to take lots while it bears one loss.
-const LEAST_STORES: usize = 2;
+/// Stores that a tier needs to take jobs while it bears one loss.
+const MIN_STORES: usize = 2;
 
 /// The machines of a tier.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -72,7 +72,7 @@
     Replace(usize, Duration),
     /// As the next call is acknowledged, or after a second, one machine loses power or its disk as well, or all that
     /// count lose power at once and keep their disks, or both; they start again after up to so long.
-    Strike {
+    CorrelatedLoss {
         /// The one.
         one: Option<usize>,
         /// Whether it loses its disk.
@@ -90,33 +90,33 @@
     Retire(usize),
     /// Its time of day is set back by so many ms.
     ClockBack(usize, u64),
-    /// Messages are dropped, doubled or late, each so many of a hundred, for a while.
-    Weather(Weather, Duration),
+    /// Messages are lost, duplicated or delayed for a while.
+    NetworkFaults(NetworkFaults, Duration),
 }
 
-/// How bad the network is.
+/// Message faults of the network, in percent.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Weather {
-    /// Of a hundred messages so many are dropped.
-    pub dropped: u32,
-    /// So many come twice.
-    pub doubled: u32,
-    /// So many come up to 300 ms late, and so out of order.
-    pub late: u32,
+pub struct NetworkFaults {
+    /// Messages that are lost.
+    pub lost_percent: u32,
+    /// Messages that are delivered twice.
+    pub duplicated_percent: u32,
+    /// Messages that are delayed by up to 300 ms, and so reordered.
+    pub delayed_percent: u32,
 }
 
-/// A fault and its time.
+/// A fault with its start time.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Timed {
+pub struct TimedFault {
     /// When it begins.
     pub at: Time,
     /// What it is.
     pub fault: Fault,
 }
 
-/// What a world plays.
+/// What a simulation runs: the machines and the faults.
 #[derive(Clone, Debug, PartialEq)]
-pub struct History {
+pub struct Scenario {
     /// All that the world draws follows from it.
     pub seed: u64,
     /// The machines.
@@ -124,23 +124,23 @@
     /// The longest that a disk takes for a commit, in ms.
     pub commit_ms: u64,
     /// The faults, in the order of their times.
-    pub faults: Vec<Timed>,
+    pub faults: Vec<TimedFault>,
     /// From now on nothing is wrong.
     pub calm_from: Time,
 }
 
-impl History {
-    /// A history drawn from its seed.
-    pub fn draw(seed: u64, tier: Tier) -> History {
+impl Scenario {
+    /// A scenario drawn from its seed.
+    pub fn draw(seed: u64, tier: Tier) -> Scenario {
         let mut random = Random::new(seed ^ 0x5eed);
-        let last = FIRST + random.time(2_000, (LAST - FIRST).as_millis() as u64);
+        let last = FIRST_FAULT + random.time(2_000, (LAST_FAULT - FIRST_FAULT).as_millis() as u64);
         let others = others(&mut random, tier, last);
         let mut faults = losses(&mut random, tier, last, &others);
         faults.extend(others);
         faults.sort_by_key(|timed| timed.at);
-        let calm_from = faults.iter().map(Timed::end).max().unwrap_or(last);
+        let calm_from = faults.iter().map(TimedFault::end).max().unwrap_or(last);
         let commit_ms = [2, 8, 30, 80][random.below(4)];
-        History {
+        Scenario {
             seed,
             tier,
             commit_ms,
@@ -149,26 +149,29 @@
         }
     }
 
-    /// A history of power losses of single machines whose disks stay, any number at any time: nothing that was synced
-    /// may depend on the promise.
-    pub fn draw_restless(seed: u64, tier: Tier) -> History {
+    /// A scenario of power losses of single machines whose disks stay, any number at any time: nothing that was synced
+    /// may depend on the fault model.
+    pub fn draw_power_losses(seed: u64, tier: Tier) -> Scenario {
         let mut random = Random::new(seed ^ 0xbad);
         let mut faults = Vec::new();
-        let mut at = FIRST;
-        while at < RESTLESS_UNTIL {
+        let mut at = FIRST_FAULT;
+        while at < POWER_LOSSES_END {
             at += random.time(1, 700);
             let fault = Fault::PowerLoss(random.below(tier.counted()), random.time(3, 60));
-            faults.push(Timed { at, fault });
-            if random.chance(5) {
-                faults.push(Timed {
+            faults.push(TimedFault { at, fault });
+            if random.with_probability(5) {
+                faults.push(TimedFault {
                     at,
-                    fault: Fault::Weather(draw_weather(&mut random), random.time(200, 900)),
+                    fault: Fault::NetworkFaults(
+                        draw_network_faults(&mut random),
+                        random.time(200, 900),
+                    ),
                 });
             }
         }
         let commit_ms = [2, 8, 30, 80][random.below(4)];
-        let calm_from = faults.iter().map(Timed::end).max().unwrap_or(at);
-        History {
+        let calm_from = faults.iter().map(TimedFault::end).max().unwrap_or(at);
+        Scenario {
             seed,
             tier,
             commit_ms,
@@ -177,15 +180,15 @@
         }
     }
 
-    /// The history without one of its faults.
-    pub fn without(&self, place: usize) -> History {
+    /// The scenario without one of its faults.
+    pub fn without(&self, index: usize) -> Scenario {
         let mut fewer = self.clone();
-        fewer.faults.remove(place);
+        fewer.faults.remove(index);
         fewer
     }
 }
 
-impl Timed {
+impl TimedFault {
     /// When nothing more of it is felt.
     pub fn end(&self) -> Time {
         self.at + self.fault.lasts()
@@ -208,22 +211,22 @@
             | Fault::Replace(_, time)
             | Fault::Island(_, _, time)
             | Fault::Partial(_, _, time)
-            | Fault::Weather(_, time) => *time,
-            Fault::Strike { time, .. } => *time + STRIKES_WITHIN,
+            | Fault::NetworkFaults(_, time) => *time,
+            Fault::CorrelatedLoss { time, .. } => *time + STRIKE_TIMEOUT,
             Fault::ClockBack(..) | Fault::Retire(_) => Duration::ZERO,
         }
     }
 }
 
 /// Losses of machines that count, each after the one before has been caught up with.
-fn losses(random: &mut Random, tier: Tier, last: Time, others: &[Timed]) -> Vec<Timed> {
+fn losses(random: &mut Random, tier: Tier, last: Time, others: &[TimedFault]) -> Vec<TimedFault> {
     let mut faults = Vec::new();
-    let mut at = FIRST + random.time(0, 4000);
+    let mut at = FIRST_FAULT + random.time(0, 4000);
     while at < last {
         let fault = draw_loss(random, tier);
-        let timed = Timed { at, fault };
+        let timed = TimedFault { at, fault };
         // Often right after the promise allows it.
-        let pause = if random.chance(60) {
+        let pause = if random.with_probability(60) {
             random.time(0, 300)
         } else {
             random.time(0, 5000)
@@ -233,7 +236,7 @@
         // While the network is bad every machine counts as slowed, and so as lost: nothing is caught up with.
         for bad in others
             .iter()
-            .filter(|other| matches!(other.fault, Fault::Weather(..)))
+            .filter(|other| matches!(other.fault, Fault::NetworkFaults(..)))
         {
             if bad.at < at && bad.end() > from {
                 at += bad.fault.lasts();
@@ -246,12 +249,12 @@
 
 fn draw_loss(random: &mut Random, tier: Tier) -> Fault {
     let machine = random.below(tier.counted());
-    let short = if random.chance(40) {
+    let short = if random.with_probability(40) {
         random.time(3, 60)
     } else {
         random.time(50, 1500)
     };
-    let long = if random.chance(60) {
+    let long = if random.with_probability(60) {
         random.time(300, 6000)
     } else {
         random.time(6000, 20_000)
@@ -261,8 +264,8 @@
         9..=17 => Fault::PowerLoss(machine, short),
         18..=33 => Fault::Wipe(machine, short),
         34..=49 => {
-            let (wiped, all) = (random.chance(60), random.chance(50));
-            Fault::Strike {
+            let (wiped, all) = (random.with_probability(60), random.with_probability(50));
+            Fault::CorrelatedLoss {
                 one: Some(machine),
                 wiped,
                 all,
@@ -282,7 +285,7 @@
         73..=75 => Fault::Partial(machine, random.number(), long),
         76 => Fault::Apart(machine, random.below(tier.machines()), long),
         77..=88 => Fault::Replace(machine, random.time(50, 4000)),
-        _ => Fault::Strike {
+        _ => Fault::CorrelatedLoss {
             one: None,
             wiped: false,
             all: true,
@@ -292,11 +295,11 @@
 }
 
 /// What takes nothing of the promise: dispatchers, clocks, the network.
-fn others(random: &mut Random, tier: Tier, last: Time) -> Vec<Timed> {
-    let span = (last - FIRST).as_millis() as u64;
+fn others(random: &mut Random, tier: Tier, last: Time) -> Vec<TimedFault> {
+    let span = (last - FIRST_FAULT).as_millis() as u64;
     let mut faults = Vec::new();
     for _ in 0..random.below(5) {
-        let at = FIRST + random.time(0, span);
+        let at = FIRST_FAULT + random.time(0, span);
         let long = random.time(200, 6000);
         let dispatcher = tier.counted() + random.below(tier.dispatchers);
         let fault = match random.below(10) {
@@ -308,25 +311,25 @@
                 random.below(tier.machines()),
                 1000 * (1 + random.below(600) as u64),
             ),
-            _ => Fault::Weather(draw_weather(random), random.time(500, 4000)),
+            _ => Fault::NetworkFaults(draw_network_faults(random), random.time(500, 4000)),
         };
-        faults.push(Timed { at, fault });
+        faults.push(TimedFault { at, fault });
     }
     // More stores than are needed at least: one may go.
-    if tier.stores > LEAST_STORES && random.chance(60) {
+    if tier.stores > MIN_STORES && random.with_probability(60) {
         let store = tier.controllers + random.below(tier.stores);
-        faults.push(Timed {
-            at: FIRST + random.time(0, span),
+        faults.push(TimedFault {
+            at: FIRST_FAULT + random.time(0, span),
             fault: Fault::Retire(store),
         });
     }
     faults
 }
 
-fn draw_weather(random: &mut Random) -> Weather {
-    Weather {
-        dropped: random.below(15) as u32,
-        doubled: random.below(10) as u32,
-        late: random.below(30) as u32,
+fn draw_network_faults(random: &mut Random) -> NetworkFaults {
+    NetworkFaults {
+        lost_percent: random.below(15) as u32,
+        duplicated_percent: random.below(10) as u32,
+        delayed_percent: random.below(30) as u32,
     }
 }
--- a/crates/mintlb-simulation/src/shrink.rs
+++ b/crates/mintlb-simulation/src/shrink.rs
@@ -1,18 +1,18 @@
-//! Takes from a history that fails each fault without which it still fails.
+//! Shrinks a failing scenario: removes each fault without which it still fails.
 
-use crate::history::History;
-use crate::planted::Planted;
+use crate::mutations::Mutation;
+use crate::scenario::Scenario;
 use crate::world::{Report, play};
 use std::fmt::Write;
 
-/// Plays of one history's shrinking at most.
-const MOST_PLAYS: usize = 400;
+/// The maximum of replays while a scenario is shrunk.
+const MAX_REPLAYS: usize = 400;
 
-/// A history that fails, with fewer faults if possible, of the same point.
-pub fn shrink(history: &History, planted: Planted) -> History {
-    let mut shrunk = history.clone();
-    let point = |history: &History| {
-        play(history, planted, false)
+/// A scenario that fails, with fewer faults if possible, of the same point.
+pub fn shrink(scenario: &Scenario, mutation: Mutation) -> Scenario {
+    let mut shrunk = scenario.clone();
+    let point = |scenario: &Scenario| {
+        play(scenario, mutation, false)
             .violation
             .map(|violation| violation.point)
     };
@@ -22,23 +22,23 @@
     let mut plays = 0;
     loop {
         let before = shrunk.faults.len();
-        for place in (0..before).rev() {
-            let fewer = shrunk.without(place);
+        for index in (0..before).rev() {
+            let fewer = shrunk.without(index);
             plays += 1;
-            if plays < MOST_PLAYS && point(&fewer) == Some(failed) {
+            if plays < MAX_REPLAYS && point(&fewer) == Some(failed) {
                 shrunk = fewer;
             }
         }
-        if shrunk.faults.len() == before || plays >= MOST_PLAYS {
+        if shrunk.faults.len() == before || plays >= MAX_REPLAYS {
             return shrunk;
         }
     }
 }
 
-/// What a person needs to look into a failing history.
-pub fn described(history: &History, report: &Report) -> String {
-    let mut text = format!("seed {} on {:?}\n", history.seed, history.tier);
-    for timed in &history.faults {
+/// Describes a failing scenario: seed, faults, trace and violation.
+pub fn describe(scenario: &Scenario, report: &Report) -> String {
+    let mut text = format!("seed {} on {:?}\n", scenario.seed, scenario.tier);
+    for timed in &scenario.faults {
         writeln!(text, "  fault at {:?}: {:?}", timed.at, timed.fault).ok();
     }
     for (at, line) in &report.trace {
--- a/crates/mintlb-simulation/src/store/disk.rs
+++ b/crates/mintlb-simulation/src/store/disk.rs
@@ -127,7 +127,7 @@
 
     /// The process ends: the commit under way has come about or not, what waited has not.
     pub fn crash(mut self, random: &mut Random) -> StoreDisk {
-        if random.chance(50) {
+        if random.with_probability(50) {
             self.apply_committing();
         }
         self.disk
--- a/crates/mintlb-simulation/src/store/mod.rs
+++ b/crates/mintlb-simulation/src/store/mod.rs
@@ -1,16 +1,15 @@
 //! A store's process, as a state machine; mirrors `store/shard_host`, `store/heartbeats.rs` and `store/running.rs` around the
 //! product's replicas.
 
-mod calls;
 pub mod disk;
+mod requests;
 
 use crate::context::{Context, Time, Timer};
 use crate::gossip::Gossip;
 use crate::message::{Body, Call, Packet};
-use crate::planted::Planted;
+use crate::mutations::Mutation;
 use crate::random::Random;
 use bytes::Bytes;
-use calls::Waiting;
 use disk::{StoreDisk, Writer};
 use mintlb_batch::heartbeat::{HEARTBEAT_INTERVAL, StoreHeartbeat};
 use mintlb_batch::peer::{EntryLength, Envelope, PeerMessage};
@@ -19,16 +18,17 @@
 use mintlb_common::record::{PLACEMENT, REPLICAS};
 use mintlb_gossip::Role;
 use mintlb_register::replica_set::ReplicaSet;
+use requests::Waiting;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::time::Duration;
 
 /// Shards of the model's tier: the product's planner places all, the model keeps the first of them.
 pub const SHARDS: u32 = 2;
-/// `status_s` of the model: longer than any history.
+/// `status_s` of the model: longer than any scenario.
 const STATUS: Duration = Duration::from_secs(100_000);
 /// Between two heartbeats at least.
-const LEAST_PAUSE: Duration = Duration::from_millis(10);
+const MIN_PAUSE: Duration = Duration::from_millis(10);
 
 /// A store's process.
 pub struct Store {
@@ -57,12 +57,12 @@
             result_retention: STATUS,
         };
         let replicas = (0..SHARDS).map(|shard| {
-            let held = disk.shards.get(&shard).cloned().unwrap_or_default();
+            let on_disk = disk.shards.get(&shard).cloned().unwrap_or_default();
             Replica::load(
                 shard,
                 settings,
-                held.meta.clone(),
-                held.load(),
+                on_disk.meta.clone(),
+                on_disk.load(),
                 context.now.into(),
             )
         });
@@ -96,18 +96,18 @@
         match packet.body {
             Body::Gossip(body) => {
                 self.gossip
-                    .received(context, packet.from, packet.from_life, body);
+                    .received(context, packet.from, packet.from_incarnation, body);
                 self.follow_placement(context);
             }
-            Body::Lots(envelope, raw) => self.message(context, envelope, raw),
+            Body::Batch(envelope, raw) => self.message(context, envelope, raw),
             Body::Call {
                 id,
-                life,
-                call: Call::Lots(call, raw),
+                incarnation,
+                call: Call::Batch(call, raw),
             } => {
                 let caller = crate::context::Caller {
                     address: packet.from,
-                    life,
+                    incarnation,
                     id,
                 };
                 self.call(context, caller, call, raw);
@@ -150,7 +150,7 @@
         if shard >= SHARDS {
             return;
         }
-        if context.planted == Planted::EpochNotCompared {
+        if context.mutation == Mutation::EpochNotCompared {
             let current_epoch = self.replicas[shard as usize].current_epoch();
             match envelope.message {
                 PeerMessage::Append(_)
@@ -221,8 +221,8 @@
             if writes.is_empty() && after.is_empty() {
                 continue;
             }
-            let at_once = match context.planted {
-                Planted::StoreAnswersBeforeSync => {
+            let at_once = match context.mutation {
+                Mutation::StoreAnswersBeforeSync => {
                     self.writer.write(context, shard, writes, Vec::new());
                     after
                 }
@@ -240,10 +240,10 @@
         };
         let packet = Packet {
             from: context.own,
-            from_life: context.life,
+            from_incarnation: context.incarnation,
             to,
-            to_life: None,
-            body: Body::Lots(envelope, raw),
+            to_incarnation: None,
+            body: Body::Batch(envelope, raw),
         };
         context.send(packet);
     }
@@ -268,21 +268,21 @@
 
     /// Entries that are on disk.
     fn read(&self, shard: u32, indexes: &[u64]) -> Vec<(u64, Bytes)> {
-        let Some(held) = self.writer.disk().shards.get(&shard) else {
+        let Some(on_disk) = self.writer.disk().shards.get(&shard) else {
             return Vec::new();
         };
         indexes
             .iter()
-            .filter_map(|index| Some((*index, held.entries.get(index)?.clone())))
+            .filter_map(|index| Some((*index, on_disk.entries.get(index)?.clone())))
             .collect()
     }
 
     /// Tells the controllers soon.
     fn hurry(&mut self, context: &mut Context) {
-        let soon = context.now + LEAST_PAUSE;
+        let soon = context.now + MIN_PAUSE;
         if self.heartbeat_at > soon {
             self.heartbeat_at = soon;
-            context.wake(LEAST_PAUSE, Timer::Heartbeat);
+            context.wake(MIN_PAUSE, Timer::Heartbeat);
         }
     }
 
@@ -306,9 +306,9 @@
                 let body = Body::Heartbeat(heartbeat.clone());
                 context.send(Packet {
                     from: context.own,
-                    from_life: context.life,
+                    from_incarnation: context.incarnation,
                     to,
-                    to_life: None,
+                    to_incarnation: None,
                     body,
                 });
             }
--- a/crates/mintlb-simulation/src/store/calls.rs
+++ b/crates/mintlb-simulation/src/store/requests.rs
@@ -23,7 +23,7 @@
     confirmations: Vec<(Time, Caller, StoreResponse)>,
 }
 
-/// A lot that came again has to be the same.
+/// A job that came again has to be the same.
 #[derive(Clone)]
 struct Submitted {
     head: mintlb_batch::entry::JobHeader,
@@ -168,7 +168,7 @@
         let raw: Vec<u8> = texts.iter().flat_map(|text| text.to_vec()).collect();
         context.answer(
             caller,
-            message::Answer::Lots(StoreResponse::Page(page), raw.into()),
+            message::Answer::Batch(StoreResponse::Page(page), raw.into()),
         );
     }
 
@@ -242,14 +242,14 @@
     /// Those that have waited too long for a confirmation.
     pub(super) fn give_up_waiting(&mut self, context: &mut Context) {
         for waiting in &mut self.waiting {
-            let late = |(until, ..): &(Time, Caller, StoreResponse)| *until <= context.now;
+            let is_expired = |(until, ..): &(Time, Caller, StoreResponse)| *until <= context.now;
             let callers: Vec<Caller> = waiting
                 .confirmations
                 .iter()
-                .filter(|w| late(w))
+                .filter(|w| is_expired(w))
                 .map(|(_, caller, _)| caller.clone())
                 .collect();
-            waiting.confirmations.retain(|w| !late(w));
+            waiting.confirmations.retain(|w| !is_expired(w));
             callers
                 .iter()
                 .for_each(|caller| reply(context, caller, StoreResponse::Indeterminate));
@@ -258,5 +258,5 @@
 }
 
 fn reply(context: &mut Context, caller: &Caller, answer: StoreResponse) {
-    context.answer(caller, message::Answer::Lots(answer, Bytes::new()));
+    context.answer(caller, message::Answer::Batch(answer, Bytes::new()));
 }
--- a/crates/mintlb-simulation/src/worker.rs
+++ b/crates/mintlb-simulation/src/worker.rs
@@ -1,13 +1,13 @@
 //! Workers: each calls a controller regularly, drains after a while, ends, and is followed by another one. A call that
 //! is refused or not answered goes to another controller, under a new sequence.
 
-use crate::message::{Ask, Told};
+use crate::message::{ClientRequest, ClientResponse};
 use crate::random::Random;
 use mintlb_common::record::{WorkerRecord, WorkerState};
 use std::time::Duration;
 
-/// A worker calls another controller after this time.
-pub const PATIENCE: Duration = Duration::from_millis(1000);
+/// After this time without a response a worker calls another controller.
+pub const RESPONSE_TIMEOUT: Duration = Duration::from_millis(1000);
 /// The pause between two heartbeats, in ms.
 const HEARTBEAT_MS: u64 = 400;
 
@@ -19,7 +19,7 @@
     state: WorkerState,
     sequence: u64,
     controller: usize,
-    beats: u64,
+    heartbeats: u64,
     turn: u64,
 }
 
@@ -32,7 +32,7 @@
             state: WorkerState::InService,
             sequence: 0,
             controller: number,
-            beats: 0,
+            heartbeats: 0,
             turn: 0,
         }
     }
@@ -53,19 +53,19 @@
     }
 
     /// Its next call; `again` if the last one was not answered.
-    pub fn call(&mut self, random: &mut Random, controllers: usize, again: bool) -> Ask {
+    pub fn call(&mut self, random: &mut Random, controllers: usize, again: bool) -> ClientRequest {
         self.turn += 1;
         self.sequence += 1;
         if again {
             self.controller = random.below(controllers);
         }
         match self.state {
-            WorkerState::Deregistered => Ask::Leave(self.id()),
-            _ => Ask::Heartbeat(self.record()),
+            WorkerState::Deregistered => ClientRequest::Leave(self.id()),
+            _ => ClientRequest::Heartbeat(self.record()),
         }
     }
 
-    /// Its record as it is told.
+    /// Its record as it is sent.
     pub fn record(&self) -> WorkerRecord {
         WorkerRecord {
             instance_id: self.id(),
@@ -79,19 +79,25 @@
         }
     }
 
-    /// It was answered; whether it calls another controller, and after which pause.
-    pub fn told(&mut self, random: &mut Random, told: &Told) -> (bool, Duration) {
+    /// Handles a response: whether it calls another controller next, and the pause before that.
+    pub fn on_response(
+        &mut self,
+        random: &mut Random,
+        response: &ClientResponse,
+    ) -> (bool, Duration) {
         self.turn += 1;
-        if *told != Told::Done {
+        if *response != ClientResponse::Done {
             return (true, random.time(10, 100));
         }
-        self.beats += 1;
+        self.heartbeats += 1;
         let next = match self.state {
-            WorkerState::InService if self.beats > 3 && random.chance(20) => WorkerState::Draining,
-            WorkerState::Draining if random.chance(40) => WorkerState::Deregistered,
+            WorkerState::InService if self.heartbeats > 3 && random.with_probability(20) => {
+                WorkerState::Draining
+            }
+            WorkerState::Draining if random.with_probability(40) => WorkerState::Deregistered,
             WorkerState::Deregistered => {
                 self.generation += 1;
-                (self.beats, self.sequence) = (0, 0);
+                (self.heartbeats, self.sequence) = (0, 0);
                 WorkerState::InService
             }
             state => state,
--- a/crates/mintlb-simulation/src/world/faults.rs
+++ b/crates/mintlb-simulation/src/world/fault_injection.rs
@@ -1,10 +1,10 @@
-//! How a world carries out the faults of its history.
+//! Injection of the faults of a scenario.
 
 use super::{Event, World};
 use crate::controller::vote::VoteDisk;
-use crate::history::{Fault, STRIKES_WITHIN, Weather};
-use crate::planted::Planted;
+use crate::mutations::Mutation;
 use crate::process::{Disk, Role};
+use crate::scenario::{Fault, NetworkFaults, STRIKE_TIMEOUT};
 use crate::store::disk::StoreDisk;
 use mintlb_common::placement::StoreId;
 use mintlb_register::replica_set::ReplicaId;
@@ -19,7 +19,7 @@
     Thaw(usize),
     /// Its disk takes writes again.
     Flow(usize),
-    /// These ways are joined.
+    /// These links are restored.
     Join(Vec<(usize, usize)>),
     /// The network is fine.
     Fair,
@@ -40,47 +40,47 @@
             }
             Fault::Stall(machine, time) => {
                 self.machines[machine].stalled_until = self.now + time;
-                self.touch(machine);
+                self.record_disturbance(machine);
                 self.schedule(time, Event::Ending(Ending::Flow(machine)));
             }
             Fault::Freeze(machine, time) => {
-                self.touch(machine);
+                self.record_disturbance(machine);
                 self.machines[machine].frozen = true;
                 self.schedule(time, Event::Ending(Ending::Thaw(machine)));
             }
-            Fault::CutOff(machine, time) => self.cut(self.ways(machine, true, true), time),
-            Fault::Deaf(machine, time) => self.cut(self.ways(machine, true, false), time),
-            Fault::Mute(machine, time) => self.cut(self.ways(machine, false, true), time),
+            Fault::CutOff(machine, time) => self.cut(self.links(machine, true, true), time),
+            Fault::Deaf(machine, time) => self.cut(self.links(machine, true, false), time),
+            Fault::Mute(machine, time) => self.cut(self.links(machine, false, true), time),
             Fault::Apart(one, other, time) if one != other => {
                 self.cut(vec![(one, other), (other, one)], time);
             }
             Fault::Apart(..) => (),
             Fault::Replace(machine, time) => self.replace(machine, time),
-            Fault::Strike { .. } => {
+            Fault::CorrelatedLoss { .. } => {
                 self.armed = Some(fault);
-                self.schedule(STRIKES_WITHIN, Event::Strike);
+                self.schedule(STRIKE_TIMEOUT, Event::CorrelatedLoss);
             }
             Fault::Island(machine, dispatcher, time) => {
-                let mut ways = self.ways(machine, true, true);
-                ways.extend(self.ways(dispatcher, true, true));
-                let is_within = |way: &(usize, usize)| {
-                    *way == (machine, dispatcher) || *way == (dispatcher, machine)
+                let mut links = self.links(machine, true, true);
+                links.extend(self.links(dispatcher, true, true));
+                let is_within = |link: &(usize, usize)| {
+                    *link == (machine, dispatcher) || *link == (dispatcher, machine)
                 };
-                ways.retain(|way| !is_within(way));
-                self.cut(ways, time);
+                links.retain(|link| !is_within(link));
+                self.cut(links, time);
             }
             Fault::Partial(machine, others, time) => {
-                let mut ways = self.ways(machine, true, true);
-                ways.retain(|(from, to)| others >> (from + to - machine) & 1 == 1);
-                self.cut(ways, time);
+                let mut links = self.links(machine, true, true);
+                links.retain(|(from, to)| others >> (from + to - machine) & 1 == 1);
+                self.cut(links, time);
             }
             Fault::ClockBack(machine, ms) => {
                 self.machines[machine].clock_behind += ms;
-                self.touch(machine);
+                self.record_disturbance(machine);
             }
             Fault::Retire(machine) => self.retire(machine),
-            Fault::Weather(weather, time) => {
-                self.network.weather = weather;
+            Fault::NetworkFaults(network_faults, time) => {
+                self.network.network_faults = network_faults;
                 self.schedule(time, Event::Ending(Ending::Fair));
             }
         }
@@ -92,46 +92,47 @@
             Ending::Start(machine) => self.start(machine),
             Ending::Thaw(machine) => {
                 self.machines[machine].frozen = false;
-                self.touch(machine);
-                let held = std::mem::take(&mut self.machines[machine].held);
-                held.into_iter()
+                self.record_disturbance(machine);
+                let deferred_events = std::mem::take(&mut self.machines[machine].deferred_events);
+                deferred_events
+                    .into_iter()
                     .for_each(|event| self.schedule(Duration::ZERO, event));
             }
-            Ending::Join(ways) => {
-                for (from, to) in ways {
+            Ending::Join(links) => {
+                for (from, to) in links {
                     self.network.join(from, to);
-                    self.touch_way(from, to);
+                    self.record_link_disturbance(from, to);
                 }
             }
-            Ending::Flow(machine) => self.touch(machine),
+            Ending::Flow(machine) => self.record_disturbance(machine),
             Ending::Fair => {
-                self.network.weather = Weather::default();
-                self.fair_since = self.now;
+                self.network.network_faults = NetworkFaults::default();
+                self.network_ok_since = self.now;
             }
         }
     }
 
     fn restart(&mut self, machine: usize, after: Duration) {
-        if !self.machines[machine].gone {
+        if !self.machines[machine].removed {
             self.stop(machine);
             self.schedule(after, Event::Ending(Ending::Start(machine)));
         }
     }
 
-    /// A machine is taken away for good.
-    pub(super) fn take_away(&mut self, machine: usize) {
+    /// Removes a machine for good, after its decommission.
+    pub(super) fn decommission(&mut self, machine: usize) {
         let name = self.machines[machine].name.clone();
         self.note(|| format!("{name} is taken away"));
         self.stop(machine);
         let address = self.draw_address();
-        self.machines[machine].gone = true;
+        self.machines[machine].removed = true;
         self.machines[machine].address = address;
         self.machines[machine].disk = Disk::None;
     }
 
-    /// The loss that was waiting comes about.
-    pub(super) fn strike(&mut self) {
-        let Some(Fault::Strike {
+    /// The correlated loss strikes.
+    pub(super) fn trigger_correlated_loss(&mut self) {
+        let Some(Fault::CorrelatedLoss {
             one,
             wiped,
             all,
@@ -140,7 +141,7 @@
         else {
             return;
         };
-        self.note(|| format!("the strike falls: {one:?}, wiped: {wiped}, all: {all}"));
+        self.note(|| format!("correlated loss: {one:?}, wiped: {wiped}, all: {all}"));
         if all {
             self.forget_drains();
             self.restart_all(time);
@@ -167,36 +168,36 @@
             return;
         };
         self.machines[machine].disk = process.crash(&mut self.random);
-        self.touch(machine);
+        self.record_disturbance(machine);
     }
 
-    /// A machine has trouble, or its end.
-    pub(super) fn touch(&mut self, machine: usize) {
-        self.machines[machine].touched = self.now;
+    /// A fault of a machine begins or ends.
+    pub(super) fn record_disturbance(&mut self, machine: usize) {
+        self.machines[machine].disturbed_at = self.now;
         if machine < self.tier.counted() {
-            self.core_touched = self.now;
+            self.core_disturbed_at = self.now;
         }
     }
 
-    /// The same of the way between two machines; a core machine has none from its way to another one.
-    fn touch_way(&mut self, from: usize, to: usize) {
+    /// The same for the link between two machines; a counted machine is not disturbed by its link to one that is not.
+    fn record_link_disturbance(&mut self, from: usize, to: usize) {
         self.machines[from].cut_at = Some(self.now);
         self.machines[to].cut_at = Some(self.now);
         let in_core = |machine: usize| machine < self.tier.counted();
         if in_core(from) && in_core(to) {
-            self.core_touched = self.now;
+            self.core_disturbed_at = self.now;
         }
         for machine in [from, to]
             .into_iter()
             .filter(|machine| !in_core(*machine))
             .collect::<Vec<_>>()
         {
-            self.machines[machine].touched = self.now;
+            self.machines[machine].disturbed_at = self.now;
         }
     }
 
     fn wipe(&mut self, machine: usize) {
-        let keeps = self.planted == Planted::VoteAfterWipe;
+        let keeps = self.mutation == Mutation::VoteAfterWipe;
         let new_id = self.draw_identity();
         match &mut self.machines[machine].disk {
             Disk::Vote(disk) => {
@@ -206,7 +207,7 @@
                     ..VoteDisk::default()
                 };
             }
-            Disk::Lots(disk) => {
+            Disk::Batch(disk) => {
                 *disk = StoreDisk {
                     id: StoreId(new_id),
                     ..StoreDisk::default()
@@ -218,7 +219,7 @@
 
     /// Another machine takes the place of this one, at another address.
     fn replace(&mut self, machine: usize, after: Duration) {
-        if self.machines[machine].gone {
+        if self.machines[machine].removed {
             return;
         }
         self.stop(machine);
@@ -232,21 +233,21 @@
         self.schedule(after, Event::Ending(Ending::Start(machine)));
     }
 
-    fn ways(&self, machine: usize, to_it: bool, from_it: bool) -> Vec<(usize, usize)> {
+    fn links(&self, machine: usize, to_it: bool, from_it: bool) -> Vec<(usize, usize)> {
         let others = (0..self.machines.len()).filter(|other| *other != machine);
-        let ways = others.flat_map(|other| {
+        let links = others.flat_map(|other| {
             let to = to_it.then_some((other, machine));
             to.into_iter().chain(from_it.then_some((machine, other)))
         });
-        ways.collect()
+        links.collect()
     }
 
-    fn cut(&mut self, ways: Vec<(usize, usize)>, time: Duration) {
-        for (from, to) in ways.iter().copied() {
+    fn cut(&mut self, links: Vec<(usize, usize)>, time: Duration) {
+        for (from, to) in links.iter().copied() {
             self.network.cut(from, to);
-            self.touch_way(from, to);
+            self.record_link_disturbance(from, to);
         }
-        self.schedule(time, Event::Ending(Ending::Join(ways)));
+        self.schedule(time, Event::Ending(Ending::Join(links)));
     }
 
     /// An empty disk.
@@ -256,7 +257,7 @@
                 id: ReplicaId(self.draw_identity()),
                 ..VoteDisk::default()
             }),
-            Role::Store => Disk::Lots(StoreDisk {
+            Role::Store => Disk::Batch(StoreDisk {
                 id: StoreId(self.draw_identity()),
                 ..StoreDisk::default()
             }),
--- a/crates/mintlb-simulation/src/world/ending.rs
+++ b/crates/mintlb-simulation/src/world/final_checks.rs
@@ -1,20 +1,20 @@
-//! What has to hold a while after an acknowledgement, and at the end.
+//! Invariants that are checked some time after an acknowledgement, and at the end.
 
 use super::{CONFIG_APPLY, Event, World};
 use crate::context::Time;
-use crate::history::Weather;
+use crate::scenario::NetworkFaults;
 use mintlb_common::record::{CONFIGURATION, PLACEMENT, REPLICAS};
 use std::time::Duration;
 
 /// A machine is in touch when there was no trouble for so long (`contact_ms`).
 const CONTACT: Duration = Duration::from_millis(3000);
 /// How often it is looked at what machines in touch know.
-const WATCHED_EVERY: Duration = Duration::from_millis(500);
+const WATCH_INTERVAL: Duration = Duration::from_millis(500);
 
 impl World {
     /// A configuration acknowledged `config_apply_ms` ago has to be at each machine in touch.
     pub(super) fn watch(&mut self) {
-        self.schedule(WATCHED_EVERY, Event::Watch);
+        self.schedule(WATCH_INTERVAL, Event::Watch);
         self.watch_drains();
         let Some(version) = self
             .checks
@@ -38,9 +38,9 @@
     /// reaches most of the core.
     pub(super) fn in_touch(&self) -> Vec<usize> {
         let calm = |since: Time| since + CONTACT <= self.now;
-        let stays = |number: &usize| !self.machines[*number].gone;
+        let stays = |number: &usize| !self.machines[*number].removed;
         let core: Vec<usize> = (0..self.tier.counted()).filter(stays).collect();
-        let runs = |number: &usize| self.machines[*number].is_well();
+        let runs = |number: &usize| self.machines[*number].is_running();
         let reaches = |one: usize, other: usize| {
             one == other || !self.network.is_cut(one, other) && !self.network.is_cut(other, one)
         };
@@ -52,14 +52,15 @@
             runs(number) && 2 * reached > core.len()
         };
         let connected: Vec<usize> = core.iter().copied().filter(is_connected).collect();
-        let stable =
-            2 * connected.len() > core.len() && calm(self.core_touched) && calm(self.fair_since);
+        let stable = 2 * connected.len() > core.len()
+            && calm(self.core_disturbed_at)
+            && calm(self.network_ok_since);
         let is_in_touch = |number: &usize| {
             runs(number)
-                && calm(self.machines[*number].touched)
+                && calm(self.machines[*number].disturbed_at)
                 && connected.iter().all(|other| reaches(*number, *other))
         };
-        match stable && self.network.weather == Weather::default() {
+        match stable && self.network.network_faults == NetworkFaults::default() {
             true => (0..self.machines.len()).filter(is_in_touch).collect(),
             false => Vec::new(),
         }
@@ -82,24 +83,24 @@
             );
             return self.checks.violates("P3", now, what);
         }
-        if self.last_reads_open > 0 {
+        if self.pending_final_reads > 0 {
             return self.checks.violates(
                 "P3",
                 now,
-                format!("{} reads unanswered", self.last_reads_open),
+                format!("{} reads unanswered", self.pending_final_reads),
             );
         }
-        if self.last_lots_open > 0 {
-            let what = format!("{} lots can't be read", self.last_lots_open);
+        if self.pending_final_job_reads > 0 {
+            let what = format!("{} jobs can't be read", self.pending_final_job_reads);
             return self.checks.violates("P3", now, what);
         }
         let newest = self.checks.newest();
         if self
-            .last_versions
+            .final_versions
             .iter()
-            .any(|version| *version < newest || *version != self.last_versions[0])
+            .any(|version| *version < newest || *version != self.final_versions[0])
         {
-            let what = format!("read {:?}, acknowledged {newest}", self.last_versions);
+            let what = format!("read {:?}, acknowledged {newest}", self.final_versions);
             return self.checks.violates("P3", now, what);
         }
         self.check_set();
@@ -128,7 +129,7 @@
             (CONFIGURATION, state.configuration_version),
             (REPLICAS, state.replicas.epoch),
         ];
-        let stay = (0..self.machines.len()).filter(|number| !self.machines[*number].gone);
+        let stay = (0..self.machines.len()).filter(|number| !self.machines[*number].removed);
         for number in stay.collect::<Vec<_>>() {
             for (key, version) in newest {
                 let known = self.version_at(number, key);
--- a/crates/mintlb-simulation/src/world/machine.rs
+++ b/crates/mintlb-simulation/src/world/machine.rs
@@ -14,27 +14,27 @@
     /// Its address.
     pub address: SocketAddr,
     /// Which start of a process runs on it, among all starts of the model.
-    pub life: u64,
+    pub incarnation: u64,
     /// The process.
     pub process: Option<Process>,
     /// Its disk, while no process has it.
     pub disk: Disk,
     /// Whether it stands still.
     pub frozen: bool,
-    /// What comes when it goes on.
-    pub held: Vec<Event>,
+    /// Events that are delivered once it is unfrozen.
+    pub deferred_events: Vec<Event>,
     /// Until then its disk takes nothing.
     pub stalled_until: Time,
     /// How far its time of day is behind, in ms.
     pub clock_behind: u64,
     /// `first_start` of its settings.
     pub first_start: bool,
-    /// When a way to or from it was last cut or joined.
+    /// When a link to or from it was last cut or restored.
     pub cut_at: Option<Time>,
-    /// It was taken away for good.
-    pub gone: bool,
-    /// When trouble of its own last began or ended.
-    pub touched: Time,
+    /// It was removed for good.
+    pub removed: bool,
+    /// When a fault of its own last began or ended.
+    pub disturbed_at: Time,
 }
 
 impl Machine {
@@ -44,27 +44,27 @@
             role,
             name,
             address,
-            life: 0,
+            incarnation: 0,
             process: None,
             disk,
             frozen: false,
-            held: Vec::new(),
+            deferred_events: Vec::new(),
             stalled_until: Time::ZERO,
             clock_behind: 0,
             first_start: true,
             cut_at: None,
-            gone: false,
-            touched: Time::ZERO,
+            removed: false,
+            disturbed_at: Time::ZERO,
         }
     }
 
     /// Whether it runs.
-    pub fn is_well(&self) -> bool {
+    pub fn is_running(&self) -> bool {
         self.process.is_some() && !self.frozen
     }
 
-    /// Whether this life of it runs.
-    pub fn runs(&self, life: u64) -> bool {
-        self.life == life && self.process.is_some()
+    /// Whether this incarnation of it runs.
+    pub fn runs(&self, incarnation: u64) -> bool {
+        self.incarnation == incarnation && self.process.is_some()
     }
 }
--- a/crates/mintlb-simulation/src/world/mod.rs
+++ b/crates/mintlb-simulation/src/world/mod.rs
@@ -1,31 +1,31 @@
 //! The world: machines, the network, operators, and one queue of events in virtual time.
 
-mod ending;
-mod faults;
-mod lots;
+mod external_callers;
+mod fault_injection;
+mod final_checks;
+mod jobs;
 mod machine;
 mod network;
-mod outside;
 mod workers;
 
+use crate::batch_oracle::BatchOracle;
 use crate::checks::{Checks, Counts, Violation};
 use crate::context::{Context, Out, Time, Timer};
 use crate::controller::{Controller, Start};
 use crate::dispatcher::Dispatcher;
-use crate::history::{Fault, History, Tier};
-use crate::lot_client::LotClient;
-use crate::lots_told::LotsTold;
-use crate::message::{Ask, Packet, Told};
+use crate::job_client::JobClient;
+use crate::message::{ClientRequest, ClientResponse, Packet};
+use crate::mutations::Mutation;
 use crate::operator::Operator;
-use crate::planted::Planted;
 use crate::process::{Disk, Process, Role};
 use crate::random::Random;
+use crate::scenario::{Fault, Scenario, Tier};
 use crate::store::Store;
 use crate::worker::Worker;
-use faults::Ending;
+use external_callers::PendingRequest;
+use fault_injection::Ending;
 use machine::Machine;
 use network::Network;
-use outside::Open;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::sync::OnceLock;
@@ -35,7 +35,7 @@
 /// `config_apply_ms`.
 pub const CONFIG_APPLY: Duration = Duration::from_millis(2000);
 /// All machines of a new tier start within this time.
-const STARTS_WITHIN_MS: u64 = 300;
+const MAX_START_DELAY_MS: u64 = 300;
 /// After so much calm all has to be in order.
 const CALM: Duration = Duration::from_secs(12);
 /// Before the end of it operators send nothing new.
@@ -44,10 +44,10 @@
 const OPERATORS: usize = 2;
 /// Workers.
 const WORKERS: usize = 3;
-/// Callers with lots.
-const LOT_CLIENTS: usize = 2;
+/// Clients of the batch API.
+const JOB_CLIENTS: usize = 2;
 /// Events of a world at most; more are a fault of the model.
-const MOST_EVENTS: u64 = 3_000_000;
+const MAX_EVENTS: u64 = 3_000_000;
 
 /// Something that happens.
 #[derive(Clone, Debug)]
@@ -59,12 +59,12 @@
         /// The message.
         packet: Packet,
     },
-    /// A timer of a life runs out.
+    /// A timer of an incarnation runs out.
     Timer {
         /// The machine.
         machine: usize,
-        /// The life.
-        life: u64,
+        /// The incarnation.
+        incarnation: u64,
         /// The timer.
         timer: Timer,
     },
@@ -72,8 +72,8 @@
     Unreachable {
         /// The machine that notices.
         machine: usize,
-        /// Its life.
-        life: u64,
+        /// Its incarnation.
+        incarnation: u64,
         /// The other end.
         peer: SocketAddr,
     },
@@ -81,26 +81,26 @@
     CallLost {
         /// The calling machine.
         machine: usize,
-        /// Its life.
-        life: u64,
+        /// Its incarnation.
+        incarnation: u64,
         /// Its number of the call.
         id: u64,
     },
     /// A call from outside comes.
-    Ask {
+    ClientRequest {
         /// To this machine.
         machine: usize,
         /// Its number.
         id: u64,
         /// The call.
-        ask: Ask,
+        request: ClientRequest,
     },
     /// Its answer comes back.
-    Told {
+    ClientResponse {
         /// Its number.
         id: u64,
         /// The answer.
-        told: Told,
+        response: ClientResponse,
     },
     /// An operator's time has come.
     Operator {
@@ -110,7 +110,7 @@
         turn: u64,
     },
     /// A caller's time has come.
-    LotClient {
+    JobClient {
         /// Which one.
         number: usize,
         /// What it waits for.
@@ -133,15 +133,15 @@
     Fault(Fault),
     /// A fault ends.
     Ending(Ending),
-    /// A loss that waits for an acknowledgement comes about.
-    Strike,
-    /// The last reads begin.
-    LastReads,
-    /// The last reads of lots begin.
-    LastLots,
+    /// The correlated loss that waits for an acknowledgement strikes.
+    CorrelatedLoss,
+    /// The final reads of the configuration begin.
+    FinalReads,
+    /// The final reads of all jobs begin.
+    FinalJobReads,
 }
 
-/// What came of a history.
+/// A scenario's outcome.
 #[derive(Debug, Default)]
 pub struct Report {
     /// The first invariant that did not hold.
@@ -158,44 +158,44 @@
     queue: BTreeMap<(Time, u64), Event>,
     scheduled: u64,
     random: Random,
-    planted: Planted,
+    mutation: Mutation,
     tier: Tier,
     machines: Vec<Machine>,
     seeds: Vec<SocketAddr>,
     network: Network,
-    fair_since: Time,
-    /// When a machine that counts last had trouble, or its end.
-    core_touched: Time,
+    network_ok_since: Time,
+    /// When a fault of a counted machine last began or ended.
+    core_disturbed_at: Time,
     /// The loss that waits for an acknowledgement.
     armed: Option<Fault>,
     commit_ms: u64,
     operators: Vec<Operator>,
-    lot_clients: Vec<LotClient>,
+    job_clients: Vec<JobClient>,
     workers: Vec<Worker>,
     drained: Vec<workers::Drained>,
-    lots: LotsTold,
-    retiring: Option<lots::Retiring>,
+    jobs: BatchOracle,
+    retiring: Option<jobs::Retiring>,
     operators_until: Time,
-    open: BTreeMap<u64, Open>,
-    next_ask: u64,
-    next_life: u64,
+    pending: BTreeMap<u64, PendingRequest>,
+    last_request_id: u64,
+    next_incarnation: u64,
     next_identity: u64,
     addresses: Vec<u8>,
     checks: Checks,
     calm_from: Time,
     last_acknowledged: Time,
-    last_reads_open: usize,
-    last_lots_open: usize,
-    last_versions: Vec<u64>,
+    pending_final_reads: usize,
+    pending_final_job_reads: usize,
+    final_versions: Vec<u64>,
     trace: Option<Vec<(Time, String)>>,
 }
 
-/// Plays a history to its end, or to the first invariant that does not hold.
-pub fn play(history: &History, planted: Planted, traced: bool) -> Report {
-    let mut world = World::new(history, planted, traced);
-    world.run(history.calm_from + CALM);
+/// Runs a scenario to its end, or to the first invariant that does not hold.
+pub fn play(scenario: &Scenario, mutation: Mutation, traced: bool) -> Report {
+    let mut world = World::new(scenario, mutation, traced);
+    world.run(scenario.calm_from + CALM);
     let mut counts = world.checks.counts;
-    (counts.lots, counts.results) = (world.lots.accepted(), world.lots.recorded);
+    (counts.jobs, counts.results) = (world.jobs.accepted(), world.jobs.recorded);
     Report {
         violation: world.checks.violation,
         counts,
@@ -204,8 +204,8 @@
 }
 
 impl World {
-    fn new(history: &History, planted: Planted, traced: bool) -> World {
-        let mut random = Random::new(history.seed);
+    fn new(scenario: &Scenario, mutation: Mutation, traced: bool) -> World {
+        let mut random = Random::new(scenario.seed);
         let mut addresses: Vec<u8> = (1..=200).collect();
         for last in (1..addresses.len()).rev() {
             addresses.swap(last, random.below(last + 1));
@@ -215,40 +215,40 @@
             queue: BTreeMap::new(),
             scheduled: 0,
             random,
-            planted,
-            tier: history.tier,
+            mutation,
+            tier: scenario.tier,
             machines: Vec::new(),
             seeds: Vec::new(),
-            network: Network::new(history.tier.machines()),
-            fair_since: Time::ZERO,
-            core_touched: Time::ZERO,
+            network: Network::new(scenario.tier.machines()),
+            network_ok_since: Time::ZERO,
+            core_disturbed_at: Time::ZERO,
             armed: None,
-            commit_ms: history.commit_ms,
+            commit_ms: scenario.commit_ms,
             operators: (0..OPERATORS).map(Operator::new).collect(),
-            operators_until: history.calm_from + CALM - OPERATORS_END,
-            lot_clients: (0..LOT_CLIENTS).map(|_| LotClient::default()).collect(),
-            lots: LotsTold::default(),
+            operators_until: scenario.calm_from + CALM - OPERATORS_END,
+            job_clients: (0..JOB_CLIENTS).map(|_| JobClient::default()).collect(),
+            jobs: BatchOracle::default(),
             workers: (0..WORKERS).map(Worker::new).collect(),
             drained: Vec::new(),
             retiring: None,
-            open: BTreeMap::new(),
-            next_ask: 0,
-            next_life: 0,
+            pending: BTreeMap::new(),
+            last_request_id: 0,
+            next_incarnation: 0,
             next_identity: 0,
             addresses,
             checks: Checks::default(),
-            calm_from: history.calm_from,
+            calm_from: scenario.calm_from,
             last_acknowledged: Time::ZERO,
-            last_reads_open: 0,
-            last_lots_open: 0,
-            last_versions: Vec::new(),
+            pending_final_reads: 0,
+            pending_final_job_reads: 0,
+            final_versions: Vec::new(),
             trace: traced.then(Vec::new),
         };
-        world.prepare(history);
+        world.prepare(scenario);
         world
     }
 
-    fn prepare(&mut self, history: &History) {
+    fn prepare(&mut self, scenario: &Scenario) {
         for number in 0..self.tier.machines() {
             let role = match number {
                 _ if number < self.tier.controllers => Role::Controller,
@@ -262,7 +262,7 @@
                 address,
                 disk,
             ));
-            let delay = self.random.time(0, STARTS_WITHIN_MS);
+            let delay = self.random.time(0, MAX_START_DELAY_MS);
             self.schedule(delay, Event::Ending(Ending::Start(number)));
         }
         self.seeds = self
@@ -271,17 +271,17 @@
             .take(self.tier.controllers)
             .map(|m| m.address)
             .collect();
-        for timed in &history.faults {
+        for timed in &scenario.faults {
             self.schedule(timed.at, Event::Fault(timed.fault.clone()));
         }
         for number in 0..OPERATORS {
             let delay = self.random.time(300, 1500);
             self.schedule(delay, Event::Operator { number, turn: 0 });
         }
-        let lot_clients = if self.tier.stores > 0 { LOT_CLIENTS } else { 0 };
-        for number in 0..lot_clients {
+        let job_clients = if self.tier.stores > 0 { JOB_CLIENTS } else { 0 };
+        for number in 0..job_clients {
             let delay = self.random.time(1500, 3000);
-            self.schedule(delay, Event::LotClient { number, turn: 0 });
+            self.schedule(delay, Event::JobClient { number, turn: 0 });
         }
         for number in 0..WORKERS {
             let delay = self.random.time(1000, 2000);
@@ -295,10 +295,13 @@
             );
         }
         self.schedule(STARTED, Event::Watch);
-        self.schedule(history.calm_from + CALM - LAST_LOTS, Event::LastLots);
         self.schedule(
-            history.calm_from + CALM - PATIENCE_OF_READERS,
-            Event::LastReads,
+            scenario.calm_from + CALM - FINAL_JOB_READS_LEAD,
+            Event::FinalJobReads,
+        );
+        self.schedule(
+            scenario.calm_from + CALM - FINAL_READS_LEAD,
+            Event::FinalReads,
         );
     }
 
@@ -309,12 +312,12 @@
             }
             self.now = at;
             self.checks.counts.events += 1;
-            if self.checks.counts.events > MOST_EVENTS {
+            if self.checks.counts.events > MAX_EVENTS {
                 return self
                     .checks
                     .violates("model", at, "too many events".to_string());
             }
-            self.happen(event);
+            self.handle_event(event);
         }
         if self.checks.violation.is_none() {
             self.now = end;
@@ -322,75 +325,89 @@
         }
     }
 
-    fn happen(&mut self, event: Event) {
+    fn handle_event(&mut self, event: Event) {
         match event {
             Event::Packet { from, packet } => self.deliver(from, packet),
             Event::Timer {
                 machine,
-                life,
+                incarnation,
                 timer,
-            } => self.timer(machine, life, timer),
+            } => self.timer(machine, incarnation, timer),
             Event::Unreachable {
                 machine,
-                life,
+                incarnation,
                 peer,
             } => {
-                if !self.hold(
+                if !self.defer_if_frozen(
                     machine,
                     Event::Unreachable {
                         machine,
-                        life,
+                        incarnation,
                         peer,
                     },
-                ) && self.machines[machine].runs(life)
+                ) && self.machines[machine].runs(incarnation)
                 {
                     self.with(machine, |process, context| {
                         process.unreachable(context, peer)
                     });
                 }
             }
-            Event::CallLost { machine, life, id } => {
-                if !self.hold(machine, Event::CallLost { machine, life, id })
-                    && self.machines[machine].runs(life)
+            Event::CallLost {
+                machine,
+                incarnation,
+                id,
+            } => {
+                if !self.defer_if_frozen(
+                    machine,
+                    Event::CallLost {
+                        machine,
+                        incarnation,
+                        id,
+                    },
+                ) && self.machines[machine].runs(incarnation)
                 {
                     self.with(machine, |process, context| process.call_lost(context, id));
                 }
             }
-            Event::Ask { machine, id, ask } => self.asked(machine, id, ask),
-            Event::Told { id, told } => self.told(id, &told),
+            Event::ClientRequest {
+                machine,
+                id,
+                request,
+            } => self.on_client_request(machine, id, request),
+            Event::ClientResponse { id, response } => self.on_response(id, &response),
             Event::Operator { number, turn } => self.operator_wakes(number, turn),
-            Event::LotClient { number, turn } => self.lot_client_wakes(number, turn),
+            Event::JobClient { number, turn } => self.job_client_wakes(number, turn),
             Event::Worker {
                 number,
                 turn,
                 again,
             } => self.worker_wakes(number, turn, again),
-            Event::Retirement => self.go_on_retiring(),
+            Event::Retirement => self.continue_retirement(),
             Event::Watch => self.watch(),
             Event::Fault(fault) => self.begin_fault(fault),
             Event::Ending(ending) => self.end_fault(ending),
-            Event::Strike => self.strike(),
-            Event::LastLots => self.read_lots_at_last(),
-            Event::LastReads => self.ask_last_readers(),
+            Event::CorrelatedLoss => self.trigger_correlated_loss(),
+            Event::FinalJobReads => self.begin_final_job_reads(),
+            Event::FinalReads => self.begin_final_reads(),
         }
     }
 
-    /// Keeps an event for a machine that stands still; whether it does.
-    fn hold(&mut self, machine: usize, event: Event) -> bool {
+    /// Defers an event of a frozen machine; returns whether the machine is frozen.
+    fn defer_if_frozen(&mut self, machine: usize, event: Event) -> bool {
         let machine = &mut self.machines[machine];
         if machine.frozen {
-            machine.held.push(event);
+            machine.deferred_events.push(event);
         }
         machine.frozen
     }
 
-    fn timer(&mut self, number: usize, life: u64, timer: Timer) {
+    fn timer(&mut self, number: usize, incarnation: u64, timer: Timer) {
         let event = Event::Timer {
             machine: number,
-            life,
+            incarnation,
             timer,
         };
-        if self.hold(number, event.clone()) || !self.machines[number].runs(life) {
+        if self.defer_if_frozen(number, event.clone()) || !self.machines[number].runs(incarnation) {
             return;
         }
         let stalled_until = self.machines[number].stalled_until;
@@ -405,16 +422,16 @@
         if self.machines[number].process.is_some() {
             return;
         }
-        self.next_life += 1;
-        let life = self.next_life;
+        self.next_incarnation += 1;
+        let incarnation = self.next_incarnation;
         let seeds = self.seeds();
         let machine = &mut self.machines[number];
-        let gone = machine.gone;
-        machine.life = life;
+        let removed = machine.removed;
+        machine.incarnation = incarnation;
         let (role, name, first_start) = (machine.role, machine.name.clone(), machine.first_start);
         let disk = std::mem::replace(&mut machine.disk, Disk::None);
-        self.touch(number);
-        if gone {
+        self.record_disturbance(number);
+        if removed {
             return;
         }
         self.note(|| format!("{name} starts"));
@@ -428,7 +445,7 @@
                 };
                 Process::Controller(Box::new(Controller::start(&mut context, start, disk)))
             }
-            Disk::Lots(disk) => {
+            Disk::Batch(disk) => {
                 Process::Store(Box::new(Store::start(&mut context, &name, &seeds, disk)))
             }
             Disk::None => {
@@ -477,16 +494,16 @@
             instant: began() + self.now,
             wall_ms: WALL_MS + self.now.as_millis() as u64 - machine.clock_behind,
             own: machine.address,
-            life: machine.life,
+            incarnation: machine.incarnation,
             random: &mut self.random,
-            planted: self.planted,
+            mutation: self.mutation,
             commit_time,
             out: Vec::new(),
         }
     }
 
     fn carry_out(&mut self, number: usize, out: Vec<Out>) {
-        let (now, life) = (self.now, self.machines[number].life);
+        let (now, incarnation) = (self.now, self.machines[number].incarnation);
         for out in out {
             match out {
                 Out::Send(packet) => self.send(number, *packet),
@@ -495,16 +512,16 @@
                         after,
                         Event::Timer {
                             machine: number,
-                            life,
+                            incarnation,
                             timer,
                         },
                     );
                 }
-                Out::Tell(id, told) => self.tell(id, told),
+                Out::Respond(id, response) => self.respond(id, response),
                 Out::Chosen(accepted) => self.checks.chosen(now, &accepted),
                 Out::InForce(record) => {
                     self.checks
-                        .in_force(now, number, life, &record.key, record.version);
+                        .in_force(now, number, incarnation, &record.key, record.version);
                 }
                 Out::Note(line) => self.note(|| line),
             }
@@ -540,10 +557,10 @@
 
 /// A new tier has started by then.
 const STARTED: Duration = Duration::from_millis(3000);
-/// The last reads of lots begin so long before the end.
-const LAST_LOTS: Duration = Duration::from_millis(2000);
+/// The time before the end at which the final reads of all jobs begin.
+const FINAL_JOB_READS_LEAD: Duration = Duration::from_millis(2000);
 /// The last readers are as patient as operators.
-const PATIENCE_OF_READERS: Duration = Duration::from_millis(1100);
+const FINAL_READS_LEAD: Duration = Duration::from_millis(1100);
 /// The time of day at the model's start.
 const WALL_MS: u64 = 1_790_000_000_000;
 
--- a/crates/mintlb-simulation/src/world/network.rs
+++ b/crates/mintlb-simulation/src/world/network.rs
@@ -1,19 +1,19 @@
-//! The model's network: who does not reach whom, and what becomes of each message.
+//! The simulated network: cut links, and the delivery of each message.
 
 use super::{Event, World};
-use crate::history::Weather;
 use crate::message::{Body, Packet};
+use crate::scenario::NetworkFaults;
 use std::time::Duration;
 
-/// So long bytes may stay unacknowledged before a connection counts as broken.
-const PATIENCE: Duration = Duration::from_millis(1200);
+/// How long bytes may stay unacknowledged before a connection counts as broken.
+const CONNECTION_TIMEOUT: Duration = Duration::from_millis(1200);
 
-/// Ways that are cut, and the weather.
+/// Cut links and message faults.
 pub struct Network {
-    /// By sender and receiver, how many faults cut the way.
+    /// By sender and receiver, how many faults cut the link.
     cuts: Vec<Vec<u32>>,
-    /// The weather now.
-    pub weather: Weather,
+    /// The message faults in effect.
+    pub network_faults: NetworkFaults,
 }
 
 impl Network {
@@ -21,21 +21,21 @@
     pub fn new(machines: usize) -> Network {
         Network {
             cuts: vec![vec![0; machines]; machines],
-            weather: Weather::default(),
+            network_faults: NetworkFaults::default(),
         }
     }
 
-    /// Cuts a way.
+    /// Cuts a link.
     pub fn cut(&mut self, from: usize, to: usize) {
         self.cuts[from][to] += 1;
     }
 
-    /// Ends one cut of a way.
+    /// Ends one cut of a link.
     pub fn join(&mut self, from: usize, to: usize) {
         self.cuts[from][to] -= 1;
     }
 
-    /// Whether a way is cut.
+    /// Whether a link is cut.
     pub fn is_cut(&self, from: usize, to: usize) -> bool {
         self.cuts[from][to] > 0
     }
@@ -48,18 +48,22 @@
             .machines
             .iter()
             .find(|machine| machine.address == packet.to);
-        let life = there
+        let incarnation = there
             .filter(|machine| machine.process.is_some())
-            .map(|machine| machine.life);
-        packet.to_life = packet.to_life.or(life);
-        let weather = self.network.weather;
-        if self.random.chance(weather.dropped) {
-            return self.breaks(from, &packet, PATIENCE);
+            .map(|machine| machine.incarnation);
+        packet.to_incarnation = packet.to_incarnation.or(incarnation);
+        let network_faults = self.network.network_faults;
+        if self.random.with_probability(network_faults.lost_percent) {
+            return self.connection_lost(from, &packet, CONNECTION_TIMEOUT);
         }
-        if self.random.chance(weather.doubled) && !matches!(packet.body, Body::Answer { .. }) {
-            let late = self.random.time(1, 200);
+        if self
+            .random
+            .with_probability(network_faults.duplicated_percent)
+            && !matches!(packet.body, Body::Answer { .. })
+        {
+            let extra_delay = self.random.time(1, 200);
             self.schedule(
-                late,
+                extra_delay,
                 Event::Packet {
                     from,
                     packet: packet.clone(),
@@ -68,7 +72,9 @@
         }
         let delay = match self.random.below(100) {
             0 => self.random.time(5, 40),
-            _ if self.random.chance(weather.late) => self.random.time(1, 300),
+            _ if self.random.with_probability(network_faults.delayed_percent) => {
+                self.random.time(1, 300)
+            }
             _ => self.random.time(0, 3),
         };
         self.schedule(delay, Event::Packet { from, packet });
@@ -82,35 +88,35 @@
             .position(|machine| machine.address == packet.to)
         else {
             // Nobody has this address any more.
-            return self.breaks(from, &packet, PATIENCE);
+            return self.connection_lost(from, &packet, CONNECTION_TIMEOUT);
         };
         if self.network.is_cut(from, to) {
-            return self.breaks(from, &packet, PATIENCE);
+            return self.connection_lost(from, &packet, CONNECTION_TIMEOUT);
         }
         let machine = &mut self.machines[to];
         if machine.frozen {
-            machine.held.push(Event::Packet { from, packet });
+            machine.deferred_events.push(Event::Packet { from, packet });
             return;
         }
-        let is_there = match packet.to_life {
-            Some(life) => machine.runs(life),
+        let is_there = match packet.to_incarnation {
+            Some(incarnation) => machine.runs(incarnation),
             None => machine.process.is_some(),
         };
         if !is_there {
-            return self.refused(from, &packet);
+            return self.connection_refused(from, &packet);
         }
         self.with(to, |process, context| process.packet(context, packet));
     }
 
     /// A connection is found broken after a while.
-    fn breaks(&mut self, from: usize, packet: &Packet, after: Duration) {
+    fn connection_lost(&mut self, from: usize, packet: &Packet, after: Duration) {
         if let Body::Gossip(_) = packet.body {
-            let (life, peer) = (self.machines[from].life, packet.to);
+            let (incarnation, peer) = (self.machines[from].incarnation, packet.to);
             self.schedule(
                 after,
                 Event::Unreachable {
                     machine: from,
-                    life,
+                    incarnation,
                     peer,
                 },
             );
@@ -118,8 +124,8 @@
     }
 
     /// Nobody listens at an address: the sender hears of it at once.
-    fn refused(&mut self, from: usize, packet: &Packet) {
-        let life = self.machines[from].life;
+    fn connection_refused(&mut self, from: usize, packet: &Packet) {
+        let incarnation = self.machines[from].incarnation;
         let after = Duration::from_millis(1);
         match packet.body {
             Body::Gossip(_) => {
@@ -128,22 +134,24 @@
                     after,
                     Event::Unreachable {
                         machine: from,
-                        life,
+                        incarnation,
                         peer,
                     },
                 );
             }
-            Body::Call { id, life, .. } => {
+            Body::Call {
+                id, incarnation, ..
+            } => {
                 self.schedule(
                     after,
                     Event::CallLost {
                         machine: from,
-                        life,
+                        incarnation,
                         id,
                     },
                 );
             }
-            Body::Answer { .. } | Body::Lots(..) | Body::Heartbeat(_) => (),
+            Body::Answer { .. } | Body::Batch(..) | Body::Heartbeat(_) => (),
         }
     }
 }
--- a/crates/mintlb-simulation/src/world/workers.rs
+++ b/crates/mintlb-simulation/src/world/workers.rs
@@ -1,10 +1,10 @@
 //! Workers and their calls, and what dispatchers have to know after them.
 
-use super::outside::Caller;
+use super::external_callers::Caller;
 use super::{Event, World};
 use crate::context::Time;
-use crate::message::Told;
-use crate::worker::PATIENCE;
+use crate::message::ClientResponse;
+use crate::worker::RESPONSE_TIMEOUT;
 use mintlb_common::record::{WORKER_PREFIX, WorkerRecord, WorkerState};
 use mintlb_control::controller::contact::quorum_contact::CONTACT_LEASE;
 use std::time::Duration;
@@ -12,7 +12,7 @@
 /// `drain_ms`.
 const DRAIN: Duration = Duration::from_millis(2000);
 /// Records of workers that ended are dropped after a minute.
-const KEPT: Duration = Duration::from_secs(40);
+const DRAIN_RETENTION: Duration = Duration::from_secs(40);
 
 /// A drain or an end that was acknowledged.
 #[derive(Clone, Debug)]
@@ -27,12 +27,12 @@
         if self.workers[number].turn() != turn {
             return;
         }
-        let ask = self.workers[number].call(&mut self.random, self.tier.controllers, again);
+        let request = self.workers[number].call(&mut self.random, self.tier.controllers, again);
         let turn = self.workers[number].turn();
         let controller = self.workers[number].controller();
-        self.ask(
+        self.send_request(
             controller,
-            ask,
+            request,
             Caller::Worker {
                 number,
                 turn,
@@ -41,7 +41,7 @@
             None,
         );
         self.schedule(
-            PATIENCE,
+            RESPONSE_TIMEOUT,
             Event::Worker {
                 number,
                 turn,
@@ -51,15 +51,21 @@
     }
 
     /// It was answered.
-    pub(super) fn worker_told(&mut self, number: usize, turn: u64, controller: usize, told: &Told) {
+    pub(super) fn on_worker_response(
+        &mut self,
+        number: usize,
+        turn: u64,
+        controller: usize,
+        response: &ClientResponse,
+    ) {
         if self.workers[number].turn() != turn {
             return;
         }
         let record = self.workers[number].record();
-        if *told == Told::Done && record.state != WorkerState::InService {
+        if *response == ClientResponse::Done && record.state != WorkerState::InService {
             self.drain_acknowledged(controller, &record);
         }
-        let (again, pause) = self.workers[number].told(&mut self.random, told);
+        let (again, pause) = self.workers[number].on_response(&mut self.random, response);
         let turn = self.workers[number].turn();
         self.schedule(
             pause,
@@ -76,7 +82,7 @@
         let machine = &self.machines[controller];
         let was_cut = machine
             .cut_at
-            .is_some_and(|at| at + CONTACT_LEASE + PATIENCE > self.now);
+            .is_some_and(|at| at + CONTACT_LEASE + RESPONSE_TIMEOUT > self.now);
         self.checks.counts.drains += 1;
         if was_cut {
             return;
@@ -93,7 +99,7 @@
 
     /// Workers' records lie in memory only: once all machines that count have lost theirs, nothing is claimed here of
     /// drains acknowledged before. A dispatcher that was cut off brings an older record back then, which stands until
-    /// the duty for workers without a controller ends it.
+    /// the singleton task for unclaimed workers ends it.
     pub(super) fn forget_drains(&mut self) {
         self.drained.clear();
     }
@@ -106,7 +112,8 @@
     /// What was acknowledged `drain_ms` ago has to be at each machine in touch.
     pub(super) fn watch_drains(&mut self) {
         let now = self.now;
-        self.drained.retain(|drained| drained.at + KEPT > now);
+        self.drained
+            .retain(|drained| drained.at + DRAIN_RETENTION > now);
         let due: Vec<Drained> = self
             .drained
             .iter()
--- a/crates/mintlb-simulation/tests/common/mod.rs
+++ b/crates/mintlb-simulation/tests/common/mod.rs
@@ -1,8 +1,8 @@
-//! What the tests of the model share.
+//! Fixtures of the simulation tests.
 
 #![allow(dead_code)]
 
-use mintlb_simulation::history::Tier;
+use mintlb_simulation::scenario::Tier;
 use std::env;
 
 /// Controllers and dispatchers.
--- a/crates/mintlb-simulation/tests/former.rs
+++ b/crates/mintlb-simulation/tests/regressions.rs
@@ -1,9 +1,9 @@
-//! Histories in which the product failed once, shrunk: they hold now.
+//! Regression tests: shrunk scenarios in which the product once failed.
 
 mod common;
 
-use mintlb_simulation::history::{Fault, History, Tier, Timed};
-use mintlb_simulation::planted::Planted;
+use mintlb_simulation::mutations::Mutation;
+use mintlb_simulation::scenario::{Fault, Scenario, Tier, TimedFault};
 use mintlb_simulation::world::play;
 use std::time::Duration;
 
@@ -17,56 +17,59 @@
     Duration::from_millis(ms)
 }
 
-fn must_hold(seed: u64, commit_ms: u64, faults: Vec<(Duration, Fault)>) {
-    let faults: Vec<Timed> = faults
+fn assert_no_violation(seed: u64, commit_ms: u64, faults: Vec<(Duration, Fault)>) {
+    let faults: Vec<TimedFault> = faults
         .into_iter()
-        .map(|(at, fault)| Timed { at, fault })
+        .map(|(at, fault)| TimedFault { at, fault })
         .collect();
-    let calm_from = faults.iter().map(Timed::end).max().unwrap_or_default();
-    let history = History {
+    let calm_from = faults.iter().map(TimedFault::end).max().unwrap_or_default();
+    let scenario = Scenario {
         seed,
         tier: THREE_STORES,
         commit_ms,
         faults,
         calm_from,
     };
-    let report = play(&history, Planted::None, true);
+    let report = play(&scenario, Mutation::None, true);
     assert_eq!(report.violation, None, "{:#?}", report.trace);
 }
 
 /// One of three stores is retired; then all that count lose power, and one of the two that are left its disk.
 #[test]
-fn two_stores_bear_the_loss_of_one_disk_in_a_common_loss_of_power() {
-    let strike = Fault::Strike {
+fn two_stores_survive_a_disk_loss_during_a_cluster_power_loss() {
+    let correlated_loss = Fault::CorrelatedLoss {
         one: Some(3),
         wiped: true,
         all: true,
         time: ms(1376),
     };
-    must_hold(
+    assert_no_violation(
         26,
         2,
-        vec![(ms(12_286), Fault::Retire(5)), (ms(22_315), strike)],
+        vec![
+            (ms(12_286), Fault::Retire(5)),
+            (ms(22_315), correlated_loss),
+        ],
     );
 }
 
 /// A store that is retired loses its disk and takes shards again under its new identity; the retirement is called
 /// completed all the same.
 #[test]
-fn a_retiring_machine_takes_nothing_with_a_new_disk() {
-    // The whole history: with fewer faults it shows only once the two faults above are mended.
-    let history = History::draw(146, THREE_STORES);
-    let report = play(&history, Planted::None, true);
+fn decommissioning_store_with_a_new_disk_gets_no_shards() {
+    // The whole scenario: with fewer faults it shows only once the two faults above are mended.
+    let scenario = Scenario::draw(146, THREE_STORES);
+    let report = play(&scenario, Mutation::None, true);
     assert_eq!(report.violation, None, "{:#?}", report.trace);
 }
 
 /// A replica that is gone for good stays in a set that grew by its successor: the set bears no loss any more.
 #[test]
-fn a_set_that_grew_for_a_dead_replica_loses_it() {
+fn replica_set_grown_past_a_dead_replica_removes_it() {
     let faults = vec![
         (ms(7_603), Fault::Retire(3)),
         (ms(8_708), Fault::Replace(5, ms(337))),
         (ms(25_255), Fault::Wipe(5, ms(13))),
     ];
-    must_hold(412, 30, faults);
+    assert_no_violation(412, 30, faults);
 }
--- a/crates/mintlb-simulation/tests/survey.rs
+++ b/crates/mintlb-simulation/tests/survey.rs
@@ -1,8 +1,8 @@
-//! How many of many histories fail, by point; prints only.
+//! Survey: prints how many of many scenarios fail, by invariant.
 
-use mintlb_simulation::history::{History, Tier};
-use mintlb_simulation::planted::Planted;
-use mintlb_simulation::shrink::{described, shrink};
+use mintlb_simulation::mutations::Mutation;
+use mintlb_simulation::scenario::{Scenario, Tier};
+use mintlb_simulation::shrink::{describe, shrink};
 use mintlb_simulation::world::play;
 use std::collections::BTreeMap;
 use std::env;
@@ -27,8 +27,8 @@
     };
     let mut kinds: BTreeMap<String, Vec<(u64, u64)>> = BTreeMap::new();
     for seed in from..from + count {
-        let history = History::draw(seed, tier);
-        if let Some(violation) = play(&history, Planted::None, false).violation {
+        let scenario = Scenario::draw(seed, tier);
+        if let Some(violation) = play(&scenario, Mutation::None, false).violation {
             let what: String = violation
                 .what
                 .chars()
@@ -38,7 +38,7 @@
             kinds
                 .entry(format!("{} {what}", violation.point))
                 .or_default()
-                .push((seed, history.commit_ms));
+                .push((seed, scenario.commit_ms));
         }
     }
     for (kind, seeds) in &kinds {
@@ -47,10 +47,10 @@
             seeds.len(),
             &seeds[..seeds.len().min(12)]
         );
-        let history = History::draw(seeds[0].0, tier);
-        let shrunk = shrink(&history, Planted::None);
-        let report = play(&shrunk, Planted::None, true);
-        let text = described(&shrunk, &report);
+        let scenario = Scenario::draw(seeds[0].0, tier);
+        let shrunk = shrink(&scenario, Mutation::None);
+        let report = play(&shrunk, Mutation::None, true);
+        let text = describe(&shrunk, &report);
         let lines: Vec<&str> = text.lines().collect();
         let tail = lines.len().saturating_sub(60);
         let faults = lines.iter().filter(|line| line.contains("  fault at"));
