--- a/crates/mintlb-lots/src/client.rs
+++ b/crates/mintlb-batch/src/client.rs
@@ -7,14 +7,14 @@
 
 pub use types::*;
 
-use mintlb_tier::placement::Placement;
-use mintlb_tier::transport::Transport;
+use mintlb_common::placement::Placement;
+use mintlb_common::transport::Transport;
 use parking_lot::Mutex;
 use std::sync::Arc;
 
 use crate::messages::DispatcherId;
 use bytes::Bytes;
-use mintlb_tier::placement::StoreId;
+use mintlb_common::placement::StoreId;
 use rustc_hash::FxHashMap;
 use std::time::Duration;
 use tokio::time::Instant;
--- a/crates/mintlb-lots/src/client/calls.rs
+++ b/crates/mintlb-batch/src/client/calls.rs
@@ -4,7 +4,7 @@
 use crate::entry::{ItemHead, ItemPayload, ItemState, LotHead};
 use crate::framing;
 use crate::messages::{self, Answer, Call, HeldItems, ItemName, LotName, Record, Renew, Submit};
-use mintlb_tier::transport::{CallError, Channel};
+use mintlb_common::transport::{CallError, Channel};
 use std::net::SocketAddr;
 use tokio::time::{sleep, timeout_at};
 
--- a/crates/mintlb-lots/src/heartbeat.rs
+++ b/crates/mintlb-batch/src/heartbeat.rs
@@ -1,7 +1,7 @@
-//! What a store tells the controllers, as a notice on [`mintlb_tier::transport::Channel::Duties`].
+//! What a store tells the controllers, as a notice on [`mintlb_common::transport::Channel::Duties`].
 
 use minicbor::{Decode, Encode};
-use mintlb_tier::placement::StoreId;
+use mintlb_common::placement::StoreId;
 use std::time::Duration;
 
 /// How often a store tells; at once when a shard's report changes.
--- a/crates/mintlb-lots/src/peer.rs
+++ b/crates/mintlb-batch/src/peer.rs
@@ -1,9 +1,9 @@
-//! Messages between the replicas of a shard: notices on [`mintlb_tier::transport::Channel::Lots`], each a
+//! Messages between the replicas of a shard: notices on [`mintlb_common::transport::Channel::Lots`], each a
 //! [`crate::framing`] head; entries are raw behind it. A lost one is made good by the sender's next one.
 
 use crate::log_index::{LogIndex, Place, Run};
 use minicbor::{Decode, Encode};
-use mintlb_tier::placement::StoreId;
+use mintlb_common::placement::StoreId;
 
 /// A message with its sender and shard.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
--- a/crates/mintlb-lots/src/placement_planner.rs
+++ b/crates/mintlb-batch/src/placement_planner.rs
@@ -12,7 +12,7 @@
 pub use retirement::{Retirement, RetirementOrder, order_retirement, retirement};
 pub use view::{ShardView, StoreSeen, StoreTable, StoreView};
 
-use mintlb_tier::placement::{Placement, SHARD_COUNT, ShardAssignment, StoreEntry, StoreId};
+use mintlb_common::placement::{Placement, SHARD_COUNT, ShardAssignment, StoreEntry, StoreId};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
--- a/crates/mintlb-lots/src/placement_planner/members.rs
+++ b/crates/mintlb-batch/src/placement_planner/members.rs
@@ -1,7 +1,7 @@
 //! Which stores a shard's set has: dead, leaving and retiring ones go, others come.
 
 use super::Planner;
-use mintlb_tier::placement::{ShardAssignment, StoreEntry, StoreId};
+use mintlb_common::placement::{ShardAssignment, StoreEntry, StoreId};
 use std::time::Duration;
 
 /// A replica that was silent for so long is replaced when its shard could not lose another one.
--- a/crates/mintlb-lots/src/placement_planner/retirement.rs
+++ b/crates/mintlb-batch/src/placement_planner/retirement.rs
@@ -2,7 +2,7 @@
 
 use super::LIVE;
 use super::view::StoreView;
-use mintlb_tier::placement::{Placement, StoreEntry, StoreId};
+use mintlb_common::placement::{Placement, StoreEntry, StoreId};
 use std::time::Duration;
 
 /// A store that was silent for less can take over from the one that is emptied.
--- a/crates/mintlb-lots/src/placement_planner/view.rs
+++ b/crates/mintlb-batch/src/placement_planner/view.rs
@@ -2,7 +2,7 @@
 
 use super::LIVE;
 use crate::heartbeat::{ShardReport, StoreHeartbeat};
-use mintlb_tier::placement::{Placement, StoreEntry, StoreId};
+use mintlb_common::placement::{Placement, StoreEntry, StoreId};
 use rustc_hash::FxHashMap;
 use std::time::Duration;
 
--- a/crates/mintlb-lots/src/replica.rs
+++ b/crates/mintlb-batch/src/replica.rs
@@ -20,7 +20,7 @@
 use crate::peer::{Append, Envelope, PeerMessage};
 use bytes::Bytes;
 use minicbor::{Decode, Encode};
-use mintlb_tier::placement::{ShardAssignment, StoreId};
+use mintlb_common::placement::{ShardAssignment, StoreId};
 use primary::Primary;
 use std::time::Duration;
 use takeover::Takeover;
--- a/crates/mintlb-lots/src/replica/follower.rs
+++ b/crates/mintlb-batch/src/replica/follower.rs
@@ -7,7 +7,7 @@
 use crate::lots::Moment;
 use crate::peer::{Append, PeerMessage};
 use bytes::Bytes;
-use mintlb_tier::placement::StoreId;
+use mintlb_common::placement::StoreId;
 
 /// The most bytes of entries in one message; a single longer entry is sent alone.
 pub(super) const PART_BYTES: u64 = 512 << 10;
--- a/crates/mintlb-lots/src/replica/primary.rs
+++ b/crates/mintlb-batch/src/replica/primary.rs
@@ -7,7 +7,7 @@
 use crate::log_index::{LogIndex, Place};
 use crate::lots::Moment;
 use crate::peer::{Append, PeerMessage};
-use mintlb_tier::placement::StoreId;
+use mintlb_common::placement::StoreId;
 use std::time::Duration;
 
 /// A follower that has not answered for so long is asked anew where it stands.
--- a/crates/mintlb-lots/src/replica/takeover.rs
+++ b/crates/mintlb-batch/src/replica/takeover.rs
@@ -13,7 +13,7 @@
 use crate::lots::Moment;
 use crate::peer::{Append, PeerMessage};
 use bytes::Bytes;
-use mintlb_tier::placement::StoreId;
+use mintlb_common::placement::StoreId;
 use std::time::Duration;
 
 /// How often an unanswered question is asked again.
--- a/crates/mintlb-lots/tests/client.rs
+++ b/crates/mintlb-batch/tests/client.rs
@@ -1,10 +1,10 @@
 //! What the client of stores makes of their answers.
 
-use mintlb_lots::client::{Item, LotClient, Submission, SubmitOutcome};
-use mintlb_lots::framing;
-use mintlb_lots::messages::{Answer, Call};
-use mintlb_tier::placement::{Placement, SHARD_COUNT, ShardAssignment, StoreEntry};
-use mintlb_tier::transport::{self, Channel, Service, Transport};
+use mintlb_batch::client::{Item, LotClient, Submission, SubmitOutcome};
+use mintlb_batch::framing;
+use mintlb_batch::messages::{Answer, Call};
+use mintlb_common::placement::{Placement, SHARD_COUNT, ShardAssignment, StoreEntry};
+use mintlb_common::transport::{self, Channel, Service, Transport};
 use parking_lot::Mutex;
 use std::net::SocketAddr;
 use std::sync::Arc;
--- a/crates/mintlb-lots/tests/dropped_lots.rs
+++ b/crates/mintlb-batch/tests/dropped_lots.rs
@@ -4,7 +4,7 @@
 
 mod model;
 
-use mintlb_tier::placement::{Placement, ShardAssignment};
+use mintlb_common::placement::{Placement, ShardAssignment};
 use model::Model;
 use std::time::Duration;
 
--- a/crates/mintlb-lots/tests/fleet/machines.rs
+++ b/crates/mintlb-batch/tests/fleet/machines.rs
@@ -1,8 +1,8 @@
 //! Machines of the fleet: what happens to them, and which of them count as lost.
 
 use super::{Fleet, HAND_OVER, LEAST_HAND_OVER, RESTART};
-use mintlb_lots::placement_planner::StoreTable;
-use mintlb_tier::placement::StoreId;
+use mintlb_batch::placement_planner::StoreTable;
+use mintlb_common::placement::StoreId;
 use std::cell::Cell;
 use std::time::Duration;
 
--- a/crates/mintlb-lots/tests/fleet/mod.rs
+++ b/crates/mintlb-batch/tests/fleet/mod.rs
@@ -1,16 +1,16 @@
 //! Stores with all shards under the planner, in virtual time. A replica's log is told by the place of its last
-//! entry only; reading, filling and committing follow the rules of `mintlb_lots::replica`. Machines are lost as
+//! entry only; reading, filling and committing follow the rules of `mintlb_batch::replica`. Machines are lost as
 //! the operators' promise allows: at most `tolerance` that count at once.
 
 pub mod machines;
 pub mod shards;
 
 use machines::Machine;
-use mintlb_lots::heartbeat::StoreHeartbeat;
-use mintlb_lots::placement_planner::{
+use mintlb_batch::heartbeat::StoreHeartbeat;
+use mintlb_batch::placement_planner::{
     Retirement, RetirementOrder, StoreTable, order_retirement, plan, retirement,
 };
-use mintlb_tier::placement::{Placement, StoreId};
+use mintlb_common::placement::{Placement, StoreId};
 use shards::Shard;
 use std::time::Duration;
 
--- a/crates/mintlb-lots/tests/fleet/shards.rs
+++ b/crates/mintlb-batch/tests/fleet/shards.rs
@@ -1,9 +1,9 @@
 //! Shards of the fleet: logs by the place of their last entry, and what was told to be committed.
 
 use super::Fleet;
-use mintlb_lots::heartbeat::ShardReport;
-use mintlb_lots::log_index::Place;
-use mintlb_tier::placement::{ShardAssignment, StoreId};
+use mintlb_batch::heartbeat::ShardReport;
+use mintlb_batch::log_index::Place;
+use mintlb_common::placement::{ShardAssignment, StoreId};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
--- a/crates/mintlb-lots/tests/leases.rs
+++ b/crates/mintlb-batch/tests/leases.rs
@@ -1,8 +1,8 @@
 //! Who runs which item: each lease lives by its own renewals.
 
-use mintlb_lots::entry::{Entry, ItemHead, ItemState, LotHead, LotTerms};
-use mintlb_lots::leases::{LEASE, Leases};
-use mintlb_lots::lots::{Lots, Moment};
+use mintlb_batch::entry::{Entry, ItemHead, ItemState, LotHead, LotTerms};
+use mintlb_batch::leases::{LEASE, Leases};
+use mintlb_batch::lots::{Lots, Moment};
 use std::time::Duration;
 
 const LOT: u64 = 1;
--- a/crates/mintlb-lots/tests/model/disk.rs
+++ b/crates/mintlb-batch/tests/model/disk.rs
@@ -1,9 +1,9 @@
 //! A disk of the model.
 
 use bytes::Bytes;
-use mintlb_lots::entry::Entry;
-use mintlb_lots::framing;
-use mintlb_lots::replica::{DiskWrite, ShardMeta};
+use mintlb_batch::entry::Entry;
+use mintlb_batch::framing;
+use mintlb_batch::replica::{DiskWrite, ShardMeta};
 use std::collections::BTreeMap;
 
 /// What is durable.
--- a/crates/mintlb-lots/tests/model/machines.rs
+++ b/crates/mintlb-batch/tests/model/machines.rs
@@ -1,9 +1,9 @@
 //! The machines of the model: what happens to them and which of them count as lost, and the controller.
 
 use super::{Disk, Model, START};
-use mintlb_lots::heartbeat::StoreHeartbeat;
-use mintlb_lots::placement_planner::{Retirement, RetirementOrder, order_retirement, plan, retirement};
-use mintlb_tier::placement::{Placement, ShardAssignment, StoreId};
+use mintlb_batch::heartbeat::StoreHeartbeat;
+use mintlb_batch::placement_planner::{Retirement, RetirementOrder, order_retirement, plan, retirement};
+use mintlb_common::placement::{Placement, ShardAssignment, StoreId};
 use std::time::Duration;
 
 /// How long a lost disk counts beside more troubles than the promise allows.
--- a/crates/mintlb-lots/tests/placement.rs
+++ b/crates/mintlb-batch/tests/placement.rs
@@ -1,10 +1,10 @@
 //! Placements: the first one, a primary's death, replacements, retirement.
 
-use mintlb_lots::heartbeat::{ShardReport, StoreHeartbeat};
-use mintlb_lots::placement_planner::{
+use mintlb_batch::heartbeat::{ShardReport, StoreHeartbeat};
+use mintlb_batch::placement_planner::{
     Retirement, RetirementOrder, StoreTable, order_retirement, plan, primaries, retirement,
 };
-use mintlb_tier::placement::{Placement, StoreId};
+use mintlb_common::placement::{Placement, StoreId};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
--- a/crates/mintlb-lots/tests/shard_losses.rs
+++ b/crates/mintlb-batch/tests/shard_losses.rs
@@ -3,7 +3,7 @@
 
 mod model;
 
-use mintlb_lots::placement_planner::StoreTable;
+use mintlb_batch::placement_planner::StoreTable;
 use model::Model;
 use model::plays::{check_all, heal, span};
 use std::time::Duration;
--- a/crates/mintlb-lots/tests/takeover.rs
+++ b/crates/mintlb-batch/tests/takeover.rs
@@ -4,9 +4,9 @@
 
 mod model;
 
-use mintlb_lots::messages::{HeldItems, Renewed};
-use mintlb_lots::peer::PeerMessage;
-use mintlb_tier::placement::{Placement, ShardAssignment};
+use mintlb_batch::messages::{HeldItems, Renewed};
+use mintlb_batch::peer::PeerMessage;
+use mintlb_common::placement::{Placement, ShardAssignment};
 use model::Model;
 use std::time::Duration;
 
--- a/crates/mintlb-beanstalkd/src/hub/attempts.rs
+++ b/crates/mintlb-beanstalkd/src/hub/attempts.rs
@@ -4,9 +4,9 @@
 use super::timers::Timer;
 use crate::job::State;
 use crate::session::{Leased, PendingDelivery};
-use mintlb::{Outcome, Runs};
 use mintlb_core::reducer::Event;
 use mintlb_core::work::{AllocId, Back, Order};
+use mintlb_scheduler::{Outcome, Runs};
 use std::net::IpAddr;
 
 /// Where an attempt is that has no outcome yet.
--- a/crates/mintlb-beanstalkd/src/hub/groups.rs
+++ b/crates/mintlb-beanstalkd/src/hub/groups.rs
@@ -3,8 +3,8 @@
 use super::timers::Timer;
 use super::{Deed, Hub};
 use crate::machines::Place;
-use mintlb::Runs;
 use mintlb_core::reducer::Event;
+use mintlb_scheduler::Runs;
 use std::net::IpAddr;
 
 impl Hub {
--- a/crates/mintlb-beanstalkd/src/hub/leases.rs
+++ b/crates/mintlb-beanstalkd/src/hub/leases.rs
@@ -8,8 +8,8 @@
 use crate::job::{Job, State};
 use crate::session::{InFlight, Lease, Leased};
 use bytes::Bytes;
-use mintlb::Outcome;
 use mintlb_core::work::Order;
+use mintlb_scheduler::Outcome;
 
 /// The protocol's least urgent priority.
 const LEAST_URGENT: u32 = u32::MAX;
--- a/crates/mintlb-beanstalkd/src/hub/sessions.rs
+++ b/crates/mintlb-beanstalkd/src/hub/sessions.rs
@@ -3,8 +3,8 @@
 use super::Hub;
 use crate::codec::Tube;
 use crate::session::{InFlight, Leased, PendingDelivery, Session};
-use mintlb::Outcome;
 use mintlb_core::reducer::Event;
+use mintlb_scheduler::Outcome;
 use std::net::IpAddr;
 use std::sync::atomic::Ordering::Relaxed;
 
--- a/crates/mintlb-beanstalkd/src/hub/worker.rs
+++ b/crates/mintlb-beanstalkd/src/hub/worker.rs
@@ -7,8 +7,8 @@
 use crate::job::{FinalStatus, State};
 use crate::session::{Lease, Leased};
 use crate::table::Reading;
-use mintlb::Outcome;
 use mintlb_core::reducer::Event;
+use mintlb_scheduler::Outcome;
 
 const DELETED: &[u8] = b"DELETED\r\n";
 
--- a/crates/mintlb-beanstalkd/src/machines.rs
+++ b/crates/mintlb-beanstalkd/src/machines.rs
@@ -4,8 +4,8 @@
 //! project types are one group, which is one worker to the core; a waiting `reserve` is room for one job
 //! there.
 
-use mintlb::{Line, Listed, Runs};
 use mintlb_core::members::worker_id;
+use mintlb_scheduler::{Line, Listed, Runs};
 use std::collections::{BTreeMap, HashMap};
 use std::net::IpAddr;
 
--- a/crates/mintlb-beanstalkd/src/session.rs
+++ b/crates/mintlb-beanstalkd/src/session.rs
@@ -1,8 +1,8 @@
 //! The protocol's state of one connection: its tubes, its waiting reserve, its leases and its output.
 
 use crate::codec::Tube;
-use mintlb::Runs;
 use mintlb_core::work::{AllocId, Order};
+use mintlb_scheduler::Runs;
 use rustc_hash::FxHashMap;
 use std::net::IpAddr;
 
--- a/crates/mintlb-beanstalkd/src/table.rs
+++ b/crates/mintlb-beanstalkd/src/table.rs
@@ -1,7 +1,7 @@
 //! The table `[beanstalkd]` of the operator's file, and the routes of tubes that follow from it.
 
 use crate::codec::Tube;
-use mintlb::{Effect, ProjectType, Runs};
+use mintlb_scheduler::{Effect, ProjectType, Runs};
 use serde::Deserialize;
 use std::net::SocketAddr;
 
--- a/crates/mintlb-simhost/src/host.rs
+++ b/crates/mintlb-bench-adapter/src/host.rs
@@ -1,9 +1,9 @@
 //! Instances by number; what is read turns straight into calls, and the answers into actions.
 
 use crate::frame::{Batch, Bytes, Reply};
-use mintlb::decide::Scheduler;
-use mintlb::settings::Text;
-use mintlb::{Allocation, Door, Line, Listed, News, Outcome, Report, Runs, WorkUnit, Worker};
+use mintlb_scheduler::decide::Scheduler;
+use mintlb_scheduler::settings::Text;
+use mintlb_scheduler::{Allocation, Door, Line, Listed, News, Outcome, Report, Runs, WorkUnit, Worker};
 use std::any::Any;
 use std::collections::{BTreeMap, HashMap};
 use std::panic::{AssertUnwindSafe, catch_unwind};
--- a/crates/mintlb-simhost/src/main.rs
+++ b/crates/mintlb-bench-adapter/src/main.rs
@@ -22,7 +22,7 @@
     match serve() {
         Ok(()) => ExitCode::SUCCESS,
         Err(why) => {
-            eprintln!("mintlb-simhost: {why}");
+            eprintln!("mintlb-bench-adapter: {why}");
             ExitCode::FAILURE
         }
     }
--- a/crates/mintlb-tier/tests/configuration.rs
+++ b/crates/mintlb-common/tests/configuration.rs
@@ -1,7 +1,7 @@
 //! The operator's configuration: the example of the wire, each kind of fault, and that both ways to read it agree.
 
 use arbtest::arbtest;
-use mintlb_tier::configuration::{ClientLimits, Configuration, ConfigurationError, RouteType};
+use mintlb_common::configuration::{ClientLimits, Configuration, ConfigurationError, RouteType};
 use serde_json::{Value, json};
 
 /// As `fleetbench wire` prints it.
--- a/crates/mintlb-tier/tests/settings.rs
+++ b/crates/mintlb-common/tests/settings.rs
@@ -1,6 +1,6 @@
 //! The settings file: what is taken, what is passed over, what is refused and how it is named.
 
-use mintlb_tier::settings::{InternalPort, NodeSettings};
+use mintlb_common::settings::{InternalPort, NodeSettings};
 
 const EDGE: &str = r#"
 node_name = "edge-hba-1"
--- a/crates/mintlb-tier/tests/transport.rs
+++ b/crates/mintlb-common/tests/transport.rs
@@ -4,7 +4,7 @@
 
 use bytes::Bytes;
 use messages::{Seen, WAIT, process};
-use mintlb_tier::transport::{CallError, Channel};
+use mintlb_common::transport::{CallError, Channel};
 use std::time::Duration;
 use tokio::io::AsyncWriteExt;
 use tokio::net::{TcpListener, TcpStream};
--- a/crates/mintlb-tier/tests/transport_lives.rs
+++ b/crates/mintlb-common/tests/transport_lives.rs
@@ -4,9 +4,9 @@
 
 use bytes::Bytes;
 use messages::{ANSWER, NOTICE, REQUEST, Seen, WAIT, Wire, listener, next, notice, process};
-use mintlb_tier::incarnation::Incarnation;
-use mintlb_tier::transport::lives::{Claim, Lives};
-use mintlb_tier::transport::{CallError, Channel, Transport};
+use mintlb_common::incarnation::Incarnation;
+use mintlb_common::transport::lives::{Claim, Lives};
+use mintlb_common::transport::{CallError, Channel, Transport};
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::Duration;
--- a/crates/mintlb-tier/tests/transport_refusals.rs
+++ b/crates/mintlb-common/tests/transport_refusals.rs
@@ -4,8 +4,8 @@
 
 use bytes::Bytes;
 use messages::{ANSWER, NOTICE, REQUEST, WAIT, Wire, listener, next, notice, process};
-use mintlb_tier::transport::refusals::{OTHERS, Refusals};
-use mintlb_tier::transport::{CallError, Channel, MOST_BYTES, Refusal};
+use mintlb_common::transport::refusals::{OTHERS, Refusals};
+use mintlb_common::transport::{CallError, Channel, MOST_BYTES, Refusal};
 use std::net::SocketAddr;
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpStream;
--- a/crates/mintlb-control/src/cli.rs
+++ b/crates/mintlb-control/src/cli.rs
@@ -3,7 +3,7 @@
 use crate::controller::{self, ControllerError};
 use crate::store::{self, StoreError};
 use bpaf::{OptionParser, Parser};
-use mintlb_tier::settings::{NodeSettings, SettingsError};
+use mintlb_common::settings::{NodeSettings, SettingsError};
 use std::process::ExitCode;
 
 /// The variable that sets the level of the log.
@@ -80,7 +80,7 @@
         return Ok(());
     }
     let level = std::env::var(LOG_VARIABLE).unwrap_or_else(|_| "info".to_string());
-    let log = mintlb_tier::logging::start(&level);
+    let log = mintlb_common::logging::start(&level);
     if let Err(error) = &log {
         eprintln!("mintlb-control: no log: {error}");
     }
--- a/crates/mintlb-control/src/controller/instance_api.rs
+++ b/crates/mintlb-control/src/controller/instance_api.rs
@@ -11,7 +11,7 @@
 use axum::http::{StatusCode, header};
 use axum::response::IntoResponse;
 use axum::routing::put;
-use mintlb_tier::record::{WorkerRecord, WorkerState};
+use mintlb_common::record::{WorkerRecord, WorkerState};
 use serde::Deserialize;
 use std::net::SocketAddrV4;
 use std::sync::Arc;
--- a/crates/mintlb-control/src/controller/membership.rs
+++ b/crates/mintlb-control/src/controller/membership.rs
@@ -2,10 +2,10 @@
 
 use super::Controller;
 use super::register::is_done;
+use mintlb_common::record::REPLICAS;
 use mintlb_register::change::{Answer, Change};
 use mintlb_register::founding::{Founding, SeedAnswer, Step};
 use mintlb_register::state::{ReplicaId, ReplicaSet};
-use mintlb_tier::record::REPLICAS;
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::sync::atomic::Ordering::Relaxed;
--- a/crates/mintlb-control/src/controller/mod.rs
+++ b/crates/mintlb-control/src/controller/mod.rs
@@ -39,12 +39,12 @@
 
 use duties::Duties;
 pub use error::ControllerError;
-use mintlb_overlay::{Member, Overlay, OverlayConfig, Role};
+use mintlb_common::record::{WORKER_PREFIX, WorkerRecord};
+use mintlb_common::settings::{InternalPort, NodeSettings};
+use mintlb_common::signals::Signals;
+use mintlb_common::transport::Transport;
+use mintlb_gossip::{Member, Overlay, OverlayConfig, Role};
 use mintlb_register::state::{Replica, ReplicaId};
-use mintlb_tier::record::{WORKER_PREFIX, WorkerRecord};
-use mintlb_tier::settings::{InternalPort, NodeSettings};
-use mintlb_tier::signals::Signals;
-use mintlb_tier::transport::Transport;
 use parking_lot::Mutex;
 use publisher::Publisher;
 use register::{Register, scramble};
--- a/crates/mintlb-control/src/controller/orphans.rs
+++ b/crates/mintlb-control/src/controller/orphans.rs
@@ -1,8 +1,8 @@
 //! Workers whose records are in force although no controller hears them: their controller ended at about the same time as
 //! they did. Found by whoever has the duties; pure.
 
-use mintlb_overlay::Table;
-use mintlb_tier::record::{WORKER_PREFIX, WorkerRecord, WorkerState};
+use mintlb_common::record::{WORKER_PREFIX, WorkerRecord, WorkerState};
+use mintlb_gossip::Table;
 use rustc_hash::{FxHashMap, FxHashSet};
 use std::time::Duration;
 use tokio::time::Instant;
--- a/crates/mintlb-control/src/controller/publisher.rs
+++ b/crates/mintlb-control/src/controller/publisher.rs
@@ -1,8 +1,8 @@
 //! What of the register's chosen value goes to every process as records.
 
-use mintlb_overlay::Overlay;
+use mintlb_common::record::{CONFIGURATION, PLACEMENT, REPLICAS, Record};
+use mintlb_gossip::Overlay;
 use mintlb_register::state::ControlState;
-use mintlb_tier::record::{CONFIGURATION, PLACEMENT, REPLICAS, Record};
 use std::sync::Arc;
 use std::time::Duration;
 
--- a/crates/mintlb-control/src/controller/registry.rs
+++ b/crates/mintlb-control/src/controller/registry.rs
@@ -3,7 +3,7 @@
 //! A worker's record is published when something in it changes, and when the worker has come from another controller:
 //! then with the new call sequence, so that the earlier controller's word of its silence is older.
 
-use mintlb_tier::record::{WorkerRecord, WorkerState};
+use mintlb_common::record::{WorkerRecord, WorkerState};
 use rustc_hash::FxHashMap;
 use std::time::Duration;
 use tokio::time::Instant;
--- a/crates/mintlb-control/src/controller/reload.rs
+++ b/crates/mintlb-control/src/controller/reload.rs
@@ -1,7 +1,7 @@
 //! Settings that have changed, with a signal or without one.
 
 use super::Controller;
-use mintlb_tier::settings::{NodeSettings, SETTINGS_VARIABLE};
+use mintlb_common::settings::{NodeSettings, SETTINGS_VARIABLE};
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
 use std::time::{Duration, SystemTime};
--- a/crates/mintlb-control/src/controller/retire_api.rs
+++ b/crates/mintlb-control/src/controller/retire_api.rs
@@ -10,7 +10,7 @@
 use axum::http::{StatusCode, header};
 use axum::response::IntoResponse;
 use axum::routing::get;
-use mintlb_tier::transport::Channel;
+use mintlb_common::transport::Channel;
 use std::sync::Arc;
 use tokio::time::Instant;
 
--- a/crates/mintlb-control/src/controller/retirement.rs
+++ b/crates/mintlb-control/src/controller/retirement.rs
@@ -3,11 +3,11 @@
 use super::Controller;
 use super::duty_messages::{RetireAnswer, RetireCall};
 use super::register::is_done;
-use mintlb_lots::placement_planner::{
+use mintlb_batch::placement_planner::{
     LIVE, Retirement, RetirementOrder, StoreView, order_retirement, retirement,
 };
+use mintlb_common::placement::Placement;
 use mintlb_register::change::Change;
-use mintlb_tier::placement::Placement;
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::time::Instant;
--- a/crates/mintlb-control/src/store/disk.rs
+++ b/crates/mintlb-control/src/store/disk.rs
@@ -6,9 +6,9 @@
 use super::file::{self, DiskError, OpenDatabase, PROBE, SHARDS, failed};
 use super::parts::{self, PARTS};
 use bytes::Bytes;
-use mintlb_lots::entry::Entry;
-use mintlb_lots::replica::{DiskWrite, ShardMeta};
-use mintlb_tier::placement::StoreId;
+use mintlb_batch::entry::Entry;
+use mintlb_batch::replica::{DiskWrite, ShardMeta};
+use mintlb_common::placement::StoreId;
 use parking_lot::RwLock;
 use redb::{Database, ReadableDatabase};
 use std::collections::BTreeMap;
--- a/crates/mintlb-control/src/store/file.rs
+++ b/crates/mintlb-control/src/store/file.rs
@@ -2,9 +2,9 @@
 
 use super::disk::{LoadedShard, LoadedShards};
 use super::parts::{self, PARTS};
-use mintlb_lots::entry::Entry;
-use mintlb_lots::framing;
-use mintlb_tier::placement::StoreId;
+use mintlb_batch::entry::Entry;
+use mintlb_batch::framing;
+use mintlb_common::placement::StoreId;
 use redb::{Database, DatabaseError, ReadableDatabase, ReadableTable, TableDefinition};
 use std::io::ErrorKind;
 use std::path::Path;
--- a/crates/mintlb-control/src/store/heartbeats.rs
+++ b/crates/mintlb-control/src/store/heartbeats.rs
@@ -1,13 +1,13 @@
 //! Tells the controllers of this store, regularly and as soon as what it has to say changes.
 
 use super::calls::Store;
-use mintlb_lots::framing;
-use mintlb_lots::heartbeat::{HEARTBEAT, StoreHeartbeat};
-use mintlb_overlay::Overlay;
+use mintlb_batch::framing;
+use mintlb_batch::heartbeat::{HEARTBEAT, StoreHeartbeat};
+use mintlb_common::record::REPLICAS;
+use mintlb_common::settings::{InternalPort, NodeSettings};
+use mintlb_common::transport::{Channel, Transport};
+use mintlb_gossip::Overlay;
 use mintlb_register::state::ReplicaSet;
-use mintlb_tier::record::REPLICAS;
-use mintlb_tier::settings::{InternalPort, NodeSettings};
-use mintlb_tier::transport::{Channel, Transport};
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::Duration;
--- a/crates/mintlb-control/src/store/parts.rs
+++ b/crates/mintlb-control/src/store/parts.rs
@@ -2,9 +2,9 @@
 //! the next power of two of it, up to 2.4 times its bytes (measured); parts of 1000 bytes at most take 1.1 to 1.3 times.
 
 use bytes::{Bytes, BytesMut};
-use mintlb_lots::entry::Entry;
-use mintlb_lots::framing;
-use mintlb_lots::replica::DiskWrite;
+use mintlb_batch::entry::Entry;
+use mintlb_batch::framing;
+use mintlb_batch::replica::DiskWrite;
 use redb::{Database, ReadableDatabase, ReadableTable, StorageError, Table, TableDefinition, TableError};
 
 /// Parts of entries by shard, index and place.
--- a/crates/mintlb-control/src/store/recent.rs
+++ b/crates/mintlb-control/src/store/recent.rs
@@ -1,7 +1,7 @@
 //! Entries of a primary that are still on their way to other replicas, kept in memory as far as they fit.
 
 use bytes::Bytes;
-use mintlb_tier::placement::SHARD_COUNT;
+use mintlb_common::placement::SHARD_COUNT;
 use std::collections::VecDeque;
 
 /// Bytes of all kept entries.
--- a/crates/mintlb-control/src/store/writer.rs
+++ b/crates/mintlb-control/src/store/writer.rs
@@ -3,7 +3,7 @@
 use super::StoreError;
 use super::disk::{LoadedShards, LotDisk};
 use super::file::DiskError;
-use mintlb_lots::replica::{AfterSync, DiskWrite};
+use mintlb_batch::replica::{AfterSync, DiskWrite};
 use parking_lot::{Condvar, Mutex};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
--- a/crates/mintlb-control/tests/controller_cli.rs
+++ b/crates/mintlb-control/tests/controller_cli.rs
@@ -1,8 +1,8 @@
 //! The command line and what `check` finds.
 
 use bpaf::Args;
+use mintlb_common::settings::NodeSettings;
 use mintlb_control::cli::{Verb, faults, parser};
-use mintlb_tier::settings::NodeSettings;
 
 const EDGE: &str = r#"
 node_name = "edge-hba-1"
--- a/crates/mintlb-control/tests/controller_fleet.rs
+++ b/crates/mintlb-control/tests/controller_fleet.rs
@@ -4,10 +4,10 @@
 
 use axum::http::{Method, StatusCode};
 use controllers::{Fleet, PATIENCE};
+use mintlb_common::record::{CONFIGURATION, WorkerRecord, WorkerState};
 use mintlb_control::controller::contact::LEASE;
 use mintlb_control::controller::membership;
 use mintlb_register::state::{ReplicaId, ReplicaSet};
-use mintlb_tier::record::{CONFIGURATION, WorkerRecord, WorkerState};
 
 fn configuration(version: u64) -> String {
     format!(
--- a/crates/mintlb-control/tests/controller_orphans.rs
+++ b/crates/mintlb-control/tests/controller_orphans.rs
@@ -1,8 +1,8 @@
 //! Workers that no controller hears.
 
+use mintlb_common::record::{WorkerRecord, WorkerState};
 use mintlb_control::controller::orphans::{ORPHANED_AFTER, Orphans, id_hash};
-use mintlb_overlay::table::RecordStore;
-use mintlb_tier::record::{WorkerRecord, WorkerState};
+use mintlb_gossip::table::RecordStore;
 use rustc_hash::FxHashSet;
 use std::time::Duration;
 use tokio::time::Instant;
--- a/crates/mintlb-control/tests/controller_registry.rs
+++ b/crates/mintlb-control/tests/controller_registry.rs
@@ -1,8 +1,8 @@
 //! The registry of workers: what is published of which calls, in any order.
 
 use arbtest::arbtest;
+use mintlb_common::record::{WorkerRecord, WorkerState};
 use mintlb_control::controller::registry::{Heard, Registry, news};
-use mintlb_tier::record::{WorkerRecord, WorkerState};
 use std::time::Duration;
 use tokio::time::Instant;
 
--- a/crates/mintlb-control/tests/controller_retirement.rs
+++ b/crates/mintlb-control/tests/controller_retirement.rs
@@ -1,10 +1,10 @@
 //! When the end of a store's retirement may be told.
 
+use mintlb_batch::heartbeat::ShardReport;
+use mintlb_batch::placement_planner::{LIVE, StoreSeen, StoreView};
+use mintlb_common::placement::{Placement, ShardAssignment, StoreEntry};
 use mintlb_control::controller::duty_messages::RetireAnswer;
 use mintlb_control::controller::retirement::progress;
-use mintlb_lots::heartbeat::ShardReport;
-use mintlb_lots::placement_planner::{LIVE, StoreSeen, StoreView};
-use mintlb_tier::placement::{Placement, ShardAssignment, StoreEntry};
 use std::time::Duration;
 
 fn entry(id: u64, retiring: bool) -> StoreEntry {
--- a/crates/mintlb-control/tests/controller_worker_records.rs
+++ b/crates/mintlb-control/tests/controller_worker_records.rs
@@ -4,8 +4,8 @@
 
 use arbtest::arbitrary::{Result, Unstructured};
 use arbtest::arbtest;
+use mintlb_common::record::{WorkerRecord, WorkerState};
 use mintlb_control::controller::registry::{Heard, Registry};
-use mintlb_tier::record::{WorkerRecord, WorkerState};
 use std::time::Duration;
 use tokio::time::Instant;
 
--- a/crates/mintlb-control/tests/controllers/mod.rs
+++ b/crates/mintlb-control/tests/controllers/mod.rs
@@ -3,12 +3,12 @@
 
 use axum::body::{Body, to_bytes};
 use axum::http::{Method, Request, StatusCode};
+use mintlb_common::record::{REPLICAS, Record};
+use mintlb_common::settings::NodeSettings;
 use mintlb_control::controller::vote_store::FILE;
 use mintlb_control::controller::{Controller, http, start};
-use mintlb_overlay::Overlay;
+use mintlb_gossip::Overlay;
 use mintlb_register::state::ReplicaSet;
-use mintlb_tier::record::{REPLICAS, Record};
-use mintlb_tier::settings::NodeSettings;
 use std::path::Path;
 use std::sync::atomic::{AtomicU16, Ordering::SeqCst};
 use std::sync::{Arc, mpsc};
--- a/crates/mintlb-control/tests/store_cluster.rs
+++ b/crates/mintlb-control/tests/store_cluster.rs
@@ -3,9 +3,9 @@
 mod stores;
 
 use bytes::Bytes;
-use mintlb_lots::client::{BodyOutcome, EndOutcome, HeldLot, ItemResult, ReadOutcome, SubmitOutcome};
-use mintlb_lots::entry::ItemState;
-use mintlb_tier::placement::Placement;
+use mintlb_batch::client::{BodyOutcome, EndOutcome, HeldLot, ItemResult, ReadOutcome, SubmitOutcome};
+use mintlb_batch::entry::ItemState;
+use mintlb_common::placement::Placement;
 use std::time::Duration;
 use stores::{Cluster, HOST, Node, WITHIN, lot, placement};
 
--- a/crates/mintlb-control/tests/store_disk.rs
+++ b/crates/mintlb-control/tests/store_disk.rs
@@ -4,14 +4,14 @@
 
 use bytes::Bytes;
 use faulty_file::Disk;
+use mintlb_batch::entry::{Entry, ItemHead, LotHead, LotTerms};
+use mintlb_batch::framing;
+use mintlb_batch::log_index::LogIndex;
+use mintlb_batch::replica::{AfterSync, DiskWrite, ShardMeta};
 use mintlb_control::store::disk::LotDisk;
 use mintlb_control::store::file::FILE;
 use mintlb_control::store::room::longest_file;
 use mintlb_control::store::writer::Writer;
-use mintlb_lots::entry::{Entry, ItemHead, LotHead, LotTerms};
-use mintlb_lots::framing;
-use mintlb_lots::log_index::LogIndex;
-use mintlb_lots::replica::{AfterSync, DiskWrite, ShardMeta};
 use std::path::Path;
 use std::time::{Duration, Instant};
 
--- a/crates/mintlb-control/tests/store_faults.rs
+++ b/crates/mintlb-control/tests/store_faults.rs
@@ -4,11 +4,11 @@
 
 use bytes::Bytes;
 use faulty_file::Disk;
+use mintlb_batch::entry::{Entry, ItemState};
+use mintlb_batch::framing;
+use mintlb_batch::replica::DiskWrite;
 use mintlb_control::store::disk::{LoadedShards, LotDisk};
 use mintlb_control::store::file::{DiskError, FILE, UNREADABLE_FILE};
-use mintlb_lots::entry::{Entry, ItemState};
-use mintlb_lots::framing;
-use mintlb_lots::replica::DiskWrite;
 use std::collections::BTreeMap;
 use std::path::Path;
 
--- a/crates/mintlb-control/tests/store_full_disk.rs
+++ b/crates/mintlb-control/tests/store_full_disk.rs
@@ -5,8 +5,8 @@
 
 use bytes::Bytes;
 use faulty_file::Disk;
+use mintlb_batch::client::{BodyOutcome, ReadOutcome, SubmitOutcome};
 use mintlb_control::store::disk::LotDisk;
-use mintlb_lots::client::{BodyOutcome, ReadOutcome, SubmitOutcome};
 use std::time::Duration;
 use stores::{Cluster, HOST, Node, WITHIN, lot, placement};
 
--- a/crates/mintlb-control/tests/store_long_day.rs
+++ b/crates/mintlb-control/tests/store_long_day.rs
@@ -3,12 +3,12 @@
 mod faulty_file;
 
 use bytes::Bytes;
+use mintlb_batch::entry::{ItemHead, ItemState, LotHead, LotTerms};
+use mintlb_batch::messages::LotName;
+use mintlb_batch::replica::{AfterSync, DiskWrite, Effect, Replica, ReplicaSettings};
+use mintlb_common::placement::ShardAssignment;
 use mintlb_control::store::disk::LotDisk;
 use mintlb_control::store::room;
-use mintlb_lots::entry::{ItemHead, ItemState, LotHead, LotTerms};
-use mintlb_lots::messages::LotName;
-use mintlb_lots::replica::{AfterSync, DiskWrite, Effect, Replica, ReplicaSettings};
-use mintlb_tier::placement::ShardAssignment;
 use std::path::Path;
 use std::time::Duration;
 
--- a/crates/mintlb-control/tests/stores/mod.rs
+++ b/crates/mintlb-control/tests/stores/mod.rs
@@ -2,16 +2,16 @@
 #![allow(dead_code)]
 
 use bytes::Bytes;
+use mintlb_batch::client::{Item, LotClient, ReadOutcome, Submission};
+use mintlb_batch::entry::{ItemState, LotTerms};
+use mintlb_batch::replica::ReplicaSettings;
+use mintlb_common::placement::{Placement, SHARD_COUNT, ShardAssignment, StoreEntry, StoreId};
+use mintlb_common::transport::{Channel, Transport};
 use mintlb_control::store::calls::{Store, StoreService};
 use mintlb_control::store::disk::{LoadedShards, LotDisk};
 use mintlb_control::store::driver::Driver;
 use mintlb_control::store::file::OpenDatabase;
 use mintlb_control::store::writer::{Opened, Writer};
-use mintlb_lots::client::{Item, LotClient, ReadOutcome, Submission};
-use mintlb_lots::entry::{ItemState, LotTerms};
-use mintlb_lots::replica::ReplicaSettings;
-use mintlb_tier::placement::{Placement, SHARD_COUNT, ShardAssignment, StoreEntry, StoreId};
-use mintlb_tier::transport::{Channel, Transport};
 use parking_lot::Mutex;
 use std::net::SocketAddr;
 use std::path::Path;
--- a/crates/mintlb-core/src/members.rs
+++ b/crates/mintlb-core/src/members.rs
@@ -3,7 +3,7 @@
 //! Pure: what a source says goes in, the lines for the decisions come out.
 
 use crate::work::Reach;
-use mintlb::{Line, Listed};
+use mintlb_scheduler::{Line, Listed};
 use std::collections::HashMap;
 use std::net::IpAddr;
 use std::sync::Arc;
--- a/crates/mintlb-core/src/permit.rs
+++ b/crates/mintlb-core/src/permit.rs
@@ -2,7 +2,7 @@
 //! front's protocol knows of.
 
 use crate::work::Payload;
-use mintlb::{WorkUnit, Worker};
+use mintlb_scheduler::{WorkUnit, Worker};
 
 /// An answer to the question.
 #[derive(Clone, Copy, Debug, PartialEq)]
--- a/crates/mintlb-core/src/types.rs
+++ b/crates/mintlb-core/src/types.rs
@@ -3,7 +3,7 @@
 //! Work holds the number of the project type that it came with, so a type whose terms change gets another number, and
 //! a number is given again only when no work holds it any more.
 
-use mintlb::{Numbered, ProjectType};
+use mintlb_scheduler::{Numbered, ProjectType};
 
 /// A project type as it is served: clients name it, the core goes by its number.
 #[derive(Clone, Debug, PartialEq)]
--- a/crates/mintlb-core/src/work.rs
+++ b/crates/mintlb-core/src/work.rs
@@ -2,7 +2,7 @@
 
 use crate::spend::Slip;
 use bytes::Bytes;
-use mintlb::{Outcome, Report};
+use mintlb_scheduler::{Outcome, Report};
 use std::any::Any;
 use std::fmt::{Debug, Display};
 use std::sync::Arc;
--- a/crates/mintlb-dispatch/src/batch/calls.rs
+++ b/crates/mintlb-dispatcher/src/batch/calls.rs
@@ -8,14 +8,14 @@
 use axum::http::header::{CONTENT_TYPE, RETRY_AFTER};
 use axum::http::{HeaderMap, HeaderValue, Method, StatusCode};
 use axum::response::{IntoResponse, Response};
-use mintlb_lots::client::{
+use mintlb_batch::client::{
     BodyOutcome, EndOutcome, LeasedItem, LotClient, ReadOutcome, Submission, SubmitOutcome,
 };
-use mintlb_lots::entry::LotTerms;
-use mintlb_lots::messages::DispatcherId;
-use mintlb_overlay::Overlay;
-use mintlb_tier::configuration::Route;
-use mintlb_tier::record::{ENDED_LOT_PREFIX, Record};
+use mintlb_batch::entry::LotTerms;
+use mintlb_batch::messages::DispatcherId;
+use mintlb_common::configuration::Route;
+use mintlb_common::record::{ENDED_LOT_PREFIX, Record};
+use mintlb_gossip::Overlay;
 use std::future::Future;
 use std::pin::Pin;
 use std::sync::Arc;
--- a/crates/mintlb-dispatch/src/batch/mod.rs
+++ b/crates/mintlb-dispatcher/src/batch/mod.rs
@@ -11,12 +11,12 @@
 
 use crate::intake::{BatchHandler, Intake};
 use arc_swap::ArcSwap;
-use mintlb_lots::client::LotClient;
-use mintlb_lots::messages::DispatcherId;
-use mintlb_overlay::Overlay;
-use mintlb_tier::placement::Placement;
-use mintlb_tier::record::{ENDED_LOT_PREFIX, PLACEMENT, Record};
-use mintlb_tier::transport::Transport;
+use mintlb_batch::client::LotClient;
+use mintlb_batch::messages::DispatcherId;
+use mintlb_common::placement::Placement;
+use mintlb_common::record::{ENDED_LOT_PREFIX, PLACEMENT, Record};
+use mintlb_common::transport::Transport;
+use mintlb_gossip::Overlay;
 use std::sync::Arc;
 
 /// Starts what serves lots at this dispatcher. `holder` names it towards the stores, another number at each start.
--- a/crates/mintlb-dispatch/src/batch/page.rs
+++ b/crates/mintlb-dispatcher/src/batch/page.rs
@@ -1,7 +1,7 @@
 //! A page of a lot's results, as its client reads it.
 
-use mintlb_lots::client::ListedResult;
-use mintlb_lots::entry::ItemState;
+use mintlb_batch::client::ListedResult;
+use mintlb_batch::entry::ItemState;
 use serde::Serialize;
 
 #[derive(Serialize)]
--- a/crates/mintlb-dispatch/src/batch/progress.rs
+++ b/crates/mintlb-dispatcher/src/batch/progress.rs
@@ -1,8 +1,8 @@
 //! How far an item of a lot has come, over all its attempts. Pure: events and outcomes go in, what is next comes out.
 
 use bytes::Bytes;
-use mintlb_lots::client::ItemResult;
-use mintlb_lots::entry::LotTerms;
+use mintlb_batch::client::ItemResult;
+use mintlb_batch::entry::LotTerms;
 use std::time::Duration;
 
 /// The pause before an item is tried again, doubled with each attempt that brought nothing.
--- a/crates/mintlb-dispatch/src/batch/queue.rs
+++ b/crates/mintlb-dispatcher/src/batch/queue.rs
@@ -1,6 +1,6 @@
 //! The items that this dispatcher holds leases of: which runs next, and how many run at once. Pure.
 
-use mintlb_lots::client::{HeldLot, LeasedItem};
+use mintlb_batch::client::{HeldLot, LeasedItem};
 use std::collections::{BTreeMap, HashMap, HashSet, VecDeque};
 
 /// Ended lots that are remembered: their items may still come with an answer that was under way.
--- a/crates/mintlb-dispatch/src/batch/submission.rs
+++ b/crates/mintlb-dispatcher/src/batch/submission.rs
@@ -3,8 +3,8 @@
 use base64::Engine;
 use base64::engine::general_purpose::STANDARD;
 use bytes::Bytes;
-use mintlb_lots::client::Item;
-use mintlb_tier::configuration::Route;
+use mintlb_batch::client::Item;
+use mintlb_common::configuration::Route;
 use serde::Deserialize;
 use std::borrow::Cow;
 use std::collections::{BTreeMap, HashSet};
--- a/crates/mintlb-dispatch/src/intake.rs
+++ b/crates/mintlb-dispatcher/src/intake.rs
@@ -8,7 +8,7 @@
 use axum::http::{HeaderMap, HeaderValue, Method, StatusCode};
 use axum::response::Response;
 use bytes::Bytes;
-use mintlb_tier::configuration::Configuration;
+use mintlb_common::configuration::Configuration;
 use std::future::{Future, poll_fn};
 use std::pin::Pin;
 use std::sync::Arc;
--- a/crates/mintlb-dispatch/src/knowledge.rs
+++ b/crates/mintlb-dispatcher/src/knowledge.rs
@@ -6,10 +6,10 @@
 use crate::hub::Hub;
 use crate::tuning::ServiceNumbers;
 use crate::workers::LineNumbers;
+use mintlb_common::configuration::Configuration;
+use mintlb_common::record::{CONFIGURATION, Record, WORKER_PREFIX, WorkerRecord};
 use mintlb_core::members::{Source, Told};
 use mintlb_core::reducer::Event;
-use mintlb_tier::configuration::Configuration;
-use mintlb_tier::record::{CONFIGURATION, Record, WORKER_PREFIX, WorkerRecord};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
--- a/crates/mintlb-dispatch/src/permits.rs
+++ b/crates/mintlb-dispatcher/src/permits.rs
@@ -6,9 +6,9 @@
 use crate::prompts::{Prompt, preferred};
 use crate::routing::ServiceTerms;
 use crate::workers::WorkerEntry;
-use mintlb::{WorkUnit, Worker};
 use mintlb_core::permit::{Permission, Permit};
 use mintlb_core::work::Payload;
+use mintlb_scheduler::{WorkUnit, Worker};
 use std::sync::Arc;
 
 /// This part of a worker's memory is filled by what one dispatcher sends there.
--- a/crates/mintlb-dispatch/src/routing.rs
+++ b/crates/mintlb-dispatcher/src/routing.rs
@@ -2,8 +2,8 @@
 //!
 //! A table is built whole from one configuration and swapped whole, so that no request sees parts of two.
 
+use mintlb_common::configuration::{Configuration, Route, RouteType};
 use mintlb_core::types::Named;
-use mintlb_tier::configuration::{Configuration, Route, RouteType};
 use rustc_hash::FxHashMap;
 use std::sync::Arc;
 
--- a/crates/mintlb-dispatch/src/tuning.rs
+++ b/crates/mintlb-dispatcher/src/tuning.rs
@@ -3,10 +3,10 @@
 //! Pure.
 
 use crate::routing::type_name;
-use mintlb::decide::Repeats;
-use mintlb::settings::Terms;
-use mintlb::{Costs, Effect, ProjectType};
-use mintlb_tier::configuration::{Configuration, Route, RouteType};
+use mintlb_common::configuration::{Configuration, Route, RouteType};
+use mintlb_scheduler::decide::Repeats;
+use mintlb_scheduler::settings::Terms;
+use mintlb_scheduler::{Costs, Effect, ProjectType};
 use std::collections::{HashMap, HashSet};
 
 /// The part of its worth that an answer after the target still earns, as deployments have it.
--- a/crates/mintlb-dispatch/src/workers.rs
+++ b/crates/mintlb-dispatcher/src/workers.rs
@@ -2,10 +2,10 @@
 
 use crate::connection::Pool;
 use crate::load::{KnownLoad, Load};
-use mintlb::{Line, Listed, Runs};
+use mintlb_common::record::{WorkerRecord, WorkerState};
 use mintlb_core::members::{Member, worker_id};
 use mintlb_core::work::Reach;
-use mintlb_tier::record::{WorkerRecord, WorkerState};
+use mintlb_scheduler::{Line, Listed, Runs};
 use parking_lot::Mutex;
 use rustc_hash::FxHashMap;
 use std::net::SocketAddr;
--- a/crates/mintlb-dispatch/tests/batch.rs
+++ b/crates/mintlb-dispatcher/tests/batch.rs
@@ -1,11 +1,11 @@
 //! Lots at a dispatcher: what is read, what is refused, how an item goes on, which is next.
 
-use mintlb_dispatch::batch::progress::{AttemptOutcome, Next, Progress};
-use mintlb_dispatch::batch::queue::ItemQueue;
-use mintlb_dispatch::batch::{page, submission};
-use mintlb_lots::client::{Item, ItemResult, LeasedItem, ListedResult};
-use mintlb_lots::entry::{ItemState, LotTerms};
-use mintlb_tier::configuration::Configuration;
+use mintlb_batch::client::{Item, ItemResult, LeasedItem, ListedResult};
+use mintlb_batch::entry::{ItemState, LotTerms};
+use mintlb_common::configuration::Configuration;
+use mintlb_dispatcher::batch::progress::{AttemptOutcome, Next, Progress};
+use mintlb_dispatcher::batch::queue::ItemQueue;
+use mintlb_dispatcher::batch::{page, submission};
 
 const CONFIGURATION: &str = r#"{"config_version":1,"route_list":[{"name":"notices","host_name":"a.example",
 "path_prefix":"/p/","route_type":"batch","target_latency_ms":400,"completion_target_ms":10000,"max_attempts":3,
--- a/crates/mintlb-dispatch/tests/chaos.rs
+++ b/crates/mintlb-dispatcher/tests/chaos.rs
@@ -3,8 +3,8 @@
 mod machine;
 
 use machine::{Asked, CONFIGURATION, Client, Machine, Worker, event, header, on_one_thread};
-use mintlb::tools::Chance;
-use mintlb_tier::record::WorkerState;
+use mintlb_common::record::WorkerState;
+use mintlb_scheduler::tools::Chance;
 use std::cell::RefCell;
 use std::collections::HashMap;
 use std::rc::Rc;
--- a/crates/mintlb-dispatch/tests/clients.rs
+++ b/crates/mintlb-dispatcher/tests/clients.rs
@@ -3,7 +3,7 @@
 mod machine;
 
 use machine::{Asked, CONFIGURATION, Client, Machine, Worker, event, header, on_one_thread};
-use mintlb_tier::record::WorkerState;
+use mintlb_common::record::WorkerState;
 use std::ops::Range;
 use std::time::Duration;
 use tokio::time::{Instant, advance, pause, resume};
--- a/crates/mintlb-dispatch/tests/events.rs
+++ b/crates/mintlb-dispatcher/tests/events.rs
@@ -2,7 +2,7 @@
 
 use arbtest::arbtest;
 use bytes::Bytes;
-use mintlb_dispatch::events::{EventReader, StreamError, event_data, event_id, split_events};
+use mintlb_dispatcher::events::{EventReader, StreamError, event_data, event_id, split_events};
 
 fn event(id: u64) -> String {
     format!("id: {id}\nevent: token\ndata: text {id}\n\n")
--- a/crates/mintlb-dispatch/tests/items.rs
+++ b/crates/mintlb-dispatcher/tests/items.rs
@@ -4,8 +4,8 @@
 
 use axum::http::{HeaderMap, HeaderValue, StatusCode};
 use machine::{CONFIGURATION, Machine, Worker, event, header, on_one_thread};
-use mintlb_dispatch::intake::{ItemOutcome, ItemRequest, ItemStep};
-use mintlb_tier::record::WorkerState;
+use mintlb_common::record::WorkerState;
+use mintlb_dispatcher::intake::{ItemOutcome, ItemRequest, ItemStep};
 use std::time::Duration;
 
 fn item(id: &'static str, last_event_id: Option<u64>) -> ItemRequest {
--- a/crates/mintlb-dispatch/tests/load.rs
+++ b/crates/mintlb-dispatcher/tests/load.rs
@@ -1,6 +1,6 @@
 //! What a worker tells of its load, and which places are taken for whom.
 
-use mintlb_dispatch::load::{KnownLoad, Load};
+use mintlb_dispatcher::load::{KnownLoad, Load};
 
 #[test]
 fn a_head_is_read_or_passed_over() {
--- a/crates/mintlb-dispatch/tests/machine/mod.rs
+++ b/crates/mintlb-dispatcher/tests/machine/mod.rs
@@ -4,12 +4,12 @@
 
 pub mod raw;
 
-use mintlb_dispatch::dispatcher::{Dispatcher, Grants};
-use mintlb_dispatch::hub::Hub;
-use mintlb_dispatch::intake::Intake;
-use mintlb_dispatch::knowledge::Known;
-use mintlb_tier::configuration::Configuration;
-use mintlb_tier::record::{WorkerRecord, WorkerState};
+use mintlb_common::configuration::Configuration;
+use mintlb_common::record::{WorkerRecord, WorkerState};
+use mintlb_dispatcher::dispatcher::{Dispatcher, Grants};
+use mintlb_dispatcher::hub::Hub;
+use mintlb_dispatcher::intake::Intake;
+use mintlb_dispatcher::knowledge::Known;
 use std::future::Future;
 use std::net::SocketAddr;
 use std::sync::Arc;
--- a/crates/mintlb-dispatch/tests/machine/raw.rs
+++ b/crates/mintlb-dispatcher/tests/machine/raw.rs
@@ -1,7 +1,7 @@
 //! A worker whose connections a test handles byte by byte.
 
 use super::{STEP, header, listener};
-use mintlb_tier::record::{WorkerRecord, WorkerState};
+use mintlb_common::record::{WorkerRecord, WorkerState};
 use std::net::SocketAddr;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
--- a/crates/mintlb-dispatch/tests/requests.rs
+++ b/crates/mintlb-dispatcher/tests/requests.rs
@@ -3,7 +3,7 @@
 mod machine;
 
 use machine::{CONFIGURATION, Client, Machine, Worker, event, header, on_one_thread};
-use mintlb_tier::record::WorkerState;
+use mintlb_common::record::WorkerState;
 
 async fn with_worker() -> (Machine, Worker) {
     let machine = Machine::start().await;
--- a/crates/mintlb-dispatch/tests/routing.rs
+++ b/crates/mintlb-dispatcher/tests/routing.rs
@@ -1,12 +1,12 @@
 //! Routes, shares, project types, and how prompts rank workers.
 
 use arbtest::arbtest;
-use mintlb::Effect;
+use mintlb_common::configuration::Configuration;
 use mintlb_core::types::Named;
-use mintlb_dispatch::prompts::{Prompt, preferred};
-use mintlb_dispatch::routing::RoutingTable;
-use mintlb_dispatch::tuning::{ServiceNumbers, project_types};
-use mintlb_tier::configuration::Configuration;
+use mintlb_dispatcher::prompts::{Prompt, preferred};
+use mintlb_dispatcher::routing::RoutingTable;
+use mintlb_dispatcher::tuning::{ServiceNumbers, project_types};
+use mintlb_scheduler::Effect;
 use std::sync::Arc;
 
 const CONFIGURATION: &str = r#"{"config_version":1,"route_list":[
--- a/crates/mintlb-dispatch/tests/trouble.rs
+++ b/crates/mintlb-dispatcher/tests/trouble.rs
@@ -3,7 +3,7 @@
 mod machine;
 
 use machine::{CONFIGURATION, Machine, Worker, event, header, on_one_thread, worker_record};
-use mintlb_tier::record::{WorkerRecord, WorkerState};
+use mintlb_common::record::{WorkerRecord, WorkerState};
 use std::time::{Duration, Instant};
 
 async fn with_worker() -> (Machine, Worker) {
--- a/crates/mintlb-dispatch/tests/whose_answer.rs
+++ b/crates/mintlb-dispatcher/tests/whose_answer.rs
@@ -5,7 +5,7 @@
 
 use machine::raw::{RawConnection, RawWorker, not_run, ok};
 use machine::{CONFIGURATION, Client, Machine, Worker, on_one_thread};
-use mintlb_tier::record::WorkerState;
+use mintlb_common::record::WorkerState;
 use std::time::Duration;
 use tokio::time::{advance, pause, resume, timeout};
 
--- a/crates/mintlb-dispatch/tests/wire.rs
+++ b/crates/mintlb-dispatcher/tests/wire.rs
@@ -2,7 +2,7 @@
 
 use arbtest::arbtest;
 use bytes::BytesMut;
-use mintlb_dispatch::wire::{AnswerHead, BodyReader, Framing};
+use mintlb_dispatcher::wire::{AnswerHead, BodyReader, Framing};
 use std::time::Duration;
 
 fn head(text: &str) -> AnswerHead {
--- a/crates/mintlb-overlay/src/codec.rs
+++ b/crates/mintlb-gossip/src/codec.rs
@@ -2,7 +2,7 @@
 
 use bytes::Bytes;
 use minicbor::{Decode, Encode};
-use mintlb_tier::record::Record;
+use mintlb_common::record::Record;
 
 /// The longest key of a record, in bytes.
 pub const MOST_KEY_BYTES: usize = 256;
--- a/crates/mintlb-overlay/src/effects.rs
+++ b/crates/mintlb-gossip/src/effects.rs
@@ -2,7 +2,7 @@
 
 use crate::message::Message;
 use bytes::Bytes;
-use mintlb_tier::record::Record;
+use mintlb_common::record::Record;
 use std::net::SocketAddr;
 use std::sync::Arc;
 
--- a/crates/mintlb-overlay/src/message.rs
+++ b/crates/mintlb-gossip/src/message.rs
@@ -5,7 +5,7 @@
 use crate::views::{NeighbourReply, NeighbourRequest, Probe, Shuffle};
 use bytes::Bytes;
 use minicbor::{Decode, Encode};
-use mintlb_tier::incarnation::Incarnation;
+use mintlb_common::incarnation::Incarnation;
 use std::net::SocketAddr;
 
 /// What a process of the tier is.
--- a/crates/mintlb-overlay/src/table.rs
+++ b/crates/mintlb-gossip/src/table.rs
@@ -10,7 +10,7 @@
 //! process is told of the newer one.
 
 use crate::codec::{CarriedRecord, Stamp, record_id, scramble};
-use mintlb_tier::record::Record;
+use mintlb_common::record::Record;
 use rustc_hash::FxHashMap;
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, VecDeque};
--- a/crates/mintlb-overlay/src/views.rs
+++ b/crates/mintlb-gossip/src/views.rs
@@ -12,7 +12,7 @@
 use crate::random::Random;
 use candidates::{Lost, Seed};
 use minicbor::{Decode, Encode};
-use mintlb_tier::incarnation::Incarnation;
+use mintlb_common::incarnation::Incarnation;
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 use std::time::Duration;
--- a/crates/mintlb-overlay/src/views/candidates.rs
+++ b/crates/mintlb-gossip/src/views/candidates.rs
@@ -7,7 +7,7 @@
 };
 use crate::effects::Effects;
 use crate::message::{Member, Message, Role};
-use mintlb_tier::incarnation::Incarnation;
+use mintlb_common::incarnation::Incarnation;
 use std::net::SocketAddr;
 use std::time::Duration;
 use tokio::time::Instant;
--- a/crates/mintlb-overlay/tests/broadcasting.rs
+++ b/crates/mintlb-gossip/tests/broadcasting.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{Simulation, ms, record};
-use mintlb_overlay::random::Random;
+use mintlb_gossip::random::Random;
 use std::time::Duration;
 
 const BOUND: Duration = Duration::from_millis(1200);
--- a/crates/mintlb-overlay/tests/common/mod.rs
+++ b/crates/mintlb-gossip/tests/common/mod.rs
@@ -5,12 +5,12 @@
 mod questions;
 
 use bytes::Bytes;
-use mintlb_overlay::effects::Effect;
-use mintlb_overlay::node::{Input, Node};
-use mintlb_overlay::random::Random;
-use mintlb_overlay::{Member, Role};
-use mintlb_tier::incarnation::Incarnation;
-use mintlb_tier::record::Record;
+use mintlb_common::incarnation::Incarnation;
+use mintlb_common::record::Record;
+use mintlb_gossip::effects::Effect;
+use mintlb_gossip::node::{Input, Node};
+use mintlb_gossip::random::Random;
+use mintlb_gossip::{Member, Role};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, HashMap, HashSet};
 use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4};
--- a/crates/mintlb-overlay/tests/common/questions.rs
+++ b/crates/mintlb-gossip/tests/common/questions.rs
@@ -1,8 +1,8 @@
 //! What tests ask of the simulated network.
 
 use super::{Condition, Process, Simulation, address};
-use mintlb_overlay::node::Node;
-use mintlb_tier::incarnation::Incarnation;
+use mintlb_common::incarnation::Incarnation;
+use mintlb_gossip::node::Node;
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
 use std::time::Duration;
--- a/crates/mintlb-overlay/tests/driver.rs
+++ b/crates/mintlb-gossip/tests/driver.rs
@@ -1,10 +1,10 @@
 //! The overlay over real sockets on the loopback.
 
 use bytes::Bytes;
-use mintlb_overlay::{Member, Overlay, OverlayConfig, Role};
-use mintlb_tier::incarnation::Incarnation;
-use mintlb_tier::record::Record;
-use mintlb_tier::transport::Transport;
+use mintlb_common::incarnation::Incarnation;
+use mintlb_common::record::Record;
+use mintlb_common::transport::Transport;
+use mintlb_gossip::{Member, Overlay, OverlayConfig, Role};
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::thread::JoinHandle;
--- a/crates/mintlb-overlay/tests/faults.rs
+++ b/crates/mintlb-gossip/tests/faults.rs
@@ -4,7 +4,7 @@
 
 use arbtest::arbtest;
 use common::{Fate, Simulation, address, ms, record};
-use mintlb_tier::record::Record;
+use mintlb_common::record::Record;
 
 fn grown(seed: u64, count: usize, zones: usize) -> Simulation {
     let mut simulation = Simulation::fleet(seed, count, zones, ms(300));
--- a/crates/mintlb-overlay/tests/identity.rs
+++ b/crates/mintlb-gossip/tests/identity.rs
@@ -4,11 +4,11 @@
 mod common;
 
 use common::{address, ms};
-use mintlb_overlay::message::Message;
-use mintlb_overlay::node::{Input, Node};
-use mintlb_overlay::views::{Heard, NeighbourReply, NeighbourRequest, Probe, Shuffle};
-use mintlb_overlay::{Member, Role};
-use mintlb_tier::incarnation::Incarnation;
+use mintlb_common::incarnation::Incarnation;
+use mintlb_gossip::message::Message;
+use mintlb_gossip::node::{Input, Node};
+use mintlb_gossip::views::{Heard, NeighbourReply, NeighbourRequest, Probe, Shuffle};
+use mintlb_gossip::{Member, Role};
 use std::time::Duration;
 use tokio::time::Instant;
 
--- a/crates/mintlb-overlay/tests/long_day.rs
+++ b/crates/mintlb-gossip/tests/long_day.rs
@@ -5,7 +5,7 @@
 
 use bytes::Bytes;
 use common::{Simulation, ms, record};
-use mintlb_tier::record::Record;
+use mintlb_common::record::Record;
 use std::time::Duration;
 
 const COUNT: usize = 12;
--- a/crates/mintlb-overlay/tests/repair.rs
+++ b/crates/mintlb-gossip/tests/repair.rs
@@ -5,7 +5,7 @@
 use arbtest::arbtest;
 use bytes::Bytes;
 use common::{Fate, Simulation, ms, record};
-use mintlb_tier::record::Record;
+use mintlb_common::record::Record;
 use std::time::Duration;
 
 /// A record whose only message is lost comes by the digests.
--- a/crates/mintlb-overlay/tests/table.rs
+++ b/crates/mintlb-gossip/tests/table.rs
@@ -1,9 +1,9 @@
 //! The table: versions, lifetimes, hashes, snapshots.
 
 use bytes::Bytes;
-use mintlb_overlay::codec::record_id;
-use mintlb_overlay::table::{Put, RETIRED_FOR, RecordStore};
-use mintlb_tier::record::Record;
+use mintlb_common::record::Record;
+use mintlb_gossip::codec::record_id;
+use mintlb_gossip::table::{Put, RETIRED_FOR, RecordStore};
 use std::time::Duration;
 use tokio::time::Instant;
 
--- a/crates/mintlb-overlay/tests/traffic.rs
+++ b/crates/mintlb-gossip/tests/traffic.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{Simulation, ms};
-use mintlb_tier::record::{Record, WorkerRecord, WorkerState};
+use mintlb_common::record::{Record, WorkerRecord, WorkerState};
 use std::time::Duration;
 
 fn worker(number: usize, call_sequence: u64) -> Record {
--- a/crates/mintlb-http/tests/machine/mod.rs
+++ b/crates/mintlb-http/tests/machine/mod.rs
@@ -1,7 +1,6 @@
 //! The limits that tests play with, a log that nobody reads, and a front on loopback.
 #![allow(dead_code, reason = "each of the tests that share it uses a part")]
 
-use mintlb::{Effect, ProjectType};
 use mintlb_core::clock::Clock;
 use mintlb_core::figures::Figures;
 use mintlb_core::reducer::Event;
@@ -11,6 +10,7 @@
 use mintlb_core::work::Numbers;
 use mintlb_http::front::Front;
 use mintlb_http::limits::Limits;
+use mintlb_scheduler::{Effect, ProjectType};
 use parking_lot::Mutex;
 use std::net::SocketAddr;
 use std::sync::Arc;
--- a/crates/mintlb-http/tests/outcomes.rs
+++ b/crates/mintlb-http/tests/outcomes.rs
@@ -3,7 +3,6 @@
 mod machine;
 
 use machine::{limits, quiet};
-use mintlb::{Outcome, Runs};
 use mintlb_core::clock::Clock;
 use mintlb_core::reducer::Event;
 use mintlb_core::spend::Slip;
@@ -11,6 +10,7 @@
 use mintlb_http::limits::Limits;
 use mintlb_http::list::{List, Reading};
 use mintlb_http::worker::{Worded, Workers};
+use mintlb_scheduler::{Outcome, Runs};
 use std::cell::Cell;
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
--- a/crates/mintlb-fleet/benches/look.rs
+++ b/crates/mintlb-rate-limit/benches/look.rs
@@ -1,9 +1,9 @@
-//! What a look into the purse costs, and a slip from its setting aside to its payment: `cargo bench -p mintlb-fleet`.
+//! What a look into the purse costs, and a slip from its setting aside to its payment: `cargo bench -p mintlb-rate-limit`.
 
 use criterion::{Criterion, criterion_group, criterion_main};
 use mintlb_core::spend::{Purse, Spend};
-use mintlb_fleet::fleet::Fleet;
-use mintlb_fleet::table::{Plan, Table};
+use mintlb_rate_limit::fleet::Fleet;
+use mintlb_rate_limit::table::{Plan, Table};
 use std::hint::black_box;
 
 /// So many budgets on the same spend, each with more than is asked for.
--- a/crates/mintlb-fleet/src/node.rs
+++ b/crates/mintlb-rate-limit/src/node.rs
@@ -6,7 +6,7 @@
 use crate::ledger::{Budget, Ledger};
 use crate::vote::{Keeper, Office};
 use crate::word::{Amount, Id, Term, Word};
-use mintlb::tools::Chance;
+use mintlb_scheduler::tools::Chance;
 
 pub struct Node {
     me: Id,
--- a/crates/mintlb-fleet/tests/address.rs
+++ b/crates/mintlb-rate-limit/tests/address.rs
@@ -2,8 +2,8 @@
 
 use mintlb_core::spend::{Purse, Spend};
 use mintlb_core::subsystem::Subsystem;
-use mintlb_fleet::fleet::Fleet;
-use mintlb_fleet::table::{Plan, Table};
+use mintlb_rate_limit::fleet::Fleet;
+use mintlb_rate_limit::table::{Plan, Table};
 use std::time::Duration;
 use tokio::net::UdpSocket;
 use tokio::time::sleep;
--- a/crates/mintlb-fleet/tests/model.rs
+++ b/crates/mintlb-rate-limit/tests/model.rs
@@ -2,14 +2,14 @@
 //! lost, late, doubled and replayed, members are killed, stopped and started again. At each step what all believe to
 //! hold together is summed up.
 //!
-//! `MINTLB_SEEDS=10000 cargo test --release -p mintlb-fleet --test model` plays as many histories.
+//! `MINTLB_SEEDS=10000 cargo test --release -p mintlb-rate-limit --test model` plays as many histories.
 
-use mintlb::tools::Chance;
-use mintlb_fleet::lease::Lease;
-use mintlb_fleet::ledger::Budget;
-use mintlb_fleet::node::Node;
-use mintlb_fleet::slip::{PLANTED, Slip};
-use mintlb_fleet::word::{Amount, Id, Term, Word, of};
+use mintlb_rate_limit::lease::Lease;
+use mintlb_rate_limit::ledger::Budget;
+use mintlb_rate_limit::node::Node;
+use mintlb_rate_limit::slip::{PLANTED, Slip};
+use mintlb_rate_limit::word::{Amount, Id, Term, Word, of};
+use mintlb_scheduler::tools::Chance;
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
--- a/crates/mintlb-fleet/tests/parts.rs
+++ b/crates/mintlb-rate-limit/tests/parts.rs
@@ -1,12 +1,12 @@
 //! What a part may be spent for, how it is told, and which file is turned down.
 
-use mintlb::tools::Chance;
-use mintlb_fleet::division::Part;
-use mintlb_fleet::members::{Dropped, Members};
-use mintlb_fleet::purse::Purse;
-use mintlb_fleet::slip::{PLANTED, Slip};
-use mintlb_fleet::table::{Plan, Table};
-use mintlb_fleet::word::{Letter, Term, Word, id};
+use mintlb_rate_limit::division::Part;
+use mintlb_rate_limit::members::{Dropped, Members};
+use mintlb_rate_limit::purse::Purse;
+use mintlb_rate_limit::slip::{PLANTED, Slip};
+use mintlb_rate_limit::table::{Plan, Table};
+use mintlb_rate_limit::word::{Letter, Term, Word, id};
+use mintlb_scheduler::tools::Chance;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
--- a/crates/mintlb-register/src/change.rs
+++ b/crates/mintlb-register/src/change.rs
@@ -2,7 +2,7 @@
 
 use crate::state::{ControlState, Replica, ReplicaId};
 use crate::taken::Remembered;
-use mintlb_tier::placement::Placement;
+use mintlb_common::placement::Placement;
 
 /// What is to be done to the value.
 #[derive(Clone, Debug, PartialEq)]
--- a/crates/mintlb-register/src/state.rs
+++ b/crates/mintlb-register/src/state.rs
@@ -2,7 +2,7 @@
 
 use crate::taken::{Remembered, TakenHistory};
 use minicbor::{Decode, Encode};
-use mintlb_tier::placement::Placement;
+use mintlb_common::placement::Placement;
 use std::cmp::Ordering;
 
 /// Identifies a replica with its disk: an emptied disk is another replica.
--- a/crates/mintlb-register/tests/change.rs
+++ b/crates/mintlb-register/tests/change.rs
@@ -2,13 +2,13 @@
 
 mod replicas;
 
+use mintlb_common::placement::Placement;
 use mintlb_register::acceptor::{Acceptor, Sync, Vote};
 use mintlb_register::ballot::Ballot;
 use mintlb_register::change::{Answer, Change};
 use mintlb_register::message::{Accepted, Reply};
 use mintlb_register::reading::{Progress, Reading};
 use mintlb_register::state::Replica;
-use mintlb_tier::placement::Placement;
 use replicas::{Replicas, configuration, replica};
 use std::sync::Arc;
 
--- a/crates/mintlb-register/tests/orders.rs
+++ b/crates/mintlb-register/tests/orders.rs
@@ -4,11 +4,11 @@
 
 use arbtest::arbtest;
 use minicbor::{Decode, Encode, Encoder};
+use mintlb_common::placement::Placement;
 use mintlb_register::change::{Answer, Change};
 use mintlb_register::state::ControlState;
 use mintlb_register::state::ReplicaSet;
 use mintlb_register::taken::{MOST_KEPT, Remembered, TakenHistory};
-use mintlb_tier::placement::Placement;
 use replicas::{Replicas, configuration};
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/crates/mintlb/benches/decisions.rs
+++ b/crates/mintlb-scheduler/benches/decisions.rs
@@ -1,12 +1,14 @@
-//! What the decisions cost by the size of the fleet, without sockets: `cargo bench -p mintlb`.
+//! What the decisions cost by the size of the fleet, without sockets: `cargo bench -p mintlb-scheduler`.
 //!
 //! Each fleet is met: every worker was sent work before, so each is ranked by itself.
 
 use criterion::{BatchSize, BenchmarkId, Criterion, criterion_group, criterion_main};
-use mintlb::decide::{Buffers, Fleet, Follow, Repeats, Scheduler, Shares};
-use mintlb::tools::Chance;
-use mintlb::{Allocation, ColdRule, Costs, Door, Effect, Line, Listed, News, Outcome, ProjectType, Runs};
-use mintlb::{WorkUnit, Worker};
+use mintlb_scheduler::decide::{Buffers, Fleet, Follow, Repeats, Scheduler, Shares};
+use mintlb_scheduler::tools::Chance;
+use mintlb_scheduler::{
+    Allocation, ColdRule, Costs, Door, Effect, Line, Listed, News, Outcome, ProjectType, Runs,
+};
+use mintlb_scheduler::{WorkUnit, Worker};
 use std::hint::black_box;
 use std::rc::Rc;
 
--- a/crates/mintlb/tests/decisions.rs
+++ b/crates/mintlb-scheduler/tests/decisions.rs
@@ -2,7 +2,7 @@
 
 mod world;
 
-use mintlb::{Costs, Outcome, Report};
+use mintlb_scheduler::{Costs, Outcome, Report};
 use world::{SPAN, World, world, world_at, world_by};
 
 fn check(parallel: bool, cases: &[(&str, &str, &str)]) {
--- a/crates/mintlb/tests/many.rs
+++ b/crates/mintlb-scheduler/tests/many.rs
@@ -1,10 +1,10 @@
 //! Many schedulers that share nothing before one fleet, played together in virtual time from fixed seeds: what is
 //! harmless for one and harmful when all do it. Workers start jobs in order, as many at once as they have slots.
 
-use mintlb::decide::{Buffers, Fleet, Follow, Repeats, Scheduler, Shares};
-use mintlb::tools::{Chance, median};
-use mintlb::word::Word;
-use mintlb::{
+use mintlb_scheduler::decide::{Buffers, Fleet, Follow, Repeats, Scheduler, Shares};
+use mintlb_scheduler::tools::{Chance, median};
+use mintlb_scheduler::word::Word;
+use mintlb_scheduler::{
     Allocation, ColdRule, Costs, Door, Effect, Line, Listed, News, Outcome, ProjectType, Runs, WorkUnit,
     Worker,
 };
--- a/crates/mintlb/tests/word.rs
+++ b/crates/mintlb-scheduler/tests/word.rs
@@ -1,6 +1,6 @@
 //! What schedulers tell one another, as bytes.
 
-use mintlb::word::{LONGEST, MOST, Word};
+use mintlb_scheduler::word::{LONGEST, MOST, Word};
 
 #[test]
 fn words_come_back_as_they_were_written() {
--- a/crates/mintlb-model/src/context.rs
+++ b/crates/mintlb-simulation/src/context.rs
@@ -3,8 +3,8 @@
 use crate::message::{Answer, Body, Call, Packet, Told};
 use crate::planted::Planted;
 use crate::random::Random;
+use mintlb_common::record::Record;
 use mintlb_register::message::Accepted;
-use mintlb_tier::record::Record;
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::Duration;
--- a/crates/mintlb-model/src/controller/configuration.rs
+++ b/crates/mintlb-simulation/src/controller/configuration.rs
@@ -6,9 +6,9 @@
 use crate::context::{Context, Out, Timer};
 use crate::message::{Ask, Told};
 use crate::planted::Planted;
+use mintlb_common::record::{CONFIGURATION, PLACEMENT, REPLICAS, Record};
 use mintlb_register::change::{Answer, Change};
 use mintlb_register::state::ControlState;
-use mintlb_tier::record::{CONFIGURATION, PLACEMENT, REPLICAS, Record};
 use std::time::Duration;
 
 const ANSWER_WITHIN: Duration = Duration::from_millis(850);
--- a/crates/mintlb-model/src/controller/membership.rs
+++ b/crates/mintlb-simulation/src/controller/membership.rs
@@ -6,12 +6,12 @@
 use super::{Controller, is_done};
 use crate::context::{Context, Out, Timer};
 use crate::message::{Answer, Call};
+use mintlb_common::record::REPLICAS;
 use mintlb_register::ballot::Ballot;
 use mintlb_register::change::{Answer as ChangeAnswer, Change};
 use mintlb_register::founding::{Founding, SeedAnswer, Step};
 use mintlb_register::message::{Accepted, Ask, Request};
 use mintlb_register::state::{ControlState, ReplicaSet};
-use mintlb_tier::record::REPLICAS;
 use std::sync::Arc;
 use std::time::Duration;
 
--- a/crates/mintlb-model/src/controller/placing.rs
+++ b/crates/mintlb-simulation/src/controller/placing.rs
@@ -8,13 +8,13 @@
 use crate::message::Told;
 use crate::planted::Planted;
 use crate::store::SHARDS;
+use mintlb_batch::placement_planner::{RetirementOrder, order_retirement, plan};
+use mintlb_common::placement::Placement;
+use mintlb_common::record::PLACEMENT;
 use mintlb_control::controller::duty_messages::RetireAnswer;
 use mintlb_control::controller::retirement::progress;
-use mintlb_lots::placement_planner::{RetirementOrder, order_retirement, plan};
 use mintlb_register::change::Change;
 use mintlb_register::state::ControlState;
-use mintlb_tier::placement::Placement;
-use mintlb_tier::record::PLACEMENT;
 use std::time::Duration;
 
 /// After a cut or a pause the stores are listened to for so long before anything is said of them.
@@ -108,7 +108,7 @@
 }
 
 fn described(placement: &Placement) -> String {
-    let shard = |shard: &mintlb_tier::placement::ShardAssignment| {
+    let shard = |shard: &mintlb_common::placement::ShardAssignment| {
         format!("{}: {:?} from {:?}", shard.epoch, shard.replicas, shard.previous)
     };
     let shards: Vec<String> = placement.shards.iter().map(shard).collect();
--- a/crates/mintlb-model/src/controller/workers.rs
+++ b/crates/mintlb-simulation/src/controller/workers.rs
@@ -5,8 +5,8 @@
 use crate::context::{Context, Out, Timer};
 use crate::message::Told;
 use crate::planted::Planted;
+use mintlb_common::record::{WORKER_PREFIX, WorkerRecord, WorkerState};
 use mintlb_control::controller::registry::{Heard, news};
-use mintlb_tier::record::{WORKER_PREFIX, WorkerRecord, WorkerState};
 use std::time::Duration;
 
 /// How long the acknowledgement of a drain or an end may wait for a neighbour.
--- a/crates/mintlb-model/src/dispatcher.rs
+++ b/crates/mintlb-simulation/src/dispatcher.rs
@@ -1,14 +1,14 @@
 //! A dispatcher: what it knows comes by the overlay; calls on lots go to the primaries. The latter mirrors
-//! `mintlb-lots/src/client/calls.rs`.
+//! `mintlb-batch/src/client/calls.rs`.
 
 use crate::context::{Context, Out, Time, Timer};
 use crate::gossip::Gossip;
 use crate::message::{Answer, Ask, Body, Call, Packet, Told};
 use bytes::Bytes;
-use mintlb_lots::messages;
-use mintlb_overlay::Role;
-use mintlb_tier::placement::Placement;
-use mintlb_tier::record::PLACEMENT;
+use mintlb_batch::messages;
+use mintlb_common::placement::Placement;
+use mintlb_common::record::PLACEMENT;
+use mintlb_gossip::Role;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::time::Duration;
--- a/crates/mintlb-model/src/gossip.rs
+++ b/crates/mintlb-simulation/src/gossip.rs
@@ -1,16 +1,16 @@
 //! The records' overlay of one process: the product's `Node`, with the publications that wait for a confirmation as
-//! in `mintlb-overlay/src/driver.rs`.
+//! in `mintlb-gossip/src/driver.rs`.
 
 use crate::context::{Context, Out, Timer};
 use crate::message::{Body, Packet};
 use crate::planted::Planted;
 use bytes::Bytes;
-use mintlb_overlay::codec::record_id;
-use mintlb_overlay::effects::Effect;
-use mintlb_overlay::node::{Input, Node};
-use mintlb_overlay::{Member, Role};
-use mintlb_tier::incarnation::Incarnation;
-use mintlb_tier::record::Record;
+use mintlb_common::incarnation::Incarnation;
+use mintlb_common::record::Record;
+use mintlb_gossip::codec::record_id;
+use mintlb_gossip::effects::Effect;
+use mintlb_gossip::node::{Input, Node};
+use mintlb_gossip::{Member, Role};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::time::Duration;
--- a/crates/mintlb-model/src/lib.rs
+++ b/crates/mintlb-simulation/src/lib.rs
@@ -8,7 +8,7 @@
 //!
 //! What runs here is the product's own code where that is pure: acceptors, proposals, readings and the founding rule
 //! (`mintlb-register`), the choice of duties (`Peers`), the records' overlay (`Node`), the planner and the stores'
-//! replicas (`mintlb-lots`). The asynchronous code around it is mirrored, each part saying in its module's first lines
+//! replicas (`mintlb-batch`). The asynchronous code around it is mirrored, each part saying in its module's first lines
 //! which file it mirrors; a change there has to be made here, too.
 
 pub mod checks;
--- a/crates/mintlb-model/src/lot_client.rs
+++ b/crates/mintlb-simulation/src/lot_client.rs
@@ -6,9 +6,9 @@
 use crate::random::Random;
 use crate::store::SHARDS;
 use bytes::Bytes;
-use mintlb_lots::entry::{ItemHead, ItemState, LotHead, LotTerms};
-use mintlb_lots::messages::{Answer, Call, LotName, Read, Record, Submit};
-use mintlb_tier::placement::Placement;
+use mintlb_batch::entry::{ItemHead, ItemState, LotHead, LotTerms};
+use mintlb_batch::messages::{Answer, Call, LotName, Read, Record, Submit};
+use mintlb_common::placement::Placement;
 use std::time::Duration;
 
 /// A caller calls another dispatcher after this time.
--- a/crates/mintlb-model/src/lots_told.rs
+++ b/crates/mintlb-simulation/src/lots_told.rs
@@ -1,7 +1,7 @@
 //! What callers were told of lots, and what they may be told after that.
 
 use bytes::Bytes;
-use mintlb_lots::messages::{Answer, Page};
+use mintlb_batch::messages::{Answer, Page};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A violation's point and what was seen.
--- a/crates/mintlb-model/src/message.rs
+++ b/crates/mintlb-simulation/src/message.rs
@@ -1,13 +1,13 @@
 //! What goes over the model's network.
 
 use bytes::Bytes;
+use mintlb_batch::heartbeat::StoreHeartbeat;
+use mintlb_batch::messages;
+use mintlb_batch::peer::Envelope;
+use mintlb_common::record::WorkerRecord;
 use mintlb_control::controller::ping_state::{Ping, Pong};
-use mintlb_lots::heartbeat::StoreHeartbeat;
-use mintlb_lots::messages;
-use mintlb_lots::peer::Envelope;
 use mintlb_register::founding::SeedAnswer;
 use mintlb_register::message::{Reply, Request};
-use mintlb_tier::record::WorkerRecord;
 use std::net::SocketAddr;
 
 /// One message between two processes.
--- a/crates/mintlb-model/src/store/calls.rs
+++ b/crates/mintlb-simulation/src/store/calls.rs
@@ -4,11 +4,11 @@
 use crate::context::{Caller, Context, Time};
 use crate::message;
 use bytes::Bytes;
-use mintlb_lots::entry::Entry;
-use mintlb_lots::framing;
-use mintlb_lots::messages::{self, Answer};
-use mintlb_lots::replica::{PagePlan, Proposal, Replica};
-use mintlb_tier::placement::Placement;
+use mintlb_batch::entry::Entry;
+use mintlb_batch::framing;
+use mintlb_batch::messages::{self, Answer};
+use mintlb_batch::replica::{PagePlan, Proposal, Replica};
+use mintlb_common::placement::Placement;
 use std::time::Duration;
 
 /// How long an answer waits until the followers have confirmed that nobody has taken over.
@@ -26,7 +26,7 @@
 /// A lot that came again has to be the same.
 #[derive(Clone)]
 struct Submitted {
-    head: mintlb_lots::entry::LotHead,
+    head: mintlb_batch::entry::LotHead,
     raw: Bytes,
 }
 
--- a/crates/mintlb-model/src/store/disk.rs
+++ b/crates/mintlb-simulation/src/store/disk.rs
@@ -4,10 +4,10 @@
 use crate::context::{Context, Timer};
 use crate::random::Random;
 use bytes::Bytes;
-use mintlb_lots::entry::Entry;
-use mintlb_lots::framing;
-use mintlb_lots::replica::{AfterSync, DiskWrite, ShardMeta};
-use mintlb_tier::placement::StoreId;
+use mintlb_batch::entry::Entry;
+use mintlb_batch::framing;
+use mintlb_batch::replica::{AfterSync, DiskWrite, ShardMeta};
+use mintlb_common::placement::StoreId;
 use std::collections::{BTreeMap, VecDeque};
 
 /// What a disk holds of one shard.
--- a/crates/mintlb-model/src/worker.rs
+++ b/crates/mintlb-simulation/src/worker.rs
@@ -3,7 +3,7 @@
 
 use crate::message::{Ask, Told};
 use crate::random::Random;
-use mintlb_tier::record::{WorkerRecord, WorkerState};
+use mintlb_common::record::{WorkerRecord, WorkerState};
 use std::time::Duration;
 
 /// A worker calls another controller after this time.
--- a/crates/mintlb-model/src/world/ending.rs
+++ b/crates/mintlb-simulation/src/world/ending.rs
@@ -3,7 +3,7 @@
 use super::{CONFIG_APPLY, Event, World};
 use crate::context::Time;
 use crate::history::Weather;
-use mintlb_tier::record::{CONFIGURATION, PLACEMENT, REPLICAS};
+use mintlb_common::record::{CONFIGURATION, PLACEMENT, REPLICAS};
 use std::time::Duration;
 
 /// A machine is in touch when there was no trouble for so long (`contact_ms`).
--- a/crates/mintlb-model/src/world/lots.rs
+++ b/crates/mintlb-simulation/src/world/lots.rs
@@ -5,7 +5,7 @@
 use crate::lot_client::{LotAct, PATIENCE};
 use crate::message::{Ask, Told};
 use bytes::Bytes;
-use mintlb_lots::messages::Answer;
+use mintlb_batch::messages::Answer;
 use std::time::Duration;
 
 /// The operator asks again how far a retirement is.
--- a/crates/mintlb-model/src/world/outside.rs
+++ b/crates/mintlb-simulation/src/world/outside.rs
@@ -7,7 +7,7 @@
 use crate::message::{Ask, Told};
 use crate::operator::{Next, PATIENCE};
 use crate::process::Role;
-use mintlb_lots::messages::Answer;
+use mintlb_batch::messages::Answer;
 use std::time::Duration;
 
 /// Of a hundred answers so many never reach the caller.
--- a/crates/mintlb-model/src/world/workers.rs
+++ b/crates/mintlb-simulation/src/world/workers.rs
@@ -5,8 +5,8 @@
 use crate::context::Time;
 use crate::message::Told;
 use crate::worker::PATIENCE;
+use mintlb_common::record::{WORKER_PREFIX, WorkerRecord, WorkerState};
 use mintlb_control::controller::contact::LEASE;
-use mintlb_tier::record::{WORKER_PREFIX, WorkerRecord, WorkerState};
 use std::time::Duration;
 
 /// `drain_ms`.
--- a/crates/mintlb-model/tests/common/mod.rs
+++ b/crates/mintlb-simulation/tests/common/mod.rs
@@ -2,7 +2,7 @@
 
 #![allow(dead_code)]
 
-use mintlb_model::history::Tier;
+use mintlb_simulation::history::Tier;
 use std::env;
 
 /// Controllers and dispatchers.
--- a/crates/mintlb-model/tests/former.rs
+++ b/crates/mintlb-simulation/tests/former.rs
@@ -2,9 +2,9 @@
 
 mod common;
 
-use mintlb_model::history::{Fault, History, Tier, Timed};
-use mintlb_model::planted::Planted;
-use mintlb_model::world::play;
+use mintlb_simulation::history::{Fault, History, Tier, Timed};
+use mintlb_simulation::planted::Planted;
+use mintlb_simulation::world::play;
 use std::time::Duration;
 
 const THREE_STORES: Tier = Tier { controllers: 3, stores: 3, dispatchers: 2 };
--- a/crates/mintlb-model/tests/histories.rs
+++ b/crates/mintlb-simulation/tests/histories.rs
@@ -3,11 +3,11 @@
 mod common;
 
 use common::{ALL, CONTROL, number};
-use mintlb_model::checks::Counts;
-use mintlb_model::history::History;
-use mintlb_model::planted::Planted;
-use mintlb_model::shrink::{described, shrink};
-use mintlb_model::world::play;
+use mintlb_simulation::checks::Counts;
+use mintlb_simulation::history::History;
+use mintlb_simulation::planted::Planted;
+use mintlb_simulation::shrink::{described, shrink};
+use mintlb_simulation::world::play;
 
 /// Replays one history: its seed.
 const SEED: &str = "MINTLB_MODEL_SEED";
--- a/crates/mintlb-model/tests/planted.rs
+++ b/crates/mintlb-simulation/tests/planted.rs
@@ -3,10 +3,10 @@
 mod common;
 
 use common::{ALL, CONTROL};
-use mintlb_model::history::{History, Tier};
-use mintlb_model::planted::Planted;
-use mintlb_model::shrink::{described, shrink};
-use mintlb_model::world::play;
+use mintlb_simulation::history::{History, Tier};
+use mintlb_simulation::planted::Planted;
+use mintlb_simulation::shrink::{described, shrink};
+use mintlb_simulation::world::play;
 use std::env;
 
 /// Prints the whole history in which a planted fault was found.
--- a/crates/mintlb-model/tests/survey.rs
+++ b/crates/mintlb-simulation/tests/survey.rs
@@ -1,9 +1,9 @@
 //! How many of many histories fail, by point; prints only.
 
-use mintlb_model::history::{History, Tier};
-use mintlb_model::planted::Planted;
-use mintlb_model::shrink::{described, shrink};
-use mintlb_model::world::play;
+use mintlb_simulation::history::{History, Tier};
+use mintlb_simulation::planted::Planted;
+use mintlb_simulation::shrink::{described, shrink};
+use mintlb_simulation::world::play;
 use std::collections::BTreeMap;
 use std::env;
 
--- a/crates/mintlb-rig/src/cli.rs
+++ b/crates/mintlb-testbed/src/cli.rs
@@ -61,7 +61,7 @@
     let program = program.or_else(beside).ok_or("no program: give --program FILE")?;
     let kept = report.is_some();
     let folder =
-        report.unwrap_or_else(|| std::env::temp_dir().join(format!("mintlb-rig-{}", std::process::id())));
+        report.unwrap_or_else(|| std::env::temp_dir().join(format!("mintlb-testbed-{}", std::process::id())));
     let played = play(&scenario, seed, &program, &folder, kept, |line| eprintln!("{line}"));
     let played = match played {
         Ok(played) => played,
@@ -102,7 +102,7 @@
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::FAILURE,
         Err(why) => {
-            eprintln!("mintlb-rig: {why}");
+            eprintln!("mintlb-testbed: {why}");
             ExitCode::from(2)
         }
     }
--- a/crates/mintlb-rig/src/main.rs
+++ b/crates/mintlb-testbed/src/main.rs
@@ -1,3 +1,3 @@
 fn main() -> std::process::ExitCode {
-    mintlb_rig::cli::main()
+    mintlb_testbed::cli::main()
 }
--- a/crates/mintlb-rig/tests/audit.rs
+++ b/crates/mintlb-testbed/tests/audit.rs
@@ -1,8 +1,8 @@
 //! The audit against histories made by hand: each rule broken, and just not.
 
-use mintlb_rig::audit::{Verdict, audit};
-use mintlb_rig::scenario::Scenario;
-use mintlb_rig::seen::{Asked, Seen, Sent, Stretch, Told};
+use mintlb_testbed::audit::{Verdict, audit};
+use mintlb_testbed::scenario::Scenario;
+use mintlb_testbed::seen::{Asked, Seen, Sent, Stretch, Told};
 
 const SCENARIO: &str = r#"
 title = "by hand"
--- a/crates/mintlb-node/src/change.rs
+++ b/crates/mintlb/src/change.rs
@@ -4,9 +4,9 @@
 use crate::operator::Operator;
 use crate::placement::Placement;
 use crate::serve::Plan;
-use mintlb::ProjectType;
-use mintlb::settings::Terms;
 use mintlb_core::types::Named;
+use mintlb_scheduler::ProjectType;
+use mintlb_scheduler::settings::Terms;
 use std::time::Duration;
 
 /// Of a plan what can hold while a scheduler serves, and what must be the same until the next start.
--- a/crates/mintlb-node/src/cli.rs
+++ b/crates/mintlb/src/cli.rs
@@ -7,8 +7,8 @@
 use crate::placement::Placement;
 use crate::serve::{Plan, Told, serve};
 use argh::FromArgs;
-use mintlb_ops::call::FAILURE;
-use mintlb_tier::settings::NodeSettings;
+use mintlb_admin::call::FAILURE;
+use mintlb_common::settings::NodeSettings;
 use std::io::{ErrorKind, Read, Write};
 use std::net::{TcpListener, TcpStream};
 use std::process::ExitCode;
@@ -202,8 +202,8 @@
 fn dispatch(verbose: bool) -> Result<(), String> {
     let settings = NodeSettings::from_environment().map_err(|e| e.to_string())?;
     let level = if verbose { "debug" } else { "info" };
-    let _log = mintlb_tier::logging::start(level).map_err(|e| format!("no log: {e}"))?;
-    mintlb_dispatch::run(settings).map_err(|e| e.to_string())
+    let _log = mintlb_common::logging::start(level).map_err(|e| format!("no log: {e}"))?;
+    mintlb_dispatcher::run(settings).map_err(|e| e.to_string())
 }
 
 /// What a door answers within the time that it has for that.
--- a/crates/mintlb-node/src/grants.rs
+++ b/crates/mintlb/src/grants.rs
@@ -1,11 +1,11 @@
 //! The machine's grant, parted among what the program holds and how long it waits.
 
 use crate::placement::Machine;
-use mintlb::settings::{TOLD, Text};
+use mintlb_admin::door::Bounds;
 use mintlb_core::clock::seconds;
 use mintlb_core::standing::Notice;
 use mintlb_http::limits::{BODY, HEAD, LIST_BEAT, Limits, OWED};
-use mintlb_ops::door::Bounds;
+use mintlb_scheduler::settings::{TOLD, Text};
 use std::time::Duration;
 
 #[derive(Clone, Debug)]
--- a/crates/mintlb-node/src/join.rs
+++ b/crates/mintlb/src/join.rs
@@ -3,7 +3,6 @@
 
 use crate::grants::Grants;
 use crate::operator::Operator;
-use mintlb::ProjectType;
 use mintlb_beanstalkd::front::{Bounds, Front as Beanstalkd, Joint};
 use mintlb_beanstalkd::hub::Hub;
 use mintlb_beanstalkd::table::Plan as BeanstalkdPlan;
@@ -14,8 +13,9 @@
 use mintlb_core::spend::Purse;
 use mintlb_core::subsystem::Subsystem;
 use mintlb_core::work::Numbers;
-use mintlb_fleet::fleet::Fleet;
-use mintlb_fleet::table::Plan as FleetPlan;
+use mintlb_rate_limit::fleet::Fleet;
+use mintlb_rate_limit::table::Plan as FleetPlan;
+use mintlb_scheduler::ProjectType;
 use slog::{Logger, info};
 use std::fmt::{Display, Formatter};
 use std::sync::Arc;
--- a/crates/mintlb-node/src/main.rs
+++ b/crates/mintlb/src/main.rs
@@ -3,5 +3,5 @@
 use std::process::ExitCode;
 
 fn main() -> ExitCode {
-    mintlb_node::cli::main()
+    mintlb::cli::main()
 }
--- a/crates/mintlb-node/src/operator.rs
+++ b/crates/mintlb/src/operator.rs
@@ -1,7 +1,7 @@
 //! The operator's own file: one TOML file, a table for each subsystem. What it does not name costs nothing.
 
 use mintlb_beanstalkd::table::Table;
-use mintlb_fleet::table::Table as FleetTable;
+use mintlb_rate_limit::table::Table as FleetTable;
 use serde::Deserialize;
 use std::ops::Range;
 
--- a/crates/mintlb-node/src/placement.rs
+++ b/crates/mintlb/src/placement.rs
@@ -1,7 +1,7 @@
 //! What the platform tells a scheduler at its start.
 
-use mintlb::settings::Text;
 use mintlb_http::list::Listing;
+use mintlb_scheduler::settings::Text;
 use nix::sys::resource::{Resource, getrlimit};
 use serde::Deserialize;
 use serde_json::{Value, json};
--- a/crates/mintlb-node/tests/fleet.rs
+++ b/crates/mintlb/tests/fleet.rs
@@ -1,8 +1,8 @@
 //! Several real processes and faults between them: plays of `rig/scenarios`, each with its audit, side by side.
 
-use mintlb_rig::audit::Verdict;
-use mintlb_rig::play::play;
-use mintlb_rig::scenario::Scenario;
+use mintlb_testbed::audit::Verdict;
+use mintlb_testbed::play::play;
+use mintlb_testbed::scenario::Scenario;
 use std::path::Path;
 
 fn played(name: &str, seed: u64) -> (Verdict, String) {
--- a/crates/mintlb-node/tests/histories.rs
+++ b/crates/mintlb/tests/histories.rs
@@ -3,8 +3,8 @@
 
 mod world;
 
-use mintlb::Listed::{Draining, Ready};
-use mintlb::tools::Chance;
+use mintlb_scheduler::Listed::{Draining, Ready};
+use mintlb_scheduler::tools::Chance;
 use std::collections::{BTreeMap, BTreeSet};
 use world::World;
 
--- a/crates/mintlb-node/tests/jobs.rs
+++ b/crates/mintlb/tests/jobs.rs
@@ -5,7 +5,7 @@
 mod world;
 
 use harness::{PAUSE, Program, SOON, answer, list_by, listing, post, start_with};
-use mintlb::tools::Chance;
+use mintlb_scheduler::tools::Chance;
 use std::collections::BTreeMap;
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{Ipv4Addr, SocketAddr, TcpStream};
--- a/crates/mintlb-node/tests/program.rs
+++ b/crates/mintlb/tests/program.rs
@@ -4,8 +4,8 @@
 
 use harness::{BASE, PAUSE, SOON, STREAM, answer, chunk, complaint, list_of, listing, post, post_as};
 use harness::{stand_in, start, work, work_as, written};
-use mintlb_node::grants::{Grants, SESSION};
-use mintlb_node::placement::{Machine, Placement};
+use mintlb::grants::{Grants, SESSION};
+use mintlb::placement::{Machine, Placement};
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::process::Command;
--- a/crates/mintlb-node/tests/reducer.rs
+++ b/crates/mintlb/tests/reducer.rs
@@ -1,8 +1,9 @@
 //! The reducer by itself: what was read goes in as words, what is to be done comes out as words.
 
 use bytes::Bytes;
-use mintlb::settings::Terms;
-use mintlb::{Effect, Group, Outcome, ProjectType, Runs};
+use mintlb::operator::Operator;
+use mintlb::placement::Placement;
+use mintlb::serve::Plan;
 use mintlb_core::clock::Clock;
 use mintlb_core::members::worker_id;
 use mintlb_core::reducer::{Act, Event, Reducer};
@@ -10,9 +11,8 @@
 use mintlb_core::work::{Answer, Arrival, Back, Order, Payload};
 use mintlb_http::list::{Listing, Reading};
 use mintlb_http::worker::{Worded, Workers};
-use mintlb_node::operator::Operator;
-use mintlb_node::placement::Placement;
-use mintlb_node::serve::Plan;
+use mintlb_scheduler::settings::Terms;
+use mintlb_scheduler::{Effect, Group, Outcome, ProjectType, Runs};
 use std::sync::Arc;
 use tokio::sync::mpsc::unbounded_channel;
 use tokio::sync::oneshot::{Receiver, channel};
