--- a/crates/mintlb-admin/src/call.rs
+++ b/crates/mintlb-admin/src/command.rs
@@ -2,7 +2,7 @@
 
 /// The calls, by their words.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Call {
+pub enum Command {
     Health,
     Dump,
     Leave,
@@ -10,25 +10,25 @@
 }
 
 /// All calls, as they are written.
-pub const CALLS: [(&str, Call); 4] = [
-    ("HEALTH", Call::Health),
-    ("DUMP", Call::Dump),
-    ("LEAVE", Call::Leave),
-    ("JOIN", Call::Join),
+pub const COMMANDS: [(&str, Command); 4] = [
+    ("HEALTH", Command::Health),
+    ("DUMP", Command::Dump),
+    ("LEAVE", Command::Leave),
+    ("JOIN", Command::Join),
 ];
 
-impl Call {
+impl Command {
     /// The call of a line without its end, or what is wrong with it.
-    pub fn parse(line: &[u8]) -> Result<Call, String> {
+    pub fn parse(line: &[u8]) -> Result<Command, String> {
         let text = std::str::from_utf8(line)
             .map_err(|e| format!("byte {} is no text", e.valid_up_to()))?;
         let word = text.trim();
-        let call = CALLS
+        let call = COMMANDS
             .iter()
             .find(|(name, _)| *name == word)
             .map(|(_, call)| *call);
         call.ok_or_else(|| {
-            let known = CALLS.map(|(name, _)| name).join(", ");
+            let known = COMMANDS.map(|(name, _)| name).join(", ");
             match word {
                 "" => format!("an empty line; one of {known} is needed"),
                 // Escaped, so that the answer stays one line whatever was sent.
@@ -50,7 +50,7 @@
     /// Not done, or no.
     Failure(String),
     /// Figures, a line each.
-    Figures(String),
+    Metrics(String),
 }
 
 impl Reply {
@@ -59,7 +59,7 @@
         match self {
             Reply::Success(why) => format!("{SUCCESS} {why}\n"),
             Reply::Failure(why) => format!("{FAILURE} {why}\n"),
-            Reply::Figures(lines) => format!("{lines}EOT\n"),
+            Reply::Metrics(lines) => format!("{lines}EOT\n"),
         }
     }
 }
--- a/crates/mintlb-admin/src/lib.rs
+++ b/crates/mintlb-admin/src/lib.rs
@@ -1,4 +1,4 @@
 //! The operators' door: one line to a connection, one answer. It knows what can be asked, and nothing of who answers.
 
-pub mod call;
-pub mod door;
+pub mod command;
+pub mod server;
--- a/crates/mintlb-admin/src/door.rs
+++ b/crates/mintlb-admin/src/server.rs
@@ -1,7 +1,7 @@
 //! The sockets of the door. Operators must get their answer whatever else goes on, so the door has places of its
 //! own, and whoever has said nothing for longest goes first when they are all taken.
 
-use crate::call::{Call, Reply};
+use crate::command::{Command, Reply};
 use slog::{Logger, debug, warn};
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -14,22 +14,22 @@
 
 /// What bounds the door.
 #[derive(Clone, Copy, Debug)]
-pub struct Bounds {
+pub struct ServerLimits {
     /// Callers at once, at least 1.
-    pub callers: usize,
+    pub max_connections: usize,
     /// A call is whole by then, and its answer taken by then.
-    pub wait: Duration,
+    pub timeout: Duration,
 }
 
 /// Bytes of a call at the most: many times the longest.
 const LINE: usize = 256;
 
 /// A call, and where its answer goes.
-pub type Asked = (Call, oneshot::Sender<Reply>);
+pub type PendingCommand = (Command, oneshot::Sender<Reply>);
 
-pub struct Door {
-    bounds: Bounds,
-    desk: UnboundedSender<Asked>,
+pub struct AdminServer {
+    bounds: ServerLimits,
+    desk: UnboundedSender<PendingCommand>,
     callers: Mutex<BTreeMap<u64, Caller>>,
     left: Notify,
     log: Logger,
@@ -45,7 +45,7 @@
 
 /// Held by a caller for as long as it is here.
 struct Place<'a> {
-    door: &'a Door,
+    door: &'a AdminServer,
     number: u64,
     sent_away: Arc<Notify>,
 }
@@ -57,10 +57,14 @@
     }
 }
 
-impl Door {
-    pub fn new(bounds: Bounds, desk: UnboundedSender<Asked>, log: Logger) -> Arc<Door> {
+impl AdminServer {
+    pub fn new(
+        bounds: ServerLimits,
+        desk: UnboundedSender<PendingCommand>,
+        log: Logger,
+    ) -> Arc<AdminServer> {
         let (callers, left) = Default::default();
-        Arc::new(Door {
+        Arc::new(AdminServer {
             bounds,
             desk,
             callers,
@@ -69,7 +73,7 @@
         })
     }
 
-    pub async fn listen(self: Arc<Door>, listener: TcpListener) {
+    pub async fn listen(self: Arc<AdminServer>, listener: TcpListener) {
         let mut failing = false;
         for number in 0.. {
             self.make_room().await;
@@ -102,7 +106,7 @@
                         warn!(self.log, "an operator's connection could not be accepted"; "why" => %e);
                     }
                     failing = true;
-                    sleep(self.bounds.wait / 128).await;
+                    sleep(self.bounds.timeout / 128).await;
                 }
             }
         }
@@ -115,8 +119,8 @@
     /// Waits until there is a place. Who has said nothing for longest goes, but nobody at once: a call that comes
     /// right behind its connection must not lose to a crowd that says nothing.
     async fn make_room(&self) {
-        let grace = self.bounds.wait / 128;
-        while self.callers().len() >= self.bounds.callers.max(1) {
+        let grace = self.bounds.timeout / 128;
+        while self.callers().len() >= self.bounds.max_connections.max(1) {
             {
                 let callers = self.callers();
                 let idle = callers
@@ -132,7 +136,7 @@
 
     async fn serve(&self, mut stream: TcpStream, place: Place<'_>) {
         let reply = tokio::select! {
-            reply = timeout(self.bounds.wait, self.ask(&mut stream, place.number)) => {
+            reply = timeout(self.bounds.timeout, self.ask(&mut stream, place.number)) => {
                 reply.unwrap_or_else(|_| Some(Reply::Failure("no whole line came in time".to_string())))
             }
             () = place.sent_away.notified() => {
@@ -157,7 +161,7 @@
         };
         // Who stays after that gives way to others, too.
         tokio::select! {
-            _ = timeout(self.bounds.wait / 8, say) => (),
+            _ = timeout(self.bounds.timeout / 8, say) => (),
             () = place.sent_away.notified() => (),
         }
     }
@@ -188,7 +192,7 @@
         if end > LINE {
             return Some(Reply::Failure(format!("a line of over {} bytes", LINE)));
         }
-        let call = match Call::parse(&line[..end]) {
+        let call = match Command::parse(&line[..end]) {
             Ok(call) => call,
             Err(why) => return Some(Reply::Failure(why)),
         };
--- a/crates/mintlb-admin/tests/door.rs
+++ b/crates/mintlb-admin/tests/door.rs
@@ -1,7 +1,7 @@
 //! The door on loopback: what is sent, and what comes back.
 
-use mintlb_admin::call::{Call, Reply};
-use mintlb_admin::door::{Bounds, Door};
+use mintlb_admin::command::{Command, Reply};
+use mintlb_admin::server::{AdminServer, ServerLimits};
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
@@ -10,21 +10,22 @@
 
 /// A door whose desk echoes what is called; its address.
 async fn door(callers: usize) -> std::net::SocketAddr {
-    let (desk, mut asked) = unbounded_channel::<mintlb_admin::door::Asked>();
-    let bounds = Bounds {
-        callers,
-        wait: Duration::from_secs(2),
+    let (desk, mut asked) = unbounded_channel::<mintlb_admin::server::PendingCommand>();
+    let bounds = ServerLimits {
+        max_connections: callers,
+        timeout: Duration::from_secs(2),
     };
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let at = listener.local_addr().unwrap();
     tokio::spawn(
-        Door::new(bounds, desk, slog::Logger::root(slog::Discard, slog::o!())).listen(listener),
+        AdminServer::new(bounds, desk, slog::Logger::root(slog::Discard, slog::o!()))
+            .listen(listener),
     );
     tokio::spawn(async move {
         while let Some((call, answer)) = asked.recv().await {
             let reply = match call {
-                Call::Dump => Reply::Figures("a=1\nb=2\n".to_string()),
-                Call::Join => Reply::Failure("not now".to_string()),
+                Command::Dump => Reply::Metrics("a=1\nb=2\n".to_string()),
+                Command::Join => Reply::Failure("not now".to_string()),
                 call => Reply::Success(format!("{call:?}")),
             };
             answer.send(reply).ok();
--- a/crates/mintlb-beanstalkd/src/front.rs
+++ b/crates/mintlb-beanstalkd/src/front.rs
@@ -10,7 +10,7 @@
 use mintlb_core::room::Held;
 use mintlb_core::subsystem::Subsystem;
 use mintlb_core::work::{AllocId, Answer, Arrival, Back, Order, Payload, Reach, Recall, Settle};
-use mintlb_scheduler::{Effect, Outcome, ProjectType, Runs};
+use mintlb_scheduler::{Idempotency, Outcome, ProjectType, ProjectTypeSet};
 use parking_lot::Mutex;
 use rustc_hash::FxHashMap;
 use slog::{Logger, debug, info, warn};
@@ -99,7 +99,7 @@
             bounds,
             once: types
                 .iter()
-                .map(|t| t.effect != Effect::Rerunnable)
+                .map(|t| t.idempotency != Idempotency::Idempotent)
                 .collect(),
             clock,
             tell,
@@ -414,8 +414,13 @@
     fn hear(&self, told: &Told) {
         let places = told.members.iter().filter_map(|member| {
             let line = &member.line;
-            let (zone, cell, kind, listed, came_up) =
-                (line.zone, line.cell, line.kind, line.listed, line.came_up);
+            let (zone, cell, kind, listed, came_up) = (
+                line.zone,
+                line.cell,
+                line.machine_kind,
+                line.state,
+                line.started_at,
+            );
             Some((
                 member.host?,
                 Place {
@@ -481,7 +486,7 @@
 struct GroupReach {
     front: Arc<Front>,
     machine: IpAddr,
-    runs: Runs,
+    runs: ProjectTypeSet,
     generation: u64,
 }
 
--- a/crates/mintlb-beanstalkd/src/hub/attempts.rs
+++ b/crates/mintlb-beanstalkd/src/hub/attempts.rs
@@ -6,7 +6,7 @@
 use crate::session::{Leased, PendingDelivery};
 use mintlb_core::reducer::Event;
 use mintlb_core::work::{AllocId, Back, Order};
-use mintlb_scheduler::{Outcome, Runs};
+use mintlb_scheduler::{Outcome, ProjectTypeSet};
 use std::net::IpAddr;
 
 /// Where an attempt is that has no outcome yet.
@@ -20,7 +20,7 @@
 impl Hub {
     /// Takes an attempt for a group of workers, of this generation. It goes to the session that has waited
     /// for longest, and straight back to the core where none waits.
-    pub fn order(&mut self, machine: IpAddr, runs: Runs, generation: u64, order: Order) {
+    pub fn order(&mut self, machine: IpAddr, runs: ProjectTypeSet, generation: u64, order: Order) {
         let waiting = self.take_waiting(machine, runs, generation);
         let session = waiting.and_then(|id| Some((id, self.sessions.get_mut(&id)?)));
         let Some((id, session)) = session else {
@@ -52,7 +52,12 @@
 
     /// Counts an order to a group, and takes the session that has waited there for longest, if its machine
     /// accepts work.
-    fn take_waiting(&mut self, machine: IpAddr, runs: Runs, generation: u64) -> Option<u64> {
+    fn take_waiting(
+        &mut self,
+        machine: IpAddr,
+        runs: ProjectTypeSet,
+        generation: u64,
+    ) -> Option<u64> {
         let accepts_work = self.machines.accepts_work(machine);
         let group = self
             .machines
--- a/crates/mintlb-beanstalkd/src/hub/groups.rs
+++ b/crates/mintlb-beanstalkd/src/hub/groups.rs
@@ -4,7 +4,7 @@
 use super::{Deed, Hub};
 use crate::machines::Place;
 use mintlb_core::reducer::Event;
-use mintlb_scheduler::Runs;
+use mintlb_scheduler::ProjectTypeSet;
 use std::net::IpAddr;
 
 impl Hub {
@@ -30,7 +30,7 @@
             return;
         };
         let runs = self.plan.runs_of(&session.watched);
-        let joins = (!runs.is_none()).then_some(runs);
+        let joins = (!runs.is_empty()).then_some(runs);
         let leaves = std::mem::replace(&mut session.runs, joins);
         let machine = session.machine;
         if leaves == joins {
@@ -58,7 +58,7 @@
     }
 
     /// Counts a connection out of its group. A group without any is forgotten after a while.
-    pub(super) fn leave_group(&mut self, now: f64, machine: IpAddr, runs: Runs) {
+    pub(super) fn leave_group(&mut self, now: f64, machine: IpAddr, runs: ProjectTypeSet) {
         if self.machines.leave(now, machine, runs) {
             self.set_timer(now + self.plan.table.keep_ends, Timer::ForgetGroups);
         }
@@ -66,7 +66,7 @@
 
     /// Tells the core for how many jobs a group waits, and how many orders it had got by then: of orders sent
     /// since, each will take one.
-    pub(super) fn announce_waiting(&mut self, machine: IpAddr, runs: Runs) {
+    pub(super) fn announce_waiting(&mut self, machine: IpAddr, runs: ProjectTypeSet) {
         if let Some(group) = self.machines.group(machine, runs) {
             let (worker, waiting, orders) =
                 (group.worker, group.waiting.len() as u64, group.orders);
--- a/crates/mintlb-beanstalkd/src/machines.rs
+++ b/crates/mintlb-beanstalkd/src/machines.rs
@@ -5,7 +5,7 @@
 //! there.
 
 use mintlb_core::members::worker_id;
-use mintlb_scheduler::{Line, Listed, Runs};
+use mintlb_scheduler::{ListEntry, ListState, ProjectTypeSet};
 use std::collections::{BTreeMap, HashMap};
 use std::net::IpAddr;
 
@@ -15,7 +15,7 @@
     pub zone: u16,
     pub cell: u64,
     pub kind: u16,
-    pub listed: Listed,
+    pub listed: ListState,
     /// When it started, in seconds of Unix time; 0 for long ago.
     pub came_up: f64,
 }
@@ -26,7 +26,7 @@
     /// The worker's id for the core.
     pub worker: u64,
     pub machine: IpAddr,
-    pub runs: Runs,
+    pub runs: ProjectTypeSet,
     /// It changes when the core is told of another worker or of a restart: orders to an earlier generation
     /// are not this group's.
     pub generation: u64,
@@ -54,7 +54,7 @@
     /// When a machine was first seen, and a zone of its own while the list does not name it: it is not known
     /// then which machines share the deduplication of its keyed jobs, so none may count as sharing it.
     first_seen: HashMap<IpAddr, (f64, u16)>,
-    groups: HashMap<(IpAddr, Runs), Group>,
+    groups: HashMap<(IpAddr, ProjectTypeSet), Group>,
     /// The last generation given to a group.
     generations: u64,
 }
@@ -65,10 +65,10 @@
     /// The worker's name.
     pub name: String,
     /// The worker as a line of the list of workers.
-    pub line: Line,
+    pub line: ListEntry,
     pub generation: u64,
     pub machine: IpAddr,
-    pub runs: Runs,
+    pub runs: ProjectTypeSet,
 }
 
 impl Machines {
@@ -84,18 +84,18 @@
     /// New jobs may go to a machine: it neither drains nor has gone, and is listed where it must be.
     pub fn accepts_work(&self, machine: IpAddr) -> bool {
         match self.listed.get(&machine) {
-            Some(place) => place.listed == Listed::Ready,
+            Some(place) => place.listed == ListState::Ready,
             None => !self.listed_only,
         }
     }
 
     /// The group of a machine's connections that run these project types.
-    pub fn group(&mut self, machine: IpAddr, runs: Runs) -> Option<&mut Group> {
+    pub fn group(&mut self, machine: IpAddr, runs: ProjectTypeSet) -> Option<&mut Group> {
         self.groups.get_mut(&(machine, runs))
     }
 
     /// Counts a connection into a group. Returns what to tell the core if the group is new.
-    pub fn join(&mut self, now: f64, machine: IpAddr, runs: Runs) -> Option<Change> {
+    pub fn join(&mut self, now: f64, machine: IpAddr, runs: ProjectTypeSet) -> Option<Change> {
         if let Some(group) = self.groups.get_mut(&(machine, runs)) {
             group.sessions += 1;
             return None;
@@ -128,9 +128,9 @@
             .copied()
             .unwrap_or((0.0, u16::MAX));
         let listed = if self.listed_only {
-            Listed::Draining
+            ListState::Draining
         } else {
-            Listed::Ready
+            ListState::Ready
         };
         let came_up = if self.cold { first_seen } else { 0.0 };
         let unlisted = Place {
@@ -143,16 +143,16 @@
         let place = self.listed.get(&machine).copied().unwrap_or(unlisted);
         // The connections of a machine that has gone from the list may finish their jobs, so it counts as
         // draining.
-        let listed = if place.listed == Listed::Ready {
-            Listed::Ready
+        let listed = if place.listed == ListState::Ready {
+            ListState::Ready
         } else {
-            Listed::Draining
+            ListState::Draining
         };
         Place { listed, ..place }
     }
 
     /// Counts a connection out of a group. Returns true if it was the last.
-    pub fn leave(&mut self, now: f64, machine: IpAddr, runs: Runs) -> bool {
+    pub fn leave(&mut self, now: f64, machine: IpAddr, runs: ProjectTypeSet) -> bool {
         let Some(group) = self.groups.get_mut(&(machine, runs)) else {
             return false;
         };
@@ -172,13 +172,13 @@
         let groups = &self.groups;
         let has_group = |machine: &IpAddr| groups.keys().any(|(other, _)| other == machine);
         self.listed
-            .retain(|machine, place| place.listed != Listed::Gone || has_group(machine));
+            .retain(|machine, place| place.listed != ListState::Gone || has_group(machine));
         let has_left = |machine: &IpAddr| {
             gone.iter().any(|group| group.machine == *machine) && !has_group(machine)
         };
         self.first_seen.retain(|machine, _| !has_left(machine));
         gone.iter()
-            .map(|group| group.change(Listed::Gone))
+            .map(|group| group.change(ListState::Gone))
             .collect()
     }
 
@@ -207,7 +207,7 @@
         let mut places: HashMap<IpAddr, Place> = HashMap::new();
         for (machine, place) in told {
             let best = places.entry(machine).or_insert(place);
-            if best.listed != Listed::Ready && place.listed == Listed::Ready {
+            if best.listed != ListState::Ready && place.listed == ListState::Ready {
                 *best = place;
             }
         }
@@ -215,7 +215,7 @@
             for (machine, place) in &self.listed {
                 // It gets nothing new until the list names it again.
                 places.entry(*machine).or_insert(Place {
-                    listed: Listed::Gone,
+                    listed: ListState::Gone,
                     ..*place
                 });
             }
@@ -241,7 +241,7 @@
             } != group.announced;
             if is_moved {
                 // The core never changes the place of a worker that it knows, so this becomes another worker.
-                changes.push(group.change(Listed::Gone));
+                changes.push(group.change(ListState::Gone));
                 group.worker = worker_id(&name(machine, group.runs, place));
             }
             if is_moved || came_up != place.came_up {
@@ -266,7 +266,7 @@
 
 impl Group {
     /// The group as it was last announced, with the given state.
-    fn change(&self, listed: Listed) -> Change {
+    fn change(&self, listed: ListState) -> Change {
         let Place {
             zone,
             cell,
@@ -277,15 +277,15 @@
         let (id, runs) = (self.worker, self.runs);
         Change {
             name: name(self.machine, runs, self.announced),
-            line: Line {
+            line: ListEntry {
                 id,
                 zone,
                 cell,
-                kind,
-                listed,
-                came_up,
-                runs,
-                fetches: true,
+                machine_kind: kind,
+                state: listed,
+                started_at: came_up,
+                project_types: runs,
+                pulls_work: true,
             },
             generation: self.generation,
             machine: self.machine,
@@ -295,7 +295,7 @@
 }
 
 /// The name of the worker that a group is to the core.
-fn name(machine: IpAddr, runs: Runs, place: Place) -> String {
+fn name(machine: IpAddr, runs: ProjectTypeSet, place: Place) -> String {
     let Place {
         zone, cell, kind, ..
     } = place;
--- a/crates/mintlb-beanstalkd/src/session.rs
+++ b/crates/mintlb-beanstalkd/src/session.rs
@@ -2,7 +2,7 @@
 
 use crate::codec::Tube;
 use mintlb_core::work::{AllocId, Order};
-use mintlb_scheduler::Runs;
+use mintlb_scheduler::ProjectTypeSet;
 use rustc_hash::FxHashMap;
 use std::net::IpAddr;
 
@@ -15,7 +15,7 @@
     /// The tubes that it reserves jobs from.
     pub watched: Vec<Tube>,
     /// The project types of the worker group that it belongs to, from its first reserve on.
-    pub runs: Option<Runs>,
+    pub runs: Option<ProjectTypeSet>,
     /// Its reserve that waits for a job.
     pub wait: Option<Wait>,
     /// A job that was assigned to it and of which nothing is queued for sending yet.
--- a/crates/mintlb-beanstalkd/src/table.rs
+++ b/crates/mintlb-beanstalkd/src/table.rs
@@ -1,7 +1,7 @@
 //! The table `[beanstalkd]` of the operator's file, and the routes of tubes that follow from it.
 
 use crate::codec::Tube;
-use mintlb_scheduler::{Effect, ProjectType, Runs};
+use mintlb_scheduler::{Idempotency, ProjectType, ProjectTypeSet};
 use serde::Deserialize;
 use std::net::SocketAddr;
 
@@ -100,7 +100,7 @@
     pub tube: Tube,
     pub project_type: usize,
     pub customer: Option<usize>,
-    pub effect: Effect,
+    pub effect: Idempotency,
     /// Seconds from when a job is ready to its hard limit.
     pub hard_limit: f64,
     /// The tube for notices of its finished jobs.
@@ -111,12 +111,12 @@
 impl Route {
     /// Its jobs may run more than once.
     pub fn is_idempotent(&self) -> bool {
-        self.effect == Effect::Rerunnable
+        self.effect == Idempotency::Idempotent
     }
 
     /// Its jobs must not run twice, whatever happens.
     pub fn is_exclusive(&self) -> bool {
-        self.effect == Effect::Exclusive
+        self.effect == Idempotency::NonIdempotent
     }
 }
 
@@ -126,9 +126,9 @@
     pub table: Table,
     pub routes: Vec<Route>,
     /// The project types that beanstalkd's workers run.
-    pub runs: Runs,
+    pub runs: ProjectTypeSet,
     /// Those of them that no other workers run.
-    pub only: Runs,
+    pub only: ProjectTypeSet,
 }
 
 /// The number of a name, or an error that lists the known names.
@@ -208,7 +208,7 @@
                     format!("another tube of {:?} says otherwise", row.project_type),
                 ));
             }
-            if t.kind.is_some() && row.workers != Runners::Http && !table.listed {
+            if t.machine_kind.is_some() && row.workers != Runners::Http && !table.listed {
                 let why = "the project type needs a kind of machine, which only the list tells: set listed = true";
                 return Err(at("workers", why.into()));
             }
@@ -221,7 +221,7 @@
                 tube: name,
                 project_type,
                 customer,
-                effect: t.effect,
+                effect: t.idempotency,
                 hard_limit: t.hard_limit,
                 ends,
                 release: row.release,
@@ -237,7 +237,7 @@
                 return Err(format!("beanstalkd.tubes[{i}].ends: {why}"));
             }
         }
-        let of = |wanted: &[Runners]| -> Runs {
+        let of = |wanted: &[Runners]| -> ProjectTypeSet {
             let named = (0..)
                 .zip(&runners)
                 .filter(|(_, r)| r.is_some_and(|r| wanted.contains(&r)));
@@ -269,11 +269,11 @@
 
     /// The project types that a worker runs which watches these tubes. Tubes of one project type are one
     /// queue.
-    pub fn runs_of(&self, watched: &[Tube]) -> Runs {
+    pub fn runs_of(&self, watched: &[Tube]) -> ProjectTypeSet {
         let routes = self
             .routes
             .iter()
-            .filter(|r| self.runs.has(r.project_type) && watched.contains(&r.tube));
+            .filter(|r| self.runs.contains(r.project_type) && watched.contains(&r.tube));
         routes.map(|route| route.project_type).collect()
     }
 }
--- a/crates/mintlb-bench-adapter/src/host.rs
+++ b/crates/mintlb-bench-adapter/src/host.rs
@@ -2,9 +2,10 @@
 
 use crate::frame::{Batch, Bytes, Reply};
 use mintlb_scheduler::decide::Scheduler;
-use mintlb_scheduler::settings::Text;
+use mintlb_scheduler::settings::FlatSettings;
 use mintlb_scheduler::{
-    Allocation, Door, Line, Listed, News, Outcome, Report, Runs, WorkUnit, Worker,
+    Allocation, Host, ListEntry, ListState, ListUpdate, LoadReport, Outcome, ProjectTypeSet,
+    WorkUnit, Worker,
 };
 use std::any::Any;
 use std::collections::{BTreeMap, HashMap};
@@ -14,9 +15,9 @@
 const LINE: usize = 25;
 
 #[derive(Default)]
-pub struct Host {
+pub struct Instances {
     instances: BTreeMap<u16, Instance>,
-    censuses: BTreeMap<u16, Vec<Line>>,
+    censuses: BTreeMap<u16, Vec<ListEntry>>,
 }
 
 struct Instance {
@@ -35,21 +36,21 @@
 }
 
 fn id_of(alloc: &Allocation) -> Option<[u8; 8]> {
-    alloc.wu.upgrade().map(|wu| wu.id.to_be_bytes())
+    alloc.work_unit.upgrade().map(|wu| wu.id.to_be_bytes())
 }
 
 fn ms(seconds: f64) -> [u8; 8] {
     (seconds * 1000.0).to_be_bytes()
 }
 
-impl Door for WireDoor<'_> {
+impl Host for WireDoor<'_> {
     fn allocate(&mut self, alloc: &Allocation) {
-        let worker = alloc.worker.line.id.to_be_bytes();
+        let worker = alloc.worker.entry.id.to_be_bytes();
         if let Some(id) = id_of(alloc) {
             self.reply.act(16, self.me, &[&id, &ms(0.0), &worker[2..]]);
         }
     }
-    fn recall(&mut self, alloc: &Allocation) {
+    fn cancel(&mut self, alloc: &Allocation) {
         if let Some(id) = id_of(alloc) {
             self.reply
                 .act(19, self.me, &[&id, &alloc.number.to_be_bytes()]);
@@ -64,15 +65,15 @@
     }
     fn probe(&mut self, worker: &Worker) {
         self.reply
-            .act(21, self.me, &[&worker.line.id.to_be_bytes()[2..]]);
+            .act(21, self.me, &[&worker.entry.id.to_be_bytes()[2..]]);
     }
-    fn follow_list(&mut self) {
+    fn request_worker_list(&mut self) {
         self.reply.act(26, self.me, &[&[1]]);
     }
-    fn tell(&mut self, bytes: &[u8]) {
+    fn broadcast(&mut self, bytes: &[u8]) {
         self.reply.tell(self.me, bytes);
     }
-    fn wake_in(&mut self, seconds: f64) {
+    fn set_timer(&mut self, seconds: f64) {
         self.reply.act(20, self.me, &[&ms(seconds)]);
     }
     fn log(&mut self, line: &str) {
@@ -81,12 +82,12 @@
 }
 
 impl Instance {
-    fn new(seed: u64, text: &Text) -> Result<Instance, String> {
+    fn new(seed: u64, text: &FlatSettings) -> Result<Instance, String> {
         Ok(Instance {
             scheduler: text.scheduler(seed)?,
             held: HashMap::new(),
             types: text.project_types()?.len(),
-            customers: text.customers()?,
+            customers: text.customer_count()?,
             fields: text
                 .list("stats.fields")
                 .iter()
@@ -121,7 +122,7 @@
         ))
     }
 
-    fn report(&self, event: Bytes, at: usize) -> Result<Report, String> {
+    fn report(&self, event: Bytes, at: usize) -> Result<LoadReport, String> {
         let n = usize::from(event.u8(at));
         if n > self.fields.len().min(4) {
             return Err(format!(
@@ -130,7 +131,7 @@
             ));
         }
         let at_slot = self.fields.iter().take(n).position(|f| f == "x0");
-        Ok(Report {
+        Ok(LoadReport {
             free_slots: at_slot.map(|i| event.f32(at + 1 + 4 * i)),
         })
     }
@@ -141,13 +142,13 @@
         now: f64,
         batch: &Batch,
         event: Bytes,
-        censuses: &BTreeMap<u16, Vec<Line>>,
+        censuses: &BTreeMap<u16, Vec<ListEntry>>,
     ) -> Result<(), String> {
         match event.u8(0) {
             22 => {
                 let wu = self.work_unit(event, now)?;
                 self.held.insert(wu.id, wu.clone());
-                self.scheduler.arrived(door, now, &wu);
+                self.scheduler.on_arrival(door, now, &wu);
                 self.forget(&wu);
             }
             17 => {
@@ -156,7 +157,7 @@
                     .get(&event.u64(3))
                     .and_then(|wu| wu.allocation(event.u16(18)));
                 if let Some(alloc) = alloc.filter(|_| event.u8(17) == 1) {
-                    self.scheduler.started(door, now, &alloc);
+                    self.scheduler.on_start(door, now, &alloc);
                 }
             }
             23 => {
@@ -176,22 +177,22 @@
                     return Ok(());
                 };
                 if let Some(alloc) = wu.allocation(event.u16(11)) {
-                    alloc.worker.told(now, report);
+                    alloc.worker.record_report(now, report);
                     self.scheduler
-                        .came_back(door, now, &alloc, outcome, event.u8(29) != 0);
+                        .on_outcome(door, now, &alloc, outcome, event.u8(29) != 0);
                 }
                 self.forget(&wu);
             }
             25 => {
                 if let Some(wu) = self.held.get(&event.u64(3)).cloned() {
-                    self.scheduler.left(door, now, &wu);
+                    self.scheduler.on_client_gone(door, now, &wu);
                     self.forget(&wu);
                 }
             }
             21 => {
-                self.scheduler.woke(door, now);
+                self.scheduler.on_timer(door, now);
                 if self.held.len() > 64 {
-                    self.held.retain(|_, wu| !wu.is_over());
+                    self.held.retain(|_, wu| !wu.is_settled());
                 }
             }
             27 => {
@@ -199,7 +200,7 @@
                 let id = event.worker(3);
                 let worker = self.scheduler.worker(id).cloned();
                 if let Some(worker) = worker.filter(|_| event.u16(9) == 200) {
-                    worker.told(now, report);
+                    worker.record_report(now, report);
                 }
             }
             19 => {
@@ -210,17 +211,18 @@
                         .ok_or_else(|| format!("there is no list number {slot}"))
                 };
                 let news = match event.u8(3) {
-                    0 => News::Changes(lines()?),
-                    1 => News::Full(lines()?),
-                    2 => News::Cached(lines()?),
-                    3 => News::Failed,
+                    0 => ListUpdate::Changes(lines()?),
+                    1 => ListUpdate::Full(lines()?),
+                    2 => ListUpdate::Cached(lines()?),
+                    3 => ListUpdate::Failed,
                     other => return Err(format!("unknown kind of list {other}")),
                 };
-                self.scheduler.news(door, now, news);
+                self.scheduler.on_list_update(door, now, news);
             }
             18 => {
                 let bytes = batch.tail(event, 5, 1)?;
-                self.scheduler.told(now, event.u16(3).into(), bytes);
+                self.scheduler
+                    .on_peer_message(now, event.u16(3).into(), bytes);
             }
             16 => {}
             other => return Err(format!("unknown event code {other}")),
@@ -229,31 +231,31 @@
     }
 
     fn forget(&mut self, wu: &WorkUnit) {
-        if wu.is_over() {
+        if wu.is_settled() {
             self.held.remove(&wu.id);
         }
     }
 }
 
-fn census(items: &[u8]) -> Result<Vec<Line>, String> {
+fn census(items: &[u8]) -> Result<Vec<ListEntry>, String> {
     let lines = items.chunks_exact(LINE).map(Bytes).map(|e| {
         let listed = match e.u8(14) {
-            0 => Listed::Gone,
-            1 => Listed::Ready,
-            2 => Listed::Draining,
+            0 => ListState::Gone,
+            1 => ListState::Ready,
+            2 => ListState::Draining,
             other => return Err(format!("unknown worker state {other}")),
         };
         let (zone, cell, kind) = (e.u16(10), e.u16(12).into(), e.u16(15));
         let came_up = e.f64(17) / 1000.0;
-        Ok(Line {
+        Ok(ListEntry {
             id: e.worker(4),
             zone,
             cell,
-            kind,
-            listed,
-            came_up,
-            runs: Runs::default(),
-            fetches: false,
+            machine_kind: kind,
+            state: listed,
+            started_at: came_up,
+            project_types: ProjectTypeSet::default(),
+            pulls_work: false,
         })
     });
     lines.collect()
@@ -265,7 +267,7 @@
     format!("the decisions failed: {}", text.unwrap_or_default())
 }
 
-impl Host {
+impl Instances {
     pub fn answer(&mut self, batch: &Batch) -> Result<Vec<u8>, String> {
         let mut reply = Reply::default();
         for (i, event) in batch.events().enumerate() {
@@ -285,11 +287,10 @@
             }
             26 => {
                 let text = std::str::from_utf8(batch.tail(event, 11, 1)?);
-                let text = Text::new(text.map_err(|e| format!("the settings are no text: {e}"))?);
+                let text =
+                    FlatSettings::new(text.map_err(|e| format!("the settings are no text: {e}"))?);
                 let mut instance = Instance::new(event.u64(3), &text)?;
-                instance
-                    .scheduler
-                    .power_on(&mut WireDoor { me, reply }, now);
+                instance.scheduler.start(&mut WireDoor { me, reply }, now);
                 self.instances.insert(me, instance);
             }
             20 => {
--- a/crates/mintlb-bench-adapter/src/main.rs
+++ b/crates/mintlb-bench-adapter/src/main.rs
@@ -9,7 +9,7 @@
 fn serve() -> Result<(), String> {
     let mut input = BufReader::with_capacity(1 << 20, io::stdin().lock());
     let mut output = io::stdout().lock();
-    let mut host = host::Host::default();
+    let mut host = host::Instances::default();
     while let Some(batch) = frame::read(&mut input)? {
         let reply = host.answer(&batch)?;
         let told = output.write_all(&reply).and_then(|()| output.flush());
--- a/crates/mintlb-core/src/members.rs
+++ b/crates/mintlb-core/src/members.rs
@@ -3,7 +3,7 @@
 //! Pure: what a source says goes in, the lines for the decisions come out.
 
 use crate::work::Reach;
-use mintlb_scheduler::{Line, Listed};
+use mintlb_scheduler::{ListEntry, ListState};
 use std::collections::HashMap;
 use std::net::IpAddr;
 use std::sync::Arc;
@@ -21,7 +21,7 @@
 #[derive(Clone)]
 pub struct Member {
     pub name: String,
-    pub line: Line,
+    pub line: ListEntry,
     /// The machine that it runs on, where its address tells.
     pub host: Option<IpAddr>,
     pub reach: Option<Arc<dyn Reach>>,
@@ -43,7 +43,7 @@
 
 struct Known {
     source: Source,
-    line: Line,
+    line: ListEntry,
     reach: Option<Arc<dyn Reach>>,
     shown: String,
 }
@@ -59,13 +59,13 @@
 
     /// The lines for the decisions, and whether they are all that there are. One source's whole list must not
     /// strike out the workers of another, so theirs are added to it.
-    pub fn hear(&mut self, told: Told) -> (bool, Vec<Line>) {
+    pub fn hear(&mut self, told: Told) -> (bool, Vec<ListEntry>) {
         let Told {
             source,
             full,
             members,
         } = told;
-        let mut lines: Vec<Line> = members.iter().map(|member| member.line.clone()).collect();
+        let mut lines: Vec<ListEntry> = members.iter().map(|member| member.line.clone()).collect();
         if full {
             self.known.retain(|_, known| known.source != source);
             lines.extend(self.known.values().map(|known| known.line.clone()));
@@ -74,7 +74,7 @@
             name, line, reach, ..
         } in members
         {
-            if line.listed == Listed::Gone {
+            if line.state == ListState::Gone {
                 self.known.remove(&line.id);
                 continue;
             }
--- a/crates/mintlb-core/src/reducer.rs
+++ b/crates/mintlb-core/src/reducer.rs
@@ -10,8 +10,10 @@
 use crate::types::{Named, Types};
 use crate::work::{AllocId, Answer, Arrival, Back, Order, Payload, Reach, Settle};
 use mintlb_scheduler::decide::Scheduler;
-use mintlb_scheduler::settings::Terms;
-use mintlb_scheduler::{Allocation, Door, News, Outcome, ProjectType, Report, WorkUnit, Worker};
+use mintlb_scheduler::settings::ReloadableSettings;
+use mintlb_scheduler::{
+    Allocation, Host, ListUpdate, LoadReport, Outcome, ProjectType, WorkUnit, Worker,
+};
 use rustc_hash::{FxHashMap, FxHashSet};
 use std::cell::Cell;
 use std::collections::hash_map::Entry;
@@ -29,7 +31,7 @@
     GivenUp(u64),
     Started(AllocId),
     Back(Back),
-    Sampled(u64, Report),
+    Sampled(u64, LoadReport),
     /// A worker that fetches its work waits for so many work units; it had heard of so many orders by then.
     Asks {
         worker: u64,
@@ -139,7 +141,7 @@
     }
 }
 
-impl Door for OpenDoor<'_> {
+impl Host for OpenDoor<'_> {
     fn permits(&self, wu: &WorkUnit, worker: &Worker) -> bool {
         if let Some((permit, held)) = self.permit.zip(self.held.get(&wu.id)) {
             match permit.permits(self.now, wu, &held.payload, worker) {
@@ -151,7 +153,7 @@
                 }
             }
         }
-        let Some(purse) = self.purse.filter(|_| wu.is_again()) else {
+        let Some(purse) = self.purse.filter(|_| wu.is_retry()) else {
             return true;
         };
         // Asked for each work unit that waits and each worker: the answer holds until something is sent.
@@ -162,12 +164,14 @@
         self.has.set(Some(has));
         has
     }
-    fn preferred(&self, wu: &WorkUnit) -> Option<u64> {
+    fn preferred_worker(&self, wu: &WorkUnit) -> Option<u64> {
         let (permit, held) = self.permit.zip(self.held.get(&wu.id))?;
         permit.preferred(&held.payload)
     }
     fn allocate(&mut self, alloc: &Allocation) {
-        let Some(wu) = alloc.wu.upgrade() else { return };
+        let Some(wu) = alloc.work_unit.upgrade() else {
+            return;
+        };
         let id = (wu.id, alloc.number);
         let full = self.out.len() >= self.most_out;
         let taken_back = CancellationToken::new();
@@ -181,14 +185,14 @@
         // What was permitted a moment ago may have lapsed.
         let full = full || slip.as_ref().is_some_and(Option::is_none);
         match (
-            self.members.reach(alloc.worker.line.id),
+            self.members.reach(alloc.worker.entry.id),
             self.held.get(&wu.id),
         ) {
             // Without a descriptor or a budget to spare it is not sent, and that is known at once.
             (Some(_), Some(_)) if full => self.known.push(Back::with(id, Outcome::Moot)),
             (Some(to), Some(held)) => {
                 let (project_type, customer) = (wu.project_type, wu.customer);
-                let (payload, until) = (held.payload.clone(), wu.limit - self.margin);
+                let (payload, until) = (held.payload.clone(), wu.deadline - self.margin);
                 let slip = slip.flatten();
                 let order = Order {
                     alloc: id,
@@ -207,8 +211,10 @@
             _ => self.known.push(Back::with(id, Outcome::NoConnection)),
         }
     }
-    fn recall(&mut self, alloc: &Allocation) {
-        let Some(wu) = alloc.wu.upgrade() else { return };
+    fn cancel(&mut self, alloc: &Allocation) {
+        let Some(wu) = alloc.work_unit.upgrade() else {
+            return;
+        };
         let id = (wu.id, alloc.number);
         self.acts.push(Act::Recall(id));
         self.known.push(Back::with(id, Outcome::Recalled));
@@ -220,7 +226,7 @@
         self.answer(wu.id, Answer::Aborted);
     }
     fn probe(&mut self, worker: &Worker) {
-        let worker = worker.line.id;
+        let worker = worker.entry.id;
         if let Some(to) = self.members.reach(worker) {
             self.acts.push(Act::Probe {
                 worker,
@@ -228,12 +234,12 @@
             });
         }
     }
-    fn follow_list(&mut self) {
+    fn request_worker_list(&mut self) {
         self.acts.push(Act::Watch {
             after: self.version,
         });
     }
-    fn wake_in(&mut self, seconds: f64) {
+    fn set_timer(&mut self, seconds: f64) {
         self.acts.push(Act::WakeIn(seconds));
     }
     fn log(&mut self, line: &str) {
@@ -291,27 +297,35 @@
 
     /// New work is of these project types and under these terms from now on; an error, and nothing has changed. All
     /// that was read before must have been reduced before, as it goes by the numbers of then.
-    pub fn retune(&mut self, types: &[(String, ProjectType)], terms: &Terms) -> Result<(), String> {
+    pub fn retune(
+        &mut self,
+        types: &[(String, ProjectType)],
+        terms: &ReloadableSettings,
+    ) -> Result<(), String> {
         let held: FxHashSet<usize> = self
             .held
             .values()
             .map(|held| held.wu.project_type)
             .collect();
         let changes = self.types.change(types, |number| held.contains(&number))?;
-        let Terms {
-            repeats,
+        let ReloadableSettings {
+            retry_policy,
             excess_credit,
-            come_back,
+            max_retry_after,
             costs,
         } = terms.clone();
-        self.scheduler
-            .retune(&changes, repeats, (excess_credit, come_back), costs);
+        self.scheduler.reconfigure(
+            &changes,
+            retry_policy,
+            (excess_credit, max_retry_after),
+            costs,
+        );
         Ok(())
     }
 
     /// What is so now, for the figures.
     pub fn now(&self) -> Now {
-        let (listed, avoided) = self.scheduler.cluster();
+        let (listed, avoided) = self.scheduler.worker_counts();
         let open = self
             .held
             .values()
@@ -332,13 +346,13 @@
             .map(|(_, told)| self.members.hear(told).1)
             .unwrap_or_default();
         self.with_door(now, |scheduler, door| {
-            scheduler.power_on(door, now);
+            scheduler.start(door, now);
             let news = if takes_over {
-                News::Inherited(&lines)
+                ListUpdate::Inherited(&lines)
             } else {
-                News::Cached(&lines)
+                ListUpdate::Cached(&lines)
             };
-            scheduler.news(door, now, news);
+            scheduler.on_list_update(door, now, news);
         })
     }
 
@@ -371,7 +385,7 @@
                     answer: Some(a.answer),
                 };
                 self.held.insert(a.id, held);
-                self.with_door(now, |scheduler, door| scheduler.arrived(door, now, &wu))
+                self.with_door(now, |scheduler, door| scheduler.on_arrival(door, now, &wu))
             }
             Event::Left(id) => {
                 let Some(held) = self.held.get_mut(&id) else {
@@ -381,7 +395,7 @@
                 let wu = held.wu.clone();
                 self.with_door(now, |scheduler, door| {
                     door.touched.push(id);
-                    scheduler.left(door, now, &wu);
+                    scheduler.on_client_gone(door, now, &wu);
                 })
             }
             Event::GivenUp(id) => {
@@ -399,12 +413,12 @@
                 let Some(alloc) = alloc.filter(|_| self.out.contains_key(&(id, number))) else {
                     return Vec::new();
                 };
-                self.with_door(now, |scheduler, door| scheduler.started(door, now, &alloc))
+                self.with_door(now, |scheduler, door| scheduler.on_start(door, now, &alloc))
             }
             Event::Back(told) => self.with_door(now, |scheduler, door| back(scheduler, door, told)),
             Event::Sampled(worker, report) => {
                 if let Some(worker) = self.scheduler.worker(worker).cloned() {
-                    worker.told(now, report);
+                    worker.record_report(now, report);
                 }
                 Vec::new()
             }
@@ -416,21 +430,23 @@
                 let Some(worker) = self.scheduler.worker(worker).cloned() else {
                     return Vec::new();
                 };
-                worker.asked(waiting, orders);
-                self.with_door(now, |scheduler, door| scheduler.woke(door, now))
+                worker.record_pull(waiting, orders);
+                self.with_door(now, |scheduler, door| scheduler.on_timer(door, now))
             }
-            Event::ListFailed => self.with_door(now, |s, door| s.news(door, now, News::Failed)),
+            Event::ListFailed => self.with_door(now, |s, door| {
+                s.on_list_update(door, now, ListUpdate::Failed)
+            }),
             Event::Members(version, told) => {
                 self.version = version.or(self.version);
                 // Only what the list says is a sign of life of the list.
                 let from_list = told.source == Source::List;
                 let (full, lines) = self.members.hear(told);
                 let news = match full {
-                    true => News::Full(&lines),
-                    false if from_list => News::Changes(&lines),
-                    false => News::Callers(&lines),
+                    true => ListUpdate::Full(&lines),
+                    false if from_list => ListUpdate::Changes(&lines),
+                    false => ListUpdate::SelfRegistered(&lines),
                 };
-                let acts = self.with_door(now, |s, door| s.news(door, now, news));
+                let acts = self.with_door(now, |s, door| s.on_list_update(door, now, news));
                 self.take_back();
                 acts
             }
@@ -440,7 +456,7 @@
                 self.version = None;
                 vec![Act::Watch { after: None }]
             }
-            Event::Woke => self.with_door(now, |s, door| s.woke(door, now)),
+            Event::Woke => self.with_door(now, |s, door| s.on_timer(door, now)),
             Event::LastCall => self.last_call(now),
         }
     }
@@ -453,7 +469,7 @@
                 .held
                 .get(id)
                 .and_then(|held| held.wu.allocation(*number));
-            if alloc.is_some_and(|alloc| !alloc.worker.takes_new()) {
+            if alloc.is_some_and(|alloc| !alloc.worker.accepts_new_work()) {
                 taken_back.cancel();
             }
         }
@@ -519,11 +535,11 @@
                 allocs
                     .filter_map(|id| self.out.get(&id))
                     .for_each(CancellationToken::cancel);
-                if !held.get().wu.is_over() {
+                if !held.get().wu.is_settled() {
                     continue;
                 }
                 let Held { wu, client_id, .. } = held.remove();
-                self.over.extend(client_id.map(|id| (wu.limit, id)));
+                self.over.extend(client_id.map(|id| (wu.deadline, id)));
             }
         }
         acts
@@ -547,6 +563,6 @@
     if completed {
         door.answer(wu.id, Answer::Completed(told.result));
     }
-    alloc.worker.told(now, told.report);
-    scheduler.came_back(door, now, &alloc, told.outcome, completed);
+    alloc.worker.record_report(now, told.report);
+    scheduler.on_outcome(door, now, &alloc, told.outcome, completed);
 }
--- a/crates/mintlb-core/src/types.rs
+++ b/crates/mintlb-core/src/types.rs
@@ -3,7 +3,7 @@
 //! Work holds the number of the project type that it came with, so a type whose terms change gets another number, and
 //! a number is given again only when no work holds it any more.
 
-use mintlb_scheduler::{Numbered, ProjectType};
+use mintlb_scheduler::{ProjectType, ProjectTypeUpdate};
 
 /// A project type as it is served: clients name it, the core goes by its number.
 #[derive(Clone, Debug, PartialEq)]
@@ -43,7 +43,7 @@
         &mut self,
         types: &[(String, ProjectType)],
         is_held: impl Fn(usize) -> bool,
-    ) -> Result<Vec<Numbered>, String> {
+    ) -> Result<Vec<ProjectTypeUpdate>, String> {
         // What a type had learned is copied before its number can go to another, so those served now are not free.
         let is_free = |n: &usize| !is_held(*n) && self.0.iter().all(|named| named.number != *n);
         let mut free = (0..MOST * types.len().max(self.0.len())).filter(is_free);
@@ -56,10 +56,10 @@
                     .next()
                     .ok_or("work still holds the project types of too many changes before")?,
             };
-            let continues = was.map(|was| was.number);
-            changes.push(Numbered {
+            let predecessor = was.map(|was| was.number);
+            changes.push(ProjectTypeUpdate {
                 number,
-                continues,
+                predecessor,
                 project_type: project_type.clone(),
             });
         }
--- a/crates/mintlb-core/src/work.rs
+++ b/crates/mintlb-core/src/work.rs
@@ -2,7 +2,7 @@
 
 use crate::spend::Slip;
 use bytes::Bytes;
-use mintlb_scheduler::{Outcome, Report};
+use mintlb_scheduler::{LoadReport, Outcome};
 use std::any::Any;
 use std::fmt::{Debug, Display};
 use std::sync::Arc;
@@ -93,7 +93,7 @@
 pub struct Back {
     pub alloc: AllocId,
     pub outcome: Outcome,
-    pub report: Report,
+    pub report: LoadReport,
     pub result: Bytes,
 }
 
@@ -103,7 +103,7 @@
         Back {
             alloc,
             outcome,
-            report: Report::default(),
+            report: LoadReport::default(),
             result: Bytes::new(),
         }
     }
--- a/crates/mintlb-dispatcher/src/dispatcher.rs
+++ b/crates/mintlb-dispatcher/src/dispatcher.rs
@@ -20,9 +20,9 @@
 use mintlb_core::room::Room;
 use mintlb_core::standing::{Notice, Standing, Word};
 use mintlb_core::types::Types;
-use mintlb_scheduler::ColdRule;
-use mintlb_scheduler::decide::{Buffers, Fleet, Follow, Scheduler, Shares};
-use mintlb_scheduler::tools::Chance;
+use mintlb_scheduler::SlowStart;
+use mintlb_scheduler::decide::{FairShares, Fleet, ListPolling, Queues, Scheduler};
+use mintlb_scheduler::util::Rng;
 use parking_lot::Mutex;
 use std::pin::pin;
 use std::sync::Arc;
@@ -264,9 +264,9 @@
 }
 
 fn scheduler(config: &DispatcherConfig, numbering: &Numbering) -> Scheduler {
-    let slow_start = ColdRule {
-        among: 1.0,
-        ..ColdRule::default()
+    let slow_start = SlowStart {
+        scheduler_count: 1.0,
+        ..SlowStart::default()
     };
     let fleet = Fleet::new(
         slow_start,
@@ -275,9 +275,9 @@
         tuning::costs(),
         &[],
     );
-    let buffers = Buffers::new(Vec::new(), 1.0, tuning::come_back());
-    let chain = (Shares::new(&[]), buffers, tuning::repeats(), fleet);
-    Scheduler::new(Chance::new(config.seed), chain, Follow::default())
+    let buffers = Queues::new(Vec::new(), 1.0, tuning::come_back());
+    let chain = (FairShares::new(&[]), buffers, tuning::repeats(), fleet);
+    Scheduler::new(Rng::new(config.seed), chain, ListPolling::default())
 }
 
 impl EventLoop {
--- a/crates/mintlb-dispatcher/src/permits.rs
+++ b/crates/mintlb-dispatcher/src/permits.rs
@@ -91,7 +91,7 @@
         let Some(exchange) = payload.own.downcast_ref::<Exchange>() else {
             return Permission::Granted;
         };
-        let Some(entry) = self.shared.workers.get(worker.line.id) else {
+        let Some(entry) = self.shared.workers.get(worker.entry.id) else {
             return Permission::Refused;
         };
         let service = self
@@ -116,7 +116,7 @@
         if exchange.has_attempted(entry.id) && self.shared.workers.has_alternative(&entry) {
             return self.refused(RefusalReason::SecondAttempt);
         }
-        let wait_until = wu.arrived + exchange.terms.target * WAIT_SHARE;
+        let wait_until = wu.arrived_at + exchange.terms.target * WAIT_SHARE;
         match exchange.long_prompt().filter(|_| now < wait_until) {
             Some(prompt) if self.has_preferred_alternative(exchange, prompt, &entry, service) => {
                 self.refused(RefusalReason::PreferredElsewhere);
--- a/crates/mintlb-dispatcher/src/quota_client.rs
+++ b/crates/mintlb-dispatcher/src/quota_client.rs
@@ -12,7 +12,7 @@
 use mintlb_quota::messages::{AdmitRequest, AdmitResponse, RateLimit};
 use mintlb_quota::slices::{Division, owners};
 use mintlb_register::replica_set::ReplicaSet;
-use mintlb_scheduler::tools::Chance;
+use mintlb_scheduler::util::Rng;
 use parking_lot::Mutex;
 use rustc_hash::FxHashMap;
 use std::net::SocketAddr;
@@ -44,7 +44,7 @@
     transport: Arc<Transport>,
     division: Division,
     replicas: ArcSwap<ReplicaSet>,
-    rng: Mutex<Chance>,
+    rng: Mutex<Rng>,
     /// Until when an owner is suspected of being down.
     suspects: Mutex<FxHashMap<SocketAddr, Instant>>,
     /// The last rejection of a tenant.
@@ -79,7 +79,7 @@
             transport,
             division,
             replicas: ArcSwap::default(),
-            rng: Mutex::new(Chance::new(seed)),
+            rng: Mutex::new(Rng::new(seed)),
             suspects: Mutex::default(),
             rejected: Mutex::default(),
         }
@@ -246,7 +246,7 @@
         let mut addresses: Vec<SocketAddr> = owners.into_iter().filter_map(address).collect();
         let count = addresses.len();
         if count > 0 {
-            let first = (self.rng.lock().draw() * count as f64) as usize;
+            let first = (self.rng.lock().uniform() * count as f64) as usize;
             addresses.rotate_left(first % count);
         }
         let now = Instant::now();
--- a/crates/mintlb-dispatcher/src/shared.rs
+++ b/crates/mintlb-dispatcher/src/shared.rs
@@ -11,7 +11,7 @@
 use mintlb_core::clock::Clock;
 use mintlb_core::reducer::Event;
 use mintlb_core::work::Numbers;
-use mintlb_scheduler::tools::Chance;
+use mintlb_scheduler::util::Rng;
 use parking_lot::Mutex;
 use rustc_hash::FxHashSet;
 use std::sync::Arc;
@@ -31,7 +31,7 @@
     routing: ArcSwapOption<RoutingTable>,
     dispatcher_count: AtomicUsize,
     ending: AtomicBool,
-    rng: Mutex<Chance>,
+    rng: Mutex<Rng>,
     reserved_request_ids: Mutex<FxHashSet<HeaderValue>>,
     occupancies: Mutex<ServiceOccupancies>,
     /// Counts of the requests of all routes.
@@ -64,7 +64,7 @@
             routing,
             dispatcher_count: AtomicUsize::new(1),
             ending: AtomicBool::new(false),
-            rng: Mutex::new(Chance::new(seed)),
+            rng: Mutex::new(Rng::new(seed)),
             reserved_request_ids: Mutex::default(),
             occupancies: Mutex::default(),
             counters: RequestCounters::default(),
@@ -131,7 +131,7 @@
         path: &str,
         priority: Option<u32>,
     ) -> Option<Target> {
-        let draw = self.rng.lock().draw();
+        let draw = self.rng.lock().uniform();
         table.target(host, path, priority, draw, |service| {
             self.workers.serves(service)
         })
--- a/crates/mintlb-dispatcher/src/tuning.rs
+++ b/crates/mintlb-dispatcher/src/tuning.rs
@@ -4,9 +4,9 @@
 
 use crate::routing::{priorities, type_name};
 use mintlb_common::configuration::{Configuration, Route, RouteType};
-use mintlb_scheduler::decide::Repeats;
-use mintlb_scheduler::settings::Terms;
-use mintlb_scheduler::{Costs, Effect, ProjectType};
+use mintlb_scheduler::decide::RetryPolicy;
+use mintlb_scheduler::settings::ReloadableSettings;
+use mintlb_scheduler::{Costs, Idempotency, ProjectType};
 use std::collections::{HashMap, HashSet};
 
 /// The share of its value that a response after the latency target still has.
@@ -86,41 +86,41 @@
         credit: rank * if batch { BATCH_WEIGHT } else { 1.0 },
         late_credit: LATE_VALUE,
         promised_turnaround: latency_target,
-        stretch: 1.0,
+        turnaround_stretch: 1.0,
         hard_limit,
-        effect: if route.is_idempotent() {
-            Effect::Rerunnable
+        idempotency: if route.is_idempotent() {
+            Idempotency::Idempotent
         } else {
-            Effect::Exclusive
+            Idempotency::NonIdempotent
         },
-        kind: Some(kind),
+        machine_kind: Some(kind),
     }
 }
 
 /// The terms under which requests of all routes are sent.
-pub fn terms() -> Terms {
-    Terms {
-        repeats: repeats(),
+pub fn terms() -> ReloadableSettings {
+    ReloadableSettings {
+        retry_policy: repeats(),
         excess_credit: 1.0,
-        come_back: COME_BACK,
+        max_retry_after: COME_BACK,
         costs: costs(),
     }
 }
 
 /// Retry policy: one attempt at a time, within the scheduler's own limit.
-pub fn repeats() -> Repeats {
-    Repeats {
-        parallel: false,
-        may_recall: true,
-        most_allocations: MAX_SENDS,
+pub fn repeats() -> RetryPolicy {
+    RetryPolicy {
+        parallel_attempts: false,
+        may_cancel: true,
+        max_allocations: MAX_SENDS,
     }
 }
 
 /// Costs in points.
 pub fn costs() -> Costs {
     Costs {
-        crossing: CROSSING,
-        message: None,
+        cross_zone: CROSSING,
+        peer_message: None,
     }
 }
 
--- a/crates/mintlb-dispatcher/src/upstream.rs
+++ b/crates/mintlb-dispatcher/src/upstream.rs
@@ -10,7 +10,7 @@
 use crate::workers::WorkerEntry;
 use mintlb_core::reducer::Event;
 use mintlb_core::work::{Back, Order, Reach, Recall};
-use mintlb_scheduler::{Outcome, Report};
+use mintlb_scheduler::{LoadReport, Outcome};
 use std::fmt::{Display, Formatter};
 use std::sync::Arc;
 use std::time::Duration;
@@ -95,7 +95,7 @@
         drop(occupied);
         log::debug!("upstream: {} {:?}", self.worker.instance_id, outcome);
         let back = Back {
-            report: Report { free_slots },
+            report: LoadReport { free_slots },
             ..Back::with(self.order.alloc, outcome)
         };
         shared.event_sender.send(Event::Back(back)).ok();
--- a/crates/mintlb-dispatcher/src/workers.rs
+++ b/crates/mintlb-dispatcher/src/workers.rs
@@ -5,7 +5,7 @@
 use mintlb_common::record::{WorkerRecord, WorkerState};
 use mintlb_core::members::{Member, worker_id};
 use mintlb_core::work::Reach;
-use mintlb_scheduler::{Line, Listed, Runs};
+use mintlb_scheduler::{ListEntry, ListState, ProjectTypeSet};
 use parking_lot::Mutex;
 use rustc_hash::FxHashMap;
 use std::net::SocketAddr;
@@ -38,16 +38,16 @@
 }
 
 impl WorkerEntry {
-    fn endpoint(&self, listed: Listed) -> Line {
-        Line {
+    fn endpoint(&self, listed: ListState) -> ListEntry {
+        ListEntry {
             id: self.id,
             zone: self.numbers.zone,
             cell: 0,
-            kind: self.numbers.kind,
-            listed,
-            came_up: 0.0,
-            runs: Runs::default(),
-            fetches: false,
+            machine_kind: self.numbers.kind,
+            state: listed,
+            started_at: 0.0,
+            project_types: ProjectTypeSet::default(),
+            pulls_work: false,
         }
     }
 
@@ -225,9 +225,9 @@
         }
         self.age.fetch_add(1, Relaxed);
         let listed = match record.state {
-            WorkerState::InService => Listed::Ready,
-            WorkerState::Draining | WorkerState::Unresponsive => Listed::Draining,
-            WorkerState::Deregistered => Listed::Gone,
+            WorkerState::InService => ListState::Ready,
+            WorkerState::Draining | WorkerState::Unresponsive => ListState::Draining,
+            WorkerState::Deregistered => ListState::Gone,
         };
         let (name, endpoint) = (record.instance_id.clone(), entry.endpoint(listed));
         Some(Member {
@@ -256,7 +256,7 @@
             .for_each(|entry| drop(entries.remove(&entry.id)));
         let member = |entry: &Arc<WorkerEntry>| Member {
             name: entry.instance_id.clone(),
-            line: entry.endpoint(Listed::Gone),
+            line: entry.endpoint(ListState::Gone),
             host: None,
             reach: None,
         };
--- a/crates/mintlb-dispatcher/tests/chaos.rs
+++ b/crates/mintlb-dispatcher/tests/chaos.rs
@@ -6,7 +6,7 @@
     CONFIGURATION, Client, Machine, ReceivedRequest, Worker, event, header, on_one_thread,
 };
 use mintlb_common::record::WorkerState;
-use mintlb_scheduler::tools::Chance;
+use mintlb_scheduler::util::Rng;
 use std::cell::RefCell;
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -28,11 +28,11 @@
     format!("answer to {id} ").repeat(1 + length(id) as usize)
 }
 
-fn one_of(rng: &mut Chance, of: u64) -> u64 {
-    (rng.draw() * of as f64) as u64
+fn one_of(rng: &mut Rng, of: u64) -> u64 {
+    (rng.uniform() * of as f64) as u64
 }
 
-async fn misbehave(mut received: ReceivedRequest, runs: Runs, rng: &mut Chance) {
+async fn misbehave(mut received: ReceivedRequest, runs: Runs, rng: &mut Rng) {
     let id = received.id();
     match one_of(rng, 20) {
         0 | 1 => return received.refuse().await,
@@ -210,7 +210,7 @@
             for number in 0..WORKERS {
                 let mut worker = Worker::start(&format!("i-{number}"), "s").await;
                 machine.set_worker(&worker, WorkerState::InService, 1).await;
-                let (runs, mut rng) = (runs.clone(), Chance::new(seed * 100 + number as u64));
+                let (runs, mut rng) = (runs.clone(), Rng::new(seed * 100 + number as u64));
                 tokio::task::spawn_local(async move {
                     loop {
                         misbehave(worker.next_request_untimed().await, runs.clone(), &mut rng)
--- a/crates/mintlb-dispatcher/tests/routing.rs
+++ b/crates/mintlb-dispatcher/tests/routing.rs
@@ -6,7 +6,7 @@
 use mintlb_dispatcher::prompts::{Prompt, preferred};
 use mintlb_dispatcher::routing::RoutingTable;
 use mintlb_dispatcher::tuning::{ServiceNumbers, project_types};
-use mintlb_scheduler::Effect;
+use mintlb_scheduler::Idempotency;
 use std::sync::Arc;
 
 const CONFIGURATION: &str = r#"{"config_version":1,"route_list":[
@@ -105,11 +105,11 @@
             .unwrap()
             .project_type
     };
-    assert_eq!(of("a@s").effect, Effect::Rerunnable);
-    assert_eq!(of("b@t").effect, Effect::Exclusive);
+    assert_eq!(of("a@s").idempotency, Idempotency::Idempotent);
+    assert_eq!(of("b@t").idempotency, Idempotency::NonIdempotent);
     assert_eq!(
-        of("c@t").effect,
-        Effect::Rerunnable,
+        of("c@t").idempotency,
+        Idempotency::Idempotent,
         "a stream that may be resumed may run again"
     );
     assert_eq!(
@@ -120,8 +120,8 @@
         of("a@s").credit > of("c@t").credit && of("c@t").credit > of("b@t").credit,
         "rank 0 is highest"
     );
-    assert_eq!(of("a@t").kind, of("b@t").kind);
-    assert_ne!(of("a@s").kind, of("a@t").kind);
+    assert_eq!(of("a@t").machine_kind, of("b@t").machine_kind);
+    assert_ne!(of("a@s").machine_kind, of("a@t").machine_kind);
 }
 
 #[test]
--- a/crates/mintlb-http/src/front.rs
+++ b/crates/mintlb-http/src/front.rs
@@ -30,7 +30,7 @@
 use mintlb_core::standing::Standing;
 use mintlb_core::types::Named;
 use mintlb_core::work::{Answer, Arrival, Numbers, Payload};
-use mintlb_scheduler::Effect;
+use mintlb_scheduler::Idempotency;
 use nix::sys::socket::{MsgFlags, recv};
 use parking_lot::Mutex;
 use slog::{Logger, debug, info, warn};
@@ -128,8 +128,11 @@
         let entry = |named: &Named| Entry {
             number: named.number,
             hard_limit: named.project_type.hard_limit,
-            receipted: matches!(named.project_type.effect, Effect::Receipted { .. }),
-            once: named.project_type.effect != Effect::Rerunnable,
+            receipted: matches!(
+                named.project_type.idempotency,
+                Idempotency::Deduplicated { .. }
+            ),
+            once: named.project_type.idempotency != Idempotency::Idempotent,
             ends: figures.of(&named.name),
         };
         *self.types.lock() = types
--- a/crates/mintlb-http/src/list.rs
+++ b/crates/mintlb-http/src/list.rs
@@ -15,7 +15,7 @@
 use mintlb_core::members::{Member, Source, Told, worker_id};
 use mintlb_core::reducer::Event;
 use mintlb_core::work::Reach;
-use mintlb_scheduler::{Line, Listed, Runs};
+use mintlb_scheduler::{ListEntry, ListState, ProjectTypeSet};
 use serde::{Deserialize, Serialize};
 use slog::{Logger, warn};
 use std::net::SocketAddr;
@@ -53,12 +53,12 @@
 }
 
 impl WorkerLine {
-    pub fn listed(&self) -> Listed {
+    pub fn listed(&self) -> ListState {
         match self.state.as_str() {
-            "SERVING" => Listed::Ready,
-            "DELETED" => Listed::Gone,
+            "SERVING" => ListState::Ready,
+            "DELETED" => ListState::Gone,
             // What a state unknown to us means for new work is unknown, too.
-            _ => Listed::Draining,
+            _ => ListState::Draining,
         }
     }
 }
@@ -69,7 +69,7 @@
     pub zones: Vec<String>,
     pub kinds: Vec<String>,
     /// The project types that workers of the list run.
-    pub runs: Runs,
+    pub runs: ProjectTypeSet,
     pub workers: Workers,
 }
 
@@ -112,15 +112,15 @@
         });
         Member {
             name: worker.id.clone(),
-            line: Line {
+            line: ListEntry {
                 id,
                 zone,
                 cell,
-                kind,
-                listed,
-                came_up,
-                runs: self.runs,
-                fetches: false,
+                machine_kind: kind,
+                state: listed,
+                started_at: came_up,
+                project_types: self.runs,
+                pulls_work: false,
             },
             host: at.map(|at| at.ip().to_canonical()),
             reach: way.map(|way| Arc::new(way) as Arc<dyn Reach>),
--- a/crates/mintlb-http/src/worker.rs
+++ b/crates/mintlb-http/src/worker.rs
@@ -23,7 +23,7 @@
 use mintlb_core::clock::Clock;
 use mintlb_core::reducer::Event;
 use mintlb_core::work::{Back, Order, Reach, Recall};
-use mintlb_scheduler::{Outcome, Report};
+use mintlb_scheduler::{LoadReport, Outcome};
 use parking_lot::Mutex;
 use serde::Deserialize;
 use serde_json::value::RawValue;
@@ -392,11 +392,11 @@
         }
     }
 
-    fn report(&self, json: &[u8]) -> Report {
+    fn report(&self, json: &[u8]) -> LoadReport {
         let fields: Option<serde_json::Map<String, serde_json::Value>> =
             serde_json::from_slice(json).ok();
         let free_slots = fields.and_then(|f| f.get(self.free_slots?)?.as_f64());
-        Report { free_slots }
+        LoadReport { free_slots }
     }
 }
 
--- a/crates/mintlb-http/tests/machine/mod.rs
+++ b/crates/mintlb-http/tests/machine/mod.rs
@@ -10,7 +10,7 @@
 use mintlb_core::work::Numbers;
 use mintlb_http::front::Front;
 use mintlb_http::limits::Limits;
-use mintlb_scheduler::{Effect, ProjectType};
+use mintlb_scheduler::{Idempotency, ProjectType};
 use parking_lot::Mutex;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -70,16 +70,17 @@
         standing.clone(),
     );
     let front = Front::new(Vec::new(), limits(), shared, tell, quiet());
-    let (credit, late_credit, promised_turnaround, stretch, hard_limit) = (1.0, 0.0, 1.0, 0.0, 3.0);
-    let (effect, kind) = (Effect::Rerunnable, None);
+    let (credit, late_credit, promised_turnaround, turnaround_stretch, hard_limit) =
+        (1.0, 0.0, 1.0, 0.0, 3.0);
+    let (idempotency, machine_kind) = (Idempotency::Idempotent, None);
     let project_type = ProjectType {
         credit,
         late_credit,
         promised_turnaround,
-        stretch,
+        turnaround_stretch,
         hard_limit,
-        effect,
-        kind,
+        idempotency,
+        machine_kind,
     };
     front.take_types(
         &[Named {
--- a/crates/mintlb-http/tests/outcomes.rs
+++ b/crates/mintlb-http/tests/outcomes.rs
@@ -10,7 +10,7 @@
 use mintlb_http::limits::Limits;
 use mintlb_http::list::{List, Reading};
 use mintlb_http::worker::{Worded, Workers};
-use mintlb_scheduler::{Outcome, Runs};
+use mintlb_scheduler::{Outcome, ProjectTypeSet};
 use std::cell::Cell;
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -788,7 +788,7 @@
     let reading = Reading {
         zones: Vec::new(),
         kinds: Vec::new(),
-        runs: Runs::default(),
+        runs: ProjectTypeSet::default(),
         workers,
     };
     let lines = [0, 1, 1 << 16, 1 << 32, u64::MAX]
--- a/crates/mintlb-rate-limit/src/node.rs
+++ b/crates/mintlb-rate-limit/src/node.rs
@@ -6,7 +6,7 @@
 use crate::ledger::{Budget, Ledger};
 use crate::vote::{Keeper, Office};
 use crate::word::{Amount, Id, Term, Word};
-use mintlb_scheduler::tools::Chance;
+use mintlb_scheduler::util::Rng;
 
 pub struct Node {
     me: Id,
@@ -18,7 +18,7 @@
     /// Those who may divide, in the order of their ids, and the turn of who is asked for the divider next.
     keepers: Vec<Id>,
     turn: usize,
-    chance: Chance,
+    chance: Rng,
     holder: Holder,
     keeper: Option<Keeper>,
     office: Office,
@@ -52,11 +52,11 @@
         let keeper = keepers.contains(&me).then(|| Keeper::new(now, lease));
         // Members whose seeds are close, or the same, must not stand together again and again.
         let mut chance =
-            Chance::new(seed ^ (life ^ me.rotate_left(32)).wrapping_mul(0x9e37_79b9_7f4a_7c15));
-        (0..4).for_each(|_| _ = chance.draw());
-        let turn = (chance.draw() * keepers.len() as f64) as usize;
+            Rng::new(seed ^ (life ^ me.rotate_left(32)).wrapping_mul(0x9e37_79b9_7f4a_7c15));
+        (0..4).for_each(|_| _ = chance.uniform());
+        let turn = (chance.uniform() * keepers.len() as f64) as usize;
         // Those who start together do not ask together.
-        let asks = now + chance.draw() * lease.round();
+        let asks = now + chance.uniform() * lease.round();
         let (holder, office) = (Holder::new(now, lease), Office::default());
         let (ledger, renews, told, left) = (None, f64::INFINITY, false, false);
         let stands = now;
@@ -134,7 +134,7 @@
         if now >= self.asks {
             // Not in step with the others, whatever brought them into it.
             self.asked = now;
-            self.asks = now + self.lease.round() * (0.9 + 0.2 * self.chance.draw());
+            self.asks = now + self.lease.round() * (0.9 + 0.2 * self.chance.uniform());
             let to = self.divider(now);
             let word = self.holder.ask(now, wants);
             self.send(now, to, word, out);
@@ -232,7 +232,7 @@
         }
         let number = self.office.resign();
         (self.ledger, self.renews, self.told) = (None, f64::INFINITY, false);
-        self.stands = now + self.lease.seconds * (0.125 + 0.375 * self.chance.draw());
+        self.stands = now + self.lease.seconds * (0.125 + 0.375 * self.chance.uniform());
         for keeper in self.keepers.clone() {
             self.send(now, keeper, Word::Free { number }, out);
         }
--- a/crates/mintlb-rate-limit/tests/model.rs
+++ b/crates/mintlb-rate-limit/tests/model.rs
@@ -9,7 +9,7 @@
 use mintlb_rate_limit::node::Node;
 use mintlb_rate_limit::slip::{PLANTED, Slip};
 use mintlb_rate_limit::word::{Amount, Id, Term, Word, of};
-use mintlb_scheduler::tools::Chance;
+use mintlb_scheduler::util::Rng;
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
@@ -90,7 +90,7 @@
 
 struct World {
     now: f64,
-    chance: Chance,
+    chance: Rng,
     weather: Weather,
     lease: Lease,
     whole: Amount,
@@ -120,7 +120,7 @@
     fn new(seed: u64, n: usize, keepers: usize, whole: Amount, weather: Weather) -> World {
         let mut world = World {
             now: 0.0,
-            chance: Chance::new(seed),
+            chance: Rng::new(seed),
             weather,
             lease: Lease {
                 seconds: LEASE,
@@ -147,8 +147,8 @@
     fn start(&mut self, i: usize) {
         self.lives += 1;
         let life = self.lives;
-        let rate = 1.0 + self.weather.drift * (2.0 * self.chance.draw() - 1.0);
-        let clock = (1000.0 * self.chance.draw(), rate);
+        let rate = 1.0 + self.weather.drift * (2.0 * self.chance.uniform() - 1.0);
+        let clock = (1000.0 * self.chance.uniform(), rate);
         let keepers = (0..self.keepers).map(id).collect();
         let members = (0..self.members.len()).map(id).collect();
         let budgets = vec![Budget {
@@ -190,17 +190,17 @@
             let w = self.weather;
             // A side of 9 hears nobody, and is heard.
             let cut = self.sides[to] == 9 || self.sides[i] != 9 && self.sides[i] != self.sides[to];
-            if cut || self.chance.draw() < w.loss {
+            if cut || self.chance.uniform() < w.loss {
                 continue;
             }
-            let copies = 1 + usize::from(self.chance.draw() < w.doubled);
+            let copies = 1 + usize::from(self.chance.uniform() < w.doubled);
             for _ in 0..copies {
-                let late = if self.chance.draw() < w.old {
-                    LEASE * 4.0 * self.chance.draw()
+                let late = if self.chance.uniform() < w.old {
+                    LEASE * 4.0 * self.chance.uniform()
                 } else {
                     0.0
                 };
-                let wait = late - w.way * (1.0 - self.chance.draw()).ln();
+                let wait = late - w.way * (1.0 - self.chance.uniform()).ln();
                 self.add(
                     wait,
                     What::Word {
@@ -300,7 +300,7 @@
 
     /// A member's file gives another whole, of which it hears at once if it runs.
     fn retune(&mut self, i: usize) {
-        let share = [1.0, 0.6, 0.3][(self.chance.draw() * 3.0) as usize];
+        let share = [1.0, 0.6, 0.3][(self.chance.uniform() * 3.0) as usize];
         let part = |of: u32| (f64::from(of) * share) as u32;
         let whole = Amount {
             flow: part(self.whole.flow),
@@ -320,12 +320,12 @@
 
     fn trouble(&mut self, i: usize) {
         let w = self.weather;
-        let drawn = self.chance.draw() * (w.kills + w.stops + w.cuts + w.files);
+        let drawn = self.chance.uniform() * (w.kills + w.stops + w.cuts + w.files);
         if drawn >= w.kills + w.stops + w.cuts {
             return self.retune(i);
         }
         if drawn < self.weather.kills {
-            match self.chance.draw() < 0.7 || self.members[i].is_none() {
+            match self.chance.uniform() < 0.7 || self.members[i].is_none() {
                 // Back at once, knowing nothing.
                 true => self.start(i),
                 false => self.members[i] = None,
@@ -339,11 +339,11 @@
                 }
             }
         } else {
-            let sides = 1.0 + 2.0 * self.chance.draw();
+            let sides = 1.0 + 2.0 * self.chance.uniform();
             for side in self.sides.iter_mut() {
-                *side = (self.chance.draw() * sides) as u8;
+                *side = (self.chance.uniform() * sides) as u8;
             }
-            if self.chance.draw() < 0.3 {
+            if self.chance.uniform() < 0.3 {
                 self.sides[i] = 9;
             }
         }
@@ -354,7 +354,7 @@
         let rate = self.weather.kills + self.weather.stops + self.weather.cuts + self.weather.files;
         loop {
             let wait = if rate > 0.0 {
-                -(1.0 - self.chance.draw()).ln() / rate
+                -(1.0 - self.chance.uniform()).ln() / rate
             } else {
                 f64::INFINITY
             };
@@ -364,12 +364,12 @@
                 return;
             }
             let among = (self.members.len() - self.spared) as f64;
-            let i = self.spared + (self.chance.draw() * among) as usize;
+            let i = self.spared + (self.chance.uniform() * among) as usize;
             self.trouble(i);
-            if self.chance.draw() < 0.5 {
-                let i = (self.chance.draw() * self.members.len() as f64) as usize;
-                let want =
-                    [0, self.whole.flow / 10, self.whole.flow][(self.chance.draw() * 3.0) as usize];
+            if self.chance.uniform() < 0.5 {
+                let i = (self.chance.uniform() * self.members.len() as f64) as usize;
+                let want = [0, self.whole.flow / 10, self.whole.flow]
+                    [(self.chance.uniform() * 3.0) as usize];
                 self.members[i].iter_mut().for_each(|m| m.want = want);
             }
             self.look();
@@ -385,8 +385,8 @@
 }
 
 fn storm(seed: u64) -> World {
-    let mut chance = Chance::new(seed.wrapping_mul(0x9e37_79b9));
-    let mut draw = |least: f64, most: f64| least + (most - least) * chance.draw();
+    let mut chance = Rng::new(seed.wrapping_mul(0x9e37_79b9));
+    let mut draw = |least: f64, most: f64| least + (most - least) * chance.uniform();
     let n = draw(3.0, 12.0) as usize;
     let keepers = if n >= 5 && draw(0.0, 1.0) < 0.4 { 5 } else { 3 };
     let whole = Amount {
--- a/crates/mintlb-rate-limit/tests/parts.rs
+++ b/crates/mintlb-rate-limit/tests/parts.rs
@@ -6,7 +6,7 @@
 use mintlb_rate_limit::slip::{PLANTED, Slip};
 use mintlb_rate_limit::table::{Plan, Table};
 use mintlb_rate_limit::word::{Letter, Term, Word, id};
-use mintlb_scheduler::tools::Chance;
+use mintlb_scheduler::util::Rng;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
@@ -120,23 +120,23 @@
 /// Parts move among purses as the division lets them; whether a window of all spends holds more than the whole.
 fn breaches(seed: u64) -> bool {
     let (rate, burst, n) = (20.0, 8.0, 4);
-    let mut chance = Chance::new(seed * 977 + 1);
+    let mut chance = Rng::new(seed * 977 + 1);
     let mut purses: Vec<Purse> = (0..n).map(|_| Purse::new(0.0)).collect();
     let (mut spent, mut now) = (Vec::new(), 0.0);
     for _ in 0..400 {
-        now += 0.05 * chance.draw();
-        if chance.draw() < 0.2 {
+        now += 0.05 * chance.uniform();
+        if chance.uniform() < 0.2 {
             // Some hold all, some nothing; together the whole at the most.
-            let shares: Vec<f64> = (0..n).map(|_| chance.draw().powi(4)).collect();
+            let shares: Vec<f64> = (0..n).map(|_| chance.uniform().powi(4)).collect();
             let all = shares.iter().sum::<f64>().max(1.0);
-            let until = now + chance.draw();
+            let until = now + chance.uniform();
             for (purse, share) in purses.iter_mut().zip(shares) {
                 let (rate, burst) = (rate * share / all, burst * share / all);
                 purse.take(now, Part { rate, burst, until });
             }
         }
         for purse in &mut purses {
-            while chance.draw() < 0.7 && spend(purse, now) {
+            while chance.uniform() < 0.7 && spend(purse, now) {
                 spent.push(now);
             }
         }
@@ -252,10 +252,10 @@
 /// Whatever bytes come, reading them ends.
 #[test]
 fn noise() {
-    let mut chance = Chance::new(11);
+    let mut chance = Rng::new(11);
     for _ in 0..20_000 {
-        let n = (chance.draw() * 80.0) as usize;
-        let mut bytes: Vec<u8> = (0..n).map(|_| (chance.draw() * 256.0) as u8).collect();
+        let n = (chance.uniform() * 80.0) as usize;
+        let mut bytes: Vec<u8> = (0..n).map(|_| (chance.uniform() * 256.0) as u8).collect();
         bytes.iter_mut().take(1).for_each(|first| *first = 0x6d);
         if let Some(letter) = Letter::read(&bytes) {
             assert_eq!(
--- a/crates/mintlb-scheduler/benches/decisions.rs
+++ b/crates/mintlb-scheduler/benches/decisions.rs
@@ -3,10 +3,11 @@
 //! Each fleet is met: every worker was sent work before, so each is ranked by itself.
 
 use criterion::{BatchSize, BenchmarkId, Criterion, criterion_group, criterion_main};
-use mintlb_scheduler::decide::{Buffers, Fleet, Follow, Repeats, Scheduler, Shares};
-use mintlb_scheduler::tools::Chance;
+use mintlb_scheduler::decide::{FairShares, Fleet, ListPolling, Queues, RetryPolicy, Scheduler};
+use mintlb_scheduler::util::Rng;
 use mintlb_scheduler::{
-    Allocation, ColdRule, Costs, Door, Effect, Line, Listed, News, Outcome, ProjectType, Runs,
+    Allocation, Costs, Host, Idempotency, ListEntry, ListState, ListUpdate, Outcome, ProjectType,
+    ProjectTypeSet, SlowStart,
 };
 use mintlb_scheduler::{WorkUnit, Worker};
 use std::hint::black_box;
@@ -16,16 +17,16 @@
 #[derive(Default)]
 struct Sent(Option<(u64, u16)>);
 
-impl Door for Sent {
+impl Host for Sent {
     fn allocate(&mut self, alloc: &Allocation) {
-        self.0 = alloc.wu.upgrade().map(|wu| (wu.id, alloc.number));
+        self.0 = alloc.work_unit.upgrade().map(|wu| (wu.id, alloc.number));
     }
-    fn recall(&mut self, _: &Allocation) {}
+    fn cancel(&mut self, _: &Allocation) {}
     fn defer(&mut self, _: &WorkUnit, _: f64) {}
     fn abort(&mut self, _: &WorkUnit) {}
     fn probe(&mut self, _: &Worker) {}
-    fn follow_list(&mut self) {}
-    fn wake_in(&mut self, _: f64) {}
+    fn request_worker_list(&mut self) {}
+    fn set_timer(&mut self, _: f64) {}
     fn log(&mut self, _: &str) {}
 }
 
@@ -36,67 +37,67 @@
     next: u64,
 }
 
-fn line(id: u64, came_up: f64) -> Line {
-    let (zone, cell, kind) = ((id % 3) as u16, 0, (id % 2) as u16);
-    Line {
+fn line(id: u64, started_at: f64) -> ListEntry {
+    let (zone, cell, machine_kind) = ((id % 3) as u16, 0, (id % 2) as u16);
+    ListEntry {
         id,
         zone,
         cell,
-        kind,
-        listed: Listed::Ready,
-        came_up,
-        runs: Runs::default(),
-        fetches: false,
+        machine_kind,
+        state: ListState::Ready,
+        started_at,
+        project_types: ProjectTypeSet::default(),
+        pulls_work: false,
     }
 }
 
 impl Bench {
     /// A scheduler that has sent work to each of so many workers.
     fn new(workers: u64) -> Bench {
-        let effects = [Effect::Rerunnable, Effect::Exclusive];
-        let types = effects.map(|effect| ProjectType {
+        let effects = [Idempotency::Idempotent, Idempotency::NonIdempotent];
+        let types = effects.map(|idempotency| ProjectType {
             credit: 1.0,
             late_credit: 0.0,
             promised_turnaround: 0.4,
-            stretch: 0.0,
+            turnaround_stretch: 0.0,
             hard_limit: 3.0,
-            effect,
-            kind: None,
+            idempotency,
+            machine_kind: None,
         });
-        let cold = ColdRule {
-            from: 0.3,
-            warm_after: 9.0,
-            multiple: 3.0,
-            span: 3.0,
-            among: 1.0,
+        let cold = SlowStart {
+            initial_share: 0.3,
+            duration: 9.0,
+            overload_multiple: 3.0,
+            overload_window: 3.0,
+            scheduler_count: 1.0,
         };
         let costs = Costs {
-            crossing: 0.02,
-            message: None,
+            cross_zone: 0.02,
+            peer_message: None,
         };
         let fleet = Fleet::new(cold, 0, true, costs, &types);
-        let repeats = Repeats {
-            parallel: true,
-            may_recall: true,
-            most_allocations: 3,
+        let repeats = RetryPolicy {
+            parallel_attempts: true,
+            may_cancel: true,
+            max_allocations: 3,
         };
         let chain = (
-            Shares::new(&[]),
-            Buffers::new(types.to_vec(), 1.0, 2.0),
+            FairShares::new(&[]),
+            Queues::new(types.to_vec(), 1.0, 2.0),
             repeats,
             fleet,
         );
-        let scheduler = Scheduler::new(Chance::new(7), chain, Follow::default());
+        let scheduler = Scheduler::new(Rng::new(7), chain, ListPolling::default());
         let mut bench = Bench {
             scheduler,
             door: Sent::default(),
             now: 100.0,
             next: 0,
         };
-        let lines: Vec<Line> = (0..workers).map(|id| line(id, 0.0)).collect();
+        let lines: Vec<ListEntry> = (0..workers).map(|id| line(id, 0.0)).collect();
         bench
             .scheduler
-            .news(&mut bench.door, bench.now, News::Full(&lines));
+            .on_list_update(&mut bench.door, bench.now, ListUpdate::Full(&lines));
         // Kept until all have some, so that no worker is sent a second.
         let out: Vec<_> = (0..workers).filter_map(|_| bench.send()).collect();
         for (wu, alloc) in out {
@@ -117,17 +118,17 @@
             3.0,
         );
         self.door.0 = None;
-        self.scheduler.arrived(&mut self.door, self.now, &wu);
+        self.scheduler.on_arrival(&mut self.door, self.now, &wu);
         let alloc = self.door.0.and_then(|(_, number)| wu.allocation(number))?;
-        self.scheduler.started(&mut self.door, self.now, &alloc);
+        self.scheduler.on_start(&mut self.door, self.now, &alloc);
         Some((wu, alloc))
     }
 
     fn done(&mut self, wu: &Rc<WorkUnit>, alloc: &Rc<Allocation>) {
         self.now += 1e-5;
         self.scheduler
-            .came_back(&mut self.door, self.now, alloc, Outcome::Completed, true);
-        self.scheduler.woke(&mut self.door, self.now);
+            .on_outcome(&mut self.door, self.now, alloc, Outcome::Completed, true);
+        self.scheduler.on_timer(&mut self.door, self.now);
         black_box(wu);
     }
 }
@@ -148,20 +149,22 @@
             },
         );
         // One in a hundred has started anew.
-        let mut came_up = 1.0;
+        let mut started_at = 1.0;
         group.bench_function(BenchmarkId::new("list change of 1 %", workers), |b| {
             b.iter_batched(
                 || {
-                    came_up += 1.0;
+                    started_at += 1.0;
                     (0..workers)
                         .step_by(100)
-                        .map(|id| line(id, came_up))
+                        .map(|id| line(id, started_at))
                         .collect::<Vec<_>>()
                 },
                 |lines| {
-                    bench
-                        .scheduler
-                        .news(&mut bench.door, bench.now, News::Changes(&lines))
+                    bench.scheduler.on_list_update(
+                        &mut bench.door,
+                        bench.now,
+                        ListUpdate::Changes(&lines),
+                    )
                 },
                 BatchSize::SmallInput,
             );
--- a/crates/mintlb-scheduler/src/decide.rs
+++ b/crates/mintlb-scheduler/src/decide.rs
@@ -5,12 +5,15 @@
 //! rule: workers with room, most room first; for each the runnable buffer of highest alpha x rate x length.
 
 mod terms;
+use crate::peer_message::{self, PeerMessage};
 use crate::peers::Peers;
-use crate::roll::Roll;
-use crate::tools::{Agenda, Chance, HAIR, Mean, Starts, median};
-use crate::word::{self, Word};
-use crate::{Allocation, Buffer, ColdRule, Costs, Door, Effect, Group, Line, Listed, News};
-use crate::{Outcome, ProjectType, Report, Standing, WorkUnit, Worker};
+use crate::util::{DecayingMean, Rng, StartDelays, TIMER_TOLERANCE_S, TimerQueue, median};
+use crate::worker_index::WorkerIndex;
+use crate::{
+    Allocation, Costs, DedupScope, Host, Idempotency, ListEntry, ListState, ListUpdate, Queue,
+    SlowStart,
+};
+use crate::{LoadReport, Outcome, OutlierStatus, ProjectType, WorkUnit, Worker};
 use std::collections::BTreeMap;
 use std::rc::{Rc, Weak};
 
@@ -25,16 +28,16 @@
 
 /// Customers: work beyond a share earns `excess_credit`, and alpha knows it. A share is a customer's part of
 /// all quotas, against its part of our own work: how much of a quota is ours can't be seen.
-pub struct Shares {
+pub struct FairShares {
     parts: Vec<f64>,
     left: Vec<f64>, // What each customer may still send within its part.
 }
 
 const AHEAD: f64 = 4.0; // So many work units a customer may be ahead of its part.
-impl Shares {
-    pub fn new(quotas: &[f64]) -> Shares {
+impl FairShares {
+    pub fn new(quotas: &[f64]) -> FairShares {
         let all = quotas.iter().sum::<f64>().max(f64::MIN_POSITIVE);
-        Shares {
+        FairShares {
             parts: quotas.iter().map(|q| q / all).collect(),
             left: vec![AHEAD; quotas.len()],
         }
@@ -54,29 +57,29 @@
 }
 
 /// The buffers, first come first served: one a project type, and one beside it for work past a share.
-pub struct Buffers {
+pub struct Queues {
     types: Vec<ProjectType>,
     served: Vec<bool>, // Of these new work may be; the others are kept for work that came before.
     excess_credit: f64,
     most_come_back: f64, // How long clients heed advice on when to come back; 0 where they get none.
-    queues: Vec<Buffer>,
+    queues: Vec<Queue>,
     running: Vec<f64>, // Smoothed running time of each project type over all workers.
 }
 
 const LOOK: usize = 8; // So far into a buffer a runnable work unit is looked for: others must not block it.
 const UNHEARD: f64 = 1.0 / 16.0; // Until it is heard of, a type is taken to run for this part of its limit.
 
-impl Buffers {
-    pub fn new(types: Vec<ProjectType>, excess_credit: f64, most_come_back: f64) -> Buffers {
+impl Queues {
+    pub fn new(types: Vec<ProjectType>, excess_credit: f64, most_come_back: f64) -> Queues {
         let queues = types
             .iter()
-            .flat_map(|_| [Buffer::default(), Buffer::default()])
+            .flat_map(|_| [Queue::default(), Queue::default()])
             .collect();
         let (running, served) = (
-            types.iter().map(Buffers::unheard).collect(),
+            types.iter().map(Queues::unheard).collect(),
             vec![true; types.len()],
         );
-        Buffers {
+        Queues {
             types,
             served,
             excess_credit,
@@ -106,28 +109,28 @@
     fn hope(&self, wu: &WorkUnit) -> f64 {
         let t = &self.types[wu.project_type];
         let takes = self.running[wu.project_type].min(t.hard_limit / 4.0);
-        (wu.arrived + t.promised_turnaround).min(wu.limit - takes)
+        (wu.arrived_at + t.promised_turnaround).min(wu.deadline - takes)
     }
 
     /// How long work may be kept from its start: a promise that is stretched by the running time leaves
     /// that much more, and the part of the credit that is still earned late makes it less pressing.
     fn bearable(&self, project_type: usize) -> f64 {
         let t = &self.types[project_type];
-        let in_time =
-            t.promised_turnaround + (t.stretch - 1.0).max(0.0) * self.running[project_type];
+        let in_time = t.promised_turnaround
+            + (t.turnaround_stretch - 1.0).max(0.0) * self.running[project_type];
         in_time / (1.0 - t.late_credit).max(UNHEARD)
     }
 }
 
 /// Rule 2: what may be sent again, and where.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Repeats {
-    pub parallel: bool,
-    pub may_recall: bool,
-    pub most_allocations: usize,
+pub struct RetryPolicy {
+    pub parallel_attempts: bool,
+    pub may_cancel: bool,
+    pub max_allocations: usize,
 }
 
-impl Repeats {
+impl RetryPolicy {
     /// Whether an outcome, or none yet, leaves open that the work was done; one called off leaves it, too.
     fn may_have_run(outcome: Option<Outcome>) -> bool {
         !matches!(
@@ -137,70 +140,74 @@
     }
 
     /// May this work unit go to this worker now?
-    fn pass(&self, now: f64, effect: Effect, wu: &WorkUnit, worker: &Worker) -> bool {
+    fn pass(&self, now: f64, effect: Idempotency, wu: &WorkUnit, worker: &Worker) -> bool {
         let allocs = wu.allocs.borrow();
         let out = |a: &&Rc<Allocation>| a.outcome.get().is_none();
         let there = allocs
             .iter()
             .filter(out)
             .any(|a| std::ptr::eq(&*a.worker, worker));
-        let spent = wu.ended.get() || allocs.len() >= self.most_allocations.min(wu.most.get());
-        if spent || there || !self.parallel && allocs.iter().any(|a| out(&a)) {
+        let spent = wu.ended.get() || allocs.len() >= self.max_allocations.min(wu.most.get());
+        if spent || there || !self.parallel_attempts && allocs.iter().any(|a| out(&a)) {
             return false;
         }
         let Some(first) = allocs
             .iter()
-            .find(|a| Repeats::may_have_run(a.outcome.get()))
+            .find(|a| RetryPolicy::may_have_run(a.outcome.get()))
         else {
             return true;
         };
-        let (a, b) = (&first.worker.line, &worker.line);
+        let (a, b) = (&first.worker.entry, &worker.entry);
         match effect {
-            Effect::Rerunnable => true,
-            Effect::Exclusive => false,
-            Effect::Receipted { window, .. } if now >= first.sent + window => false,
-            Effect::Receipted {
-                group: Group::All, ..
+            Idempotency::Idempotent => true,
+            Idempotency::NonIdempotent => false,
+            Idempotency::Deduplicated { window, .. } if now >= first.sent_at + window => false,
+            Idempotency::Deduplicated {
+                scope: DedupScope::All,
+                ..
             } => true,
-            Effect::Receipted {
-                group: Group::Zone, ..
+            Idempotency::Deduplicated {
+                scope: DedupScope::Zone,
+                ..
             } => a.zone == b.zone,
-            Effect::Receipted {
-                group: Group::Cell, ..
+            Idempotency::Deduplicated {
+                scope: DedupScope::Cell,
+                ..
             } => a.zone == b.zone && a.cell == b.cell,
         }
     }
 
     /// May it be deferred, that is, is a client's repeat harmless?
-    fn harmless(&self, effect: Effect, wu: &WorkUnit) -> bool {
+    fn harmless(&self, effect: Idempotency, wu: &WorkUnit) -> bool {
         match effect {
-            Effect::Rerunnable
-            | Effect::Receipted {
-                group: Group::All, ..
+            Idempotency::Idempotent
+            | Idempotency::Deduplicated {
+                scope: DedupScope::All,
+                ..
             } => true,
             _ => !wu
                 .allocs
                 .borrow()
                 .iter()
-                .any(|a| Repeats::may_have_run(a.outcome.get())),
+                .any(|a| RetryPolicy::may_have_run(a.outcome.get())),
         }
     }
 
     /// Calls off, where permitted, all allocations still out but `kept`.
-    fn call_off(&self, door: &mut dyn Door, wu: &WorkUnit, kept: Option<&Rc<Allocation>>) {
+    fn call_off(&self, door: &mut dyn Host, wu: &WorkUnit, kept: Option<&Rc<Allocation>>) {
         let allocs = wu.allocs.borrow();
         let out = allocs
             .iter()
-            .filter(|a| self.may_recall && a.outcome.get().is_none());
+            .filter(|a| self.may_cancel && a.outcome.get().is_none());
         out.filter(|a| kept.is_none_or(|k| !Rc::ptr_eq(a, k)))
-            .for_each(|a| door.recall(a));
+            .for_each(|a| door.cancel(a));
     }
 }
 
 /// The workers: the list, room, rates, health.
 #[derive(Default)]
 pub struct Fleet {
-    cold: ColdRule,
+    cold: SlowStart,
     zone: u16,
     tells_start: bool,
     far: f64,     // What room in another zone counts.
@@ -208,12 +215,12 @@
     shares: bool,
     told: bool,   // A worker has told of free slots.
     promise: f64, // The shortest promised turnaround.
-    workers: Roll,
+    workers: WorkerIndex,
     lanes: f64, // The most seen at one worker: ours running at once, or free ones told.
-    zones: BTreeMap<u16, Starts>, // What is known of a zone, as few workers are met often.
+    zones: BTreeMap<u16, StartDelays>, // What is known of a zone, as few workers are met often.
     unstarted: Vec<Rc<Allocation>>, // Ours that have not started, all workers together.
     window: f64, // How many of those there may be.
-    failing: Mean, // The share of failures over all.
+    failing: DecayingMean, // The share of failures over all.
     trials: Vec<f64>, // By project type: how long a suspect rests; when what was last lost had been sent.
     doubts: Vec<f64>,
 }
@@ -238,7 +245,7 @@
 
 impl Fleet {
     pub fn new(
-        cold: ColdRule,
+        cold: SlowStart,
         zone: u16,
         tells_start: bool,
         costs: Costs,
@@ -261,9 +268,12 @@
 
     fn cost(&mut self, costs: Costs) {
         // Each work unit is told of twice, when it is sent and when it has ended.
-        let words = (self.cold.among - 1.0) * 2.0 * word::ENTRY as f64 / word::LONGEST as f64;
-        self.shares = costs.message.is_some_and(|points| points * words < DEAR);
-        self.far = 1.0 / (1.0 + CROSSING * costs.crossing);
+        let words = (self.cold.scheduler_count - 1.0) * 2.0 * peer_message::ENTRY_BYTES as f64
+            / peer_message::MAX_BYTES as f64;
+        self.shares = costs
+            .peer_message
+            .is_some_and(|points| points * words < DEAR);
+        self.far = 1.0 / (1.0 + CROSSING * costs.cross_zone);
         self.peers.allow(self.shares, &self.workers);
     }
 
@@ -277,7 +287,7 @@
         self.promise = promises.fold(PROMISE[1], f64::min).max(PROMISE[0]);
         self.peers.longest = types.iter().map(|t| t.hard_limit).fold(0.0, f64::max);
         // A trial that fails must not often cost work that can't be repeated.
-        let dear = |t: &ProjectType| t.effect == Effect::Exclusive;
+        let dear = |t: &ProjectType| t.idempotency == Idempotency::NonIdempotent;
         let rests = types.iter().map(|t| {
             if dear(t) {
                 t.hard_limit
@@ -290,19 +300,22 @@
 
     /// One line of the list. A worker with a new start time is a new one: old knowledge is void, and what
     /// the old process held counts no more. `debt` spreads the schedulers' first sends to a cold worker.
-    fn listed(&mut self, now: f64, line: &Line, types: usize, debt: f64, inherited: bool) {
+    fn listed(&mut self, now: f64, line: &ListEntry, types: usize, debt: f64, inherited: bool) {
         if let Some(w) = self.workers.get(line.id).cloned() {
-            let same = line.listed == Listed::Ready && w.line.came_up == line.came_up;
-            if same || line.listed == Listed::Draining {
-                return w.listed.set(line.listed);
+            let same = line.state == ListState::Ready && w.entry.started_at == line.started_at;
+            if same || line.state == ListState::Draining {
+                return w.state.set(line.state);
             }
             self.workers.strike(&w);
         }
-        if line.listed != Listed::Gone {
-            let allowance = self.workers.allowance().or(self.lanes, f64::MIN_POSITIVE);
+        if line.state != ListState::Gone {
+            let allowance = self
+                .workers
+                .allowance()
+                .with_prior(self.lanes, f64::MIN_POSITIVE);
             // What the one before this process may have saved up and sent is unknown, so it counts as sent.
             let spent = if inherited {
-                self.pace(now, line) * self.cold.span
+                self.pace(now, line) * self.cold.overload_window
             } else {
                 0.0
             };
@@ -320,16 +333,16 @@
     fn delay_at(&self, now: f64, w: &Worker, mean_run: f64) -> f64 {
         if self.shares {
             let over = (self.held(w, mean_run) + 1.0 - self.lanes).max(0.0) / self.lanes;
-            return over * mean_run * w.pace.borrow().or(1.0, PRIOR);
+            return over * mean_run * w.pace.borrow().with_prior(1.0, PRIOR);
         }
         let fades = |over: f64, since: f64| 1.0 / (1.0 + (now - since) / over);
         // The budgets keep a cold worker from being filled, so what is usual for the others is not for it.
         let zone = self
             .zones
-            .get(&w.line.zone)
-            .filter(|_| !self.cold.is_cold(now, &w.line));
+            .get(&w.entry.zone)
+            .filter(|_| !self.cold.is_cold(now, &w.entry));
         let usual = zone.map_or(0.0, |z| {
-            z.usual.or(0.0, 0.0) * fades(MEMORY * mean_run, z.heard)
+            z.mean.with_prior(0.0, 0.0) * fades(MEMORY * mean_run, z.updated_at)
         });
         let (delay, at) = w.delay.get();
         usual + (delay - usual) * fades(mean_run, at)
@@ -337,7 +350,7 @@
 
     /// Between two words of ours to the others.
     fn apart(&self) -> f64 {
-        self.promise * self.cold.among / WORDS
+        self.promise * self.cold.scheduler_count / WORDS
     }
 
     /// Our slots there, and the others' where they tell; some of what they told has ended since.
@@ -349,8 +362,8 @@
     fn room(&self, now: f64, w: &Worker, mean_run: f64) -> f64 {
         // Work of ours that has not started there says that its slots are taken, by others or for good.
         let kept = self.tells_start && w.unstarted.get() > 0;
-        let spent = self.cold.is_cold(now, &w.line) && self.budget(now, w) <= 0.0;
-        if w.listed.get() != Listed::Ready || kept || spent {
+        let spent = self.cold.is_cold(now, &w.entry) && self.budget(now, w) <= 0.0;
+        if w.state.get() != ListState::Ready || kept || spent {
             return 0.0;
         }
         // Who fetches its work has room for what it asks for, whatever else is known of it.
@@ -372,24 +385,27 @@
     /// rate that the rule allows for the least it can do now. Each send spends it, also one turned away.
     fn budget(&self, now: f64, w: &Worker) -> f64 {
         let (left, at) = w.budget.get();
-        let rate = self.pace(now, &w.line);
-        let left = (left + rate * (now - at)).min(rate * self.cold.span / 2.0);
+        let rate = self.pace(now, &w.entry);
+        let left = (left + rate * (now - at)).min(rate * self.cold.overload_window / 2.0);
         w.budget.set((left, now));
         left
     }
 
     /// What of that a second brings.
-    fn pace(&self, now: f64, line: &Line) -> f64 {
+    fn pace(&self, now: f64, line: &ListEntry) -> f64 {
         let share = self.cold.least_share(now, line);
-        self.cold.multiple * share * self.lanes / self.cold.among.max(1.0) * COLD
+        self.cold.overload_multiple * share * self.lanes / self.cold.scheduler_count.max(1.0) * COLD
     }
 
     /// Many schedulers that each leave work to wait at filled workers make long queues: the window does for
     /// the fleet what an allowance does for a worker. What is kept for long must not stop all else.
-    fn open(&self, now: f64, buffers: &Buffers) -> bool {
+    fn open(&self, now: f64, buffers: &Queues) -> bool {
         let bearable = |wu: Rc<WorkUnit>| buffers.bearable(wu.project_type);
-        let queued =
-            |a: &&Rc<Allocation>| a.wu.upgrade().is_some_and(|wu| now - a.sent < bearable(wu));
+        let queued = |a: &&Rc<Allocation>| {
+            a.work_unit
+                .upgrade()
+                .is_some_and(|wu| now - a.sent_at < bearable(wu))
+        };
         let queued = self.unstarted.iter().filter(queued).count() as f64;
         !self.tells_start || queued < self.window
     }
@@ -417,18 +433,15 @@
 
     /// A start later than this says that the worker's slots were taken.
     fn late(&self, w: &Worker) -> f64 {
-        self.zones
-            .get(&w.line.zone)
-            .map_or(0.0, |z| z.quickest * 2.0)
-            + LATE * self.promise
+        self.zones.get(&w.entry.zone).map_or(0.0, |z| z.min * 2.0) + LATE * self.promise
     }
 
     /// Exclusive work that does not start in bearable time tells of a worker, or of a connection, that
     /// swallows it. It must not keep others from there for as long as its client waits.
-    fn lose(&mut self, door: &mut dyn Door, now: f64, alloc: &Allocation, wu: &WorkUnit) {
+    fn lose(&mut self, door: &mut dyn Host, now: f64, alloc: &Allocation, wu: &WorkUnit) {
         alloc.lose(wu.slots);
         self.peers.changed(&alloc.worker, self.shares);
-        self.doubts[wu.project_type] = alloc.sent;
+        self.doubts[wu.project_type] = alloc.sent_at;
         self.unstarted.retain(|a| !std::ptr::eq(&**a, alloc));
         self.judge(door, now, &alloc.worker, wu.project_type, 1.0);
     }
@@ -436,15 +449,15 @@
     fn started(&mut self, now: f64, alloc: &Allocation, slots: f64) {
         alloc.start(now, slots);
         let w = &alloc.worker;
-        let delay = now - alloc.sent;
+        let delay = now - alloc.sent_at;
         w.heard_start(now, delay);
         if delay > self.late(w) {
             w.halve();
         }
         self.zones
-            .entry(w.line.zone)
-            .or_insert(Starts::new(delay))
-            .learn(now, delay, 1.0 - SLOWLY);
+            .entry(w.entry.zone)
+            .or_insert(StartDelays::new(delay))
+            .add(now, delay, 1.0 - SLOWLY);
         self.unstarted.retain(|a| !std::ptr::eq(&**a, alloc));
         if w.asks.get().is_none() {
             self.saw(w, w.running.get());
@@ -465,7 +478,7 @@
     /// Frees the slot, and learns: the rate from completed work, the allowance, the share of failures.
     fn back(
         &mut self,
-        door: &mut dyn Door,
+        door: &mut dyn Host,
         now: f64,
         alloc: &Allocation,
         wu: &WorkUnit,
@@ -475,7 +488,7 @@
         alloc.free(wu.slots);
         self.peers.changed(&alloc.worker, self.shares);
         if let (
-            Report {
+            LoadReport {
                 free_slots: Some(free),
             },
             _,
@@ -506,9 +519,9 @@
 
     /// Whose share of a type's failures is far over the fleet's median is a suspect, as quick failures draw
     /// work: sent single trials, apart while they fail. Where all fail now and then, one tells less.
-    fn judge(&mut self, door: &mut dyn Door, now: f64, w: &Worker, i: usize, failed: f64) {
-        let bar = SUSPECT + self.failing.or(0.0, 1.0 / SLOWLY);
-        self.failing.learn(failed, 1.0 - SLOWLY);
+    fn judge(&mut self, door: &mut dyn Host, now: f64, w: &Worker, i: usize, failed: f64) {
+        let bar = SUSPECT + self.failing.with_prior(0.0, 1.0 / SLOWLY);
+        self.failing.add(failed, 1.0 - SLOWLY);
         let mut standing = w.standing.borrow()[i];
         standing.failures += (failed - standing.failures) * FAILED;
         w.standing.borrow_mut()[i] = standing;
@@ -531,32 +544,32 @@
 
 /// Follows the list: asks at start with spread, and again after a failure with spread and growing waits.
 #[derive(Default)]
-pub struct Follow {
+pub struct ListPolling {
     pub on_request: bool,
-    pub ask_within: f64, // After one question the next follows by then, however the first ends.
-    pub failed: i32,
-    pub asked: Option<f64>, // The last question; none while one is due.
+    pub max_interval: f64, // After one question the next follows by then, however the first ends.
+    pub failures: i32,
+    pub last_request: Option<f64>, // The last question; none while one is due.
 }
 
 pub struct Scheduler {
-    chance: Chance,
-    agenda: Agenda<Due>,
-    shares: Shares,
-    buffers: Buffers,
-    repeats: Repeats,
+    chance: Rng,
+    agenda: TimerQueue<Due>,
+    shares: FairShares,
+    buffers: Queues,
+    repeats: RetryPolicy,
     fleet: Fleet,
-    follow: Follow,
+    follow: ListPolling,
     looking: bool,
     telling: bool,
 }
 
 impl Scheduler {
     pub fn new(
-        chance: Chance,
-        chain: (Shares, Buffers, Repeats, Fleet),
-        follow: Follow,
+        chance: Rng,
+        chain: (FairShares, Queues, RetryPolicy, Fleet),
+        follow: ListPolling,
     ) -> Scheduler {
-        let ((shares, buffers, repeats, fleet), agenda) = (chain, Agenda::default());
+        let ((shares, buffers, repeats, fleet), agenda) = (chain, TimerQueue::default());
         Scheduler {
             chance,
             agenda,
@@ -570,40 +583,48 @@
         }
     }
 
-    pub fn power_on(&mut self, door: &mut dyn Door, now: f64) {
-        self.follow.asked = Some(now);
+    pub fn start(&mut self, door: &mut dyn Host, now: f64) {
+        self.follow.last_request = Some(now);
         self.ask_later(now);
         self.settle(door, now);
     }
 
     /// One question at a time, however many failures are told.
     fn ask_later(&mut self, now: f64) {
-        let Some(asked) = self.follow.asked.take().filter(|_| self.follow.on_request) else {
+        let Some(asked) = self
+            .follow
+            .last_request
+            .take()
+            .filter(|_| self.follow.on_request)
+        else {
             return;
         };
         // Who starts together would call together; but all that the list has to tell counts as told soon.
-        let many =
-            (self.fleet.cold.among / MANY).max(1.0) * 2f64.powi(self.follow.failed.max(0)) / 8.0;
-        let within = self.follow.ask_within;
-        let most = if self.follow.failed < 0 {
+        let many = (self.fleet.cold.scheduler_count / MANY).max(1.0)
+            * 2f64.powi(self.follow.failures.max(0))
+            / 8.0;
+        let within = self.follow.max_interval;
+        let most = if self.follow.failures < 0 {
             within / 6.0
         } else {
             (asked + within - now).max(0.0)
         };
-        self.agenda
-            .add(now + most.min(within * many) * self.chance.draw(), Due::Ask);
+        self.agenda.add(
+            now + most.min(within * many) * self.chance.uniform(),
+            Due::Ask,
+        );
     }
 
-    pub fn news(&mut self, door: &mut dyn Door, now: f64, news: News) {
-        let Some((lines, full)) = news.lines() else {
-            (self.follow.failed == 1)
+    pub fn on_list_update(&mut self, door: &mut dyn Host, now: f64, news: ListUpdate) {
+        let Some((lines, full)) = news.entries() else {
+            (self.follow.failures == 1)
                 .then(|| door.log("the list is out of reach: the last one holds"));
             self.ask_later(now);
-            self.follow.failed += 1;
+            self.follow.failures += 1;
             return self.settle(door, now);
         };
-        let live = matches!(news, News::Full(_) | News::Changes(_)); // Only these are a sign of the list.
-        self.follow.failed = if live { -1 } else { self.follow.failed };
+        let live = matches!(news, ListUpdate::Full(_) | ListUpdate::Changes(_)); // Only these are a sign of the list.
+        self.follow.failures = if live { -1 } else { self.follow.failures };
         let gone = if full {
             self.fleet.workers.missing(lines)
         } else {
@@ -613,13 +634,13 @@
             self.fleet.forget();
         }
         for line in gone.iter().chain(lines) {
-            let debt = self.chance.draw() * self.buffers.mean_run();
+            let debt = self.chance.uniform() * self.buffers.mean_run();
             self.fleet.listed(
                 now,
                 line,
                 self.buffers.types.len(),
                 debt,
-                matches!(news, News::Inherited(_)),
+                matches!(news, ListUpdate::Inherited(_)),
             );
         }
         // What was seen of the room of those that are gone may not hold for those that are left.
@@ -636,28 +657,28 @@
         self.settle(door, now);
     }
 
-    pub fn arrived(&mut self, door: &mut dyn Door, now: f64, wu: &Rc<WorkUnit>) {
+    pub fn on_arrival(&mut self, door: &mut dyn Host, now: f64, wu: &Rc<WorkUnit>) {
         self.shares.pass(wu);
-        wu.most.set(self.repeats.most_allocations);
+        wu.most.set(self.repeats.max_allocations);
         // A worker that was never sent anything is one of many to draw from: work that is for it must find it.
-        if let Some(preferred) = door.preferred(wu) {
+        if let Some(preferred) = door.preferred_worker(wu) {
             self.fleet.workers.meet_by_id(preferred);
         }
         self.buffers.of(wu).put(wu, false);
-        self.agenda.add(wu.limit, Due::Limit(Rc::downgrade(wu)));
+        self.agenda.add(wu.deadline, Due::Limit(Rc::downgrade(wu)));
         self.agenda
             .add(self.buffers.hope(wu), Due::Patience(Rc::downgrade(wu)));
         self.settle(door, now);
     }
 
     /// A job has started. Of allocations side by side the first to start is kept.
-    pub fn started(&mut self, door: &mut dyn Door, now: f64, alloc: &Rc<Allocation>) {
+    pub fn on_start(&mut self, door: &mut dyn Host, now: f64, alloc: &Rc<Allocation>) {
         // A note that comes again, or after the outcome, tells nothing of what was sent since.
         let news = alloc.outcome.get().is_none() && alloc.started.get().is_none();
-        if let Some(wu) = alloc.wu.upgrade().filter(|_| news) {
+        if let Some(wu) = alloc.work_unit.upgrade().filter(|_| news) {
             alloc.worker.standing.borrow_mut()[wu.project_type].started = now;
             self.fleet.started(now, alloc, wu.slots);
-            let late = now - alloc.sent > self.buffers.bearable(wu.project_type);
+            let late = now - alloc.sent_at > self.buffers.bearable(wu.project_type);
             self.fleet
                 .steer(late, 1.0 - self.buffers.types[wu.project_type].late_credit);
             self.buffers.of(&wu).take_out(&wu);
@@ -674,15 +695,19 @@
         self.settle(door, now);
     }
 
-    pub fn came_back(
+    pub fn on_outcome(
         &mut self,
-        door: &mut dyn Door,
+        door: &mut dyn Host,
         now: f64,
         alloc: &Rc<Allocation>,
         outcome: Outcome,
         ended: bool,
     ) {
-        let Some(wu) = alloc.wu.upgrade().filter(|_| alloc.outcome.get().is_none()) else {
+        let Some(wu) = alloc
+            .work_unit
+            .upgrade()
+            .filter(|_| alloc.outcome.get().is_none())
+        else {
             return;
         };
         alloc.outcome.set(Some(outcome));
@@ -691,12 +716,12 @@
             let ran = alloc.ran(now);
             let usual = &mut self.buffers.running[wu.project_type];
             *usual += (ran - *usual) * SLOWLY;
-            alloc.worker.heard.borrow_mut()[wu.project_type].learn(ran, 1.0 - 1.0 / MEMORY);
+            alloc.worker.heard.borrow_mut()[wu.project_type].add(ran, 1.0 - 1.0 / MEMORY);
             alloc
                 .worker
                 .pace
                 .borrow_mut()
-                .learn(ran / *usual, 1.0 - SLOWLY);
+                .add(ran / *usual, 1.0 - SLOWLY);
             alloc.worker.heard_at.set(now);
         }
         if ended {
@@ -709,8 +734,8 @@
     }
 
     /// What becomes of a work unit that has come back undone: first in its buffer, or its final answer.
-    fn again(&mut self, door: &mut dyn Door, now: f64, wu: &Rc<WorkUnit>, outcome: Outcome) {
-        let effect = self.buffers.types[wu.project_type].effect;
+    fn again(&mut self, door: &mut dyn Host, now: f64, wu: &Rc<WorkUnit>, outcome: Outcome) {
+        let effect = self.buffers.types[wu.project_type].idempotency;
         let over = outcome == Outcome::Moot || now >= self.buffers.hope(wu);
         if over
             || !self
@@ -726,11 +751,11 @@
     }
 
     /// The final answer for work that waits or has come back, given at once.
-    pub fn give_up(&mut self, door: &mut dyn Door, now: f64, wu: &Rc<WorkUnit>) {
+    pub fn give_up(&mut self, door: &mut dyn Host, now: f64, wu: &Rc<WorkUnit>) {
         if self
             .repeats
-            .harmless(self.buffers.types[wu.project_type].effect, wu)
-            && now < wu.limit
+            .harmless(self.buffers.types[wu.project_type].idempotency, wu)
+            && now < wu.deadline
         {
             let promise = self.buffers.types[wu.project_type].promised_turnaround;
             door.defer(wu, (promise / 2.0).min(self.buffers.most_come_back));
@@ -741,7 +766,7 @@
     }
 
     /// Nothing more is sent for it; what is still out is called off.
-    fn close(&mut self, door: &mut dyn Door, wu: &Rc<WorkUnit>) {
+    fn close(&mut self, door: &mut dyn Host, wu: &Rc<WorkUnit>) {
         self.buffers.of(wu).take_out(wu);
         if !wu.ended.replace(true) {
             self.repeats.call_off(door, wu, None);
@@ -749,9 +774,9 @@
     }
 
     /// Another scheduler has told something. Work that waits is looked at again soon, not at each word.
-    pub fn told(&mut self, now: f64, from: usize, bytes: &[u8]) {
-        let ours = self.fleet.shares && (from as f64) < self.fleet.cold.among;
-        if let Some(word) = Word::read(now, bytes).filter(|_| ours) {
+    pub fn on_peer_message(&mut self, now: f64, from: usize, bytes: &[u8]) {
+        let ours = self.fleet.shares && (from as f64) < self.fleet.cold.scheduler_count;
+        if let Some(word) = PeerMessage::decode(now, bytes).filter(|_| ours) {
             self.fleet
                 .peers
                 .hear(now, from, &word, &mut self.fleet.workers);
@@ -759,13 +784,13 @@
     }
 
     /// The client has left, or was answered by the front itself.
-    pub fn left(&mut self, door: &mut dyn Door, now: f64, wu: &Rc<WorkUnit>) {
+    pub fn on_client_gone(&mut self, door: &mut dyn Host, now: f64, wu: &Rc<WorkUnit>) {
         self.close(door, wu);
         self.settle(door, now);
     }
 
-    pub fn woke(&mut self, door: &mut dyn Door, now: f64) {
-        while let Some(due) = self.agenda.next(now) {
+    pub fn on_timer(&mut self, door: &mut dyn Host, now: f64) {
+        while let Some(due) = self.agenda.pop_due(now) {
             match due {
                 Due::Limit(wu) => match wu.upgrade() {
                     Some(wu) if !wu.ended.get() => self.give_up(door, now, &wu),
@@ -777,8 +802,8 @@
                     .for_each(|wu| self.out_of_patience(door, now, wu)),
                 Due::Start(alloc) => self.unstarted(door, now, alloc),
                 Due::Ask => {
-                    self.follow.asked = Some(now);
-                    door.follow_list();
+                    self.follow.last_request = Some(now);
+                    door.request_worker_list();
                 }
                 Due::Round => self.looking = false,
                 Due::Tell => {
@@ -787,7 +812,7 @@
                         .peers
                         .word(now)
                         .iter()
-                        .for_each(|word| door.tell(&word.write()));
+                        .for_each(|word| door.broadcast(&word.encode()));
                 }
             }
         }
@@ -796,7 +821,7 @@
 
     /// Waiting work is given up. Work that has not started while it can earn its credit leaves the workers'
     /// queues where a repeat is harmless: left by hundreds of schedulers it makes all behind it late, too.
-    fn out_of_patience(&mut self, door: &mut dyn Door, now: f64, wu: &Rc<WorkUnit>) {
+    fn out_of_patience(&mut self, door: &mut dyn Host, now: f64, wu: &Rc<WorkUnit>) {
         let (t, bears) = (
             &self.buffers.types[wu.project_type],
             self.buffers.bearable(wu.project_type),
@@ -804,17 +829,17 @@
         if wu.waiting.get() && !wu.is_out() {
             return self.give_up(door, now, wu);
         }
-        let goes = self.repeats.may_recall && self.fleet.tells_start && t.late_credit == 0.0;
+        let goes = self.repeats.may_cancel && self.fleet.tells_start && t.late_credit == 0.0;
         let runs = wu
             .allocs
             .borrow()
             .iter()
             .any(|a| a.outcome.get().is_none() && a.started.get().is_some());
         if goes && !runs && !wu.ended.get() {
-            if now < wu.arrived + bears - HAIR {
+            if now < wu.arrived_at + bears - TIMER_TOLERANCE_S {
                 self.agenda
-                    .add(wu.arrived + bears, Due::Patience(Rc::downgrade(wu)));
-            } else if self.repeats.harmless(t.effect, wu) {
+                    .add(wu.arrived_at + bears, Due::Patience(Rc::downgrade(wu)));
+            } else if self.repeats.harmless(t.idempotency, wu) {
                 return self.give_up(door, now, wu);
             }
         }
@@ -823,23 +848,23 @@
 
     /// Work kept waiting at a worker that others have filled, or that has gone silent, is taken for lost if
     /// exclusive, else buffered for a second allocation, if the time left exceeds what that takes.
-    fn unstarted(&mut self, door: &mut dyn Door, now: f64, alloc: Weak<Allocation>) {
+    fn unstarted(&mut self, door: &mut dyn Host, now: f64, alloc: Weak<Allocation>) {
         let kept = alloc
             .upgrade()
             .filter(|a| a.started.get().is_none() && a.outcome.get().is_none());
-        let Some((alloc, wu)) = kept.and_then(|a| Some((a.clone(), a.wu.upgrade()?))) else {
+        let Some((alloc, wu)) = kept.and_then(|a| Some((a.clone(), a.work_unit.upgrade()?))) else {
             return;
         };
         let (i, open) = (wu.project_type, !wu.ended.get() && !wu.waiting.get());
-        if self.buffers.types[i].effect == Effect::Exclusive {
+        if self.buffers.types[i].idempotency == Idempotency::NonIdempotent {
             self.fleet.lose(door, now, &alloc, &wu);
-        } else if open && !self.fleet.told && now + self.buffers.running[i] < wu.limit {
+        } else if open && !self.fleet.told && now + self.buffers.running[i] < wu.deadline {
             self.buffers.of(&wu).put(&wu, true);
         }
     }
 
     /// After each arrival and outcome: the rule, then the one timer.
-    fn settle(&mut self, door: &mut dyn Door, now: f64) {
+    fn settle(&mut self, door: &mut dyn Host, now: f64) {
         if self.buffers.any() {
             self.press(door, now);
             if self.buffers.any() && !self.looking {
@@ -862,7 +887,7 @@
 
     /// The rule. Workers with room, most room first, where room counts for what it can do: over the time to
     /// start and run there. Each gets one work unit at a time, from the runnable buffer of highest pressure.
-    fn press(&mut self, door: &mut dyn Door, now: f64) {
+    fn press(&mut self, door: &mut dyn Host, now: f64) {
         let mean_run = self.buffers.mean_run();
         let workers = self.fleet.workers.drawn(&mut self.chance, |w| {
             self.fleet.room(now, w, mean_run) > 0.0
@@ -873,24 +898,24 @@
             let mut room = self.fleet.room(now, w, mean_run);
             if self.fleet.shares {
                 // All see the same: the emptiest and fastest worker would get the work of all.
-                room = room.min(1.0) * (1.0 + SPREAD * (2.0 * self.chance.draw() - 1.0));
+                room = room.min(1.0) * (1.0 + SPREAD * (2.0 * self.chance.uniform() - 1.0));
             }
-            room *= if w.line.zone == self.fleet.zone {
+            room *= if w.entry.zone == self.fleet.zone {
                 1.0
             } else {
                 self.fleet.far
             };
-            if room > 0.0 && (open || self.fleet.cold.is_cold(now, &w.line)) {
-                let takes = w.pace.borrow().or(1.0, PRIOR) * mean_run;
+            if room > 0.0 && (open || self.fleet.cold.is_cold(now, &w.entry)) {
+                let takes = w.pace.borrow().with_prior(1.0, PRIOR) * mean_run;
                 let speed = room / (self.fleet.delay_at(now, w, mean_run) + takes);
-                ready.push((speed.to_bits(), self.chance.draw().to_bits(), i));
+                ready.push((speed.to_bits(), self.chance.uniform().to_bits(), i));
             }
         }
         ready.sort_unstable_by(|a, b| b.cmp(a));
         for proven in [true, false] {
             ready.retain(|&(_, _, i)| {
                 let may =
-                    self.buffers.any() && (open || self.fleet.cold.is_cold(now, &workers[i].line));
+                    self.buffers.any() && (open || self.fleet.cold.is_cold(now, &workers[i].entry));
                 let sent = may && self.offer(door, now, &workers[i], proven);
                 open &= !sent || self.fleet.open(now, &self.buffers);
                 !sent
@@ -898,7 +923,7 @@
         }
     }
 
-    fn offer(&mut self, door: &mut dyn Door, now: f64, w: &Rc<Worker>, proven: bool) -> bool {
+    fn offer(&mut self, door: &mut dyn Host, now: f64, w: &Rc<Worker>, proven: bool) -> bool {
         let Some(wu) = self.pick(door, now, w, proven) else {
             return false;
         };
@@ -908,8 +933,8 @@
         self.fleet.send(now, &alloc, &wu, self.buffers.running[i]);
         door.allocate(&alloc);
         // Work that may repeat is moved away, so only such that may not can hold up a worker for good.
-        if self.repeats.parallel && self.repeats.may_recall && self.fleet.tells_start {
-            let exclusive = self.buffers.types[i].effect == Effect::Exclusive;
+        if self.repeats.parallel_attempts && self.repeats.may_cancel && self.fleet.tells_start {
+            let exclusive = self.buffers.types[i].idempotency == Idempotency::NonIdempotent;
             let within = if exclusive {
                 self.buffers.bearable(i)
             } else {
@@ -922,7 +947,7 @@
     }
 
     /// The work unit of the runnable buffer with the highest alpha x rate x length for this worker.
-    fn pick(&self, door: &dyn Door, now: f64, w: &Worker, proven: bool) -> Option<Rc<WorkUnit>> {
+    fn pick(&self, door: &dyn Host, now: f64, w: &Worker, proven: bool) -> Option<Rc<WorkUnit>> {
         let mean_run = self.buffers.mean_run();
         let free = if w.asks.get().is_some() {
             f64::MAX
@@ -943,24 +968,25 @@
         {
             let t = &self.buffers.types[i / 2];
             // The rate is the inverse of the smoothed running time, unheard at the mean.
-            let usual = self.buffers.running[i / 2] * w.pace.borrow().or(1.0, PRIOR);
+            let usual = self.buffers.running[i / 2] * w.pace.borrow().with_prior(1.0, PRIOR);
             let takes = w.heard.borrow()[i / 2]
-                .or(usual, PRIOR)
+                .with_prior(usual, PRIOR)
                 .max(f64::MIN_POSITIVE);
             let pressure = self.buffers.alpha(i) * queue.len() as f64 / takes;
-            let unfit = !w.line.runs.has(i / 2) || t.kind.is_some_and(|k| k != w.line.kind);
+            let unfit = !w.entry.project_types.contains(i / 2)
+                || t.machine_kind.is_some_and(|k| k != w.entry.machine_kind);
             // No work goes where its start or the pace heard there, which fades, make it late.
             let run = self.buffers.running[i / 2];
-            let bears = t.promised_turnaround + (t.stretch - 1.0).max(0.0) * run / 2.0;
+            let bears = t.promised_turnaround + (t.turnaround_stretch - 1.0).max(0.0) * run / 2.0;
             let fade = 1.0 + (now - w.heard_at.get()) / mean_run;
             let outlasts = delay + ((takes - run) / fade).max(0.0) > bears;
-            let Standing {
+            let OutlierStatus {
                 suspect,
                 next_trial,
                 started,
                 ..
             } = standing[i / 2];
-            let exclusive = t.effect == Effect::Exclusive;
+            let exclusive = t.idempotency == Idempotency::NonIdempotent;
             // Exclusive work keeps from where others fail; after a loss it goes to where some has started.
             let served = |j: usize| j != i / 2 && self.buffers.served[j];
             let spared = exclusive && (0..).zip(&*standing).any(|(j, s)| s.suspect && served(j));
@@ -970,7 +996,7 @@
             let first = suspect || proven != unproven;
             if first && !not_here && best.is_none_or(|b| pressure > b.0) {
                 let runnable =
-                    |wu: &&Rc<WorkUnit>| fits(wu) && self.repeats.pass(now, t.effect, wu, w);
+                    |wu: &&Rc<WorkUnit>| fits(wu) && self.repeats.pass(now, t.idempotency, wu, w);
                 best = queue
                     .first(LOOK, may)
                     .find(runnable)
--- a/crates/mintlb-scheduler/src/decide/terms.rs
+++ b/crates/mintlb-scheduler/src/decide/terms.rs
@@ -1,16 +1,16 @@
 //! What is kept by a project type's number, as types come, change and go; and what is told of the fleet. Nothing is
 //! decided here.
 
-use super::{Buffers, Fleet, Repeats, Scheduler};
-use crate::{Buffer, Costs, Numbered, Standing, WorkUnit, Worker};
+use super::{Fleet, Queues, RetryPolicy, Scheduler};
+use crate::{Costs, OutlierStatus, ProjectTypeUpdate, Queue, WorkUnit, Worker};
 use std::rc::Rc;
 
-impl Buffers {
+impl Queues {
     pub(super) fn any(&self) -> bool {
         self.queues.iter().any(|q| q.len() > 0)
     }
 
-    pub(super) fn of(&mut self, wu: &WorkUnit) -> &mut Buffer {
+    pub(super) fn of(&mut self, wu: &WorkUnit) -> &mut Queue {
         &mut self.queues[2 * wu.project_type + wu.excess.get() as usize]
     }
 
@@ -28,19 +28,19 @@
     /// No work is of the one that had this number before, if one had.
     fn take(
         &mut self,
-        Numbered {
+        ProjectTypeUpdate {
             number,
-            continues,
+            predecessor,
             project_type,
-        }: &Numbered,
+        }: &ProjectTypeUpdate,
     ) {
         let running =
-            continues.map_or_else(|| Buffers::unheard(project_type), |old| self.running[old]);
+            predecessor.map_or_else(|| Queues::unheard(project_type), |old| self.running[old]);
         if *number == self.types.len() {
             self.types.push(project_type.clone());
             self.served.push(true);
             self.running.push(running);
-            self.queues.extend([Buffer::default(), Buffer::default()]);
+            self.queues.extend([Queue::default(), Queue::default()]);
         }
         (self.running[*number], self.served[*number]) = (running, true);
         self.types[*number] = project_type.clone();
@@ -50,16 +50,18 @@
 impl Fleet {
     fn take(
         &mut self,
-        Numbered {
-            number, continues, ..
-        }: &Numbered,
+        ProjectTypeUpdate {
+            number,
+            predecessor,
+            ..
+        }: &ProjectTypeUpdate,
     ) {
-        let doubt = continues.map_or(f64::MIN, |old| self.doubts[old]);
+        let doubt = predecessor.map_or(f64::MIN, |old| self.doubts[old]);
         self.doubts.resize(self.doubts.len().max(number + 1), doubt);
         self.doubts[*number] = doubt;
         self.workers
             .all()
-            .for_each(|w| w.take_type(*number, *continues));
+            .for_each(|w| w.take_type(*number, *predecessor));
     }
 }
 
@@ -69,8 +71,8 @@
     }
 
     /// How many workers are listed, and how many of them are suspects for some project type.
-    pub fn cluster(&self) -> (usize, usize) {
-        let serves = |(j, s): (usize, &Standing)| s.suspect && self.buffers.served[j];
+    pub fn worker_counts(&self) -> (usize, usize) {
+        let serves = |(j, s): (usize, &OutlierStatus)| s.suspect && self.buffers.served[j];
         let avoided = |w: &&Rc<Worker>| (0..).zip(&*w.standing.borrow()).any(serves);
         (
             self.fleet.workers.all().count(),
@@ -79,10 +81,10 @@
     }
 
     /// New work is of these project types from now on, and of no others; what came before keeps its own.
-    pub fn retune(
+    pub fn reconfigure(
         &mut self,
-        types: &[Numbered],
-        repeats: Repeats,
+        types: &[ProjectTypeUpdate],
+        repeats: RetryPolicy,
         credit: (f64, f64),
         costs: Costs,
     ) {
--- a/crates/mintlb-scheduler/src/lib.rs
+++ b/crates/mintlb-scheduler/src/lib.rs
@@ -5,30 +5,30 @@
 //! Times are seconds with fractions; `id` fields belong to the front.
 
 pub mod decide;
+pub mod peer_message;
 pub mod peers;
-pub mod roll;
 pub mod settings;
-pub mod tools;
-pub mod word;
+pub mod util;
+pub mod worker_index;
 
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
 use std::rc::{Rc, Weak};
-use tools::Mean;
+use util::DecayingMean;
 
 /// Which workers drop a repeat of a receipted work unit.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Group {
+pub enum DedupScope {
     All,
     Zone,
     Cell,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Effect {
-    Rerunnable,
-    Receipted { group: Group, window: f64 },
-    Exclusive,
+pub enum Idempotency {
+    Idempotent,
+    Deduplicated { scope: DedupScope, window: f64 },
+    NonIdempotent,
 }
 
 #[derive(Clone, Debug, PartialEq)]
@@ -38,18 +38,18 @@
     pub late_credit: f64,
     pub promised_turnaround: f64,
     /// The promise is longer by this many times the work's own running time.
-    pub stretch: f64,
+    pub turnaround_stretch: f64,
     pub hard_limit: f64,
-    pub effect: Effect,
+    pub idempotency: Idempotency,
     /// The only kind of machine that runs it, if there is one.
-    pub kind: Option<u16>,
+    pub machine_kind: Option<u16>,
 }
 
 /// A project type, its number from now on, and the number of the one that it continues with other terms: what was
 /// learned of that one holds for it, too.
-pub struct Numbered {
+pub struct ProjectTypeUpdate {
     pub number: usize,
-    pub continues: Option<usize>,
+    pub predecessor: Option<usize>,
     pub project_type: ProjectType,
 }
 
@@ -68,12 +68,12 @@
 
 /// What a worker said of its load; an absent value is `None`.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Report {
+pub struct LoadReport {
     pub free_slots: Option<f64>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Listed {
+pub enum ListState {
     Ready,
     Draining,
     Gone,
@@ -81,19 +81,19 @@
 
 /// The project types that a worker runs, of the first 64.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Runs(u64);
+pub struct ProjectTypeSet(u64);
 
-impl Default for Runs {
+impl Default for ProjectTypeSet {
     /// All of them.
-    fn default() -> Runs {
-        Runs(u64::MAX)
+    fn default() -> ProjectTypeSet {
+        ProjectTypeSet(u64::MAX)
     }
 }
 
-impl Runs {
-    pub const NONE: Runs = Runs(0);
+impl ProjectTypeSet {
+    pub const EMPTY: ProjectTypeSet = ProjectTypeSet(0);
 
-    pub fn has(self, project_type: usize) -> bool {
+    pub fn contains(self, project_type: usize) -> bool {
         self.0 == u64::MAX
             || self
                 .0
@@ -101,17 +101,17 @@
                 .is_some_and(|bits| bits & 1 == 1)
     }
 
-    pub fn without(self, other: Runs) -> Runs {
-        Runs(self.0 & !other.0)
+    pub fn difference(self, other: ProjectTypeSet) -> ProjectTypeSet {
+        ProjectTypeSet(self.0 & !other.0)
     }
 
-    pub fn is_none(self) -> bool {
+    pub fn is_empty(self) -> bool {
         self.0 == 0
     }
 }
 
 /// The types by their numbers.
-impl std::fmt::Display for Runs {
+impl std::fmt::Display for ProjectTypeSet {
     fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
         let types: Vec<String> = (0..64)
             .filter(|t| self.0 >> t & 1 == 1)
@@ -121,9 +121,9 @@
     }
 }
 
-impl FromIterator<usize> for Runs {
-    fn from_iter<I: IntoIterator<Item = usize>>(types: I) -> Runs {
-        Runs(
+impl FromIterator<usize> for ProjectTypeSet {
+    fn from_iter<I: IntoIterator<Item = usize>>(types: I) -> ProjectTypeSet {
+        ProjectTypeSet(
             types
                 .into_iter()
                 .filter(|t| *t < 64)
@@ -134,46 +134,46 @@
 
 /// One line of the list of workers.
 #[derive(Clone, Debug)]
-pub struct Line {
+pub struct ListEntry {
     pub id: u64,
     pub zone: u16,
     pub cell: u64,
-    pub kind: u16,
-    pub listed: Listed,
+    pub machine_kind: u16,
+    pub state: ListState,
     /// When the process last started; 0 is long ago.
-    pub came_up: f64,
-    pub runs: Runs,
+    pub started_at: f64,
+    pub project_types: ProjectTypeSet,
     /// It fetches its work: it has room for what it asks for, and for nothing else.
-    pub fetches: bool,
+    pub pulls_work: bool,
 }
 
-impl Line {
+impl ListEntry {
     /// The id and the start scattered evenly, the same everywhere: a process is another after each start.
-    pub fn key(&self) -> u16 {
-        ((self.id ^ self.came_up.to_bits()).wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 48) as u16
+    pub fn peer_key(&self) -> u16 {
+        ((self.id ^ self.started_at.to_bits()).wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 48) as u16
     }
 }
 
 /// The figures of the rule on cold workers.
 #[derive(Clone, Copy, Default)]
-pub struct ColdRule {
-    pub from: f64,
-    pub warm_after: f64,
-    pub multiple: f64,
-    pub span: f64,
+pub struct SlowStart {
+    pub initial_share: f64,
+    pub duration: f64,
+    pub overload_multiple: f64,
+    pub overload_window: f64,
     /// How many schedulers there are to keep it together.
-    pub among: f64,
+    pub scheduler_count: f64,
 }
 
-impl ColdRule {
-    pub(crate) fn is_cold(&self, now: f64, line: &Line) -> bool {
-        line.came_up > 0.0 && now < line.came_up + self.warm_after
+impl SlowStart {
+    pub(crate) fn is_cold(&self, now: f64, entry: &ListEntry) -> bool {
+        entry.started_at > 0.0 && now < entry.started_at + self.duration
     }
 
     /// The least part of its capacity that it has now.
-    pub(crate) fn least_share(&self, now: f64, line: &Line) -> f64 {
-        let age = ((now - line.came_up) / self.warm_after).clamp(0.0, 1.0);
-        self.from + (1.0 - self.from) * age
+    pub(crate) fn least_share(&self, now: f64, entry: &ListEntry) -> f64 {
+        let age = ((now - entry.started_at) / self.duration).clamp(0.0, 1.0);
+        self.initial_share + (1.0 - self.initial_share) * age
     }
 }
 
@@ -181,32 +181,34 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Costs {
     /// For each allocation that crosses zones.
-    pub crossing: f64,
+    pub cross_zone: f64,
     /// For each full message a work unit, where schedulers may tell one another anything.
-    pub message: Option<f64>,
+    pub peer_message: Option<f64>,
 }
 
 /// What the list service had to say.
-pub enum News<'a> {
-    Changes(&'a [Line]),
+pub enum ListUpdate<'a> {
+    Changes(&'a [ListEntry]),
     /// The full list: a worker that is not in it is gone.
-    Full(&'a [Line]),
+    Full(&'a [ListEntry]),
     /// The full list as last had, before this start; it may be old.
-    Cached(&'a [Line]),
+    Cached(&'a [ListEntry]),
     /// The same, of a process that takes over from one that still sends.
-    Inherited(&'a [Line]),
+    Inherited(&'a [ListEntry]),
     /// Changes of workers that the list service does not name.
-    Callers(&'a [Line]),
+    SelfRegistered(&'a [ListEntry]),
     Failed,
 }
 
-impl<'a> News<'a> {
+impl<'a> ListUpdate<'a> {
     /// The lines, and whether they are all that there are.
-    pub(crate) fn lines(&self) -> Option<(&'a [Line], bool)> {
+    pub(crate) fn entries(&self) -> Option<(&'a [ListEntry], bool)> {
         match *self {
-            News::Failed => None,
-            News::Callers(lines) | News::Changes(lines) => Some((lines, false)),
-            News::Full(lines) | News::Cached(lines) | News::Inherited(lines) => Some((lines, true)),
+            ListUpdate::Failed => None,
+            ListUpdate::SelfRegistered(lines) | ListUpdate::Changes(lines) => Some((lines, false)),
+            ListUpdate::Full(lines) | ListUpdate::Cached(lines) | ListUpdate::Inherited(lines) => {
+                Some((lines, true))
+            }
         }
     }
 }
@@ -214,7 +216,7 @@
 /// How a worker does with a project type: its smoothed share of failures, whether that makes it a suspect,
 /// when it may be tried next, and when work of the type last started there.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Standing {
+pub struct OutlierStatus {
     pub(crate) failures: f64,
     pub(crate) suspect: bool,
     pub(crate) next_trial: f64,
@@ -224,8 +226,8 @@
 /// A process on a machine; one that starts again is another `Worker`.
 #[derive(Debug)]
 pub struct Worker {
-    pub line: Line,
-    pub(crate) listed: Cell<Listed>,
+    pub entry: ListEntry,
+    pub(crate) state: Cell<ListState>,
     /// Our allocations there that have no outcome yet, those of them not told to have started, and slots.
     pub(crate) out: Cell<usize>,
     pub(crate) unstarted: Cell<usize>,
@@ -234,12 +236,12 @@
     pub(crate) running: Cell<f64>,
     pub(crate) allowance: Cell<f64>,
     /// Smoothed running time and its weight, for each project type.
-    pub(crate) heard: RefCell<Vec<Mean>>,
+    pub(crate) heard: RefCell<Vec<DecayingMean>>,
     /// How many times the usual it takes for the same work.
-    pub(crate) pace: RefCell<Mean>,
+    pub(crate) pace: RefCell<DecayingMean>,
     /// Smoothed time from sending to starting, and when it was last heard.
     pub(crate) delay: Cell<(f64, f64)>,
-    pub(crate) standing: RefCell<Vec<Standing>>,
+    pub(crate) standing: RefCell<Vec<OutlierStatus>>,
     /// When its pace was last heard.
     pub(crate) heard_at: Cell<f64>,
     /// It was sent something, or others told of it.
@@ -252,7 +254,7 @@
     pub(crate) noted: Cell<bool>,
     /// Budget for a cold worker, and when it was last topped up.
     pub(crate) budget: Cell<(f64, f64)>,
-    pub(crate) report: Cell<(Report, f64)>,
+    pub(crate) report: Cell<(LoadReport, f64)>,
     /// Our slots sent since the last report.
     pub(crate) sent_since: Cell<f64>,
     /// One that fetches its work: how many work units it asks for beyond those it was sent.
@@ -263,9 +265,9 @@
 
 /// A buffer, first come first served.
 #[derive(Debug, Default)]
-pub struct Buffer(VecDeque<Rc<WorkUnit>>);
+pub struct Queue(VecDeque<Rc<WorkUnit>>);
 
-impl Buffer {
+impl Queue {
     pub(crate) fn put(&mut self, wu: &Rc<WorkUnit>, first: bool) {
         wu.waiting.set(true);
         if first {
@@ -304,9 +306,9 @@
     pub project_type: usize,
     pub customer: Option<usize>,
     pub slots: f64,
-    pub arrived: f64,
+    pub arrived_at: f64,
     /// When this try's client gives up.
-    pub limit: f64,
+    pub deadline: f64,
     /// How many allocations it may have, as it was when it came.
     pub(crate) most: Cell<usize>,
     pub(crate) excess: Cell<bool>,
@@ -317,10 +319,10 @@
 
 #[derive(Debug)]
 pub struct Allocation {
-    pub wu: Weak<WorkUnit>,
+    pub work_unit: Weak<WorkUnit>,
     pub worker: Rc<Worker>,
     pub number: u16,
-    pub sent: f64,
+    pub sent_at: f64,
     pub(crate) started: Cell<Option<f64>>,
     /// Its slot at the worker is counted no more, as no start was told for too long.
     pub(crate) lost: Cell<bool>,
@@ -333,7 +335,7 @@
         project_type: usize,
         customer: Option<usize>,
         slots: f64,
-        arrived: f64,
+        arrived_at: f64,
         time_budget: f64,
     ) -> Rc<WorkUnit> {
         Rc::new(WorkUnit {
@@ -345,8 +347,8 @@
             } else {
                 1.0
             },
-            arrived,
-            limit: arrived + time_budget,
+            arrived_at,
+            deadline: arrived_at + time_budget,
             most: Cell::new(usize::MAX),
             excess: Cell::new(false),
             ended: Cell::new(false),
@@ -360,7 +362,7 @@
     }
 
     /// Whether it had an allocation before.
-    pub fn is_again(&self) -> bool {
+    pub fn is_retry(&self) -> bool {
         !self.allocs.borrow().is_empty()
     }
 
@@ -378,7 +380,7 @@
     }
 
     /// Ended, with no outcome outstanding: the front may forget it.
-    pub fn is_over(&self) -> bool {
+    pub fn is_settled(&self) -> bool {
         self.ended.get() && !self.is_out()
     }
 }
@@ -407,15 +409,15 @@
 
     /// How long it has run, from its start where that was told.
     pub(crate) fn ran(&self, now: f64) -> f64 {
-        now - self.started.get().unwrap_or(self.sent)
+        now - self.started.get().unwrap_or(self.sent_at)
     }
 
-    pub(crate) fn new(wu: &Rc<WorkUnit>, worker: &Rc<Worker>, sent: f64) -> Rc<Allocation> {
+    pub(crate) fn new(wu: &Rc<WorkUnit>, worker: &Rc<Worker>, sent_at: f64) -> Rc<Allocation> {
         Rc::new(Allocation {
-            wu: Rc::downgrade(wu),
+            work_unit: Rc::downgrade(wu),
             worker: worker.clone(),
             number: wu.allocs.borrow().len() as u16,
-            sent,
+            sent_at,
             started: Cell::new(None),
             lost: Cell::new(false),
             outcome: Cell::new(None),
@@ -425,24 +427,29 @@
 
 impl Worker {
     /// Whether something new may go to it: it is listed as ready, and is still the process that it was.
-    pub fn takes_new(&self) -> bool {
-        self.listed.get() == Listed::Ready
+    pub fn accepts_new_work(&self) -> bool {
+        self.state.get() == ListState::Ready
     }
 
     /// A worker of which nothing is known but its line in the list.
-    pub(crate) fn new(line: Line, allowance: f64, types: usize, budget: (f64, f64)) -> Worker {
+    pub(crate) fn new(
+        entry: ListEntry,
+        allowance: f64,
+        types: usize,
+        budget: (f64, f64),
+    ) -> Worker {
         Worker {
-            listed: Cell::new(line.listed),
-            asks: Cell::new(line.fetches.then_some(0)),
+            state: Cell::new(entry.state),
+            asks: Cell::new(entry.pulls_work.then_some(0)),
             out: Cell::new(0),
             unstarted: Cell::new(0),
             slots_out: Cell::new(0.0),
             running: Cell::new(0.0),
             allowance: Cell::new(allowance),
-            heard: RefCell::new(vec![Mean::default(); types]),
+            heard: RefCell::new(vec![DecayingMean::default(); types]),
             pace: RefCell::default(),
             delay: Cell::new((0.0, 0.0)),
-            standing: RefCell::new(vec![Standing::default(); types]),
+            standing: RefCell::new(vec![OutlierStatus::default(); types]),
             heard_at: Cell::new(0.0),
             others: Cell::new(0.0),
             lanes: Cell::new(0.0),
@@ -450,10 +457,10 @@
             theirs: RefCell::default(),
             noted: Cell::new(false),
             budget: Cell::new(budget),
-            report: Cell::new((Report::default(), 0.0)),
+            report: Cell::new((LoadReport::default(), 0.0)),
             sent_since: Cell::new(0.0),
             sends: Cell::new(0),
-            line,
+            entry,
         }
     }
 
@@ -469,8 +476,12 @@
     }
 
     /// Its zone and kind, and what it runs.
-    pub(crate) fn kin(&self) -> (u16, u16, Runs) {
-        (self.line.zone, self.line.kind, self.line.runs)
+    pub(crate) fn kin(&self) -> (u16, u16, ProjectTypeSet) {
+        (
+            self.entry.zone,
+            self.entry.machine_kind,
+            self.entry.project_types,
+        )
     }
 
     pub(crate) fn took(&self, slots: f64, work: f64) {
@@ -531,7 +542,7 @@
         } else {
             "a suspect, sent single trials only"
         };
-        let id = self.line.id;
+        let id = self.entry.id;
         format!(
             "worker {id:012x} is {now_is}, project type {project_type}: {over:.2} over the fleet's median"
         )
@@ -542,7 +553,7 @@
     }
 
     /// What it has told of its load. Reports may be absurd: what is no number of slots is no report.
-    pub fn told(&self, now: f64, report: Report) {
+    pub fn record_report(&self, now: f64, report: LoadReport) {
         if report.free_slots.is_some_and(|f| f.is_finite() && f >= 0.0) {
             self.report.set((report, now));
             self.sent_since.set(0.0);
@@ -551,7 +562,7 @@
 
     /// One that fetches its work waits for so many work units. Of those it was sent it had heard of so many by
     /// then; the others are on their way, and take up as many.
-    pub fn asked(&self, waiting: u64, orders: u64) {
+    pub fn record_pull(&self, waiting: u64, orders: u64) {
         self.asks.set(Some(
             waiting as i64 + orders as i64 - self.sends.get() as i64,
         ));
@@ -575,32 +586,32 @@
     }
 
     /// Our slots there that have no outcome yet.
-    pub fn slots_out(&self) -> f64 {
+    pub fn slots_in_flight(&self) -> f64 {
         self.slots_out.get()
     }
 }
 
 /// All that the decisions can do.
-pub trait Door {
+pub trait Host {
     /// Whether limits that are not this scheduler's alone let the work unit have an allocation there now.
     fn permits(&self, _wu: &WorkUnit, _worker: &Worker) -> bool {
         true
     }
     /// The worker that would serve the work unit best, where the front knows of one.
-    fn preferred(&self, _wu: &WorkUnit) -> Option<u64> {
+    fn preferred_worker(&self, _wu: &WorkUnit) -> Option<u64> {
         None
     }
     fn allocate(&mut self, alloc: &Allocation);
-    fn recall(&mut self, alloc: &Allocation);
+    fn cancel(&mut self, alloc: &Allocation);
     /// A final answer: turned away, trying again is harmless.
     fn defer(&mut self, wu: &WorkUnit, come_back: f64);
     /// A final answer that promises nothing.
     fn abort(&mut self, wu: &WorkUnit);
     fn probe(&mut self, worker: &Worker);
-    fn follow_list(&mut self);
+    fn request_worker_list(&mut self);
     /// Tells all other schedulers; where there is no way to, it is lost like any word may be.
-    fn tell(&mut self, _bytes: &[u8]) {}
+    fn broadcast(&mut self, _bytes: &[u8]) {}
     /// Asks for a call of `woke` this many seconds from now.
-    fn wake_in(&mut self, seconds: f64);
+    fn set_timer(&mut self, seconds: f64);
     fn log(&mut self, line: &str);
 }
--- a/crates/mintlb-scheduler/src/word.rs
+++ b/crates/mintlb-scheduler/src/peer_message.rs
@@ -3,26 +3,26 @@
 const FIRST: u8 = 1;
 const HEAD: usize = 3;
 /// The bytes for one worker.
-pub const ENTRY: usize = 3;
+pub const ENTRY_BYTES: usize = 3;
 /// The longest message that is passed on.
-pub const LONGEST: usize = 256;
+pub const MAX_BYTES: usize = 256;
 /// So many workers fit into one.
-pub const MOST: usize = (LONGEST - HEAD) / ENTRY;
+pub const MAX_ENTRIES: usize = (MAX_BYTES - HEAD) / ENTRY_BYTES;
 
 #[derive(Debug, PartialEq)]
-pub struct Word {
+pub struct PeerMessage {
     /// By the sender's clock; it only orders what one sender told.
-    pub sent: f64,
+    pub sent_at: f64,
     /// Workers by key, and the sender's slots there.
-    pub holds: Vec<(u16, u8)>,
+    pub slots_held: Vec<(u16, u8)>,
 }
 
-impl Word {
+impl PeerMessage {
     /// Past `MOST` workers nothing is written.
-    pub fn write(&self) -> Vec<u8> {
+    pub fn encode(&self) -> Vec<u8> {
         let mut bytes = vec![FIRST];
-        bytes.extend(ms(self.sent).to_be_bytes());
-        for (key, slots) in self.holds.iter().take(MOST) {
+        bytes.extend(ms(self.sent_at).to_be_bytes());
+        for (key, slots) in self.slots_held.iter().take(MAX_ENTRIES) {
             bytes.extend(key.to_be_bytes());
             bytes.push(*slots);
         }
@@ -30,19 +30,19 @@
     }
 
     /// Nothing, if it is none of ours: another first byte, cut short, or too long.
-    pub fn read(now: f64, bytes: &[u8]) -> Option<Word> {
+    pub fn decode(now: f64, bytes: &[u8]) -> Option<PeerMessage> {
         let (head, entries) = bytes.split_at_checked(HEAD)?;
-        if head[0] != FIRST || entries.len() % ENTRY != 0 || bytes.len() > LONGEST {
+        if head[0] != FIRST || entries.len() % ENTRY_BYTES != 0 || bytes.len() > MAX_BYTES {
             return None;
         }
         // Two bytes of time go round in a minute: it was, or will be, the nearest moment that has them.
         let age = ms(now).wrapping_sub(u16::from_be_bytes([head[1], head[2]])) as i16;
-        let holds = entries
-            .chunks_exact(ENTRY)
+        let slots_held = entries
+            .chunks_exact(ENTRY_BYTES)
             .map(|e| (u16::from_be_bytes([e[0], e[1]]), e[2]));
-        Some(Word {
-            sent: now - f64::from(age) / 1000.0,
-            holds: holds.collect(),
+        Some(PeerMessage {
+            sent_at: now - f64::from(age) / 1000.0,
+            slots_held: slots_held.collect(),
         })
     }
 }
--- a/crates/mintlb-scheduler/src/peers.rs
+++ b/crates/mintlb-scheduler/src/peers.rs
@@ -1,8 +1,8 @@
 //! What the schedulers have told one another, and what is yet to be told: nothing is decided here.
 
 use crate::Worker;
-use crate::roll::Roll;
-use crate::word::{self, Word};
+use crate::peer_message::{self, PeerMessage};
+use crate::worker_index::WorkerIndex;
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
@@ -35,26 +35,29 @@
     }
 
     /// As much as one word has room for, if there is any; of the rest the next one tells.
-    pub fn word(&mut self, now: f64) -> Option<Word> {
-        let most = self.news.len().min(word::MOST);
-        let told = |w: Rc<Worker>| (w.line.key(), w.tell());
-        let holds: Vec<_> = self.news.drain(..most).map(told).collect();
-        (most > 0).then_some(Word { sent: now, holds })
+    pub fn word(&mut self, now: f64) -> Option<PeerMessage> {
+        let most = self.news.len().min(peer_message::MAX_ENTRIES);
+        let told = |w: Rc<Worker>| (w.entry.peer_key(), w.tell());
+        let slots_held: Vec<_> = self.news.drain(..most).map(told).collect();
+        (most > 0).then_some(PeerMessage {
+            sent_at: now,
+            slots_held,
+        })
     }
 
     /// A word of another scheduler counts if it is later than those heard. Workers told of are ranked one by one.
-    pub fn hear(&mut self, now: f64, from: usize, word: &Word, workers: &mut Roll) {
+    pub fn hear(&mut self, now: f64, from: usize, word: &PeerMessage, workers: &mut WorkerIndex) {
         let oldest = now - self.longest;
         // A clock that was set back is believed again once its old word is as old as that.
         if self
             .heard
             .get(&from)
-            .is_some_and(|(sent, came)| word.sent <= *sent && *came >= oldest)
+            .is_some_and(|(sent, came)| word.sent_at <= *sent && *came >= oldest)
         {
             return;
         }
-        self.heard.insert(from, (word.sent, now));
-        for (key, slots) in &word.holds {
+        self.heard.insert(from, (word.sent_at, now));
+        for (key, slots) in &word.slots_held {
             if let Some(w) = workers.keyed(*key).cloned() {
                 w.hear(now, from, *slots);
                 workers.meet(&w);
@@ -67,7 +70,7 @@
     }
 
     /// Where nobody tells anything any more, what was told holds no more.
-    pub fn allow(&mut self, shares: bool, workers: &Roll) {
+    pub fn allow(&mut self, shares: bool, workers: &WorkerIndex) {
         if shares {
             return;
         }
--- a/crates/mintlb-scheduler/src/settings.rs
+++ b/crates/mintlb-scheduler/src/settings.rs
@@ -1,40 +1,40 @@
 //! What the settings mean: values by path, read into the parts of the decision module. Both wires bring
 //! them here, the bench's as `path=value` lines, the sockets' as nested JSON made flat in the same way.
 
-use crate::decide::{Buffers, Fleet, Follow, Repeats, Scheduler, Shares};
-use crate::tools::Chance;
-use crate::{ColdRule, Costs, Effect, Group, ProjectType};
+use crate::decide::{FairShares, Fleet, ListPolling, Queues, RetryPolicy, Scheduler};
+use crate::util::Rng;
+use crate::{Costs, DedupScope, Idempotency, ProjectType, SlowStart};
 use std::collections::BTreeMap;
 use std::str::FromStr;
 
 /// What the list has to tell counts as told so many seconds after it had it and could be reached, heard or not, whatever
 /// call failed. Half of it may pass from one question to the next; the rest is a call's.
-pub const TOLD: f64 = 6.0;
+pub const MAX_LIST_DELAY_S: f64 = 6.0;
 
 /// Points for each allocation that crosses zones, where no price is set.
 const CROSSING: f64 = 0.021;
 
 /// What may change while a scheduler serves, beside the project types.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Terms {
-    pub repeats: Repeats,
+pub struct ReloadableSettings {
+    pub retry_policy: RetryPolicy,
     pub excess_credit: f64,
     /// How long clients heed advice on when to come back; 0 where they get none.
-    pub come_back: f64,
+    pub max_retry_after: f64,
     pub costs: Costs,
 }
 
 /// The values by path; those that nobody asks for are passed over.
-pub struct Text(BTreeMap<String, String>);
+pub struct FlatSettings(BTreeMap<String, String>);
 
-impl FromIterator<(String, String)> for Text {
-    fn from_iter<I: IntoIterator<Item = (String, String)>>(pairs: I) -> Text {
-        Text(pairs.into_iter().collect())
+impl FromIterator<(String, String)> for FlatSettings {
+    fn from_iter<I: IntoIterator<Item = (String, String)>>(pairs: I) -> FlatSettings {
+        FlatSettings(pairs.into_iter().collect())
     }
 }
 
-impl Text {
-    pub fn new(lines: &str) -> Text {
+impl FlatSettings {
+    pub fn new(lines: &str) -> FlatSettings {
         let pairs = lines.lines().filter_map(|line| line.split_once('='));
         pairs
             .map(|(path, value)| (path.to_string(), value.to_string()))
@@ -123,21 +123,21 @@
     }
 
     /// What may change while a scheduler serves.
-    pub fn terms(&self) -> Result<Terms, String> {
-        let most_allocations = self.get("permissions.most_allocations")?;
-        if most_allocations == 0 {
+    pub fn reloadable(&self) -> Result<ReloadableSettings, String> {
+        let max_allocations = self.get("permissions.most_allocations")?;
+        if max_allocations == 0 {
             return Err(
                 "the setting permissions.most_allocations=0 lets no work go anywhere".to_string(),
             );
         }
-        Ok(Terms {
-            repeats: Repeats {
-                parallel: self.get("permissions.parallel_tries")?,
-                may_recall: self.get("permissions.may_cancel")?,
-                most_allocations,
+        Ok(ReloadableSettings {
+            retry_policy: RetryPolicy {
+                parallel_attempts: self.get("permissions.parallel_tries")?,
+                may_cancel: self.get("permissions.may_cancel")?,
+                max_allocations,
             },
             excess_credit: self.or("excess_credit", 1.0)?,
-            come_back: match self.get("permissions.retry_after")? {
+            max_retry_after: match self.get("permissions.retry_after")? {
                 true => self.seconds("permissions.max_retry_after")?,
                 false => 0.0,
             },
@@ -148,15 +148,15 @@
     fn project_type(&self, i: usize) -> Result<ProjectType, String> {
         let at = |key: &str| format!("project_types.{i}.{key}");
         let effect: String = self.get(&at("effect"))?;
-        let effect = match effect.as_str() {
-            "read_like" => Effect::Rerunnable,
-            "non_idempotent" => Effect::Exclusive,
+        let idempotency = match effect.as_str() {
+            "read_like" => Idempotency::Idempotent,
+            "non_idempotent" => Idempotency::NonIdempotent,
             "idempotency_key" => {
                 let group: String = self.get(&at("group"))?;
-                let group = match group.as_str() {
-                    "all" => Group::All,
-                    "zone" => Group::Zone,
-                    "cell" => Group::Cell,
+                let scope = match group.as_str() {
+                    "all" => DedupScope::All,
+                    "zone" => DedupScope::Zone,
+                    "cell" => DedupScope::Cell,
                     _ => {
                         return Err(format!(
                             "the setting {}={group} cannot be read",
@@ -164,8 +164,8 @@
                         ));
                     }
                 };
-                Effect::Receipted {
-                    group,
+                Idempotency::Deduplicated {
+                    scope,
                     window: self.seconds(&at("window"))?,
                 }
             }
@@ -188,20 +188,20 @@
         Ok(ProjectType {
             credit: self.amount(&at("credit"))?,
             late_credit: self.amount(&at("late_credit"))?,
-            stretch: self.item("family_info.class_stretch", i)?.unwrap_or(0.0),
+            turnaround_stretch: self.item("family_info.class_stretch", i)?.unwrap_or(0.0),
             promised_turnaround: self.amount(&at("promised_turnaround"))? / 1000.0,
             hard_limit,
-            effect,
-            kind: kind.and_then(|k| u16::try_from(k).ok()),
+            idempotency,
+            machine_kind: kind.and_then(|k| u16::try_from(k).ok()),
         })
     }
 
-    pub fn customers(&self) -> Result<usize, String> {
+    pub fn customer_count(&self) -> Result<usize, String> {
         self.or("tenants.count", 0)
     }
 
     fn quotas(&self) -> Result<Vec<f64>, String> {
-        (0..self.customers()?)
+        (0..self.customer_count()?)
             .map(|i| self.get(&format!("tenants.{i}.quota_per_s")))
             .collect()
     }
@@ -217,39 +217,46 @@
         };
         let message = or("prices.peer", 0.0)?;
         Ok(Costs {
-            crossing: or("prices.cross_zone", CROSSING)?,
-            message: self.or("permissions.peers", false)?.then_some(message),
+            cross_zone: or("prices.cross_zone", CROSSING)?,
+            peer_message: self.or("permissions.peers", false)?.then_some(message),
         })
     }
 
     pub fn scheduler(&self, seed: u64) -> Result<Scheduler, String> {
         let schedulers: usize = self.get("balancers")?;
-        let cold = ColdRule {
-            from: self.get("rules.cold_from")?,
-            warm_after: self.seconds("rules.warm_after")?,
-            multiple: self.get("rules.fall_multiple")?,
-            span: self.seconds("rules.fall")?,
-            among: schedulers as f64,
+        let cold = SlowStart {
+            initial_share: self.get("rules.cold_from")?,
+            duration: self.seconds("rules.warm_after")?,
+            overload_multiple: self.get("rules.fall_multiple")?,
+            overload_window: self.seconds("rules.fall")?,
+            scheduler_count: schedulers as f64,
         };
         let discovery: String = self.get("discovery")?;
-        let Terms {
-            repeats,
+        let ReloadableSettings {
+            retry_policy,
             excess_credit,
-            come_back,
+            max_retry_after,
             costs,
-        } = self.terms()?;
+        } = self.reloadable()?;
         let types = self.project_types()?;
         let tells_start = self.or("family_info.tells_start", false)?;
         let fleet = Fleet::new(cold, self.get("zone")?, tells_start, costs, &types);
-        let buffers = Buffers::new(types, excess_credit, come_back);
-        let follow = Follow {
+        let buffers = Queues::new(types, excess_credit, max_retry_after);
+        let follow = ListPolling {
             on_request: discovery == "on_request",
-            ask_within: self.seconds("rules.ask_within")?.min(TOLD / 2.0),
-            ..Follow::default()
+            max_interval: self
+                .seconds("rules.ask_within")?
+                .min(MAX_LIST_DELAY_S / 2.0),
+            ..ListPolling::default()
         };
         Ok(Scheduler::new(
-            Chance::new(seed),
-            (Shares::new(&self.quotas()?), buffers, repeats, fleet),
+            Rng::new(seed),
+            (
+                FairShares::new(&self.quotas()?),
+                buffers,
+                retry_policy,
+                fleet,
+            ),
             follow,
         ))
     }
--- a/crates/mintlb-scheduler/src/roll.rs
+++ b/crates/mintlb-scheduler/src/worker_index.rs
@@ -1,22 +1,22 @@
 //! The workers that the list names, as one holds a roll: nothing is decided here.
 
-use crate::tools::{Chance, Mean};
-use crate::{Line, Listed, Runs, Worker};
+use crate::util::{DecayingMean, Rng};
+use crate::{ListEntry, ListState, ProjectTypeSet, Worker};
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
 #[derive(Default)]
-pub struct Roll {
+pub struct WorkerIndex {
     workers: BTreeMap<u64, Rc<Worker>>,
     /// By what schedulers call them among themselves.
     keyed: BTreeMap<u16, Rc<Worker>>,
     /// Workers that were sent something: each is ranked by what is known of it.
     met: Vec<Rc<Worker>>,
     /// The others, by zone, kind and what they run: one is as good as another, and to rank them all would only cost.
-    unmet: BTreeMap<(u16, u16, Runs), Vec<Rc<Worker>>>,
+    unmet: BTreeMap<(u16, u16, ProjectTypeSet), Vec<Rc<Worker>>>,
 }
 
-impl Roll {
+impl WorkerIndex {
     pub fn get(&self, id: u64) -> Option<&Rc<Worker>> {
         self.workers.get(&id)
     }
@@ -30,27 +30,27 @@
     }
 
     pub fn ready(&self) -> impl Iterator<Item = &Rc<Worker>> {
-        self.all().filter(|w| w.listed.get() == Listed::Ready)
+        self.all().filter(|w| w.state.get() == ListState::Ready)
     }
 
     /// A line for each that is in none of these: it is gone.
-    pub fn missing(&self, lines: &[Line]) -> Vec<Line> {
+    pub fn missing(&self, lines: &[ListEntry]) -> Vec<ListEntry> {
         let named: BTreeSet<u64> = lines.iter().map(|l| l.id).collect();
-        let missing = self.all().filter(|w| !named.contains(&w.line.id));
+        let missing = self.all().filter(|w| !named.contains(&w.entry.id));
         missing
-            .map(|w| Line {
-                listed: Listed::Gone,
-                ..w.line.clone()
+            .map(|w| ListEntry {
+                state: ListState::Gone,
+                ..w.entry.clone()
             })
             .collect()
     }
 
     /// The mean of those met.
-    pub fn allowance(&self) -> Mean {
-        let mut mean = Mean::default();
+    pub fn allowance(&self) -> DecayingMean {
+        let mut mean = DecayingMean::default();
         self.met
             .iter()
-            .for_each(|w| mean.learn(w.allowance.get(), 1.0));
+            .for_each(|w| mean.add(w.allowance.get(), 1.0));
         mean
     }
 
@@ -59,19 +59,19 @@
             .entry(worker.kin())
             .or_default()
             .push(worker.clone());
-        self.keyed.insert(worker.line.key(), worker.clone());
-        self.workers.insert(worker.line.id, worker);
+        self.keyed.insert(worker.entry.peer_key(), worker.clone());
+        self.workers.insert(worker.entry.id, worker);
     }
 
     pub fn strike(&mut self, worker: &Rc<Worker>) {
-        worker.listed.set(Listed::Gone);
-        self.workers.remove(&worker.line.id);
+        worker.state.set(ListState::Gone);
+        self.workers.remove(&worker.entry.id);
         // Two may share a key; the other's stays.
         if self
-            .keyed(worker.line.key())
+            .keyed(worker.entry.peer_key())
             .is_some_and(|keyed| Rc::ptr_eq(keyed, worker))
         {
-            self.keyed.remove(&worker.line.key());
+            self.keyed.remove(&worker.entry.peer_key());
         }
         self.met.retain(|met| !Rc::ptr_eq(met, worker));
         self.unmet
@@ -100,14 +100,10 @@
 
     /// Those met, and of the others one drawn by chance for each zone and kind, from those that have room: of
     /// hundreds that are cold a scheduler's budget is open for few, and one closed must not hide them.
-    pub fn drawn(
-        &self,
-        chance: &mut Chance,
-        has_room: impl Fn(&Worker) -> bool,
-    ) -> Vec<Rc<Worker>> {
+    pub fn drawn(&self, chance: &mut Rng, has_room: impl Fn(&Worker) -> bool) -> Vec<Rc<Worker>> {
         let mut workers = self.met.clone();
         for group in self.unmet.values().filter(|group| !group.is_empty()) {
-            let mut draw = |of: usize| (chance.draw() * of as f64) as usize;
+            let mut draw = |of: usize| (chance.uniform() * of as f64) as usize;
             let one = &group[draw(group.len())];
             if has_room(one) {
                 workers.push(one.clone());
--- a/crates/mintlb-scheduler/tests/decisions.rs
+++ b/crates/mintlb-scheduler/tests/decisions.rs
@@ -2,7 +2,7 @@
 
 mod world;
 
-use mintlb_scheduler::{Costs, Outcome, Report};
+use mintlb_scheduler::{Costs, LoadReport, Outcome};
 use world::{SPAN, World, world, world_at, world_by};
 
 fn check(parallel: bool, cases: &[(&str, &str, &str)]) {
@@ -466,7 +466,7 @@
 fn what_the_others_hold_takes_room() {
     // Two lanes; four schedulers, we are one of them. Each script ends with work that comes, and where it goes.
     let cheap = Some(0.01);
-    for (message, script, then) in [
+    for (peer_message, script, then) in [
         (cheap, "list 1; call 1 0", "send 1>1"),
         (cheap, "list 1; hear 1 0 1 2; call 1 0", ""),
         (
@@ -536,11 +536,11 @@
             false,
             false,
             Costs {
-                crossing: 0.02,
-                message,
+                cross_zone: 0.02,
+                peer_message,
             },
         );
-        assert_eq!(w.run(script), then, "{message:?}: {script}");
+        assert_eq!(w.run(script), then, "{peer_message:?}: {script}");
     }
 }
 
@@ -551,8 +551,8 @@
         false,
         false,
         Costs {
-            crossing: 0.02,
-            message: Some(0.01),
+            cross_zone: 0.02,
+            peer_message: Some(0.01),
         },
     );
     w.run("list 1; hear 1 0 1 1; call 1 0; start 1.0; hush");
@@ -565,8 +565,8 @@
         false,
         false,
         Costs {
-            crossing: 0.02,
-            message: Some(0.01),
+            cross_zone: 0.02,
+            peer_message: Some(0.01),
         },
     );
     w.run("list 1 2; call 1 0; call 2 0");
@@ -586,8 +586,8 @@
         false,
         false,
         Costs {
-            crossing: 0.02,
-            message: Some(0.01),
+            cross_zone: 0.02,
+            peer_message: Some(0.01),
         },
     );
     w.run(&format!("list {}", many.join(" ")));
@@ -771,7 +771,7 @@
 #[test]
 fn crossing_is_weighed_by_its_price() {
     let (none, dear, words) = (0.0, 0.1, Some(0.01));
-    for (message, crossing, held, most) in [
+    for (peer_message, cross_zone, held, most) in [
         (None, none, "call 1 0; start 1.0; change 101", "101"),
         (None, dear, "call 1 0; start 1.0; change 101", "1"),
         // With words, however many free slots are told there: room is capped before it is weighed.
@@ -783,7 +783,15 @@
         let mut crossed = 0;
         for seed in 1..=60u64 {
             let seed = seed.wrapping_mul(0x9e37_79b9_7f4a_7c15);
-            let mut w = world_by(seed, false, false, Costs { crossing, message });
+            let mut w = world_by(
+                seed,
+                false,
+                false,
+                Costs {
+                    cross_zone,
+                    peer_message,
+                },
+            );
             w.run("list 1; call 900 0; told 1 9; start 900.0; back 900.0 ok");
             w.run(held);
             let sent = w.run("call 20 0");
@@ -796,7 +804,10 @@
             51.. => "101",
             _ => "both",
         };
-        assert_eq!(to, most, "{message:?}, {crossing}, {held}: {crossed} of 60");
+        assert_eq!(
+            to, most,
+            "{peer_message:?}, {cross_zone}, {held}: {crossed} of 60"
+        );
     }
 }
 
@@ -867,8 +878,8 @@
             false,
             false,
             Costs {
-                crossing: 0.02,
-                message: Some(0.01),
+                cross_zone: 0.02,
+                peer_message: Some(0.01),
             },
         );
         if learned != roomy {
@@ -934,17 +945,17 @@
                 Outcome::Completed,
                 Outcome::Dropped,
             ][(i / 4 % 4) as usize];
-            let report = Report {
+            let report = LoadReport {
                 free_slots: Some(absurd),
             };
-            w.scheduler.started(&mut w.acts, w.now, &alloc);
+            w.scheduler.on_start(&mut w.acts, w.now, &alloc);
             let ended = outcome == Outcome::Completed;
             w.scheduler
-                .came_back(&mut w.acts, w.now, &alloc, outcome, ended);
+                .on_outcome(&mut w.acts, w.now, &alloc, outcome, ended);
             w.scheduler
-                .came_back(&mut w.acts, w.now, &alloc, outcome, ended);
-            w.scheduler.started(&mut w.acts, w.now, &alloc);
-            alloc.worker.told(w.now, report);
+                .on_outcome(&mut w.acts, w.now, &alloc, outcome, ended);
+            w.scheduler.on_start(&mut w.acts, w.now, &alloc);
+            alloc.worker.record_report(w.now, report);
         }
     }
     w.now += 10.0;
@@ -953,11 +964,11 @@
         for n in 0..3 {
             if let Some(alloc) = wu.allocation(n) {
                 w.scheduler
-                    .came_back(&mut w.acts, w.now, &alloc, Outcome::Recalled, true);
+                    .on_outcome(&mut w.acts, w.now, &alloc, Outcome::Recalled, true);
             }
         }
-        w.scheduler.left(&mut w.acts, w.now, wu);
-        assert!(wu.is_over(), "work unit {} is still open", wu.id);
+        w.scheduler.on_client_gone(&mut w.acts, w.now, wu);
+        assert!(wu.is_settled(), "work unit {} is still open", wu.id);
     }
     acts.append(&mut w.acts.said);
     let acts = acts.join(", ");
@@ -971,7 +982,7 @@
     }
     for id in [1, 3, 11] {
         assert_eq!(
-            w.scheduler.worker(id).map(|w| w.slots_out()),
+            w.scheduler.worker(id).map(|w| w.slots_in_flight()),
             Some(0.0),
             "worker {id}"
         );
--- a/crates/mintlb-scheduler/tests/many.rs
+++ b/crates/mintlb-scheduler/tests/many.rs
@@ -1,12 +1,12 @@
 //! Many schedulers that share nothing before one fleet, played together in virtual time from fixed seeds: what is
 //! harmless for one and harmful when all do it. Workers start jobs in order, as many at once as they have slots.
 
-use mintlb_scheduler::decide::{Buffers, Fleet, Follow, Repeats, Scheduler, Shares};
-use mintlb_scheduler::tools::{Chance, median};
-use mintlb_scheduler::word::Word;
+use mintlb_scheduler::decide::{FairShares, Fleet, ListPolling, Queues, RetryPolicy, Scheduler};
+use mintlb_scheduler::peer_message::PeerMessage;
+use mintlb_scheduler::util::{Rng, median};
 use mintlb_scheduler::{
-    Allocation, ColdRule, Costs, Door, Effect, Line, Listed, News, Outcome, ProjectType, Runs,
-    WorkUnit, Worker,
+    Allocation, Costs, Host, Idempotency, ListEntry, ListState, ListUpdate, Outcome, ProjectType,
+    ProjectTypeSet, SlowStart, WorkUnit, Worker,
 };
 use std::collections::{BTreeMap, VecDeque};
 use std::rc::Rc;
@@ -19,8 +19,8 @@
 const PROMISE: f64 = 0.2;
 const LIMIT: f64 = 5.0;
 const COSTS: Costs = Costs {
-    crossing: 0.02,
-    message: None,
+    cross_zone: 0.02,
+    peer_message: None,
 };
 
 #[derive(Default)]
@@ -34,13 +34,14 @@
     follows: bool,
 }
 
-impl Door for Asked {
+impl Host for Asked {
     fn allocate(&mut self, a: &Allocation) {
         self.sent
-            .extend(a.wu.upgrade().and_then(|wu| wu.allocation(a.number)));
+            .extend(a.work_unit.upgrade().and_then(|wu| wu.allocation(a.number)));
     }
-    fn recall(&mut self, a: &Allocation) {
-        self.recalled.push((a.wu.upgrade().unwrap().id, a.number));
+    fn cancel(&mut self, a: &Allocation) {
+        self.recalled
+            .push((a.work_unit.upgrade().unwrap().id, a.number));
     }
     fn defer(&mut self, wu: &WorkUnit, _: f64) {
         self.deferred.push(wu.id);
@@ -49,10 +50,10 @@
         self.aborted.push(wu.id);
     }
     fn probe(&mut self, _: &Worker) {}
-    fn follow_list(&mut self) {
+    fn request_worker_list(&mut self) {
         self.follows = true;
     }
-    fn wake_in(&mut self, seconds: f64) {
+    fn set_timer(&mut self, seconds: f64) {
         self.wake = Some(seconds);
     }
     fn log(&mut self, _: &str) {}
@@ -64,7 +65,7 @@
     /// The job with this number ends at its worker.
     Ends(u64),
     /// News of the list for all schedulers.
-    Told(Vec<Line>),
+    Told(Vec<ListEntry>),
     /// Nothing comes back any more from these, and what is sent to them never arrives.
     Silent(Vec<u64>),
     /// New versions take the place of all schedulers; the old ones end what they hold.
@@ -84,7 +85,7 @@
 
 #[derive(Default)]
 struct Machine {
-    came_up: f64,
+    started_at: f64,
     /// What it can do at its start, of what it can do warm.
     cold_from: f64,
     /// It answers this share of its jobs with an error, at once.
@@ -99,10 +100,10 @@
 impl Machine {
     fn speed(&self, now: f64) -> f64 {
         // Before its new start it is the old one, warm.
-        let age = if self.came_up > now {
+        let age = if self.started_at > now {
             1.0
         } else {
-            ((now - self.came_up) / WARM_AFTER).min(1.0)
+            ((now - self.started_at) / WARM_AFTER).min(1.0)
         };
         self.cold_from + (1.0 - self.cold_from) * age
     }
@@ -131,76 +132,87 @@
     held: BTreeMap<u64, (usize, Rc<WorkUnit>, f64)>,
     machines: BTreeMap<u64, Machine>,
     jobs: BTreeMap<u64, Job>,
-    chance: Chance,
+    chance: Rng,
     /// Work units a second, all schedulers together.
     rate: f64,
     until: f64,
     ends: Ends,
 }
 
-fn line(id: u64, listed: Listed, came_up: f64) -> Line {
+fn line(id: u64, state: ListState, started_at: f64) -> ListEntry {
     let (zone, cell) = ((id / 100) as u16, id / 10);
-    Line {
+    ListEntry {
         id,
         zone,
         cell,
-        kind: 0,
-        listed,
-        came_up,
-        runs: Runs::default(),
-        fetches: false,
+        machine_kind: 0,
+        state,
+        started_at,
+        project_types: ProjectTypeSet::default(),
+        pulls_work: false,
     }
 }
 
 /// The one with this number, of so many.
-fn scheduler(number: usize, among: usize, effect: Effect, follow: Follow) -> Scheduler {
-    scheduler_at(COSTS, number, among, effect, follow)
+fn scheduler(
+    number: usize,
+    among: usize,
+    idempotency: Idempotency,
+    follow: ListPolling,
+) -> Scheduler {
+    scheduler_at(COSTS, number, among, idempotency, follow)
 }
 
 fn scheduler_at(
     costs: Costs,
     number: usize,
     among: usize,
-    effect: Effect,
-    follow: Follow,
+    idempotency: Idempotency,
+    follow: ListPolling,
 ) -> Scheduler {
     let types = vec![ProjectType {
         credit: 1.0,
         late_credit: 0.0,
         promised_turnaround: PROMISE,
-        stretch: 2.0,
+        turnaround_stretch: 2.0,
         hard_limit: LIMIT,
-        effect,
-        kind: None,
+        idempotency,
+        machine_kind: None,
     }];
     let among = among as f64;
-    let cold = ColdRule {
-        from: 0.3,
-        warm_after: WARM_AFTER,
-        multiple: 3.0,
-        span: SPAN,
-        among,
+    let cold = SlowStart {
+        initial_share: 0.3,
+        duration: WARM_AFTER,
+        overload_multiple: 3.0,
+        overload_window: SPAN,
+        scheduler_count: among,
     };
     let fleet = Fleet::new(cold, (number % 2) as u16, true, costs, &types);
-    let repeats = Repeats {
-        parallel: true,
-        may_recall: true,
-        most_allocations: 3,
+    let repeats = RetryPolicy {
+        parallel_attempts: true,
+        may_cancel: true,
+        max_allocations: 3,
     };
     let chain = (
-        Shares::new(&[]),
-        Buffers::new(types, 1.0, 2.0),
+        FairShares::new(&[]),
+        Queues::new(types, 1.0, 2.0),
         repeats,
         fleet,
     );
     // Seeds near each other begin alike.
     let seed = (number as u64 + 17).wrapping_mul(0x9e37_79b9_7f4a_7c15);
-    Scheduler::new(Chance::new(seed), chain, follow)
+    Scheduler::new(Rng::new(seed), chain, follow)
 }
 
 impl World {
-    fn new(schedulers: usize, workers: &[u64], rate: f64, until: f64, effect: Effect) -> World {
-        World::at_cost(COSTS, schedulers, workers, rate, until, effect)
+    fn new(
+        schedulers: usize,
+        workers: &[u64],
+        rate: f64,
+        until: f64,
+        idempotency: Idempotency,
+    ) -> World {
+        World::at_cost(COSTS, schedulers, workers, rate, until, idempotency)
     }
 
     fn at_cost(
@@ -209,15 +221,16 @@
         workers: &[u64],
         rate: f64,
         until: f64,
-        effect: Effect,
+        idempotency: Idempotency,
     ) -> World {
-        let lines: Vec<Line> = workers
+        let lines: Vec<ListEntry> = workers
             .iter()
-            .map(|w| line(*w, Listed::Ready, 0.0))
+            .map(|w| line(*w, ListState::Ready, 0.0))
             .collect();
         let one = |i: usize| {
-            let mut scheduler = scheduler_at(costs, i, schedulers, effect, Follow::default());
-            scheduler.news(&mut Asked::default(), 100.0, News::Full(&lines));
+            let mut scheduler =
+                scheduler_at(costs, i, schedulers, idempotency, ListPolling::default());
+            scheduler.on_list_update(&mut Asked::default(), 100.0, ListUpdate::Full(&lines));
             scheduler
         };
         let machines = workers
@@ -241,7 +254,7 @@
             held: BTreeMap::new(),
             machines,
             jobs: BTreeMap::new(),
-            chance: Chance::new(5),
+            chance: Rng::new(5),
             rate,
             until: 100.0 + until,
             ends: Ends::default(),
@@ -258,14 +271,14 @@
 
     /// These start anew, and the list tells it this much later.
     fn anew(&mut self, after: f64, workers: &[u64]) {
-        let came_up = self.now + after;
+        let started_at = self.now + after;
         let lines = workers
             .iter()
-            .map(|w| line(*w, Listed::Ready, came_up))
+            .map(|w| line(*w, ListState::Ready, started_at))
             .collect();
         for id in workers {
             let machine = Machine {
-                came_up,
+                started_at,
                 cold_from: 0.3,
                 ..Machine::default()
             };
@@ -280,21 +293,27 @@
     }
 
     fn replaced(&mut self) {
-        let came_up = |m: &Machine| if m.came_up > self.now { 0.0 } else { m.came_up };
+        let started_at = |m: &Machine| {
+            if m.started_at > self.now {
+                0.0
+            } else {
+                m.started_at
+            }
+        };
         let lines = self
             .machines
             .iter()
-            .map(|(id, m)| line(*id, Listed::Ready, came_up(m)));
-        let (lines, old): (Vec<Line>, _) = (lines.collect(), self.schedulers.len());
+            .map(|(id, m)| line(*id, ListState::Ready, started_at(m)));
+        let (lines, old): (Vec<ListEntry>, _) = (lines.collect(), self.schedulers.len());
         for number in old..old + self.taking {
             self.schedulers.push(scheduler(
                 number,
                 self.taking,
-                Effect::Rerunnable,
-                Follow::default(),
+                Idempotency::Idempotent,
+                ListPolling::default(),
             ));
             self.call(number, |s, door, now| {
-                s.news(door, now, News::Inherited(&lines))
+                s.on_list_update(door, now, ListUpdate::Inherited(&lines))
             });
         }
     }
@@ -303,22 +322,23 @@
         let is = |from: usize| from % 10 < 7;
         let dead = self.jobs.extract_if(.., |_, job| is(job.from));
         for (number, job) in dead.collect::<Vec<_>>() {
-            let machine = self.machines.get_mut(&job.alloc.worker.line.id).unwrap();
+            let machine = self.machines.get_mut(&job.alloc.worker.entry.id).unwrap();
             machine.queue.retain(|queued| *queued != number);
             machine.running -= usize::from(job.running);
         }
         self.held.retain(|_, held| !is(held.0));
-        let lines: Vec<Line> = self
+        let lines: Vec<ListEntry> = self
             .machines
             .iter()
-            .map(|(id, m)| line(*id, Listed::Ready, m.came_up))
+            .map(|(id, m)| line(*id, ListState::Ready, m.started_at))
             .collect();
         let among = self.schedulers.len();
         for number in (0..among).filter(|number| is(*number)) {
-            let follow = Follow::default();
-            self.schedulers[number] = scheduler(number + among, among, Effect::Rerunnable, follow);
+            let follow = ListPolling::default();
+            self.schedulers[number] =
+                scheduler(number + among, among, Idempotency::Idempotent, follow);
             self.call(number, |s, door, now| {
-                s.news(door, now, News::Cached(&lines))
+                s.on_list_update(door, now, ListUpdate::Cached(&lines))
             });
         }
         let workers: Vec<u64> = self.machines.keys().copied().collect();
@@ -330,11 +350,13 @@
             self.now = f64::from_bits(at);
             match event {
                 Event::Arrives => self.arrives(),
-                Event::Wakes(from) => self.call(from, |s, door, now| s.woke(door, now)),
+                Event::Wakes(from) => self.call(from, |s, door, now| s.on_timer(door, now)),
                 Event::Ends(job) => self.ends_at(job),
                 Event::Told(lines) => {
                     (0..self.schedulers.len()).for_each(|i| {
-                        self.call(i, |s, door, now| s.news(door, now, News::Changes(&lines)))
+                        self.call(i, |s, door, now| {
+                            s.on_list_update(door, now, ListUpdate::Changes(&lines))
+                        })
                     });
                 }
                 Event::Silent(workers) => {
@@ -342,7 +364,7 @@
                         .iter()
                         .for_each(|w| self.machines.get_mut(w).unwrap().silent = true);
                     self.jobs
-                        .retain(|_, job| !workers.contains(&job.alloc.worker.line.id));
+                        .retain(|_, job| !workers.contains(&job.alloc.worker.entry.id));
                 }
                 Event::Replaced => self.replaced(),
                 Event::Killed => self.killed(),
@@ -359,16 +381,16 @@
         if self.now > self.until {
             return;
         }
-        let gap = -(1.0 - self.chance.draw()).ln() / self.rate;
+        let gap = -(1.0 - self.chance.uniform()).ln() / self.rate;
         self.at(gap, Event::Arrives);
         let old = self.schedulers.len() - self.taking;
-        let from = old + (self.chance.draw() * self.taking as f64) as usize;
-        let run = -(1.0 - self.chance.draw()).ln() * RUN;
+        let from = old + (self.chance.uniform() * self.taking as f64) as usize;
+        let run = -(1.0 - self.chance.uniform()).ln() * RUN;
         self.row += 1;
         let wu = WorkUnit::new(self.row, 0, None, 1.0, self.now, LIMIT);
         self.held.insert(self.row, (from, wu.clone(), run));
         self.ends.offered += 1;
-        self.call(from, |s, door, now| s.arrived(door, now, &wu));
+        self.call(from, |s, door, now| s.on_arrival(door, now, &wu));
     }
 
     fn back(&mut self, from: usize, id: u64, number: u16, outcome: Outcome) {
@@ -378,7 +400,7 @@
         let alloc = wu.allocation(number).unwrap();
         let done = outcome == Outcome::Completed;
         self.call(from, |s, door, now| {
-            s.came_back(door, now, &alloc, outcome, done)
+            s.on_outcome(door, now, &alloc, outcome, done)
         });
     }
 
@@ -408,9 +430,9 @@
     }
 
     fn sends(&mut self, from: usize, alloc: Rc<Allocation>) {
-        let wu = alloc.wu.upgrade().unwrap();
+        let wu = alloc.work_unit.upgrade().unwrap();
         let run = self.held[&wu.id].2;
-        let (worker, number) = (alloc.worker.line.id, alloc.number);
+        let (worker, number) = (alloc.worker.entry.id, alloc.number);
         let machine = self.machines.get_mut(&worker).unwrap();
         self.ends.sent += 1;
         if machine.silent {
@@ -444,20 +466,20 @@
             let job = self.jobs.get_mut(&number).unwrap();
             job.running = true;
             let (from, alloc) = (job.from, job.alloc.clone());
-            let fails = self.chance.draw() < machine.errors;
+            let fails = self.chance.uniform() < machine.errors;
             let run = self.held[&job.wu.id].2 / machine.speed(self.now);
             self.at(
                 if fails { 0.01 } else { run },
                 Event::Ends(if fails { number | FAILS } else { number }),
             );
-            self.call(from, |s, door, now| s.started(door, now, &alloc));
+            self.call(from, |s, door, now| s.on_start(door, now, &alloc));
         }
     }
 
     /// The job takes up nothing any more.
     fn frees(&mut self, number: u64) -> Option<Job> {
         let job = self.jobs.remove(&number)?;
-        let worker = job.alloc.worker.line.id;
+        let worker = job.alloc.worker.entry.id;
         let machine = self.machines.get_mut(&worker).unwrap();
         machine.queue.retain(|queued| *queued != number);
         machine.running -= usize::from(job.running);
@@ -478,7 +500,7 @@
             return self.back(from, wu.id, alloc.number, Outcome::Error);
         }
         let run = self.held[&wu.id].2;
-        match self.now <= wu.arrived + PROMISE + 2.0 * run {
+        match self.now <= wu.arrived_at + PROMISE + 2.0 * run {
             true => self.ends.in_time += 1,
             false => self.ends.late += 1,
         }
@@ -497,10 +519,10 @@
         let cold = machine
             .sent
             .iter()
-            .filter(|s| (0.0..WARM_AFTER).contains(&(s.0 - machine.came_up)));
+            .filter(|s| (0.0..WARM_AFTER).contains(&(s.0 - machine.started_at)));
         let most = cold.map(|s| {
             let work: f64 = within(s.0)
-                .filter(|s| s.0 >= machine.came_up)
+                .filter(|s| s.0 >= machine.started_at)
                 .map(|s| s.1)
                 .sum();
             work / (machine.speed(s.0) * SLOTS as f64 * SPAN)
@@ -516,12 +538,12 @@
     let cold = machine
         .sent
         .iter()
-        .filter(|s| (0.0..WARM_AFTER).contains(&(s.0 - machine.came_up)));
+        .filter(|s| (0.0..WARM_AFTER).contains(&(s.0 - machine.started_at)));
     let parts = cold.map(|(at, _)| {
         let within = machine
             .sent
             .iter()
-            .filter(|s| s.0 > at - SPAN && s.0 <= *at && s.0 >= machine.came_up);
+            .filter(|s| s.0 > at - SPAN && s.0 <= *at && s.0 >= machine.started_at);
         let (units, work) = within.fold((0.0, 0.0), |(units, work), s| {
             (units + 1.0, work + s.1 / RUN)
         });
@@ -541,7 +563,7 @@
     // Six in ten are replaced at once; what is left can run 48 seconds of work a second, and 60 are asked for.
     let workers: Vec<u64> = (1..=30).chain(101..=130).collect();
     let anew: Vec<u64> = workers.iter().copied().filter(|w| w % 5 < 3).collect();
-    let mut world = World::new(100, &workers, 120.0, 12.0, Effect::Rerunnable);
+    let mut world = World::new(100, &workers, 120.0, 12.0, Idempotency::Idempotent);
     world.anew(3.0, &anew);
     world.run();
     let sent: usize = anew
@@ -571,11 +593,11 @@
     let workers: Vec<u64> = (1..=30).chain(101..=130).collect();
     let anew: Vec<u64> = workers.iter().copied().filter(|w| w % 5 < 3).collect();
     let free = Costs {
-        crossing: 0.02,
-        message: Some(0.0),
+        cross_zone: 0.02,
+        peer_message: Some(0.0),
     };
-    for effect in [Effect::Rerunnable, Effect::Exclusive] {
-        let mut world = World::at_cost(free, 100, &workers, 120.0, 12.0, effect);
+    for idempotency in [Idempotency::Idempotent, Idempotency::NonIdempotent] {
+        let mut world = World::at_cost(free, 100, &workers, 120.0, 12.0, idempotency);
         world.anew(3.0, &anew);
         let Ends {
             offered,
@@ -606,7 +628,7 @@
 fn the_cold_get_no_more_than_the_term_allows() {
     for schedulers in [1, 20, 30, 300, 350, 1100] {
         let workers: Vec<u64> = (1..=10).chain(101..=110).collect();
-        let mut world = World::new(schedulers, &workers, 80.0, 10.0, Effect::Rerunnable);
+        let mut world = World::new(schedulers, &workers, 80.0, 10.0, Idempotency::Idempotent);
         world.anew(1.0, &workers);
         world.at(2.0, Event::Killed);
         world.run();
@@ -627,22 +649,24 @@
 /// One of 1,100 schedulers before 1,100 workers: each of the workers, by its own id, is there and gets work.
 #[test]
 fn each_of_many_workers_gets_work() {
-    let mut scheduler = scheduler(7, 1100, Effect::Rerunnable, Follow::default());
-    let lines: Vec<Line> = (1..=1100).map(|id| line(id, Listed::Ready, 0.0)).collect();
+    let mut scheduler = scheduler(7, 1100, Idempotency::Idempotent, ListPolling::default());
+    let lines: Vec<ListEntry> = (1..=1100)
+        .map(|id| line(id, ListState::Ready, 0.0))
+        .collect();
     let mut door = Asked::default();
-    scheduler.news(&mut door, 100.0, News::Full(&lines));
-    assert_eq!(scheduler.cluster(), (1100, 0));
+    scheduler.on_list_update(&mut door, 100.0, ListUpdate::Full(&lines));
+    assert_eq!(scheduler.worker_counts(), (1100, 0));
     let (mut met, mut held) = (BTreeMap::new(), Vec::new());
     for id in 1..=2200 {
         let (now, wu) = (
             100.0 + id as f64 / 1e4,
             WorkUnit::new(id, 0, None, 1.0, 100.0, LIMIT),
         );
-        scheduler.arrived(&mut door, now, &wu);
+        scheduler.on_arrival(&mut door, now, &wu);
         held.push(wu);
         for alloc in std::mem::take(&mut door.sent) {
-            *met.entry(alloc.worker.line.id).or_insert(0) += 1;
-            scheduler.started(&mut door, now, &alloc);
+            *met.entry(alloc.worker.entry.id).or_insert(0) += 1;
+            scheduler.on_start(&mut door, now, &alloc);
         }
     }
     assert_eq!(
@@ -658,7 +682,7 @@
 fn an_old_and_a_new_process_together_are_one_for_the_cold() {
     let workers: Vec<u64> = (1..=30).chain(101..=130).collect();
     let typical = |schedulers: usize, replaced: Option<f64>| {
-        let mut world = World::new(schedulers, &workers, 120.0, 12.0, Effect::Rerunnable);
+        let mut world = World::new(schedulers, &workers, 120.0, 12.0, Idempotency::Idempotent);
         world.anew(3.0, &workers);
         replaced
             .into_iter()
@@ -689,18 +713,28 @@
 fn of_what_was_told_some_has_ended() {
     for (slots, sent) in [(2, 1), (3, 0)] {
         let costs = Costs {
-            crossing: 0.02,
-            message: Some(0.0),
+            cross_zone: 0.02,
+            peer_message: Some(0.0),
         };
-        let mut scheduler = scheduler_at(costs, 0, 100, Effect::Rerunnable, Follow::default());
-        let (worker, mut door) = (line(1, Listed::Ready, 0.0), Asked::default());
-        scheduler.news(&mut door, 100.0, News::Full(std::slice::from_ref(&worker)));
-        let word = Word {
-            sent: 100.0,
-            holds: vec![(worker.key(), slots)],
+        let mut scheduler = scheduler_at(
+            costs,
+            0,
+            100,
+            Idempotency::Idempotent,
+            ListPolling::default(),
+        );
+        let (worker, mut door) = (line(1, ListState::Ready, 0.0), Asked::default());
+        scheduler.on_list_update(
+            &mut door,
+            100.0,
+            ListUpdate::Full(std::slice::from_ref(&worker)),
+        );
+        let word = PeerMessage {
+            sent_at: 100.0,
+            slots_held: vec![(worker.peer_key(), slots)],
         };
-        scheduler.told(100.0, 1, &word.write());
-        scheduler.arrived(
+        scheduler.on_peer_message(100.0, 1, &word.encode());
+        scheduler.on_arrival(
             &mut door,
             100.0,
             &WorkUnit::new(1, 0, None, 1.0, 100.0, LIMIT),
@@ -713,7 +747,7 @@
 fn work_that_can_earn_nothing_any_more_leaves_the_queues() {
     // 80 seconds of work a second are asked for, and 60 can be run.
     let workers: Vec<u64> = (1..=15).chain(101..=115).collect();
-    let mut world = World::new(100, &workers, 160.0, 12.0, Effect::Rerunnable);
+    let mut world = World::new(100, &workers, 160.0, 12.0, Idempotency::Idempotent);
     let Ends {
         offered,
         in_time,
@@ -731,8 +765,8 @@
 fn each_gets_its_one_answer_when_half_of_the_workers_fall_silent() {
     let workers: Vec<u64> = (1..=30).chain(101..=130).collect();
     let lost: Vec<u64> = (101..=130).collect();
-    for effect in [Effect::Rerunnable, Effect::Exclusive] {
-        let mut world = World::new(100, &workers, 160.0, 12.0, effect);
+    for idempotency in [Idempotency::Idempotent, Idempotency::NonIdempotent] {
+        let mut world = World::new(100, &workers, 160.0, 12.0, idempotency);
         world.silent(3.0, &lost);
         let Ends {
             offered,
@@ -758,16 +792,16 @@
     // Of three seconds in which the list must be asked for; the service is slower the more there are.
     for (schedulers, most_wait, most_share) in [(4, 0.375, 1.0), (100, 3.0, 0.4), (350, 3.0, 0.4)] {
         let asks_after = |number: usize| {
-            let follow = Follow {
+            let follow = ListPolling {
                 on_request: true,
-                ask_within: 3.0,
-                ..Follow::default()
+                max_interval: 3.0,
+                ..ListPolling::default()
             };
             let mut door = Asked::default();
-            let mut scheduler = scheduler(number, schedulers, Effect::Rerunnable, follow);
-            scheduler.power_on(&mut door, 100.0);
+            let mut scheduler = scheduler(number, schedulers, Idempotency::Idempotent, follow);
+            scheduler.start(&mut door, 100.0);
             let wait = door.wake.expect("it will ask");
-            scheduler.woke(&mut door, 100.0 + wait);
+            scheduler.on_timer(&mut door, 100.0 + wait);
             assert!(door.follows);
             wait
         };
@@ -791,24 +825,24 @@
 fn a_list_service_that_only_fails_is_asked_without_end_but_never_in_step() {
     let asks: Vec<Vec<f64>> = (0..100)
         .map(|number| {
-            let follow = Follow {
+            let follow = ListPolling {
                 on_request: true,
-                ask_within: 3.0,
-                ..Follow::default()
+                max_interval: 3.0,
+                ..ListPolling::default()
             };
-            let mut scheduler = scheduler(number, 100, Effect::Rerunnable, follow);
+            let mut scheduler = scheduler(number, 100, Idempotency::Idempotent, follow);
             let mut now = 100.0;
-            scheduler.power_on(&mut Asked::default(), now);
+            scheduler.start(&mut Asked::default(), now);
             let mut asked = Vec::new();
             while now < 160.0 {
                 now += 0.05;
                 let mut door = Asked::default();
-                scheduler.woke(&mut door, now);
+                scheduler.on_timer(&mut door, now);
                 if door.follows {
                     asked.push(now);
                     // The call hangs for three seconds, and ends with 503.
                     now += 3.0;
-                    scheduler.news(&mut Asked::default(), now, News::Failed);
+                    scheduler.on_list_update(&mut Asked::default(), now, ListUpdate::Failed);
                 }
             }
             asked
