--- a/crates/mintlb-scheduler/tests/preferred.rs
+++ b/crates/mintlb-scheduler/tests/preferred.rs
@@ -1,10 +1,10 @@
 //! Work that is best served by one certain worker finds it, also in a fleet that was sent little so far.
 
-use mintlb_scheduler::decide::{Buffers, Fleet, Follow, Repeats, Scheduler, Shares};
-use mintlb_scheduler::tools::Chance;
+use mintlb_scheduler::decide::{FairShares, Fleet, ListPolling, Queues, RetryPolicy, Scheduler};
+use mintlb_scheduler::util::Rng;
 use mintlb_scheduler::{
-    Allocation, ColdRule, Costs, Door, Effect, Line, Listed, News, ProjectType, Runs, WorkUnit,
-    Worker,
+    Allocation, Costs, Host, Idempotency, ListEntry, ListState, ListUpdate, ProjectType,
+    ProjectTypeSet, SlowStart, WorkUnit, Worker,
 };
 
 const WORKERS: u64 = 90;
@@ -15,22 +15,22 @@
     sent_to: Vec<u64>,
 }
 
-impl Door for OnlyPreferred {
+impl Host for OnlyPreferred {
     fn permits(&self, _: &WorkUnit, worker: &Worker) -> bool {
-        self.preferred.is_none_or(|id| id == worker.line.id)
+        self.preferred.is_none_or(|id| id == worker.entry.id)
     }
-    fn preferred(&self, _: &WorkUnit) -> Option<u64> {
+    fn preferred_worker(&self, _: &WorkUnit) -> Option<u64> {
         self.preferred
     }
     fn allocate(&mut self, alloc: &Allocation) {
-        self.sent_to.push(alloc.worker.line.id);
+        self.sent_to.push(alloc.worker.entry.id);
     }
-    fn recall(&mut self, _: &Allocation) {}
+    fn cancel(&mut self, _: &Allocation) {}
     fn defer(&mut self, _: &WorkUnit, _: f64) {}
     fn abort(&mut self, _: &WorkUnit) {}
     fn probe(&mut self, _: &Worker) {}
-    fn follow_list(&mut self) {}
-    fn wake_in(&mut self, _: f64) {}
+    fn request_worker_list(&mut self) {}
+    fn set_timer(&mut self, _: f64) {}
     fn log(&mut self, _: &str) {}
 }
 
@@ -39,41 +39,41 @@
         credit: 1.0,
         late_credit: 0.0,
         promised_turnaround: 0.4,
-        stretch: 0.0,
+        turnaround_stretch: 0.0,
         hard_limit: 3.0,
-        effect: Effect::Rerunnable,
-        kind: None,
+        idempotency: Idempotency::Idempotent,
+        machine_kind: None,
     };
     let types = vec![project_type];
     let costs = Costs {
-        crossing: 0.02,
-        message: None,
+        cross_zone: 0.02,
+        peer_message: None,
     };
-    let fleet = Fleet::new(ColdRule::default(), 0, true, costs, &types);
-    let repeats = Repeats {
-        parallel: false,
-        may_recall: true,
-        most_allocations: 8,
+    let fleet = Fleet::new(SlowStart::default(), 0, true, costs, &types);
+    let repeats = RetryPolicy {
+        parallel_attempts: false,
+        may_cancel: true,
+        max_allocations: 8,
     };
     let parts = (
-        Shares::new(&[]),
-        Buffers::new(types, 1.0, 0.0),
+        FairShares::new(&[]),
+        Queues::new(types, 1.0, 0.0),
         repeats,
         fleet,
     );
-    let mut scheduler = Scheduler::new(Chance::new(7), parts, Follow::default());
-    let line = |id| Line {
+    let mut scheduler = Scheduler::new(Rng::new(7), parts, ListPolling::default());
+    let line = |id| ListEntry {
         id,
         zone: (id % 4) as u16,
         cell: 0,
-        kind: 0,
-        listed: Listed::Ready,
-        came_up: 0.0,
-        runs: Runs::default(),
-        fetches: false,
+        machine_kind: 0,
+        state: ListState::Ready,
+        started_at: 0.0,
+        project_types: ProjectTypeSet::default(),
+        pulls_work: false,
     };
-    let lines: Vec<Line> = (1..=WORKERS).map(line).collect();
-    scheduler.news(door, 0.0, News::Full(&lines));
+    let lines: Vec<ListEntry> = (1..=WORKERS).map(line).collect();
+    scheduler.on_list_update(door, 0.0, ListUpdate::Full(&lines));
     scheduler
 }
 
@@ -87,7 +87,7 @@
     for id in 1..=WORKERS {
         door.preferred = Some(id);
         let work = WorkUnit::new(id, 0, None, 1.0, 1.0, 3.0);
-        scheduler.arrived(&mut door, 1.0, &work);
+        scheduler.on_arrival(&mut door, 1.0, &work);
         assert_eq!(door.sent_to.pop(), Some(id), "at once, without a wait");
     }
 }
@@ -100,10 +100,10 @@
     };
     let mut scheduler = scheduler(&mut door);
     let gone = WorkUnit::new(1, 0, None, 1.0, 1.0, 3.0);
-    scheduler.arrived(&mut door, 1.0, &gone);
+    scheduler.on_arrival(&mut door, 1.0, &gone);
     assert!(door.sent_to.is_empty());
     door.preferred = None;
     let other = WorkUnit::new(2, 0, None, 1.0, 1.0, 3.0);
-    scheduler.arrived(&mut door, 1.0, &other);
+    scheduler.on_arrival(&mut door, 1.0, &other);
     assert_eq!(door.sent_to.len(), 2, "both find a worker once any will do");
 }
--- a/crates/mintlb-scheduler/tests/wire_fixtures.rs
+++ b/crates/mintlb-scheduler/tests/wire_fixtures.rs
@@ -3,38 +3,38 @@
 
 mod fixture;
 
-use mintlb_scheduler::word::{MOST, Word};
+use mintlb_scheduler::peer_message::{MAX_ENTRIES, PeerMessage};
 
 const WORDS: &str = include_str!("fixtures/words.txt");
 
-fn words() -> Vec<(&'static str, Word)> {
+fn words() -> Vec<(&'static str, PeerMessage)> {
     vec![
         (
             "nothing-held",
-            Word {
-                sent: 0.0,
-                holds: vec![],
+            PeerMessage {
+                sent_at: 0.0,
+                slots_held: vec![],
             },
         ),
         (
             "some-held",
-            Word {
-                sent: 1.5,
-                holds: vec![(0, 0), (258, 1), (65535, 255)],
+            PeerMessage {
+                sent_at: 1.5,
+                slots_held: vec![(0, 0), (258, 1), (65535, 255)],
             },
         ),
         (
             "time-gone-round",
-            Word {
-                sent: 66.25,
-                holds: vec![(7, 3)],
+            PeerMessage {
+                sent_at: 66.25,
+                slots_held: vec![(7, 3)],
             },
         ),
         (
             "as-long-as-can-be",
-            Word {
-                sent: 60.0,
-                holds: vec![(772, 5); MOST],
+            PeerMessage {
+                sent_at: 60.0,
+                slots_held: vec![(772, 5); MAX_ENTRIES],
             },
         ),
     ]
@@ -44,7 +44,7 @@
 fn words_are_written_as_in_the_fixtures() {
     let written: Vec<_> = words()
         .into_iter()
-        .map(|(name, word)| (name, word.write()))
+        .map(|(name, word)| (name, word.encode()))
         .collect();
     fixture::check(WORDS, &written);
 }
@@ -54,8 +54,9 @@
     let (words, held) = (words(), fixture::read(WORDS));
     assert_eq!(words.len(), held.len());
     for ((name, word), (_, bytes)) in words.into_iter().zip(held) {
-        let read = Word::read(word.sent, &bytes).unwrap_or_else(|| panic!("{name}: no word"));
+        let read =
+            PeerMessage::decode(word.sent_at, &bytes).unwrap_or_else(|| panic!("{name}: no word"));
         assert_eq!(read, word, "{name}");
-        assert_eq!(read.write(), bytes, "{name}: written again");
+        assert_eq!(read.encode(), bytes, "{name}: written again");
     }
 }
--- a/crates/mintlb-scheduler/tests/word.rs
+++ b/crates/mintlb-scheduler/tests/word.rs
@@ -1,10 +1,10 @@
 //! What schedulers tell one another, as bytes.
 
-use mintlb_scheduler::word::{LONGEST, MOST, Word};
+use mintlb_scheduler::peer_message::{MAX_BYTES, MAX_ENTRIES, PeerMessage};
 
 #[test]
 fn words_come_back_as_they_were_written() {
-    for (holds, sent, age) in [
+    for (slots_held, sent, age) in [
         (vec![], 100.0, 0.0),
         (vec![(0, 0), (65535, 255)], 100.25, 0.02),
         // The two bytes of time go round between writing and reading.
@@ -12,26 +12,29 @@
         (vec![(7, 1)], 1.7e9, 30.0),
         // A clock that is ahead of ours.
         (vec![(7, 1)], 200.0, -3.0),
-        (vec![(9, 2); MOST], 100.0, 0.0),
+        (vec![(9, 2); MAX_ENTRIES], 100.0, 0.0),
     ] {
-        let bytes = Word {
-            sent,
-            holds: holds.clone(),
+        let bytes = PeerMessage {
+            sent_at: sent,
+            slots_held: slots_held.clone(),
         }
-        .write();
-        assert!(bytes.len() <= LONGEST);
-        let word = Word::read(sent + age, &bytes).unwrap();
+        .encode();
+        assert!(bytes.len() <= MAX_BYTES);
+        let word = PeerMessage::decode(sent + age, &bytes).unwrap();
         assert!(
-            (word.sent - sent).abs() < 0.002 && word.holds == holds,
+            (word.sent_at - sent).abs() < 0.002 && word.slots_held == slots_held,
             "{sent} {age}: {word:?}"
         );
     }
-    let long = Word {
-        sent: 1.0,
-        holds: vec![(9, 2); MOST + 9],
+    let long = PeerMessage {
+        sent_at: 1.0,
+        slots_held: vec![(9, 2); MAX_ENTRIES + 9],
     }
-    .write();
-    assert_eq!(Word::read(1.0, &long).unwrap().holds.len(), MOST);
+    .encode();
+    assert_eq!(
+        PeerMessage::decode(1.0, &long).unwrap().slots_held.len(),
+        MAX_ENTRIES
+    );
 }
 
 #[test]
@@ -44,6 +47,6 @@
         (b"GET /", "another protocol"),
         (&[1; 258], "too long"),
     ] {
-        assert_eq!(Word::read(1.0, bytes), None, "{why}");
+        assert_eq!(PeerMessage::decode(1.0, bytes), None, "{why}");
     }
 }
--- a/crates/mintlb-scheduler/tests/world/mod.rs
+++ b/crates/mintlb-scheduler/tests/world/mod.rs
@@ -1,13 +1,13 @@
 //! A scheduler behind a door that writes down what is asked of it, driven by short scripts.
 
-use mintlb_scheduler::decide::{Buffers, Fleet, Follow, Repeats, Scheduler, Shares};
-use mintlb_scheduler::tools::Chance;
-use mintlb_scheduler::word::Word;
+use mintlb_scheduler::decide::{FairShares, Fleet, ListPolling, Queues, RetryPolicy, Scheduler};
+use mintlb_scheduler::peer_message::PeerMessage;
+use mintlb_scheduler::util::Rng;
 use mintlb_scheduler::{
-    Allocation, ColdRule, Costs, Door, Effect, Group, Line, Listed, News, Numbered, Outcome,
-    ProjectType,
+    Allocation, Costs, DedupScope, Host, Idempotency, ListEntry, ListState, ListUpdate, Outcome,
+    ProjectType, ProjectTypeUpdate, SlowStart,
 };
-use mintlb_scheduler::{Report, Runs, WorkUnit, Worker};
+use mintlb_scheduler::{LoadReport, ProjectTypeSet, WorkUnit, Worker};
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
@@ -21,18 +21,18 @@
     pub wake: f64,
 }
 
-impl Door for Acts {
+impl Host for Acts {
     fn allocate(&mut self, a: &Allocation) {
         self.said.push(format!(
             "send {}>{}",
-            a.wu.upgrade().unwrap().id,
-            a.worker.line.id
+            a.work_unit.upgrade().unwrap().id,
+            a.worker.entry.id
         ));
     }
-    fn recall(&mut self, a: &Allocation) {
+    fn cancel(&mut self, a: &Allocation) {
         self.said.push(format!(
             "recall {}.{}",
-            a.wu.upgrade().unwrap().id,
+            a.work_unit.upgrade().unwrap().id,
             a.number
         ));
     }
@@ -44,21 +44,21 @@
         self.said.push(format!("abort {}", wu.id));
     }
     fn probe(&mut self, w: &Worker) {
-        self.said.push(format!("probe {}", w.line.id));
+        self.said.push(format!("probe {}", w.entry.id));
     }
-    fn follow_list(&mut self) {
+    fn request_worker_list(&mut self) {
         self.said.push("ask".into());
     }
-    fn tell(&mut self, bytes: &[u8]) {
-        let word = Word::read(self.now, bytes).unwrap();
+    fn broadcast(&mut self, bytes: &[u8]) {
+        let word = PeerMessage::decode(self.now, bytes).unwrap();
         let held: Vec<String> = word
-            .holds
+            .slots_held
             .iter()
             .map(|(_, slots)| slots.to_string())
             .collect();
         self.said.push(format!("tell {}", held.join(" ")));
     }
-    fn wake_in(&mut self, seconds: f64) {
+    fn set_timer(&mut self, seconds: f64) {
         self.wake = seconds;
     }
     fn log(&mut self, _: &str) {}
@@ -74,75 +74,75 @@
 
 pub const SPAN: f64 = 3.0;
 
-fn project_type(credit: f64, effect: Effect) -> ProjectType {
+fn project_type(credit: f64, idempotency: Idempotency) -> ProjectType {
     let (promised_turnaround, hard_limit) = (0.2, 3.2);
     ProjectType {
         credit,
         late_credit: 0.0,
         promised_turnaround,
-        stretch: 0.0,
+        turnaround_stretch: 0.0,
         hard_limit,
-        effect,
-        kind: None,
+        idempotency,
+        machine_kind: None,
     }
 }
 
 /// Types: 0 rerunnable, 1 receipted in its cell, 2 exclusive, 3 receipted everywhere, 4 and 5 the same as
 /// 1 and 3 with a window that soon closes. Customer 0 has ample quota, customer 1 next to none.
-pub fn world(parallel: bool, on_request: bool) -> World {
+pub fn world(parallel_attempts: bool, on_request: bool) -> World {
     world_at(
-        parallel,
+        parallel_attempts,
         on_request,
         Costs {
-            crossing: 0.02,
-            message: None,
+            cross_zone: 0.02,
+            peer_message: None,
         },
     )
 }
 
 /// The same where it costs this to cross zones, and to tell the other three schedulers.
-pub fn world_at(parallel: bool, on_request: bool, costs: Costs) -> World {
-    world_by(7, parallel, on_request, costs)
+pub fn world_at(parallel_attempts: bool, on_request: bool, costs: Costs) -> World {
+    world_by(7, parallel_attempts, on_request, costs)
 }
 
 /// And with chance from another seed.
-pub fn world_by(seed: u64, parallel: bool, on_request: bool, costs: Costs) -> World {
-    let receipted = |group, window| Effect::Receipted { group, window };
+pub fn world_by(seed: u64, parallel_attempts: bool, on_request: bool, costs: Costs) -> World {
+    let receipted = |scope, window| Idempotency::Deduplicated { scope, window };
     let types = [
-        (1.0, Effect::Rerunnable),
-        (2.0, receipted(Group::Cell, 2.0)),
-        (10.0, Effect::Exclusive),
-        (1.0, receipted(Group::All, 2.0)),
-        (1.0, receipted(Group::Cell, 0.05)),
-        (1.0, receipted(Group::All, 0.05)),
+        (1.0, Idempotency::Idempotent),
+        (2.0, receipted(DedupScope::Cell, 2.0)),
+        (10.0, Idempotency::NonIdempotent),
+        (1.0, receipted(DedupScope::All, 2.0)),
+        (1.0, receipted(DedupScope::Cell, 0.05)),
+        (1.0, receipted(DedupScope::All, 0.05)),
     ];
     let types = types.map(|(c, e)| project_type(c, e)).to_vec();
-    let cold = ColdRule {
-        from: 0.2,
-        warm_after: 20.0,
-        multiple: 3.0,
-        span: SPAN,
-        among: 4.0,
+    let cold = SlowStart {
+        initial_share: 0.2,
+        duration: 20.0,
+        overload_multiple: 3.0,
+        overload_window: SPAN,
+        scheduler_count: 4.0,
     };
     let fleet = Fleet::new(cold, 0, true, costs, &types);
-    let repeats = Repeats {
-        parallel,
-        may_recall: true,
-        most_allocations: 3,
+    let repeats = RetryPolicy {
+        parallel_attempts,
+        may_cancel: true,
+        max_allocations: 3,
     };
     let chain = (
-        Shares::new(&[1e6, 1e-6]),
-        Buffers::new(types.clone(), 0.1, 2.0),
+        FairShares::new(&[1e6, 1e-6]),
+        Queues::new(types.clone(), 0.1, 2.0),
         repeats,
         fleet,
     );
     let scheduler = Scheduler::new(
-        Chance::new(seed),
+        Rng::new(seed),
         chain,
-        Follow {
+        ListPolling {
             on_request,
-            ask_within: 3.0,
-            ..Follow::default()
+            max_interval: 3.0,
+            ..ListPolling::default()
         },
     );
     World {
@@ -154,16 +154,16 @@
     }
 }
 
-pub fn line(id: u64, listed: Listed, came_up: f64) -> Line {
-    Line {
+pub fn line(id: u64, state: ListState, started_at: f64) -> ListEntry {
+    ListEntry {
         id,
         zone: (id / 100) as u16,
         cell: id / 10,
-        kind: 0,
-        listed,
-        came_up,
-        runs: Runs::default(),
-        fetches: false,
+        machine_kind: 0,
+        state,
+        started_at,
+        project_types: ProjectTypeSet::default(),
+        pulls_work: false,
     }
 }
 
@@ -193,32 +193,32 @@
         acts.now = now;
         let number = |i: usize, absent: f64| args.get(i).map_or(absent, |a| a.parse().unwrap());
         match verb {
-            "on" => s.power_on(acts, now),
+            "on" => s.start(acts, now),
             "at" => self.now = 100.0 + number(0, 0.0),
             "list" | "change" => {
-                let lines: Vec<Line> = args
+                let lines: Vec<ListEntry> = args
                     .iter()
                     .map(|a| {
                         let id = a.trim_end_matches(char::is_alphabetic).parse().unwrap();
                         match a.chars().last().unwrap() {
-                            'd' => line(id, Listed::Draining, 0.0),
-                            'g' => line(id, Listed::Gone, 0.0),
-                            'n' => line(id, Listed::Ready, now),
-                            _ => line(id, Listed::Ready, 0.0),
+                            'd' => line(id, ListState::Draining, 0.0),
+                            'g' => line(id, ListState::Gone, 0.0),
+                            'n' => line(id, ListState::Ready, now),
+                            _ => line(id, ListState::Ready, 0.0),
                         }
                     })
                     .collect();
-                s.news(
+                s.on_list_update(
                     acts,
                     now,
                     if verb == "list" {
-                        News::Full(&lines)
+                        ListUpdate::Full(&lines)
                     } else {
-                        News::Changes(&lines)
+                        ListUpdate::Changes(&lines)
                     },
                 );
             }
-            "lost" => s.news(acts, now, News::Failed),
+            "lost" => s.on_list_update(acts, now, ListUpdate::Failed),
             "call" => {
                 let (id, customer) = (number(0, 0.0) as u64, number(2, 0.0) as usize);
                 let wu = WorkUnit::new(
@@ -230,11 +230,11 @@
                     3.2,
                 );
                 self.held.insert(id, wu.clone());
-                s.arrived(acts, now, &wu);
+                s.on_arrival(acts, now, &wu);
             }
             "start" => {
                 let alloc = self.alloc(args[0]);
-                self.scheduler.started(&mut self.acts, now, &alloc);
+                self.scheduler.on_start(&mut self.acts, now, &alloc);
             }
             "back" => {
                 let alloc = self.alloc(args[0]);
@@ -251,52 +251,54 @@
                 };
                 let ended = args.get(2).is_some() || outcome == Outcome::Completed;
                 self.scheduler
-                    .came_back(&mut self.acts, now, &alloc, outcome, ended);
+                    .on_outcome(&mut self.acts, now, &alloc, outcome, ended);
             }
-            "left" => s.left(acts, now, &self.held[&(number(0, 0.0) as u64)]),
+            "left" => s.on_client_gone(acts, now, &self.held[&(number(0, 0.0) as u64)]),
             "told" => {
-                let report = Report {
+                let report = LoadReport {
                     free_slots: Some(number(1, 0.0)),
                 };
-                s.worker(number(0, 0.0) as u64).unwrap().told(now, report);
+                s.worker(number(0, 0.0) as u64)
+                    .unwrap()
+                    .record_report(now, report);
             }
             "hear" => {
-                let key = |id: &str| line(id.parse().unwrap(), Listed::Ready, 0.0).key();
-                let holds = args[2..]
+                let key = |id: &str| line(id.parse().unwrap(), ListState::Ready, 0.0).peer_key();
+                let slots_held = args[2..]
                     .chunks(2)
                     .map(|c| (key(c[0]), c[1].parse().unwrap()))
                     .collect();
-                let word = Word {
-                    sent: now - number(1, 0.0),
-                    holds,
+                let word = PeerMessage {
+                    sent_at: now - number(1, 0.0),
+                    slots_held,
                 };
-                s.told(now, number(0, 0.0) as usize, &word.write());
+                s.on_peer_message(now, number(0, 0.0) as usize, &word.encode());
             }
             "hush" => {
                 let types = self.types.iter().cloned().enumerate();
-                let types: Vec<Numbered> = types
-                    .map(|(number, project_type)| Numbered {
+                let types: Vec<ProjectTypeUpdate> = types
+                    .map(|(number, project_type)| ProjectTypeUpdate {
                         number,
-                        continues: Some(number),
+                        predecessor: Some(number),
                         project_type,
                     })
                     .collect();
-                let repeats = Repeats {
-                    parallel: false,
-                    may_recall: true,
-                    most_allocations: 3,
+                let repeats = RetryPolicy {
+                    parallel_attempts: false,
+                    may_cancel: true,
+                    max_allocations: 3,
                 };
-                s.retune(
+                s.reconfigure(
                     &types,
                     repeats,
                     (0.1, 2.0),
                     Costs {
-                        crossing: 0.02,
-                        message: None,
+                        cross_zone: 0.02,
+                        peer_message: None,
                     },
                 );
             }
-            "wake" => s.woke(acts, now),
+            "wake" => s.on_timer(acts, now),
             other => panic!("no step {other}"),
         }
     }
--- a/crates/mintlb/src/change.rs
+++ b/crates/mintlb/src/change.rs
@@ -6,7 +6,7 @@
 use crate::serve::Plan;
 use mintlb_core::types::Named;
 use mintlb_scheduler::ProjectType;
-use mintlb_scheduler::settings::Terms;
+use mintlb_scheduler::settings::ReloadableSettings;
 use std::time::Duration;
 
 /// Of a plan what can hold while a scheduler serves, and what must be the same until the next start.
@@ -14,7 +14,7 @@
     pub placement: Placement,
     pub operator: Operator,
     pub types: Vec<(String, ProjectType)>,
-    pub terms: Terms,
+    pub terms: ReloadableSettings,
     pub last_answer: Duration,
     pub plans: Plans,
 }
--- a/crates/mintlb/src/cli.rs
+++ b/crates/mintlb/src/cli.rs
@@ -7,7 +7,7 @@
 use crate::placement::Placement;
 use crate::serve::{Plan, Told, serve};
 use argh::FromArgs;
-use mintlb_admin::call::FAILURE;
+use mintlb_admin::command::FAILURE;
 use mintlb_common::settings::NodeSettings;
 use std::io::{ErrorKind, Read, Write};
 use std::net::{TcpListener, TcpStream};
--- a/crates/mintlb/src/grants.rs
+++ b/crates/mintlb/src/grants.rs
@@ -1,11 +1,11 @@
 //! The machine's grant, parted among what the program holds and how long it waits.
 
 use crate::placement::Machine;
-use mintlb_admin::door::Bounds;
+use mintlb_admin::server::ServerLimits;
 use mintlb_core::clock::seconds;
 use mintlb_core::standing::Notice;
 use mintlb_http::limits::{BODY, HEAD, LIST_BEAT, Limits, OWED};
-use mintlb_scheduler::settings::{TOLD, Text};
+use mintlb_scheduler::settings::{FlatSettings, MAX_LIST_DELAY_S};
 use std::time::Duration;
 
 #[derive(Clone, Debug)]
@@ -21,7 +21,7 @@
     /// An allocation ends this many seconds before its client gives up, so that the answer is in time.
     pub margin: f64,
     /// The operators' door.
-    pub door: Bounds,
+    pub door: ServerLimits,
     /// Log lines that wait for a slow sink; more are dropped, and counted.
     pub log_lines: usize,
     /// Between two lines of counts in the log.
@@ -54,7 +54,7 @@
     /// there at any time: together they must not take more than the machine has.
     pub fn new(
         machine: &Machine,
-        text: &Text,
+        text: &FlatSettings,
         sessions: usize,
         shared: bool,
     ) -> Result<Grants, String> {
@@ -112,7 +112,7 @@
             probe: seconds(2.0 * dial),
             list_silence: seconds(LIST_BEAT * 1.25),
             // With the longest time from one question to the next, half of what counts as told, it stays below the whole.
-            list_call: seconds(TOLD / 2.0 - LIST_BEAT / 8.0),
+            list_call: seconds(MAX_LIST_DELAY_S / 2.0 - LIST_BEAT / 8.0),
             come_back: if text.get("permissions.retry_after")? {
                 (promise / 2.0).min(text.seconds("permissions.max_retry_after")?)
             } else {
@@ -134,9 +134,9 @@
                 leave: LATE_ARRIVALS,
                 stop: (last_answer / 2.0).max(LATE_ARRIVALS),
             },
-            door: Bounds {
-                callers: ((own - OWN) / 4).max(1),
-                wait: seconds(OWED / 3.0 * 2.0),
+            door: ServerLimits {
+                max_connections: ((own - OWN) / 4).max(1),
+                timeout: seconds(OWED / 3.0 * 2.0),
             },
             first_list: seconds(STOP),
             last_answer: seconds(last_answer),
--- a/crates/mintlb/src/placement.rs
+++ b/crates/mintlb/src/placement.rs
@@ -1,7 +1,7 @@
 //! What the platform tells a scheduler at its start.
 
 use mintlb_http::list::Listing;
-use mintlb_scheduler::settings::Text;
+use mintlb_scheduler::settings::FlatSettings;
 use nix::sys::resource::{Resource, getrlimit};
 use serde::Deserialize;
 use serde_json::{Value, json};
@@ -150,7 +150,7 @@
 
     /// The settings by path, as the decisions read them. On sockets the list must always be asked for, and schedulers
     /// have no way to tell one another anything, whatever is permitted.
-    pub fn text(&self) -> Text {
+    pub fn text(&self) -> FlatSettings {
         let mut pairs = Vec::new();
         flatten("", &self.settings, &mut pairs);
         // What a list that is pushed has counts as told from the first moment and without a watch, so that the grace is
--- a/crates/mintlb/src/record.rs
+++ b/crates/mintlb/src/record.rs
@@ -73,7 +73,7 @@
         }
         for worker in &said.workers {
             match worker.listed() {
-                mintlb_scheduler::Listed::Gone => drop(self.workers.remove(&worker.id)),
+                mintlb_scheduler::ListState::Gone => drop(self.workers.remove(&worker.id)),
                 _ => drop(self.workers.insert(worker.id.clone(), worker.clone())),
             }
         }
--- a/crates/mintlb/src/serve.rs
+++ b/crates/mintlb/src/serve.rs
@@ -7,8 +7,8 @@
 use crate::operator::Operator;
 use crate::placement::Placement;
 use crate::record::Record;
-use mintlb_admin::call::{Call, Reply};
-use mintlb_admin::door::Door;
+use mintlb_admin::command::{Command, Reply};
+use mintlb_admin::server::AdminServer;
 use mintlb_core::clock::{Clock, seconds};
 use mintlb_core::figures::{Figures, Now};
 use mintlb_core::hands::Hands;
@@ -22,8 +22,8 @@
 use mintlb_http::list::{Besides, List, Reading, Watch};
 use mintlb_http::worker::{Worded, Workers};
 use mintlb_scheduler::decide::Scheduler;
-use mintlb_scheduler::settings::{Terms, Text};
-use mintlb_scheduler::{ProjectType, Runs};
+use mintlb_scheduler::settings::{FlatSettings, ReloadableSettings};
+use mintlb_scheduler::{ProjectType, ProjectTypeSet};
 use parking_lot::Mutex;
 use slog::{Logger, info, warn};
 use std::path::PathBuf;
@@ -38,10 +38,10 @@
 pub struct Plan {
     pub placement: Placement,
     pub operator: Operator,
-    pub text: Text,
+    pub text: FlatSettings,
     pub grants: Grants,
     pub scheduler: Scheduler,
-    pub terms: Terms,
+    pub terms: ReloadableSettings,
     /// The project types by name, and the customers' names, in the order of their numbers.
     pub types: Vec<(String, ProjectType)>,
     pub customers: Vec<String>,
@@ -59,8 +59,8 @@
             .map_or(0, |table| table.connections);
         let machine = placement.limits.within_system();
         let grants = Grants::new(&machine, &text, sessions, placement.passed.is_some())?;
-        let (types, terms) = (text.named_types()?, text.terms()?);
-        let customers = (0..text.customers()?).map(|i| text.get(&format!("tenants.{i}.name")));
+        let (types, terms) = (text.named_types()?, text.reloadable()?);
+        let customers = (0..text.customer_count()?).map(|i| text.get(&format!("tenants.{i}.name")));
         let (names, project_types): (Vec<String>, Vec<ProjectType>) = types.iter().cloned().unzip();
         let customers: Vec<String> = customers.collect::<Result<_, _>>()?;
         let plans = Plans::new(
@@ -111,23 +111,23 @@
 
 /// What an operator's call is answered, and what follows from it.
 fn operate(
-    call: Call,
+    call: Command,
     standing: &Mutex<Standing>,
     now: f64,
     page: impl FnOnce() -> String,
 ) -> Reply {
     let mut standing = standing.lock();
     let word = match call {
-        Call::Dump => return Reply::Figures(page()),
-        Call::Health => None,
-        Call::Leave => Some(Word::Leave),
-        Call::Join => Some(Word::Join),
+        Command::Dump => return Reply::Metrics(page()),
+        Command::Health => None,
+        Command::Leave => Some(Word::Leave),
+        Command::Join => Some(Word::Join),
     };
     let heard = word.map_or(Ok(()), |word| standing.hear(now, word));
     let shown = standing.shown().to_string();
     match heard {
         Err(why) => Reply::Failure(why.to_string()),
-        Ok(()) if call == Call::Health && !standing.is_ready() => Reply::Failure(shown),
+        Ok(()) if call == Command::Health && !standing.is_ready() => Reply::Failure(shown),
         Ok(()) => Reply::Success(shown),
     }
 }
@@ -186,7 +186,7 @@
         let no = |e| format!("ops: {at}: {e}");
         let door = TcpListener::bind(at).await.map_err(no)?;
         let at = door.local_addr().map_err(no)?;
-        tokio::spawn(Door::new(grants.door, ask.clone(), log.clone()).listen(door));
+        tokio::spawn(AdminServer::new(grants.door, ask.clone(), log.clone()).listen(door));
         info!(log, "operators can call"; "ops" => %at);
     }
     let worded = Worded {
@@ -208,8 +208,8 @@
     let only = plans
         .beanstalkd
         .as_ref()
-        .map_or(Runs::NONE, |plan| plan.only);
-    let runs = Runs::default().without(only);
+        .map_or(ProjectTypeSet::EMPTY, |plan| plan.only);
+    let runs = ProjectTypeSet::default().difference(only);
     let reading = Reading {
         zones: own("zones"),
         kinds: own("machine_types"),
@@ -364,7 +364,7 @@
             },
             Some((call, answer)) = asked.recv() => {
                 let reply = operate(call, &standing, clock.now(), || page(&figures, &subsystems, reducer.now()));
-                if matches!(call, Call::Leave | Call::Join) {
+                if matches!(call, Command::Leave | Command::Join) {
                     let leaving = standing.lock().is_leaving();
                     subsystems.iter().for_each(|part| part.leave(leaving));
                     info!(log, "an operator's call"; "answer" => ?reply, "call" => ?call);
--- a/crates/mintlb/tests/histories.rs
+++ b/crates/mintlb/tests/histories.rs
@@ -3,8 +3,8 @@
 
 mod world;
 
-use mintlb_scheduler::Listed::{Draining, Ready};
-use mintlb_scheduler::tools::Chance;
+use mintlb_scheduler::ListState::{Draining, Ready};
+use mintlb_scheduler::util::Rng;
 use std::collections::{BTreeMap, BTreeSet};
 use world::World;
 
@@ -79,8 +79,8 @@
 }
 
 fn history(seed: u64, jobs: usize) -> (Audit, World) {
-    let mut chance = Chance::new(seed);
-    let mut pick = move |n: usize| (chance.draw() * n as f64) as usize;
+    let mut chance = Rng::new(seed);
+    let mut pick = move |n: usize| (chance.uniform() * n as f64) as usize;
     let (mut world, mut audit) = (World::new("cold = false", &[], 100_000), Audit::default());
     let began = world.now;
     let mut hands: BTreeMap<String, Hand> = BTreeMap::new();
--- a/crates/mintlb/tests/jobs.rs
+++ b/crates/mintlb/tests/jobs.rs
@@ -5,7 +5,7 @@
 mod world;
 
 use harness::{PAUSE, Program, SOON, answer, list_by, listing, post, start_with};
-use mintlb_scheduler::tools::Chance;
+use mintlb_scheduler::util::Rng;
 use std::collections::BTreeMap;
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{Ipv4Addr, SocketAddr, TcpStream};
@@ -442,8 +442,8 @@
     for n in 0..24_u64 {
         let (tell, at, machine) = (tell.clone(), program.jobs.unwrap(), 2 + (n % 6) as u8);
         std::thread::spawn(move || {
-            let mut chance = Chance::new(n + 1);
-            let mut pick = move |most: usize| (chance.draw() * most as f64) as usize;
+            let mut chance = Rng::new(n + 1);
+            let mut pick = move |most: usize| (chance.uniform() * most as f64) as usize;
             let fresh = || {
                 let mut peer = Peer {
                     reader: BufReader::new(call(at, machine)),
--- a/crates/mintlb/tests/program.rs
+++ b/crates/mintlb/tests/program.rs
@@ -546,8 +546,12 @@
         let text = Placement::parse(&BASE.replacen(old, new, 1))
             .unwrap()
             .text();
-        let costs = text.terms().unwrap().costs;
-        assert_eq!((costs.crossing, costs.message), (crossing, None), "{new}");
+        let costs = text.reloadable().unwrap().costs;
+        assert_eq!(
+            (costs.cross_zone, costs.peer_message),
+            (crossing, None),
+            "{new}"
+        );
     }
 }
 
--- a/crates/mintlb/tests/protocol.rs
+++ b/crates/mintlb/tests/protocol.rs
@@ -2,7 +2,7 @@
 
 mod world;
 
-use mintlb_scheduler::Listed::{Draining, Gone, Ready};
+use mintlb_scheduler::ListState::{Draining, Gone, Ready};
 use world::World;
 
 /// Plays steps, and checks what each is answered: `step -> answer`, or a step alone that says nothing. A step is a peer's name and its command; `put` has its job
--- a/crates/mintlb/tests/reducer.rs
+++ b/crates/mintlb/tests/reducer.rs
@@ -11,8 +11,8 @@
 use mintlb_core::work::{Answer, Arrival, Back, Order, Payload};
 use mintlb_http::list::{Listing, Reading};
 use mintlb_http::worker::{Worded, Workers};
-use mintlb_scheduler::settings::Terms;
-use mintlb_scheduler::{Effect, Group, Outcome, ProjectType, Runs};
+use mintlb_scheduler::settings::ReloadableSettings;
+use mintlb_scheduler::{DedupScope, Idempotency, Outcome, ProjectType, ProjectTypeSet};
 use std::sync::Arc;
 use tokio::sync::mpsc::unbounded_channel;
 use tokio::sync::oneshot::{Receiver, channel};
@@ -24,7 +24,7 @@
     clients: Vec<Receiver<Answer>>,
     orders: Vec<Order>,
     types: Vec<(String, ProjectType)>,
-    terms: Terms,
+    terms: ReloadableSettings,
 }
 
 fn bench(most_out: usize) -> Bench {
@@ -48,7 +48,7 @@
     let reading = Reading {
         zones,
         kinds,
-        runs: Runs::default(),
+        runs: ProjectTypeSet::default(),
         workers,
     };
     let types = plan.types.clone();
@@ -127,7 +127,7 @@
             }
             // The project types, each with its effect, and before them how many allocations work may have.
             "retune" => {
-                self.terms.repeats.most_allocations = words[1].parse().unwrap();
+                self.terms.retry_policy.max_allocations = words[1].parse().unwrap();
                 let types: Vec<_> = words[2..].iter().map(|word| self.named(word)).collect();
                 return match self.reducer.retune(&types, &self.terms) {
                     Ok(()) => String::new(),
@@ -164,20 +164,20 @@
 
     /// `NAME=EFFECT`: a project type that is otherwise as the lookup of the example.
     fn named(&self, word: &str) -> (String, ProjectType) {
-        let (name, effect) = word.split_once('=').unwrap();
-        let effect = match effect {
-            "rerunnable" => Effect::Rerunnable,
-            "receipted" => Effect::Receipted {
-                group: Group::Cell,
+        let (name, idempotency) = word.split_once('=').unwrap();
+        let idempotency = match idempotency {
+            "rerunnable" => Idempotency::Idempotent,
+            "receipted" => Idempotency::Deduplicated {
+                scope: DedupScope::Cell,
                 window: 15.0,
             },
-            "exclusive" => Effect::Exclusive,
+            "exclusive" => Idempotency::NonIdempotent,
             other => panic!("no effect {other}"),
         };
         (
             name.to_string(),
             ProjectType {
-                effect,
+                idempotency,
                 ..self.types[0].1.clone()
             },
         )
--- a/crates/mintlb/tests/world/mod.rs
+++ b/crates/mintlb/tests/world/mod.rs
@@ -13,7 +13,7 @@
 use mintlb_core::room::Room;
 use mintlb_core::types::Types;
 use mintlb_core::work::{AllocId, Answer, Arrival, Numbers, Order, Payload, Reach, Recall, Settle};
-use mintlb_scheduler::{Listed, Runs};
+use mintlb_scheduler::{ListState, ProjectTypeSet};
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use std::fmt::{Display, Formatter};
 use std::net::IpAddr;
@@ -21,14 +21,14 @@
 
 /// What the core says, on its way to the hub.
 enum Word {
-    Order(IpAddr, Runs, u64, Order),
+    Order(IpAddr, ProjectTypeSet, u64, Order),
     Recall(AllocId),
     Answer(u64, Answer),
 }
 
 type Words = Arc<Mutex<VecDeque<Word>>>;
 
-struct Way(IpAddr, Runs, u64, Words);
+struct Way(IpAddr, ProjectTypeSet, u64, Words);
 
 impl Display for Way {
     fn fmt(&self, f: &mut Formatter) -> std::fmt::Result {
@@ -368,7 +368,7 @@
     }
 
     /// What the list says of a machine.
-    pub fn list(&mut self, full: bool, machines: &[(u8, Listed, f64)]) {
+    pub fn list(&mut self, full: bool, machines: &[(u8, ListState, f64)]) {
         let places = machines.iter().map(|&(digit, listed, came_up)| {
             let (zone, cell, kind) = (0, u64::from(digit), 0);
             (
