--- a/crates/mintlb-beanstalkd/src/front.rs
+++ b/crates/mintlb-beanstalkd/src/front.rs
@@ -4,12 +4,15 @@
 use crate::hub::{Deed, Hub};
 use crate::machines::Place;
 use bytes::BytesMut;
+use mintlb_core::capacity::CapacityPermit;
 use mintlb_core::clock::Clock;
-use mintlb_core::members::{Member, Source, Told};
+use mintlb_core::membership::{Member, MembershipUpdate, WorkerSource};
 use mintlb_core::reducer::Event;
-use mintlb_core::room::Held;
 use mintlb_core::subsystem::Subsystem;
-use mintlb_core::work::{AllocId, Answer, Arrival, Back, Order, Payload, Reach, Recall, Settle};
+use mintlb_core::work::{
+    AllocationId, AllocationRequest, AllocationResult, Answer, CancelHandle, Endpoint, Payload,
+    Responder, Submission,
+};
 use mintlb_scheduler::{Idempotency, Outcome, ProjectType, ProjectTypeSet};
 use parking_lot::Mutex;
 use rustc_hash::FxHashMap;
@@ -145,22 +148,22 @@
                 });
                 let payload = Payload {
                     body,
-                    once,
-                    own: self.empty.clone(),
+                    non_idempotent: once,
+                    protocol_data: self.empty.clone(),
                 };
                 let (client_id, slots) = (None, 1.0);
-                let arrival = Arrival {
+                let arrival = Submission {
                     id,
-                    client_id,
+                    client_request_id: client_id,
                     project_type,
                     customer,
                     slots,
-                    arrived,
+                    arrived_at: arrived,
                     time_budget,
                     payload,
-                    answer,
+                    responder: answer,
                 };
-                self.tell.send(Event::Arrived(arrival)).ok();
+                self.tell.send(Event::Submitted(arrival)).ok();
             }
             Deed::Member(change) => {
                 let (machine, runs, generation) = (change.machine, change.runs, change.generation);
@@ -173,16 +176,16 @@
                 let (name, line) = (change.name, change.line);
                 let member = Member {
                     name,
-                    line,
+                    entry: line,
                     host: Some(machine),
-                    reach: Some(reach),
+                    endpoint: Some(reach),
                 };
-                let told = Told {
-                    source: Source::Callers,
+                let told = MembershipUpdate {
+                    source: WorkerSource::SelfRegistered,
                     full: false,
                     members: vec![member],
                 };
-                self.tell.send(Event::Members(None, told)).ok();
+                self.tell.send(Event::MembershipChanged(None, told)).ok();
             }
             Deed::Tell(event) => drop(self.tell.send(event)),
             Deed::Wake(session) => {
@@ -268,7 +271,7 @@
         waker: &Notify,
     ) -> &'static str {
         let mut reader = Reader::new(self.with(|hub, _| hub.most_bytes()));
-        let (mut bytes, mut body_room): (BytesMut, Option<Held>) = Default::default();
+        let (mut bytes, mut body_room): (BytesMut, Option<CapacityPermit>) = Default::default();
         let (mut out, mut sent, mut left) = (Vec::new(), 0, false);
         // Since when a command has been incomplete, and since when replies could not be written.
         let (mut part, mut stuck): (Option<Instant>, Option<Instant>) = (None, None);
@@ -375,7 +378,7 @@
         id: u64,
         reader: &mut Reader,
         bytes: &mut BytesMut,
-        body_room: &mut Option<Held>,
+        body_room: &mut Option<CapacityPermit>,
     ) {
         while !hub.is_blocked(id) && !hub.is_over(id) && hub.queued_bytes(id) < MAX_REPLY_BYTES {
             match reader.next(bytes) {
@@ -411,9 +414,9 @@
 
 impl Subsystem for Joint {
     /// Passes on what the list service says of machines, by the addresses of its workers.
-    fn hear(&self, told: &Told) {
+    fn on_membership_update(&self, told: &MembershipUpdate) {
         let places = told.members.iter().filter_map(|member| {
-            let line = &member.line;
+            let line = &member.entry;
             let (zone, cell, kind, listed, came_up) = (
                 line.zone,
                 line.cell,
@@ -436,22 +439,22 @@
     }
 
     /// Takes no job from now on.
-    fn stop(&self) {
+    fn begin_shutdown(&self) {
         self.0.with(|hub, now| hub.stop(now));
     }
 
     /// Refuses puts while `leaving`; jobs that were taken run on.
-    fn leave(&self, leaving: bool) {
+    fn set_leaving(&self, leaving: bool) {
         self.0.with(|hub, _| hub.leaving = leaving);
     }
 
     /// Nothing is left to be written.
-    fn is_quiet(&self) -> bool {
+    fn is_flushed(&self) -> bool {
         self.0.shared.lock().hub.is_quiet()
     }
 
     /// Logs a line of counts if there is something to count.
-    fn count(&self) {
+    fn log_counts(&self) {
         let mut shared = self.0.shared.lock();
         let refused = std::mem::take(&mut shared.hub.totals.refused);
         let (connected, machines) = (shared.wakers.len(), shared.hub.groups());
@@ -476,8 +479,8 @@
     id: u64,
 }
 
-impl Settle for AnswerSink {
-    fn settle(self: Box<Self>, answer: Answer) {
+impl Responder for AnswerSink {
+    fn respond(self: Box<Self>, answer: Answer) {
         self.front.with(|hub, now| hub.ended(now, self.id, answer));
     }
 }
@@ -496,14 +499,21 @@
     }
 }
 
-impl Reach for GroupReach {
-    fn send(&self, order: Order) -> Box<dyn Recall> {
-        let alloc = order.alloc;
+impl Endpoint for GroupReach {
+    fn send(&self, order: AllocationRequest) -> Box<dyn CancelHandle> {
+        let alloc = order.allocation_id;
         // What the attempt costs is paid now, as a waiting reserve is answered at once. Unpaid, it never ran.
-        if order.slip.as_ref().is_some_and(|slip| !slip.pay()) {
+        if order
+            .reservation
+            .as_ref()
+            .is_some_and(|slip| !slip.commit())
+        {
             self.front
                 .tell
-                .send(Event::Back(Back::with(alloc, Outcome::Moot)))
+                .send(Event::Finished(AllocationResult::from_outcome(
+                    alloc,
+                    Outcome::Moot,
+                )))
                 .ok();
             return Box::new(());
         }
@@ -522,11 +532,11 @@
 /// Recalls an attempt that was sent.
 struct AttemptRecall {
     front: Arc<Front>,
-    alloc: AllocId,
+    alloc: AllocationId,
 }
 
-impl Recall for AttemptRecall {
-    fn recall(self: Box<Self>) {
+impl CancelHandle for AttemptRecall {
+    fn cancel(self: Box<Self>) {
         self.front.with(|hub, now| hub.recall(now, self.alloc));
     }
 }
--- a/crates/mintlb-beanstalkd/src/hub/commands.rs
+++ b/crates/mintlb-beanstalkd/src/hub/commands.rs
@@ -4,12 +4,18 @@
 use super::reply::Reply;
 use crate::codec::Command;
 use crate::job::TubeJobs;
-use mintlb_core::room::Held;
+use mintlb_core::capacity::CapacityPermit;
 
 impl Hub {
     /// Runs a session's command. A put comes with the capacity that was reserved for its body, if there was
     /// any.
-    pub fn command(&mut self, now: f64, session: u64, command: Command, body_room: Option<Held>) {
+    pub fn command(
+        &mut self,
+        now: f64,
+        session: u64,
+        command: Command,
+        body_room: Option<CapacityPermit>,
+    ) {
         if !self.sessions.contains_key(&session) {
             return;
         }
@@ -25,7 +31,7 @@
         now: f64,
         session: u64,
         command: Command,
-        body_room: Option<Held>,
+        body_room: Option<CapacityPermit>,
     ) -> Option<Reply> {
         Some(match command {
             Command::Reserve => return self.reserve(now, session, None),
--- a/crates/mintlb-beanstalkd/src/hub/finish.rs
+++ b/crates/mintlb-beanstalkd/src/hub/finish.rs
@@ -9,7 +9,7 @@
 impl Hub {
     /// Takes the core's final answer to a job's request.
     pub fn ended(&mut self, now: f64, id: u64, answer: Answer) {
-        if answer == Answer::Repeated {
+        if answer == Answer::Duplicate {
             return self.restart_refused(now, id);
         }
         let status = FinalStatus::of(&answer);
--- a/crates/mintlb-beanstalkd/src/hub/groups.rs
+++ b/crates/mintlb-beanstalkd/src/hub/groups.rs
@@ -70,10 +70,10 @@
         if let Some(group) = self.machines.group(machine, runs) {
             let (worker, waiting, orders) =
                 (group.worker, group.waiting.len() as u64, group.orders);
-            self.tell(Event::Asks {
+            self.tell(Event::WorkerPolled {
                 worker,
-                waiting,
-                orders,
+                requested: waiting,
+                requests_seen: orders,
             });
         }
     }
--- a/crates/mintlb-beanstalkd/src/hub/leases.rs
+++ b/crates/mintlb-beanstalkd/src/hub/leases.rs
@@ -8,7 +8,7 @@
 use crate::job::{Job, State};
 use crate::session::{InFlight, Lease, Leased};
 use bytes::Bytes;
-use mintlb_core::work::Order;
+use mintlb_core::work::AllocationRequest;
 use mintlb_scheduler::Outcome;
 
 /// The protocol's least urgent priority.
@@ -26,11 +26,11 @@
 
 impl Hub {
     /// Gives a session an attempt as a lease.
-    pub(super) fn lease_attempt(&mut self, now: f64, session: u64, order: Order) {
-        let job = order.alloc.0;
+    pub(super) fn lease_attempt(&mut self, now: f64, session: u64, order: AllocationRequest) {
+        let job = order.allocation_id.0;
         if self.jobs.get(job).is_none() {
             let Some(record) = self.foreign_job(now, &order) else {
-                return self.return_attempt(order.alloc, Outcome::Full);
+                return self.return_attempt(order.allocation_id, Outcome::Full);
             };
             self.jobs.add(job, record);
         }
@@ -45,13 +45,13 @@
             .is_some_and(|route| route.is_exclusive());
         let ttr_over = now + f64::from(record.put.ttr);
         let deadline = if is_exclusive {
-            order.until
+            order.deadline
         } else {
-            order.until.min(ttr_over)
+            order.deadline.min(ttr_over)
         };
         let (leased, latest, body) = (
-            Leased::Attempt(order.alloc),
-            order.until,
+            Leased::Attempt(order.allocation_id),
+            order.deadline,
             order.payload.body,
         );
         self.begin_lease(
@@ -67,7 +67,7 @@
     }
 
     /// A record of a job whose request came through another protocol.
-    fn foreign_job(&self, now: f64, order: &Order) -> Option<Job> {
+    fn foreign_job(&self, now: f64, order: &AllocationRequest) -> Option<Job> {
         let route = self
             .plan
             .routes
--- a/crates/mintlb-beanstalkd/src/hub/mod.rs
+++ b/crates/mintlb-beanstalkd/src/hub/mod.rs
@@ -41,9 +41,9 @@
 use crate::table::Plan;
 use attempts::Attempt;
 use bytes::Bytes;
+use mintlb_core::capacity::{Capacity, CapacityPermit};
 use mintlb_core::reducer::Event;
-use mintlb_core::room::{Held, Room};
-use mintlb_core::work::{AllocId, Numbers};
+use mintlb_core::work::{AllocationId, WorkUnitIds};
 use rustc_hash::FxHashMap;
 use std::collections::{BTreeSet, HashMap};
 use std::sync::Arc;
@@ -80,14 +80,14 @@
     started_at: f64,
     max_job_bytes: usize,
     /// Source of job ids, shared with the other protocols.
-    job_ids: Numbers,
+    job_ids: WorkUnitIds,
     /// The capacity for requests and their bodies, shared with the other protocols.
-    capacity: Room,
+    capacity: Capacity,
     sessions: FxHashMap<u64, Session>,
     jobs: Jobs,
     machines: Machines,
     /// Attempts that the core has ordered and that have no outcome yet.
-    attempts: FxHashMap<AllocId, Attempt>,
+    attempts: FxHashMap<AllocationId, Attempt>,
     /// Waiting reserves by watched notice tube: sequence number and session.
     notice_waiters: HashMap<Tube, BTreeSet<(u64, u64)>>,
     /// Paused tubes: when the pause ends, and its length in seconds.
@@ -116,8 +116,8 @@
         name: String,
         now: f64,
         max_job_bytes: usize,
-        job_ids: Numbers,
-        capacity: Room,
+        job_ids: WorkUnitIds,
+        capacity: Capacity,
     ) -> Hub {
         let machines = Machines::new(plan.table.listed, plan.table.cold);
         Hub {
@@ -156,8 +156,8 @@
     }
 
     /// Reserves capacity for a job's body, if there is any left.
-    pub fn body_room(&self, bytes: usize) -> Option<Held> {
-        self.capacity.body(bytes)
+    pub fn body_room(&self, bytes: usize) -> Option<CapacityPermit> {
+        self.capacity.reserve_body(bytes)
     }
 
     /// A number that is larger than all before it.
--- a/crates/mintlb-beanstalkd/src/hub/producer.rs
+++ b/crates/mintlb-beanstalkd/src/hub/producer.rs
@@ -6,7 +6,7 @@
 use crate::codec::{Put, Tube};
 use crate::job::{Job, State};
 use bytes::Bytes;
-use mintlb_core::room::Held;
+use mintlb_core::capacity::CapacityPermit;
 
 /// The shortest time-to-run, in seconds; a put that asks for 0 gets it, as the protocol has it.
 const MIN_TTR: u32 = 1;
@@ -19,7 +19,7 @@
         id: u64,
         put: Put,
         body: Bytes,
-        body_room: Option<Held>,
+        body_room: Option<CapacityPermit>,
     ) -> Reply {
         let Some(session) = self.sessions.get_mut(&id) else {
             return Reply::default();
@@ -43,8 +43,8 @@
         &self,
         tube: &Tube,
         put: &Put,
-        body_room: Option<Held>,
-    ) -> Result<(Held, Held), &'static [u8]> {
+        body_room: Option<CapacityPermit>,
+    ) -> Result<(CapacityPermit, CapacityPermit), &'static [u8]> {
         if self.stopping || self.leaving {
             return Err(b"DRAINING\r\n");
         }
@@ -52,7 +52,7 @@
             return Err(b"BAD_FORMAT\r\n");
         }
         body_room
-            .and_then(|body| Some((body, self.capacity.work_unit()?)))
+            .and_then(|body| Some((body, self.capacity.reserve_work_unit()?)))
             .ok_or(b"OUT_OF_MEMORY\r\n")
     }
 
@@ -63,7 +63,7 @@
         tube: Tube,
         put: Put,
         body: Bytes,
-        capacity: (Held, Held),
+        capacity: (CapacityPermit, CapacityPermit),
     ) -> u64 {
         let id = self.job_ids.next();
         let pause = self.pauses.get(&tube).map_or(0.0, |(until, _)| until - now);
--- a/crates/mintlb-beanstalkd/src/hub/worker.rs
+++ b/crates/mintlb-beanstalkd/src/hub/worker.rs
@@ -56,7 +56,7 @@
             // The core knows a ready job, and a delayed one if the delay is a release's.
             State::Ready | State::Delayed { .. } if !job.is_notice => {
                 self.totals.withdrawn += 1;
-                self.tell(Event::Left(id));
+                self.tell(Event::ClientLeft(id));
             }
             State::Ready | State::Delayed { .. } | State::Buried(_) => {}
         }
@@ -132,7 +132,7 @@
             record.counts.buries += 1;
         }
         if let Leased::Attempt(_) = lease.leased {
-            self.tell(Event::GivenUp(job));
+            self.tell(Event::NoMoreAttempts(job));
         }
         let sequence = self.next_number();
         self.settle_lease(
--- a/crates/mintlb-beanstalkd/src/job.rs
+++ b/crates/mintlb-beanstalkd/src/job.rs
@@ -2,7 +2,7 @@
 
 use crate::codec::{Put, Tube};
 use bytes::Bytes;
-use mintlb_core::room::Held;
+use mintlb_core::capacity::CapacityPermit;
 use mintlb_core::work::Answer;
 use rustc_hash::FxHashMap;
 use std::collections::{BTreeMap, VecDeque};
@@ -39,7 +39,7 @@
         match answer {
             Answer::Completed(_) => FinalStatus::Completed,
             Answer::Deferred(come_back) => FinalStatus::Deferred(*come_back),
-            Answer::Aborted | Answer::Repeated => FinalStatus::Aborted,
+            Answer::Aborted | Answer::Duplicate => FinalStatus::Aborted,
         }
     }
 
@@ -87,7 +87,7 @@
     /// When a finished job or a notice may be discarded, in seconds of the clock.
     pub expires_at: Option<f64>,
     /// What it takes of the capacity of all protocols together: for its body, and for the request.
-    pub capacity: Option<(Held, Held)>,
+    pub capacity: Option<(CapacityPermit, CapacityPermit)>,
 }
 
 impl Job {
--- a/crates/mintlb-beanstalkd/src/machines.rs
+++ b/crates/mintlb-beanstalkd/src/machines.rs
@@ -4,7 +4,7 @@
 //! project types are one group, which is one worker to the core; a waiting `reserve` is room for one job
 //! there.
 
-use mintlb_core::members::worker_id;
+use mintlb_core::membership::worker_id;
 use mintlb_scheduler::{ListEntry, ListState, ProjectTypeSet};
 use std::collections::{BTreeMap, HashMap};
 use std::net::IpAddr;
--- a/crates/mintlb-core/src/room.rs
+++ b/crates/mintlb-core/src/capacity.rs
@@ -5,34 +5,34 @@
 
 /// Work units that may still be taken, and kilobytes of their bodies.
 #[derive(Clone)]
-pub struct Room {
+pub struct Capacity {
     open: Arc<Semaphore>,
     bodies: Arc<Semaphore>,
 }
 
 /// Held for a body; and for a work unit. Dropped, it is free again.
-pub type Held = OwnedSemaphorePermit;
+pub type CapacityPermit = OwnedSemaphorePermit;
 
 const KILO: usize = 1024;
 
-impl Room {
+impl Capacity {
     /// For so many work units, and so many bytes of their bodies.
-    pub fn new(open: usize, bodies: usize) -> Room {
-        Room {
+    pub fn new(open: usize, bodies: usize) -> Capacity {
+        Capacity {
             open: Arc::new(Semaphore::new(open)),
             bodies: Arc::new(Semaphore::new(bodies / KILO)),
         }
     }
 
     /// For a body of so many bytes.
-    pub fn body(&self, bytes: usize) -> Option<Held> {
+    pub fn reserve_body(&self, bytes: usize) -> Option<CapacityPermit> {
         self.bodies
             .clone()
             .try_acquire_many_owned(bytes.div_ceil(KILO) as u32)
             .ok()
     }
 
-    pub fn work_unit(&self) -> Option<Held> {
+    pub fn reserve_work_unit(&self) -> Option<CapacityPermit> {
         self.open.clone().try_acquire_owned().ok()
     }
 }
--- a/crates/mintlb-core/src/clock.rs
+++ b/crates/mintlb-core/src/clock.rs
@@ -26,12 +26,12 @@
 
     /// The moment of a time of this clock.
     pub fn instant(&self, at: f64) -> Instant {
-        self.began + seconds(at - self.unix)
+        self.began + clamped_duration(at - self.unix)
     }
 }
 
 /// So many seconds; what is no length of time is none, what is absurdly long a day.
-pub fn seconds(length: f64) -> Duration {
+pub fn clamped_duration(length: f64) -> Duration {
     Duration::from_secs_f64(if length.is_finite() {
         length.clamp(0.0, 86_400.0)
     } else {
--- a/crates/mintlb-core/src/permit.rs
+++ b/crates/mintlb-core/src/dispatch_policy.rs
@@ -16,12 +16,18 @@
 }
 
 /// Who is asked. It is asked for each request that waits and each worker with room, so it has to be quick.
-pub trait Permit: Send + Sync {
+pub trait DispatchPolicy: Send + Sync {
     /// Whether this may go there now.
-    fn permits(&self, now: f64, wu: &WorkUnit, payload: &Payload, worker: &Worker) -> Permission;
+    fn permits(
+        &self,
+        now: f64,
+        work_unit: &WorkUnit,
+        payload: &Payload,
+        worker: &Worker,
+    ) -> Permission;
 
     /// The worker that would serve this best, where one is known to. Asked once, as the request arrives.
-    fn preferred(&self, _payload: &Payload) -> Option<u64> {
+    fn preferred_worker(&self, _payload: &Payload) -> Option<u64> {
         None
     }
 }
--- a/crates/mintlb-core/src/hands.rs
+++ b/crates/mintlb-core/src/executor.rs
@@ -1,10 +1,10 @@
 //! Carries out what the reducer asks for.
 
-use crate::clock::{Clock, seconds};
-use crate::figures::{Ends, Figures};
-use crate::reducer::Act;
-use crate::types::Named;
-use crate::work::{AllocId, Answer, Back, Recall};
+use crate::clock::{Clock, clamped_duration};
+use crate::metrics::{AnswerCounts, Metrics};
+use crate::project_types::NamedProjectType;
+use crate::reducer::Action;
+use crate::work::{AllocationId, AllocationResult, Answer, CancelHandle};
 use rustc_hash::FxHashMap;
 use slog::{Logger, debug, info};
 use std::sync::Arc;
@@ -12,37 +12,42 @@
 use tokio::time::Instant;
 
 /// Follows the list service; each call begins a watch, unless one is alive.
-pub trait Watcher {
+pub trait ListWatcher {
     /// Has the list heard from there on, or from its whole if no version of it is known.
     fn watch(&mut self, after: Option<u64>);
 }
 
-pub struct Hands<W> {
-    pub list: W,
+pub struct ActionExecutor<W> {
+    pub list_watcher: W,
     clock: Clock,
     log: Logger,
     /// What gives up an allocation that is out.
-    out: FxHashMap<AllocId, Box<dyn Recall>>,
+    out: FxHashMap<AllocationId, Box<dyn CancelHandle>>,
     /// When the decisions want to be woken.
-    pub due: Option<Instant>,
-    figures: Arc<Figures>,
+    pub wake_at: Option<Instant>,
+    metrics: Arc<Metrics>,
     /// The counters of each project type, by its number.
-    ends: Vec<Arc<Ends>>,
+    ends: Vec<Arc<AnswerCounts>>,
     /// Allocations called off since the last line of counts, and what the figures said then.
     closed: u64,
     counted: [u64; 4],
 }
 
-impl<W: Watcher> Hands<W> {
-    pub fn new(list: W, clock: Clock, log: Logger, figures: Arc<Figures>) -> Hands<W> {
-        let (out, due, ends, counted) = Default::default();
-        Hands {
-            list,
+impl<W: ListWatcher> ActionExecutor<W> {
+    pub fn new(
+        list_watcher: W,
+        clock: Clock,
+        log: Logger,
+        metrics: Arc<Metrics>,
+    ) -> ActionExecutor<W> {
+        let (out, wake_at, ends, counted) = Default::default();
+        ActionExecutor {
+            list_watcher,
             clock,
             log,
             out,
-            due,
-            figures,
+            wake_at,
+            metrics,
             ends,
             closed: 0,
             counted,
@@ -50,9 +55,9 @@
     }
 
     /// These project types stand for their numbers from now on.
-    pub fn take_types(&mut self, types: &[Named]) {
+    pub fn set_project_types(&mut self, types: &[NamedProjectType]) {
         for named in types {
-            let ends = self.figures.of(&named.name);
+            let ends = self.metrics.answer_counts(&named.name);
             self.ends
                 .resize(self.ends.len().max(named.number + 1), ends.clone());
             self.ends[named.number] = ends;
@@ -60,26 +65,26 @@
     }
 
     /// An allocation that is back needs no recalling.
-    pub fn back(&mut self, back: &Back) {
-        if self.out.remove(&back.alloc).is_some() {
-            let (wu, number) = back.alloc;
-            debug!(self.log, "allocation back"; "outcome" => ?back.outcome, "n" => number, "wu" => wu);
+    pub fn record_result(&mut self, back: &AllocationResult) {
+        if self.out.remove(&back.allocation_id).is_some() {
+            let (work_unit, number) = back.allocation_id;
+            debug!(self.log, "allocation back"; "outcome" => ?back.outcome, "n" => number, "wu" => work_unit);
         }
     }
 
-    pub fn started(&self, (wu, number): AllocId) {
-        debug!(self.log, "allocation started"; "n" => number, "wu" => wu);
+    pub fn log_started(&self, (work_unit, number): AllocationId) {
+        debug!(self.log, "allocation started"; "n" => number, "wu" => work_unit);
     }
 
-    pub fn left(&self, wu: u64) {
-        debug!(self.log, "its client has left"; "wu" => wu);
+    pub fn log_client_left(&self, work_unit: u64) {
+        debug!(self.log, "its client has left"; "wu" => work_unit);
     }
 
     /// One line of counts, where there is something to count.
-    pub fn count(&mut self, held: usize) {
-        let (so_far, closed) = (self.figures.so_far(), std::mem::take(&mut self.closed));
-        let before = std::mem::replace(&mut self.counted, so_far);
-        let since = |i: usize| so_far[i] - before[i];
+    pub fn log_counts(&mut self, held: usize) {
+        let (totals, closed) = (self.metrics.totals(), std::mem::take(&mut self.closed));
+        let before = std::mem::replace(&mut self.counted, totals);
+        let since = |i: usize| totals[i] - before[i];
         let [completed, deferred, aborted, sent] = [since(0), since(1), since(2), since(3)];
         if sent + completed + deferred + aborted > 0 {
             info!(self.log, "counts"; "aborted" => aborted, "deferred" => deferred, "completed" => completed,
@@ -87,25 +92,25 @@
         }
     }
 
-    pub fn carry_out(&mut self, act: Act) {
+    pub fn execute(&mut self, act: Action) {
         match act {
-            Act::Send { to, order } => {
-                let alloc = order.alloc;
-                debug!(self.log, "allocation sent"; "worker" => %to, "project type" => order.project_type,
-                    "n" => alloc.1, "wu" => alloc.0);
-                self.out.insert(alloc, to.send(order));
+            Action::Send { endpoint, request } => {
+                let allocation_id = request.allocation_id;
+                debug!(self.log, "allocation sent"; "worker" => %endpoint, "project type" => request.project_type,
+                    "n" => allocation_id.1, "wu" => allocation_id.0);
+                self.out.insert(allocation_id, endpoint.send(request));
             }
-            Act::Recall(alloc) => {
+            Action::Cancel(allocation_id) => {
                 self.closed += 1;
-                debug!(self.log, "allocation called off"; "n" => alloc.1, "wu" => alloc.0);
-                if let Some(out) = self.out.remove(&alloc) {
-                    out.recall();
+                debug!(self.log, "allocation called off"; "n" => allocation_id.1, "wu" => allocation_id.0);
+                if let Some(out) = self.out.remove(&allocation_id) {
+                    out.cancel();
                 }
             }
-            Act::Answer {
-                wu,
+            Action::Answer {
+                work_unit,
                 project_type,
-                to,
+                responder,
                 answer,
             } => {
                 let ends = project_type.and_then(|number| self.ends.get(number));
@@ -113,20 +118,20 @@
                     Answer::Completed(_) => (ends.map(|ends| &ends.completed), "completed"),
                     Answer::Deferred(_) => (ends.map(|ends| &ends.deferred), "deferred"),
                     Answer::Aborted => (ends.map(|ends| &ends.aborted), "aborted"),
-                    Answer::Repeated => (None, "repeated"),
+                    Answer::Duplicate => (None, "repeated"),
                 };
                 if let Some(count) = count {
                     count.fetch_add(1, Relaxed);
                 }
-                debug!(self.log, "answered"; "answer" => what, "wu" => wu);
-                to.settle(answer);
+                debug!(self.log, "answered"; "answer" => what, "wu" => work_unit);
+                responder.respond(answer);
             }
-            Act::Probe { worker, to } => to.probe(worker),
-            Act::Watch { after } => self.list.watch(after),
-            Act::WakeIn(after) => {
-                self.due = Some(self.clock.instant(self.clock.now()) + seconds(after))
+            Action::Probe { worker, endpoint } => endpoint.probe(worker),
+            Action::Watch { after } => self.list_watcher.watch(after),
+            Action::WakeIn(after) => {
+                self.wake_at = Some(self.clock.instant(self.clock.now()) + clamped_duration(after))
             }
-            Act::Log(line) => info!(self.log, "{}", line),
+            Action::Log(line) => info!(self.log, "{}", line),
         }
     }
 }
--- a/crates/mintlb-core/src/lib.rs
+++ b/crates/mintlb-core/src/lib.rs
@@ -5,19 +5,19 @@
 //!                       (decide)
 //! ```
 //!
-//! A front turns what its clients hand in into an [`work::Arrival`] and waits for the one [`work::Answer`]. A back is
-//! reached through [`work::Reach`]: it takes an [`work::Order`] and tells the [`work::Back`]. What lies between,
-//! [`reducer::Reducer`], alone changes state, on one thread; [`hands::Hands`] carries out what it asks for.
+//! A front turns what its clients hand in into an [`work::Submission`] and waits for the one [`work::Answer`]. A back is
+//! reached through [`work::Endpoint`]: it takes an [`work::AllocationRequest`] and tells the [`work::AllocationResult`]. What lies between,
+//! [`reducer::Reducer`], alone changes state, on one thread; [`executor::ActionExecutor`] carries out what it asks for.
 
+pub mod budget;
+pub mod capacity;
 pub mod clock;
-pub mod figures;
-pub mod hands;
-pub mod members;
-pub mod permit;
+pub mod dispatch_policy;
+pub mod executor;
+pub mod lifecycle;
+pub mod membership;
+pub mod metrics;
+pub mod project_types;
 pub mod reducer;
-pub mod room;
-pub mod spend;
-pub mod standing;
 pub mod subsystem;
-pub mod types;
 pub mod work;
--- a/crates/mintlb-core/src/standing.rs
+++ b/crates/mintlb-core/src/lifecycle.rs
@@ -2,7 +2,7 @@
 
 /// What moves it. Each may come at any time, in any order and more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Word {
+pub enum LifecycleEvent {
     /// It can serve.
     Ready,
     /// Clients are to go elsewhere.
@@ -10,29 +10,29 @@
     /// And may come again.
     Join,
     /// The program is to end. With a successor, there is already one who takes new clients.
-    Stop { succeeded: bool },
+    Stop { has_successor: bool },
 }
 
 /// How many seconds after the word to leave, and to stop, connections stay open. Who asks whether we serve must have had
 /// time to notice, or clients would come back here; and after the word to stop others may be starting again.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Notice {
-    pub leave: f64,
-    pub stop: f64,
+pub struct CloseDelays {
+    pub after_leave: f64,
+    pub after_stop: f64,
 }
 
 /// Where it stands, and since when. Facts that don't replace each other, so that their order doesn't matter.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Standing {
-    notice: Notice,
+pub struct Lifecycle {
+    notice: CloseDelays,
     ready: bool,
     left: Option<f64>,
     stopped: Option<(f64, bool)>,
 }
 
-impl Standing {
-    pub fn new(notice: Notice) -> Standing {
-        Standing {
+impl Lifecycle {
+    pub fn new(notice: CloseDelays) -> Lifecycle {
+        Lifecycle {
             notice,
             ready: false,
             left: None,
@@ -41,15 +41,17 @@
     }
 
     /// What it is from then on; an error where the word can't be followed, and nothing has changed.
-    pub fn hear(&mut self, now: f64, word: Word) -> Result<(), &'static str> {
+    pub fn apply(&mut self, now: f64, word: LifecycleEvent) -> Result<(), &'static str> {
         match word {
-            Word::Ready => self.ready = true,
-            Word::Leave => self.left = self.left.or(Some(now)),
-            Word::Join if self.stopped.is_some() => {
+            LifecycleEvent::Ready => self.ready = true,
+            LifecycleEvent::Leave => self.left = self.left.or(Some(now)),
+            LifecycleEvent::Join if self.stopped.is_some() => {
                 return Err("it is stopping, and takes no clients again");
             }
-            Word::Join => self.left = None,
-            Word::Stop { succeeded } => self.stopped = self.stopped.or(Some((now, succeeded))),
+            LifecycleEvent::Join => self.left = None,
+            LifecycleEvent::Stop { has_successor } => {
+                self.stopped = self.stopped.or(Some((now, has_successor)))
+            }
         }
         Ok(())
     }
@@ -60,8 +62,11 @@
     }
 
     /// Since when they should not come any more, whoever said so first.
-    pub fn turned(&self) -> Option<f64> {
-        self.left.into_iter().chain(self.stopped()).reduce(f64::min)
+    pub fn draining_since(&self) -> Option<f64> {
+        self.left
+            .into_iter()
+            .chain(self.stopping_since())
+            .reduce(f64::min)
     }
 
     /// Whether clients are sent away for now.
@@ -70,30 +75,32 @@
     }
 
     /// Since when it is to end.
-    pub fn stopped(&self) -> Option<f64> {
+    pub fn stopping_since(&self) -> Option<f64> {
         self.stopped.map(|(since, _)| since)
     }
 
     /// Whether each answer is to be the last of its connection. A successor takes clients at once.
-    pub fn closes(&self, now: f64) -> bool {
-        self.closes_idle(now) || self.stopped.is_some_and(|(_, succeeded)| succeeded)
+    pub fn closes_after_answer(&self, now: f64) -> bool {
+        self.closes_idle_connections(now)
+            || self.stopped.is_some_and(|(_, has_successor)| has_successor)
     }
 
     /// Whether idle connections are to be closed, too. With a successor not at once: most bring a request before,
     /// and one that crosses a close is read by nobody.
-    pub fn closes_idle(&self, now: f64) -> bool {
+    pub fn closes_idle_connections(&self, now: f64) -> bool {
         let over = |since: Option<f64>, notice| since.is_some_and(|since| now - since >= notice);
-        over(self.left, self.notice.leave) || over(self.stopped(), self.notice.stop)
+        over(self.left, self.notice.after_leave)
+            || over(self.stopping_since(), self.notice.after_stop)
     }
 
     /// One word for it.
-    pub fn shown(&self) -> &'static str {
+    pub fn state_name(&self) -> &'static str {
         match self {
-            Standing {
+            Lifecycle {
                 stopped: Some(_), ..
             } => "stopping",
-            Standing { left: Some(_), .. } => "leaving",
-            Standing { ready: true, .. } => "ready",
+            Lifecycle { left: Some(_), .. } => "leaving",
+            Lifecycle { ready: true, .. } => "ready",
             _ => "starting",
         }
     }
--- a/crates/mintlb-core/src/members.rs
+++ b/crates/mintlb-core/src/membership.rs
@@ -2,7 +2,7 @@
 //!
 //! Pure: what a source says goes in, the lines for the decisions come out.
 
-use crate::work::Reach;
+use crate::work::Endpoint;
 use mintlb_scheduler::{ListEntry, ListState};
 use std::collections::HashMap;
 use std::net::IpAddr;
@@ -10,85 +10,88 @@
 
 /// Who tells of workers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Source {
+pub enum WorkerSource {
     /// The list service.
-    List,
+    ListService,
     /// Workers that came to us by themselves.
-    Callers,
+    SelfRegistered,
 }
 
 /// A worker as a source has it. Without a way to it, it is known but nothing can be sent.
 #[derive(Clone)]
 pub struct Member {
     pub name: String,
-    pub line: ListEntry,
+    pub entry: ListEntry,
     /// The machine that it runs on, where its address tells.
     pub host: Option<IpAddr>,
-    pub reach: Option<Arc<dyn Reach>>,
+    pub endpoint: Option<Arc<dyn Endpoint>>,
 }
 
 /// What a source tells: all that it knows, or what has changed.
-pub struct Told {
-    pub source: Source,
+pub struct MembershipUpdate {
+    pub source: WorkerSource,
     pub full: bool,
     pub members: Vec<Member>,
 }
 
 #[derive(Default)]
-pub struct Members {
+pub struct Membership {
     known: HashMap<u64, Known>,
     /// What the log is to say, since it was last taken.
     said: Vec<String>,
 }
 
 struct Known {
-    source: Source,
-    line: ListEntry,
-    reach: Option<Arc<dyn Reach>>,
+    source: WorkerSource,
+    entry: ListEntry,
+    endpoint: Option<Arc<dyn Endpoint>>,
     shown: String,
 }
 
-impl Members {
-    pub fn reach(&self, id: u64) -> Option<&Arc<dyn Reach>> {
-        self.known.get(&id)?.reach.as_ref()
+impl Membership {
+    pub fn endpoint(&self, id: u64) -> Option<&Arc<dyn Endpoint>> {
+        self.known.get(&id)?.endpoint.as_ref()
     }
 
-    pub fn said(&mut self) -> Vec<String> {
+    pub fn take_log_lines(&mut self) -> Vec<String> {
         std::mem::take(&mut self.said)
     }
 
     /// The lines for the decisions, and whether they are all that there are. One source's whole list must not
     /// strike out the workers of another, so theirs are added to it.
-    pub fn hear(&mut self, told: Told) -> (bool, Vec<ListEntry>) {
-        let Told {
+    pub fn apply(&mut self, told: MembershipUpdate) -> (bool, Vec<ListEntry>) {
+        let MembershipUpdate {
             source,
             full,
             members,
         } = told;
-        let mut lines: Vec<ListEntry> = members.iter().map(|member| member.line.clone()).collect();
+        let mut lines: Vec<ListEntry> = members.iter().map(|member| member.entry.clone()).collect();
         if full {
             self.known.retain(|_, known| known.source != source);
-            lines.extend(self.known.values().map(|known| known.line.clone()));
+            lines.extend(self.known.values().map(|known| known.entry.clone()));
         }
         for Member {
-            name, line, reach, ..
+            name,
+            entry,
+            endpoint,
+            ..
         } in members
         {
-            if line.state == ListState::Gone {
-                self.known.remove(&line.id);
+            if entry.state == ListState::Gone {
+                self.known.remove(&entry.id);
                 continue;
             }
-            let shown = reach
+            let shown = endpoint
                 .as_ref()
-                .map(|reach| reach.to_string())
+                .map(|endpoint| endpoint.to_string())
                 .unwrap_or_default();
-            let id = line.id;
+            let id = entry.id;
             let was = self.known.insert(
                 id,
                 Known {
                     source,
-                    line,
-                    reach,
+                    entry,
+                    endpoint,
                     shown: shown.clone(),
                 },
             );
--- a/crates/mintlb-core/src/types.rs
+++ b/crates/mintlb-core/src/project_types.rs
@@ -7,24 +7,24 @@
 
 /// A project type as it is served: clients name it, the core goes by its number.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Named {
+pub struct NamedProjectType {
     pub name: String,
     pub number: usize,
     pub project_type: ProjectType,
 }
 
-pub struct Types(Vec<Named>);
+pub struct ProjectTypes(Vec<NamedProjectType>);
 
 /// Numbers for each project type at the most: each costs room at every worker.
-pub const MOST: usize = 64;
+pub const MAX_NUMBERS_PER_TYPE: usize = 64;
 
-impl Types {
+impl ProjectTypes {
     /// In this order, from 0 on.
-    pub fn new(types: Vec<(String, ProjectType)>) -> Types {
+    pub fn new(types: Vec<(String, ProjectType)>) -> ProjectTypes {
         let numbered = types.into_iter().enumerate();
-        Types(
+        ProjectTypes(
             numbered
-                .map(|(number, (name, project_type))| Named {
+                .map(|(number, (name, project_type))| NamedProjectType {
                     name,
                     number,
                     project_type,
@@ -33,20 +33,20 @@
         )
     }
 
-    pub fn served(&self) -> &[Named] {
+    pub fn active(&self) -> &[NamedProjectType] {
         &self.0
     }
 
     /// These are served from now on; `is_held` tells whether work holds a number. What is to be told of each, or,
     /// with nothing changed, why not. A new number is the lowest that is free, so that there is no gap below it.
-    pub fn change(
+    pub fn update(
         &mut self,
         types: &[(String, ProjectType)],
         is_held: impl Fn(usize) -> bool,
     ) -> Result<Vec<ProjectTypeUpdate>, String> {
         // What a type had learned is copied before its number can go to another, so those served now are not free.
         let is_free = |n: &usize| !is_held(*n) && self.0.iter().all(|named| named.number != *n);
-        let mut free = (0..MOST * types.len().max(self.0.len())).filter(is_free);
+        let mut free = (0..MAX_NUMBERS_PER_TYPE * types.len().max(self.0.len())).filter(is_free);
         let mut changes = Vec::new();
         for (name, project_type) in types {
             let was = self.0.iter().find(|named| named.name == *name);
@@ -66,7 +66,7 @@
         let named = types
             .iter()
             .zip(&changes)
-            .map(|((name, project_type), change)| Named {
+            .map(|((name, project_type), change)| NamedProjectType {
                 name: name.clone(),
                 number: change.number,
                 project_type: project_type.clone(),
--- a/crates/mintlb-core/src/reducer.rs
+++ b/crates/mintlb-core/src/reducer.rs
@@ -1,14 +1,17 @@
 //! All changes of state, on one thread: what was read goes in, what is to be done comes out.
 //!
-//! The decisions act through their door; here it writes down [`Act`]s. Nothing in this file reads, writes or
+//! The decisions act through their door; here it writes down [`Action`]s. Nothing in this file reads, writes or
 //! waits, so that each case can be played in a test.
 
-use crate::figures::Now;
-use crate::members::{Members, Source, Told};
-use crate::permit::{Permission, Permit};
-use crate::spend::{Purse, Spend};
-use crate::types::{Named, Types};
-use crate::work::{AllocId, Answer, Arrival, Back, Order, Payload, Reach, Settle};
+use crate::budget::{Expense, SharedBudgets};
+use crate::dispatch_policy::{DispatchPolicy, Permission};
+use crate::membership::{Membership, MembershipUpdate, WorkerSource};
+use crate::metrics::Gauges;
+use crate::project_types::{NamedProjectType, ProjectTypes};
+use crate::work::{
+    AllocationId, AllocationRequest, AllocationResult, Answer, Endpoint, Payload, Responder,
+    Submission,
+};
 use mintlb_scheduler::decide::Scheduler;
 use mintlb_scheduler::settings::ReloadableSettings;
 use mintlb_scheduler::{
@@ -24,49 +27,49 @@
 
 /// What was read.
 pub enum Event {
-    Arrived(Arrival),
+    Submitted(Submission),
     /// The client has gone away.
-    Left(u64),
+    ClientLeft(u64),
     /// Nothing more is to be tried for it: its answer is due now.
-    GivenUp(u64),
-    Started(AllocId),
-    Back(Back),
-    Sampled(u64, LoadReport),
+    NoMoreAttempts(u64),
+    Started(AllocationId),
+    Finished(AllocationResult),
+    LoadReported(u64, LoadReport),
     /// A worker that fetches its work waits for so many work units; it had heard of so many orders by then.
-    Asks {
+    WorkerPolled {
         worker: u64,
-        waiting: u64,
-        orders: u64,
+        requested: u64,
+        requests_seen: u64,
     },
     /// A source has told of workers; the list service also which version that was.
-    Members(Option<u64>, Told),
+    MembershipChanged(Option<u64>, MembershipUpdate),
     /// The list service has failed.
     ListFailed,
     /// The list service is at another address.
     ListMoved,
-    Woke,
+    TimerFired,
     /// The program ends: what is still held gets its answer now.
-    LastCall,
+    DrainDeadline,
 }
 
 /// What is to be done.
-pub enum Act {
+pub enum Action {
     Send {
-        to: Arc<dyn Reach>,
-        order: Order,
+        endpoint: Arc<dyn Endpoint>,
+        request: AllocationRequest,
     },
     /// Gives up an allocation.
-    Recall(AllocId),
+    Cancel(AllocationId),
     Answer {
-        wu: u64,
+        work_unit: u64,
         /// `None` if the work unit was not taken.
         project_type: Option<usize>,
-        to: Box<dyn Settle>,
+        responder: Box<dyn Responder>,
         answer: Answer,
     },
     Probe {
         worker: u64,
-        to: Arc<dyn Reach>,
+        endpoint: Arc<dyn Endpoint>,
     },
     Watch {
         after: Option<u64>,
@@ -76,16 +79,16 @@
 }
 
 struct Held {
-    wu: Rc<WorkUnit>,
-    client_id: Option<Box<[u8]>>,
+    work_unit: Rc<WorkUnit>,
+    client_request_id: Option<Box<[u8]>>,
     payload: Payload,
     /// Where the final answer goes, until it is given.
-    answer: Option<Box<dyn Settle>>,
+    responder: Option<Box<dyn Responder>>,
 }
 
 pub struct Reducer {
     scheduler: Scheduler,
-    types: Types,
+    project_types: ProjectTypes,
     /// Allocations that may be out at once, and how many seconds before its client's limit one ends.
     most_out: usize,
     margin: f64,
@@ -94,13 +97,13 @@
     ids: HashSet<Box<[u8]>>,
     over: VecDeque<(f64, Box<[u8]>)>,
     /// What is out, and what takes it back as far as it is not written.
-    out: FxHashMap<AllocId, CancellationToken>,
-    members: Members,
+    out: FxHashMap<AllocationId, CancellationToken>,
+    membership: Membership,
     version: Option<u64>,
     /// Limits of many schedulers together, where there are any.
-    purse: Option<Arc<dyn Purse>>,
+    purse: Option<Arc<dyn SharedBudgets>>,
     /// What else is asked whether work may go to a worker, where anything is.
-    permit: Option<Arc<dyn Permit>>,
+    permit: Option<Arc<dyn DispatchPolicy>>,
     look_at: f64,
 }
 
@@ -111,16 +114,16 @@
     margin: f64,
     version: Option<u64>,
     held: &'a mut FxHashMap<u64, Held>,
-    out: &'a mut FxHashMap<AllocId, CancellationToken>,
-    members: &'a Members,
-    purse: Option<&'a dyn Purse>,
+    out: &'a mut FxHashMap<AllocationId, CancellationToken>,
+    membership: &'a Membership,
+    purse: Option<&'a dyn SharedBudgets>,
     has: Cell<Option<bool>>,
-    permit: Option<&'a dyn Permit>,
+    permit: Option<&'a dyn DispatchPolicy>,
     /// The earliest time at which what was refused may be permitted.
     look_at: Cell<f64>,
-    acts: Vec<Act>,
+    acts: Vec<Action>,
     /// Allocations whose outcome is known without a word from the worker.
-    known: Vec<Back>,
+    known: Vec<AllocationResult>,
     /// Work units that may be over.
     touched: Vec<u64>,
 }
@@ -129,12 +132,14 @@
     fn answer(&mut self, id: u64, answer: Answer) {
         self.touched.push(id);
         let held = self.held.get_mut(&id);
-        if let Some((to, wu)) = held.and_then(|held| Some((held.answer.take()?, &held.wu))) {
-            let project_type = Some(wu.project_type);
-            self.acts.push(Act::Answer {
-                wu: id,
+        if let Some((responder, work_unit)) =
+            held.and_then(|held| Some((held.responder.take()?, &held.work_unit)))
+        {
+            let project_type = Some(work_unit.project_type);
+            self.acts.push(Action::Answer {
+                work_unit: id,
                 project_type,
-                to,
+                responder,
                 answer,
             });
         }
@@ -142,9 +147,9 @@
 }
 
 impl Host for OpenDoor<'_> {
-    fn permits(&self, wu: &WorkUnit, worker: &Worker) -> bool {
-        if let Some((permit, held)) = self.permit.zip(self.held.get(&wu.id)) {
-            match permit.permits(self.now, wu, &held.payload, worker) {
+    fn permits(&self, work_unit: &WorkUnit, worker: &Worker) -> bool {
+        if let Some((permit, held)) = self.permit.zip(self.held.get(&work_unit.id)) {
+            match permit.permits(self.now, work_unit, &held.payload, worker) {
                 Permission::Granted => {}
                 Permission::Refused => return false,
                 Permission::NotBefore(at) => {
@@ -153,114 +158,124 @@
                 }
             }
         }
-        let Some(purse) = self.purse.filter(|_| wu.is_retry()) else {
+        let Some(purse) = self.purse.filter(|_| work_unit.is_retry()) else {
             return true;
         };
         // Asked for each work unit that waits and each worker: the answer holds until something is sent.
         let has = self
             .has
             .get()
-            .unwrap_or_else(|| purse.has(Spend { again: true }));
+            .unwrap_or_else(|| purse.has_available(Expense { is_retry: true }));
         self.has.set(Some(has));
         has
     }
-    fn preferred_worker(&self, wu: &WorkUnit) -> Option<u64> {
-        let (permit, held) = self.permit.zip(self.held.get(&wu.id))?;
-        permit.preferred(&held.payload)
+    fn preferred_worker(&self, work_unit: &WorkUnit) -> Option<u64> {
+        let (permit, held) = self.permit.zip(self.held.get(&work_unit.id))?;
+        permit.preferred_worker(&held.payload)
     }
     fn allocate(&mut self, alloc: &Allocation) {
-        let Some(wu) = alloc.work_unit.upgrade() else {
+        let Some(work_unit) = alloc.work_unit.upgrade() else {
             return;
         };
-        let id = (wu.id, alloc.number);
+        let id = (work_unit.id, alloc.number);
         let full = self.out.len() >= self.most_out;
-        let taken_back = CancellationToken::new();
-        self.out.insert(id, taken_back.clone());
-        let again = alloc.number > 0;
-        let slip = self
+        let withdrawn = CancellationToken::new();
+        self.out.insert(id, withdrawn.clone());
+        let is_retry = alloc.number > 0;
+        let reservation = self
             .purse
-            .filter(|_| again)
-            .map(|purse| purse.slip(Spend { again }));
+            .filter(|_| is_retry)
+            .map(|purse| purse.reserve(Expense { is_retry }));
         self.has.set(None);
         // What was permitted a moment ago may have lapsed.
-        let full = full || slip.as_ref().is_some_and(Option::is_none);
+        let full = full || reservation.as_ref().is_some_and(Option::is_none);
         match (
-            self.members.reach(alloc.worker.entry.id),
-            self.held.get(&wu.id),
+            self.membership.endpoint(alloc.worker.entry.id),
+            self.held.get(&work_unit.id),
         ) {
             // Without a descriptor or a budget to spare it is not sent, and that is known at once.
-            (Some(_), Some(_)) if full => self.known.push(Back::with(id, Outcome::Moot)),
-            (Some(to), Some(held)) => {
-                let (project_type, customer) = (wu.project_type, wu.customer);
-                let (payload, until) = (held.payload.clone(), wu.deadline - self.margin);
-                let slip = slip.flatten();
-                let order = Order {
-                    alloc: id,
+            (Some(_), Some(_)) if full => self
+                .known
+                .push(AllocationResult::from_outcome(id, Outcome::Moot)),
+            (Some(endpoint), Some(held)) => {
+                let (project_type, customer) = (work_unit.project_type, work_unit.customer);
+                let (payload, deadline) = (held.payload.clone(), work_unit.deadline - self.margin);
+                let reservation = reservation.flatten();
+                let request = AllocationRequest {
+                    allocation_id: id,
                     project_type,
                     customer,
                     payload,
-                    until,
-                    slip,
-                    taken_back,
+                    deadline,
+                    reservation,
+                    withdrawn,
                 };
-                self.acts.push(Act::Send {
-                    to: to.clone(),
-                    order,
+                self.acts.push(Action::Send {
+                    endpoint: endpoint.clone(),
+                    request,
                 });
             }
-            _ => self.known.push(Back::with(id, Outcome::NoConnection)),
+            _ => self
+                .known
+                .push(AllocationResult::from_outcome(id, Outcome::NoConnection)),
         }
     }
     fn cancel(&mut self, alloc: &Allocation) {
-        let Some(wu) = alloc.work_unit.upgrade() else {
+        let Some(work_unit) = alloc.work_unit.upgrade() else {
             return;
         };
-        let id = (wu.id, alloc.number);
-        self.acts.push(Act::Recall(id));
-        self.known.push(Back::with(id, Outcome::Recalled));
+        let id = (work_unit.id, alloc.number);
+        self.acts.push(Action::Cancel(id));
+        self.known
+            .push(AllocationResult::from_outcome(id, Outcome::Recalled));
     }
-    fn defer(&mut self, wu: &WorkUnit, come_back: f64) {
-        self.answer(wu.id, Answer::Deferred(come_back));
+    fn defer(&mut self, work_unit: &WorkUnit, come_back: f64) {
+        self.answer(work_unit.id, Answer::Deferred(come_back));
     }
-    fn abort(&mut self, wu: &WorkUnit) {
-        self.answer(wu.id, Answer::Aborted);
+    fn abort(&mut self, work_unit: &WorkUnit) {
+        self.answer(work_unit.id, Answer::Aborted);
     }
     fn probe(&mut self, worker: &Worker) {
         let worker = worker.entry.id;
-        if let Some(to) = self.members.reach(worker) {
-            self.acts.push(Act::Probe {
+        if let Some(endpoint) = self.membership.endpoint(worker) {
+            self.acts.push(Action::Probe {
                 worker,
-                to: to.clone(),
+                endpoint: endpoint.clone(),
             });
         }
     }
     fn request_worker_list(&mut self) {
-        self.acts.push(Act::Watch {
+        self.acts.push(Action::Watch {
             after: self.version,
         });
     }
     fn set_timer(&mut self, seconds: f64) {
-        self.acts.push(Act::WakeIn(seconds));
+        self.acts.push(Action::WakeIn(seconds));
     }
     fn log(&mut self, line: &str) {
-        self.acts.push(Act::Log(line.into()));
+        self.acts.push(Action::Log(line.into()));
     }
 }
 
 impl Reducer {
-    pub fn new(scheduler: Scheduler, types: Types, most_out: usize, margin: f64) -> Reducer {
-        let (held, ids, over, out, members) = Default::default();
+    pub fn new(
+        scheduler: Scheduler,
+        project_types: ProjectTypes,
+        most_out: usize,
+        margin: f64,
+    ) -> Reducer {
+        let (held, ids, over, out, membership) = Default::default();
         let (version, purse, permit, look_at) = (None, None, None, f64::INFINITY);
         Reducer {
             scheduler,
-            types,
+            project_types,
             most_out,
             margin,
             held,
             ids,
             over,
             out,
-            members,
+            membership,
             version,
             purse,
             permit,
@@ -269,35 +284,35 @@
     }
 
     /// From now on requests go only where this permits it, too.
-    pub fn take_permit(&mut self, permit: Arc<dyn Permit>) {
+    pub fn set_dispatch_policy(&mut self, permit: Arc<dyn DispatchPolicy>) {
         self.permit = Some(permit);
     }
 
     /// The earliest time of the clock at which something that was refused since the last call may be permitted:
-    /// [`Event::Woke`] is due then, whatever else wakes it.
-    pub fn take_look(&mut self) -> Option<f64> {
+    /// [`Event::TimerFired`] is due then, whatever else wakes it.
+    pub fn take_recheck_time(&mut self) -> Option<f64> {
         let at = std::mem::replace(&mut self.look_at, f64::INFINITY);
         at.is_finite().then_some(at)
     }
 
     /// From now on allocations are sent within these limits, too.
-    pub fn take_purse(&mut self, purse: Arc<dyn Purse>) {
+    pub fn set_shared_budgets(&mut self, purse: Arc<dyn SharedBudgets>) {
         self.purse = Some(purse);
     }
 
     /// How many work units are held.
-    pub fn held(&self) -> usize {
+    pub fn held_count(&self) -> usize {
         self.held.len()
     }
 
     /// The project types in service.
-    pub fn types(&self) -> &[Named] {
-        self.types.served()
+    pub fn project_types(&self) -> &[NamedProjectType] {
+        self.project_types.active()
     }
 
     /// New work is of these project types and under these terms from now on; an error, and nothing has changed. All
     /// that was read before must have been reduced before, as it goes by the numbers of then.
-    pub fn retune(
+    pub fn reconfigure(
         &mut self,
         types: &[(String, ProjectType)],
         terms: &ReloadableSettings,
@@ -305,9 +320,11 @@
         let held: FxHashSet<usize> = self
             .held
             .values()
-            .map(|held| held.wu.project_type)
+            .map(|held| held.work_unit.project_type)
             .collect();
-        let changes = self.types.change(types, |number| held.contains(&number))?;
+        let changes = self
+            .project_types
+            .update(types, |number| held.contains(&number))?;
         let ReloadableSettings {
             retry_policy,
             excess_credit,
@@ -324,26 +341,31 @@
     }
 
     /// What is so now, for the figures.
-    pub fn now(&self) -> Now {
-        let (listed, avoided) = self.scheduler.worker_counts();
-        let open = self
+    pub fn gauges(&self) -> Gauges {
+        let (listed_workers, avoided_workers) = self.scheduler.worker_counts();
+        let open_work_units = self
             .held
             .values()
-            .filter(|held| held.answer.is_some())
+            .filter(|held| held.responder.is_some())
             .count();
-        Now {
-            open,
-            listed,
-            avoided,
+        Gauges {
+            open_work_units,
+            listed_workers,
+            avoided_workers,
         }
     }
 
     /// The start: what the list last said, and which version that was, then whatever the decisions ask for first.
     /// `takes_over` from a process that still sends.
-    pub fn start(&mut self, now: f64, known: Option<(u64, Told)>, takes_over: bool) -> Vec<Act> {
+    pub fn start(
+        &mut self,
+        now: f64,
+        known: Option<(u64, MembershipUpdate)>,
+        takes_over: bool,
+    ) -> Vec<Action> {
         self.version = known.as_ref().map(|(version, _)| *version);
         let lines = known
-            .map(|(_, told)| self.members.hear(told).1)
+            .map(|(_, told)| self.membership.apply(told).1)
             .unwrap_or_default();
         self.with_door(now, |scheduler, door| {
             scheduler.start(door, now);
@@ -356,91 +378,98 @@
         })
     }
 
-    pub fn reduce(&mut self, now: f64, event: Event) -> Vec<Act> {
+    pub fn reduce(&mut self, now: f64, event: Event) -> Vec<Action> {
         match event {
-            Event::Arrived(a)
-                if self.held.contains_key(&a.id) || !self.is_new(now, a.client_id.as_deref()) =>
+            Event::Submitted(a)
+                if self.held.contains_key(&a.id)
+                    || !self.is_new(now, a.client_request_id.as_deref()) =>
             {
-                vec![Act::Answer {
-                    wu: a.id,
+                vec![Action::Answer {
+                    work_unit: a.id,
                     project_type: None,
-                    to: a.answer,
-                    answer: Answer::Repeated,
+                    responder: a.responder,
+                    answer: Answer::Duplicate,
                 }]
             }
-            Event::Arrived(a) => {
-                let wu = WorkUnit::new(
+            Event::Submitted(a) => {
+                let work_unit = WorkUnit::new(
                     a.id,
                     a.project_type,
                     a.customer,
                     a.slots,
-                    a.arrived,
+                    a.arrived_at,
                     a.time_budget,
                 );
-                let (client_id, payload) = (a.client_id, a.payload);
+                let (client_request_id, payload) = (a.client_request_id, a.payload);
                 let held = Held {
-                    wu: wu.clone(),
-                    client_id,
+                    work_unit: work_unit.clone(),
+                    client_request_id,
                     payload,
-                    answer: Some(a.answer),
+                    responder: Some(a.responder),
                 };
                 self.held.insert(a.id, held);
-                self.with_door(now, |scheduler, door| scheduler.on_arrival(door, now, &wu))
+                self.with_door(now, |scheduler, door| {
+                    scheduler.on_arrival(door, now, &work_unit)
+                })
             }
-            Event::Left(id) => {
+            Event::ClientLeft(id) => {
                 let Some(held) = self.held.get_mut(&id) else {
                     return Vec::new();
                 };
-                held.answer = None;
-                let wu = held.wu.clone();
+                held.responder = None;
+                let work_unit = held.work_unit.clone();
                 self.with_door(now, |scheduler, door| {
                     door.touched.push(id);
-                    scheduler.on_client_gone(door, now, &wu);
+                    scheduler.on_client_gone(door, now, &work_unit);
                 })
             }
-            Event::GivenUp(id) => {
-                let open = self.held.get(&id).filter(|held| held.answer.is_some());
-                let Some(wu) = open.map(|held| held.wu.clone()) else {
+            Event::NoMoreAttempts(id) => {
+                let open = self.held.get(&id).filter(|held| held.responder.is_some());
+                let Some(work_unit) = open.map(|held| held.work_unit.clone()) else {
                     return Vec::new();
                 };
-                self.with_door(now, |scheduler, door| scheduler.give_up(door, now, &wu))
+                self.with_door(now, |scheduler, door| {
+                    scheduler.give_up(door, now, &work_unit)
+                })
             }
             Event::Started((id, number)) => {
                 let alloc = self
                     .held
                     .get(&id)
-                    .and_then(|held| held.wu.allocation(number));
+                    .and_then(|held| held.work_unit.allocation(number));
                 let Some(alloc) = alloc.filter(|_| self.out.contains_key(&(id, number))) else {
                     return Vec::new();
                 };
                 self.with_door(now, |scheduler, door| scheduler.on_start(door, now, &alloc))
             }
-            Event::Back(told) => self.with_door(now, |scheduler, door| back(scheduler, door, told)),
-            Event::Sampled(worker, report) => {
+            Event::Finished(told) => {
+                self.with_door(now, |scheduler, door| back(scheduler, door, told))
+            }
+            Event::LoadReported(worker, report) => {
                 if let Some(worker) = self.scheduler.worker(worker).cloned() {
                     worker.record_report(now, report);
                 }
                 Vec::new()
             }
-            Event::Asks {
+            Event::WorkerPolled {
                 worker,
-                waiting,
-                orders,
+                requested,
+                requests_seen,
             } => {
                 let Some(worker) = self.scheduler.worker(worker).cloned() else {
                     return Vec::new();
                 };
-                worker.record_pull(waiting, orders);
+                worker.record_pull(requested, requests_seen);
                 self.with_door(now, |scheduler, door| scheduler.on_timer(door, now))
             }
             Event::ListFailed => self.with_door(now, |s, door| {
                 s.on_list_update(door, now, ListUpdate::Failed)
             }),
-            Event::Members(version, told) => {
+            Event::MembershipChanged(version, told) => {
                 self.version = version.or(self.version);
                 // Only what the list says is a sign of life of the list.
-                let from_list = told.source == Source::List;
-                let (full, lines) = self.members.hear(told);
+                let from_list = told.source == WorkerSource::ListService;
+                let (full, lines) = self.membership.apply(told);
                 let news = match full {
                     true => ListUpdate::Full(&lines),
                     false if from_list => ListUpdate::Changes(&lines),
@@ -454,42 +483,43 @@
             // may be another deployment's, with versions of its own.
             Event::ListMoved => {
                 self.version = None;
-                vec![Act::Watch { after: None }]
+                vec![Action::Watch { after: None }]
             }
-            Event::Woke => self.with_door(now, |s, door| s.on_timer(door, now)),
-            Event::LastCall => self.last_call(now),
+            Event::TimerFired => self.with_door(now, |s, door| s.on_timer(door, now)),
+            Event::DrainDeadline => self.last_call(now),
         }
     }
 
     /// What is still to be written to a worker that takes nothing new, or is another process by now, stays unwritten
     /// (rules 3 and 4): a connection may come up long after the list has told of that.
     fn take_back(&self) {
-        for ((id, number), taken_back) in &self.out {
+        for ((id, number), withdrawn) in &self.out {
             let alloc = self
                 .held
                 .get(id)
-                .and_then(|held| held.wu.allocation(*number));
+                .and_then(|held| held.work_unit.allocation(*number));
             if alloc.is_some_and(|alloc| !alloc.worker.accepts_new_work()) {
-                taken_back.cancel();
+                withdrawn.cancel();
             }
         }
     }
 
     /// Each request has an id of its own. Who sends another's must not reach a worker with it, which would
     /// take it for the same work, nor touch the answer that the other is owed.
-    fn is_new(&mut self, now: f64, client_id: Option<&[u8]>) -> bool {
+    fn is_new(&mut self, now: f64, client_request_id: Option<&[u8]>) -> bool {
         while let Some((_, id)) = self.over.pop_front_if(|(until, _)| *until <= now) {
             self.ids.remove(&id);
         }
-        client_id.is_none_or(|id| self.ids.insert(id.into()))
+        client_request_id.is_none_or(|id| self.ids.insert(id.into()))
     }
 
     /// What is still unanswered is given up; how, the decisions know.
-    fn last_call(&mut self, now: f64) -> Vec<Act> {
-        let open = self.held.values().filter(|held| held.answer.is_some());
-        let open: Vec<Rc<WorkUnit>> = open.map(|held| held.wu.clone()).collect();
+    fn last_call(&mut self, now: f64) -> Vec<Action> {
+        let open = self.held.values().filter(|held| held.responder.is_some());
+        let open: Vec<Rc<WorkUnit>> = open.map(|held| held.work_unit.clone()).collect();
         self.with_door(now, |scheduler, door| {
-            open.iter().for_each(|wu| scheduler.give_up(door, now, wu));
+            open.iter()
+                .for_each(|work_unit| scheduler.give_up(door, now, work_unit));
         })
     }
 
@@ -497,8 +527,13 @@
         &mut self,
         now: f64,
         call: impl FnOnce(&mut Scheduler, &mut OpenDoor),
-    ) -> Vec<Act> {
-        let acts = self.members.said().into_iter().map(Act::Log).collect();
+    ) -> Vec<Action> {
+        let acts = self
+            .membership
+            .take_log_lines()
+            .into_iter()
+            .map(Action::Log)
+            .collect();
         let mut door = OpenDoor {
             now,
             most_out: self.most_out,
@@ -506,7 +541,7 @@
             version: self.version,
             held: &mut self.held,
             out: &mut self.out,
-            members: &self.members,
+            membership: &self.membership,
             purse: self.purse.as_deref(),
             has: Cell::new(None),
             permit: self.permit.as_deref(),
@@ -528,18 +563,24 @@
         self.look_at = self.look_at.min(look_at.get());
         for id in touched {
             if let Entry::Occupied(held) = self.held.entry(id)
-                && held.get().wu.ended()
+                && held.get().work_unit.ended()
             {
                 // Where nothing may be called off, what is not written yet still may not go.
-                let allocs = (0..).map_while(|n| held.get().wu.allocation(n).map(|_| (id, n)));
+                let allocs =
+                    (0..).map_while(|n| held.get().work_unit.allocation(n).map(|_| (id, n)));
                 allocs
                     .filter_map(|id| self.out.get(&id))
                     .for_each(CancellationToken::cancel);
-                if !held.get().wu.is_settled() {
+                if !held.get().work_unit.is_settled() {
                     continue;
                 }
-                let Held { wu, client_id, .. } = held.remove();
-                self.over.extend(client_id.map(|id| (wu.deadline, id)));
+                let Held {
+                    work_unit,
+                    client_request_id,
+                    ..
+                } = held.remove();
+                self.over
+                    .extend(client_request_id.map(|id| (work_unit.deadline, id)));
             }
         }
         acts
@@ -547,21 +588,25 @@
 }
 
 /// An outcome, once for each allocation: a later word on it says nothing.
-fn back(scheduler: &mut Scheduler, door: &mut OpenDoor, told: Back) {
+fn back(scheduler: &mut Scheduler, door: &mut OpenDoor, told: AllocationResult) {
     let now = door.now;
-    if door.out.remove(&told.alloc).is_none() {
+    if door.out.remove(&told.allocation_id).is_none() {
         return;
     }
-    let Some(wu) = door.held.get(&told.alloc.0).map(|held| held.wu.clone()) else {
+    let Some(work_unit) = door
+        .held
+        .get(&told.allocation_id.0)
+        .map(|held| held.work_unit.clone())
+    else {
         return;
     };
-    let Some(alloc) = wu.allocation(told.alloc.1) else {
+    let Some(alloc) = work_unit.allocation(told.allocation_id.1) else {
         return;
     };
-    door.touched.push(wu.id);
+    door.touched.push(work_unit.id);
     let completed = told.outcome == Outcome::Completed;
     if completed {
-        door.answer(wu.id, Answer::Completed(told.result));
+        door.answer(work_unit.id, Answer::Completed(told.result));
     }
     alloc.worker.record_report(now, told.report);
     scheduler.on_outcome(door, now, &alloc, told.outcome, completed);
--- a/crates/mintlb-core/tests/standing.rs
+++ b/crates/mintlb-core/tests/standing.rs
@@ -1,12 +1,12 @@
 //! The standing: words in any order, and what follows from them.
 
-use mintlb_core::standing::{Notice, Standing, Word};
+use mintlb_core::lifecycle::{CloseDelays, Lifecycle, LifecycleEvent};
 
 /// Words, each at its time: `ready`, `leave`, `join`, `stop`, `succeeded` (stop, with a successor); `!` where it is an error.
-fn after(words: &str) -> Standing {
-    let mut standing = Standing::new(Notice {
-        leave: 0.7,
-        stop: 1.7,
+fn after(words: &str) -> Lifecycle {
+    let mut lifecycle = Lifecycle::new(CloseDelays {
+        after_leave: 0.7,
+        after_stop: 1.7,
     });
     for said in words.split_whitespace() {
         let (at, word) = said.split_once(':').unwrap();
@@ -14,22 +14,26 @@
             .strip_suffix('!')
             .map_or((word, false), |word| (word, true));
         let word = match word {
-            "ready" => Word::Ready,
-            "leave" => Word::Leave,
-            "join" => Word::Join,
-            "stop" => Word::Stop { succeeded: false },
-            "succeeded" => Word::Stop { succeeded: true },
+            "ready" => LifecycleEvent::Ready,
+            "leave" => LifecycleEvent::Leave,
+            "join" => LifecycleEvent::Join,
+            "stop" => LifecycleEvent::Stop {
+                has_successor: false,
+            },
+            "succeeded" => LifecycleEvent::Stop {
+                has_successor: true,
+            },
             other => panic!("{other}"),
         };
-        let before = standing;
-        let heard = standing.hear(at.parse().unwrap(), word);
+        let before = lifecycle;
+        let heard = lifecycle.apply(at.parse().unwrap(), word);
         assert_eq!(heard.is_err(), fails, "{words}: {said}");
         assert!(
-            heard.is_ok() || standing == before,
+            heard.is_ok() || lifecycle == before,
             "{words}: {said} changed something"
         );
     }
-    standing
+    lifecycle
 }
 
 #[test]
@@ -113,11 +117,15 @@
             Some(2.7),
         ),
     ];
-    for (words, ready, shown, closes, closes_idle) in cases {
-        let standing = after(words);
-        assert_eq!(standing.is_ready(), ready, "{words}");
-        assert_eq!(standing.shown(), shown, "{words}");
-        assert_eq!(standing.turned().is_some(), closes.is_some(), "{words}");
+    for (words, ready, state_name, closes, closes_idle) in cases {
+        let lifecycle = after(words);
+        assert_eq!(lifecycle.is_ready(), ready, "{words}");
+        assert_eq!(lifecycle.state_name(), state_name, "{words}");
+        assert_eq!(
+            lifecycle.draining_since().is_some(),
+            closes.is_some(),
+            "{words}"
+        );
         let last = words
             .split_whitespace()
             .filter_map(|w| w.split_once(':')?.0.parse().ok())
@@ -126,13 +134,13 @@
             (
                 "answers",
                 closes,
-                Standing::closes as fn(&Standing, f64) -> bool,
+                Lifecycle::closes_after_answer as fn(&Lifecycle, f64) -> bool,
             ),
-            ("idle ones", closes_idle, Standing::closes_idle),
+            ("idle ones", closes_idle, Lifecycle::closes_idle_connections),
         ] {
             let first = (0..200)
                 .map(|tenth| tenth as f64 / 20.0)
-                .find(|at| says(&standing, at + 1e-9));
+                .find(|at| says(&lifecycle, at + 1e-9));
             let from: Option<f64> = from;
             let near = match (first, from) {
                 (Some(first), Some(from)) => {
--- a/crates/mintlb-dispatcher/src/answer.rs
+++ b/crates/mintlb-dispatcher/src/answer.rs
@@ -13,7 +13,7 @@
 use bytes::BytesMut;
 use mintlb_common::configuration::RouteType;
 use mintlb_core::reducer::Event;
-use mintlb_core::work::AllocId;
+use mintlb_core::work::AllocationId;
 use mintlb_scheduler::Outcome;
 use std::future::poll_fn;
 use std::pin::Pin;
@@ -41,7 +41,7 @@
     /// The request it responds to.
     pub exchange: &'a Arc<Exchange>,
     /// The attempt's number.
-    pub attempt: AllocId,
+    pub attempt: AllocationId,
 }
 
 /// The connection may carry another request.
--- a/crates/mintlb-dispatcher/src/body.rs
+++ b/crates/mintlb-dispatcher/src/body.rs
@@ -5,8 +5,8 @@
 use axum::body::Body as AxumBody;
 use bytes::Bytes;
 use http_body::{Body, Frame, SizeHint};
-use mintlb_core::room::Held;
-use mintlb_http::seen::Seen;
+use mintlb_core::capacity::CapacityPermit;
+use mintlb_http::sniffer::RequestSniffer;
 use std::io;
 use std::pin::Pin;
 use std::sync::Arc;
@@ -26,7 +26,7 @@
 pub struct ResponseBody {
     source: Source,
     /// The sniffer of the client's connection, until the response is complete.
-    sniffer: Option<Arc<Seen>>,
+    sniffer: Option<Arc<RequestSniffer>>,
 }
 
 /// Reads the response of an exchange. Dropping it before its end means that the client has disconnected.
@@ -34,7 +34,7 @@
     exchange: Arc<Exchange>,
     is_over: bool,
     /// Capacity reserved for the request and its body.
-    _reservation: (Held, Option<Held>),
+    _reservation: (CapacityPermit, Option<CapacityPermit>),
     _request_id: Option<RequestIdReservation>,
 }
 
@@ -42,7 +42,7 @@
     /// The body of this exchange's response. Reservation and id are released when it ends.
     pub fn new(
         exchange: Arc<Exchange>,
-        reservation: (Held, Option<Held>),
+        reservation: (CapacityPermit, Option<CapacityPermit>),
         request_id: Option<RequestIdReservation>,
     ) -> Relay {
         Relay {
@@ -96,7 +96,7 @@
 
 impl ResponseBody {
     /// A body sent on the connection of this sniffer.
-    pub fn new(source: Source, sniffer: Arc<Seen>) -> ResponseBody {
+    pub fn new(source: Source, sniffer: Arc<RequestSniffer>) -> ResponseBody {
         let mut body = ResponseBody {
             source,
             sniffer: Some(sniffer),
@@ -111,7 +111,7 @@
         if self.source.is_over()
             && let Some(sniffer) = self.sniffer.take()
         {
-            sniffer.answered();
+            sniffer.request_answered();
         }
     }
 }
--- a/crates/mintlb-dispatcher/src/cluster_state.rs
+++ b/crates/mintlb-dispatcher/src/cluster_state.rs
@@ -8,7 +8,7 @@
 use crate::workers::EndpointNumbers;
 use mintlb_common::configuration::Configuration;
 use mintlb_common::record::{CONFIGURATION, Record, WORKER_PREFIX, WorkerRecord};
-use mintlb_core::members::{Source, Told};
+use mintlb_core::membership::{MembershipUpdate, WorkerSource};
 use mintlb_core::reducer::Event;
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -81,11 +81,11 @@
         let member = shared
             .workers
             .apply_record(record, numbers, |entry| Arc::new(WorkerUpstream(entry)))?;
-        let members = Told {
-            source: Source::List,
+        let members = MembershipUpdate {
+            source: WorkerSource::ListService,
             full: false,
             members: vec![member],
         };
-        Some(Event::Members(None, members))
+        Some(Event::MembershipChanged(None, members))
     }
 }
--- a/crates/mintlb-dispatcher/src/dispatcher.rs
+++ b/crates/mintlb-dispatcher/src/dispatcher.rs
@@ -12,14 +12,14 @@
 use crate::statistics::REPORT_INTERVAL;
 use crate::tuning;
 use mintlb_common::configuration::Configuration;
+use mintlb_core::capacity::Capacity;
 use mintlb_core::clock::Clock;
-use mintlb_core::figures::Figures;
-use mintlb_core::hands::{Hands, Watcher};
-use mintlb_core::members::{Source, Told};
+use mintlb_core::executor::{ActionExecutor, ListWatcher};
+use mintlb_core::lifecycle::{CloseDelays, Lifecycle, LifecycleEvent};
+use mintlb_core::membership::{MembershipUpdate, WorkerSource};
+use mintlb_core::metrics::Metrics;
+use mintlb_core::project_types::ProjectTypes;
 use mintlb_core::reducer::{Event, Reducer};
-use mintlb_core::room::Room;
-use mintlb_core::standing::{Notice, Standing, Word};
-use mintlb_core::types::Types;
 use mintlb_scheduler::SlowStart;
 use mintlb_scheduler::decide::{FairShares, Fleet, ListPolling, Queues, Scheduler};
 use mintlb_scheduler::util::Rng;
@@ -92,7 +92,7 @@
 /// Worker lists come from records, not from a watch.
 struct NoWatch;
 
-impl Watcher for NoWatch {
+impl ListWatcher for NoWatch {
     fn watch(&mut self, _after: Option<u64>) {}
 }
 
@@ -100,9 +100,9 @@
 struct EventLoop {
     shared: Arc<Shared>,
     reducer: Reducer,
-    effects: Hands<NoWatch>,
+    effects: ActionExecutor<NoWatch>,
     numbering: Numbering,
-    lifecycle: Arc<Mutex<Standing>>,
+    lifecycle: Arc<Mutex<Lifecycle>>,
     downstream: Arc<Downstream>,
     batch: Option<Arc<dyn BatchHandler>>,
     version: Option<u64>,
@@ -154,11 +154,11 @@
             mut events,
             mut updates,
         } = self;
-        let notice = Notice {
-            leave: IDLE_CLOSE_DELAY,
-            stop: IDLE_CLOSE_DELAY,
+        let notice = CloseDelays {
+            after_leave: IDLE_CLOSE_DELAY,
+            after_stop: IDLE_CLOSE_DELAY,
         };
-        let lifecycle = Arc::new(Mutex::new(Standing::new(notice)));
+        let lifecycle = Arc::new(Mutex::new(Lifecycle::new(notice)));
         let descriptors = config
             .max_open_files
             .saturating_sub(OTHER_DESCRIPTORS)
@@ -166,7 +166,7 @@
         let bodies = (config.memory_mb as f64 * BODY_MEMORY_SHARE * 1e6) as usize;
         let downstream = Downstream::new(DownstreamConfig {
             shared: shared.clone(),
-            capacity: Room::new(descriptors / 2, bodies),
+            capacity: Capacity::new(descriptors / 2, bodies),
             connections: descriptors / 2,
             lifecycle: lifecycle.clone(),
             late_accept_seconds: LATE_ACCEPT.min(config.grace_period_s * LATE_ACCEPT_SHARE),
@@ -182,16 +182,16 @@
         let numbering = Numbering::new(config.zones.iter());
         let mut reducer = Reducer::new(
             scheduler(&config, &numbering),
-            Types::new(Vec::new()),
+            ProjectTypes::new(Vec::new()),
             descriptors / 2,
             SEND_MARGIN,
         );
-        reducer.take_permit(Arc::new(Permits::new(shared.clone())));
-        let effects = Hands::new(
+        reducer.set_dispatch_policy(Arc::new(Permits::new(shared.clone())));
+        let effects = ActionExecutor::new(
             NoWatch,
             shared.clock,
             log_bridge::logger(),
-            Arc::new(Figures::default()),
+            Arc::new(Metrics::default()),
         );
         let mut event_loop = EventLoop {
             shared: shared.clone(),
@@ -213,7 +213,7 @@
         let actions = event_loop.reducer.start(shared.clock.now(), None, false);
         actions
             .into_iter()
-            .for_each(|action| event_loop.effects.carry_out(action));
+            .for_each(|action| event_loop.effects.execute(action));
         let (mut stop, mut stopping) = (pin!(stop), false);
         let (mut tick, mut timer) = (
             Instant::now() + HOUSEKEEPING_INTERVAL,
@@ -283,16 +283,16 @@
 impl EventLoop {
     fn step(&mut self, event: Event) {
         match &event {
-            Event::Back(back) => self.effects.back(back),
-            Event::Started(attempt) => self.effects.started(*attempt),
-            Event::Left(wu) => self.effects.left(*wu),
+            Event::Finished(back) => self.effects.record_result(back),
+            Event::Started(attempt) => self.effects.log_started(*attempt),
+            Event::ClientLeft(wu) => self.effects.log_client_left(*wu),
             _ => {}
         }
         let actions = self.reducer.reduce(self.shared.clock.now(), event);
         actions
             .into_iter()
-            .for_each(|action| self.effects.carry_out(action));
-        if let Some(at) = self.reducer.take_look() {
+            .for_each(|action| self.effects.execute(action));
+        if let Some(at) = self.reducer.take_recheck_time() {
             let at = self.shared.clock.instant(at);
             self.recheck_at = Some(self.recheck_at.map_or(at, |recheck_at| recheck_at.min(at)));
         }
@@ -300,15 +300,22 @@
 
     /// When the reducer's next timer is due.
     fn due(&self) -> Option<Instant> {
-        self.effects.due.into_iter().chain(self.recheck_at).min()
+        self.effects
+            .wake_at
+            .into_iter()
+            .chain(self.recheck_at)
+            .min()
     }
 
     fn wake(&mut self) {
         let now = Instant::now();
         let is_due = |due: &mut Option<Instant>| due.take_if(|due| *due <= now).is_some();
-        let (due, recheck_at) = (is_due(&mut self.effects.due), is_due(&mut self.recheck_at));
+        let (due, recheck_at) = (
+            is_due(&mut self.effects.wake_at),
+            is_due(&mut self.recheck_at),
+        );
         if due || recheck_at {
-            self.step(Event::Woke);
+            self.step(Event::TimerFired);
         }
     }
 
@@ -333,7 +340,7 @@
             return;
         }
         let types = tuning::project_types(&configuration, &mut self.numbering.services);
-        if let Err(why) = self.reducer.retune(&types, &tuning::terms()) {
+        if let Err(why) = self.reducer.reconfigure(&types, &tuning::terms()) {
             log::warn!("dispatch: configuration {version} deferred: {why}");
             self.deferred = Some((version, configuration));
             return;
@@ -341,14 +348,16 @@
         self.deferred = None;
         self.version = Some(version);
         self.configured = self.configured.or(Some(Instant::now()));
-        self.effects.take_types(self.reducer.types());
-        self.shared
-            .set_routing(RoutingTable::new(configuration, self.reducer.types()));
+        self.effects.set_project_types(self.reducer.project_types());
+        self.shared.set_routing(RoutingTable::new(
+            configuration,
+            self.reducer.project_types(),
+        ));
         log::info!(
             "dispatch: configuration {version} is in force, {} project types",
             types.len()
         );
-        self.step(Event::Woke);
+        self.step(Event::TimerFired);
     }
 
     /// Reports readiness once a configuration and the workers are known.
@@ -369,7 +378,7 @@
         if self.joined && (configured.elapsed() >= MAX_READINESS_WAIT || served()) {
             self.lifecycle
                 .lock()
-                .hear(self.shared.clock.now(), Word::Ready)
+                .apply(self.shared.clock.now(), LifecycleEvent::Ready)
                 .ok();
         }
     }
@@ -377,11 +386,16 @@
     fn start_draining(&mut self) {
         log::info!(
             "dispatch: shutting down, {} requests in flight",
-            self.reducer.held()
+            self.reducer.held_count()
         );
         self.lifecycle
             .lock()
-            .hear(self.shared.clock.now(), Word::Stop { succeeded: true })
+            .apply(
+                self.shared.clock.now(),
+                LifecycleEvent::Stop {
+                    has_successor: true,
+                },
+            )
             .ok();
         self.batch.iter().for_each(|batch| batch.start_draining());
     }
@@ -414,21 +428,21 @@
         self.shared.workers.sweep();
         let members = self.shared.workers.remove_unresponsive();
         if !members.is_empty() {
-            self.step(Event::Members(
+            self.step(Event::MembershipChanged(
                 None,
-                Told {
-                    source: Source::List,
+                MembershipUpdate {
+                    source: WorkerSource::ListService,
                     full: false,
                     members,
                 },
             ));
         }
         let (now, lifecycle) = (self.shared.clock.now(), *self.lifecycle.lock());
-        let Some(stopped) = lifecycle.stopped() else {
+        let Some(stopped) = lifecycle.stopping_since() else {
             return false;
         };
         let since = now - stopped;
-        if lifecycle.closes_idle(now) {
+        if lifecycle.closes_idle_connections(now) {
             self.downstream.close_idle();
         }
         if since >= self.grace - FINAL_RESPONSE_MARGIN
@@ -436,13 +450,14 @@
         {
             log::warn!(
                 "dispatch: shutdown deadline reached, {} requests in flight",
-                self.reducer.held()
+                self.reducer.held_count()
             );
             self.shared.end();
-            self.step(Event::LastCall);
+            self.step(Event::DrainDeadline);
         }
         let is_recording = self.batch.iter().any(|batch| batch.is_recording());
-        let quiet = self.reducer.held() == 0 && self.downstream.connected() == 0 && !is_recording;
+        let quiet =
+            self.reducer.held_count() == 0 && self.downstream.connected() == 0 && !is_recording;
         let over = since >= self.grace - EXIT_MARGIN
             || quiet && since >= MIN_SHUTDOWN.min(self.grace - FINAL_RESPONSE_MARGIN);
         if over {
--- a/crates/mintlb-dispatcher/src/downstream.rs
+++ b/crates/mintlb-dispatcher/src/downstream.rs
@@ -21,11 +21,11 @@
 use hyper_util::rt::TokioIo;
 use mintlb_batch::client::JobAccess;
 use mintlb_common::configuration::{ClientLimits, RouteType};
-use mintlb_core::room::{Held, Room};
-use mintlb_core::standing::Standing;
-use mintlb_http::places::{Place, Places};
-use mintlb_http::seen::{Phase, Seen};
-use mintlb_http::socket::Socket;
+use mintlb_core::capacity::{Capacity, CapacityPermit};
+use mintlb_core::lifecycle::Lifecycle;
+use mintlb_http::connection_slots::{ConnectionSlot, ConnectionSlots};
+use mintlb_http::sniffer::{Phase, RequestSniffer};
+use mintlb_http::socket::SharedSocket;
 use nix::sys::socket::{MsgFlags, recv};
 use parking_lot::Mutex;
 use std::convert::Infallible;
@@ -68,11 +68,11 @@
     /// State shared by the dispatcher's tasks.
     pub shared: Arc<Shared>,
     /// Limits of requests and body bytes in memory.
-    pub capacity: Room,
+    pub capacity: Capacity,
     /// Limit of connections from clients.
     pub connections: usize,
     /// Whether the process is ready or shutting down.
-    pub lifecycle: Arc<Mutex<Standing>>,
+    pub lifecycle: Arc<Mutex<Lifecycle>>,
     /// For how many seconds after the shutdown began new requests are still accepted.
     pub late_accept_seconds: f64,
     /// Handler of calls on batch jobs, if there is one.
@@ -84,9 +84,9 @@
 /// Accepts clients' connections and serves their requests.
 pub struct Downstream {
     shared: Arc<Shared>,
-    capacity: Room,
-    slots: Arc<Places>,
-    lifecycle: Arc<Mutex<Standing>>,
+    capacity: Capacity,
+    slots: Arc<ConnectionSlots>,
+    lifecycle: Arc<Mutex<Lifecycle>>,
     late_accept_seconds: f64,
     batch: Option<Arc<dyn BatchHandler>>,
     rate_limiter: Arc<dyn RateLimiter>,
@@ -104,7 +104,7 @@
     body: Bytes,
     /// When its head was read, in seconds of the clock: its client's deadline counts from then, or earlier.
     began: f64,
-    reservation: (Held, Option<Held>),
+    reservation: (CapacityPermit, Option<CapacityPermit>),
 }
 
 /// Who sent a request, by the configuration in force when it was read.
@@ -126,7 +126,7 @@
             batch,
             rate_limiter,
         } = config;
-        let slots = Places::new(connections, Duration::from_millis(500));
+        let slots = ConnectionSlots::new(connections, Duration::from_millis(500));
         Arc::new(Downstream {
             shared,
             capacity,
@@ -141,15 +141,15 @@
     /// Accepts connections until it is dropped.
     pub async fn listen(self: Arc<Downstream>, listener: TcpListener) {
         for number in 0.. {
-            self.slots.wait().await;
+            self.slots.wait_for_slot().await;
             match listener.accept().await {
                 Ok((stream, _)) => {
-                    let slot = self.slots.take(number);
+                    let slot = self.slots.acquire(number);
                     tokio::spawn(self.clone().connection(stream, slot));
                 }
                 Err(error) => {
                     log::debug!("downstream: could not accept a connection: {error}");
-                    self.slots.make_room();
+                    self.slots.evict_one();
                     sleep(ACCEPT_BACKOFF).await;
                 }
             }
@@ -163,7 +163,7 @@
 
     /// Number of open connections from clients.
     pub fn connected(&self) -> usize {
-        self.slots.count()
+        self.slots.in_use()
     }
 
     fn limits(&self) -> ClientLimits {
@@ -174,16 +174,18 @@
     }
 
     fn should_close(&self) -> bool {
-        self.lifecycle.lock().closes(self.shared.clock.now())
+        self.lifecycle
+            .lock()
+            .closes_after_answer(self.shared.clock.now())
     }
 
-    async fn connection(self: Arc<Downstream>, stream: TcpStream, slot: Place) {
+    async fn connection(self: Arc<Downstream>, stream: TcpStream, slot: ConnectionSlot) {
         stream.set_nodelay(true).ok();
         let limits = self.limits();
-        let (sniffer, socket) = (slot.seen.clone(), Arc::new(stream));
+        let (sniffer, socket) = (slot.sniffer.clone(), Arc::new(stream));
         let inspecting = sniffer.clone();
-        let stream = InspectReader::new(Socket(socket.clone()), move |bytes: &[u8]| {
-            inspecting.look(bytes)
+        let stream = InspectReader::new(SharedSocket(socket.clone()), move |bytes: &[u8]| {
+            inspecting.observe(bytes)
         });
         let service = service_fn(|request: Request<Incoming>| {
             let (downstream, sniffer) = (self.clone(), sniffer.clone());
@@ -195,8 +197,8 @@
             .max_buf_size(limits.max_header_bytes.max(MIN_BUFFER))
             .serve_connection(TokioIo::new(stream), service);
         let (mut close_request, mut timer) = (
-            pin!(slot.seen.called()),
-            pin!(sleep_until(idle_deadline(&slot.seen, &limits))),
+            pin!(slot.sniffer.close_requested()),
+            pin!(sleep_until(idle_deadline(&slot.sniffer, &limits))),
         );
         let ended = poll_fn(|cx| {
             if let Poll::Ready(ended) = Pin::new(&mut served).poll(cx) {
@@ -206,11 +208,11 @@
                 if slot.may_close() && !has_unread_bytes(socket.as_raw_fd()) {
                     return Poll::Ready(None);
                 }
-                close_request.set(slot.seen.called());
+                close_request.set(slot.sniffer.close_requested());
             }
             // A request that awaits its response has its own timeouts.
-            if slot.seen.phase() == Phase::Open {
-                if slot.seen.may_go_on() {
+            if slot.sniffer.phase() == Phase::InFlight {
+                if slot.sniffer.may_keep_alive() {
                     return Poll::Pending;
                 }
                 // More was received than the request. hyper reads none of it, and so misses a disconnect.
@@ -230,7 +232,7 @@
                 return Poll::Pending;
             }
             loop {
-                let idle_deadline = idle_deadline(&slot.seen, &limits);
+                let idle_deadline = idle_deadline(&slot.sniffer, &limits);
                 // The timer is set anew only when it rings early, or late.
                 if timer.deadline() > idle_deadline {
                     timer.as_mut().reset(idle_deadline);
@@ -239,7 +241,7 @@
                     return Poll::Pending;
                 }
                 if Instant::now() >= idle_deadline
-                    && !(slot.seen.is_idle() && has_unread_bytes(socket.as_raw_fd()))
+                    && !(slot.sniffer.is_idle() && has_unread_bytes(socket.as_raw_fd()))
                 {
                     return Poll::Ready(None);
                 }
@@ -262,11 +264,11 @@
     async fn answer(
         &self,
         request: Request<Incoming>,
-        sniffer: &Arc<Seen>,
+        sniffer: &Arc<RequestSniffer>,
     ) -> Response<ResponseBody> {
         let mut answer = match self.read(request, sniffer).await {
             Ok(received) => {
-                sniffer.taken();
+                sniffer.request_accepted();
                 self.respond(received).await
             }
             // Without a configuration the limit of a body is unknown.
@@ -275,7 +277,7 @@
             }
             Err(status) => status_only(status),
         };
-        if self.should_close() || !sniffer.may_go_on() {
+        if self.should_close() || !sniffer.may_keep_alive() {
             answer
                 .headers_mut()
                 .insert(CONNECTION, HeaderValue::from_static("close"));
@@ -287,7 +289,7 @@
     async fn read(
         &self,
         request: Request<Incoming>,
-        sniffer: &Seen,
+        sniffer: &RequestSniffer,
     ) -> Result<ReceivedRequest, StatusCode> {
         if sniffer.fault().is_some() {
             return Err(StatusCode::BAD_REQUEST);
@@ -304,8 +306,8 @@
             .unwrap_or(DEFAULT_BODY_SIZE)
             .min(max as u64) as usize;
         // Memory is bounded. A request without a reservation is read all the same, or a reset would lose the response.
-        let mut body_reservation = self.capacity.body(expected);
-        let request_reservation = self.capacity.work_unit();
+        let mut body_reservation = self.capacity.reserve_body(expected);
+        let request_reservation = self.capacity.reserve_work_unit();
         let body = match timeout(BODY_TIMEOUT, collect(body, max)).await {
             Ok(body) => body?,
             Err(_) => return Err(StatusCode::REQUEST_TIMEOUT),
@@ -314,7 +316,7 @@
             return Err(StatusCode::BAD_REQUEST);
         }
         if body.len() > expected {
-            body_reservation = body_reservation.and(self.capacity.body(body.len()));
+            body_reservation = body_reservation.and(self.capacity.reserve_body(body.len()));
         }
         let (Some(body_reservation), Some(request_reservation)) =
             (body_reservation, request_reservation)
@@ -425,7 +427,7 @@
 
     /// Whether the shutdown began so long ago that a request accepted now might be cut by its end.
     fn is_too_late(&self) -> bool {
-        let stopped = self.lifecycle.lock().stopped();
+        let stopped = self.lifecycle.lock().stopping_since();
         stopped.is_some_and(|stopped| self.shared.clock.now() - stopped >= self.late_accept_seconds)
     }
 
@@ -569,13 +571,13 @@
 }
 
 /// When a connection is closed if nothing more is received.
-fn idle_deadline(sniffer: &Seen, limits: &ClientLimits) -> Instant {
+fn idle_deadline(sniffer: &RequestSniffer, limits: &ClientLimits) -> Instant {
     let idle = limits.idle_timeout() + IDLE_MARGIN;
     let head = limits.header_timeout();
     match sniffer.phase() {
-        Phase::Coming(since) if sniffer.is_busy() => since + head + BODY_TIMEOUT,
-        Phase::Coming(since) | Phase::Idle(since) => since + idle,
-        Phase::Open => Instant::now() + BODY_TIMEOUT,
+        Phase::Receiving(since) if sniffer.is_busy() => since + head + BODY_TIMEOUT,
+        Phase::Receiving(since) | Phase::Idle(since) => since + idle,
+        Phase::InFlight => Instant::now() + BODY_TIMEOUT,
     }
 }
 
--- a/crates/mintlb-dispatcher/src/exchange.rs
+++ b/crates/mintlb-dispatcher/src/exchange.rs
@@ -11,7 +11,7 @@
 use axum::http::{HeaderMap, HeaderValue, Method, StatusCode};
 use bytes::Bytes;
 use mintlb_core::reducer::Event;
-use mintlb_core::work::{Answer, Arrival, Payload, Settle};
+use mintlb_core::work::{Answer, Payload, Responder, Submission};
 use parking_lot::Mutex;
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -210,27 +210,27 @@
         let once = !self.terms.idempotent;
         let payload = Payload {
             body: self.body.clone(),
-            once,
-            own: self.clone(),
+            non_idempotent: once,
+            protocol_data: self.clone(),
         };
         let time_budget = self.limit - now;
         let answer = Box::new(Settlement(self));
-        let arrival = Arrival {
+        let arrival = Submission {
             id,
-            client_id: None,
+            client_request_id: None,
             project_type,
             customer: None,
             slots: 1.0,
-            arrived: now,
+            arrived_at: now,
             time_budget,
             payload,
-            answer,
+            responder: answer,
         };
-        let shared = match arrival.payload.own.downcast_ref::<Exchange>() {
+        let shared = match arrival.payload.protocol_data.downcast_ref::<Exchange>() {
             Some(exchange) => exchange.shared.clone(),
             None => return,
         };
-        shared.event_sender.send(Event::Arrived(arrival)).ok();
+        shared.event_sender.send(Event::Submitted(arrival)).ok();
     }
 
     /// State shared by the dispatcher's tasks.
@@ -460,7 +460,7 @@
         }
         self.shared
             .event_sender
-            .send(Event::Left(state.request_number))
+            .send(Event::ClientLeft(state.request_number))
             .ok();
     }
 
@@ -540,8 +540,8 @@
 /// Receives the reducer's final decision on a request.
 struct Settlement(Arc<Exchange>);
 
-impl Settle for Settlement {
-    fn settle(self: Box<Self>, answer: Answer) {
+impl Responder for Settlement {
+    fn respond(self: Box<Self>, answer: Answer) {
         let exchange = self.0;
         // The last attempt ends shortly before the client's deadline.
         let over = exchange.shared.clock.now() + MIN_TIME_LEFT >= exchange.limit;
@@ -554,7 +554,7 @@
             Answer::Deferred(retry_after) => {
                 exchange.retry_or_conclude(Refusal::NotRun(retry_after))
             }
-            Answer::Aborted | Answer::Repeated => exchange.retry_or_conclude(Refusal::Unknown),
+            Answer::Aborted | Answer::Duplicate => exchange.retry_or_conclude(Refusal::Unknown),
         }
     }
 }
--- a/crates/mintlb-dispatcher/src/permits.rs
+++ b/crates/mintlb-dispatcher/src/permits.rs
@@ -7,7 +7,7 @@
 use crate::shared::Shared;
 use crate::statistics::RefusalReason;
 use crate::workers::WorkerEntry;
-use mintlb_core::permit::{Permission, Permit};
+use mintlb_core::dispatch_policy::{DispatchPolicy, Permission};
 use mintlb_core::work::Payload;
 use mintlb_scheduler::{WorkUnit, Worker};
 use std::sync::Arc;
@@ -86,9 +86,9 @@
     }
 }
 
-impl Permit for Permits {
+impl DispatchPolicy for Permits {
     fn permits(&self, now: f64, wu: &WorkUnit, payload: &Payload, worker: &Worker) -> Permission {
-        let Some(exchange) = payload.own.downcast_ref::<Exchange>() else {
+        let Some(exchange) = payload.protocol_data.downcast_ref::<Exchange>() else {
             return Permission::Granted;
         };
         let Some(entry) = self.shared.workers.get(worker.entry.id) else {
@@ -126,8 +126,8 @@
         }
     }
 
-    fn preferred(&self, payload: &Payload) -> Option<u64> {
-        let exchange = payload.own.downcast_ref::<Exchange>()?;
+    fn preferred_worker(&self, payload: &Payload) -> Option<u64> {
+        let exchange = payload.protocol_data.downcast_ref::<Exchange>()?;
         let prompt = exchange.long_prompt()?;
         self.preferred_workers(exchange, prompt)[0]
     }
--- a/crates/mintlb-dispatcher/src/routing.rs
+++ b/crates/mintlb-dispatcher/src/routing.rs
@@ -5,7 +5,7 @@
 use crate::tenants::{Access, AuthenticationError, TenantTable, TenantTerms};
 use axum::http::HeaderMap;
 use mintlb_common::configuration::{Configuration, Route, RouteType};
-use mintlb_core::types::Named;
+use mintlb_core::project_types::NamedProjectType;
 use rustc_hash::FxHashMap;
 use std::cmp::Reverse;
 use std::collections::BTreeSet;
@@ -142,7 +142,7 @@
 
 impl RoutingTable {
     /// Builds the table; `types` are the project types as the reducer numbers them.
-    pub fn new(configuration: Arc<Configuration>, types: &[Named]) -> RoutingTable {
+    pub fn new(configuration: Arc<Configuration>, types: &[NamedProjectType]) -> RoutingTable {
         let by_name: FxHashMap<&str, usize> =
             types.iter().map(|t| (t.name.as_str(), t.number)).collect();
         let mut hosts: FxHashMap<String, Vec<RouteEntry>> = FxHashMap::default();
--- a/crates/mintlb-dispatcher/src/shared.rs
+++ b/crates/mintlb-dispatcher/src/shared.rs
@@ -10,7 +10,7 @@
 use axum::http::HeaderValue;
 use mintlb_core::clock::Clock;
 use mintlb_core::reducer::Event;
-use mintlb_core::work::Numbers;
+use mintlb_core::work::WorkUnitIds;
 use mintlb_scheduler::util::Rng;
 use parking_lot::Mutex;
 use rustc_hash::FxHashSet;
@@ -23,7 +23,7 @@
     /// The clock of all tasks.
     pub clock: Clock,
     /// Generator of request numbers.
-    pub numbers: Numbers,
+    pub numbers: WorkUnitIds,
     /// Channel to the reducer.
     pub event_sender: UnboundedSender<Event>,
     /// The workers known from gossip records.
--- a/crates/mintlb-dispatcher/src/upstream.rs
+++ b/crates/mintlb-dispatcher/src/upstream.rs
@@ -9,7 +9,7 @@
 use crate::request::{self, RequestBytes};
 use crate::workers::WorkerEntry;
 use mintlb_core::reducer::Event;
-use mintlb_core::work::{Back, Order, Reach, Recall};
+use mintlb_core::work::{AllocationRequest, AllocationResult, CancelHandle, Endpoint};
 use mintlb_scheduler::{LoadReport, Outcome};
 use std::fmt::{Display, Formatter};
 use std::sync::Arc;
@@ -30,9 +30,9 @@
     }
 }
 
-impl Reach for WorkerUpstream {
-    fn send(&self, order: Order) -> Box<dyn Recall> {
-        let Ok(exchange) = order.payload.own.clone().downcast::<Exchange>() else {
+impl Endpoint for WorkerUpstream {
+    fn send(&self, order: AllocationRequest) -> Box<dyn CancelHandle> {
+        let Ok(exchange) = order.payload.protocol_data.clone().downcast::<Exchange>() else {
             return Box::new(());
         };
         let send = Attempt {
@@ -49,8 +49,8 @@
 /// A started attempt. Closing its connection is the protocol's only way to cancel it.
 struct SpawnedSend(AbortHandle);
 
-impl Recall for SpawnedSend {
-    fn recall(self: Box<Self>) {
+impl CancelHandle for SpawnedSend {
+    fn cancel(self: Box<Self>) {
         self.0.abort();
     }
 }
@@ -59,7 +59,7 @@
 struct Attempt {
     worker: Arc<WorkerEntry>,
     exchange: Arc<Exchange>,
-    order: Order,
+    order: AllocationRequest,
 }
 
 /// The result of an attempt, for the scheduler.
@@ -86,7 +86,7 @@
         let occupied = self
             .worker
             .occupy(self.exchange.prompt.map_or(0, |prompt| prompt.tokens));
-        let end = shared.clock.instant(self.order.until);
+        let end = shared.clock.instant(self.order.deadline);
         let event = timeout_at(end, self.execute()).await;
         let WorkerEvent {
             outcome,
@@ -94,16 +94,16 @@
         } = event.unwrap_or_else(|_| WorkerEvent::with(Outcome::TimedOut));
         drop(occupied);
         log::debug!("upstream: {} {:?}", self.worker.instance_id, outcome);
-        let back = Back {
+        let back = AllocationResult {
             report: LoadReport { free_slots },
-            ..Back::with(self.order.alloc, outcome)
+            ..AllocationResult::from_outcome(self.order.allocation_id, outcome)
         };
-        shared.event_sender.send(Event::Back(back)).ok();
+        shared.event_sender.send(Event::Finished(back)).ok();
         // No further attempt is allowed, so the client's response is due.
         if outcome != Outcome::Completed && !self.exchange.may_be_sent() {
             shared
                 .event_sender
-                .send(Event::GivenUp(self.order.alloc.0))
+                .send(Event::NoMoreAttempts(self.order.allocation_id.0))
                 .ok();
         }
     }
@@ -114,11 +114,15 @@
             return WorkerEvent::with(Outcome::Moot);
         }
         let id = self.exchange.request.id.as_bytes();
-        let connection = match self.worker.pool.reuse(self.order.payload.once, id) {
+        let connection = match self
+            .worker
+            .pool
+            .reuse(self.order.payload.non_idempotent, id)
+        {
             Some(connection) => Ok(connection),
             None => tokio::select! {
                 connection = self.worker.pool.connect() => connection,
-                () = self.order.taken_back.cancelled() => return WorkerEvent::with(Outcome::Full),
+                () = self.order.withdrawn.cancelled() => return WorkerEvent::with(Outcome::Full),
             },
         };
         let Ok(mut connection) = connection else {
@@ -131,7 +135,7 @@
         let reader = ResponseReader {
             worker: &self.worker,
             exchange: &self.exchange,
-            attempt: self.order.alloc,
+            attempt: self.order.allocation_id,
         };
         let ReadOutcome {
             event,
@@ -149,13 +153,13 @@
 
     /// Sends the request. An error means that the worker lacks its complete head, so that it can't run.
     async fn send(&self, connection: &mut Connection) -> Result<(), Outcome> {
-        let left = self.order.until - self.exchange.shared().clock.now();
+        let left = self.order.deadline - self.exchange.shared().clock.now();
         let RequestBytes {
             mut bytes,
             head_length,
         } = request::bytes(&self.exchange, &self.worker.instance_id, left);
         self.check_still_valid()?;
-        if self.order.payload.once && !connection.was_active_just_now() {
+        if self.order.payload.non_idempotent && !connection.was_active_just_now() {
             let first = bytes.split_to(head_length - 1);
             connection
                 .write(&first)
@@ -177,7 +181,7 @@
 
     /// An error if the attempt was cancelled or the worker is out of service.
     fn check_still_valid(&self) -> Result<(), Outcome> {
-        let is_valid = !self.order.taken_back.is_cancelled() && self.worker.in_service();
+        let is_valid = !self.order.withdrawn.is_cancelled() && self.worker.in_service();
         is_valid.then_some(()).ok_or(Outcome::Full)
     }
 }
--- a/crates/mintlb-dispatcher/src/workers.rs
+++ b/crates/mintlb-dispatcher/src/workers.rs
@@ -3,8 +3,8 @@
 use crate::connection::Pool;
 use crate::load::{KnownLoad, Load};
 use mintlb_common::record::{WorkerRecord, WorkerState};
-use mintlb_core::members::{Member, worker_id};
-use mintlb_core::work::Reach;
+use mintlb_core::membership::{Member, worker_id};
+use mintlb_core::work::Endpoint;
 use mintlb_scheduler::{ListEntry, ListState, ProjectTypeSet};
 use parking_lot::Mutex;
 use rustc_hash::FxHashMap;
@@ -184,7 +184,7 @@
         &self,
         record: &WorkerRecord,
         numbers: EndpointNumbers,
-        reach: impl FnOnce(Arc<WorkerEntry>) -> Arc<dyn Reach>,
+        reach: impl FnOnce(Arc<WorkerEntry>) -> Arc<dyn Endpoint>,
     ) -> Option<Member> {
         // A controller that did not know the worker publishes its end without an address.
         let address: Option<SocketAddr> = record.address.parse().ok();
@@ -232,9 +232,9 @@
         let (name, endpoint) = (record.instance_id.clone(), entry.endpoint(listed));
         Some(Member {
             name,
-            line: endpoint,
+            entry: endpoint,
             host: address.map(|address| address.ip()),
-            reach: Some(reach(entry)),
+            endpoint: Some(reach(entry)),
         })
     }
 
@@ -256,9 +256,9 @@
             .for_each(|entry| drop(entries.remove(&entry.id)));
         let member = |entry: &Arc<WorkerEntry>| Member {
             name: entry.instance_id.clone(),
-            line: entry.endpoint(ListState::Gone),
+            entry: entry.endpoint(ListState::Gone),
             host: None,
-            reach: None,
+            endpoint: None,
         };
         over.iter().map(member).collect()
     }
--- a/crates/mintlb-dispatcher/tests/routing.rs
+++ b/crates/mintlb-dispatcher/tests/routing.rs
@@ -2,7 +2,7 @@
 
 use arbtest::arbtest;
 use mintlb_common::configuration::Configuration;
-use mintlb_core::types::Named;
+use mintlb_core::project_types::NamedProjectType;
 use mintlb_dispatcher::prompts::{Prompt, preferred};
 use mintlb_dispatcher::routing::RoutingTable;
 use mintlb_dispatcher::tuning::{ServiceNumbers, project_types};
@@ -19,12 +19,12 @@
   "timeout_ms":2000,"target_latency_ms":100,"priority":1,"target_service":"t"}
  ],"service_list":[{"name":"s"},{"name":"t"},{"name":"u"}]}"#;
 
-fn table() -> (RoutingTable, Vec<Named>) {
+fn table() -> (RoutingTable, Vec<NamedProjectType>) {
     let configuration = Arc::new(Configuration::parse(CONFIGURATION.as_bytes()).unwrap());
     let types = project_types(&configuration, &mut ServiceNumbers::default());
     let named = types.into_iter().enumerate();
-    let types: Vec<Named> = named
-        .map(|(number, (name, project_type))| Named {
+    let types: Vec<NamedProjectType> = named
+        .map(|(number, (name, project_type))| NamedProjectType {
             name,
             number,
             project_type,
--- a/crates/mintlb-dispatcher/tests/tenant_changes.rs
+++ b/crates/mintlb-dispatcher/tests/tenant_changes.rs
@@ -5,7 +5,7 @@
 use machine::{CONFIGURATION, Machine, Parts, Worker, header, on_one_thread};
 use mintlb_common::configuration::Configuration;
 use mintlb_common::record::WorkerState;
-use mintlb_core::types::Types;
+use mintlb_core::project_types::ProjectTypes;
 use mintlb_dispatcher::admission::{Admission, AdmissionFuture, RateLimiter};
 use mintlb_dispatcher::routing::RoutingTable;
 use mintlb_dispatcher::tenants::TenantTerms;
@@ -69,7 +69,7 @@
 }
 
 /// Ten routes and a batch route of priority 2, and tenants of these priorities.
-fn table(priorities: &[u32]) -> (RoutingTable, Types) {
+fn table(priorities: &[u32]) -> (RoutingTable, ProjectTypes) {
     let route = |name: String, kind: &str| {
         format!(
             r#"{{"name":"{name}","host_name":"{name}.example","path_prefix":"/","route_type":"{kind}",
@@ -91,13 +91,13 @@
     );
     let configuration = Configuration::parse(json.as_bytes()).unwrap();
     let types = project_types(&configuration, &mut ServiceNumbers::default());
-    let types = Types::new(types);
-    let table = RoutingTable::new(Arc::new(configuration), types.served());
+    let types = ProjectTypes::new(types);
+    let table = RoutingTable::new(Arc::new(configuration), types.active());
     (table, types)
 }
 
-fn name(types: &Types, number: usize) -> &str {
-    let mut named = types.served().iter();
+fn name(types: &ProjectTypes, number: usize) -> &str {
+    let mut named = types.active().iter();
     &named.find(|named| named.number == number).unwrap().name
 }
 
--- a/crates/mintlb-dispatcher/tests/tenant_priority.rs
+++ b/crates/mintlb-dispatcher/tests/tenant_priority.rs
@@ -2,7 +2,7 @@
 
 use arbtest::arbtest;
 use mintlb_common::configuration::Configuration;
-use mintlb_core::types::Named;
+use mintlb_core::project_types::NamedProjectType;
 use mintlb_dispatcher::routing::{RoutingTable, Target};
 use mintlb_dispatcher::tuning::{ServiceNumbers, project_types};
 use std::collections::HashSet;
@@ -32,15 +32,15 @@
 
 struct Built {
     table: RoutingTable,
-    types: Vec<Named>,
+    types: Vec<NamedProjectType>,
 }
 
 fn build(json: &str) -> Built {
     let configuration = Arc::new(Configuration::parse(json.as_bytes()).unwrap());
     let types = project_types(&configuration, &mut ServiceNumbers::default());
     let named = types.into_iter().enumerate();
-    let types: Vec<Named> = named
-        .map(|(number, (name, project_type))| Named {
+    let types: Vec<NamedProjectType> = named
+        .map(|(number, (name, project_type))| NamedProjectType {
             name,
             number,
             project_type,
@@ -61,7 +61,7 @@
             .unwrap()
     }
 
-    fn type_of(&self, target: &Target) -> &Named {
+    fn type_of(&self, target: &Target) -> &NamedProjectType {
         let number = target.project_type;
         let mut types = self.types.iter();
         types.find(|named| named.number == number).unwrap()
--- a/crates/mintlb-http/src/dial.rs
+++ b/crates/mintlb-http/src/dial.rs
@@ -4,7 +4,7 @@
 use hyper::rt::{Read, ReadBufCursor, Write};
 use hyper_util::client::legacy::connect::{Connected, Connection, HttpConnector};
 use hyper_util::rt::TokioIo;
-use mintlb_core::spend::Slip;
+use mintlb_core::budget::Reservation;
 use parking_lot::Mutex;
 use std::error::Error;
 use std::fmt::{Display, Formatter};
@@ -24,44 +24,51 @@
 
 /// The bytes of a connection that the system took so far, and at how many of them a request will be whole.
 #[derive(Clone, Default)]
-pub struct Written(Arc<AtomicU64>, Arc<AtomicU64>, Arc<Mutex<Option<Gate>>>);
+pub struct WriteProgress(
+    Arc<AtomicU64>,
+    Arc<AtomicU64>,
+    Arc<Mutex<Option<WriteGate>>>,
+);
 
 /// What has to hold while a request is written: its slip is paid at the byte that makes it whole, and it is not taken
 /// back before.
 #[derive(Clone)]
-pub struct Gate {
-    pub slip: Option<Arc<dyn Slip>>,
-    pub taken_back: CancellationToken,
+pub struct WriteGate {
+    pub reservation: Option<Arc<dyn Reservation>>,
+    pub withdrawn: CancellationToken,
 }
 
-impl Written {
+impl WriteProgress {
     pub fn so_far(&self) -> u64 {
         self.0.load(Relaxed)
     }
 
     /// A request of so many bytes is written next, as far as its gate lets it.
-    pub fn expect(&self, length: u64, gate: Gate) {
+    pub fn expect(&self, length: u64, gate: WriteGate) {
         self.1.store(self.so_far() + length, Relaxed);
         *self.2.lock() = Some(gate);
     }
 
     /// Up to this many more bytes are about to be written: what has been paid for that.
-    fn pay(&self, bytes: usize) -> io::Result<Option<Arc<dyn Slip>>> {
+    fn pay(&self, bytes: usize) -> io::Result<Option<Arc<dyn Reservation>>> {
         let whole = self.1.load(Relaxed);
         let gate = self.2.lock().clone();
         if gate
             .as_ref()
-            .is_some_and(|gate| gate.taken_back.is_cancelled())
+            .is_some_and(|gate| gate.withdrawn.is_cancelled())
         {
-            return Err(io::Error::other(TakenBack));
+            return Err(io::Error::other(Withdrawn));
         }
         if whole == 0 || self.so_far() + (bytes as u64) < whole {
             return Ok(None);
         }
-        let slip = gate.and_then(|gate| gate.slip);
-        match slip.as_ref().is_none_or(|slip| slip.pay()) {
-            true => Ok(slip),
-            false => Err(io::Error::other(Unpaid)),
+        let reservation = gate.and_then(|gate| gate.reservation);
+        match reservation
+            .as_ref()
+            .is_none_or(|reservation| reservation.commit())
+        {
+            true => Ok(reservation),
+            false => Err(io::Error::other(BudgetExhausted)),
         }
     }
 
@@ -78,9 +85,9 @@
     }
 }
 
-pub struct Watched {
+pub struct CountedStream {
     io: TokioIo<TcpStream>,
-    written: Written,
+    written: WriteProgress,
     sends: Arc<AtomicU64>,
     _link: OwnedSemaphorePermit,
     /// Dropped after the connection, whose descriptor it takes before anybody else can.
@@ -121,7 +128,7 @@
     }
 }
 
-impl Read for Watched {
+impl Read for CountedStream {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context,
@@ -131,10 +138,10 @@
     }
 }
 
-impl Watched {
+impl CountedStream {
     fn count(
         &self,
-        paid: Option<Arc<dyn Slip>>,
+        paid: Option<Arc<dyn Reservation>>,
         written: Poll<io::Result<usize>>,
     ) -> Poll<io::Result<usize>> {
         let makes_whole = matches!(written, Poll::Ready(Ok(n)) if self.written.count(n as u64));
@@ -142,12 +149,12 @@
         // The byte that was paid for has not gone: it may go at any time, and is paid for then.
         paid.filter(|_| !makes_whole)
             .iter()
-            .for_each(|slip| slip.back());
+            .for_each(|reservation| reservation.refund());
         written
     }
 }
 
-impl Write for Watched {
+impl Write for CountedStream {
     fn poll_write(
         mut self: Pin<&mut Self>,
         cx: &mut Context,
@@ -177,7 +184,7 @@
     }
 }
 
-impl Connection for Watched {
+impl Connection for CountedStream {
     fn connected(&self) -> Connected {
         self.io.connected().extra(self.written.clone())
     }
@@ -185,39 +192,39 @@
 
 /// Nothing was dialled for want of descriptors or the like. That is no fault of who would have been called.
 #[derive(Debug)]
-pub struct NoRoom;
+pub struct NoDescriptor;
 
-impl Display for NoRoom {
+impl Display for NoDescriptor {
     fn fmt(&self, f: &mut Formatter) -> std::fmt::Result {
         f.write_str("no descriptor to spare")
     }
 }
 
-impl Error for NoRoom {}
+impl Error for NoDescriptor {}
 
 /// An allocation's last byte was held back, as what it would have spent was there no more.
 #[derive(Debug)]
-pub struct Unpaid;
+pub struct BudgetExhausted;
 
-impl Display for Unpaid {
+impl Display for BudgetExhausted {
     fn fmt(&self, f: &mut Formatter) -> std::fmt::Result {
         f.write_str("its budget is spent or has lapsed")
     }
 }
 
-impl Error for Unpaid {}
+impl Error for BudgetExhausted {}
 
 /// An allocation was taken back before its last byte was written.
 #[derive(Debug)]
-pub struct TakenBack;
+pub struct Withdrawn;
 
-impl Display for TakenBack {
+impl Display for Withdrawn {
     fn fmt(&self, f: &mut Formatter) -> std::fmt::Result {
         f.write_str("taken back before it was written")
     }
 }
 
-impl Error for TakenBack {}
+impl Error for Withdrawn {}
 
 /// Whether this scheduler's own system had nothing left for it.
 fn is_short(error: &(dyn Error + 'static)) -> bool {
@@ -248,9 +255,9 @@
 }
 
 impl tower_service::Service<Uri> for Dialer {
-    type Response = Watched;
+    type Response = CountedStream;
     type Error = Box<dyn Error + Send + Sync>;
-    type Future = Pin<Box<dyn Future<Output = Result<Watched, Self::Error>> + Send>>;
+    type Future = Pin<Box<dyn Future<Output = Result<CountedStream, Self::Error>> + Send>>;
 
     fn poll_ready(&mut self, cx: &mut Context) -> Poll<Result<(), Self::Error>> {
         self.connector.poll_ready(cx).map_err(Into::into)
@@ -260,7 +267,7 @@
         let (sends, spare) = (self.sends.clone(), self.spare.clone());
         Box::pin(async move {
             let Ok(link) = timeout(wait, links.acquire_owned()).await else {
-                return Err(NoRoom.into());
+                return Err(NoDescriptor.into());
             };
             let _spare = spare.clone().map(Refill);
             let end = Instant::now() + wait;
@@ -277,12 +284,12 @@
                 }
             };
             let io = io.map_err(|e| match is_short(&e) {
-                true => NoRoom.into(),
+                true => NoDescriptor.into(),
                 false => Self::Error::from(e),
             })?;
-            Ok(Watched {
+            Ok(CountedStream {
                 io,
-                written: Written::default(),
+                written: WriteProgress::default(),
                 sends,
                 _link: link?,
                 _spare,
@@ -306,7 +313,7 @@
     }
 
     /// One that can dial when all descriptors are taken, by the one that it keeps.
-    pub fn with_spare(mut self) -> Dialer {
+    pub fn with_reserved_descriptor(mut self) -> Dialer {
         self.spare = Some(Spare::new());
         self
     }
--- a/crates/mintlb-http/src/front.rs
+++ b/crates/mintlb-http/src/frontend.rs
@@ -4,11 +4,11 @@
 //! handler is dropped, and the reducer is told. A client that sends what can't be taken gets an error, and one
 //! that sends no whole request in time is closed; either loses its connection, and none of it goes anywhere.
 
-use crate::causes::causes;
-use crate::limits::Limits;
-use crate::places::{Place, Places};
-use crate::seen::{Phase, Seen};
-use crate::socket::Socket;
+use crate::connection_slots::{ConnectionSlot, ConnectionSlots};
+use crate::error_chain::error_chain;
+use crate::limits::HttpLimits;
+use crate::sniffer::{Phase, RequestSniffer};
+use crate::socket::SharedSocket;
 use axum::body::{Body, to_bytes};
 use axum::extract::{Request, State};
 use axum::http::header::{CONNECTION, RETRY_AFTER};
@@ -23,13 +23,13 @@
 use hyper::server::conn::http1;
 use hyper::service::service_fn;
 use hyper_util::rt::{TokioIo, TokioTimer};
+use mintlb_core::capacity::Capacity;
 use mintlb_core::clock::Clock;
-use mintlb_core::figures::{Ends, Figures};
+use mintlb_core::lifecycle::Lifecycle;
+use mintlb_core::metrics::{AnswerCounts, Metrics};
+use mintlb_core::project_types::NamedProjectType;
 use mintlb_core::reducer::Event;
-use mintlb_core::room::Room;
-use mintlb_core::standing::Standing;
-use mintlb_core::types::Named;
-use mintlb_core::work::{Answer, Arrival, Numbers, Payload};
+use mintlb_core::work::{Answer, Payload, Submission, WorkUnitIds};
 use mintlb_scheduler::Idempotency;
 use nix::sys::socket::{MsgFlags, recv};
 use parking_lot::Mutex;
@@ -60,22 +60,22 @@
     number: usize,
     hard_limit: f64,
     receipted: bool,
-    once: bool,
-    ends: Arc<Ends>,
+    non_idempotent: bool,
+    ends: Arc<AnswerCounts>,
 }
 
-pub struct Front {
-    types: Mutex<HashMap<String, Arc<Entry>>>,
+pub struct Frontend {
+    project_types: Mutex<HashMap<String, Arc<Entry>>>,
     customers: Vec<String>,
-    limits: Limits,
+    limits: HttpLimits,
     clock: Clock,
     tell: UnboundedSender<Event>,
     log: Logger,
-    numbers: Numbers,
-    room: Room,
-    places: Arc<Places>,
+    numbers: WorkUnitIds,
+    capacity: Capacity,
+    places: Arc<ConnectionSlots>,
     /// Whether clients are to come here, and to stay.
-    standing: Arc<Mutex<Standing>>,
+    lifecycle: Arc<Mutex<Lifecycle>>,
     /// Requests that were not taken and connections closed to make room, since the last line of counts.
     not_taken: AtomicU64,
     closed: AtomicU64,
@@ -90,7 +90,7 @@
 impl Drop for Waiting<'_> {
     fn drop(&mut self) {
         if let Some(tell) = self.tell {
-            tell.send(Event::Left(self.id)).ok();
+            tell.send(Event::ClientLeft(self.id)).ok();
         }
     }
 }
@@ -98,25 +98,25 @@
 /// Why a request is not taken; none of it has gone anywhere.
 type Unfit = (StatusCode, String);
 
-impl Front {
+impl Frontend {
     pub fn new(
         customers: Vec<String>,
-        limits: Limits,
-        shared: (Numbers, Room, Clock, Arc<Mutex<Standing>>),
+        limits: HttpLimits,
+        shared: (WorkUnitIds, Capacity, Clock, Arc<Mutex<Lifecycle>>),
         tell: UnboundedSender<Event>,
         log: Logger,
-    ) -> Arc<Front> {
-        let (numbers, room, clock, standing) = shared;
-        Arc::new(Front {
-            types: Mutex::default(),
+    ) -> Arc<Frontend> {
+        let (numbers, capacity, clock, lifecycle) = shared;
+        Arc::new(Frontend {
+            project_types: Mutex::default(),
             customers,
             clock,
             tell,
             log,
             numbers,
-            room,
-            places: Places::new(limits.clients, limits.read / 20),
-            standing,
+            capacity,
+            places: ConnectionSlots::new(limits.max_client_connections, limits.read_timeout / 20),
+            lifecycle,
             not_taken: AtomicU64::new(0),
             closed: AtomicU64::new(0),
             limits,
@@ -124,31 +124,32 @@
     }
 
     /// From now on work of these project types is taken, and of no others.
-    pub fn take_types(&self, types: &[Named], figures: &Figures) {
-        let entry = |named: &Named| Entry {
+    pub fn set_project_types(&self, types: &[NamedProjectType], metrics: &Metrics) {
+        let entry = |named: &NamedProjectType| Entry {
             number: named.number,
             hard_limit: named.project_type.hard_limit,
             receipted: matches!(
                 named.project_type.idempotency,
                 Idempotency::Deduplicated { .. }
             ),
-            once: named.project_type.idempotency != Idempotency::Idempotent,
-            ends: figures.of(&named.name),
+            non_idempotent: named.project_type.idempotency != Idempotency::Idempotent,
+            ends: metrics.answer_counts(&named.name),
         };
-        *self.types.lock() = types
+        *self.project_types.lock() = types
             .iter()
             .map(|named| (named.name.clone(), Arc::new(entry(named))))
             .collect();
     }
 
-    pub async fn listen(self: Arc<Front>, listener: TcpListener) {
+    pub async fn listen(self: Arc<Frontend>, listener: TcpListener) {
         let router = Router::new()
             .route("/healthz", get(healthz))
             .fallback(hand_in)
             .with_state(self.clone());
         let mut failing = false;
         for number in 0.. {
-            self.closed.fetch_add(self.places.wait().await, Relaxed);
+            self.closed
+                .fetch_add(self.places.wait_for_slot().await, Relaxed);
             let accepted = listener.accept().await;
             if let Err(e) = &accepted {
                 // Most often there is no descriptor left: who is missed least makes room. A flood fails often,
@@ -156,12 +157,12 @@
                 if !failing {
                     warn!(self.log, "a connection could not be accepted"; "why" => %e);
                 }
-                self.make_room();
-                sleep(self.limits.dial / 16).await;
+                self.evict_one();
+                sleep(self.limits.dial_timeout / 16).await;
             }
             failing = accepted.is_err();
             if let Ok((stream, _)) = accepted {
-                let place = self.places.take(number);
+                let place = self.places.acquire(number);
                 tokio::spawn(self.clone().connection(stream, router.clone(), place));
             }
         }
@@ -173,68 +174,80 @@
     }
 
     /// The connection that is missed least closes, if there is one that may; whether there is.
-    pub fn make_room(&self) -> bool {
-        self.places.make_room()
+    pub fn evict_one(&self) -> bool {
+        self.places.evict_one()
     }
 
     /// Whether each answer is to end its connection.
-    fn closes(&self) -> bool {
-        self.standing.lock().closes(self.clock.now())
+    fn closes_after_answer(&self) -> bool {
+        self.lifecycle.lock().closes_after_answer(self.clock.now())
     }
 
     /// How many connections clients have.
-    pub fn connected(&self) -> usize {
-        self.places.count()
+    pub fn connections(&self) -> usize {
+        self.places.in_use()
     }
 
     /// One line of counts, where there is something to count.
-    pub fn count(&self) {
+    pub fn log_counts(&self) {
         let (not_taken, closed) = (
             self.not_taken.swap(0, Relaxed),
             self.closed.swap(0, Relaxed),
         );
         if not_taken + closed > 0 {
             info!(self.log, "clients"; "closed to make room" => closed, "requests not taken" => not_taken,
-                "connected" => self.connected());
+                "connected" => self.connections());
         }
     }
 
-    async fn connection(self: Arc<Front>, stream: TcpStream, router: Router, place: Place) {
+    async fn connection(
+        self: Arc<Frontend>,
+        stream: TcpStream,
+        router: Router,
+        place: ConnectionSlot,
+    ) {
         stream.set_nodelay(true).ok();
-        let (seen, read, socket) = (place.seen.clone(), self.limits.read, Arc::new(stream));
-        let looking = seen.clone();
-        let stream = InspectReader::new(Socket(socket.clone()), move |bytes: &[u8]| {
-            looking.look(bytes)
+        let (sniffer, read_timeout, socket) = (
+            place.sniffer.clone(),
+            self.limits.read_timeout,
+            Arc::new(stream),
+        );
+        let looking = sniffer.clone();
+        let stream = InspectReader::new(SharedSocket(socket.clone()), move |bytes: &[u8]| {
+            looking.observe(bytes)
         });
         let service = service_fn(|mut request: Request<Incoming>| {
-            request.extensions_mut().insert(seen.clone());
+            request.extensions_mut().insert(sniffer.clone());
             router.clone().call(request)
         });
         let mut served = http1::Builder::new()
             .timer(TokioTimer::new())
             .header_read_timeout(None)
-            .max_buf_size(self.limits.head)
+            .max_buf_size(self.limits.max_head_bytes)
             .serve_connection(TokioIo::new(stream), service);
-        let (mut called, mut alarm) = (pin!(place.seen.called()), pin!(sleep(read)));
+        let (mut close_requested, mut alarm) = (
+            pin!(place.sniffer.close_requested()),
+            pin!(sleep(read_timeout)),
+        );
         let ended = poll_fn(|cx| {
             if let Poll::Ready(ended) = Pin::new(&mut served).poll(cx) {
                 return Poll::Ready(Some(ended));
             }
-            while called.as_mut().poll(cx).is_ready() {
+            while close_requested.as_mut().poll(cx).is_ready() {
                 if place.may_close() && !has_come(socket.as_raw_fd()) {
                     return Poll::Ready(None);
                 }
-                called.set(place.seen.called());
+                close_requested.set(place.sniffer.close_requested());
             }
-            let since = match place.seen.phase() {
-                Phase::Coming(since) => since,
+            let since = match place.sniffer.phase() {
+                Phase::Receiving(since) => since,
                 // While bytes behind the request lie unread, the library looks no further, and would not see
                 // its client leave.
-                Phase::Open => return poll_left(&socket, &place.seen, cx).map(|()| None),
+                Phase::InFlight => return poll_left(&socket, &place.sniffer, cx).map(|()| None),
                 Phase::Idle(_) => return Poll::Pending,
             };
             // What is left of a body gets an error first.
-            let due = since + read + read / 16;
+            let due = since + read_timeout + read_timeout / 16;
             if alarm.deadline() != due {
                 alarm.as_mut().reset(due);
             }
@@ -242,24 +255,24 @@
         });
         let Some(ended) = ended.await else { return };
         if let Err(e) = ended {
-            debug!(self.log, "a client's connection broke"; "why" => causes(&e));
+            debug!(self.log, "a client's connection broke"; "why" => error_chain(&e));
         }
         // Closed with bytes unread, it would be reset, and the answer lost on its way.
         let mut stream = served.into_parts().io.into_inner().into_inner();
-        let mut unread = vec![0; self.limits.head];
+        let mut unread = vec![0; self.limits.max_head_bytes];
         let rest = async { while stream.read(&mut unread).await.is_ok_and(|n| n > 0) {} };
-        tokio::select! { _ = timeout(read, rest) => (), () = called => () }
+        tokio::select! { _ = timeout(read_timeout, rest) => (), () = close_requested => () }
     }
 
     /// Reads what the decisions need out of a request; all else stays as it came.
     async fn take(
         &self,
         request: Request,
-        seen: &Seen,
-    ) -> Result<(Arrival, Arc<Ends>, oneshot::Receiver<Answer>), Unfit> {
+        sniffer: &RequestSniffer,
+    ) -> Result<(Submission, Arc<AnswerCounts>, oneshot::Receiver<Answer>), Unfit> {
         let (head, body) = request.into_parts();
         let unfit = |status, why: &str| (status, why.to_string());
-        if let Some(why) = seen.fault() {
+        if let Some(why) = sniffer.fault() {
             return Err(unfit(StatusCode::BAD_REQUEST, why));
         }
         if head.method != Method::POST {
@@ -279,7 +292,11 @@
         let name = head.uri.path().split('/').nth(1).unwrap_or_default();
         let entry = || {
             let none = || unfit(StatusCode::NOT_FOUND, "there is no such project type");
-            self.types.lock().get(name).cloned().ok_or_else(none)
+            self.project_types
+                .lock()
+                .get(name)
+                .cloned()
+                .ok_or_else(none)
         };
         entry()?;
         if one(&head, "request-id").is_none() {
@@ -288,9 +305,9 @@
         let customer =
             text(&head, "tenant").and_then(|t| self.customers.iter().position(|c| c == t));
         let slots = info(&head, "slots").unwrap_or(1.0);
-        let body = self.body(body, seen).await?;
+        let body = self.body(body, sniffer).await?;
         // Its time counts from its last byte: one that came slowly is not late for that.
-        let arrived = self.clock.now();
+        let arrived_at = self.clock.now();
         // While the body came, the project type may have changed: what holds is what holds when the work is taken.
         let entry = entry()?;
         if entry.receipted && one(&head, "idempotency-key").is_none() {
@@ -313,46 +330,50 @@
         };
         let (answer, receiver) = oneshot::channel();
         let (id, project_type) = (self.numbers.next(), entry.number);
-        let client_id = head
+        let client_request_id = head
             .headers
             .get("request-id")
             .map(|id| id.as_bytes().into());
         let payload = Payload {
             body,
-            once: entry.once,
-            own: Arc::new(head),
+            non_idempotent: entry.non_idempotent,
+            protocol_data: Arc::new(head),
         };
-        let answer = Box::new(answer);
-        let arrival = Arrival {
+        let responder = Box::new(answer);
+        let arrival = Submission {
             id,
-            client_id,
+            client_request_id,
             project_type,
             customer,
             slots,
-            arrived,
+            arrived_at,
             time_budget,
             payload,
-            answer,
+            responder,
         };
         Ok((arrival, entry.ends.clone(), receiver))
     }
 
     /// The whole body, if it comes in time and is as long as was said.
-    async fn body(&self, body: Body, seen: &Seen) -> Result<Bytes, Unfit> {
+    async fn body(&self, body: Body, sniffer: &RequestSniffer) -> Result<Bytes, Unfit> {
         let large = (
             StatusCode::PAYLOAD_TOO_LARGE,
-            format!("a body of over {} bytes", self.limits.body),
+            format!("a body of over {} bytes", self.limits.max_body_bytes),
         );
-        if body.size_hint().lower() > self.limits.body as u64 {
+        if body.size_hint().lower() > self.limits.max_body_bytes as u64 {
             return Err(large);
         }
-        let Phase::Coming(since) = seen.phase() else {
+        let Phase::Receiving(since) = sniffer.phase() else {
             return Err((
                 StatusCode::BAD_REQUEST,
                 "a request before the answer to the last".to_string(),
             ));
         };
-        let body = timeout_at(since + self.limits.read, to_bytes(body, self.limits.body)).await;
+        let body = timeout_at(
+            since + self.limits.read_timeout,
+            to_bytes(body, self.limits.max_body_bytes),
+        )
+        .await;
         let body = body.map_err(|_| {
             (
                 StatusCode::REQUEST_TIMEOUT,
@@ -363,25 +384,28 @@
             body.map_err(
                 |e| match e.source().is_some_and(|e| e.is::<LengthLimitError>()) {
                     true => large,
-                    false => (StatusCode::BAD_REQUEST, format!("the body: {}", causes(&e))),
+                    false => (
+                        StatusCode::BAD_REQUEST,
+                        format!("the body: {}", error_chain(&e)),
+                    ),
                 },
             )?;
-        match seen.fault() {
+        match sniffer.fault() {
             Some(why) => Err((StatusCode::BAD_REQUEST, why.to_string())),
             None => Ok(body),
         }
     }
 
-    async fn answer(&self, request: Request, seen: &Seen) -> Response {
+    async fn answer(&self, request: Request, sniffer: &RequestSniffer) -> Response {
         // What may be held at once is bounded; a body whose length is not told may be as long as allowed.
         let most = request
             .body()
             .size_hint()
             .upper()
             .unwrap_or(u64::MAX)
-            .min(self.limits.body as u64);
-        let room = self.room.body(most as usize);
-        let (arrival, ends, receiver) = match self.take(request, seen).await {
+            .min(self.limits.max_body_bytes as u64);
+        let room = self.capacity.reserve_body(most as usize);
+        let (arrival, ends, receiver) = match self.take(request, sniffer).await {
             Ok(taken) => taken,
             Err((status, why)) => {
                 self.not_taken.fetch_add(1, Relaxed);
@@ -389,24 +413,24 @@
                 return (status, why).into_response();
             }
         };
-        seen.taken();
-        let (Some(_room), Some(_open)) = (room, self.room.work_unit()) else {
+        sniffer.request_accepted();
+        let (Some(_room), Some(_open)) = (room, self.capacity.reserve_work_unit()) else {
             ends.deferred.fetch_add(1, Relaxed);
-            return deferred(self.limits.come_back);
+            return deferred(self.limits.retry_after_s);
         };
         let mut waiting = Waiting {
             id: arrival.id,
             tell: Some(&self.tell),
         };
-        if self.tell.send(Event::Arrived(arrival)).is_err() {
-            return deferred(self.limits.come_back);
+        if self.tell.send(Event::Submitted(arrival)).is_err() {
+            return deferred(self.limits.retry_after_s);
         }
         let answer = receiver.await;
         waiting.tell = None;
         match answer {
             Ok(Answer::Completed(result)) => Body::from(result).into_response(),
-            Ok(Answer::Deferred(come_back)) => deferred(come_back),
-            Ok(Answer::Repeated) => {
+            Ok(Answer::Deferred(retry_after_s)) => deferred(retry_after_s),
+            Ok(Answer::Duplicate) => {
                 self.not_taken.fetch_add(1, Relaxed);
                 (StatusCode::CONFLICT, "this Request-Id has been here").into_response()
             }
@@ -416,9 +440,9 @@
     }
 }
 
-fn deferred(come_back: f64) -> Response {
+fn deferred(retry_after_s: f64) -> Response {
     let mut answer = StatusCode::SERVICE_UNAVAILABLE.into_response();
-    if let Some(after) = Some(come_back)
+    if let Some(after) = Some(retry_after_s)
         .filter(|&s| s > 0.0)
         .and_then(|s| format!("{s:.3}").parse().ok())
     {
@@ -428,11 +452,11 @@
 }
 
 /// Passes over what its client still sends, none of which is of its request, until it leaves.
-fn poll_left(socket: &TcpStream, seen: &Seen, cx: &mut Context) -> Poll<()> {
+fn poll_left(socket: &TcpStream, sniffer: &RequestSniffer, cx: &mut Context) -> Poll<()> {
     let mut behind = [0; PASSED_OVER];
     loop {
         match ready!(socket.poll_read_ready(cx)).and_then(|()| socket.try_read(&mut behind)) {
-            Ok(n) if n > 0 => seen.look(&behind[..n]),
+            Ok(n) if n > 0 => sniffer.observe(&behind[..n]),
             Err(e) if e.kind() == ErrorKind::WouldBlock => {}
             Ok(_) | Err(_) => return Poll::Ready(()),
         }
@@ -446,8 +470,8 @@
 }
 
 /// Who asks for this has no work to bring, and needs no place for longer.
-async fn healthz(State(front): State<Arc<Front>>) -> impl IntoResponse {
-    let ready = front.standing.lock().is_ready();
+async fn healthz(State(frontend): State<Arc<Frontend>>) -> impl IntoResponse {
+    let ready = frontend.lifecycle.lock().is_ready();
     let status = if ready {
         StatusCode::OK
     } else {
@@ -457,13 +481,13 @@
 }
 
 async fn hand_in(
-    State(front): State<Arc<Front>>,
-    Extension(seen): Extension<Arc<Seen>>,
+    State(frontend): State<Arc<Frontend>>,
+    Extension(sniffer): Extension<Arc<RequestSniffer>>,
     request: Request,
 ) -> Response {
-    let mut answer = front.answer(request, &seen).await;
-    let goes_on = seen.answered() && !answer.status().is_client_error();
-    if front.closes() || !goes_on {
+    let mut answer = frontend.answer(request, &sniffer).await;
+    let goes_on = sniffer.request_answered() && !answer.status().is_client_error();
+    if frontend.closes_after_answer() || !goes_on {
         answer
             .headers_mut()
             .insert(CONNECTION, HeaderValue::from_static("close"));
--- a/crates/mintlb-http/src/last_byte.rs
+++ b/crates/mintlb-http/src/last_byte.rs
@@ -14,17 +14,17 @@
 use tokio::time::{Sleep, sleep};
 
 #[derive(Default)]
-pub struct LastByte {
+pub struct DelayedLastByte {
     first: Bytes,
     last: Bytes,
     wait: Duration,
     waits: Option<Pin<Box<Sleep>>>,
 }
 
-impl LastByte {
-    pub fn new(mut body: Bytes, wait: Duration) -> LastByte {
+impl DelayedLastByte {
+    pub fn new(mut body: Bytes, wait: Duration) -> DelayedLastByte {
         let last = body.split_off(body.len().saturating_sub(1));
-        LastByte {
+        DelayedLastByte {
             first: body,
             last,
             wait,
@@ -33,12 +33,12 @@
     }
 
     /// How many bytes are still to be written.
-    pub fn left(&self) -> u64 {
+    pub fn remaining(&self) -> u64 {
         (self.first.len() + self.last.len()) as u64
     }
 }
 
-impl Body for LastByte {
+impl Body for DelayedLastByte {
     type Data = Bytes;
     type Error = Infallible;
 
@@ -65,10 +65,10 @@
     }
 
     fn is_end_stream(&self) -> bool {
-        self.left() == 0
+        self.remaining() == 0
     }
 
     fn size_hint(&self) -> SizeHint {
-        SizeHint::with_exact(self.left())
+        SizeHint::with_exact(self.remaining())
     }
 }
--- a/crates/mintlb-http/src/lib.rs
+++ b/crates/mintlb-http/src/lib.rs
@@ -1,14 +1,14 @@
 //! HTTP/1.1 round the core of a mintlb scheduler: the front towards clients, the back towards workers, and the
 //! list service.
 
-pub mod causes;
+pub mod connection_slots;
 pub mod dial;
-pub mod front;
+pub mod error_chain;
+pub mod frontend;
 pub mod last_byte;
 pub mod limits;
-pub mod lines;
-pub mod list;
-pub mod places;
-pub mod seen;
+pub mod line_reader;
+pub mod list_service;
+pub mod sniffer;
 pub mod socket;
 pub mod worker;
--- a/crates/mintlb-http/src/lines.rs
+++ b/crates/mintlb-http/src/line_reader.rs
@@ -1,19 +1,19 @@
 //! Lines out of a chunked body, bounded, as the bytes that came.
 
-use crate::causes::causes;
+use crate::error_chain::error_chain;
 use bytes::{Bytes, BytesMut};
 use http_body_util::BodyExt;
 use hyper::body::Incoming;
 
-pub struct Lines {
+pub struct LineReader {
     body: Incoming,
     held: BytesMut,
     longest: usize,
 }
 
-impl Lines {
-    pub fn new(body: Incoming, longest: usize) -> Lines {
-        Lines {
+impl LineReader {
+    pub fn new(body: Incoming, longest: usize) -> LineReader {
+        LineReader {
             body,
             held: BytesMut::new(),
             longest,
@@ -40,7 +40,7 @@
             match self.body.frame().await {
                 None if searched == 0 => return Ok(None),
                 None => return Ok(Some(self.held.split().freeze())),
-                Some(Err(e)) => return Err(format!("broken off: {}", causes(&e))),
+                Some(Err(e)) => return Err(format!("broken off: {}", error_chain(&e))),
                 Some(Ok(frame)) => self
                     .held
                     .extend(frame.data_ref().map(|d| &d[..]).unwrap_or_default()),
@@ -49,7 +49,7 @@
     }
 
     /// Reads on to the end: closed before, the connection would be reset under a worker that still writes.
-    pub async fn finish(mut self) {
+    pub async fn drain(mut self) {
         while let Some(Ok(_)) = self.body.frame().await {}
     }
 }
--- a/crates/mintlb-http/src/list.rs
+++ b/crates/mintlb-http/src/list_service.rs
@@ -1,20 +1,20 @@
 //! Watches the list of workers: one call that lasts, each line of it a message.
 
-use crate::causes::causes;
 use crate::dial::Dialer;
-use crate::limits::Limits;
-use crate::lines::Lines;
-use crate::worker::{Way, Workers};
+use crate::error_chain::error_chain;
+use crate::limits::HttpLimits;
+use crate::line_reader::LineReader;
+use crate::worker::{HttpEndpoint, WorkerClient};
 use axum::http::StatusCode;
 use bytes::{Bytes, BytesMut};
 use http_body_util::{BodyExt, Empty, Limited};
 use hyper::body::Incoming;
 use hyper_util::client::legacy::Client;
 use hyper_util::rt::TokioExecutor;
-use mintlb_core::hands::Watcher;
-use mintlb_core::members::{Member, Source, Told, worker_id};
+use mintlb_core::executor::ListWatcher;
+use mintlb_core::membership::{Member, MembershipUpdate, WorkerSource, worker_id};
 use mintlb_core::reducer::Event;
-use mintlb_core::work::Reach;
+use mintlb_core::work::Endpoint;
 use mintlb_scheduler::{ListEntry, ListState, ProjectTypeSet};
 use serde::{Deserialize, Serialize};
 use slog::{Logger, warn};
@@ -27,16 +27,16 @@
 
 /// One message of the list service.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
-pub struct Listing {
+pub struct ListMessage {
     pub version: u64,
     pub full: bool,
     #[serde(rename = "servers")]
-    pub workers: Vec<WorkerLine>,
+    pub workers: Vec<ListedWorker>,
 }
 
 /// A worker, as the list service has it.
 #[derive(Clone, Debug, Deserialize, Serialize)]
-pub struct WorkerLine {
+pub struct ListedWorker {
     pub id: String,
     #[serde(default)]
     pub addr: String,
@@ -52,8 +52,8 @@
     pub started_ms: f64,
 }
 
-impl WorkerLine {
-    pub fn listed(&self) -> ListState {
+impl ListedWorker {
+    pub fn listed_state(&self) -> ListState {
         match self.state.as_str() {
             "SERVING" => ListState::Ready,
             "DELETED" => ListState::Gone,
@@ -65,30 +65,30 @@
 
 /// What the list's words stand for, and the way to the workers that it names.
 #[derive(Clone)]
-pub struct Reading {
+pub struct ListDecoder {
     pub zones: Vec<String>,
     pub kinds: Vec<String>,
     /// The project types that workers of the list run.
     pub runs: ProjectTypeSet,
-    pub workers: Workers,
+    pub worker_client: WorkerClient,
 }
 
-impl Reading {
+impl ListDecoder {
     /// What a message of the list tells of the workers.
-    pub fn told(&self, listing: &Listing) -> Told {
+    pub fn membership_update(&self, listing: &ListMessage) -> MembershipUpdate {
         let members = listing
             .workers
             .iter()
             .map(|worker| self.member(worker))
             .collect();
-        Told {
-            source: Source::List,
+        MembershipUpdate {
+            source: WorkerSource::ListService,
             full: listing.full,
             members,
         }
     }
 
-    fn member(&self, worker: &WorkerLine) -> Member {
+    fn member(&self, worker: &ListedWorker) -> Member {
         let place = |names: &[String], name: &str| {
             names
                 .iter()
@@ -104,15 +104,15 @@
         } else {
             0.0
         };
-        let (id, cell, listed) = (worker_id(&worker.id), worker.cell, worker.listed());
-        let at: Option<SocketAddr> = worker.addr.parse().ok();
-        let way = at.map(|at| Way {
-            workers: self.workers.clone(),
-            at,
+        let (id, cell, listed) = (worker_id(&worker.id), worker.cell, worker.listed_state());
+        let address: Option<SocketAddr> = worker.addr.parse().ok();
+        let way = address.map(|address| HttpEndpoint {
+            client: self.worker_client.clone(),
+            address,
         });
         Member {
             name: worker.id.clone(),
-            line: ListEntry {
+            entry: ListEntry {
                 id,
                 zone,
                 cell,
@@ -122,35 +122,35 @@
                 project_types: self.runs,
                 pulls_work: false,
             },
-            host: at.map(|at| at.ip().to_canonical()),
-            reach: way.map(|way| Arc::new(way) as Arc<dyn Reach>),
+            host: address.map(|address| address.ip().to_canonical()),
+            endpoint: way.map(|way| Arc::new(way) as Arc<dyn Endpoint>),
         }
     }
 }
 
 /// Keeps one watch of the list alive at a time.
-pub struct Watch {
-    list: List,
-    reading: Reading,
+pub struct ListWatch {
+    list: ListClient,
+    reading: ListDecoder,
     tell: UnboundedSender<Event>,
     /// Who else must hear what the list tells.
-    besides: Besides,
+    besides: ListObserver,
     log: Logger,
     alive: Option<AbortHandle>,
 }
 
 /// Hears what the list tells, beside the core: its words, and what they mean.
-pub type Besides = Arc<dyn Fn(&Listing, &Told) + Send + Sync>;
+pub type ListObserver = Arc<dyn Fn(&ListMessage, &MembershipUpdate) + Send + Sync>;
 
-impl Watch {
+impl ListWatch {
     pub fn new(
-        list: List,
-        reading: Reading,
+        list: ListClient,
+        reading: ListDecoder,
         tell: UnboundedSender<Event>,
-        besides: Besides,
+        besides: ListObserver,
         log: Logger,
-    ) -> Watch {
-        Watch {
+    ) -> ListWatch {
+        ListWatch {
             list,
             reading,
             tell,
@@ -161,13 +161,13 @@
     }
 
     /// The list is watched there from now on; a watch of the old address ends.
-    pub fn follow(&mut self, list: List) {
+    pub fn replace_client(&mut self, list: ListClient) {
         self.list = list;
         self.alive.take().iter().for_each(AbortHandle::abort);
     }
 }
 
-impl Watcher for Watch {
+impl ListWatcher for ListWatch {
     fn watch(&mut self, after: Option<u64>) {
         // A question that was due before the list moved must not end the watch that has begun since.
         if self
@@ -180,10 +180,11 @@
         let (list, reading) = (self.list.clone(), self.reading.clone());
         let (tell, besides, log) = (self.tell.clone(), self.besides.clone(), self.log.clone());
         let task = async move {
-            let hear = |listing: Listing| {
-                let told = reading.told(&listing);
+            let hear = |listing: ListMessage| {
+                let told = reading.membership_update(&listing);
                 besides(&listing, &told);
-                tell.send(Event::Members(Some(listing.version), told)).ok();
+                tell.send(Event::MembershipChanged(Some(listing.version), told))
+                    .ok();
             };
             let why = list.watch(after, hear).await;
             tell.send(Event::ListFailed).ok();
@@ -194,30 +195,30 @@
 }
 
 #[derive(Clone)]
-pub struct List {
+pub struct ListClient {
     client: Client<Dialer, Empty<Bytes>>,
-    at: SocketAddr,
+    address: SocketAddr,
     line: usize,
     silence: Duration,
     call: Duration,
 }
 
-impl List {
-    pub fn new(limits: &Limits, at: SocketAddr) -> List {
+impl ListClient {
+    pub fn new(limits: &HttpLimits, address: SocketAddr) -> ListClient {
         // An old watch may end only while the new one is dialled.
-        let dialer = Dialer::new(2, limits.dial, Arc::default()).with_spare();
+        let dialer = Dialer::new(2, limits.dial_timeout, Arc::default()).with_reserved_descriptor();
         let client = Client::builder(TokioExecutor::new())
             .pool_max_idle_per_host(0)
             .build(dialer);
-        let Limits {
-            list_line: line,
-            list_silence: silence,
-            list_call: call,
+        let HttpLimits {
+            max_list_line_bytes: line,
+            list_idle_timeout: silence,
+            list_call_timeout: call,
             ..
         } = *limits;
-        List {
+        ListClient {
             client,
-            at,
+            address,
             line,
             silence,
             call,
@@ -226,14 +227,14 @@
 
     /// Has what changes after this version heard until the watch ends, or first the whole list if no version is known;
     /// the cause of the end.
-    pub async fn watch(&self, after: Option<u64>, hear: impl Fn(Listing)) -> String {
+    pub async fn watch(&self, after: Option<u64>, hear: impl Fn(ListMessage)) -> String {
         self.follow(after, hear)
             .await
             .err()
             .unwrap_or_else(|| "it ended".to_string())
     }
 
-    async fn follow(&self, after: Option<u64>, hear: impl Fn(Listing)) -> Result<(), String> {
+    async fn follow(&self, after: Option<u64>, hear: impl Fn(ListMessage)) -> Result<(), String> {
         let after = match after {
             Some(version) => version,
             None => {
@@ -244,7 +245,7 @@
             }
         };
         let head = within(self.call, self.ask(&format!("?watch=1&after={after}"))).await??;
-        let mut lines = Lines::new(head, self.line);
+        let mut lines = LineReader::new(head, self.line);
         while let Some(listing) = within(self.silence, self.said(&mut lines)).await?? {
             listing.into_iter().for_each(&hear);
         }
@@ -253,7 +254,7 @@
 
     /// The next message of a watch, which may come indented over several lines, or an empty line of one that has
     /// nothing to say; `None` at its end. All of it has to come in time: what never becomes whole is no news.
-    async fn said(&self, lines: &mut Lines) -> Result<Option<Option<Listing>>, String> {
+    async fn said(&self, lines: &mut LineReader) -> Result<Option<Option<ListMessage>>, String> {
         let mut held = BytesMut::new();
         while let Some(line) = lines.next().await? {
             if held.is_empty() && line.iter().all(u8::is_ascii_whitespace) {
@@ -280,13 +281,13 @@
         }
     }
 
-    async fn whole(&self) -> Result<Listing, String> {
+    async fn whole(&self) -> Result<ListMessage, String> {
         let body = Limited::new(self.ask("").await?, self.line).collect();
         let body = body
             .await
             .map_err(|e| format!("no whole list: {e}"))?
             .to_bytes();
-        let listing: Listing =
+        let listing: ListMessage =
             serde_json::from_slice(&body).map_err(|e| format!("a bad list: {e}"))?;
         if listing.full {
             Ok(listing)
@@ -296,13 +297,13 @@
     }
 
     async fn ask(&self, query: &str) -> Result<Incoming, String> {
-        let url = format!("http://{}/v1/servers{query}", self.at);
+        let url = format!("http://{}/v1/servers{query}", self.address);
         let url = url.parse().map_err(|e| format!("{url}: {e}"))?;
         let answer = self
             .client
             .get(url)
             .await
-            .map_err(|e| format!("no answer: {}", causes(&e)))?;
+            .map_err(|e| format!("no answer: {}", error_chain(&e)))?;
         match answer.status() {
             StatusCode::OK => Ok(answer.into_body()),
             status => Err(format!("answered {status}")),
--- a/crates/mintlb-http/src/seen.rs
+++ b/crates/mintlb-http/src/sniffer.rs
@@ -10,7 +10,7 @@
 use tokio::time::Instant;
 
 /// What is seen of one connection.
-pub struct Seen {
+pub struct RequestSniffer {
     state: Mutex<State>,
     called: Notify,
 }
@@ -41,26 +41,26 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Phase {
     /// A request is to come, or has come in part, since then.
-    Coming(Instant),
+    Receiving(Instant),
     /// It was taken, and waits for its answer.
-    Open,
+    InFlight,
     /// Answered, since then.
     Idle(Instant),
 }
 
 /// How much a connection would be missed if its place went to another, least first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Missed {
+pub enum EvictionRank {
     /// It has sent no whole request, and after its first bytes nothing for the time that one takes.
-    Late,
+    Stalled,
     /// It is idle, and has handed in no work.
-    Idle,
+    IdleUnused,
     /// Its request may be on its way.
-    Perhaps,
+    MaybeReceiving,
     /// Its request comes piece by piece: whoever fills places with half of one does not go on with it.
-    Slow,
+    Trickling,
     /// It is idle, and has handed in work before.
-    Much,
+    IdleAfterWork,
 }
 
 /// A head as far as its request's end hangs on it.
@@ -109,31 +109,31 @@
     }
 }
 
-impl Default for Seen {
-    fn default() -> Seen {
+impl Default for RequestSniffer {
+    fn default() -> RequestSniffer {
         let (at, heard) = (At::Head(Vec::new()), Instant::now());
         let state = State {
             at,
-            phase: Phase::Coming(heard),
+            phase: Phase::Receiving(heard),
             fault: None,
             heard,
             pieces: 0,
             worked: false,
         };
-        Seen {
+        RequestSniffer {
             state: Mutex::new(state),
             called: Notify::new(),
         }
     }
 }
 
-impl Seen {
+impl RequestSniffer {
     /// The bytes that came, in their order.
-    pub fn look(&self, mut bytes: &[u8]) {
+    pub fn observe(&self, mut bytes: &[u8]) {
         let mut state = self.state.lock();
         state.heard = Instant::now();
         if let Phase::Idle(_) = state.phase {
-            (state.phase, state.pieces) = (Phase::Coming(state.heard), 0);
+            (state.phase, state.pieces) = (Phase::Receiving(state.heard), 0);
         }
         state.pieces += 1;
         while !bytes.is_empty() {
@@ -156,11 +156,11 @@
                         }
                     }
                 }
-                At::Body(left) => {
-                    let part = (*left).min(bytes.len() as u64);
-                    *left -= part;
+                At::Body(remaining) => {
+                    let part = (*remaining).min(bytes.len() as u64);
+                    *remaining -= part;
                     bytes = &bytes[part as usize..];
-                    if *left == 0 {
+                    if *remaining == 0 {
                         state.at = At::Whole;
                     }
                 }
@@ -182,22 +182,22 @@
     }
 
     /// The request is whole, and is taken.
-    pub fn taken(&self) {
+    pub fn request_accepted(&self) {
         let mut state = self.state.lock();
-        (state.phase, state.worked) = (Phase::Open, true);
+        (state.phase, state.worked) = (Phase::InFlight, true);
     }
 
     /// Whether the connection may go on once the answer is given, as far as is known before it is.
-    pub fn may_go_on(&self) -> bool {
+    pub fn may_keep_alive(&self) -> bool {
         let state = self.state.lock();
-        state.phase == Phase::Open && matches!(state.at, At::Whole)
+        state.phase == Phase::InFlight && matches!(state.at, At::Whole)
     }
 
     /// The request has its answer. Whether the connection may go on: only after work that was taken, and
     /// where it is known that the next byte begins a request.
-    pub fn answered(&self) -> bool {
+    pub fn request_answered(&self) -> bool {
         let mut state = self.state.lock();
-        let goes_on = state.phase == Phase::Open && matches!(state.at, At::Whole);
+        let goes_on = state.phase == Phase::InFlight && matches!(state.at, At::Whole);
         state.at = if goes_on {
             At::Head(Vec::new())
         } else {
@@ -209,21 +209,21 @@
 
     /// How much it would be missed, and since when; `None` while it waits for an answer. Of a usual client
     /// something comes in the time that a request takes.
-    pub fn missed(&self, takes: Duration) -> Option<(Missed, Instant)> {
+    pub fn eviction_rank(&self, takes: Duration) -> Option<(EvictionRank, Instant)> {
         let state = self.state.lock();
         match state.phase {
             // Of those that say nothing who has for longest goes first.
-            Phase::Coming(_) => {
+            Phase::Receiving(_) => {
                 let missed = match state.pieces {
-                    _ if state.heard.elapsed() < takes => Missed::Perhaps,
-                    0 | 1 => Missed::Late,
-                    _ => Missed::Slow,
+                    _ if state.heard.elapsed() < takes => EvictionRank::MaybeReceiving,
+                    0 | 1 => EvictionRank::Stalled,
+                    _ => EvictionRank::Trickling,
                 };
                 Some((missed, state.heard))
             }
-            Phase::Idle(since) if state.worked => Some((Missed::Much, since)),
-            Phase::Idle(since) => Some((Missed::Idle, since)),
-            Phase::Open => None,
+            Phase::Idle(since) if state.worked => Some((EvictionRank::IdleAfterWork, since)),
+            Phase::Idle(since) => Some((EvictionRank::IdleUnused, since)),
+            Phase::InFlight => None,
         }
     }
 
@@ -231,8 +231,8 @@
     pub fn is_busy(&self) -> bool {
         let state = self.state.lock();
         match state.phase {
-            Phase::Coming(_) => state.pieces > 0,
-            Phase::Open => true,
+            Phase::Receiving(_) => state.pieces > 0,
+            Phase::InFlight => true,
             Phase::Idle(_) => false,
         }
     }
@@ -241,15 +241,15 @@
     pub fn is_idle(&self) -> bool {
         let state = self.state.lock();
         matches!(state.phase, Phase::Idle(_))
-            || matches!(state.phase, Phase::Coming(_)) && state.pieces == 0
+            || matches!(state.phase, Phase::Receiving(_)) && state.pieces == 0
     }
 
     /// The connection is to end.
-    pub fn call(&self) {
+    pub fn request_close(&self) {
         self.called.notify_one();
     }
 
-    pub async fn called(&self) {
+    pub async fn close_requested(&self) {
         self.called.notified().await;
     }
 }
--- a/crates/mintlb-http/src/socket.rs
+++ b/crates/mintlb-http/src/socket.rs
@@ -10,7 +10,7 @@
 use tokio::net::TcpStream;
 
 /// One of its holders. All are polled by one task: the system's word on it wakes the task that asked last.
-pub struct Socket(pub Arc<TcpStream>);
+pub struct SharedSocket(pub Arc<TcpStream>);
 
 /// Tries until the system takes or gives something, or says that it will later.
 fn attempt(
@@ -26,7 +26,7 @@
     }
 }
 
-impl AsyncRead for Socket {
+impl AsyncRead for SharedSocket {
     fn poll_read(
         self: Pin<&mut Self>,
         cx: &mut Context,
@@ -40,7 +40,7 @@
     }
 }
 
-impl AsyncWrite for Socket {
+impl AsyncWrite for SharedSocket {
     fn poll_write(self: Pin<&mut Self>, cx: &mut Context, buf: &[u8]) -> Poll<io::Result<usize>> {
         attempt(|| self.0.poll_write_ready(cx), || self.0.try_write(buf))
     }
--- a/crates/mintlb-http/src/worker.rs
+++ b/crates/mintlb-http/src/worker.rs
@@ -6,11 +6,11 @@
 //! A kept connection may have died, or be closing, and what is written to it may have run. So each allocation
 //! dials, unless a new connection to that worker has been seen to be dear and kept ones to have lasted.
 
-use crate::causes::causes;
-use crate::dial::{Dialer, Gate, NoRoom, Unpaid, Written};
-use crate::last_byte::LastByte;
-use crate::limits::Limits;
-use crate::lines::Lines;
+use crate::dial::{BudgetExhausted, Dialer, NoDescriptor, WriteGate, WriteProgress};
+use crate::error_chain::error_chain;
+use crate::last_byte::DelayedLastByte;
+use crate::limits::HttpLimits;
+use crate::line_reader::LineReader;
 use axum::http::header::{CONNECTION, CONTENT_LENGTH, HOST, TRANSFER_ENCODING};
 use axum::http::request::Parts;
 use axum::http::{HeaderMap, HeaderValue, Request, Response, StatusCode};
@@ -22,7 +22,7 @@
 use hyper_util::rt::{TokioExecutor, TokioTimer};
 use mintlb_core::clock::Clock;
 use mintlb_core::reducer::Event;
-use mintlb_core::work::{Back, Order, Reach, Recall};
+use mintlb_core::work::{AllocationRequest, AllocationResult, CancelHandle, Endpoint};
 use mintlb_scheduler::{LoadReport, Outcome};
 use parking_lot::Mutex;
 use serde::Deserialize;
@@ -45,43 +45,43 @@
 
 /// What dials the workers, shared by the allocations.
 #[derive(Clone)]
-pub struct Workers {
-    dialling: Client<Dialer, LastByte>,
-    keeping: Client<Dialer, LastByte>,
+pub struct WorkerClient {
+    dialling: Client<Dialer, DelayedLastByte>,
+    keeping: Client<Dialer, DelayedLastByte>,
     /// The quickest that a worker took an allocation on a new connection, its handshake and way included, and
     /// from where on that is dear.
     quickest: Arc<Mutex<HashMap<SocketAddr, Duration>>>,
-    dear: Duration,
+    reuse_threshold: Duration,
     /// A kept connection has died under an allocation: none is kept any more.
     died: Arc<AtomicBool>,
     /// A connection that lasts so long under a request is sound.
-    sound: Duration,
+    last_byte_delay: Duration,
     clock: Clock,
     tell: UnboundedSender<Event>,
     log: Logger,
     /// The longest line of an answer.
-    line: usize,
-    dial: Duration,
-    probe: Duration,
+    max_worker_line_bytes: usize,
+    dial_timeout: Duration,
+    probe_timeout: Duration,
     /// The report's field for free slots, where reports have one.
     free_slots: Option<&'static str>,
     /// How work is worded that came by another protocol.
-    worded: Arc<Worded>,
+    worded: Arc<RequestTemplate>,
 }
 
 /// What HTTP needs to word work that was not handed in by HTTP: a name for it that no other scheduler gives,
 /// and the names of project types and customers, by their numbers.
 #[derive(Debug, Default)]
-pub struct Worded {
-    pub scheduler: String,
-    pub types: Vec<String>,
+pub struct RequestTemplate {
+    pub scheduler_name: String,
+    pub project_types: Vec<String>,
     pub customers: Vec<String>,
 }
 
-impl Worded {
-    fn head(&self, order: &Order) -> Option<Parts> {
-        let id = format!("{}-{}", self.scheduler, order.alloc.0);
-        let request = Request::post(format!("/{}", self.types.get(order.project_type)?));
+impl RequestTemplate {
+    fn head(&self, order: &AllocationRequest) -> Option<Parts> {
+        let id = format!("{}-{}", self.scheduler_name, order.allocation_id.0);
+        let request = Request::post(format!("/{}", self.project_types.get(order.project_type)?));
         let request = request
             .header("request-id", &id)
             .header("idempotency-key", &id);
@@ -97,36 +97,36 @@
 }
 
 /// The way to a worker that listens at an address.
-pub struct Way {
-    pub workers: Workers,
-    pub at: SocketAddr,
+pub struct HttpEndpoint {
+    pub client: WorkerClient,
+    pub address: SocketAddr,
 }
 
-impl Display for Way {
+impl Display for HttpEndpoint {
     fn fmt(&self, f: &mut Formatter) -> std::fmt::Result {
-        self.at.fmt(f)
+        self.address.fmt(f)
     }
 }
 
-impl Reach for Way {
-    fn send(&self, order: Order) -> Box<dyn Recall> {
-        let (workers, at) = (self.workers.clone(), self.at);
+impl Endpoint for HttpEndpoint {
+    fn send(&self, order: AllocationRequest) -> Box<dyn CancelHandle> {
+        let (client, address) = (self.client.clone(), self.address);
         Box::new(Out(tokio::spawn(async move {
-            workers.allocate(&order, at).await
+            client.allocate(&order, address).await
         })
         .abort_handle()))
     }
     fn probe(&self, worker: u64) {
-        let (workers, at) = (self.workers.clone(), self.at);
-        tokio::spawn(async move { workers.probe(worker, at).await });
+        let (client, address) = (self.client.clone(), self.address);
+        tokio::spawn(async move { client.probe(worker, address).await });
     }
 }
 
 /// Closing its connection is the protocol's only way to call an allocation off.
 struct Out(AbortHandle);
 
-impl Recall for Out {
-    fn recall(self: Box<Self>) {
+impl CancelHandle for Out {
+    fn cancel(self: Box<Self>) {
         self.0.abort();
     }
 }
@@ -144,107 +144,122 @@
     load: Option<&'a RawValue>,
 }
 
-impl Workers {
+impl WorkerClient {
     pub fn new(
-        limits: &Limits,
+        limits: &HttpLimits,
         clock: Clock,
         tell: UnboundedSender<Event>,
         fields: &[&str],
-        worded: Worded,
-        sends: Arc<AtomicU64>,
+        worded: RequestTemplate,
+        sent_allocations: Arc<AtomicU64>,
         log: Logger,
-    ) -> Workers {
-        let dialer = Dialer::new(limits.links, limits.dial, sends);
+    ) -> WorkerClient {
+        let dialer = Dialer::new(
+            limits.max_worker_connections,
+            limits.dial_timeout,
+            sent_allocations,
+        );
         let client = |idle| {
             Client::builder(TokioExecutor::new())
                 // The library must never send again by itself: that would be a second allocation (rule 2).
                 .retry_canceled_requests(false)
                 // A worker closes what stands idle; a request that crosses that may have run.
-                .pool_idle_timeout(limits.idle)
+                .pool_idle_timeout(limits.idle_timeout)
                 .pool_timer(TokioTimer::new())
                 .pool_max_idle_per_host(idle)
-                .http1_max_buf_size(limits.head)
+                .http1_max_buf_size(limits.max_head_bytes)
                 .build(dialer.clone())
         };
-        let (dialling, keeping) = (client(0), client(limits.idle_per_worker));
+        let (dialling, keeping) = (client(0), client(limits.max_idle_per_worker));
         let (quickest, died) = Default::default();
         let free_slots = fields.contains(&"x0").then_some("x0");
-        let Limits {
-            line,
-            dial,
-            probe,
-            dear,
-            sound,
+        let HttpLimits {
+            max_worker_line_bytes,
+            dial_timeout,
+            probe_timeout,
+            reuse_threshold,
+            last_byte_delay,
             ..
         } = *limits;
         let worded = Arc::new(worded);
-        Workers {
+        WorkerClient {
             dialling,
             keeping,
             quickest,
-            dear,
+            reuse_threshold,
             died,
-            sound,
+            last_byte_delay,
             clock,
             tell,
             log,
-            line,
-            dial,
-            probe,
+            max_worker_line_bytes,
+            dial_timeout,
+            probe_timeout,
             free_slots,
             worded,
         }
     }
 
     /// One allocation, from its first byte to its outcome. Dropped, it closes its connection.
-    pub async fn allocate(&self, order: &Order, to: SocketAddr) {
-        let end = self.clock.instant(order.until);
+    pub async fn allocate(&self, order: &AllocationRequest, to: SocketAddr) {
+        let end = self.clock.instant(order.deadline);
         let run = timeout_at(end, self.run(order, to)).await;
-        let (back, rest) =
-            run.unwrap_or_else(|_| (Back::with(order.alloc, Outcome::TimedOut), None));
+        let (back, rest) = run.unwrap_or_else(|_| {
+            (
+                AllocationResult::from_outcome(order.allocation_id, Outcome::TimedOut),
+                None,
+            )
+        });
         if back.outcome != Outcome::Completed {
             debug!(self.log, "an allocation came back undone"; "worker" => %to, "outcome" => ?back.outcome);
         }
-        self.tell.send(Event::Back(back)).ok();
+        self.tell.send(Event::Finished(back)).ok();
         if let Some(rest) = rest {
-            timeout(self.dial, rest.finish()).await.ok();
+            timeout(self.dial_timeout, rest.drain()).await.ok();
         }
     }
 
     /// What came back, and what of the answer is still to be read.
-    async fn run(&self, order: &Order, to: SocketAddr) -> (Back, Option<Lines>) {
-        let mut back = Back::with(order.alloc, Outcome::Moot);
-        let left = order.until - self.clock.now();
-        let wait = if order.payload.once {
-            self.sound
+    async fn run(
+        &self,
+        order: &AllocationRequest,
+        to: SocketAddr,
+    ) -> (AllocationResult, Option<LineReader>) {
+        let mut back = AllocationResult::from_outcome(order.allocation_id, Outcome::Moot);
+        let remaining = order.deadline - self.clock.now();
+        let wait = if order.payload.non_idempotent {
+            self.last_byte_delay
         } else {
             Duration::ZERO
         };
-        let worded = match order.payload.own.downcast_ref::<Parts>() {
+        let worded = match order.payload.protocol_data.downcast_ref::<Parts>() {
             Some(head) => Some(Cow::Borrowed(head)),
             None => self.worded.head(order).map(Cow::Owned),
         };
         let Some(head) = worded else {
             return (back, None);
         };
-        let Ok(request) = onward(to, &head, &order.payload.body, left, wait) else {
+        let Ok(request) = onward(to, &head, &order.payload.body, remaining, wait) else {
             return (back, None);
         };
-        let gate = Gate {
-            slip: order.slip.clone(),
-            taken_back: order.taken_back.clone(),
+        let gate = WriteGate {
+            reservation: order.reservation.clone(),
+            withdrawn: order.withdrawn.clone(),
         };
-        let answer = match self.send(to, request, gate, order.payload.once).await {
+        let answer = match self
+            .send(to, request, gate, order.payload.non_idempotent)
+            .await
+        {
             Ok(answer) => answer,
-            Err(outcome) => return (Back { outcome, ..back }, None),
+            Err(outcome) => return (AllocationResult { outcome, ..back }, None),
         };
         if let Some(load) = answer.headers().get("server-load") {
             back.report = self.report(load.as_bytes());
         }
         let refused = refusal(answer.status(), answer.headers());
-        let mut lines = Lines::new(answer.into_body(), self.line);
+        let mut lines = LineReader::new(answer.into_body(), self.max_worker_line_bytes);
         if let Some(outcome) = refused {
-            return (Back { outcome, ..back }, Some(lines));
+            return (AllocationResult { outcome, ..back }, Some(lines));
         }
         let id = head
             .headers
@@ -264,7 +279,7 @@
             }
             back.outcome = match &*said.state {
                 "started" => {
-                    self.tell.send(Event::Started(order.alloc)).ok();
+                    self.tell.send(Event::Started(order.allocation_id)).ok();
                     continue;
                 }
                 "done" => Outcome::Completed,
@@ -283,7 +298,7 @@
             return (back, Some(lines));
         }
         (
-            Back {
+            AllocationResult {
                 outcome: Outcome::Dropped,
                 ..back
             },
@@ -295,9 +310,9 @@
     async fn send(
         &self,
         to: SocketAddr,
-        mut request: Request<LastByte>,
-        gate: Gate,
-        once: bool,
+        mut request: Request<DelayedLastByte>,
+        gate: WriteGate,
+        non_idempotent: bool,
     ) -> Result<Response<Incoming>, Outcome> {
         let length = least_length(&request);
         let captured = capture_connection(&mut request);
@@ -305,10 +320,12 @@
         let quickest = self.quickest.lock().get(&to).copied();
         // Where it is not known yet, the first connection is there to be kept. But a refusal names no work: on a kept
         // connection one that comes late, of the work before, would prove of this that it never ran (rule 2).
-        let keep = !once && quickest.is_none_or(|q| q > self.dear) && !self.died.load(Relaxed);
+        let keep = !non_idempotent
+            && quickest.is_none_or(|q| q > self.reuse_threshold)
+            && !self.died.load(Relaxed);
         let mut sending = pin!(if keep { &self.keeping } else { &self.dialling }.request(request));
-        let mut on: Option<(Written, u64)> = None;
-        let mut taken_back = pin!(gate.taken_back.cancelled());
+        let mut on: Option<(WriteProgress, u64)> = None;
+        let mut withdrawn = pin!(gate.withdrawn.cancelled());
         // The connection is known as soon as the client has picked it, in the same poll, and before its own
         // task writes, as all tasks share one thread: so the count then is that of earlier requests.
         let answer = poll_fn(|cx| {
@@ -320,16 +337,17 @@
                     .and_then(|connected| {
                         let mut extras = axum::http::Extensions::new();
                         connected.get_extras(&mut extras);
-                        let written: Written = extras.remove()?;
+                        let written: WriteProgress = extras.remove()?;
                         let before = written.so_far();
                         written.expect(length, gate.clone());
                         Some((written, before))
                     });
             }
             // Its gate keeps the rest from being written; what is whole is waited for.
-            let whole = |(written, before): &(Written, u64)| written.so_far() - before >= length;
+            let whole =
+                |(written, before): &(WriteProgress, u64)| written.so_far() - before >= length;
             if polled.is_pending() && !on.as_ref().is_some_and(whole) {
-                return taken_back.as_mut().poll(cx).map(|()| None);
+                return withdrawn.as_mut().poll(cx).map(|()| None);
             }
             polled.map(Some)
         });
@@ -350,7 +368,7 @@
             }
             Err(error) => error,
         };
-        debug!(self.log, "no answer to an allocation"; "why" => causes(&error));
+        debug!(self.log, "no answer to an allocation"; "why" => error_chain(&error));
         if short(&error) {
             return Err(Outcome::Moot);
         }
@@ -358,7 +376,7 @@
         let whole = on
             .as_ref()
             .is_some_and(|(written, before)| written.so_far() - before >= length);
-        if gate.taken_back.is_cancelled() && !whole {
+        if gate.withdrawn.is_cancelled() && !whole {
             return Err(Outcome::Full);
         }
         if on.as_ref().is_some_and(|(_, before)| *before > 0) && !self.died.swap(true, Relaxed) {
@@ -380,15 +398,15 @@
                 .await
                 .ok()?;
             let good = answer.status() == StatusCode::OK;
-            let body = Limited::new(answer.into_body(), self.line)
+            let body = Limited::new(answer.into_body(), self.max_worker_line_bytes)
                 .collect()
                 .await
                 .ok()?
                 .to_bytes();
             good.then(|| self.report(&body))
         };
-        if let Ok(Some(report)) = timeout(self.probe, asked).await {
-            self.tell.send(Event::Sampled(worker, report)).ok();
+        if let Ok(Some(report)) = timeout(self.probe_timeout, asked).await {
+            self.tell.send(Event::LoadReported(worker, report)).ok();
         }
     }
 
@@ -405,8 +423,8 @@
     let unpaid = error
         .downcast_ref::<io::Error>()
         .and_then(io::Error::get_ref);
-    error.is::<NoRoom>()
-        || unpaid.is_some_and(|e| e.is::<Unpaid>())
+    error.is::<NoDescriptor>()
+        || unpaid.is_some_and(|e| e.is::<BudgetExhausted>())
         || error.source().is_some_and(short)
 }
 
@@ -417,7 +435,7 @@
     body: &Bytes,
     left: f64,
     wait: Duration,
-) -> Result<Request<LastByte>, axum::http::Error> {
+) -> Result<Request<DelayedLastByte>, axum::http::Error> {
     let path = head.uri.path_and_query().map_or("/", |p| p.as_str());
     let mut request = Request::builder()
         .method(&head.method)
@@ -434,16 +452,16 @@
     let request = request
         .header(CONTENT_LENGTH, body.len())
         .header(HOST, to.to_string());
-    let mut request = request.body(LastByte::new(body.clone(), wait))?;
-    let left = format!("{}u", (left.max(0.0) * 1e6) as u64);
+    let mut request = request.body(DelayedLastByte::new(body.clone(), wait))?;
+    let remaining = format!("{}u", (left.max(0.0) * 1e6) as u64);
     request
         .headers_mut()
-        .insert("request-timeout", left.parse()?);
+        .insert("request-timeout", remaining.parse()?);
     Ok(request)
 }
 
 /// No less than this is written of a request once its last byte is.
-fn least_length(request: &Request<LastByte>) -> u64 {
+fn least_length(request: &Request<DelayedLastByte>) -> u64 {
     let path = request
         .uri()
         .path_and_query()
@@ -454,7 +472,7 @@
         .iter()
         .map(|(name, v)| name.as_str().len() + v.len() + 4)
         .sum();
-    (line + headers) as u64 + request.body().left()
+    (line + headers) as u64 + request.body().remaining()
 }
 
 /// What an answer without a stream means. Only a marked one proves that nothing ran.
--- a/crates/mintlb-http/tests/closing.rs
+++ b/crates/mintlb-http/tests/closing.rs
@@ -3,8 +3,8 @@
 mod machine;
 
 use machine::{Served, answer, served};
+use mintlb_core::lifecycle::LifecycleEvent;
 use mintlb_core::reducer::Event;
-use mintlb_core::standing::Word;
 use mintlb_core::work::Answer;
 use std::io::Write;
 use std::net::TcpStream as Raw;
@@ -17,8 +17,8 @@
     let (served, mut events) = served().await;
     tokio::spawn(async move {
         while let Some(event) = events.recv().await {
-            if let Event::Arrived(arrival) = event {
-                arrival.answer.settle(Answer::Completed("yes".into()));
+            if let Event::Submitted(arrival) = event {
+                arrival.responder.respond(Answer::Completed("yes".into()));
             }
         }
     });
@@ -33,7 +33,7 @@
 #[tokio::test]
 async fn what_waits_unread_is_answered_before_the_connection_closes() {
     let served = serve().await;
-    let raw = Raw::connect(served.at).unwrap();
+    let raw = Raw::connect(served.address).unwrap();
     raw.set_nonblocking(true).unwrap();
     let mut behind = raw.try_clone().unwrap();
     let mut stream = TcpStream::from_std(raw).unwrap();
@@ -42,11 +42,11 @@
     // In one step of this thread: nothing else can have looked at the sockets in between.
     behind.write_all(request(2).as_bytes()).unwrap();
     served
-        .standing
+        .lifecycle
         .lock()
-        .hear(served.clock.now(), Word::Leave)
+        .apply(served.clock.now(), LifecycleEvent::Leave)
         .unwrap();
-    served.front.close_idle();
+    served.frontend.close_idle();
     let got = answer(&mut stream).await;
     assert!(
         got.ends_with("yes") && got.contains("connection: close"),
@@ -61,7 +61,7 @@
     for (shown, crowded) in [("it leaves", false), ("to make room", true)] {
         for part in [1, request(2).len() - 1, request(2).len()] {
             let served = serve().await;
-            let raw = Raw::connect(served.at).unwrap();
+            let raw = Raw::connect(served.address).unwrap();
             raw.set_nonblocking(true).unwrap();
             let mut behind = raw.try_clone().unwrap();
             let mut stream = TcpStream::from_std(raw).unwrap();
@@ -71,14 +71,14 @@
             behind.write_all(&request(2).as_bytes()[..part]).unwrap();
             yield_now().await;
             if crowded {
-                assert!(served.front.make_room(), "it is the only one, and idle");
+                assert!(served.frontend.evict_one(), "it is the only one, and idle");
             } else {
                 served
-                    .standing
+                    .lifecycle
                     .lock()
-                    .hear(served.clock.now(), Word::Leave)
+                    .apply(served.clock.now(), LifecycleEvent::Leave)
                     .unwrap();
-                served.front.close_idle();
+                served.frontend.close_idle();
             }
             yield_now().await;
             behind.write_all(&request(2).as_bytes()[part..]).unwrap();
@@ -96,19 +96,29 @@
 async fn pipelining_is_refused_at_each_standing() {
     for (shown, word) in [
         ("ready", None),
-        ("leaving", Some(Word::Leave)),
-        ("stopping", Some(Word::Stop { succeeded: false })),
-        ("succeeded", Some(Word::Stop { succeeded: true })),
+        ("leaving", Some(LifecycleEvent::Leave)),
+        (
+            "stopping",
+            Some(LifecycleEvent::Stop {
+                has_successor: false,
+            }),
+        ),
+        (
+            "succeeded",
+            Some(LifecycleEvent::Stop {
+                has_successor: true,
+            }),
+        ),
     ] {
         let served = serve().await;
         word.into_iter().for_each(|word| {
             served
-                .standing
+                .lifecycle
                 .lock()
-                .hear(served.clock.now(), word)
+                .apply(served.clock.now(), word)
                 .unwrap()
         });
-        let mut stream = TcpStream::connect(served.at).await.unwrap();
+        let mut stream = TcpStream::connect(served.address).await.unwrap();
         stream
             .write_all((request(1) + &request(2)).as_bytes())
             .await
@@ -118,7 +128,7 @@
             got.starts_with("HTTP/1.1 400") && !got.contains("yes"),
             "{shown}: {got:?}"
         );
-        let mut usual = TcpStream::connect(served.at).await.unwrap();
+        let mut usual = TcpStream::connect(served.address).await.unwrap();
         usual.write_all(request(3).as_bytes()).await.unwrap();
         let got = answer(&mut usual).await;
         assert!(got.ends_with("yes"), "{shown}: {got:?}");
--- a/crates/mintlb-http/tests/leaving.rs
+++ b/crates/mintlb-http/tests/leaving.rs
@@ -109,16 +109,18 @@
     for how in [Leaves::Ends, Leaves::Closes, Leaves::Resets] {
         for (shown, request, with, behind) in &cases {
             id += 1;
-            let mut stream = TcpStream::connect(served.at).await.unwrap();
+            let mut stream = TcpStream::connect(served.address).await.unwrap();
             let request = request.replace("ID", &id.to_string()) + with;
             stream.write_all(request.as_bytes()).await.unwrap();
-            let Some(Event::Arrived(arrival)) = events.recv().await else {
+            let Some(Event::Submitted(arrival)) = events.recv().await else {
                 panic!("{shown}: not taken")
             };
             stream.write_all(behind.as_bytes()).await.unwrap();
             let _open = leave(stream, how).await;
             match timeout(SOON, events.recv()).await {
-                Ok(Some(Event::Left(left))) => assert_eq!(left, arrival.id, "{shown}, {how:?}"),
+                Ok(Some(Event::ClientLeft(left))) => {
+                    assert_eq!(left, arrival.id, "{shown}, {how:?}")
+                }
                 Ok(_) => panic!("{shown}, {how:?}: something else"),
                 Err(_) => panic!("{shown}, {how:?}: nothing is heard"),
             }
@@ -131,16 +133,16 @@
 async fn who_stays_is_answered_whatever_it_sends_behind() {
     // More than sockets hold: once it is written, some of it has been read.
     let much = "x".repeat(32 << 20);
-    let bound = limits().read;
+    let bound = limits().read_timeout;
     for (shown, request, behind) in [
         ("much", SIZED, &much),
         ("requests", SIZED, &SIZED.repeat((16 << 20) / SIZED.len())),
         ("much, in chunks", CHUNKED, &much),
     ] {
         let (served, mut events) = served().await;
-        let mut stream = TcpStream::connect(served.at).await.unwrap();
+        let mut stream = TcpStream::connect(served.address).await.unwrap();
         stream.write_all(request.as_bytes()).await.unwrap();
-        let Some(Event::Arrived(arrival)) = events.recv().await else {
+        let Some(Event::Submitted(arrival)) = events.recv().await else {
             panic!("{shown}: not taken")
         };
         let written = timeout(bound, stream.write_all(behind.as_bytes())).await;
@@ -148,7 +150,7 @@
             written.is_ok_and(|w| w.is_ok()),
             "{shown}: it is read to its end"
         );
-        arrival.answer.settle(Answer::Completed("yes".into()));
+        arrival.responder.respond(Answer::Completed("yes".into()));
         let got = answer(&mut stream).await;
         assert!(
             got.starts_with("HTTP/1.1 200") && got.ends_with("yes"),
@@ -164,12 +166,12 @@
     let (served, mut events) = served().await;
     let (mut streams, mut waiting) = (Vec::new(), HashSet::new());
     for id in 0..60 {
-        let mut stream = TcpStream::connect(served.at).await.unwrap();
+        let mut stream = TcpStream::connect(served.address).await.unwrap();
         stream
             .write_all(SIZED.replace("ID", &id.to_string()).as_bytes())
             .await
             .unwrap();
-        let Some(Event::Arrived(arrival)) = events.recv().await else {
+        let Some(Event::Submitted(arrival)) = events.recv().await else {
             panic!("not taken")
         };
         waiting.insert(arrival.id);
@@ -183,7 +185,7 @@
     }
     while !waiting.is_empty() {
         match timeout(SOON * 4, events.recv()).await {
-            Ok(Some(Event::Left(left))) => assert!(waiting.remove(&left), "once each"),
+            Ok(Some(Event::ClientLeft(left))) => assert!(waiting.remove(&left), "once each"),
             _ => panic!("{} are not heard of", waiting.len()),
         }
     }
--- a/crates/mintlb-http/tests/machine/mod.rs
+++ b/crates/mintlb-http/tests/machine/mod.rs
@@ -1,15 +1,15 @@
 //! The limits that tests play with, a log that nobody reads, and a front on loopback.
 #![allow(dead_code, reason = "each of the tests that share it uses a part")]
 
+use mintlb_core::capacity::Capacity;
 use mintlb_core::clock::Clock;
-use mintlb_core::figures::Figures;
+use mintlb_core::lifecycle::{CloseDelays, Lifecycle, LifecycleEvent};
+use mintlb_core::metrics::Metrics;
+use mintlb_core::project_types::NamedProjectType;
 use mintlb_core::reducer::Event;
-use mintlb_core::room::Room;
-use mintlb_core::standing::{Notice, Standing, Word};
-use mintlb_core::types::Named;
-use mintlb_core::work::Numbers;
-use mintlb_http::front::Front;
-use mintlb_http::limits::Limits;
+use mintlb_core::work::WorkUnitIds;
+use mintlb_http::frontend::Frontend;
+use mintlb_http::limits::HttpLimits;
 use mintlb_scheduler::{Idempotency, ProjectType};
 use parking_lot::Mutex;
 use std::net::SocketAddr;
@@ -21,25 +21,25 @@
 use tokio::time::timeout;
 
 /// As a machine of 192 MB and 1024 descriptors has them, where dials take 250 ms at most.
-pub fn limits() -> Limits {
+pub fn limits() -> HttpLimits {
     let time = Duration::from_millis;
-    Limits {
-        body: 64 << 10,
-        head: 16 << 10,
-        line: 128 << 10,
-        list_line: 4 << 20,
-        clients: 512,
-        links: 384,
-        idle_per_worker: 8,
-        dial: time(250),
-        sound: time(250) / 32,
-        idle: time(3750),
-        dear: time(50),
-        read: time(2000),
-        probe: time(500),
-        list_silence: time(2500),
-        list_call: time(2750),
-        come_back: 0.2,
+    HttpLimits {
+        max_body_bytes: 64 << 10,
+        max_head_bytes: 16 << 10,
+        max_worker_line_bytes: 128 << 10,
+        max_list_line_bytes: 4 << 20,
+        max_client_connections: 512,
+        max_worker_connections: 384,
+        max_idle_per_worker: 8,
+        dial_timeout: time(250),
+        last_byte_delay: time(250) / 32,
+        idle_timeout: time(3750),
+        reuse_threshold: time(50),
+        read_timeout: time(2000),
+        probe_timeout: time(500),
+        list_idle_timeout: time(2500),
+        list_call_timeout: time(2750),
+        retry_after_s: 0.2,
     }
 }
 
@@ -48,28 +48,31 @@
 }
 
 pub struct Served {
-    pub front: Arc<Front>,
-    pub standing: Arc<Mutex<Standing>>,
+    pub frontend: Arc<Frontend>,
+    pub lifecycle: Arc<Mutex<Lifecycle>>,
     pub clock: Clock,
-    pub at: SocketAddr,
+    pub address: SocketAddr,
 }
 
 /// A front of one project type, `w`, and what it tells.
 pub async fn served() -> (Served, UnboundedReceiver<Event>) {
     let (tell, events) = unbounded_channel();
     let clock = Clock::start();
-    let standing = Arc::new(Mutex::new(Standing::new(Notice {
-        leave: 0.0,
-        stop: 0.0,
+    let lifecycle = Arc::new(Mutex::new(Lifecycle::new(CloseDelays {
+        after_leave: 0.0,
+        after_stop: 0.0,
     })));
-    standing.lock().hear(clock.now(), Word::Ready).unwrap();
+    lifecycle
+        .lock()
+        .apply(clock.now(), LifecycleEvent::Ready)
+        .unwrap();
     let shared = (
-        Numbers::default(),
-        Room::new(64, 1 << 20),
+        WorkUnitIds::default(),
+        Capacity::new(64, 1 << 20),
         clock,
-        standing.clone(),
+        lifecycle.clone(),
     );
-    let front = Front::new(Vec::new(), limits(), shared, tell, quiet());
+    let frontend = Frontend::new(Vec::new(), limits(), shared, tell, quiet());
     let (credit, late_credit, promised_turnaround, turnaround_stretch, hard_limit) =
         (1.0, 0.0, 1.0, 0.0, 3.0);
     let (idempotency, machine_kind) = (Idempotency::Idempotent, None);
@@ -82,23 +85,23 @@
         idempotency,
         machine_kind,
     };
-    front.take_types(
-        &[Named {
+    frontend.set_project_types(
+        &[NamedProjectType {
             name: "w".into(),
             number: 0,
             project_type,
         }],
-        &Figures::default(),
+        &Metrics::default(),
     );
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-    let at = listener.local_addr().unwrap();
-    tokio::spawn(front.clone().listen(listener));
+    let address = listener.local_addr().unwrap();
+    tokio::spawn(frontend.clone().listen(listener));
     (
         Served {
-            front,
-            standing,
+            frontend,
+            lifecycle,
             clock,
-            at,
+            address,
         },
         events,
     )
