--- a/crates/mintlb-http/tests/outcomes.rs
+++ b/crates/mintlb-http/tests/outcomes.rs
@@ -3,13 +3,13 @@
 mod machine;
 
 use machine::{limits, quiet};
+use mintlb_core::budget::Reservation;
 use mintlb_core::clock::Clock;
 use mintlb_core::reducer::Event;
-use mintlb_core::spend::Slip;
-use mintlb_core::work::{Back, Order, Payload};
-use mintlb_http::limits::Limits;
-use mintlb_http::list::{List, Reading};
-use mintlb_http::worker::{Worded, Workers};
+use mintlb_core::work::{AllocationRequest, AllocationResult, Payload};
+use mintlb_http::limits::HttpLimits;
+use mintlb_http::list_service::{ListClient, ListDecoder};
+use mintlb_http::worker::{RequestTemplate, WorkerClient};
 use mintlb_scheduler::{Outcome, ProjectTypeSet};
 use std::cell::Cell;
 use std::io::{ErrorKind, Read, Write};
@@ -22,25 +22,25 @@
 use tokio::time::timeout;
 use tokio_util::sync::CancellationToken;
 
-fn order(n: u16, body: usize, until: f64) -> Order {
+fn order(n: u16, body: usize, deadline: f64) -> AllocationRequest {
     let head = axum::http::Request::post("/charge/7?x=1")
         .header("request-id", "a1")
         .body(())
         .unwrap();
-    let own = Arc::new(head.into_parts().0);
+    let protocol_data = Arc::new(head.into_parts().0);
     let payload = Payload {
         body: vec![b'x'; body].into(),
-        once: true,
-        own,
+        non_idempotent: true,
+        protocol_data,
     };
-    Order {
-        alloc: (1, n),
+    AllocationRequest {
+        allocation_id: (1, n),
         project_type: 0,
         customer: None,
         payload,
-        until,
-        slip: None,
-        taken_back: CancellationToken::new(),
+        deadline,
+        reservation: None,
+        withdrawn: CancellationToken::new(),
     }
 }
 
@@ -70,7 +70,7 @@
 /// Tells of each request, and of each end of a connection, by its name.
 fn worker(answer: String) -> (SocketAddr, Receiver<String>) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let (at, (tell, told)) = (listener.local_addr().unwrap(), channel());
+    let (address, (tell, told)) = (listener.local_addr().unwrap(), channel());
     std::thread::spawn(move || {
         for stream in listener.incoming() {
             let (mut stream, tell, answer) = (stream.unwrap(), tell.clone(), answer.clone());
@@ -92,51 +92,57 @@
             });
         }
     });
-    (at, told)
+    (address, told)
 }
 
 /// Plays allocations one after another; what is told of each is its outcome, and of a start before.
-async fn play(at: SocketAddr, limits: &Limits, body: usize, times: u16, left: f64) -> Vec<String> {
-    play_as(&vec![true; times as usize], at, limits, body, left).await
+async fn play(
+    address: SocketAddr,
+    limits: &HttpLimits,
+    body: usize,
+    times: u16,
+    left: f64,
+) -> Vec<String> {
+    play_as(&vec![true; times as usize], address, limits, body, left).await
 }
 
 /// Of work that may run once, or again.
 async fn play_as(
-    once: &[bool],
-    at: SocketAddr,
-    limits: &Limits,
+    non_idempotent: &[bool],
+    address: SocketAddr,
+    limits: &HttpLimits,
     body: usize,
     left: f64,
 ) -> Vec<String> {
     let clock = Clock::start();
     let (tell, mut told) = unbounded_channel();
-    let workers = Workers::new(
+    let client = WorkerClient::new(
         limits,
         clock,
         tell,
         &["util", "x0"],
-        Worded::default(),
+        RequestTemplate::default(),
         Arc::default(),
         quiet(),
     );
-    for (n, once) in once.iter().enumerate() {
-        let mut order = order(n as u16, body, clock.now() + left);
-        order.payload.once = *once;
-        workers.allocate(&order, at).await;
+    for (n, non_idempotent) in non_idempotent.iter().enumerate() {
+        let mut request = order(n as u16, body, clock.now() + left);
+        request.payload.non_idempotent = *non_idempotent;
+        client.allocate(&request, address).await;
     }
-    drop(workers);
+    drop(client);
     let mut said = Vec::new();
     while let Some(event) = told.recv().await {
         said.push(match event {
             Event::Started(_) => "started".into(),
-            Event::Back(Back {
+            Event::Finished(AllocationResult {
                 outcome: Outcome::Completed,
                 result,
                 ..
             }) => {
                 format!("done {}", String::from_utf8_lossy(&result))
             }
-            Event::Back(Back {
+            Event::Finished(AllocationResult {
                 outcome, report, ..
             }) => match report.free_slots {
                 Some(slots) => format!("{outcome:?} with {slots} free"),
@@ -249,8 +255,8 @@
         ),
     ];
     for (shown, answer, outcome) in cases {
-        let (at, told) = worker(answer);
-        let said = play(at, &limits(), 10, 1, 0.4).await.join(", ");
+        let (address, told) = worker(answer);
+        let said = play(address, &limits(), 10, 1, 0.4).await.join(", ");
         assert_eq!(said, outcome, "{shown}");
         let requests = told.try_iter().filter(|t| t != "closed").count();
         assert_eq!(requests, 1, "{shown}: it was sent more than once");
@@ -261,12 +267,12 @@
 /// So none is kept but where a new one is dear, and none once one has died; and a library that sends again by itself would make a second copy.
 #[tokio::test]
 async fn a_connection_is_kept_only_where_a_new_one_is_dear() {
-    for (dear, connections) in [
+    for (reuse_threshold, connections) in [
         (Duration::from_secs(1), &[1, 1, 1, 1, 1][..]),
         (Duration::ZERO, &[3, 1, 1]),
     ] {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-        let at = listener.local_addr().unwrap();
+        let address = listener.local_addr().unwrap();
         let seen = std::thread::spawn(move || {
             let (mut seen, mut total) = (Vec::new(), 0);
             while total < 5 {
@@ -295,17 +301,20 @@
             );
             seen
         });
-        let limits = Limits { dear, ..limits() };
-        let said = play_as(&[false; 5], at, &limits, 10, 1.0).await;
+        let limits = HttpLimits {
+            reuse_threshold,
+            ..limits()
+        };
+        let said = play_as(&[false; 5], address, &limits, 10, 1.0).await;
         assert_eq!(
             said,
             ["done yes", "done yes", "Dropped", "done yes", "done yes"],
-            "{dear:?}"
+            "{reuse_threshold:?}"
         );
         assert_eq!(
             seen.join().unwrap(),
             connections,
-            "requests on each connection, {dear:?}"
+            "requests on each connection, {reuse_threshold:?}"
         );
     }
 }
@@ -315,13 +324,13 @@
 #[tokio::test]
 async fn a_late_refusal_proves_nothing_of_the_next() {
     const LATE: &str = "HTTP/1.1 503 No\r\nnot-started: 1\r\ncontent-length: 0\r\n\r\n";
-    for (shown, once, outcomes) in [
+    for (shown, non_idempotent, outcomes) in [
         ("may run again", [false, false], ["done yes", "Full"]),
         ("may run once", [false, true], ["done yes", "done yes"]),
         ("both once", [true, true], ["done yes", "done yes"]),
     ] {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-        let at = listener.local_addr().unwrap();
+        let address = listener.local_addr().unwrap();
         std::thread::spawn(move || {
             for stream in listener.incoming() {
                 let mut stream = stream.unwrap();
@@ -335,12 +344,12 @@
                 });
             }
         });
-        let limits = Limits {
-            dear: Duration::ZERO,
+        let limits = HttpLimits {
+            reuse_threshold: Duration::ZERO,
             ..limits()
         };
         assert_eq!(
-            play_as(&once, at, &limits, 10, 1.0).await,
+            play_as(&non_idempotent, address, &limits, 10, 1.0).await,
             outcomes,
             "{shown}"
         );
@@ -356,34 +365,37 @@
 async fn idle_connections_are_left_before_their_worker_closes_them() {
     let ours = limits();
     assert!(
-        ours.idle < Duration::from_secs(5),
+        ours.idle_timeout < Duration::from_secs(5),
         "the settings' keepalive"
     );
-    for (idle, closed) in [(Duration::from_millis(50), true), (ours.idle, false)] {
-        let (at, told) = worker(stream(&[DONE]) + "+");
-        let limits = Limits {
-            idle,
-            dear: Duration::ZERO,
+    for (idle_timeout, closed) in [
+        (Duration::from_millis(50), true),
+        (ours.idle_timeout, false),
+    ] {
+        let (address, told) = worker(stream(&[DONE]) + "+");
+        let limits = HttpLimits {
+            idle_timeout,
+            reuse_threshold: Duration::ZERO,
             ..limits()
         };
         let (tell, _kept) = unbounded_channel();
-        let workers = Workers::new(
+        let client = WorkerClient::new(
             &limits,
             Clock::start(),
             tell,
             &[],
-            Worded::default(),
+            RequestTemplate::default(),
             Arc::default(),
             quiet(),
         );
         for n in 0..2 {
-            let mut order = order(n, 0, Clock::start().now() + 1.0);
-            order.payload.once = false;
-            workers.allocate(&order, at).await;
+            let mut request = order(n, 0, Clock::start().now() + 1.0);
+            request.payload.non_idempotent = false;
+            client.allocate(&request, address).await;
             tokio::time::sleep(Duration::from_millis(100)).await;
         }
         let told: Vec<String> = told.try_iter().collect();
-        assert_eq!(told[1] == "closed", closed, "{idle:?}: {told:?}");
+        assert_eq!(told[1] == "closed", closed, "{idle_timeout:?}: {told:?}");
     }
 }
 
@@ -409,12 +421,12 @@
     let _queued: Vec<_> = (0..4)
         .map(|_| TcpStream::connect_timeout(&never_up, Duration::from_millis(50)))
         .collect();
-    let short = Limits {
-        links: 0,
+    let short = HttpLimits {
+        max_worker_connections: 0,
         ..limits()
     };
-    let hasty = Limits {
-        sound: Duration::ZERO,
+    let hasty = HttpLimits {
+        last_byte_delay: Duration::ZERO,
         ..limits()
     };
     let cases = [
@@ -444,9 +456,13 @@
             "Dropped",
         ),
     ];
-    for (shown, at, body, limits, outcome) in cases {
+    for (shown, address, body, limits, outcome) in cases {
         let began = Instant::now();
-        assert_eq!(play(at, &limits, body, 1, 5.0).await, [outcome], "{shown}");
+        assert_eq!(
+            play(address, &limits, body, 1, 5.0).await,
+            [outcome],
+            "{shown}"
+        );
         assert!(
             began.elapsed() < Duration::from_secs(2),
             "{shown}: a bounded wait"
@@ -469,21 +485,21 @@
         queued.push(stream);
     }
     let seconds = Duration::from_secs;
-    let patient = Limits {
-        dial: seconds(4),
-        sound: seconds(4),
+    let patient = HttpLimits {
+        dial_timeout: seconds(4),
+        last_byte_delay: seconds(4),
         ..limits()
     };
-    let whole = Limits {
-        sound: Duration::ZERO,
+    let whole = HttpLimits {
+        last_byte_delay: Duration::ZERO,
         ..patient.clone()
     };
     for (shown, limits, dials, outcome) in [
         ("dialling", patient.clone(), true, "Full"),
         (
             "waiting for a link",
-            Limits {
-                links: 0,
+            HttpLimits {
+                max_worker_connections: 0,
                 ..patient.clone()
             },
             true,
@@ -502,18 +518,18 @@
             Clock::start(),
         );
         let (tell, mut told) = unbounded_channel();
-        let workers = Workers::new(
+        let client = WorkerClient::new(
             &limits,
             clock,
             tell,
             &[],
-            Worded::default(),
+            RequestTemplate::default(),
             Arc::default(),
             quiet(),
         );
-        let order = order(0, 2, clock.now() + 20.0);
-        let taken_back = order.taken_back.clone();
-        let task = tokio::spawn(async move { workers.allocate(&order, to).await });
+        let request = order(0, 2, clock.now() + 20.0);
+        let withdrawn = request.withdrawn.clone();
+        let task = tokio::spawn(async move { client.allocate(&request, to).await });
         // The fact that it is on its way: its head is there, or it waits where nobody can see it.
         let mut stream = None;
         if !dials {
@@ -541,7 +557,7 @@
             Some(stream) => Some(stream.await.unwrap()),
             None => None,
         };
-        taken_back.cancel();
+        withdrawn.cancel();
         if outcome == "Completed" {
             stream
                 .as_ref()
@@ -550,11 +566,15 @@
                 .unwrap();
         }
         let began = Instant::now();
-        let Ok(Some(Event::Back(back))) = timeout(limits.dial / 2, told.recv()).await else {
+        let Ok(Some(Event::Finished(back))) = timeout(limits.dial_timeout / 2, told.recv()).await
+        else {
             panic!("{shown}: nothing is told")
         };
         assert_eq!(format!("{:?}", back.outcome), outcome, "{shown}");
-        assert!(began.elapsed() < limits.dial / 8, "{shown}: at once");
+        assert!(
+            began.elapsed() < limits.dial_timeout / 8,
+            "{shown}: at once"
+        );
         task.await.unwrap();
         if let Some(mut stream) = stream.filter(|_| outcome == "Full") {
             let mut rest = Vec::new();
@@ -587,20 +607,22 @@
         ("before an answer", "|"),
         ("after its head", "HTTP/1.1 200 OK\r\n\r\n|"),
     ] {
-        let (at, told) = worker(answer.into());
+        let (address, told) = worker(answer.into());
         let clock = Clock::start();
         let (tell, _kept) = unbounded_channel();
-        let workers = Workers::new(
+        let client = WorkerClient::new(
             &limits(),
             clock,
             tell,
             &[],
-            Worded::default(),
+            RequestTemplate::default(),
             Arc::default(),
             quiet(),
         );
         let task = tokio::spawn(async move {
-            workers.allocate(&order(0, 0, clock.now() + 9.0), at).await;
+            client
+                .allocate(&order(0, 0, clock.now() + 9.0), address)
+                .await;
         });
         // Waits without stopping the client, which shares the thread.
         let next = async |most: u64| {
@@ -755,16 +777,16 @@
         ),
     ];
     for (shown, after, answer, lists, why) in cases {
-        let (at, _told) = worker(answer);
+        let (address, _told) = worker(answer);
         let soon = Duration::from_millis(200);
-        let limits = Limits {
-            list_silence: soon,
-            list_call: soon,
-            list_line: 500,
+        let limits = HttpLimits {
+            list_idle_timeout: soon,
+            list_call_timeout: soon,
+            max_list_line_bytes: 500,
             ..limits()
         };
         let heard = Cell::new(0);
-        let said = List::new(&limits, at)
+        let said = ListClient::new(&limits, address)
             .watch(after, |_| heard.set(heard.get() + 1))
             .await;
         assert!(said.contains(why), "{shown}: {said}");
@@ -776,20 +798,20 @@
 #[tokio::test]
 async fn cells_are_told_apart() {
     let (tell, _) = unbounded_channel();
-    let workers = Workers::new(
+    let worker_client = WorkerClient::new(
         &limits(),
         Clock::start(),
         tell,
         &[],
-        Worded::default(),
+        RequestTemplate::default(),
         Arc::default(),
         quiet(),
     );
-    let reading = Reading {
+    let reading = ListDecoder {
         zones: Vec::new(),
         kinds: Vec::new(),
         runs: ProjectTypeSet::default(),
-        workers,
+        worker_client,
     };
     let lines = [0, 1, 1 << 16, 1 << 32, u64::MAX]
         .map(|cell| format!(r#"{{"id":"s-{cell}","cell":{cell}}}"#));
@@ -797,17 +819,21 @@
         r#"{{"version":1,"full":true,"servers":[{}]}}"#,
         lines.join(",")
     );
-    let told = reading.told(&serde_json::from_str(&list).unwrap());
-    let mut cells: Vec<u64> = told.members.iter().map(|member| member.line.cell).collect();
+    let told = reading.membership_update(&serde_json::from_str(&list).unwrap());
+    let mut cells: Vec<u64> = told
+        .members
+        .iter()
+        .map(|member| member.entry.cell)
+        .collect();
     cells.dedup();
     assert_eq!(cells, [0, 1, 1 << 16, 1 << 32, u64::MAX]);
 }
 
 #[tokio::test]
 async fn what_goes_on_is_what_came() {
-    let (at, told) = worker(stream(&[DONE]) + "+");
+    let (address, told) = worker(stream(&[DONE]) + "+");
     assert_eq!(
-        play(at, &limits(), 5, 2, 1.0).await,
+        play(address, &limits(), 5, 2, 1.0).await,
         ["done yes", "done yes"]
     );
     let request = told.recv().unwrap();
@@ -841,12 +867,12 @@
 #[derive(Debug)]
 struct Counted(bool, AtomicI32);
 
-impl Slip for Counted {
-    fn pay(&self) -> bool {
+impl Reservation for Counted {
+    fn commit(&self) -> bool {
         self.1.fetch_add(i32::from(self.0), Relaxed);
         self.0
     }
-    fn back(&self) {
+    fn refund(&self) {
         self.1.fetch_sub(1, Relaxed);
     }
 }
@@ -857,22 +883,22 @@
 async fn what_is_not_paid_is_not_sent() {
     for body in [0, 1, 5, 60_000] {
         for pays in [true, false] {
-            let (at, seen) = worker(stream(&[STARTED, DONE]));
+            let (address, seen) = worker(stream(&[STARTED, DONE]));
             let clock = Clock::start();
             let (tell, mut told) = unbounded_channel();
-            let worded = Worded::default();
-            let workers =
-                Workers::new(&limits(), clock, tell, &[], worded, Arc::default(), quiet());
-            let slip = Arc::new(Counted(pays, AtomicI32::new(0)));
-            let order = Order {
-                slip: Some(slip.clone()),
+            let worded = RequestTemplate::default();
+            let client =
+                WorkerClient::new(&limits(), clock, tell, &[], worded, Arc::default(), quiet());
+            let reservation = Arc::new(Counted(pays, AtomicI32::new(0)));
+            let request = AllocationRequest {
+                reservation: Some(reservation.clone()),
                 ..order(0, body, clock.now() + 2.0)
             };
-            workers.allocate(&order, at).await;
-            drop(workers);
+            client.allocate(&request, address).await;
+            drop(client);
             let mut outcome = None;
             while let Some(event) = told.recv().await {
-                if let Event::Back(back) = event {
+                if let Event::Finished(back) = event {
                     outcome = Some(back.outcome);
                 }
             }
@@ -882,7 +908,7 @@
                 Outcome::Moot
             };
             assert_eq!(
-                (outcome, slip.1.load(Relaxed)),
+                (outcome, reservation.1.load(Relaxed)),
                 (Some(expected), i32::from(pays)),
                 "{body} {pays}"
             );
--- a/crates/mintlb-http/tests/seen.rs
+++ b/crates/mintlb-http/tests/seen.rs
@@ -1,6 +1,6 @@
 //! What is made of a client's bytes before the library has them.
 
-use mintlb_http::seen::{Missed, Phase, Seen};
+use mintlb_http::sniffer::{EvictionRank, Phase, RequestSniffer};
 use std::time::Duration;
 
 const HEAD: &str = "POST /x HTTP/1.1\r\nhost: x\r\n";
@@ -72,12 +72,12 @@
     ];
     for (shown, bytes, fault, goes_on) in cases {
         for piece in [1, 7, bytes.len()] {
-            let seen = Seen::default();
+            let sniffer = RequestSniffer::default();
             bytes
                 .as_bytes()
                 .chunks(piece)
-                .for_each(|bytes| seen.look(bytes));
-            let told = seen.fault();
+                .for_each(|bytes| sniffer.observe(bytes));
+            let told = sniffer.fault();
             assert_eq!(
                 told.is_some(),
                 fault.is_some(),
@@ -87,8 +87,12 @@
                 told.is_none_or(|told| told.contains(fault.unwrap())),
                 "{shown}: {told:?}"
             );
-            seen.taken();
-            assert_eq!(seen.answered(), goes_on, "{shown}, {piece} at a time");
+            sniffer.request_accepted();
+            assert_eq!(
+                sniffer.request_answered(),
+                goes_on,
+                "{shown}, {piece} at a time"
+            );
         }
     }
 }
@@ -97,42 +101,49 @@
 #[test]
 fn who_waits_for_an_answer_is_never_sent_away() {
     let takes = Duration::from_millis(20);
-    let missed = |seen: &Seen| seen.missed(takes).map(|(missed, _)| missed);
+    let missed = |sniffer: &RequestSniffer| sniffer.eviction_rank(takes).map(|(missed, _)| missed);
     let request = format!("{HEAD}\r\n");
-    let seen = Seen::default();
+    let sniffer = RequestSniffer::default();
     assert_eq!(
-        missed(&seen),
-        Some(Missed::Perhaps),
+        missed(&sniffer),
+        Some(EvictionRank::MaybeReceiving),
         "its request may be on its way"
     );
     std::thread::sleep(takes);
-    assert_eq!(missed(&seen), Some(Missed::Late), "silent");
-    seen.look(request.as_bytes());
-    seen.taken();
+    assert_eq!(missed(&sniffer), Some(EvictionRank::Stalled), "silent");
+    sniffer.observe(request.as_bytes());
+    sniffer.request_accepted();
     assert_eq!(
-        (missed(&seen), seen.phase()),
-        (None, Phase::Open),
+        (missed(&sniffer), sniffer.phase()),
+        (None, Phase::InFlight),
         "waits for an answer"
     );
-    assert!(seen.answered());
+    assert!(sniffer.request_answered());
     assert_eq!(
-        missed(&seen),
-        Some(Missed::Much),
+        missed(&sniffer),
+        Some(EvictionRank::IdleAfterWork),
         "idle, but has had work done"
     );
-    seen.look(&request.as_bytes()[..9]);
+    sniffer.observe(&request.as_bytes()[..9]);
     assert_eq!(
-        missed(&seen),
-        Some(Missed::Perhaps),
+        missed(&sniffer),
+        Some(EvictionRank::MaybeReceiving),
         "its next request comes"
     );
-    let idle = Seen::default();
-    idle.look(request.as_bytes());
-    assert!(!idle.answered(), "what was not taken ends its connection");
-    assert_eq!(missed(&idle), Some(Missed::Idle), "idle without any work");
+    let idle = RequestSniffer::default();
+    idle.observe(request.as_bytes());
+    assert!(
+        !idle.request_answered(),
+        "what was not taken ends its connection"
+    );
+    assert_eq!(
+        missed(&idle),
+        Some(EvictionRank::IdleUnused),
+        "idle without any work"
+    );
     assert!(
-        Missed::Late < Missed::Idle
-            && Missed::Idle < Missed::Perhaps
-            && Missed::Perhaps < Missed::Much
+        EvictionRank::Stalled < EvictionRank::IdleUnused
+            && EvictionRank::IdleUnused < EvictionRank::MaybeReceiving
+            && EvictionRank::MaybeReceiving < EvictionRank::IdleAfterWork
     );
 }
--- a/crates/mintlb-http/tests/short.rs
+++ b/crates/mintlb-http/tests/short.rs
@@ -3,8 +3,8 @@
 mod machine;
 
 use machine::limits;
-use mintlb_http::limits::Limits;
-use mintlb_http::list::List;
+use mintlb_http::limits::HttpLimits;
+use mintlb_http::list_service::ListClient;
 use nix::sys::resource::{Resource, getrlimit, setrlimit};
 use std::fs::File;
 use std::net::TcpListener;
@@ -15,11 +15,11 @@
 async fn the_list_is_called_when_all_descriptors_are_taken() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let soon = Duration::from_millis(200);
-    let limits = Limits {
-        list_call: soon,
+    let limits = HttpLimits {
+        list_call_timeout: soon,
         ..limits()
     };
-    let list = List::new(&limits, listener.local_addr().unwrap());
+    let list = ListClient::new(&limits, listener.local_addr().unwrap());
     let (_, most) = getrlimit(Resource::RLIMIT_NOFILE).unwrap();
     setrlimit(Resource::RLIMIT_NOFILE, 64, most).unwrap();
     let mut taken: Vec<File> = Vec::new();
--- a/crates/mintlb-rate-limit/benches/look.rs
+++ b/crates/mintlb-rate-limit/benches/look.rs
@@ -1,7 +1,7 @@
 //! What a look into the purse costs, and a slip from its setting aside to its payment: `cargo bench -p mintlb-rate-limit`.
 
 use criterion::{Criterion, criterion_group, criterion_main};
-use mintlb_core::spend::{Purse, Spend};
+use mintlb_core::budget::{Expense, SharedBudgets};
 use mintlb_rate_limit::fleet::Fleet;
 use mintlb_rate_limit::table::{Plan, Table};
 use std::hint::black_box;
@@ -26,17 +26,21 @@
 }
 
 fn look(criterion: &mut Criterion) {
-    let again = Spend { again: true };
+    let again = Expense { is_retry: true };
     for budgets in [1, 4] {
         let fleet = fleet(budgets);
         criterion.bench_function(&format!("look, {budgets} budgets"), |b| {
-            b.iter(|| black_box(fleet.has(black_box(again))));
+            b.iter(|| black_box(fleet.has_available(black_box(again))));
         });
         criterion.bench_function(&format!("first allocation, {budgets} budgets"), |b| {
-            b.iter(|| black_box(fleet.has(black_box(Spend { again: false }))));
+            b.iter(|| black_box(fleet.has_available(black_box(Expense { is_retry: false }))));
         });
         criterion.bench_function(&format!("slip paid, {budgets} budgets"), |b| {
-            b.iter(|| fleet.slip(again).is_some_and(|slip| black_box(slip.pay())));
+            b.iter(|| {
+                fleet
+                    .reserve(again)
+                    .is_some_and(|slip| black_box(slip.commit()))
+            });
         });
     }
 }
--- a/crates/mintlb-rate-limit/src/fleet.rs
+++ b/crates/mintlb-rate-limit/src/fleet.rs
@@ -9,7 +9,7 @@
 use crate::purse::Purse;
 use crate::table::{Division, Limits, Plan, Whole};
 use crate::word::{Id, LONGEST, Letter, ONE, id, of};
-use mintlb_core::spend::{Purse as Door, Slip, Spend};
+use mintlb_core::budget::{Expense, Reservation, SharedBudgets as Door};
 use mintlb_core::subsystem::Subsystem;
 use nix::time::ClockId;
 use parking_lot::Mutex;
@@ -67,9 +67,9 @@
 
 impl Budget {
     /// Whether this would spend of it.
-    fn limits(&self, spend: Spend) -> bool {
+    fn limits(&self, spend: Expense) -> bool {
         match self.limits {
-            Limits::Again => spend.again,
+            Limits::Again => spend.is_retry,
         }
     }
 }
@@ -373,7 +373,7 @@
 }
 
 impl Door for Fleet {
-    fn has(&self, spend: Spend) -> bool {
+    fn has_available(&self, spend: Expense) -> bool {
         let (now, budgets) = (now(), self.budgets());
         budgets
             .iter()
@@ -388,7 +388,7 @@
             })
     }
 
-    fn slip(&self, spend: Spend) -> Option<Arc<dyn Slip>> {
+    fn reserve(&self, spend: Expense) -> Option<Arc<dyn Reservation>> {
         let (now, budgets) = (now(), self.budgets());
         let mut aside = Aside(Mutex::default());
         let held = aside.0.get_mut();
@@ -405,8 +405,8 @@
 /// What one allocation has set aside, by budget, and whether it was paid.
 struct Aside(Mutex<Vec<(Arc<Budget>, bool)>>);
 
-impl Slip for Aside {
-    fn pay(&self) -> bool {
+impl Reservation for Aside {
+    fn commit(&self) -> bool {
         let now = now();
         self.0.lock().iter_mut().all(|(budget, paid)| {
             *paid = *paid || budget.purse.lock().pay(now);
@@ -414,7 +414,7 @@
         })
     }
 
-    fn back(&self) {
+    fn refund(&self) {
         for (budget, paid) in self.0.lock().iter_mut().filter(|(_, paid)| *paid) {
             budget.purse.lock().back();
             *paid = false;
@@ -439,7 +439,7 @@
 }
 
 impl Subsystem for Fleet {
-    fn end(&self) {
+    fn finish_shutdown(&self) {
         let Some(Bound {
             socket,
             talk: Some(talk),
@@ -453,7 +453,7 @@
         self.hold(&mut talk);
     }
 
-    fn figures(&self) -> String {
+    fn metrics(&self) -> String {
         let mut page = String::new();
         let mut line =
             |name: &str, value: f64| page += &format!("edge_router.fleet.{name}={value}\n");
--- a/crates/mintlb-rate-limit/tests/address.rs
+++ b/crates/mintlb-rate-limit/tests/address.rs
@@ -1,6 +1,6 @@
 //! The address of a member is held by one process at a time, and with it its parts.
 
-use mintlb_core::spend::{Purse, Spend};
+use mintlb_core::budget::{Expense, SharedBudgets};
 use mintlb_core::subsystem::Subsystem;
 use mintlb_rate_limit::fleet::Fleet;
 use mintlb_rate_limit::table::{Plan, Table};
@@ -24,7 +24,7 @@
 /// A new version starts beside the old one, holds nothing while that lives, and its part once that has ended.
 #[tokio::test]
 async fn one_at_a_time() {
-    let again = Spend { again: true };
+    let again = Expense { is_retry: true };
     for (more, at) in [
         ("division = \"equal\"", "127.93.0.1:7"),
         ("keepers = [\"a\"]\nlease = 0.4", "127.93.0.1:8"),
@@ -33,36 +33,36 @@
         let new = start(plan(at, more, 100.0)).await;
         sleep(Duration::from_millis(700)).await;
         assert!(
-            !new.has(again) && new.slip(again).is_none(),
+            !new.has_available(again) && new.reserve(again).is_none(),
             "{at}: the old one has the address"
         );
         // The file that is taken meanwhile is the one that holds then.
         new.change(&plan(at, more, 50.0));
         drop(old);
         let mut waited = 0;
-        while !new.has(again) {
+        while !new.has_available(again) {
             sleep(Duration::from_millis(20)).await;
             waited += 20;
             assert!(waited < 4000, "{at}: it has the address, and no part");
         }
         assert!(
-            new.figures().contains("edge_router.fleet.x.part=50\n"),
+            new.metrics().contains("edge_router.fleet.x.part=50\n"),
             "{at}: {}",
-            new.figures()
+            new.metrics()
         );
         // Set aside, paid and not taken: as good as never paid.
-        let slip = new.slip(again).unwrap();
-        assert!(slip.pay());
-        slip.back();
+        let slip = new.reserve(again).unwrap();
+        assert!(slip.commit());
+        slip.refund();
         assert!(
-            slip.pay() && slip.pay(),
+            slip.commit() && slip.commit(),
             "{at}: paid once, however often it is asked for"
         );
         assert!(
-            new.figures().contains("edge_router.fleet.x.spent=1\n"),
+            new.metrics().contains("edge_router.fleet.x.spent=1\n"),
             "{at}: {}",
-            new.figures()
+            new.metrics()
         );
-        new.end();
+        new.finish_shutdown();
     }
 }
--- a/crates/mintlb/src/change.rs
+++ b/crates/mintlb/src/change.rs
@@ -4,7 +4,7 @@
 use crate::operator::Operator;
 use crate::placement::Placement;
 use crate::serve::Plan;
-use mintlb_core::types::Named;
+use mintlb_core::project_types::NamedProjectType;
 use mintlb_scheduler::ProjectType;
 use mintlb_scheduler::settings::ReloadableSettings;
 use std::time::Duration;
@@ -47,7 +47,7 @@
         &self,
         placement: &Placement,
         operator: &Operator,
-        served: &[Named],
+        served: &[NamedProjectType],
     ) -> Option<String> {
         if let Some(key) = placement.lost(&self.placement) {
             return Some(format!("{key} is missing"));
--- a/crates/mintlb/src/cli.rs
+++ b/crates/mintlb/src/cli.rs
@@ -167,7 +167,7 @@
             let passed = passed.map(|value| passed::listener(&value)).transpose()?;
             let plan = plan(&path, operator.as_deref(), passed)?;
             let (log, last_lines) = log::to_stderr(plan.grants.log_lines, verbose);
-            let wait = plan.grants.http.dial;
+            let wait = plan.grants.http.dial_timeout;
             let runtime = tokio::runtime::Builder::new_current_thread()
                 .enable_all()
                 .build();
--- a/crates/mintlb/src/grants.rs
+++ b/crates/mintlb/src/grants.rs
@@ -2,15 +2,17 @@
 
 use crate::placement::Machine;
 use mintlb_admin::server::ServerLimits;
-use mintlb_core::clock::seconds;
-use mintlb_core::standing::Notice;
-use mintlb_http::limits::{BODY, HEAD, LIST_BEAT, Limits, OWED};
+use mintlb_core::clock::clamped_duration;
+use mintlb_core::lifecycle::CloseDelays;
+use mintlb_http::limits::{
+    HttpLimits, LIST_HEARTBEAT_S, MAX_BODY_BYTES, MAX_HEAD_BYTES, REQUEST_ERROR_DEADLINE_S,
+};
 use mintlb_scheduler::settings::{FlatSettings, MAX_LIST_DELAY_S};
 use std::time::Duration;
 
 #[derive(Clone, Debug)]
 pub struct Grants {
-    pub http: Limits,
+    pub http: HttpLimits,
     /// Connections of beanstalkd's clients and workers, taken from HTTP's clients; 0 where it is not spoken.
     pub sessions: usize,
     /// Work units held, and bytes of their bodies.
@@ -29,7 +31,7 @@
     /// After the word to stop, clients still come for so long.
     pub late_arrivals: Duration,
     /// After the words to leave and to stop, connections stay open for so long.
-    pub notice: Notice,
+    pub notice: CloseDelays,
     /// One that takes over waits so long for the list before it takes clients.
     pub first_list: Duration,
     /// After the word to stop, all is answered by then.
@@ -81,7 +83,8 @@
                 "{sessions} connections are too many here, {most} at most"
             ));
         }
-        let clients = (part(4) - sessions).min((memory(3) - sessions * SESSION) / (2 * HEAD));
+        let clients =
+            (part(4) - sessions).min((memory(3) - sessions * SESSION) / (2 * MAX_HEAD_BYTES));
         let max_open: usize = text.get("permissions.max_open")?;
         let types = text.project_types()?;
         let hard = types.iter().map(|t| t.hard_limit).fold(0.0, f64::max);
@@ -95,25 +98,25 @@
             text.seconds("permissions.dial_timeout")?,
             text.seconds("permissions.keepalive")?,
         );
-        let http = Limits {
-            body: BODY,
-            head: HEAD,
-            line: 2 * BODY,
-            list_line: 64 * BODY,
-            clients,
-            links: part(3).min(memory(1) / HEAD),
-            idle_per_worker: (part(1) / 16).max(1),
-            dial: seconds(dial),
-            sound: seconds(dial / 32.0),
-            idle: seconds(keepalive * 0.75),
-            dear: seconds(promise / 8.0),
+        let http = HttpLimits {
+            max_body_bytes: MAX_BODY_BYTES,
+            max_head_bytes: MAX_HEAD_BYTES,
+            max_worker_line_bytes: 2 * MAX_BODY_BYTES,
+            max_list_line_bytes: 64 * MAX_BODY_BYTES,
+            max_client_connections: clients,
+            max_worker_connections: part(3).min(memory(1) / MAX_HEAD_BYTES),
+            max_idle_per_worker: (part(1) / 16).max(1),
+            dial_timeout: clamped_duration(dial),
+            last_byte_delay: clamped_duration(dial / 32.0),
+            idle_timeout: clamped_duration(keepalive * 0.75),
+            reuse_threshold: clamped_duration(promise / 8.0),
             // As long as an answer in time allows: honest clients may be slow.
-            read: seconds(OWED / 15.0 * 13.0),
-            probe: seconds(2.0 * dial),
-            list_silence: seconds(LIST_BEAT * 1.25),
+            read_timeout: clamped_duration(REQUEST_ERROR_DEADLINE_S / 15.0 * 13.0),
+            probe_timeout: clamped_duration(2.0 * dial),
+            list_idle_timeout: clamped_duration(LIST_HEARTBEAT_S * 1.25),
             // With the longest time from one question to the next, half of what counts as told, it stays below the whole.
-            list_call: seconds(MAX_LIST_DELAY_S / 2.0 - LIST_BEAT / 8.0),
-            come_back: if text.get("permissions.retry_after")? {
+            list_call_timeout: clamped_duration(MAX_LIST_DELAY_S / 2.0 - LIST_HEARTBEAT_S / 8.0),
+            retry_after_s: if text.get("permissions.retry_after")? {
                 (promise / 2.0).min(text.seconds("permissions.max_retry_after")?)
             } else {
                 0.0
@@ -125,21 +128,21 @@
             // More may connect than work may be open, so that what is too much gets its answer.
             open: ((clients + sessions) / 8 * 7).min(max_open),
             bodies: memory(1),
-            out: part(2).min(memory(2) / (2 * BODY)) + sessions,
+            out: part(2).min(memory(2) / (2 * MAX_BODY_BYTES)) + sessions,
             margin: text.seconds("quantum")?,
             log_lines: LOG_LINES,
-            tally: seconds(TALLY),
-            late_arrivals: seconds(LATE_ARRIVALS),
-            notice: Notice {
-                leave: LATE_ARRIVALS,
-                stop: (last_answer / 2.0).max(LATE_ARRIVALS),
+            tally: clamped_duration(TALLY),
+            late_arrivals: clamped_duration(LATE_ARRIVALS),
+            notice: CloseDelays {
+                after_leave: LATE_ARRIVALS,
+                after_stop: (last_answer / 2.0).max(LATE_ARRIVALS),
             },
             door: ServerLimits {
                 max_connections: ((own - OWN) / 4).max(1),
-                timeout: seconds(OWED / 3.0 * 2.0),
+                timeout: clamped_duration(REQUEST_ERROR_DEADLINE_S / 3.0 * 2.0),
             },
-            first_list: seconds(STOP),
-            last_answer: seconds(last_answer),
+            first_list: clamped_duration(STOP),
+            last_answer: clamped_duration(last_answer),
         })
     }
 }
--- a/crates/mintlb/src/join.rs
+++ b/crates/mintlb/src/join.rs
@@ -6,13 +6,13 @@
 use mintlb_beanstalkd::front::{Bounds, Front as Beanstalkd, Joint};
 use mintlb_beanstalkd::hub::Hub;
 use mintlb_beanstalkd::table::Plan as BeanstalkdPlan;
+use mintlb_core::budget::SharedBudgets;
+use mintlb_core::capacity::Capacity;
 use mintlb_core::clock::Clock;
-use mintlb_core::members::Told;
+use mintlb_core::membership::MembershipUpdate;
 use mintlb_core::reducer::Event;
-use mintlb_core::room::Room;
-use mintlb_core::spend::Purse;
 use mintlb_core::subsystem::Subsystem;
-use mintlb_core::work::Numbers;
+use mintlb_core::work::WorkUnitIds;
 use mintlb_rate_limit::fleet::Fleet;
 use mintlb_rate_limit::table::Plan as FleetPlan;
 use mintlb_scheduler::ProjectType;
@@ -63,19 +63,19 @@
     pub seed: u64,
     pub clock: Clock,
     pub tell: &'a UnboundedSender<Event>,
-    pub numbers: &'a Numbers,
-    pub room: &'a Room,
+    pub numbers: &'a WorkUnitIds,
+    pub room: &'a Capacity,
     pub sends: Arc<AtomicU64>,
     pub project_types: &'a [ProjectType],
     /// What the list last said, where that is known.
-    pub told: Option<&'a Told>,
+    pub told: Option<&'a MembershipUpdate>,
     pub log: &'a Logger,
 }
 
 /// What has been joined: who hears the loop's words, and what limits the decisions.
 pub struct Joined {
     pub subsystems: Arc<[Box<dyn Subsystem>]>,
-    pub purse: Option<Arc<dyn Purse>>,
+    pub purse: Option<Arc<dyn SharedBudgets>>,
     fleet: Option<Fleet>,
 }
 
@@ -91,7 +91,7 @@
 /// Starts all that is planned, or says what can't be.
 pub async fn join(plans: Plans, grants: &Grants, shared: &Shared<'_>) -> Result<Joined, String> {
     let mut subsystems: Vec<Box<dyn Subsystem>> = Vec::new();
-    let (mut purse, mut joined): (Option<Arc<dyn Purse>>, Option<Fleet>) = (None, None);
+    let (mut purse, mut joined): (Option<Arc<dyn SharedBudgets>>, Option<Fleet>) = (None, None);
     if let Some(plan) = plans.beanstalkd {
         subsystems.push(Box::new(beanstalkd(plan, grants, shared).await?));
     }
@@ -126,12 +126,16 @@
         plan,
         name,
         shared.clock.now(),
-        grants.http.body,
+        grants.http.max_body_bytes,
         numbers,
         room,
     );
     hub.sends = shared.sends.clone();
-    let (connections, read, pause) = (grants.sessions, grants.http.read, grants.http.dial / 16);
+    let (connections, read, pause) = (
+        grants.sessions,
+        grants.http.read_timeout,
+        grants.http.dial_timeout / 16,
+    );
     let bounds = Bounds {
         connections,
         read,
@@ -147,7 +151,10 @@
         log,
     ));
     // Before anybody can connect: jobs go by what is known of machines.
-    shared.told.into_iter().for_each(|told| front.hear(told));
+    shared
+        .told
+        .into_iter()
+        .for_each(|told| front.on_membership_update(told));
     tokio::spawn(front.0.clone().listen(listener));
     info!(shared.log, "beanstalkd is spoken"; "listen" => %listen);
     Ok(front)
--- a/crates/mintlb/src/kin.rs
+++ b/crates/mintlb/src/kin.rs
@@ -3,7 +3,7 @@
 //! Each keeps a file locked for as long as it takes clients. A lock ends with its process, however that ends, so a
 //! file that can be locked tells of nobody and goes. What can't be read or written is as if nobody were there.
 
-use mintlb_core::members::worker_id;
+use mintlb_core::membership::worker_id;
 use std::fs::{self, File, TryLockError};
 use std::io;
 use std::path::{Path, PathBuf};
--- a/crates/mintlb/src/placement.rs
+++ b/crates/mintlb/src/placement.rs
@@ -1,6 +1,6 @@
 //! What the platform tells a scheduler at its start.
 
-use mintlb_http::list::Listing;
+use mintlb_http::list_service::ListMessage;
 use mintlb_scheduler::settings::FlatSettings;
 use nix::sys::resource::{Resource, getrlimit};
 use serde::Deserialize;
@@ -19,7 +19,7 @@
     pub seed: String,
     pub limits: Machine,
     /// The list of workers as it was last had; it may be old.
-    pub known: Option<Listing>,
+    pub known: Option<ListMessage>,
     pub settings: Value,
     /// The clients' listening socket, where the platform has passed it on.
     #[serde(skip)]
--- a/crates/mintlb/src/record.rs
+++ b/crates/mintlb/src/record.rs
@@ -3,8 +3,8 @@
 //!
 //! What can't be read, is torn, or is another's or another version's, is as if nothing had been left.
 
-use mintlb_core::members::worker_id;
-use mintlb_http::list::{Listing, WorkerLine};
+use mintlb_core::membership::worker_id;
+use mintlb_http::list_service::{ListMessage, ListedWorker};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::fs;
@@ -21,7 +21,7 @@
     name: String,
     /// Where it was heard. Versions that could not move left no address: theirs is the one that is followed.
     at: Option<SocketAddr>,
-    list: Listing,
+    list: ListMessage,
 }
 
 pub struct Record {
@@ -29,7 +29,7 @@
     name: String,
     /// Where the list is heard: another service's may be of another deployment.
     at: SocketAddr,
-    workers: BTreeMap<String, WorkerLine>,
+    workers: BTreeMap<String, ListedWorker>,
 }
 
 impl Record {
@@ -50,7 +50,7 @@
     }
 
     /// What was left, if it is newer than what is known otherwise.
-    pub fn newer(&self, known: Option<Listing>) -> Option<Listing> {
+    pub fn newer(&self, known: Option<ListMessage>) -> Option<ListMessage> {
         let kept = fs::read(&self.path)
             .ok()
             .and_then(|json| serde_json::from_slice::<Kept>(&json).ok());
@@ -67,18 +67,18 @@
     }
 
     /// The list has said this; the whole as it is then is left.
-    pub fn hear(&mut self, said: &Listing) -> io::Result<()> {
+    pub fn hear(&mut self, said: &ListMessage) -> io::Result<()> {
         if said.full {
             self.workers.clear();
         }
         for worker in &said.workers {
-            match worker.listed() {
+            match worker.listed_state() {
                 mintlb_scheduler::ListState::Gone => drop(self.workers.remove(&worker.id)),
                 _ => drop(self.workers.insert(worker.id.clone(), worker.clone())),
             }
         }
         let workers = self.workers.values().cloned().collect();
-        let list = Listing {
+        let list = ListMessage {
             version: said.version,
             full: true,
             workers,
@@ -100,7 +100,7 @@
 mod tests {
     use super::*;
 
-    fn list(version: u64, full: bool, states: &str) -> Listing {
+    fn list(version: u64, full: bool, states: &str) -> ListMessage {
         let workers = states.split_whitespace().map(|word| {
             let (id, state) = word.split_once('=').unwrap();
             format!(r#"{{"id":"{id}","addr":"127.0.0.1:1","state":"{state}"}}"#)
--- a/crates/mintlb/src/serve.rs
+++ b/crates/mintlb/src/serve.rs
@@ -9,18 +9,18 @@
 use crate::record::Record;
 use mintlb_admin::command::{Command, Reply};
 use mintlb_admin::server::AdminServer;
-use mintlb_core::clock::{Clock, seconds};
-use mintlb_core::figures::{Figures, Now};
-use mintlb_core::hands::Hands;
+use mintlb_core::capacity::Capacity;
+use mintlb_core::clock::{Clock, clamped_duration};
+use mintlb_core::executor::ActionExecutor;
+use mintlb_core::lifecycle::{Lifecycle, LifecycleEvent};
+use mintlb_core::metrics::{Gauges, Metrics};
+use mintlb_core::project_types::ProjectTypes;
 use mintlb_core::reducer::{Event, Reducer};
-use mintlb_core::room::Room;
-use mintlb_core::standing::{Standing, Word};
 use mintlb_core::subsystem::Subsystem;
-use mintlb_core::types::Types;
-use mintlb_core::work::Numbers;
-use mintlb_http::front::Front;
-use mintlb_http::list::{Besides, List, Reading, Watch};
-use mintlb_http::worker::{Worded, Workers};
+use mintlb_core::work::WorkUnitIds;
+use mintlb_http::frontend::Frontend;
+use mintlb_http::list_service::{ListClient, ListDecoder, ListObserver, ListWatch};
+use mintlb_http::worker::{RequestTemplate, WorkerClient};
 use mintlb_scheduler::decide::Scheduler;
 use mintlb_scheduler::settings::{FlatSettings, ReloadableSettings};
 use mintlb_scheduler::{ProjectType, ProjectTypeSet};
@@ -96,23 +96,23 @@
 }
 
 /// One event, and what follows from it.
-fn step(hands: &mut Hands<Watch>, reducer: &mut Reducer, now: f64, event: Event) {
+fn step(hands: &mut ActionExecutor<ListWatch>, reducer: &mut Reducer, now: f64, event: Event) {
     match &event {
-        Event::Back(back) => hands.back(back),
-        Event::Started(alloc) => hands.started(*alloc),
-        Event::Left(wu) => hands.left(*wu),
+        Event::Finished(back) => hands.record_result(back),
+        Event::Started(alloc) => hands.log_started(*alloc),
+        Event::ClientLeft(wu) => hands.log_client_left(*wu),
         _ => {}
     }
     reducer
         .reduce(now, event)
         .into_iter()
-        .for_each(|act| hands.carry_out(act));
+        .for_each(|act| hands.execute(act));
 }
 
 /// What an operator's call is answered, and what follows from it.
 fn operate(
     call: Command,
-    standing: &Mutex<Standing>,
+    standing: &Mutex<Lifecycle>,
     now: f64,
     page: impl FnOnce() -> String,
 ) -> Reply {
@@ -120,11 +120,11 @@
     let word = match call {
         Command::Dump => return Reply::Metrics(page()),
         Command::Health => None,
-        Command::Leave => Some(Word::Leave),
-        Command::Join => Some(Word::Join),
+        Command::Leave => Some(LifecycleEvent::Leave),
+        Command::Join => Some(LifecycleEvent::Join),
     };
-    let heard = word.map_or(Ok(()), |word| standing.hear(now, word));
-    let shown = standing.shown().to_string();
+    let heard = word.map_or(Ok(()), |word| standing.apply(now, word));
+    let shown = standing.state_name().to_string();
     match heard {
         Err(why) => Reply::Failure(why.to_string()),
         Ok(()) if call == Command::Health && !standing.is_ready() => Reply::Failure(shown),
@@ -133,10 +133,10 @@
 }
 
 /// The figures of all parts.
-fn page(figures: &Figures, subsystems: &[Box<dyn Subsystem>], now: Now) -> String {
+fn page(figures: &Metrics, subsystems: &[Box<dyn Subsystem>], now: Gauges) -> String {
     subsystems
         .iter()
-        .fold(figures.page(now), |page, part| page + &part.figures())
+        .fold(figures.render(now), |page, part| page + &part.metrics())
 }
 
 /// Serves until it is told to stop, and then until all that was taken is answered.
@@ -176,10 +176,13 @@
     let mut listener = Some(listener);
     let clock = Clock::start();
     let (tell, mut events) = unbounded_channel();
-    let (numbers, room) = (Numbers::default(), Room::new(grants.open, grants.bodies));
+    let (numbers, room) = (
+        WorkUnitIds::default(),
+        Capacity::new(grants.open, grants.bodies),
+    );
     let (figures, standing) = (
-        Arc::new(Figures::default()),
-        Arc::new(Mutex::new(Standing::new(grants.notice))),
+        Arc::new(Metrics::default()),
+        Arc::new(Mutex::new(Lifecycle::new(grants.notice))),
     );
     let (ask, mut asked) = unbounded_channel();
     if let Some(at) = placement.ops {
@@ -189,19 +192,19 @@
         tokio::spawn(AdminServer::new(grants.door, ask.clone(), log.clone()).listen(door));
         info!(log, "operators can call"; "ops" => %at);
     }
-    let worded = Worded {
-        scheduler: placement.name.clone(),
-        types: types.iter().map(|(name, _)| name.clone()).collect(),
+    let worded = RequestTemplate {
+        scheduler_name: placement.name.clone(),
+        project_types: types.iter().map(|(name, _)| name.clone()).collect(),
         customers: customers.clone(),
     };
     let fields = text.list("stats.fields");
-    let workers = Workers::new(
+    let workers = WorkerClient::new(
         &grants.http,
         clock,
         tell.clone(),
         &fields,
         worded,
-        figures.sends(),
+        figures.sent_allocations(),
         log.clone(),
     );
     let own = |path| text.list(path).into_iter().map(str::to_string).collect();
@@ -210,11 +213,11 @@
         .as_ref()
         .map_or(ProjectTypeSet::EMPTY, |plan| plan.only);
     let runs = ProjectTypeSet::default().difference(only);
-    let reading = Reading {
+    let reading = ListDecoder {
         zones: own("zones"),
         kinds: own("machine_types"),
         runs,
-        workers,
+        worker_client: workers,
     };
     let mut record = folder
         .as_ref()
@@ -225,7 +228,7 @@
         .map_or(known.clone(), |record| record.newer(known));
     let told_first = known
         .as_ref()
-        .map(|known| (known.version, reading.told(known)));
+        .map(|known| (known.version, reading.membership_update(known)));
     let project_types = text.project_types()?;
     let shared = Shared {
         name: &placement.name,
@@ -234,7 +237,7 @@
         tell: &tell,
         numbers: &numbers,
         room: &room,
-        sends: figures.sends(),
+        sends: figures.sent_allocations(),
         project_types: &project_types,
         told: told_first.as_ref().map(|(_, told)| told),
         log: &log,
@@ -250,33 +253,40 @@
     );
     let kept = record.clone();
     let unwritten = log.clone();
-    let besides: Besides = Arc::new(move |listing, told| {
-        besides.iter().for_each(|part| part.hear(told));
+    let besides: ListObserver = Arc::new(move |listing, told| {
+        besides
+            .iter()
+            .for_each(|part| part.on_membership_update(told));
         if let Some(Err(e)) = record.as_ref().map(|record| record.lock().hear(listing)) {
             warn!(unwritten, "the list can't be left for the next process"; "why" => %e);
         }
     });
-    let list = List::new(&grants.http, placement.discovery);
-    let watch = Watch::new(list, reading, tell.clone(), besides, log.clone());
-    let mut hands = Hands::new(watch, clock, log.clone(), figures.clone());
+    let list = ListClient::new(&grants.http, placement.discovery);
+    let watch = ListWatch::new(list, reading, tell.clone(), besides, log.clone());
+    let mut hands = ActionExecutor::new(watch, clock, log.clone(), figures.clone());
     let shared = (numbers, room, clock, standing.clone());
     let limits = grants.http.clone();
-    let front = Front::new(customers, limits, shared, tell, log.clone());
-    let mut reducer = Reducer::new(scheduler, Types::new(types), grants.out, grants.margin);
+    let front = Frontend::new(customers, limits, shared, tell, log.clone());
+    let mut reducer = Reducer::new(
+        scheduler,
+        ProjectTypes::new(types),
+        grants.out,
+        grants.margin,
+    );
     purse
         .into_iter()
-        .for_each(|purse| reducer.take_purse(purse));
-    hands.take_types(reducer.types());
-    front.take_types(reducer.types(), &figures);
+        .for_each(|purse| reducer.set_shared_budgets(purse));
+    hands.set_project_types(reducer.project_types());
+    front.set_project_types(reducer.project_types(), &figures);
 
     // Who takes over first hears what has changed: what the old one was told, it was told, too.
     let takes_over = kin.as_ref().is_some_and(|kin| kin.others() > 0);
     reducer
         .start(clock.now(), told_first, takes_over)
         .into_iter()
-        .for_each(|act| hands.carry_out(act));
+        .for_each(|act| hands.execute(act));
     let turned_down = |why: String| {
-        figures.turned_down.fetch_add(1, Relaxed);
+        figures.configs_rejected.fetch_add(1, Relaxed);
         warn!(log, "the new configuration is not taken, the old one holds"; "why" => why);
     };
     let mut ready_by = takes_over.then(|| Instant::now() + grants.first_list);
@@ -287,7 +297,10 @@
             listening = listener
                 .take()
                 .map(|l| tokio::spawn(front.clone().listen(l)).abort_handle());
-            standing.lock().hear(clock.now(), Word::Ready).ok();
+            standing
+                .lock()
+                .apply(clock.now(), LifecycleEvent::Ready)
+                .ok();
             if let Some(Err(e)) = kin.as_mut().map(Kin::enter) {
                 warn!(log, "another process of this name will not see this one"; "why" => %e);
             }
@@ -296,17 +309,17 @@
         let stands = *standing.lock();
         // While it turns clients away, it looks often whether they have gone.
         let look = Instant::now() + grants.late_arrivals / 32;
-        let looks = stands.turned().is_some() || listener.is_some();
+        let looks = stands.draining_since().is_some() || listener.is_some();
         let event = tokio::select! {
             event = events.recv() => event,
-            () = sleep_until(hands.due.unwrap_or(look)), if hands.due.is_some() => {
-                hands.due = None;
-                Some(Event::Woke)
+            () = sleep_until(hands.wake_at.unwrap_or(look)), if hands.wake_at.is_some() => {
+                hands.wake_at = None;
+                Some(Event::TimerFired)
             }
             _ = tally.tick() => {
-                hands.count(reducer.held());
-                front.count();
-                subsystems.iter().for_each(|part| part.count());
+                hands.log_counts(reducer.held_count());
+                front.log_counts();
+                subsystems.iter().for_each(|part| part.log_counts());
                 None
             }
             Some(word) = told.recv() => match word {
@@ -315,17 +328,17 @@
                     while let Ok(event) = events.try_recv() {
                         step(&mut hands, &mut reducer, clock.now(), event);
                     }
-                    let fault = new.fault(&placement, &operator, reducer.types());
-                    match fault.map_or_else(|| reducer.retune(&new.types, &new.terms), Err) {
+                    let fault = new.fault(&placement, &operator, reducer.project_types());
+                    match fault.map_or_else(|| reducer.reconfigure(&new.types, &new.terms), Err) {
                         Err(why) => {
                             turned_down(why);
                             None
                         }
                         Ok(()) => {
-                            figures.taken.fetch_add(1, Relaxed);
+                            figures.configs_applied.fetch_add(1, Relaxed);
                             joined.change(&new.plans);
-                            hands.take_types(reducer.types());
-                            front.take_types(reducer.types(), &figures);
+                            hands.set_project_types(reducer.project_types());
+                            front.set_project_types(reducer.project_types(), &figures);
                             grants.last_answer = new.last_answer;
                             let types: Vec<&str> = new.types.iter().map(|(name, _)| name.as_str()).collect();
                             info!(log, "the new configuration holds"; "project types" => types.join(", "));
@@ -337,7 +350,7 @@
                                 let at = placement.discovery;
                                 info!(log, "the list is followed at another address"; "discovery" => %at);
                                 kept.iter().for_each(|record| record.lock().moved(at));
-                                hands.list.follow(List::new(&grants.http, at));
+                                hands.list_watcher.replace_client(ListClient::new(&grants.http, at));
                                 Event::ListMoved
                             })
                         }
@@ -348,25 +361,25 @@
                     None
                 }
                 Told::Stop => {
-                    info!(log, "told to stop: answering what is held and what still comes"; "held" => reducer.held());
+                    info!(log, "told to stop: answering what is held and what still comes"; "held" => reducer.held_count());
                     let succeeded = kin.as_ref().is_some_and(|kin| kin.others() > 0);
-                    standing.lock().hear(clock.now(), Word::Stop { succeeded }).ok();
+                    standing.lock().apply(clock.now(), LifecycleEvent::Stop { has_successor: succeeded }).ok();
                     if succeeded {
                         // Whoever connects from now on is the successor's; who is here already is served here.
                         info!(log, "another process of this name takes the clients");
                         listening.iter().for_each(AbortHandle::abort);
                     }
-                    subsystems.iter().for_each(|part| part.stop());
+                    subsystems.iter().for_each(|part| part.begin_shutdown());
                     // The others must not count on this one from now on.
                     kin.iter_mut().for_each(Kin::leave);
                     None
                 }
             },
             Some((call, answer)) = asked.recv() => {
-                let reply = operate(call, &standing, clock.now(), || page(&figures, &subsystems, reducer.now()));
+                let reply = operate(call, &standing, clock.now(), || page(&figures, &subsystems, reducer.gauges()));
                 if matches!(call, Command::Leave | Command::Join) {
                     let leaving = standing.lock().is_leaving();
-                    subsystems.iter().for_each(|part| part.leave(leaving));
+                    subsystems.iter().for_each(|part| part.set_leaving(leaving));
                     info!(log, "an operator's call"; "answer" => ?reply, "call" => ?call);
                 }
                 answer.send(reply).ok();
@@ -374,31 +387,34 @@
             }
             () = sleep_until(look), if looks => None,
         };
-        if matches!(&event, Some(Event::Members(Some(_), _))) {
+        if matches!(&event, Some(Event::MembershipChanged(Some(_), _))) {
             ready_by = None;
         }
         let stands = *standing.lock();
-        let since = seconds(stands.stopped().map_or(0.0, |at| clock.now() - at));
-        let stopped = stands.stopped().is_some();
+        let since = clamped_duration(stands.stopping_since().map_or(0.0, |at| clock.now() - at));
+        let stopped = stands.stopping_since().is_some();
         let last = stopped && since >= grants.last_answer;
-        for event in event.into_iter().chain(last.then_some(Event::LastCall)) {
+        for event in event
+            .into_iter()
+            .chain(last.then_some(Event::DrainDeadline))
+        {
             step(&mut hands, &mut reducer, clock.now(), event);
         }
-        if stands.closes_idle(clock.now()) {
+        if stands.closes_idle_connections(clock.now()) {
             // Again and again: those that came late and say nothing are closed, too.
             front.close_idle();
         }
-        if stopped && since >= grants.late_arrivals && reducer.held() == 0 {
+        if stopped && since >= grants.late_arrivals && reducer.held_count() == 0 {
             // What was said must have gone out, and ends be told; but who takes nothing can't keep the program.
             let overdue = since >= grants.last_answer + grants.late_arrivals / 4;
-            let quiet = || subsystems.iter().all(|part| part.is_quiet());
-            if !(overdue || front.connected() == 0 && quiet()) {
+            let quiet = || subsystems.iter().all(|part| part.is_flushed());
+            if !(overdue || front.connections() == 0 && quiet()) {
                 continue;
             }
-            hands.count(reducer.held());
-            front.count();
-            subsystems.iter().for_each(|part| part.end());
-            info!(log, "stopped"; "connected" => front.connected());
+            hands.log_counts(reducer.held_count());
+            front.log_counts();
+            subsystems.iter().for_each(|part| part.finish_shutdown());
+            info!(log, "stopped"; "connected" => front.connections());
             return Ok(());
         }
     }
--- a/crates/mintlb/tests/program.rs
+++ b/crates/mintlb/tests/program.rs
@@ -580,26 +580,29 @@
                 .map_or(asked, |most| Grants::new(&machine, &text, most, false))
                 .unwrap();
             let h = &g.http;
-            let bytes = h.clients * 2 * h.head
-                + h.links * h.head
-                + (g.out - g.sessions) * h.line
+            let bytes = h.max_client_connections * 2 * h.max_head_bytes
+                + h.max_worker_connections * h.max_head_bytes
+                + (g.out - g.sessions) * h.max_worker_line_bytes
                 + g.bodies;
             let bytes = bytes + g.sessions * SESSION;
             assert!(bytes >> 20 <= memory_mb / 8 * 7, "{memory_mb} MB: {g:?}");
             assert!(
-                h.clients + g.sessions + h.links <= sockets / 8 * 7,
+                h.max_client_connections + g.sessions + h.max_worker_connections <= sockets / 8 * 7,
                 "{sockets} descriptors: {g:?}"
             );
             // The program's own, listed in grants.rs.
             assert!(
-                h.clients + g.sessions + h.links + 16 <= sockets,
+                h.max_client_connections + g.sessions + h.max_worker_connections + 16 <= sockets,
                 "{sockets} descriptors: {g:?}"
             );
             assert!(
-                g.open < h.clients + g.sessions && g.open > 0 && g.out > 0 && h.clients > 0,
+                g.open < h.max_client_connections + g.sessions
+                    && g.open > 0
+                    && g.out > 0
+                    && h.max_client_connections > 0,
                 "{g:?}"
             );
-            assert!(g.out - g.sessions < h.links, "{g:?}");
+            assert!(g.out - g.sessions < h.max_worker_connections, "{g:?}");
         }
     }
 }
--- a/crates/mintlb/tests/reducer.rs
+++ b/crates/mintlb/tests/reducer.rs
@@ -5,12 +5,12 @@
 use mintlb::placement::Placement;
 use mintlb::serve::Plan;
 use mintlb_core::clock::Clock;
-use mintlb_core::members::worker_id;
-use mintlb_core::reducer::{Act, Event, Reducer};
-use mintlb_core::types::Types;
-use mintlb_core::work::{Answer, Arrival, Back, Order, Payload};
-use mintlb_http::list::{Listing, Reading};
-use mintlb_http::worker::{Worded, Workers};
+use mintlb_core::membership::worker_id;
+use mintlb_core::project_types::ProjectTypes;
+use mintlb_core::reducer::{Action, Event, Reducer};
+use mintlb_core::work::{AllocationRequest, AllocationResult, Answer, Payload, Submission};
+use mintlb_http::list_service::{ListDecoder, ListMessage};
+use mintlb_http::worker::{RequestTemplate, WorkerClient};
 use mintlb_scheduler::settings::ReloadableSettings;
 use mintlb_scheduler::{DedupScope, Idempotency, Outcome, ProjectType, ProjectTypeSet};
 use std::sync::Arc;
@@ -19,10 +19,10 @@
 
 struct Bench {
     reducer: Reducer,
-    reading: Reading,
+    reading: ListDecoder,
     now: f64,
     clients: Vec<Receiver<Answer>>,
-    orders: Vec<Order>,
+    orders: Vec<AllocationRequest>,
     types: Vec<(String, ProjectType)>,
     terms: ReloadableSettings,
 }
@@ -35,24 +35,29 @@
     let plan = Plan::new(Placement::parse(config).unwrap(), Operator::default()).unwrap();
     let quiet = slog::Logger::root(slog::Discard, slog::o!());
     let (tell, _) = unbounded_channel();
-    let workers = Workers::new(
+    let workers = WorkerClient::new(
         &plan.grants.http,
         Clock::start(),
         tell,
         &[],
-        Worded::default(),
+        RequestTemplate::default(),
         Arc::default(),
         quiet,
     );
     let (zones, kinds) = (vec!["north".into(), "south".into()], vec!["small".into()]);
-    let reading = Reading {
+    let reading = ListDecoder {
         zones,
         kinds,
         runs: ProjectTypeSet::default(),
-        workers,
+        worker_client: workers,
     };
     let types = plan.types.clone();
-    let reducer = Reducer::new(plan.scheduler, Types::new(plan.types), most_out, 0.002);
+    let reducer = Reducer::new(
+        plan.scheduler,
+        ProjectTypes::new(plan.types),
+        most_out,
+        0.002,
+    );
     let (now, clients, orders, terms) = (1e9, Vec::new(), Vec::new(), plan.terms);
     Bench {
         reducer,
@@ -65,7 +70,7 @@
     }
 }
 
-fn listing(full: bool, version: u64, states: &[&str]) -> Listing {
+fn listing(full: bool, version: u64, states: &[&str]) -> ListMessage {
     let servers = states.iter().enumerate().map(|(i, state)| {
         let addr = if *state == "NOWHERE" { "nowhere:1".into() } else { format!("127.0.0.1:{}", 7001 + i) };
         let started = if *state == "FRESH" { 999_999_999_000u64 } else { 0 };
@@ -95,46 +100,48 @@
                 return self.say(acts);
             }
             "known" => {
-                let told = self.reading.told(&listing(true, 7, &words[1..]));
+                let told = self
+                    .reading
+                    .membership_update(&listing(true, 7, &words[1..]));
                 let acts = self.reducer.start(self.now, Some((7, told)), false);
                 return self.say(acts);
             }
             "in" => {
                 self.now += words[1].parse::<f64>().unwrap();
-                Event::Woke
+                Event::TimerFired
             }
             "call" => {
                 // The client's id, where it is not the work unit's number.
                 let id = *words.get(3).unwrap_or(&words[1]);
                 let payload = Payload {
                     body: Bytes::new(),
-                    once: true,
-                    own: Arc::new(()),
+                    non_idempotent: true,
+                    protocol_data: Arc::new(()),
                 };
                 let (answer, receiver) = channel();
                 self.clients.push(receiver);
-                Event::Arrived(Arrival {
+                Event::Submitted(Submission {
                     id: words[1].parse().unwrap(),
-                    client_id: Some(id.as_bytes().into()),
+                    client_request_id: Some(id.as_bytes().into()),
                     project_type: words[2].parse().unwrap_or_else(|_| self.number(words[2])),
                     customer: None,
                     slots: 1.0,
-                    arrived: self.now,
+                    arrived_at: self.now,
                     time_budget: 3.0,
                     payload,
-                    answer: Box::new(answer),
+                    responder: Box::new(answer),
                 })
             }
             // The project types, each with its effect, and before them how many allocations work may have.
             "retune" => {
                 self.terms.retry_policy.max_allocations = words[1].parse().unwrap();
                 let types: Vec<_> = words[2..].iter().map(|word| self.named(word)).collect();
-                return match self.reducer.retune(&types, &self.terms) {
+                return match self.reducer.reconfigure(&types, &self.terms) {
                     Ok(()) => String::new(),
                     Err(why) => why,
                 };
             }
-            "left" => Event::Left(words[1].parse().unwrap()),
+            "left" => Event::ClientLeft(words[1].parse().unwrap()),
             "start" => Event::Started(alloc(words[1])),
             "back" => {
                 let outcome = match words[2] {
@@ -146,16 +153,24 @@
                     other => panic!("no outcome {other}"),
                 };
                 let result = Bytes::from_static(b"r");
-                Event::Back(Back {
+                Event::Finished(AllocationResult {
                     result,
-                    ..Back::with(alloc(words[1]), outcome)
+                    ..AllocationResult::from_outcome(alloc(words[1]), outcome)
                 })
             }
-            "list" => Event::Members(Some(8), self.reading.told(&listing(true, 8, &words[1..]))),
-            "change" => Event::Members(Some(9), self.reading.told(&listing(false, 9, &words[1..]))),
+            "list" => Event::MembershipChanged(
+                Some(8),
+                self.reading
+                    .membership_update(&listing(true, 8, &words[1..])),
+            ),
+            "change" => Event::MembershipChanged(
+                Some(9),
+                self.reading
+                    .membership_update(&listing(false, 9, &words[1..])),
+            ),
             "lost" => Event::ListFailed,
             "moved" => Event::ListMoved,
-            "last" => Event::LastCall,
+            "last" => Event::DrainDeadline,
             other => panic!("no step {other}"),
         };
         let acts = self.reducer.reduce(self.now, event);
@@ -185,7 +200,7 @@
 
     fn number(&self, name: &str) -> usize {
         self.reducer
-            .types()
+            .project_types()
             .iter()
             .find(|named| named.name == name)
             .unwrap()
@@ -193,27 +208,34 @@
     }
 
     /// Timers and log lines are left out.
-    fn say(&mut self, acts: Vec<Act>) -> String {
+    fn say(&mut self, acts: Vec<Action>) -> String {
         let mut said = Vec::new();
         for act in acts {
             match act {
-                Act::Send { to, order } => {
-                    let (id, n) = order.alloc;
+                Action::Send {
+                    endpoint: to,
+                    request: order,
+                } => {
+                    let (id, n) = order.allocation_id;
                     said.push(format!(
                         "send {id}.{n} {}",
                         to.to_string().split(':').next_back().unwrap()
                     ));
                     self.orders.push(order);
                 }
-                Act::Recall((id, n)) => said.push(format!("close {id}.{n}")),
-                Act::Answer { to, answer, .. } => {
-                    to.settle(answer);
+                Action::Cancel((id, n)) => said.push(format!("close {id}.{n}")),
+                Action::Answer {
+                    responder: to,
+                    answer,
+                    ..
+                } => {
+                    to.respond(answer);
                     said.push("answer".into());
                 }
-                Act::Watch { after } => {
+                Action::Watch { after } => {
                     said.push(after.map_or("watch all".into(), |after| format!("watch {after}")))
                 }
-                Act::Probe { .. } | Act::WakeIn(_) | Act::Log(_) => {}
+                Action::Probe { .. } | Action::WakeIn(_) | Action::Log(_) => {}
             }
         }
         said.join(", ")
@@ -228,7 +250,7 @@
                 Ok(Answer::Completed(result)) => String::from_utf8(result.to_vec()).unwrap(),
                 Ok(Answer::Deferred(_)) => "deferred".into(),
                 Ok(Answer::Aborted) => "aborted".into(),
-                Ok(Answer::Repeated) => "repeated".into(),
+                Ok(Answer::Duplicate) => "repeated".into(),
                 Err(_) => "-".into(),
             });
         said.collect::<Vec<_>>().join(" ")
@@ -436,7 +458,7 @@
         acts.sort_unstable();
         assert_eq!(last, acts, "{shown}");
         assert_eq!(bench.answers(), answers, "{shown}");
-        assert_eq!(bench.reducer.held(), held, "{shown}");
+        assert_eq!(bench.reducer.held_count(), held, "{shown}");
     }
 }
 
@@ -531,9 +553,9 @@
         let orders = bench
             .orders
             .iter()
-            .filter(|order| order.taken_back.is_cancelled());
+            .filter(|order| order.withdrawn.is_cancelled());
         let said: Vec<String> = orders
-            .map(|order| format!("{}.{}", order.alloc.0, order.alloc.1))
+            .map(|order| format!("{}.{}", order.allocation_id.0, order.allocation_id.1))
             .collect();
         assert_eq!(said.join(" "), taken_back, "{shown}");
     }
@@ -683,7 +705,7 @@
     let held = bench.number("w");
     assert!(held < 256, "{held}");
     bench.step("in 10");
-    assert_eq!(bench.reducer.held(), 0);
+    assert_eq!(bench.reducer.held_count(), 0);
     assert_eq!(
         bench.step("retune 3 w=receipted u=exclusive"),
         "",
--- a/crates/mintlb/tests/wire_fixtures.rs
+++ b/crates/mintlb/tests/wire_fixtures.rs
@@ -3,7 +3,7 @@
 //! must leave the file's name and its bytes as they are in `fixtures/`.
 
 use mintlb::record::Record;
-use mintlb_http::list::Listing;
+use mintlb_http::list_service::ListMessage;
 use std::fs;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -32,7 +32,7 @@
     let mut record = record(&folder, "n1");
     for line in SAID.lines() {
         record
-            .hear(&serde_json::from_str::<Listing>(line).unwrap())
+            .hear(&serde_json::from_str::<ListMessage>(line).unwrap())
             .unwrap();
     }
     let files: Vec<_> = fs::read_dir(&folder)
--- a/crates/mintlb/tests/world/mod.rs
+++ b/crates/mintlb/tests/world/mod.rs
@@ -8,11 +8,14 @@
 use mintlb_beanstalkd::codec::{Command, Fault, Item, Reader};
 use mintlb_beanstalkd::hub::{Deed, Hub};
 use mintlb_beanstalkd::machines::Place;
-use mintlb_core::members::{Member, Source, Told};
-use mintlb_core::reducer::{Act, Event, Reducer};
-use mintlb_core::room::Room;
-use mintlb_core::types::Types;
-use mintlb_core::work::{AllocId, Answer, Arrival, Numbers, Order, Payload, Reach, Recall, Settle};
+use mintlb_core::capacity::Capacity;
+use mintlb_core::membership::{Member, MembershipUpdate, WorkerSource};
+use mintlb_core::project_types::ProjectTypes;
+use mintlb_core::reducer::{Action, Event, Reducer};
+use mintlb_core::work::{
+    AllocationId, AllocationRequest, Answer, CancelHandle, Endpoint, Payload, Responder,
+    Submission, WorkUnitIds,
+};
 use mintlb_scheduler::{ListState, ProjectTypeSet};
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use std::fmt::{Display, Formatter};
@@ -21,8 +24,8 @@
 
 /// What the core says, on its way to the hub.
 enum Word {
-    Order(IpAddr, ProjectTypeSet, u64, Order),
-    Recall(AllocId),
+    Order(IpAddr, ProjectTypeSet, u64, AllocationRequest),
+    Recall(AllocationId),
     Answer(u64, Answer),
 }
 
@@ -36,9 +39,9 @@
     }
 }
 
-impl Reach for Way {
-    fn send(&self, order: Order) -> Box<dyn Recall> {
-        let out = Box::new(Out(order.alloc, self.3.clone()));
+impl Endpoint for Way {
+    fn send(&self, order: AllocationRequest) -> Box<dyn CancelHandle> {
+        let out = Box::new(Out(order.allocation_id, self.3.clone()));
         self.3
             .lock()
             .unwrap()
@@ -48,18 +51,18 @@
     fn probe(&self, _: u64) {}
 }
 
-struct Out(AllocId, Words);
+struct Out(AllocationId, Words);
 
-impl Recall for Out {
-    fn recall(self: Box<Self>) {
+impl CancelHandle for Out {
+    fn cancel(self: Box<Self>) {
         self.1.lock().unwrap().push_back(Word::Recall(self.0));
     }
 }
 
 struct JobEnd(u64, Words);
 
-impl Settle for JobEnd {
-    fn settle(self: Box<Self>, answer: Answer) {
+impl Responder for JobEnd {
+    fn respond(self: Box<Self>, answer: Answer) {
         self.1
             .lock()
             .unwrap()
@@ -82,7 +85,7 @@
 pub struct World {
     hub: Hub,
     reducer: Reducer,
-    out: HashMap<AllocId, Box<dyn Recall>>,
+    out: HashMap<AllocationId, Box<dyn CancelHandle>>,
     words: Words,
     pub now: f64,
     wake: f64,
@@ -126,16 +129,21 @@
         let operator = Operator::parse(operator).unwrap();
         let plan = Plan::new(Placement::parse(base).unwrap(), operator).unwrap();
         let now = 1e9;
-        let room = Room::new(jobs, 8 << 20);
+        let room = Capacity::new(jobs, 8 << 20);
         let hub = Hub::new(
             plan.plans.beanstalkd.unwrap(),
             "w".into(),
             now,
             1 << 16,
-            Numbers::default(),
+            WorkUnitIds::default(),
             room,
         );
-        let mut reducer = Reducer::new(plan.scheduler, Types::new(plan.types), 1 << 20, 0.002);
+        let mut reducer = Reducer::new(
+            plan.scheduler,
+            ProjectTypes::new(plan.types),
+            1 << 20,
+            0.002,
+        );
         reducer.start(now, None, false);
         let (out, words, peers, active, names, answers) = Default::default();
         World {
@@ -153,20 +161,27 @@
     }
 
     fn reduce(&mut self, event: Event) {
-        if let Event::Back(back) = &event {
-            self.out.remove(&back.alloc);
+        if let Event::Finished(back) = &event {
+            self.out.remove(&back.allocation_id);
         }
         for act in self.reducer.reduce(self.now, event) {
             match act {
-                Act::Send { to, order } => drop(self.out.insert(order.alloc, to.send(order))),
-                Act::Recall(alloc) => self
+                Action::Send {
+                    endpoint: to,
+                    request: order,
+                } => drop(self.out.insert(order.allocation_id, to.send(order))),
+                Action::Cancel(alloc) => self
                     .out
                     .remove(&alloc)
                     .into_iter()
-                    .for_each(|out| out.recall()),
-                Act::Answer { to, answer, .. } => to.settle(answer),
-                Act::WakeIn(after) => self.wake = self.now + after,
-                Act::Log(_) | Act::Probe { .. } | Act::Watch { .. } => {}
+                    .for_each(|out| out.cancel()),
+                Action::Answer {
+                    responder: to,
+                    answer,
+                    ..
+                } => to.respond(answer),
+                Action::WakeIn(after) => self.wake = self.now + after,
+                Action::Log(_) | Action::Probe { .. } | Action::Watch { .. } => {}
             }
         }
     }
@@ -196,20 +211,22 @@
                             change.generation,
                             self.words.clone(),
                         );
-                        let (host, reach) =
-                            (Some(change.machine), Some(Arc::new(way) as Arc<dyn Reach>));
+                        let (host, reach) = (
+                            Some(change.machine),
+                            Some(Arc::new(way) as Arc<dyn Endpoint>),
+                        );
                         let member = Member {
                             name: change.name,
-                            line: change.line,
+                            entry: change.line,
                             host,
-                            reach,
+                            endpoint: reach,
                         };
-                        let told = Told {
-                            source: Source::Callers,
+                        let told = MembershipUpdate {
+                            source: WorkerSource::SelfRegistered,
                             full: false,
                             members: vec![member],
                         };
-                        self.reduce(Event::Members(None, told));
+                        self.reduce(Event::MembershipChanged(None, told));
                     }
                     Deed::Tell(event) => self.reduce(event),
                     Deed::Wake(id) => self.active.extend(self.names.get(&id).cloned()),
@@ -358,7 +375,7 @@
             self.now = self.now.max(next);
             if self.wake <= self.now {
                 self.wake = f64::MAX;
-                self.reduce(Event::Woke);
+                self.reduce(Event::TimerFired);
             }
             self.hub.woke(self.now);
             self.pump();
@@ -392,25 +409,25 @@
     }
 
     pub fn last_call(&mut self) {
-        self.reduce(Event::LastCall);
+        self.reduce(Event::DrainDeadline);
         self.pump();
     }
 
     fn arrives(&mut self, id: u64, project_type: usize, body: Bytes) {
-        self.reduce(Event::Arrived(Arrival {
+        self.reduce(Event::Submitted(Submission {
             id,
-            client_id: None,
+            client_request_id: None,
             project_type,
             customer: None,
             slots: 1.0,
-            arrived: self.now,
+            arrived_at: self.now,
             time_budget: 3.0,
             payload: Payload {
                 body,
-                once: true,
-                own: Arc::new(()),
+                non_idempotent: true,
+                protocol_data: Arc::new(()),
             },
-            answer: Box::new(JobEnd(id, self.words.clone())),
+            responder: Box::new(JobEnd(id, self.words.clone())),
         }));
     }
 
@@ -435,13 +452,13 @@
 
     /// Its client has left.
     pub fn leave(&mut self, id: u64) {
-        self.reduce(Event::Left(id));
+        self.reduce(Event::ClientLeft(id));
         self.pump();
     }
 
     /// How many work units the core holds.
     pub fn held(&self) -> usize {
-        self.reducer.held()
+        self.reducer.held_count()
     }
 
     pub fn totals(&self) -> &mintlb_beanstalkd::hub::Totals {
