--- a/crates/mintlb-rate-limit/benches/look.rs
+++ b/crates/mintlb-rate-limit/benches/look.rs
@@ -2,8 +2,8 @@
 
 use criterion::{Criterion, criterion_group, criterion_main};
 use mintlb_core::budget::{Expense, SharedBudgets};
+use mintlb_rate_limit::config::{Config, MemberConfig};
 use mintlb_rate_limit::fleet::Fleet;
-use mintlb_rate_limit::table::{Plan, Table};
 use std::hint::black_box;
 
 /// So many budgets on the same spend, each with more than is asked for.
@@ -14,7 +14,7 @@
         "division = \"equal\"\nmembers = {{ a = \"127.93.1.1:0\" }}\nbudgets = [{}]",
         budgets.join(", ")
     );
-    let plan = Plan::new(toml::from_str::<Table>(&text).unwrap(), "a").unwrap();
+    let plan = MemberConfig::new(toml::from_str::<Config>(&text).unwrap(), "a").unwrap();
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
--- a/crates/mintlb-rate-limit/src/table.rs
+++ b/crates/mintlb-rate-limit/src/config.rs
@@ -10,7 +10,7 @@
 /// The table as it is written. Times are seconds.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields)]
-pub struct Table {
+pub struct Config {
     /// Words of a fleet with another name are not heard.
     #[serde(default = "name")]
     pub name: String,
@@ -76,8 +76,8 @@
 
 /// What one scheduler does with it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Plan {
-    pub table: Table,
+pub struct MemberConfig {
+    pub table: Config,
     /// Its own name, and where it binds.
     pub name: String,
     pub at: SocketAddr,
@@ -87,9 +87,9 @@
 const LEASES: (f64, f64) = (0.2, 60.0);
 const RATES: (f64, f64) = (0.01, 1e6);
 
-impl Plan {
+impl MemberConfig {
     /// For the scheduler of this name. An error names the field.
-    pub fn new(table: Table, name: &str) -> Result<Plan, String> {
+    pub fn new(table: Config, name: &str) -> Result<MemberConfig, String> {
         let at = table.members.get(name).copied();
         let at = at.ok_or_else(|| format!("fleet.members: {name} is not among them"))?;
         let mut addresses = BTreeSet::new();
@@ -177,7 +177,7 @@
                 return wrong("burst", why);
             }
         }
-        Ok(Plan {
+        Ok(MemberConfig {
             name: name.to_string(),
             at,
             table,
@@ -193,9 +193,9 @@
     }
 }
 
-impl Display for Plan {
+impl Display for MemberConfig {
     fn fmt(&self, f: &mut Formatter) -> std::fmt::Result {
-        let Table {
+        let Config {
             name,
             members,
             keepers,
--- a/crates/mintlb-rate-limit/src/division.rs
+++ b/crates/mintlb-rate-limit/src/division.rs
@@ -1,6 +1,6 @@
 //! Who holds which part of a whole. Pure.
 
-use crate::table::Whole;
+use crate::config::Whole;
 
 /// What one scheduler may spend of a rate: so many a second, and so many at once after a pause; until then.
 #[derive(Clone, Copy, Debug, PartialEq)]
--- a/crates/mintlb-rate-limit/src/fleet.rs
+++ b/crates/mintlb-rate-limit/src/fleet.rs
@@ -1,5 +1,6 @@
 //! The purses behind the core's door, and the task that has words with the other members: the socket and the clock.
 
+use crate::config::{Division, Limits, MemberConfig, Whole};
 use crate::demand::Demand;
 use crate::division::Part;
 use crate::lease::Lease;
@@ -7,7 +8,6 @@
 use crate::members::{Dropped, Members};
 use crate::node::{Node, Out};
 use crate::purse::Purse;
-use crate::table::{Division, Limits, Plan, Whole};
 use crate::word::{Id, LONGEST, Letter, ONE, id, of};
 use mintlb_core::budget::{Expense, Reservation, SharedBudgets as Door};
 use mintlb_core::subsystem::Subsystem;
@@ -76,7 +76,7 @@
 
 /// These budgets, by a plan that holds until the next start; what was spent and is held of one that was there before
 /// goes on.
-fn budgets(plan: &Plan, wholes: &[Whole], before: &[Arc<Budget>]) -> Vec<Arc<Budget>> {
+fn budgets(plan: &MemberConfig, wholes: &[Whole], before: &[Arc<Budget>]) -> Vec<Arc<Budget>> {
     let budget = |whole: &Whole| {
         let (name, key) = (
             whole.name.clone(),
@@ -112,7 +112,7 @@
 }
 
 struct Shared {
-    plan: Plan,
+    plan: MemberConfig,
     seed: u64,
     /// The ids of the fleet's name and of one's own, and what this life is known by.
     name: u64,
@@ -137,7 +137,7 @@
 impl Fleet {
     /// Binds its address, and holds its parts from then on or as it is given them. Where another process has the address,
     /// as one of its name does that it takes over from, that is tried again until that one has ended.
-    pub async fn start(plan: Plan, seed: u64, log: Logger) -> Result<Fleet, String> {
+    pub async fn start(plan: MemberConfig, seed: u64, log: Logger) -> Result<Fleet, String> {
         let budgets = Mutex::new(Arc::new(budgets(&plan, &plan.table.budgets, &[])));
         let (name, me, at) = (id(&plan.table.name), id(&plan.name), plan.at);
         let (life, bound, hungry) = (life(seed), OnceLock::new(), Notify::new());
@@ -193,7 +193,7 @@
     }
 
     /// From now on the budgets are this file's; its members, keepers and times wait for the next start.
-    pub fn change(&self, plan: &Plan) {
+    pub fn reconfigure(&self, plan: &MemberConfig) {
         let now = now();
         let before = self.budgets();
         let new = budgets(&self.0.plan, &plan.table.budgets, &before);
--- a/crates/mintlb-rate-limit/src/lib.rs
+++ b/crates/mintlb-rate-limit/src/lib.rs
@@ -8,6 +8,7 @@
 //! All but `fleet` is pure: a clock and inputs go in. `fleet` joins them to the socket and the clock. The promise, what
 //! it rests on and what it costs are in `docs/budgets.md`.
 
+pub mod config;
 pub mod demand;
 pub mod division;
 pub mod fleet;
@@ -18,6 +19,5 @@
 pub mod node;
 pub mod purse;
 pub mod slip;
-pub mod table;
 pub mod vote;
 pub mod word;
--- a/crates/mintlb-rate-limit/tests/address.rs
+++ b/crates/mintlb-rate-limit/tests/address.rs
@@ -2,20 +2,20 @@
 
 use mintlb_core::budget::{Expense, SharedBudgets};
 use mintlb_core::subsystem::Subsystem;
+use mintlb_rate_limit::config::{Config, MemberConfig};
 use mintlb_rate_limit::fleet::Fleet;
-use mintlb_rate_limit::table::{Plan, Table};
 use std::time::Duration;
 use tokio::net::UdpSocket;
 use tokio::time::sleep;
 
-fn plan(at: &str, more: &str, rate: f64) -> Plan {
+fn plan(at: &str, more: &str, rate: f64) -> MemberConfig {
     let text = format!(
         "{more}\nmembers = {{ a = {at:?} }}\nbudgets = [{{ name = \"x\", limits = \"again\", rate = {rate:?}, burst = 5.0 }}]"
     );
-    Plan::new(toml::from_str::<Table>(&text).unwrap(), "a").unwrap()
+    MemberConfig::new(toml::from_str::<Config>(&text).unwrap(), "a").unwrap()
 }
 
-async fn start(plan: Plan) -> Fleet {
+async fn start(plan: MemberConfig) -> Fleet {
     Fleet::start(plan, 1, slog::Logger::root(slog::Discard, slog::o!()))
         .await
         .unwrap()
@@ -37,7 +37,7 @@
             "{at}: the old one has the address"
         );
         // The file that is taken meanwhile is the one that holds then.
-        new.change(&plan(at, more, 50.0));
+        new.reconfigure(&plan(at, more, 50.0));
         drop(old);
         let mut waited = 0;
         while !new.has_available(again) {
--- a/crates/mintlb-rate-limit/tests/parts.rs
+++ b/crates/mintlb-rate-limit/tests/parts.rs
@@ -1,10 +1,10 @@
 //! What a part may be spent for, how it is told, and which file is turned down.
 
+use mintlb_rate_limit::config::{Config, MemberConfig};
 use mintlb_rate_limit::division::Part;
 use mintlb_rate_limit::members::{Dropped, Members};
 use mintlb_rate_limit::purse::Purse;
 use mintlb_rate_limit::slip::{PLANTED, Slip};
-use mintlb_rate_limit::table::{Plan, Table};
 use mintlb_rate_limit::word::{Letter, Term, Word, id};
 use mintlb_scheduler::util::Rng;
 use std::collections::BTreeMap;
@@ -274,8 +274,8 @@
         budgets = [{ name = "x", limits = "again", rate = 5.0, burst = 2.0 }]
     "#;
     let plan = |text: &str| {
-        let table: Table = toml::from_str(text).map_err(|e| e.message().to_string())?;
-        Plan::new(table, "a")
+        let table: Config = toml::from_str(text).map_err(|e| e.message().to_string())?;
+        MemberConfig::new(table, "a")
     };
     assert!(plan(good).unwrap().to_string().contains("budget x"));
     let cases = [
--- a/crates/mintlb-rate-limit/tests/wire_fixtures.rs
+++ b/crates/mintlb-rate-limit/tests/wire_fixtures.rs
@@ -5,8 +5,8 @@
 #[path = "../../mintlb-scheduler/tests/fixture/mod.rs"]
 mod fixture;
 
+use mintlb_rate_limit::config::{Config, MemberConfig};
 use mintlb_rate_limit::fleet::Fleet;
-use mintlb_rate_limit::table::{Plan, Table};
 use mintlb_rate_limit::word::{Amount, Letter, Term, Wanted, Word};
 use std::time::Duration;
 use tokio::net::UdpSocket;
@@ -186,7 +186,7 @@
         keepers = ["second"]
         budgets = [{ name = "some", limits = "again", rate = 10.0, burst = 5.0 }]
     "#;
-    let plan = Plan::new(toml::from_str::<Table>(table).unwrap(), "first").unwrap();
+    let plan = MemberConfig::new(toml::from_str::<Config>(table).unwrap(), "first").unwrap();
     let log = slog::Logger::root(slog::Discard, slog::o!());
     let _member = Fleet::start(plan, 1, log).await.unwrap();
     let mut bytes = [0; 2000];
--- a/crates/mintlb/src/join.rs
+++ b/crates/mintlb/src/join.rs
@@ -13,8 +13,8 @@
 use mintlb_core::reducer::Event;
 use mintlb_core::subsystem::Subsystem;
 use mintlb_core::work::WorkUnitIds;
+use mintlb_rate_limit::config::MemberConfig as FleetMemberConfig;
 use mintlb_rate_limit::fleet::Fleet;
-use mintlb_rate_limit::table::Plan as FleetPlan;
 use mintlb_scheduler::ProjectType;
 use slog::{Logger, info};
 use std::fmt::{Display, Formatter};
@@ -26,7 +26,7 @@
 /// The operator's tables, found good beside a scheduler's project types and customers.
 pub struct Plans {
     pub beanstalkd: Option<BeanstalkdPlan>,
-    pub fleet: Option<FleetPlan>,
+    pub fleet: Option<FleetMemberConfig>,
 }
 
 impl Plans {
@@ -40,7 +40,7 @@
         let Operator { beanstalkd, fleet } = operator.clone();
         let beanstalkd =
             beanstalkd.map(|table| BeanstalkdPlan::new(table, types, project_types, customers));
-        let fleet = fleet.map(|table| FleetPlan::new(table, name));
+        let fleet = fleet.map(|table| FleetMemberConfig::new(table, name));
         Ok(Plans {
             beanstalkd: beanstalkd.transpose()?,
             fleet: fleet.transpose()?,
@@ -83,7 +83,7 @@
     /// What of a new file's tables can hold while it serves does from now on.
     pub fn change(&self, plans: &Plans) {
         if let Some((fleet, plan)) = self.fleet.as_ref().zip(plans.fleet.as_ref()) {
-            fleet.change(plan);
+            fleet.reconfigure(plan);
         }
     }
 }
--- a/crates/mintlb/src/operator.rs
+++ b/crates/mintlb/src/operator.rs
@@ -1,7 +1,7 @@
 //! The operator's own file: one TOML file, a table for each subsystem. What it does not name costs nothing.
 
 use mintlb_beanstalkd::table::Table;
-use mintlb_rate_limit::table::Table as FleetTable;
+use mintlb_rate_limit::config::Config as FleetConfig;
 use serde::Deserialize;
 use std::ops::Range;
 
@@ -9,7 +9,7 @@
 #[serde(deny_unknown_fields)]
 pub struct Operator {
     pub beanstalkd: Option<Table>,
-    pub fleet: Option<FleetTable>,
+    pub fleet: Option<FleetConfig>,
 }
 
 impl Operator {
