--- a/crates/mintlb-admin/src/command.rs
+++ b/crates/mintlb-admin/src/command.rs
@@ -1,15 +1,19 @@
-//! What operators can ask, and how an answer is worded.
+//! Operators' commands and the text of the replies.
 
-/// The calls, by their words.
+/// A command of an operator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Command {
+    /// Whether the scheduler accepts work.
     Health,
+    /// The metrics, one per line.
     Dump,
+    /// Take the scheduler out of service.
     Leave,
+    /// Put it back into service after a `Leave`.
     Join,
 }
 
-/// All calls, as they are written.
+/// All commands as they are written.
 pub const COMMANDS: [(&str, Command); 4] = [
     ("HEALTH", Command::Health),
     ("DUMP", Command::Dump),
@@ -18,43 +22,43 @@
 ];
 
 impl Command {
-    /// The call of a line without its end, or what is wrong with it.
+    /// Parses a line without its line ending. An error says what is wrong with it.
     pub fn parse(line: &[u8]) -> Result<Command, String> {
         let text = std::str::from_utf8(line)
             .map_err(|e| format!("byte {} is no text", e.valid_up_to()))?;
-        let word = text.trim();
-        let call = COMMANDS
+        let trimmed = text.trim();
+        let command = COMMANDS
             .iter()
-            .find(|(name, _)| *name == word)
-            .map(|(_, call)| *call);
-        call.ok_or_else(|| {
+            .find(|(name, _)| *name == trimmed)
+            .map(|(_, command)| *command);
+        command.ok_or_else(|| {
             let known = COMMANDS.map(|(name, _)| name).join(", ");
-            match word {
+            match trimmed {
                 "" => format!("an empty line; one of {known} is needed"),
-                // Escaped, so that the answer stays one line whatever was sent.
-                _ => format!("there is no call {word:?}, only {known}"),
+                // Escaped, so that the reply stays one line whatever was sent.
+                _ => format!("there is no call {trimmed:?}, only {known}"),
             }
         })
     }
 }
 
-/// What an answer begins with.
+/// First words of a reply.
 pub const SUCCESS: &str = "SUCCESS";
 pub const FAILURE: &str = "FAILURE";
 
-/// What a call is answered.
+/// The reply to a command.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Reply {
-    /// Done, or yes.
+    /// The command was carried out, or the answer is yes.
     Success(String),
-    /// Not done, or no.
+    /// The command failed, or the answer is no.
     Failure(String),
-    /// Figures, a line each.
+    /// Metrics, one per line with its line ending.
     Metrics(String),
 }
 
 impl Reply {
-    /// As it is written.
+    /// The reply as it is sent.
     pub fn text(&self) -> String {
         match self {
             Reply::Success(why) => format!("{SUCCESS} {why}\n"),
--- a/crates/mintlb-admin/src/lib.rs
+++ b/crates/mintlb-admin/src/lib.rs
@@ -1,4 +1,5 @@
-//! The operators' door: one line to a connection, one answer. It knows what can be asked, and nothing of who answers.
+//! TCP server for operators' commands: each connection sends one command line and gets one reply. The commands are
+//! carried out elsewhere.
 
 pub mod command;
 pub mod server;
--- a/crates/mintlb-admin/src/server.rs
+++ b/crates/mintlb-admin/src/server.rs
@@ -1,5 +1,5 @@
-//! The sockets of the door. Operators must get their answer whatever else goes on, so the door has places of its
-//! own, and whoever has said nothing for longest goes first when they are all taken.
+//! The connections of the admin server. Operators must get replies under any load, so the server has a connection
+//! limit of its own, and closes the connection that has been idle for longest when the limit is reached.
 
 use crate::command::{Command, Reply};
 use slog::{Logger, debug, warn};
@@ -12,92 +12,95 @@
 use tokio::sync::{Notify, oneshot};
 use tokio::time::{Instant, sleep, timeout};
 
-/// What bounds the door.
+/// Limits of the admin server.
 #[derive(Clone, Copy, Debug)]
 pub struct ServerLimits {
-    /// Callers at once, at least 1.
+    /// Connections open at once; 0 counts as 1.
     pub max_connections: usize,
-    /// A call is whole by then, and its answer taken by then.
+    /// Time for a command to arrive and be carried out. The reply has to be received within an eighth of it.
     pub timeout: Duration,
 }
 
-/// Bytes of a call at the most: many times the longest.
-const LINE: usize = 256;
+/// Longest line of a command, many times the length of the longest command.
+const MAX_LINE_BYTES: usize = 256;
 
-/// A call, and where its answer goes.
+/// A command, and the channel for its reply.
 pub type PendingCommand = (Command, oneshot::Sender<Reply>);
 
+/// Passes operators' commands to a handler, and its replies back.
 pub struct AdminServer {
-    bounds: ServerLimits,
-    desk: UnboundedSender<PendingCommand>,
-    callers: Mutex<BTreeMap<u64, Caller>>,
-    left: Notify,
+    limits: ServerLimits,
+    handler: UnboundedSender<PendingCommand>,
+    connections: Mutex<BTreeMap<u64, Connection>>,
+    closed: Notify,
     log: Logger,
 }
 
-struct Caller {
-    /// When something last came of it.
-    heard: Instant,
-    /// Its call is whole: it only waits for us.
-    whole: bool,
-    sent_away: Arc<Notify>,
+struct Connection {
+    last_active: Instant,
+    /// The command line has arrived completely, so that the connection waits for the server alone.
+    is_complete: bool,
+    /// Notified to close the connection in favour of another.
+    evicted: Arc<Notify>,
 }
 
-/// Held by a caller for as long as it is here.
-struct Place<'a> {
-    door: &'a AdminServer,
+/// Removes a connection from the table when it is dropped.
+struct ConnectionGuard<'a> {
+    server: &'a AdminServer,
     number: u64,
-    sent_away: Arc<Notify>,
+    evicted: Arc<Notify>,
 }
 
-impl Drop for Place<'_> {
+impl Drop for ConnectionGuard<'_> {
     fn drop(&mut self) {
-        self.door.callers().remove(&self.number);
-        self.door.left.notify_one();
+        self.server.connections().remove(&self.number);
+        self.server.closed.notify_one();
     }
 }
 
 impl AdminServer {
     pub fn new(
-        bounds: ServerLimits,
-        desk: UnboundedSender<PendingCommand>,
+        limits: ServerLimits,
+        handler: UnboundedSender<PendingCommand>,
         log: Logger,
     ) -> Arc<AdminServer> {
-        let (callers, left) = Default::default();
+        let (connections, closed) = Default::default();
         Arc::new(AdminServer {
-            bounds,
-            desk,
-            callers,
-            left,
+            limits,
+            handler,
+            connections,
+            closed,
             log,
         })
     }
 
+    /// Accepts connections for ever.
     pub async fn listen(self: Arc<AdminServer>, listener: TcpListener) {
         let mut failing = false;
         for number in 0.. {
-            self.make_room().await;
+            self.wait_for_capacity().await;
             let accepted = listener.accept().await;
             match accepted {
                 Ok((stream, _)) => {
-                    let sent_away = Arc::new(Notify::new());
-                    let caller = Caller {
-                        heard: Instant::now(),
-                        whole: false,
-                        sent_away: sent_away.clone(),
+                    let evicted = Arc::new(Notify::new());
+                    let connection = Connection {
+                        last_active: Instant::now(),
+                        is_complete: false,
+                        evicted: evicted.clone(),
                     };
-                    self.callers().insert(number, caller);
-                    let door = self.clone();
+                    self.connections().insert(number, connection);
+                    let server = self.clone();
                     tokio::spawn(async move {
-                        door.serve(
-                            stream,
-                            Place {
-                                door: &door,
-                                number,
-                                sent_away,
-                            },
-                        )
-                        .await;
+                        server
+                            .serve(
+                                stream,
+                                ConnectionGuard {
+                                    server: &server,
+                                    number,
+                                    evicted,
+                                },
+                            )
+                            .await;
                     });
                     failing = false;
                 }
@@ -106,40 +109,43 @@
                         warn!(self.log, "an operator's connection could not be accepted"; "why" => %e);
                     }
                     failing = true;
-                    sleep(self.bounds.timeout / 128).await;
+                    sleep(self.limits.timeout / 128).await;
                 }
             }
         }
     }
 
-    fn callers(&self) -> MutexGuard<'_, BTreeMap<u64, Caller>> {
-        self.callers.lock().unwrap_or_else(PoisonError::into_inner)
+    fn connections(&self) -> MutexGuard<'_, BTreeMap<u64, Connection>> {
+        self.connections
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Waits until there is a place. Who has said nothing for longest goes, but nobody at once: a call that comes
-    /// right behind its connection must not lose to a crowd that says nothing.
-    async fn make_room(&self) {
-        let grace = self.bounds.timeout / 128;
-        while self.callers().len() >= self.bounds.max_connections.max(1) {
+    /// Waits until another connection fits. The one that has been idle for longest is closed, but none that was active
+    /// within the last `timeout` / 128: a command that follows its connection at once must not lose to many connections
+    /// that send nothing.
+    async fn wait_for_capacity(&self) {
+        let min_idle = self.limits.timeout / 128;
+        while self.connections().len() >= self.limits.max_connections.max(1) {
             {
-                let callers = self.callers();
-                let idle = callers
+                let connections = self.connections();
+                let idle = connections
                     .values()
-                    .filter(|c| !c.whole && c.heard.elapsed() >= grace);
-                idle.min_by_key(|c| c.heard)
+                    .filter(|c| !c.is_complete && c.last_active.elapsed() >= min_idle);
+                idle.min_by_key(|c| c.last_active)
                     .iter()
-                    .for_each(|c| c.sent_away.notify_one());
+                    .for_each(|c| c.evicted.notify_one());
             }
-            timeout(grace, self.left.notified()).await.ok();
+            timeout(min_idle, self.closed.notified()).await.ok();
         }
     }
 
-    async fn serve(&self, mut stream: TcpStream, place: Place<'_>) {
+    async fn serve(&self, mut stream: TcpStream, guard: ConnectionGuard<'_>) {
         let reply = tokio::select! {
-            reply = timeout(self.bounds.timeout, self.ask(&mut stream, place.number)) => {
+            reply = timeout(self.limits.timeout, self.handle_command(&mut stream, guard.number)) => {
                 reply.unwrap_or_else(|_| Some(Reply::Failure("no whole line came in time".to_string())))
             }
-            () = place.sent_away.notified() => {
+            () = guard.evicted.notified() => {
                 let why = Reply::Failure("too many callers, and no whole line came of this one".to_string());
                 stream.try_write(why.text().as_bytes()).ok();
                 None
@@ -147,60 +153,63 @@
         };
         let Some(reply) = reply else { return };
         if let Reply::Failure(why) = &reply {
-            debug!(self.log, "an operator's call failed"; "why" => why);
+            debug!(self.log, "operator command failed"; "why" => why);
         }
         let text = reply.text();
-        let say = async {
+        let send = async {
             stream.write_all(text.as_bytes()).await?;
             stream.shutdown().await?;
-            self.heard(place.number, false);
-            // Closed with bytes unread, it would be reset, and the answer lost on its way.
-            let mut rest = vec![0; LINE];
+            self.record_activity(guard.number, false);
+            // Closing with unread bytes would reset the connection, and the reply could be lost.
+            let mut rest = vec![0; MAX_LINE_BYTES];
             while stream.read(&mut rest).await? > 0 {}
             Ok::<(), std::io::Error>(())
         };
-        // Who stays after that gives way to others, too.
+        // A connection that the client keeps open after the reply may be evicted, too.
         tokio::select! {
-            _ = timeout(self.bounds.timeout / 8, say) => (),
-            () = place.sent_away.notified() => (),
+            _ = timeout(self.limits.timeout / 8, send) => (),
+            () = guard.evicted.notified() => (),
         }
     }
 
-    fn heard(&self, number: u64, whole: bool) {
-        if let Some(caller) = self.callers().get_mut(&number) {
-            (caller.heard, caller.whole) = (Instant::now(), whole);
+    fn record_activity(&self, number: u64, is_complete: bool) {
+        if let Some(connection) = self.connections().get_mut(&number) {
+            (connection.last_active, connection.is_complete) = (Instant::now(), is_complete);
         }
     }
 
-    /// Reads a call and has it answered; `None` if the caller left without one.
-    async fn ask(&self, stream: &mut TcpStream, number: u64) -> Option<Reply> {
+    /// Reads a command and has it carried out; `None` if the client closed the connection without sending one.
+    async fn handle_command(&self, stream: &mut TcpStream, number: u64) -> Option<Reply> {
         let mut line = Vec::new();
-        let mut piece = vec![0; LINE];
+        let mut chunk = vec![0; MAX_LINE_BYTES];
         let end = loop {
-            let n = stream.read(&mut piece).await.ok()?;
-            line.extend_from_slice(&piece[..n]);
+            let n = stream.read(&mut chunk).await.ok()?;
+            line.extend_from_slice(&chunk[..n]);
             match line.iter().position(|byte| *byte == b'\n') {
                 Some(end) => break end,
                 None if n == 0 && line.is_empty() => return None,
-                // A line that the end of what is sent ends, too.
+                // The end of the stream also ends the line.
                 None if n == 0 => break line.len(),
-                None if line.len() > LINE => break line.len(),
+                None if line.len() > MAX_LINE_BYTES => break line.len(),
                 None => {}
             }
-            self.heard(number, false);
+            self.record_activity(number, false);
         };
-        if end > LINE {
-            return Some(Reply::Failure(format!("a line of over {} bytes", LINE)));
+        if end > MAX_LINE_BYTES {
+            return Some(Reply::Failure(format!(
+                "a line of over {} bytes",
+                MAX_LINE_BYTES
+            )));
         }
-        let call = match Command::parse(&line[..end]) {
-            Ok(call) => call,
+        let command = match Command::parse(&line[..end]) {
+            Ok(command) => command,
             Err(why) => return Some(Reply::Failure(why)),
         };
-        self.heard(number, true);
-        let (answer, answered) = oneshot::channel();
-        self.desk.send((call, answer)).ok();
+        self.record_activity(number, true);
+        let (reply_sender, reply) = oneshot::channel();
+        self.handler.send((command, reply_sender)).ok();
         Some(
-            answered
+            reply
                 .await
                 .unwrap_or_else(|_| Reply::Failure("the scheduler is ending".to_string())),
         )
--- a/crates/mintlb-admin/tests/wire_fixtures.rs
+++ b/crates/mintlb-admin/tests/wire_fixtures.rs
@@ -1,5 +1,5 @@
-//! The operators' calls and their answers, as bytes. Operators' scripts go by them, so that a change of the source, such as
-//! a renaming, must leave them as they are in `fixtures/`.
+//! Bytes of the operators' commands and the replies. Operators' scripts depend on them, so that no change of the
+//! source may change the bytes in `fixtures/`.
 
 #[path = "../../mintlb-scheduler/tests/fixture/mod.rs"]
 mod fixture;
@@ -17,19 +17,25 @@
 ];
 
 #[test]
-fn calls_are_written_as_in_the_fixtures() {
-    let word = |call: Command| COMMANDS.iter().find(|(_, known)| *known == call).unwrap().0;
+fn commands_are_written_as_in_the_fixtures() {
+    let text_of = |command: Command| {
+        COMMANDS
+            .iter()
+            .find(|(_, known)| *known == command)
+            .unwrap()
+            .0
+    };
     fixture::check(
         LINES,
-        &NAMED.map(|(name, call)| (name, word(call).as_bytes().to_vec())),
+        &NAMED.map(|(name, command)| (name, text_of(command).as_bytes().to_vec())),
     );
-    assert_eq!(COMMANDS.len(), NAMED.len(), "a call without a fixture");
+    assert_eq!(COMMANDS.len(), NAMED.len(), "a command without a fixture");
 }
 
 #[test]
-fn the_fixtures_are_read_as_the_same_calls() {
-    let held = fixture::read(LINES);
-    let read: Vec<_> = held
+fn fixtures_are_parsed_as_the_same_commands() {
+    let stored = fixture::read(LINES);
+    let read: Vec<_> = stored
         .iter()
         .map(|(name, line)| (*name, Command::parse(line).unwrap()))
         .collect();
--- a/crates/mintlb-bench-adapter/tests/wire.rs
+++ b/crates/mintlb-bench-adapter/tests/wire.rs
@@ -1,4 +1,4 @@
-//! The adapter as the bench starts it: bytes in, bytes or a plain message out.
+//! The adapter as the bench runs it: frames on standard input, replies on standard output or an error message.
 
 use std::io::Write;
 use std::process::{Command, Stdio};
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn frames_and_plain_messages() {
+fn frames_get_replies_or_error_messages() {
     let power_on = |n: u32| {
         [
             &[26, 0, 3][..],
@@ -32,56 +32,56 @@
         ]
         .concat()
     };
-    let missing = b"balancers=3\nsurprise=1\n";
-    let odd = b"balancers=many\n";
+    let missing_settings = b"balancers=3\nsurprise=1\n";
+    let invalid_settings = b"balancers=many\n";
     let empty_reply = [0, 0, 0, 1, 0, 0, 0, 4, 0, 0, 0, 0];
     let cases: [(&str, Vec<u8>, &[u8], &str); 9] = [
         ("end of input", vec![], &[], ""),
         ("an empty batch", batch(&[], &[]), &empty_reply, ""),
         (
-            "a header cut short",
+            "truncated header",
             vec![0; 9],
             &[],
             "truncated frame: the header ends after 9 of 16 bytes",
         ),
         (
-            "a body cut short",
+            "truncated body",
             batch(&[&[20, 0, 0]], &[])[..40].to_vec(),
             &[],
             "batch 1: truncated frame",
         ),
         (
-            "a code of no event",
+            "unknown event code",
             batch(&[&[99, 0, 3]], &[]),
             &[],
             "event 0: event code 99 for scheduler 3",
         ),
         (
-            "a setting missing",
-            batch(&[&power_on(23)], missing),
+            "missing setting",
+            batch(&[&power_on(23)], missing_settings),
             &[],
             "the setting rules.cold_from is missing",
         ),
         (
-            "a setting unreadable",
-            batch(&[&power_on(15)], odd),
+            "invalid setting",
+            batch(&[&power_on(15)], invalid_settings),
             &[],
             "the setting balancers=many cannot be read",
         ),
         (
-            "a tail too short",
-            batch(&[&power_on(99)], odd),
+            "range outside the tail",
+            batch(&[&power_on(99)], invalid_settings),
             &[],
             "lie outside the tail",
         ),
         (
-            "halting nobody",
+            "stop of a scheduler that does not run",
             batch(&[&[20, 0, 3]], &[]),
             &empty_reply,
             "",
         ),
     ];
-    for (shown, input, reply, message) in cases {
+    for (case, input, reply, message) in cases {
         let mut adapter = Command::new(env!("CARGO_BIN_EXE_mintlb-bench-adapter"))
             .stdin(Stdio::piped())
             .stdout(Stdio::piped())
@@ -90,12 +90,12 @@
             .unwrap();
         adapter.stdin.take().unwrap().write_all(&input).unwrap();
         let out = adapter.wait_with_output().unwrap();
-        let said = String::from_utf8(out.stderr).unwrap();
-        assert_eq!(out.stdout, reply, "{shown}");
-        assert_eq!(out.status.success(), message.is_empty(), "{shown}: {said}");
+        let error = String::from_utf8(out.stderr).unwrap();
+        assert_eq!(out.stdout, reply, "{case}");
+        assert_eq!(out.status.success(), message.is_empty(), "{case}: {error}");
         assert!(
-            said.contains(message) && !said.contains("panic"),
-            "{shown}: {said}"
+            error.contains(message) && !error.contains("panic"),
+            "{case}: {error}"
         );
     }
 }
--- a/crates/mintlb-scheduler/benches/decisions.rs
+++ b/crates/mintlb-scheduler/benches/decisions.rs
@@ -1,6 +1,6 @@
-//! What the decisions cost by the size of the fleet, without sockets: `cargo bench -p mintlb-scheduler`.
+//! Time of the decisions by the size of the fleet, without sockets: `cargo bench -p mintlb-scheduler`.
 //!
-//! Each fleet is met: every worker was sent work before, so each is ranked by itself.
+//! All workers were sent work before, so that each is ranked individually.
 
 use criterion::{BatchSize, BenchmarkId, Criterion, criterion_group, criterion_main};
 use mintlb_scheduler::decide::{FairShares, Fleet, ListPolling, Queues, RetryPolicy, Scheduler};
@@ -13,11 +13,11 @@
 use std::hint::black_box;
 use std::rc::Rc;
 
-/// Takes note of what was sent last.
+/// Records the allocation that was sent last.
 #[derive(Default)]
-struct Sent(Option<(u64, u16)>);
+struct LastSent(Option<(u64, u16)>);
 
-impl Host for Sent {
+impl Host for LastSent {
     fn allocate(&mut self, alloc: &Allocation) {
         self.0 = alloc.work_unit.upgrade().map(|wu| (wu.id, alloc.number));
     }
@@ -30,14 +30,14 @@
     fn log(&mut self, _: &str) {}
 }
 
-struct Bench {
+struct BenchScheduler {
     scheduler: Scheduler,
-    door: Sent,
+    host: LastSent,
     now: f64,
     next: u64,
 }
 
-fn line(id: u64, started_at: f64) -> ListEntry {
+fn entry(id: u64, started_at: f64) -> ListEntry {
     let (zone, cell, machine_kind) = ((id % 3) as u16, 0, (id % 2) as u16);
     ListEntry {
         id,
@@ -51,9 +51,9 @@
     }
 }
 
-impl Bench {
-    /// A scheduler that has sent work to each of so many workers.
-    fn new(workers: u64) -> Bench {
+impl BenchScheduler {
+    /// A scheduler that has sent work to each of this number of workers.
+    fn new(workers: u64) -> BenchScheduler {
         let effects = [Idempotency::Idempotent, Idempotency::NonIdempotent];
         let types = effects.map(|idempotency| ProjectType {
             credit: 1.0,
@@ -64,7 +64,7 @@
             idempotency,
             machine_kind: None,
         });
-        let cold = SlowStart {
+        let slow_start = SlowStart {
             initial_share: 0.3,
             duration: 9.0,
             overload_multiple: 3.0,
@@ -75,30 +75,30 @@
             cross_zone: 0.02,
             peer_message: None,
         };
-        let fleet = Fleet::new(cold, 0, true, costs, &types);
-        let repeats = RetryPolicy {
+        let fleet = Fleet::new(slow_start, 0, true, costs, &types);
+        let retry_policy = RetryPolicy {
             parallel_attempts: true,
             may_cancel: true,
             max_allocations: 3,
         };
-        let chain = (
+        let stages = (
             FairShares::new(&[]),
             Queues::new(types.to_vec(), 1.0, 2.0),
-            repeats,
+            retry_policy,
             fleet,
         );
-        let scheduler = Scheduler::new(Rng::new(7), chain, ListPolling::default());
-        let mut bench = Bench {
+        let scheduler = Scheduler::new(Rng::new(7), stages, ListPolling::default());
+        let mut bench = BenchScheduler {
             scheduler,
-            door: Sent::default(),
+            host: LastSent::default(),
             now: 100.0,
             next: 0,
         };
-        let lines: Vec<ListEntry> = (0..workers).map(|id| line(id, 0.0)).collect();
+        let entries: Vec<ListEntry> = (0..workers).map(|id| entry(id, 0.0)).collect();
         bench
             .scheduler
-            .on_list_update(&mut bench.door, bench.now, ListUpdate::Full(&lines));
-        // Kept until all have some, so that no worker is sent a second.
+            .on_list_update(&mut bench.host, bench.now, ListUpdate::Full(&entries));
+        // All work runs until each worker has some, so that none is sent a second work unit.
         let out: Vec<_> = (0..workers).filter_map(|_| bench.send()).collect();
         for (wu, alloc) in out {
             bench.done(&wu, &alloc);
@@ -117,18 +117,18 @@
             self.now,
             3.0,
         );
-        self.door.0 = None;
-        self.scheduler.on_arrival(&mut self.door, self.now, &wu);
-        let alloc = self.door.0.and_then(|(_, number)| wu.allocation(number))?;
-        self.scheduler.on_start(&mut self.door, self.now, &alloc);
+        self.host.0 = None;
+        self.scheduler.on_arrival(&mut self.host, self.now, &wu);
+        let alloc = self.host.0.and_then(|(_, number)| wu.allocation(number))?;
+        self.scheduler.on_start(&mut self.host, self.now, &alloc);
         Some((wu, alloc))
     }
 
     fn done(&mut self, wu: &Rc<WorkUnit>, alloc: &Rc<Allocation>) {
         self.now += 1e-5;
         self.scheduler
-            .on_outcome(&mut self.door, self.now, alloc, Outcome::Completed, true);
-        self.scheduler.on_timer(&mut self.door, self.now);
+            .on_outcome(&mut self.host, self.now, alloc, Outcome::Completed, true);
+        self.scheduler.on_timer(&mut self.host, self.now);
         black_box(wu);
     }
 }
@@ -137,7 +137,7 @@
     let mut group = c.benchmark_group("decisions");
     group.sample_size(20);
     for workers in [8, 500, 2000, 10_000] {
-        let mut bench = Bench::new(workers);
+        let mut bench = BenchScheduler::new(workers);
         group.bench_function(
             BenchmarkId::new("arrival, start and outcome", workers),
             |b| {
@@ -148,7 +148,7 @@
                 });
             },
         );
-        // One in a hundred has started anew.
+        // One worker in a hundred has restarted.
         let mut started_at = 1.0;
         group.bench_function(BenchmarkId::new("list change of 1 %", workers), |b| {
             b.iter_batched(
@@ -156,14 +156,14 @@
                     started_at += 1.0;
                     (0..workers)
                         .step_by(100)
-                        .map(|id| line(id, started_at))
+                        .map(|id| entry(id, started_at))
                         .collect::<Vec<_>>()
                 },
-                |lines| {
+                |entries| {
                     bench.scheduler.on_list_update(
-                        &mut bench.door,
+                        &mut bench.host,
                         bench.now,
-                        ListUpdate::Changes(&lines),
+                        ListUpdate::Changes(&entries),
                     )
                 },
                 BatchSize::SmallInput,
--- a/crates/mintlb-scheduler/src/decide.rs
+++ b/crates/mintlb-scheduler/src/decide.rs
@@ -1,10 +1,16 @@
-//! All decisions of mintlb. A front makes a `Scheduler`, calls it (`power_on`, `news`, `told`, `arrived`,
-//! `started`, `came_back`, `left`, `woke`; to end, `give_up`) and does what it asks for through the `Door`
-//! (lib.rs, with the nouns); the clock is each call's `now`. Work passes `Shares`, waits in `Buffers`, passes
-//! `Repeats` (may it go there?), leaves by `Fleet` (who has room); an outcome runs back. `press` is the
-//! rule: workers with room, most room first; for each the runnable buffer of highest alpha x rate x length.
+//! The scheduler: all decisions about which work unit is sent to which worker, and when.
+//!
+//! The host calls the `on_...` methods of [`Scheduler`] for each event and carries out what the scheduler requests
+//! through [`Host`]. The scheduler has no clock of its own: each call gets the time as `now`.
+//!
+//! A work unit is charged to its customer's share ([`FairShares`]), waits in one of the [`Queues`], and is sent to a
+//! worker of the [`Fleet`] with headroom, as far as the [`RetryPolicy`] permits. `dispatch` applies the max-pressure
+//! rule: the workers with headroom are served in order of their speed, each from the queue with the highest pressure,
+//! which is weight x service rate x length.
+//!
+//! Short names in this file: `w` is a worker, `wu` a work unit and `t` a project type.
 
-mod terms;
+mod reconfigure;
 use crate::peer_message::{self, PeerMessage};
 use crate::peers::Peers;
 use crate::util::{DecayingMean, Rng, StartDelays, TIMER_TOLERANCE_S, TimerQueue, median};
@@ -17,84 +23,87 @@
 use std::collections::BTreeMap;
 use std::rc::{Rc, Weak};
 
-enum Due {
-    Limit(Weak<WorkUnit>),    // Its client gives up.
-    Patience(Weak<WorkUnit>), // It has no hope left where it waits.
-    Start(Weak<Allocation>),  // It should have started.
-    Ask,
-    Tell,
-    Round, // The periodic look for room that only time or others bring: trials, cold budgets, words.
+enum Timer {
+    Deadline(Weak<WorkUnit>),       // The client of the work unit gives up.
+    QueueTimeout(Weak<WorkUnit>),   // The work unit can no longer complete in time from the queue.
+    StartOverdue(Weak<Allocation>), // The allocation should have started.
+    RequestList,
+    SendPeerMessage,
+    Redispatch, // Periodic, for headroom that appears without an event: trials of suspects, cold budgets, peer messages.
 }
 
-/// Customers: work beyond a share earns `excess_credit`, and alpha knows it. A share is a customer's part of
-/// all quotas, against its part of our own work: how much of a quota is ours can't be seen.
+/// Customers' shares: work beyond its customer's share waits in a queue of lower weight (`excess_credit`). A share is
+/// the customer's fraction of all quotas, and applies to this scheduler's own work, as that of others is not known.
 pub struct FairShares {
-    parts: Vec<f64>,
-    left: Vec<f64>, // What each customer may still send within its part.
+    fractions: Vec<f64>,
+    tokens: Vec<f64>, // Token bucket of each customer: work units that it may still send within its share.
 }
 
-const AHEAD: f64 = 4.0; // So many work units a customer may be ahead of its part.
+const MAX_TOKENS: f64 = 4.0; // Burst of a customer: work units that it may be ahead of its share.
+
 impl FairShares {
     pub fn new(quotas: &[f64]) -> FairShares {
         let all = quotas.iter().sum::<f64>().max(f64::MIN_POSITIVE);
         FairShares {
-            parts: quotas.iter().map(|q| q / all).collect(),
-            left: vec![AHEAD; quotas.len()],
+            fractions: quotas.iter().map(|q| q / all).collect(),
+            tokens: vec![MAX_TOKENS; quotas.len()],
         }
     }
 
-    fn pass(&mut self, wu: &WorkUnit) {
-        let Some(c) = wu.customer.filter(|&c| c < self.parts.len()) else {
+    fn charge(&mut self, wu: &WorkUnit) {
+        let Some(c) = wu.customer.filter(|&c| c < self.fractions.len()) else {
             return;
         };
-        self.left
+        self.tokens
             .iter_mut()
-            .zip(&self.parts)
-            .for_each(|(left, part)| *left = (*left + part).min(AHEAD));
-        wu.excess.set(self.left[c] < 1.0);
-        self.left[c] -= if wu.excess.get() { 0.0 } else { 1.0 };
+            .zip(&self.fractions)
+            .for_each(|(tokens, fraction)| *tokens = (*tokens + fraction).min(MAX_TOKENS));
+        wu.over_share.set(self.tokens[c] < 1.0);
+        self.tokens[c] -= if wu.over_share.get() { 0.0 } else { 1.0 };
     }
 }
 
-/// The buffers, first come first served: one a project type, and one beside it for work past a share.
+/// FIFO queues: two for each project type, for work within and beyond its customer's share.
 pub struct Queues {
     types: Vec<ProjectType>,
-    served: Vec<bool>, // Of these new work may be; the others are kept for work that came before.
+    served: Vec<bool>, // Project types that are configured now; the others remain for work that arrived before.
     excess_credit: f64,
-    most_come_back: f64, // How long clients heed advice on when to come back; 0 where they get none.
-    queues: Vec<Queue>,
-    running: Vec<f64>, // Smoothed running time of each project type over all workers.
+    max_retry_after: f64, // Longest `Retry-After` that clients respect, in seconds; 0 if they get none.
+    queues: Vec<Queue>, // At 2 x project type, and at 2 x project type + 1 for work beyond a share.
+    run_times: Vec<f64>, // Smoothed run time of each project type over all workers, in seconds.
 }
 
-const LOOK: usize = 8; // So far into a buffer a runnable work unit is looked for: others must not block it.
-const UNHEARD: f64 = 1.0 / 16.0; // Until it is heard of, a type is taken to run for this part of its limit.
+const MAX_SCANNED: usize = 8; // Work units examined in a queue, so that one which may not run does not block it.
+/// Until a run time is known, this share of the hard limit or the promised turnaround is assumed, whichever is longer.
+const INITIAL_RUN_TIME_SHARE: f64 = 1.0 / 16.0;
 
 impl Queues {
-    pub fn new(types: Vec<ProjectType>, excess_credit: f64, most_come_back: f64) -> Queues {
+    pub fn new(types: Vec<ProjectType>, excess_credit: f64, max_retry_after: f64) -> Queues {
         let queues = types
             .iter()
             .flat_map(|_| [Queue::default(), Queue::default()])
             .collect();
-        let (running, served) = (
-            types.iter().map(Queues::unheard).collect(),
+        let (run_times, served) = (
+            types.iter().map(Queues::initial_run_time).collect(),
             vec![true; types.len()],
         );
         Queues {
             types,
             served,
             excess_credit,
-            most_come_back,
+            max_retry_after,
             queues,
-            running,
+            run_times,
         }
     }
 
-    fn unheard(t: &ProjectType) -> f64 {
-        t.promised_turnaround.max(t.hard_limit * UNHEARD)
+    fn initial_run_time(t: &ProjectType) -> f64 {
+        t.promised_turnaround
+            .max(t.hard_limit * INITIAL_RUN_TIME_SHARE)
     }
 
-    /// The weight of a buffer: the credit, 1 where none is set, less past a share.
-    fn alpha(&self, queue: usize) -> f64 {
+    /// Weight of a queue: the credit of its project type, or 1 if that is 0; times `excess_credit` beyond a share.
+    fn weight(&self, queue: usize) -> f64 {
         let credit = self.types[queue / 2].credit;
         let credit = if credit > 0.0 { credit } else { 1.0 };
         if queue % 2 == 1 {
@@ -104,34 +113,37 @@
         }
     }
 
-    /// Past this moment waiting work is given up: its promise is over, or the time left is what it takes to
-    /// run. Longer patience makes fresh work wait behind stale work, and on crowded days all of it is late.
-    fn hope(&self, wu: &WorkUnit) -> f64 {
+    /// When a queued work unit is given up: its promised turnaround is over, or the time left is what it takes to run.
+    /// If work waited longer, new work would wait behind it, and under overload all of it would be late.
+    fn give_up_at(&self, wu: &WorkUnit) -> f64 {
         let t = &self.types[wu.project_type];
-        let takes = self.running[wu.project_type].min(t.hard_limit / 4.0);
-        (wu.arrived_at + t.promised_turnaround).min(wu.deadline - takes)
+        let run_time = self.run_times[wu.project_type].min(t.hard_limit / 4.0);
+        (wu.arrived_at + t.promised_turnaround).min(wu.deadline - run_time)
     }
 
-    /// How long work may be kept from its start: a promise that is stretched by the running time leaves
-    /// that much more, and the part of the credit that is still earned late makes it less pressing.
-    fn bearable(&self, project_type: usize) -> f64 {
+    /// How long the start of a work unit may be delayed. A turnaround that is stretched by the run time leaves more
+    /// time, and so does credit that is earned late; `INITIAL_RUN_TIME_SHARE` only bounds the divisor here.
+    fn max_delay(&self, project_type: usize) -> f64 {
         let t = &self.types[project_type];
         let in_time = t.promised_turnaround
-            + (t.turnaround_stretch - 1.0).max(0.0) * self.running[project_type];
-        in_time / (1.0 - t.late_credit).max(UNHEARD)
+            + (t.turnaround_stretch - 1.0).max(0.0) * self.run_times[project_type];
+        in_time / (1.0 - t.late_credit).max(INITIAL_RUN_TIME_SHARE)
     }
 }
 
-/// Rule 2: what may be sent again, and where.
+/// Rule 2: which work units may be sent again, and to which workers.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RetryPolicy {
+    /// Whether a work unit may be in flight at several workers at once.
     pub parallel_attempts: bool,
+    /// Whether allocations in flight may be cancelled.
     pub may_cancel: bool,
+    /// Limit of the allocations of one work unit.
     pub max_allocations: usize,
 }
 
 impl RetryPolicy {
-    /// Whether an outcome, or none yet, leaves open that the work was done; one called off leaves it, too.
+    /// Whether an allocation may have run, given its outcome if there is one. A cancelled one may have.
     fn may_have_run(outcome: Option<Outcome>) -> bool {
         !matches!(
             outcome,
@@ -139,16 +151,17 @@
         )
     }
 
-    /// May this work unit go to this worker now?
-    fn pass(&self, now: f64, effect: Idempotency, wu: &WorkUnit, worker: &Worker) -> bool {
-        let allocs = wu.allocs.borrow();
-        let out = |a: &&Rc<Allocation>| a.outcome.get().is_none();
-        let there = allocs
+    /// Whether this work unit may be sent to this worker now.
+    fn permits(&self, now: f64, idempotency: Idempotency, wu: &WorkUnit, worker: &Worker) -> bool {
+        let allocs = wu.allocations.borrow();
+        let is_open = |a: &&Rc<Allocation>| a.outcome.get().is_none();
+        let is_there = allocs
             .iter()
-            .filter(out)
+            .filter(is_open)
             .any(|a| std::ptr::eq(&*a.worker, worker));
-        let spent = wu.ended.get() || allocs.len() >= self.max_allocations.min(wu.most.get());
-        if spent || there || !self.parallel_attempts && allocs.iter().any(|a| out(&a)) {
+        let exhausted =
+            wu.ended.get() || allocs.len() >= self.max_allocations.min(wu.max_allocations.get());
+        if exhausted || is_there || !self.parallel_attempts && allocs.iter().any(|a| is_open(&a)) {
             return false;
         }
         let Some(first) = allocs
@@ -158,7 +171,7 @@
             return true;
         };
         let (a, b) = (&first.worker.entry, &worker.entry);
-        match effect {
+        match idempotency {
             Idempotency::Idempotent => true,
             Idempotency::NonIdempotent => false,
             Idempotency::Deduplicated { window, .. } if now >= first.sent_at + window => false,
@@ -177,316 +190,340 @@
         }
     }
 
-    /// May it be deferred, that is, is a client's repeat harmless?
-    fn harmless(&self, effect: Idempotency, wu: &WorkUnit) -> bool {
-        match effect {
+    /// Whether the work unit may be deferred, that is, whether a repeat by its client is harmless.
+    fn is_deferrable(&self, idempotency: Idempotency, wu: &WorkUnit) -> bool {
+        match idempotency {
             Idempotency::Idempotent
             | Idempotency::Deduplicated {
                 scope: DedupScope::All,
                 ..
             } => true,
             _ => !wu
-                .allocs
+                .allocations
                 .borrow()
                 .iter()
                 .any(|a| RetryPolicy::may_have_run(a.outcome.get())),
         }
     }
 
-    /// Calls off, where permitted, all allocations still out but `kept`.
-    fn call_off(&self, door: &mut dyn Host, wu: &WorkUnit, kept: Option<&Rc<Allocation>>) {
-        let allocs = wu.allocs.borrow();
-        let out = allocs
+    /// Cancels all allocations in flight except `kept`, if cancelling is permitted.
+    fn cancel_others(&self, host: &mut dyn Host, wu: &WorkUnit, kept: Option<&Rc<Allocation>>) {
+        let allocs = wu.allocations.borrow();
+        let open = allocs
             .iter()
             .filter(|a| self.may_cancel && a.outcome.get().is_none());
-        out.filter(|a| kept.is_none_or(|k| !Rc::ptr_eq(a, k)))
-            .for_each(|a| door.cancel(a));
+        open.filter(|a| kept.is_none_or(|k| !Rc::ptr_eq(a, k)))
+            .for_each(|a| host.cancel(a));
     }
 }
 
-/// The workers: the list, room, rates, health.
+/// The workers, and what is known of their headroom, speed and health.
 #[derive(Default)]
 pub struct Fleet {
-    cold: SlowStart,
+    slow_start: SlowStart,
     zone: u16,
-    tells_start: bool,
-    far: f64,     // What room in another zone counts.
-    peers: Peers, // What schedulers tell one another of what they hold, and whether they do.
-    shares: bool,
-    told: bool,   // A worker has told of free slots.
-    promise: f64, // The shortest promised turnaround.
+    reports_starts: bool, // Workers report when an allocation starts.
+    zone_factor: f64,     // Factor of the headroom of workers in other zones.
+    peers: Peers,
+    shares_load: bool, // Schedulers tell each other how many slots they hold at each worker.
+    reports_slots: bool, // Some worker has reported its free slots.
+    min_turnaround: f64, // Shortest promised turnaround, in seconds.
     workers: WorkerIndex,
-    lanes: f64, // The most seen at one worker: ours running at once, or free ones told.
-    zones: BTreeMap<u16, StartDelays>, // What is known of a zone, as few workers are met often.
-    unstarted: Vec<Rc<Allocation>>, // Ours that have not started, all workers together.
-    window: f64, // How many of those there may be.
-    failing: DecayingMean, // The share of failures over all.
-    trials: Vec<f64>, // By project type: how long a suspect rests; when what was last lost had been sent.
-    doubts: Vec<f64>,
+    max_slots: f64, // The most slots observed at any worker: running for this scheduler at once, or reported as free.
+    /// Start delays by zone, as a scheduler seldom uses the same worker of a large fleet.
+    zones: BTreeMap<u16, StartDelays>,
+    unstarted: Vec<Rc<Allocation>>, // Allocations of this scheduler that have not started, at all workers.
+    start_window: f64,              // Limit of the number of unstarted allocations.
+    failure_rate: DecayingMean,     // Share of failures among all outcomes.
+    trial_intervals: Vec<f64>,      // By project type: seconds between two trials of a suspect.
+    last_lost: Vec<f64>, // By project type: send time of the allocation that was last marked as lost.
 }
 
-const LATE: f64 = 0.2; // A late start takes this part of the shortest promise beyond twice the quickest.
-const CROSSING: f64 = 32.0; // Room in another zone counts the less, the more points it costs to cross.
-const WORDS: f64 = 128.0; // All schedulers' words, each on what changed, in a shortest promise.
-const DEAR: f64 = 1.0 / 64.0; // Where words cost more points a work unit, nobody tells anything.
-const CLEAR: f64 = 0.9; // Reports are a little noisy: this part of the most free slots told is believed.
-const PRIOR: f64 = 4.0; // Rates start as if so many work units had been heard at the usual speed.
-const MEMORY: f64 = 16.0; // So many work units of a worker, or usual running times, are remembered.
-const MANY: f64 = 16.0; // From so many schedulers on, their questions for the list spread over more time.
-const SLOWLY: f64 = 1.0 / 32.0; // What is learned over many workers moves by this part a work unit.
-const FAILED: f64 = 0.25; // One outcome's weight in a worker's share of failures.
-const SUSPECT: f64 = 0.2; // So far over the median makes a suspect.
-const TRIAL: f64 = 12.0; // A failed suspect's next trial waits so many shortest promises.
-const LANES: f64 = 2.0; // Any worker is taken to have so many.
-const PROMISE: [f64; 2] = [0.01, 10.0]; // Within these seconds it is believed: the rounds hang on it.
-const COLD: f64 = 1.0 / 3.0; // This part of what rule 4 allows is used, as work and chance are not even.
-const SPREAD: f64 = 0.5; // Where all see the same, chance moves a worker's rank by up to this part.
-const WINDOW: f64 = 8.0; // The window of unstarted work, at the most.
+/// A start is late after twice the zone's shortest start delay plus this share of the shortest promised turnaround.
+const LATE_START_SHARE: f64 = 0.2;
+/// Divisor of the headroom in another zone: 1 + this x the cost of a cross-zone allocation in points.
+const CROSS_ZONE_PENALTY: f64 = 32.0;
+/// Messages sent by all schedulers together within the shortest promised turnaround.
+const MESSAGES_PER_TURNAROUND: f64 = 128.0;
+/// Schedulers exchange no messages if these would cost this many points or more for each work unit.
+const MAX_MESSAGE_COST: f64 = 1.0 / 64.0;
+const REPORTED_SLOTS_SHARE: f64 = 0.9; // Share of the most free slots reported that counts, as reports are noisy.
+/// Weight, in work units, of the prior (the fleet's usual value) in a worker's run times.
+const PRIOR_WEIGHT: f64 = 4.0;
+/// Memory of a worker's run times in work units, and of a zone's start delays in mean run times.
+const RUN_TIME_MEMORY: f64 = 16.0;
+/// Beyond this number of schedulers their list requests are spread over more time.
+const LIST_SPREAD_SCHEDULERS: f64 = 16.0;
+const FLEET_GAIN: f64 = 1.0 / 32.0; // Weight of one work unit in means over many workers.
+const FAILURE_GAIN: f64 = 0.25; // Weight of one outcome in a worker's failure rate.
+/// A worker becomes a suspect if its failure rate exceeds the fleet's median by more than this plus the mean rate.
+const SUSPECT_MARGIN: f64 = 0.2;
+/// Seconds between two trials of a suspect, in multiples of the shortest promised turnaround.
+const TRIAL_TURNAROUNDS: f64 = 12.0;
+const MIN_SLOTS: f64 = 2.0; // Slots that each worker is assumed to have at least.
+/// Range of the shortest promised turnaround in seconds; timer intervals are derived from it.
+const TURNAROUND_BOUNDS_S: [f64; 2] = [0.01, 10.0];
+/// Share of the rate allowed by rule 4 that is used, as run times and random choices are uneven.
+const COLD_BUDGET_SHARE: f64 = 1.0 / 3.0;
+const RANK_JITTER: f64 = 0.5; // Random variation of a worker's rank when all schedulers know the same load.
+const MAX_START_WINDOW: f64 = 8.0; // Upper bound of `start_window`.
 
 impl Fleet {
     pub fn new(
-        cold: SlowStart,
+        slow_start: SlowStart,
         zone: u16,
-        tells_start: bool,
+        reports_starts: bool,
         costs: Costs,
         types: &[ProjectType],
     ) -> Fleet {
-        let (lanes, window, doubts) = (LANES, WINDOW, vec![f64::MIN; types.len()]);
+        let (max_slots, start_window, last_lost) =
+            (MIN_SLOTS, MAX_START_WINDOW, vec![f64::MIN; types.len()]);
         let mut fleet = Fleet {
-            cold,
+            slow_start,
             zone,
-            tells_start,
-            doubts,
-            lanes,
-            window,
+            reports_starts,
+            last_lost,
+            max_slots,
+            start_window,
             ..Fleet::default()
         };
-        fleet.cost(costs);
-        fleet.measure(types, &vec![true; types.len()]);
+        fleet.set_costs(costs);
+        fleet.set_intervals(types, &vec![true; types.len()]);
         fleet
     }
 
-    fn cost(&mut self, costs: Costs) {
-        // Each work unit is told of twice, when it is sent and when it has ended.
-        let words = (self.cold.scheduler_count - 1.0) * 2.0 * peer_message::ENTRY_BYTES as f64
-            / peer_message::MAX_BYTES as f64;
-        self.shares = costs
+    fn set_costs(&mut self, costs: Costs) {
+        // Each work unit is reported twice, when it is sent and when it has ended.
+        let messages =
+            (self.slow_start.scheduler_count - 1.0) * 2.0 * peer_message::ENTRY_BYTES as f64
+                / peer_message::MAX_BYTES as f64;
+        self.shares_load = costs
             .peer_message
-            .is_some_and(|points| points * words < DEAR);
-        self.far = 1.0 / (1.0 + CROSSING * costs.cross_zone);
-        self.peers.allow(self.shares, &self.workers);
+            .is_some_and(|points| points * messages < MAX_MESSAGE_COST);
+        self.zone_factor = 1.0 / (1.0 + CROSS_ZONE_PENALTY * costs.cross_zone);
+        self.peers.set_enabled(self.shares_load, &self.workers);
     }
 
-    /// The times that hang on the project types.
-    fn measure(&mut self, types: &[ProjectType], served: &[bool]) {
-        let promises = types
+    /// Sets the times that depend on the project types.
+    fn set_intervals(&mut self, types: &[ProjectType], served: &[bool]) {
+        let turnarounds = types
             .iter()
             .zip(served)
             .filter(|(_, s)| **s)
             .map(|(t, _)| t.promised_turnaround);
-        self.promise = promises.fold(PROMISE[1], f64::min).max(PROMISE[0]);
-        self.peers.longest = types.iter().map(|t| t.hard_limit).fold(0.0, f64::max);
-        // A trial that fails must not often cost work that can't be repeated.
-        let dear = |t: &ProjectType| t.idempotency == Idempotency::NonIdempotent;
-        let rests = types.iter().map(|t| {
-            if dear(t) {
+        self.min_turnaround = turnarounds
+            .fold(TURNAROUND_BOUNDS_S[1], f64::min)
+            .max(TURNAROUND_BOUNDS_S[0]);
+        self.peers.max_work_duration = types.iter().map(|t| t.hard_limit).fold(0.0, f64::max);
+        // A failed trial must not often cost work that can't be repeated.
+        let non_idempotent = |t: &ProjectType| t.idempotency == Idempotency::NonIdempotent;
+        let intervals = types.iter().map(|t| {
+            if non_idempotent(t) {
                 t.hard_limit
             } else {
-                TRIAL * self.promise
+                TRIAL_TURNAROUNDS * self.min_turnaround
             }
         });
-        self.trials = rests.collect();
+        self.trial_intervals = intervals.collect();
     }
 
-    /// One line of the list. A worker with a new start time is a new one: old knowledge is void, and what
-    /// the old process held counts no more. `debt` spreads the schedulers' first sends to a cold worker.
-    fn listed(&mut self, now: f64, line: &ListEntry, types: usize, debt: f64, inherited: bool) {
-        if let Some(w) = self.workers.get(line.id).cloned() {
-            let same = line.state == ListState::Ready && w.entry.started_at == line.started_at;
-            if same || line.state == ListState::Draining {
-                return w.state.set(line.state);
+    /// Applies one entry of the worker list. A worker with a new start time is a new process: what was known of the old
+    /// one no longer holds, nor do the slots held there. `debt` spreads the schedulers' first sends to a cold worker.
+    fn update(&mut self, now: f64, entry: &ListEntry, types: usize, debt: f64, inherited: bool) {
+        if let Some(w) = self.workers.get(entry.id).cloned() {
+            let same = entry.state == ListState::Ready && w.entry.started_at == entry.started_at;
+            if same || entry.state == ListState::Draining {
+                return w.state.set(entry.state);
             }
-            self.workers.strike(&w);
+            self.workers.remove(&w);
         }
-        if line.state != ListState::Gone {
-            let allowance = self
+        if entry.state != ListState::Gone {
+            let concurrency_limit = self
                 .workers
-                .allowance()
-                .with_prior(self.lanes, f64::MIN_POSITIVE);
-            // What the one before this process may have saved up and sent is unknown, so it counts as sent.
+                .mean_concurrency_limit()
+                .with_prior(self.max_slots, f64::MIN_POSITIVE);
+            // What the previous process may have saved up and sent is unknown, so it counts as sent.
             let spent = if inherited {
-                self.pace(now, line) * self.cold.overload_window
+                self.cold_rate(now, entry) * self.slow_start.overload_window
             } else {
                 0.0
             };
-            self.workers.add(Rc::new(Worker::new(
-                line.clone(),
-                allowance,
+            self.workers.insert(Rc::new(Worker::new(
+                entry.clone(),
+                concurrency_limit,
                 types,
                 (-debt - spent, now),
             )));
         }
     }
 
-    /// The time to start that is expected there: what was last heard of the worker fades to what is usual
-    /// in its zone, and that to none, or one long wait would keep work away for good.
-    fn delay_at(&self, now: f64, w: &Worker, mean_run: f64) -> f64 {
-        if self.shares {
-            let over = (self.held(w, mean_run) + 1.0 - self.lanes).max(0.0) / self.lanes;
-            return over * mean_run * w.pace.borrow().with_prior(1.0, PRIOR);
+    /// Expected seconds from send to start at a worker. The last known delay of the worker decays to the mean of its
+    /// zone, and that to zero; otherwise one long delay would keep work away for good.
+    fn expected_delay(&self, now: f64, w: &Worker, mean_run: f64) -> f64 {
+        if self.shares_load {
+            let excess =
+                (self.slots_held(w, mean_run) + 1.0 - self.max_slots).max(0.0) / self.max_slots;
+            return excess * mean_run * w.slowness.borrow().with_prior(1.0, PRIOR_WEIGHT);
         }
-        let fades = |over: f64, since: f64| 1.0 / (1.0 + (now - since) / over);
-        // The budgets keep a cold worker from being filled, so what is usual for the others is not for it.
+        let decay = |duration: f64, since: f64| 1.0 / (1.0 + (now - since) / duration);
+        // The delays of other workers do not apply to a cold worker, as its budget keeps its queue short.
         let zone = self
             .zones
             .get(&w.entry.zone)
-            .filter(|_| !self.cold.is_cold(now, &w.entry));
+            .filter(|_| !self.slow_start.is_cold(now, &w.entry));
         let usual = zone.map_or(0.0, |z| {
-            z.mean.with_prior(0.0, 0.0) * fades(MEMORY * mean_run, z.updated_at)
+            z.mean.with_prior(0.0, 0.0) * decay(RUN_TIME_MEMORY * mean_run, z.updated_at)
         });
-        let (delay, at) = w.delay.get();
-        usual + (delay - usual) * fades(mean_run, at)
+        let (delay, at) = w.start_delay.get();
+        usual + (delay - usual) * decay(mean_run, at)
     }
 
-    /// Between two words of ours to the others.
-    fn apart(&self) -> f64 {
-        self.promise * self.cold.scheduler_count / WORDS
+    /// Seconds between two messages of this scheduler to the others.
+    fn message_interval(&self) -> f64 {
+        self.min_turnaround * self.slow_start.scheduler_count / MESSAGES_PER_TURNAROUND
     }
 
-    /// Our slots there, and the others' where they tell; some of what they told has ended since.
-    fn held(&self, w: &Worker, mean_run: f64) -> f64 {
-        w.slots_out.get() + w.others.get() / (1.0 + self.apart() / mean_run)
+    /// Slots held at a worker by this scheduler and, as far as reported and not ended since, by the others.
+    fn slots_held(&self, w: &Worker, mean_run: f64) -> f64 {
+        w.slots_in_flight.get()
+            + w.peer_slots_total.get() / (1.0 + self.message_interval() / mean_run)
     }
 
-    /// How much of our own we may have there now; zero or less is no room.
-    fn room(&self, now: f64, w: &Worker, mean_run: f64) -> f64 {
-        // Work of ours that has not started there says that its slots are taken, by others or for good.
-        let kept = self.tells_start && w.unstarted.get() > 0;
-        let spent = self.cold.is_cold(now, &w.entry) && self.budget(now, w) <= 0.0;
-        if w.state.get() != ListState::Ready || kept || spent {
+    /// Further slots that this scheduler may use at a worker now; zero or less is none.
+    fn headroom(&self, now: f64, w: &Worker, mean_run: f64) -> f64 {
+        // Unstarted work of this scheduler shows that the worker's slots are taken, by others or permanently.
+        let has_unstarted = self.reports_starts && w.unstarted.get() > 0;
+        let is_spent = self.slow_start.is_cold(now, &w.entry) && self.cold_budget(now, w) <= 0.0;
+        if w.state.get() != ListState::Ready || has_unstarted || is_spent {
             return 0.0;
         }
-        // Who fetches its work has room for what it asks for, whatever else is known of it.
-        if let Some(asks) = w.asks.get() {
-            return asks.max(0) as f64;
+        // A worker that pulls its work has headroom for exactly what it asks for.
+        if let Some(requests) = w.open_requests.get() {
+            return requests.max(0) as f64;
         }
-        let most = if self.shares {
-            self.lanes
+        let limit = if self.shares_load {
+            self.max_slots
         } else {
-            w.allowance.get()
+            w.concurrency_limit.get()
         };
-        match self.held(w, mean_run) {
-            0.0 => most.max(1.0),
-            held => (most - held).round(),
+        match self.slots_held(w, mean_run) {
+            0.0 => limit.max(1.0),
+            slots => (limit - slots).round(),
         }
     }
 
-    /// Rule 4: our part of what a cold worker may be sent, in slots x usual running time, at a third of the
-    /// rate that the rule allows for the least it can do now. Each send spends it, also one turned away.
-    fn budget(&self, now: f64, w: &Worker) -> f64 {
-        let (left, at) = w.budget.get();
-        let rate = self.pace(now, &w.entry);
-        let left = (left + rate * (now - at)).min(rate * self.cold.overload_window / 2.0);
-        w.budget.set((left, now));
+    /// Rule 4: what this scheduler may still send a cold worker, in slots x usual run time. A token bucket that is
+    /// refilled at `COLD_BUDGET_SHARE` of what the rule allows for the worker's least capacity now. Each send spends
+    /// it, also one that the worker turns away.
+    fn cold_budget(&self, now: f64, w: &Worker) -> f64 {
+        let (left, at) = w.cold_budget.get();
+        let rate = self.cold_rate(now, &w.entry);
+        let left = (left + rate * (now - at)).min(rate * self.slow_start.overload_window / 2.0);
+        w.cold_budget.set((left, now));
         left
     }
 
-    /// What of that a second brings.
-    fn pace(&self, now: f64, line: &ListEntry) -> f64 {
-        let share = self.cold.least_share(now, line);
-        self.cold.overload_multiple * share * self.lanes / self.cold.scheduler_count.max(1.0) * COLD
+    /// Refill rate of that budget, per second.
+    fn cold_rate(&self, now: f64, entry: &ListEntry) -> f64 {
+        let share = self.slow_start.least_share(now, entry);
+        self.slow_start.overload_multiple * share * self.max_slots
+            / self.slow_start.scheduler_count.max(1.0)
+            * COLD_BUDGET_SHARE
     }
 
-    /// Many schedulers that each leave work to wait at filled workers make long queues: the window does for
-    /// the fleet what an allowance does for a worker. What is kept for long must not stop all else.
-    fn open(&self, now: f64, buffers: &Queues) -> bool {
-        let bearable = |wu: Rc<WorkUnit>| buffers.bearable(wu.project_type);
-        let queued = |a: &&Rc<Allocation>| {
+    /// Whether the number of unstarted allocations allows another. Many schedulers that each leave work
+    /// waiting at full workers would build long queues; the window does for the fleet what `concurrency_limit` does
+    /// for a worker. Allocations unstarted for too long do not count, so that they do not stop all other work.
+    fn has_window(&self, now: f64, queues: &Queues) -> bool {
+        let max_delay = |wu: Rc<WorkUnit>| queues.max_delay(wu.project_type);
+        let is_waiting = |a: &&Rc<Allocation>| {
             a.work_unit
                 .upgrade()
-                .is_some_and(|wu| now - a.sent_at < bearable(wu))
+                .is_some_and(|wu| now - a.sent_at < max_delay(wu))
         };
-        let queued = self.unstarted.iter().filter(queued).count() as f64;
-        !self.tells_start || queued < self.window
+        let waiting = self.unstarted.iter().filter(is_waiting).count() as f64;
+        !self.reports_starts || waiting < self.start_window
     }
 
-    /// A late start closes the window by a quarter, one in time opens it by as much, where it is used.
-    fn steer(&mut self, late: bool, cost: f64) {
-        let opens = if self.unstarted.len() as f64 + 1.0 > self.window / 2.0 {
+    /// Shrinks the window by up to a quarter on a late start; grows it by a quarter on one in time if half is used.
+    fn adjust_window(&mut self, late: bool, cost: f64) {
+        let growth = if self.unstarted.len() as f64 + 1.0 > self.start_window / 2.0 {
             1.25
         } else {
             1.0
         };
-        self.window =
-            (self.window * if late { 1.0 - cost / 4.0 } else { opens }).clamp(1.0, WINDOW);
+        self.start_window = (self.start_window * if late { 1.0 - cost / 4.0 } else { growth })
+            .clamp(1.0, MAX_START_WINDOW);
     }
 
-    fn send(&mut self, now: f64, alloc: &Rc<Allocation>, wu: &WorkUnit, usual: f64) {
+    fn record_send(&mut self, now: f64, alloc: &Rc<Allocation>, wu: &WorkUnit, usual: f64) {
         let w = &alloc.worker;
-        wu.allocs.borrow_mut().push(alloc.clone());
+        wu.allocations.borrow_mut().push(alloc.clone());
         self.unstarted.push(alloc.clone());
-        self.workers.meet(w);
-        w.standing.borrow_mut()[wu.project_type].next_trial = now + self.trials[wu.project_type];
-        w.took(wu.slots, usual);
-        self.peers.changed(w, self.shares);
+        self.workers.track(w);
+        w.health.borrow_mut()[wu.project_type].next_trial =
+            now + self.trial_intervals[wu.project_type];
+        w.record_send(wu.slots, usual);
+        self.peers.record_change(w, self.shares_load);
     }
 
-    /// A start later than this says that the worker's slots were taken.
-    fn late(&self, w: &Worker) -> f64 {
-        self.zones.get(&w.entry.zone).map_or(0.0, |z| z.min * 2.0) + LATE * self.promise
+    /// Start delay in seconds beyond which the worker's slots were taken when the work was sent.
+    fn late_after(&self, w: &Worker) -> f64 {
+        self.zones.get(&w.entry.zone).map_or(0.0, |z| z.min * 2.0)
+            + LATE_START_SHARE * self.min_turnaround
     }
 
-    /// Exclusive work that does not start in bearable time tells of a worker, or of a connection, that
-    /// swallows it. It must not keep others from there for as long as its client waits.
-    fn lose(&mut self, door: &mut dyn Host, now: f64, alloc: &Allocation, wu: &WorkUnit) {
-        alloc.lose(wu.slots);
-        self.peers.changed(&alloc.worker, self.shares);
-        self.doubts[wu.project_type] = alloc.sent_at;
+    /// Marks non-idempotent work as lost that has not started in time: the worker, or the connection to it, may swallow
+    /// work. It must not keep other work from that worker for as long as its client waits.
+    fn mark_lost(&mut self, host: &mut dyn Host, now: f64, alloc: &Allocation, wu: &WorkUnit) {
+        alloc.mark_lost(wu.slots);
+        self.peers.record_change(&alloc.worker, self.shares_load);
+        self.last_lost[wu.project_type] = alloc.sent_at;
         self.unstarted.retain(|a| !std::ptr::eq(&**a, alloc));
-        self.judge(door, now, &alloc.worker, wu.project_type, 1.0);
+        self.update_health(host, now, &alloc.worker, wu.project_type, 1.0);
     }
 
-    fn started(&mut self, now: f64, alloc: &Allocation, slots: f64) {
+    fn record_start(&mut self, now: f64, alloc: &Allocation, slots: f64) {
         alloc.start(now, slots);
         let w = &alloc.worker;
         let delay = now - alloc.sent_at;
-        w.heard_start(now, delay);
-        if delay > self.late(w) {
-            w.halve();
+        w.record_start_delay(now, delay);
+        if delay > self.late_after(w) {
+            w.halve_concurrency_limit();
         }
         self.zones
             .entry(w.entry.zone)
             .or_insert(StartDelays::new(delay))
-            .add(now, delay, 1.0 - SLOWLY);
+            .add(now, delay, 1.0 - FLEET_GAIN);
         self.unstarted.retain(|a| !std::ptr::eq(&**a, alloc));
-        if w.asks.get().is_none() {
-            self.saw(w, w.running.get());
+        if w.open_requests.get().is_none() {
+            self.record_slots(w, w.slots_running.get());
         }
     }
 
-    fn saw(&mut self, w: &Worker, lanes: f64) {
-        w.lanes.set(w.lanes.get().max(lanes));
-        self.lanes = self.lanes.max(lanes);
+    fn record_slots(&mut self, w: &Worker, slots: f64) {
+        w.peak_slots.set(w.peak_slots.get().max(slots));
+        self.max_slots = self.max_slots.max(slots);
     }
 
-    /// Nobody is left of those that this was learned of. How often work fails is learned of the work.
+    /// Discards what was learned of workers when all are gone. The failure rate stays, as it depends on the work.
     fn forget(&mut self) {
         self.zones.clear();
-        self.window = WINDOW;
+        self.start_window = MAX_START_WINDOW;
     }
 
-    /// Frees the slot, and learns: the rate from completed work, the allowance, the share of failures.
-    fn back(
+    /// Releases the slots of an allocation, and updates the concurrency limit and the failure rate of its worker.
+    fn record_outcome(
         &mut self,
-        door: &mut dyn Host,
+        host: &mut dyn Host,
         now: f64,
         alloc: &Allocation,
         wu: &WorkUnit,
         outcome: Outcome,
     ) {
         let w = &alloc.worker;
-        alloc.free(wu.slots);
-        self.peers.changed(&alloc.worker, self.shares);
+        alloc.release(wu.slots);
+        self.peers.record_change(&alloc.worker, self.shares_load);
         if let (
             LoadReport {
                 free_slots: Some(free),
@@ -494,210 +531,227 @@
             _,
         ) = w.report.get()
         {
-            self.told = true;
-            self.saw(w, (free * CLEAR).round());
+            self.reports_slots = true;
+            self.record_slots(w, (free * REPORTED_SLOTS_SHARE).round());
         }
         self.unstarted.retain(|a| !std::ptr::eq(&**a, alloc));
         let failed = match outcome {
             Outcome::Completed => 0.0,
             Outcome::Error | Outcome::NoConnection | Outcome::Dropped => 1.0,
-            // Taken and never started, it tells of a silent worker; a long run tells nothing.
-            Outcome::TimedOut if alloc.started.get().is_none() && !alloc.lost.get() => 1.0,
-            Outcome::Full => return w.halve(),
+            // A time-out without a start indicates a silent worker; one of a long run indicates nothing.
+            Outcome::TimedOut if alloc.started_at.get().is_none() && !alloc.lost.get() => 1.0,
+            Outcome::Full => return w.halve_concurrency_limit(),
             Outcome::TimedOut | Outcome::Recalled | Outcome::Moot => return,
         };
         if outcome == Outcome::Completed {
-            let ceiling = if self.tells_start {
-                self.lanes
+            let ceiling = if self.reports_starts {
+                self.max_slots
             } else {
-                4.0 * LANES
+                4.0 * MIN_SLOTS
             };
-            w.allowance.set((w.allowance.get() + 1.0).min(ceiling));
+            w.concurrency_limit
+                .set((w.concurrency_limit.get() + 1.0).min(ceiling));
         }
-        self.judge(door, now, w, wu.project_type, failed);
+        self.update_health(host, now, w, wu.project_type, failed);
     }
 
-    /// Whose share of a type's failures is far over the fleet's median is a suspect, as quick failures draw
-    /// work: sent single trials, apart while they fail. Where all fail now and then, one tells less.
-    fn judge(&mut self, door: &mut dyn Host, now: f64, w: &Worker, i: usize, failed: f64) {
-        let bar = SUSPECT + self.failing.with_prior(0.0, 1.0 / SLOWLY);
-        self.failing.add(failed, 1.0 - SLOWLY);
-        let mut standing = w.standing.borrow()[i];
-        standing.failures += (failed - standing.failures) * FAILED;
-        w.standing.borrow_mut()[i] = standing;
+    /// Outlier detection: a worker whose failure rate for a project type is far above the fleet's median becomes a
+    /// suspect, as quick failures free its slots and attract more work. A suspect gets single trials, at intervals
+    /// while they fail. The higher the failure rate of the whole fleet, the less a single failure counts.
+    fn update_health(&mut self, host: &mut dyn Host, now: f64, w: &Worker, i: usize, failed: f64) {
+        let threshold = SUSPECT_MARGIN + self.failure_rate.with_prior(0.0, 1.0 / FLEET_GAIN);
+        self.failure_rate.add(failed, 1.0 - FLEET_GAIN);
+        let mut status = w.health.borrow()[i];
+        status.failure_rate += (failed - status.failure_rate) * FAILURE_GAIN;
+        w.health.borrow_mut()[i] = status;
         let all = self
             .workers
             .ready()
-            .map(|w| w.standing.borrow()[i].failures)
-            .chain([standing.failures]);
-        let fails = standing.failures > SUSPECT / 2.0;
-        let over = standing.failures - if fails { median(all.collect()) } else { 0.0 };
-        let was = standing.suspect;
-        standing.suspect = over > bar || was && over > SUSPECT / 2.0;
-        if was != standing.suspect {
-            door.log(&w.judged(was, i, over));
-        }
-        standing.next_trial = now + failed * self.trials[i];
-        w.standing.borrow_mut()[i] = standing;
+            .map(|w| w.health.borrow()[i].failure_rate)
+            .chain([status.failure_rate]);
+        let failing = status.failure_rate > SUSPECT_MARGIN / 2.0;
+        let excess = status.failure_rate - if failing { median(all.collect()) } else { 0.0 };
+        let was = status.suspect;
+        status.suspect = excess > threshold || was && excess > SUSPECT_MARGIN / 2.0;
+        if was != status.suspect {
+            host.log(&w.suspect_log_line(was, i, excess));
+        }
+        status.next_trial = now + failed * self.trial_intervals[i];
+        w.health.borrow_mut()[i] = status;
     }
 }
 
-/// Follows the list: asks at start with spread, and again after a failure with spread and growing waits.
+/// Requests for the worker list: one after the start, and the next when one has failed. Delays are random, and grow
+/// with the number of failures.
 #[derive(Default)]
 pub struct ListPolling {
+    /// Whether the list has to be requested; otherwise the host delivers it by itself.
     pub on_request: bool,
-    pub max_interval: f64, // After one question the next follows by then, however the first ends.
+    /// The next request follows the previous one within this many seconds, however that ends.
+    pub max_interval: f64,
+    /// Consecutive failures. It is -1 after a list from the service, so that one failure after that is retried soon.
     pub failures: i32,
-    pub last_request: Option<f64>, // The last question; none while one is due.
+    /// Time of the last request; `None` while the next one is scheduled.
+    pub last_request: Option<f64>,
 }
 
+/// One scheduler; the module documentation explains how it decides.
 pub struct Scheduler {
-    chance: Rng,
-    agenda: TimerQueue<Due>,
+    rng: Rng,
+    timers: TimerQueue<Timer>,
     shares: FairShares,
-    buffers: Queues,
-    repeats: RetryPolicy,
+    queues: Queues,
+    retry: RetryPolicy,
     fleet: Fleet,
-    follow: ListPolling,
-    looking: bool,
-    telling: bool,
+    polling: ListPolling,
+    redispatch_armed: bool, // A [`Timer::Redispatch`] is scheduled.
+    message_armed: bool,    // A [`Timer::SendPeerMessage`] is scheduled.
 }
 
 impl Scheduler {
     pub fn new(
-        chance: Rng,
-        chain: (FairShares, Queues, RetryPolicy, Fleet),
-        follow: ListPolling,
+        rng: Rng,
+        stages: (FairShares, Queues, RetryPolicy, Fleet),
+        polling: ListPolling,
     ) -> Scheduler {
-        let ((shares, buffers, repeats, fleet), agenda) = (chain, TimerQueue::default());
+        let ((shares, queues, retry, fleet), timers) = (stages, TimerQueue::default());
         Scheduler {
-            chance,
-            agenda,
+            rng,
+            timers,
             shares,
-            buffers,
-            repeats,
+            queues,
+            retry,
             fleet,
-            follow,
-            looking: false,
-            telling: false,
+            polling,
+            redispatch_armed: false,
+            message_armed: false,
         }
     }
 
-    pub fn start(&mut self, door: &mut dyn Host, now: f64) {
-        self.follow.last_request = Some(now);
-        self.ask_later(now);
-        self.settle(door, now);
+    /// Begins to request the worker list.
+    pub fn start(&mut self, host: &mut dyn Host, now: f64) {
+        self.polling.last_request = Some(now);
+        self.schedule_list_request(now);
+        self.dispatch_and_arm(host, now);
     }
 
-    /// One question at a time, however many failures are told.
-    fn ask_later(&mut self, now: f64) {
-        let Some(asked) = self
-            .follow
+    /// Schedules the next list request, unless one is scheduled already, however many failures are reported.
+    fn schedule_list_request(&mut self, now: f64) {
+        let Some(last_request) = self
+            .polling
             .last_request
             .take()
-            .filter(|_| self.follow.on_request)
+            .filter(|_| self.polling.on_request)
         else {
             return;
         };
-        // Who starts together would call together; but all that the list has to tell counts as told soon.
-        let many = (self.fleet.cold.scheduler_count / MANY).max(1.0)
-            * 2f64.powi(self.follow.failures.max(0))
+        // Schedulers that start together must not send requests together, but each has to learn of changes soon.
+        let spread = (self.fleet.slow_start.scheduler_count / LIST_SPREAD_SCHEDULERS).max(1.0)
+            * 2f64.powi(self.polling.failures.max(0))
             / 8.0;
-        let within = self.follow.max_interval;
-        let most = if self.follow.failures < 0 {
-            within / 6.0
+        let max_interval = self.polling.max_interval;
+        let latest = if self.polling.failures < 0 {
+            max_interval / 6.0
         } else {
-            (asked + within - now).max(0.0)
+            (last_request + max_interval - now).max(0.0)
         };
-        self.agenda.add(
-            now + most.min(within * many) * self.chance.uniform(),
-            Due::Ask,
+        self.timers.add(
+            now + latest.min(max_interval * spread) * self.rng.uniform(),
+            Timer::RequestList,
         );
     }
 
-    pub fn on_list_update(&mut self, door: &mut dyn Host, now: f64, news: ListUpdate) {
-        let Some((lines, full)) = news.entries() else {
-            (self.follow.failures == 1)
-                .then(|| door.log("the list is out of reach: the last one holds"));
-            self.ask_later(now);
-            self.follow.failures += 1;
-            return self.settle(door, now);
+    pub fn on_list_update(&mut self, host: &mut dyn Host, now: f64, update: ListUpdate) {
+        let Some((entries, is_full)) = update.entries() else {
+            (self.polling.failures == 1)
+                .then(|| host.log("worker list is out of reach; using the last known list"));
+            self.schedule_list_request(now);
+            self.polling.failures += 1;
+            return self.dispatch_and_arm(host, now);
         };
-        let live = matches!(news, ListUpdate::Full(_) | ListUpdate::Changes(_)); // Only these are a sign of the list.
-        self.follow.failures = if live { -1 } else { self.follow.failures };
-        let gone = if full {
-            self.fleet.workers.missing(lines)
+        // Only these come from the list service itself.
+        let is_live = matches!(update, ListUpdate::Full(_) | ListUpdate::Changes(_));
+        self.polling.failures = if is_live { -1 } else { self.polling.failures };
+        let gone = if is_full {
+            self.fleet.workers.entries_for_missing(entries)
         } else {
             Vec::new()
         };
         if !gone.is_empty() && gone.len() == self.fleet.workers.all().count() {
             self.fleet.forget();
         }
-        for line in gone.iter().chain(lines) {
-            let debt = self.chance.uniform() * self.buffers.mean_run();
-            self.fleet.listed(
+        for entry in gone.iter().chain(entries) {
+            let debt = self.rng.uniform() * self.queues.mean_run();
+            self.fleet.update(
                 now,
-                line,
-                self.buffers.types.len(),
+                entry,
+                self.queues.types.len(),
                 debt,
-                matches!(news, ListUpdate::Inherited(_)),
+                matches!(update, ListUpdate::Inherited(_)),
             );
         }
-        // What was seen of the room of those that are gone may not hold for those that are left.
-        self.fleet.lanes = self
+        // The slots observed at workers that are gone say nothing of those that are left.
+        self.fleet.max_slots = self
             .fleet
             .workers
             .all()
-            .map(|w| w.lanes.get())
-            .fold(LANES, f64::max);
-        self.fleet.told = self.fleet.workers.all().any(|w| w.report.get().1 > 0.0);
+            .map(|w| w.peak_slots.get())
+            .fold(MIN_SLOTS, f64::max);
+        self.fleet.reports_slots = self.fleet.workers.all().any(|w| w.report.get().1 > 0.0);
         if self.fleet.workers.ready().next().is_none() {
-            door.log("the list has no ready worker: work is deferred once its patience is out");
+            host.log("worker list has no ready worker; queued work is deferred when it times out");
         }
-        self.settle(door, now);
+        self.dispatch_and_arm(host, now);
     }
 
-    pub fn on_arrival(&mut self, door: &mut dyn Host, now: f64, wu: &Rc<WorkUnit>) {
-        self.shares.pass(wu);
-        wu.most.set(self.repeats.max_allocations);
-        // A worker that was never sent anything is one of many to draw from: work that is for it must find it.
-        if let Some(preferred) = door.preferred_worker(wu) {
-            self.fleet.workers.meet_by_id(preferred);
+    pub fn on_arrival(&mut self, host: &mut dyn Host, now: f64, wu: &Rc<WorkUnit>) {
+        self.shares.charge(wu);
+        wu.max_allocations.set(self.retry.max_allocations);
+        // An untracked worker is only drawn at random, so that work that prefers it would hardly reach it.
+        if let Some(preferred) = host.preferred_worker(wu) {
+            self.fleet.workers.track_by_id(preferred);
         }
-        self.buffers.of(wu).put(wu, false);
-        self.agenda.add(wu.deadline, Due::Limit(Rc::downgrade(wu)));
-        self.agenda
-            .add(self.buffers.hope(wu), Due::Patience(Rc::downgrade(wu)));
-        self.settle(door, now);
+        self.queues.queue_of(wu).push(wu, false);
+        self.timers
+            .add(wu.deadline, Timer::Deadline(Rc::downgrade(wu)));
+        self.timers.add(
+            self.queues.give_up_at(wu),
+            Timer::QueueTimeout(Rc::downgrade(wu)),
+        );
+        self.dispatch_and_arm(host, now);
     }
 
-    /// A job has started. Of allocations side by side the first to start is kept.
-    pub fn on_start(&mut self, door: &mut dyn Host, now: f64, alloc: &Rc<Allocation>) {
-        // A note that comes again, or after the outcome, tells nothing of what was sent since.
-        let news = alloc.outcome.get().is_none() && alloc.started.get().is_none();
-        if let Some(wu) = alloc.work_unit.upgrade().filter(|_| news) {
-            alloc.worker.standing.borrow_mut()[wu.project_type].started = now;
-            self.fleet.started(now, alloc, wu.slots);
-            let late = now - alloc.sent_at > self.buffers.bearable(wu.project_type);
-            self.fleet
-                .steer(late, 1.0 - self.buffers.types[wu.project_type].late_credit);
-            self.buffers.of(&wu).take_out(&wu);
-            let allocs = wu.allocs.borrow();
-            // The other, if it runs: two that start in one batch must not call each other off.
-            let runs = |a: &&Rc<Allocation>| a.outcome.get().is_none() && a.started.get().is_some();
+    /// An allocation has started at its worker. Of parallel allocations the first to start is kept.
+    pub fn on_start(&mut self, host: &mut dyn Host, now: f64, alloc: &Rc<Allocation>) {
+        // A repeated notice, or one after the outcome, says nothing of what was sent since.
+        let is_new = alloc.outcome.get().is_none() && alloc.started_at.get().is_none();
+        if let Some(wu) = alloc.work_unit.upgrade().filter(|_| is_new) {
+            alloc.worker.health.borrow_mut()[wu.project_type].last_start = now;
+            self.fleet.record_start(now, alloc, wu.slots);
+            let is_late = now - alloc.sent_at > self.queues.max_delay(wu.project_type);
+            self.fleet.adjust_window(
+                is_late,
+                1.0 - self.queues.types[wu.project_type].late_credit,
+            );
+            self.queues.queue_of(&wu).remove(&wu);
+            let allocs = wu.allocations.borrow();
+            // Another that runs is kept instead: two that start in one batch of events must not cancel each other.
+            let is_running =
+                |a: &&Rc<Allocation>| a.outcome.get().is_none() && a.started_at.get().is_some();
             let first = allocs
                 .iter()
-                .filter(runs)
+                .filter(is_running)
                 .find(|a| !Rc::ptr_eq(a, alloc))
                 .unwrap_or(alloc);
-            self.repeats.call_off(door, &wu, Some(first));
+            self.retry.cancel_others(host, &wu, Some(first));
         }
-        self.settle(door, now);
+        self.dispatch_and_arm(host, now);
     }
 
+    /// An allocation has ended; `ended` if its work unit has its final answer with that.
     pub fn on_outcome(
         &mut self,
-        door: &mut dyn Host,
+        host: &mut dyn Host,
         now: f64,
         alloc: &Rc<Allocation>,
         outcome: Outcome,
@@ -711,295 +765,320 @@
             return;
         };
         alloc.outcome.set(Some(outcome));
-        self.fleet.back(door, now, alloc, &wu, outcome);
+        self.fleet.record_outcome(host, now, alloc, &wu, outcome);
         if outcome == Outcome::Completed {
-            let ran = alloc.ran(now);
-            let usual = &mut self.buffers.running[wu.project_type];
-            *usual += (ran - *usual) * SLOWLY;
-            alloc.worker.heard.borrow_mut()[wu.project_type].add(ran, 1.0 - 1.0 / MEMORY);
+            let run_time = alloc.run_time(now);
+            let usual = &mut self.queues.run_times[wu.project_type];
+            *usual += (run_time - *usual) * FLEET_GAIN;
+            alloc.worker.run_times.borrow_mut()[wu.project_type]
+                .add(run_time, 1.0 - 1.0 / RUN_TIME_MEMORY);
             alloc
                 .worker
-                .pace
+                .slowness
                 .borrow_mut()
-                .add(ran / *usual, 1.0 - SLOWLY);
-            alloc.worker.heard_at.set(now);
+                .add(run_time / *usual, 1.0 - FLEET_GAIN);
+            alloc.worker.slowness_at.set(now);
         }
         if ended {
-            self.close(door, &wu);
-        } else if !wu.ended.get() && !wu.is_out() {
-            self.buffers.of(&wu).take_out(&wu);
-            self.again(door, now, &wu, outcome);
+            self.close(host, &wu);
+        } else if !wu.ended.get() && !wu.has_open_allocation() {
+            self.queues.queue_of(&wu).remove(&wu);
+            self.requeue(host, now, &wu, outcome);
         }
-        self.settle(door, now);
+        self.dispatch_and_arm(host, now);
     }
 
-    /// What becomes of a work unit that has come back undone: first in its buffer, or its final answer.
-    fn again(&mut self, door: &mut dyn Host, now: f64, wu: &Rc<WorkUnit>, outcome: Outcome) {
-        let effect = self.buffers.types[wu.project_type].idempotency;
-        let over = outcome == Outcome::Moot || now >= self.buffers.hope(wu);
-        if over
+    /// Puts a work unit whose allocation has ended without completing it at the front of its queue, or gives up.
+    fn requeue(&mut self, host: &mut dyn Host, now: f64, wu: &Rc<WorkUnit>, outcome: Outcome) {
+        let idempotency = self.queues.types[wu.project_type].idempotency;
+        let is_over = outcome == Outcome::Moot || now >= self.queues.give_up_at(wu);
+        if is_over
             || !self
                 .fleet
                 .workers
                 .ready()
-                .any(|w| self.repeats.pass(now, effect, wu, w))
+                .any(|w| self.retry.permits(now, idempotency, wu, w))
         {
-            self.give_up(door, now, wu);
+            self.give_up(host, now, wu);
         } else {
-            self.buffers.of(wu).put(wu, true);
+            self.queues.queue_of(wu).push(wu, true);
         }
     }
 
-    /// The final answer for work that waits or has come back, given at once.
-    pub fn give_up(&mut self, door: &mut dyn Host, now: f64, wu: &Rc<WorkUnit>) {
+    /// Gives the final answer for a work unit now: deferred if a repeat is harmless, else aborted.
+    pub fn give_up(&mut self, host: &mut dyn Host, now: f64, wu: &Rc<WorkUnit>) {
         if self
-            .repeats
-            .harmless(self.buffers.types[wu.project_type].idempotency, wu)
+            .retry
+            .is_deferrable(self.queues.types[wu.project_type].idempotency, wu)
             && now < wu.deadline
         {
-            let promise = self.buffers.types[wu.project_type].promised_turnaround;
-            door.defer(wu, (promise / 2.0).min(self.buffers.most_come_back));
+            let turnaround = self.queues.types[wu.project_type].promised_turnaround;
+            host.defer(wu, (turnaround / 2.0).min(self.queues.max_retry_after));
         } else {
-            door.abort(wu);
+            host.abort(wu);
         }
-        self.close(door, wu);
+        self.close(host, wu);
     }
 
-    /// Nothing more is sent for it; what is still out is called off.
-    fn close(&mut self, door: &mut dyn Host, wu: &Rc<WorkUnit>) {
-        self.buffers.of(wu).take_out(wu);
+    /// Ends a work unit: it leaves its queue, and its allocations in flight are cancelled.
+    fn close(&mut self, host: &mut dyn Host, wu: &Rc<WorkUnit>) {
+        self.queues.queue_of(wu).remove(wu);
         if !wu.ended.replace(true) {
-            self.repeats.call_off(door, wu, None);
+            self.retry.cancel_others(host, wu, None);
         }
     }
 
-    /// Another scheduler has told something. Work that waits is looked at again soon, not at each word.
+    /// A message from another scheduler. Queued work is dispatched again soon, but not for each message.
     pub fn on_peer_message(&mut self, now: f64, from: usize, bytes: &[u8]) {
-        let ours = self.fleet.shares && (from as f64) < self.fleet.cold.scheduler_count;
-        if let Some(word) = PeerMessage::decode(now, bytes).filter(|_| ours) {
+        let is_expected =
+            self.fleet.shares_load && (from as f64) < self.fleet.slow_start.scheduler_count;
+        if let Some(message) = PeerMessage::decode(now, bytes).filter(|_| is_expected) {
             self.fleet
                 .peers
-                .hear(now, from, &word, &mut self.fleet.workers);
+                .apply(now, from, &message, &mut self.fleet.workers);
         }
     }
 
-    /// The client has left, or was answered by the front itself.
-    pub fn on_client_gone(&mut self, door: &mut dyn Host, now: f64, wu: &Rc<WorkUnit>) {
-        self.close(door, wu);
-        self.settle(door, now);
+    /// The client has gone, or the host has answered it by itself.
+    pub fn on_client_gone(&mut self, host: &mut dyn Host, now: f64, wu: &Rc<WorkUnit>) {
+        self.close(host, wu);
+        self.dispatch_and_arm(host, now);
     }
 
-    pub fn on_timer(&mut self, door: &mut dyn Host, now: f64) {
-        while let Some(due) = self.agenda.pop_due(now) {
-            match due {
-                Due::Limit(wu) => match wu.upgrade() {
-                    Some(wu) if !wu.ended.get() => self.give_up(door, now, &wu),
+    /// The timer set by [`Host::set_timer`] has fired, or workers may have new headroom.
+    pub fn on_timer(&mut self, host: &mut dyn Host, now: f64) {
+        while let Some(event) = self.timers.pop_due(now) {
+            match event {
+                Timer::Deadline(wu) => match wu.upgrade() {
+                    Some(wu) if !wu.ended.get() => self.give_up(host, now, &wu),
                     _ => {}
                 },
-                Due::Patience(wu) => wu
+                Timer::QueueTimeout(wu) => wu
                     .upgrade()
                     .iter()
-                    .for_each(|wu| self.out_of_patience(door, now, wu)),
-                Due::Start(alloc) => self.unstarted(door, now, alloc),
-                Due::Ask => {
-                    self.follow.last_request = Some(now);
-                    door.request_worker_list();
+                    .for_each(|wu| self.on_queue_timeout(host, now, wu)),
+                Timer::StartOverdue(alloc) => self.on_start_overdue(host, now, alloc),
+                Timer::RequestList => {
+                    self.polling.last_request = Some(now);
+                    host.request_worker_list();
                 }
-                Due::Round => self.looking = false,
-                Due::Tell => {
-                    self.telling = false;
+                Timer::Redispatch => self.redispatch_armed = false,
+                Timer::SendPeerMessage => {
+                    self.message_armed = false;
                     self.fleet
                         .peers
-                        .word(now)
+                        .next_message(now)
                         .iter()
-                        .for_each(|word| door.broadcast(&word.encode()));
+                        .for_each(|message| host.broadcast(&message.encode()));
                 }
             }
         }
-        self.settle(door, now);
+        self.dispatch_and_arm(host, now);
     }
 
-    /// Waiting work is given up. Work that has not started while it can earn its credit leaves the workers'
-    /// queues where a repeat is harmless: left by hundreds of schedulers it makes all behind it late, too.
-    fn out_of_patience(&mut self, door: &mut dyn Host, now: f64, wu: &Rc<WorkUnit>) {
-        let (t, bears) = (
-            &self.buffers.types[wu.project_type],
-            self.buffers.bearable(wu.project_type),
+    /// Gives up a work unit that is still queued. One that was sent but has not started while it could earn its credit
+    /// is cancelled, if a repeat is harmless: left in the workers' queues by hundreds of schedulers, such work would
+    /// make all work behind it late, too.
+    fn on_queue_timeout(&mut self, host: &mut dyn Host, now: f64, wu: &Rc<WorkUnit>) {
+        let (t, max_delay) = (
+            &self.queues.types[wu.project_type],
+            self.queues.max_delay(wu.project_type),
         );
-        if wu.waiting.get() && !wu.is_out() {
-            return self.give_up(door, now, wu);
+        if wu.queued.get() && !wu.has_open_allocation() {
+            return self.give_up(host, now, wu);
         }
-        let goes = self.repeats.may_cancel && self.fleet.tells_start && t.late_credit == 0.0;
-        let runs = wu
-            .allocs
+        let may_withdraw =
+            self.retry.may_cancel && self.fleet.reports_starts && t.late_credit == 0.0;
+        let is_running = wu
+            .allocations
             .borrow()
             .iter()
-            .any(|a| a.outcome.get().is_none() && a.started.get().is_some());
-        if goes && !runs && !wu.ended.get() {
-            if now < wu.arrived_at + bears - TIMER_TOLERANCE_S {
-                self.agenda
-                    .add(wu.arrived_at + bears, Due::Patience(Rc::downgrade(wu)));
-            } else if self.repeats.harmless(t.idempotency, wu) {
-                return self.give_up(door, now, wu);
+            .any(|a| a.outcome.get().is_none() && a.started_at.get().is_some());
+        if may_withdraw && !is_running && !wu.ended.get() {
+            if now < wu.arrived_at + max_delay - TIMER_TOLERANCE_S {
+                self.timers.add(
+                    wu.arrived_at + max_delay,
+                    Timer::QueueTimeout(Rc::downgrade(wu)),
+                );
+            } else if self.retry.is_deferrable(t.idempotency, wu) {
+                return self.give_up(host, now, wu);
             }
         }
-        self.buffers.of(wu).take_out(wu);
+        self.queues.queue_of(wu).remove(wu);
     }
 
-    /// Work kept waiting at a worker that others have filled, or that has gone silent, is taken for lost if
-    /// exclusive, else buffered for a second allocation, if the time left exceeds what that takes.
-    fn unstarted(&mut self, door: &mut dyn Host, now: f64, alloc: Weak<Allocation>) {
-        let kept = alloc
+    /// An allocation has not started in time: its worker is full with others' work, or silent. Non-idempotent work is
+    /// marked as lost there; other work is queued for a second allocation if there is time left to run it.
+    fn on_start_overdue(&mut self, host: &mut dyn Host, now: f64, alloc: Weak<Allocation>) {
+        let overdue = alloc
             .upgrade()
-            .filter(|a| a.started.get().is_none() && a.outcome.get().is_none());
-        let Some((alloc, wu)) = kept.and_then(|a| Some((a.clone(), a.work_unit.upgrade()?))) else {
+            .filter(|a| a.started_at.get().is_none() && a.outcome.get().is_none());
+        let Some((alloc, wu)) = overdue.and_then(|a| Some((a.clone(), a.work_unit.upgrade()?)))
+        else {
             return;
         };
-        let (i, open) = (wu.project_type, !wu.ended.get() && !wu.waiting.get());
-        if self.buffers.types[i].idempotency == Idempotency::NonIdempotent {
-            self.fleet.lose(door, now, &alloc, &wu);
-        } else if open && !self.fleet.told && now + self.buffers.running[i] < wu.deadline {
-            self.buffers.of(&wu).put(&wu, true);
-        }
-    }
-
-    /// After each arrival and outcome: the rule, then the one timer.
-    fn settle(&mut self, door: &mut dyn Host, now: f64) {
-        if self.buffers.any() {
-            self.press(door, now);
-            if self.buffers.any() && !self.looking {
-                self.looking = true;
-                let soon = if self.fleet.shares {
-                    self.fleet.apart()
+        let (i, may_queue) = (wu.project_type, !wu.ended.get() && !wu.queued.get());
+        if self.queues.types[i].idempotency == Idempotency::NonIdempotent {
+            self.fleet.mark_lost(host, now, &alloc, &wu);
+        } else if may_queue
+            && !self.fleet.reports_slots
+            && now + self.queues.run_times[i] < wu.deadline
+        {
+            self.queues.queue_of(&wu).push(&wu, true);
+        }
+    }
+
+    /// Dispatches queued work and arms the timer; called after each event.
+    fn dispatch_and_arm(&mut self, host: &mut dyn Host, now: f64) {
+        if self.queues.has_work() {
+            self.dispatch(host, now);
+            if self.queues.has_work() && !self.redispatch_armed {
+                self.redispatch_armed = true;
+                let delay = if self.fleet.shares_load {
+                    self.fleet.message_interval()
                 } else {
-                    self.fleet.promise / 2.0
+                    self.fleet.min_turnaround / 2.0
                 };
-                self.agenda.add(now + soon, Due::Round);
+                self.timers.add(now + delay, Timer::Redispatch);
             }
         }
-        if !self.telling && self.fleet.peers.has_news() {
-            self.telling = true;
-            self.agenda.add(now + self.fleet.apart(), Due::Tell);
+        if !self.message_armed && self.fleet.peers.has_changes() {
+            self.message_armed = true;
+            self.timers
+                .add(now + self.fleet.message_interval(), Timer::SendPeerMessage);
         }
-        let v = |d: &_| matches!(d, Due::Limit(w) | Due::Patience(w) if w.strong_count() == 0);
-        self.agenda.arm(door, now, v);
+        let is_void = |due: &_| matches!(due, Timer::Deadline(wu) | Timer::QueueTimeout(wu) if wu.strong_count() == 0);
+        self.timers.arm(host, now, is_void);
     }
 
-    /// The rule. Workers with room, most room first, where room counts for what it can do: over the time to
-    /// start and run there. Each gets one work unit at a time, from the runnable buffer of highest pressure.
-    fn press(&mut self, door: &mut dyn Host, now: f64) {
-        let mean_run = self.buffers.mean_run();
-        let workers = self.fleet.workers.drawn(&mut self.chance, |w| {
-            self.fleet.room(now, w, mean_run) > 0.0
+    /// The max-pressure rule. Workers with headroom are served in order of headroom / (time to start and run there);
+    /// each gets one work unit at a time, from the queue with the highest pressure that has one which may run there.
+    fn dispatch(&mut self, host: &mut dyn Host, now: f64) {
+        let mean_run = self.queues.mean_run();
+        let workers = self.fleet.workers.candidates(&mut self.rng, |w| {
+            self.fleet.headroom(now, w, mean_run) > 0.0
         });
-        // What the fleet's queues say does not hold for a cold worker: all schedulers' budgets bound its own.
-        let (mut ready, mut open) = (Vec::new(), self.fleet.open(now, &self.buffers));
+        // The start window does not apply to cold workers: the schedulers' budgets bound the queue of each.
+        let (mut ready, mut is_open) = (Vec::new(), self.fleet.has_window(now, &self.queues));
         for (i, w) in workers.iter().enumerate() {
-            let mut room = self.fleet.room(now, w, mean_run);
-            if self.fleet.shares {
-                // All see the same: the emptiest and fastest worker would get the work of all.
-                room = room.min(1.0) * (1.0 + SPREAD * (2.0 * self.chance.uniform() - 1.0));
+            let mut headroom = self.fleet.headroom(now, w, mean_run);
+            if self.fleet.shares_load {
+                // All schedulers know the same load: without jitter one worker would get the work of all.
+                headroom =
+                    headroom.min(1.0) * (1.0 + RANK_JITTER * (2.0 * self.rng.uniform() - 1.0));
             }
-            room *= if w.entry.zone == self.fleet.zone {
+            headroom *= if w.entry.zone == self.fleet.zone {
                 1.0
             } else {
-                self.fleet.far
+                self.fleet.zone_factor
             };
-            if room > 0.0 && (open || self.fleet.cold.is_cold(now, &w.entry)) {
-                let takes = w.pace.borrow().with_prior(1.0, PRIOR) * mean_run;
-                let speed = room / (self.fleet.delay_at(now, w, mean_run) + takes);
-                ready.push((speed.to_bits(), self.chance.uniform().to_bits(), i));
+            if headroom > 0.0 && (is_open || self.fleet.slow_start.is_cold(now, &w.entry)) {
+                let run_time = w.slowness.borrow().with_prior(1.0, PRIOR_WEIGHT) * mean_run;
+                let speed = headroom / (self.fleet.expected_delay(now, w, mean_run) + run_time);
+                ready.push((speed.to_bits(), self.rng.uniform().to_bits(), i));
             }
         }
         ready.sort_unstable_by(|a, b| b.cmp(a));
         for proven in [true, false] {
             ready.retain(|&(_, _, i)| {
-                let may =
-                    self.buffers.any() && (open || self.fleet.cold.is_cold(now, &workers[i].entry));
-                let sent = may && self.offer(door, now, &workers[i], proven);
-                open &= !sent || self.fleet.open(now, &self.buffers);
-                !sent
+                let may_send = self.queues.has_work()
+                    && (is_open || self.fleet.slow_start.is_cold(now, &workers[i].entry));
+                let is_sent = may_send && self.offer(host, now, &workers[i], proven);
+                is_open &= !is_sent || self.fleet.has_window(now, &self.queues);
+                !is_sent
             });
         }
     }
 
-    fn offer(&mut self, door: &mut dyn Host, now: f64, w: &Rc<Worker>, proven: bool) -> bool {
-        let Some(wu) = self.pick(door, now, w, proven) else {
+    /// Sends a work unit to this worker if one may run there; returns whether it did.
+    fn offer(&mut self, host: &mut dyn Host, now: f64, w: &Rc<Worker>, proven: bool) -> bool {
+        let Some(wu) = self.pick(host, now, w, proven) else {
             return false;
         };
-        self.buffers.of(&wu).take_out(&wu);
+        self.queues.queue_of(&wu).remove(&wu);
         let i = wu.project_type;
         let alloc = Allocation::new(&wu, w, now);
-        self.fleet.send(now, &alloc, &wu, self.buffers.running[i]);
-        door.allocate(&alloc);
-        // Work that may repeat is moved away, so only such that may not can hold up a worker for good.
-        if self.repeats.parallel_attempts && self.repeats.may_cancel && self.fleet.tells_start {
-            let exclusive = self.buffers.types[i].idempotency == Idempotency::NonIdempotent;
-            let within = if exclusive {
-                self.buffers.bearable(i)
+        self.fleet
+            .record_send(now, &alloc, &wu, self.queues.run_times[i]);
+        host.allocate(&alloc);
+        // Work that may be repeated is sent elsewhere when its start is late, so only non-idempotent work can block a
+        // worker for good.
+        if self.retry.parallel_attempts && self.retry.may_cancel && self.fleet.reports_starts {
+            let non_idempotent = self.queues.types[i].idempotency == Idempotency::NonIdempotent;
+            let max_delay = if non_idempotent {
+                self.queues.max_delay(i)
             } else {
-                self.fleet.late(w)
+                self.fleet.late_after(w)
             };
-            self.agenda
-                .add(now + within, Due::Start(Rc::downgrade(&alloc)));
+            self.timers
+                .add(now + max_delay, Timer::StartOverdue(Rc::downgrade(&alloc)));
         }
         true
     }
 
-    /// The work unit of the runnable buffer with the highest alpha x rate x length for this worker.
-    fn pick(&self, door: &dyn Host, now: f64, w: &Worker, proven: bool) -> Option<Rc<WorkUnit>> {
-        let mean_run = self.buffers.mean_run();
-        let free = if w.asks.get().is_some() {
+    /// The work unit for this worker from the queue with the highest pressure that has one which may run there. With
+    /// `proven`, types that are unproven there are left out: non-idempotent ones of which an allocation was lost
+    /// recently, and none has started there since. Without it, only these are considered. Trials of a suspect are in
+    /// both rounds.
+    fn pick(&self, host: &dyn Host, now: f64, w: &Worker, proven: bool) -> Option<Rc<WorkUnit>> {
+        let mean_run = self.queues.mean_run();
+        let free_slots = if w.open_requests.get().is_some() {
             f64::MAX
         } else {
-            self.fleet.room(now, w, mean_run).max(1.0)
+            self.fleet.headroom(now, w, mean_run).max(1.0)
         };
-        let fits = |wu: &WorkUnit| self.fleet.held(w, mean_run) == 0.0 || wu.slots <= free;
-        let may = |wu: &WorkUnit| door.permits(wu, w);
-        let standing = w.standing.borrow();
-        let delay = self.fleet.delay_at(now, w, mean_run);
+        let fits =
+            |wu: &WorkUnit| self.fleet.slots_held(w, mean_run) == 0.0 || wu.slots <= free_slots;
+        let permits = |wu: &WorkUnit| host.permits(wu, w);
+        let health = w.health.borrow();
+        let delay = self.fleet.expected_delay(now, w, mean_run);
         let mut best: Option<(f64, &Rc<WorkUnit>)> = None;
         for (i, queue) in self
-            .buffers
+            .queues
             .queues
             .iter()
             .enumerate()
             .filter(|(_, q)| q.len() > 0)
         {
-            let t = &self.buffers.types[i / 2];
-            // The rate is the inverse of the smoothed running time, unheard at the mean.
-            let usual = self.buffers.running[i / 2] * w.pace.borrow().with_prior(1.0, PRIOR);
-            let takes = w.heard.borrow()[i / 2]
-                .with_prior(usual, PRIOR)
+            let t = &self.queues.types[i / 2];
+            // The service rate is the inverse of the smoothed run time, with the fleet's mean as prior.
+            let usual =
+                self.queues.run_times[i / 2] * w.slowness.borrow().with_prior(1.0, PRIOR_WEIGHT);
+            let run_time = w.run_times.borrow()[i / 2]
+                .with_prior(usual, PRIOR_WEIGHT)
                 .max(f64::MIN_POSITIVE);
-            let pressure = self.buffers.alpha(i) * queue.len() as f64 / takes;
-            let unfit = !w.entry.project_types.contains(i / 2)
+            let pressure = self.queues.weight(i) * queue.len() as f64 / run_time;
+            let is_unfit = !w.entry.project_types.contains(i / 2)
                 || t.machine_kind.is_some_and(|k| k != w.entry.machine_kind);
-            // No work goes where its start or the pace heard there, which fades, make it late.
-            let run = self.buffers.running[i / 2];
-            let bears = t.promised_turnaround + (t.turnaround_stretch - 1.0).max(0.0) * run / 2.0;
-            let fade = 1.0 + (now - w.heard_at.get()) / mean_run;
-            let outlasts = delay + ((takes - run) / fade).max(0.0) > bears;
+            // No work goes where the expected start delay or the worker's slowness, which decays, would make it late.
+            let fleet_run = self.queues.run_times[i / 2];
+            let tolerance =
+                t.promised_turnaround + (t.turnaround_stretch - 1.0).max(0.0) * fleet_run / 2.0;
+            let decay = 1.0 + (now - w.slowness_at.get()) / mean_run;
+            let is_too_slow = delay + ((run_time - fleet_run) / decay).max(0.0) > tolerance;
             let OutlierStatus {
                 suspect,
                 next_trial,
-                started,
+                last_start,
                 ..
-            } = standing[i / 2];
-            let exclusive = t.idempotency == Idempotency::NonIdempotent;
-            // Exclusive work keeps from where others fail; after a loss it goes to where some has started.
-            let served = |j: usize| j != i / 2 && self.buffers.served[j];
-            let spared = exclusive && (0..).zip(&*standing).any(|(j, s)| s.suspect && served(j));
-            let doubt = self.fleet.doubts[i / 2];
-            let unproven = exclusive && started < doubt && now < doubt + self.fleet.trials[i / 2];
-            let not_here = unfit || outlasts || spared || suspect && now < next_trial;
-            let first = suspect || proven != unproven;
-            if first && !not_here && best.is_none_or(|b| pressure > b.0) {
-                let runnable =
-                    |wu: &&Rc<WorkUnit>| fits(wu) && self.repeats.pass(now, t.idempotency, wu, w);
+            } = health[i / 2];
+            let non_idempotent = t.idempotency == Idempotency::NonIdempotent;
+            // Non-idempotent work avoids workers where other types fail; after a loss it prefers proven workers.
+            let is_served = |j: usize| j != i / 2 && self.queues.served[j];
+            let is_avoided =
+                non_idempotent && (0..).zip(&*health).any(|(j, s)| s.suspect && is_served(j));
+            let lost_at = self.fleet.last_lost[i / 2];
+            let is_unproven = non_idempotent
+                && last_start < lost_at
+                && now < lost_at + self.fleet.trial_intervals[i / 2];
+            let is_excluded = is_unfit || is_too_slow || is_avoided || suspect && now < next_trial;
+            let is_in_turn = suspect || proven != is_unproven;
+            if is_in_turn && !is_excluded && best.is_none_or(|b| pressure > b.0) {
+                let is_runnable =
+                    |wu: &&Rc<WorkUnit>| fits(wu) && self.retry.permits(now, t.idempotency, wu, w);
                 best = queue
-                    .first(LOOK, may)
-                    .find(runnable)
+                    .first_permitted(MAX_SCANNED, permits)
+                    .find(is_runnable)
                     .map(|wu| (pressure, wu))
                     .or(best);
             }
--- a/crates/mintlb-scheduler/src/lib.rs
+++ b/crates/mintlb-scheduler/src/lib.rs
@@ -1,8 +1,10 @@
-//! The nouns of mintlb, and the door through which its decisions act.
+//! Data types of the scheduler, and the [`Host`] trait through which it acts.
 //!
-//! A front (today the bench's adapter) makes the work units, hands them to
-//! [`decide::Scheduler`] and carries out what comes through its [`Door`].
-//! Times are seconds with fractions; `id` fields belong to the front.
+//! The program that embeds the scheduler (the dispatcher, `mintlb serve` or the bench adapter) is its host. The host
+//! creates [`WorkUnit`]s, reports events to [`decide::Scheduler`] and carries out what the scheduler asks for through
+//! [`Host`]. All times and durations are in seconds; the host assigns the `id` fields.
+//!
+//! Each send of a work unit to a worker is an [`Allocation`].
 
 pub mod decide;
 pub mod peer_message;
@@ -16,75 +18,95 @@
 use std::rc::{Rc, Weak};
 use util::DecayingMean;
 
-/// Which workers drop a repeat of a receipted work unit.
+/// Workers among which a repeated [`Idempotency::Deduplicated`] work unit is recognised and dropped.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum DedupScope {
+    /// All workers.
     All,
+    /// Workers of the same zone.
     Zone,
+    /// Workers of the same cell.
     Cell,
 }
 
+/// Whether a work unit may run more than once.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Idempotency {
+    /// Running it again is harmless.
     Idempotent,
+    /// Workers in `scope` drop a repeat that arrives within `window` seconds of the first send.
     Deduplicated { scope: DedupScope, window: f64 },
+    /// Once it may have run, it must not be sent again.
     NonIdempotent,
 }
 
+/// Properties shared by all work units of one kind.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ProjectType {
+    /// Points earned by a work unit that completes in time; also the weight of its queue.
     pub credit: f64,
-    /// The part of the credit still earned after the promised turnaround.
+    /// Share of `credit` that is still earned after the promised turnaround, from 0 to 1.
     pub late_credit: f64,
+    /// Latency target: seconds from arrival to completion.
     pub promised_turnaround: f64,
-    /// The promise is longer by this many times the work's own running time.
+    /// The promised turnaround is longer by this multiple of the work unit's own run time.
     pub turnaround_stretch: f64,
+    /// Longest time that a client may wait, in seconds.
     pub hard_limit: f64,
     pub idempotency: Idempotency,
-    /// The only kind of machine that runs it, if there is one.
+    /// The only kind of machine that runs it; `None` if any kind does.
     pub machine_kind: Option<u16>,
 }
 
-/// A project type, its number from now on, and the number of the one that it continues with other terms: what was
-/// learned of that one holds for it, too.
+/// A project type as it is configured from now on.
 pub struct ProjectTypeUpdate {
+    /// Index by which work units refer to it.
     pub number: usize,
+    /// Number of the project type that this one replaces with changed properties; it takes over what was learned of it.
     pub predecessor: Option<usize>,
     pub project_type: ProjectType,
 }
 
-/// How an allocation ended.
+/// How an allocation ended. The variants' names appear in log lines (`outcome` of `allocation back`).
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Outcome {
     Completed,
+    /// The worker ran it, or may have run it, and failed.
     Error,
+    /// The worker turned it away, or the host withdrew it before it was sent completely: it did not run.
     Full,
     TimedOut,
+    /// No connection to the worker was established: it did not run.
     NoConnection,
+    /// The connection was lost after the request was sent: it may have run.
     Dropped,
+    /// Cancelled by the scheduler: it may have run.
     Recalled,
+    /// The host could not send it and a retry is pointless: it did not run.
     Moot,
 }
 
-/// What a worker said of its load; an absent value is `None`.
+/// Load reported by a worker; a value that it did not report is `None`.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LoadReport {
     pub free_slots: Option<f64>,
 }
 
+/// State of a worker in the worker list.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ListState {
     Ready,
+    /// It finishes what it has and gets nothing new.
     Draining,
     Gone,
 }
 
-/// The project types that a worker runs, of the first 64.
+/// Set of project types that a worker runs. Only the first 64 project types can be told apart.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ProjectTypeSet(u64);
 
 impl Default for ProjectTypeSet {
-    /// All of them.
+    /// All project types.
     fn default() -> ProjectTypeSet {
         ProjectTypeSet(u64::MAX)
     }
@@ -110,7 +132,7 @@
     }
 }
 
-/// The types by their numbers.
+/// Formats the numbers of the project types, joined by `+`.
 impl std::fmt::Display for ProjectTypeSet {
     fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
         let types: Vec<String> = (0..64)
@@ -132,7 +154,7 @@
     }
 }
 
-/// One line of the list of workers.
+/// Entry of the worker list.
 #[derive(Clone, Debug)]
 pub struct ListEntry {
     pub id: u64,
@@ -140,28 +162,34 @@
     pub cell: u64,
     pub machine_kind: u16,
     pub state: ListState,
-    /// When the process last started; 0 is long ago.
+    /// When the process last started; 0 if that was long ago.
     pub started_at: f64,
     pub project_types: ProjectTypeSet,
-    /// It fetches its work: it has room for what it asks for, and for nothing else.
+    /// The worker pulls its work: it has headroom for exactly as much as it asks for.
     pub pulls_work: bool,
 }
 
 impl ListEntry {
-    /// The id and the start scattered evenly, the same everywhere: a process is another after each start.
+    /// Key by which schedulers identify the worker to each other: a hash of its id and start time, so that a restarted
+    /// process gets another key.
     pub fn peer_key(&self) -> u16 {
         ((self.id ^ self.started_at.to_bits()).wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 48) as u16
     }
 }
 
-/// The figures of the rule on cold workers.
+/// Slow start of workers that started recently ("cold" workers), rule 4: how much work all schedulers together may send
+/// one.
 #[derive(Clone, Copy, Default)]
 pub struct SlowStart {
+    /// Share of its full capacity that a worker has at its start.
     pub initial_share: f64,
+    /// Seconds from the start until the worker has its full capacity.
     pub duration: f64,
+    /// A worker is overloaded by more than this multiple of what it can run within `overload_window`.
     pub overload_multiple: f64,
+    /// Seconds over which the work sent to a worker is summed.
     pub overload_window: f64,
-    /// How many schedulers there are to keep it together.
+    /// Number of schedulers that share the allowance.
     pub scheduler_count: f64,
 }
 
@@ -170,115 +198,127 @@
         entry.started_at > 0.0 && now < entry.started_at + self.duration
     }
 
-    /// The least part of its capacity that it has now.
+    /// Lower bound of the share of its full capacity that the worker has now.
     pub(crate) fn least_share(&self, now: f64, entry: &ListEntry) -> f64 {
         let age = ((now - entry.started_at) / self.duration).clamp(0.0, 1.0);
         self.initial_share + (1.0 - self.initial_share) * age
     }
 }
 
-/// What costs points beside work in vain.
+/// Costs beside wasted work, in points (the unit of [`ProjectType::credit`]).
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Costs {
-    /// For each allocation that crosses zones.
+    /// Cost of each allocation to another zone.
     pub cross_zone: f64,
-    /// For each full message a work unit, where schedulers may tell one another anything.
+    /// Cost of one full peer message for each work unit; `None` if schedulers may not exchange messages.
     pub peer_message: Option<f64>,
 }
 
-/// What the list service had to say.
+/// Update from the worker list service, or from workers that connect by themselves.
 pub enum ListUpdate<'a> {
+    /// Entries that have changed.
     Changes(&'a [ListEntry]),
     /// The full list: a worker that is not in it is gone.
     Full(&'a [ListEntry]),
-    /// The full list as last had, before this start; it may be old.
+    /// The full list as the previous process last had it; it may be out of date.
     Cached(&'a [ListEntry]),
-    /// The same, of a process that takes over from one that still sends.
+    /// Like `Cached`, but the previous process still sends work.
     Inherited(&'a [ListEntry]),
-    /// Changes of workers that the list service does not name.
+    /// Changed entries of workers that the list service does not name.
     SelfRegistered(&'a [ListEntry]),
+    /// A request to the list service failed.
     Failed,
 }
 
 impl<'a> ListUpdate<'a> {
-    /// The lines, and whether they are all that there are.
+    /// The entries, and whether they are the full list.
     pub(crate) fn entries(&self) -> Option<(&'a [ListEntry], bool)> {
         match *self {
             ListUpdate::Failed => None,
-            ListUpdate::SelfRegistered(lines) | ListUpdate::Changes(lines) => Some((lines, false)),
-            ListUpdate::Full(lines) | ListUpdate::Cached(lines) | ListUpdate::Inherited(lines) => {
-                Some((lines, true))
+            ListUpdate::SelfRegistered(entries) | ListUpdate::Changes(entries) => {
+                Some((entries, false))
             }
+            ListUpdate::Full(entries)
+            | ListUpdate::Cached(entries)
+            | ListUpdate::Inherited(entries) => Some((entries, true)),
         }
     }
 }
 
-/// How a worker does with a project type: its smoothed share of failures, whether that makes it a suspect,
-/// when it may be tried next, and when work of the type last started there.
+/// Outlier detection for one worker and project type.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct OutlierStatus {
-    pub(crate) failures: f64,
+    /// Smoothed share of failures among the outcomes.
+    pub(crate) failure_rate: f64,
+    /// The failure rate is an outlier: the worker gets single trials only.
     pub(crate) suspect: bool,
+    /// A suspect gets no work of the type before this time.
     pub(crate) next_trial: f64,
-    pub(crate) started: f64,
+    /// When work of the type last started there.
+    pub(crate) last_start: f64,
 }
 
-/// A process on a machine; one that starts again is another `Worker`.
+/// A worker process and what this scheduler knows of it; a restarted process is another `Worker`.
 #[derive(Debug)]
 pub struct Worker {
     pub entry: ListEntry,
     pub(crate) state: Cell<ListState>,
-    /// Our allocations there that have no outcome yet, those of them not told to have started, and slots.
-    pub(crate) out: Cell<usize>,
+    /// Allocations of this scheduler without an outcome.
+    pub(crate) in_flight: Cell<usize>,
+    /// Those of them that are not known to have started.
     pub(crate) unstarted: Cell<usize>,
-    pub(crate) slots_out: Cell<f64>,
-    /// Slots of ours seen running.
-    pub(crate) running: Cell<f64>,
-    pub(crate) allowance: Cell<f64>,
-    /// Smoothed running time and its weight, for each project type.
-    pub(crate) heard: RefCell<Vec<DecayingMean>>,
-    /// How many times the usual it takes for the same work.
-    pub(crate) pace: RefCell<DecayingMean>,
-    /// Smoothed time from sending to starting, and when it was last heard.
-    pub(crate) delay: Cell<(f64, f64)>,
-    pub(crate) standing: RefCell<Vec<OutlierStatus>>,
-    /// When its pace was last heard.
-    pub(crate) heard_at: Cell<f64>,
-    /// It was sent something, or others told of it.
-    pub(crate) met: Cell<bool>,
-    /// The most slots seen there at once, ours that ran or those that it told were free.
-    pub(crate) lanes: Cell<f64>,
-    /// The other schedulers' slots there as each last told, and when; the sum; whether ours are yet to be told.
-    pub(crate) theirs: RefCell<Vec<(u8, f64)>>,
-    pub(crate) others: Cell<f64>,
-    pub(crate) noted: Cell<bool>,
-    /// Budget for a cold worker, and when it was last topped up.
-    pub(crate) budget: Cell<(f64, f64)>,
+    /// Slots of the allocations in flight.
+    pub(crate) slots_in_flight: Cell<f64>,
+    /// Slots of those that have started.
+    pub(crate) slots_running: Cell<f64>,
+    /// Slots that this scheduler may have in flight there; adapted to late starts and completions.
+    pub(crate) concurrency_limit: Cell<f64>,
+    /// Smoothed run time by project type.
+    pub(crate) run_times: RefCell<Vec<DecayingMean>>,
+    /// Smoothed ratio of its run times to the fleet's.
+    pub(crate) slowness: RefCell<DecayingMean>,
+    /// Smoothed time from send to start, and when it was last updated.
+    pub(crate) start_delay: Cell<(f64, f64)>,
+    /// By project type.
+    pub(crate) health: RefCell<Vec<OutlierStatus>>,
+    pub(crate) slowness_at: Cell<f64>,
+    /// The worker is ranked individually: this scheduler has sent it something, or another reported slots there.
+    pub(crate) tracked: Cell<bool>,
+    /// The most slots observed there at once: running for this scheduler, or reported as free.
+    pub(crate) peak_slots: Cell<f64>,
+    /// Slots held there by each other scheduler, and when that was reported.
+    pub(crate) peer_slots: RefCell<Vec<(u8, f64)>>,
+    pub(crate) peer_slots_total: Cell<f64>,
+    /// A change of `slots_in_flight` waits to be sent to the other schedulers.
+    pub(crate) change_queued: Cell<bool>,
+    /// Token bucket that limits sends to a cold worker: tokens left, in slots x seconds of run time, and when it was
+    /// last refilled.
+    pub(crate) cold_budget: Cell<(f64, f64)>,
+    /// The last load report, and when it arrived; 0 if none has.
     pub(crate) report: Cell<(LoadReport, f64)>,
-    /// Our slots sent since the last report.
-    pub(crate) sent_since: Cell<f64>,
-    /// One that fetches its work: how many work units it asks for beyond those it was sent.
-    pub(crate) asks: Cell<Option<i64>>,
-    /// How many it was ever sent.
-    pub(crate) sends: Cell<u64>,
+    pub(crate) slots_sent_since_report: Cell<f64>,
+    /// For a worker that pulls its work: work units that it has requested beyond those sent to it.
+    pub(crate) open_requests: Cell<Option<i64>>,
+    /// Work units ever sent to it.
+    pub(crate) sent_count: Cell<u64>,
 }
 
-/// A buffer, first come first served.
+/// FIFO queue of work units.
 #[derive(Debug, Default)]
 pub struct Queue(VecDeque<Rc<WorkUnit>>);
 
 impl Queue {
-    pub(crate) fn put(&mut self, wu: &Rc<WorkUnit>, first: bool) {
-        wu.waiting.set(true);
-        if first {
+    pub(crate) fn push(&mut self, wu: &Rc<WorkUnit>, front: bool) {
+        wu.queued.set(true);
+        if front {
             self.0.push_front(wu.clone())
         } else {
             self.0.push_back(wu.clone())
         }
     }
 
-    pub(crate) fn take_out(&mut self, wu: &Rc<WorkUnit>) {
-        if wu.waiting.replace(false) {
+    pub(crate) fn remove(&mut self, wu: &Rc<WorkUnit>) {
+        if wu.queued.replace(false) {
             self.0
                 .iter()
                 .position(|w| Rc::ptr_eq(w, wu))
@@ -290,41 +330,48 @@
         self.0.len()
     }
 
-    /// The first ones of those that may be sent at all: what has to wait must not hide the others.
-    pub(crate) fn first(
+    /// The first `limit` work units that `permits` accepts; those that have to wait do not hide the others.
+    pub(crate) fn first_permitted(
         &self,
-        most: usize,
-        may: impl Fn(&WorkUnit) -> bool,
+        limit: usize,
+        permits: impl Fn(&WorkUnit) -> bool,
     ) -> impl Iterator<Item = &Rc<WorkUnit>> {
-        self.0.iter().filter(move |wu| may(wu)).take(most)
+        self.0.iter().filter(move |wu| permits(wu)).take(limit)
     }
 }
 
+/// A request or batch item to be run by one worker.
 #[derive(Debug)]
 pub struct WorkUnit {
     pub id: u64,
     pub project_type: usize,
+    /// `None` if the host has no customers configured.
     pub customer: Option<usize>,
+    /// Slots that it takes up at a worker, at least 1.
     pub slots: f64,
     pub arrived_at: f64,
-    /// When this try's client gives up.
+    /// When its client gives up.
     pub deadline: f64,
-    /// How many allocations it may have, as it was when it came.
-    pub(crate) most: Cell<usize>,
-    pub(crate) excess: Cell<bool>,
+    /// Limit of its allocations, as configured when it arrived.
+    pub(crate) max_allocations: Cell<usize>,
+    /// It arrived when its customer had used up its share.
+    pub(crate) over_share: Cell<bool>,
+    /// It has its final answer, or its client is gone.
     pub(crate) ended: Cell<bool>,
-    pub(crate) waiting: Cell<bool>,
-    pub(crate) allocs: RefCell<Vec<Rc<Allocation>>>,
+    pub(crate) queued: Cell<bool>,
+    pub(crate) allocations: RefCell<Vec<Rc<Allocation>>>,
 }
 
+/// One send of a work unit to a worker.
 #[derive(Debug)]
 pub struct Allocation {
     pub work_unit: Weak<WorkUnit>,
     pub worker: Rc<Worker>,
+    /// Index among the allocations of its work unit.
     pub number: u16,
     pub sent_at: f64,
-    pub(crate) started: Cell<Option<f64>>,
-    /// Its slot at the worker is counted no more, as no start was told for too long.
+    pub(crate) started_at: Cell<Option<f64>>,
+    /// It has not started for so long that its slots no longer count as taken.
     pub(crate) lost: Cell<bool>,
     pub(crate) outcome: Cell<Option<Outcome>>,
 }
@@ -349,76 +396,77 @@
             },
             arrived_at,
             deadline: arrived_at + time_budget,
-            most: Cell::new(usize::MAX),
-            excess: Cell::new(false),
+            max_allocations: Cell::new(usize::MAX),
+            over_share: Cell::new(false),
             ended: Cell::new(false),
-            waiting: Cell::new(false),
-            allocs: RefCell::default(),
+            queued: Cell::new(false),
+            allocations: RefCell::default(),
         })
     }
 
     pub fn allocation(&self, number: u16) -> Option<Rc<Allocation>> {
-        self.allocs.borrow().get(number as usize).cloned()
+        self.allocations.borrow().get(number as usize).cloned()
     }
 
-    /// Whether it had an allocation before.
+    /// Whether an allocation was sent before.
     pub fn is_retry(&self) -> bool {
-        !self.allocs.borrow().is_empty()
+        !self.allocations.borrow().is_empty()
     }
 
-    /// Is an allocation of it out?
-    pub(crate) fn is_out(&self) -> bool {
-        self.allocs
+    /// Whether an allocation of it is in flight.
+    pub(crate) fn has_open_allocation(&self) -> bool {
+        self.allocations
             .borrow()
             .iter()
             .any(|a| a.outcome.get().is_none())
     }
 
-    /// Whether it has its final answer, or its client has left.
+    /// Whether it has its final answer, or its client is gone.
     pub fn ended(&self) -> bool {
         self.ended.get()
     }
 
-    /// Ended, with no outcome outstanding: the front may forget it.
+    /// Whether it has ended with no allocation in flight, so that the host may drop it.
     pub fn is_settled(&self) -> bool {
-        self.ended.get() && !self.is_out()
+        self.ended.get() && !self.has_open_allocation()
     }
 }
 
 impl Allocation {
-    /// It has started at its worker, also after it was taken for lost there.
+    /// Records that it has started at its worker, possibly after it was marked as lost.
     pub(crate) fn start(&self, now: f64, slots: f64) {
-        self.started.set(Some(now));
+        self.started_at.set(Some(now));
         if self.lost.replace(false) {
-            self.worker.found(slots);
+            self.worker.restore_lost(slots);
         }
-        self.worker.began(slots);
+        self.worker.record_start(slots);
     }
 
-    /// It holds no slot at its worker any more, as far as we count them.
-    pub(crate) fn free(&self, slots: f64) {
+    /// Releases its slots at the worker, unless it was marked as lost and they are released already.
+    pub(crate) fn release(&self, slots: f64) {
         if !self.lost.get() {
-            self.worker.gave_back(slots, self.started.get().is_some());
+            self.worker
+                .release_slots(slots, self.started_at.get().is_some());
         }
     }
 
-    pub(crate) fn lose(&self, slots: f64) {
-        self.free(slots);
+    pub(crate) fn mark_lost(&self, slots: f64) {
+        self.release(slots);
         self.lost.set(true);
     }
 
-    /// How long it has run, from its start where that was told.
-    pub(crate) fn ran(&self, now: f64) -> f64 {
-        now - self.started.get().unwrap_or(self.sent_at)
+    /// Seconds since its start, or since it was sent if no start was reported.
+    pub(crate) fn run_time(&self, now: f64) -> f64 {
+        now - self.started_at.get().unwrap_or(self.sent_at)
     }
 
     pub(crate) fn new(wu: &Rc<WorkUnit>, worker: &Rc<Worker>, sent_at: f64) -> Rc<Allocation> {
         Rc::new(Allocation {
             work_unit: Rc::downgrade(wu),
             worker: worker.clone(),
-            number: wu.allocs.borrow().len() as u16,
+            number: wu.allocations.borrow().len() as u16,
             sent_at,
-            started: Cell::new(None),
+            started_at: Cell::new(None),
             lost: Cell::new(false),
             outcome: Cell::new(None),
         })
@@ -426,57 +474,57 @@
 }
 
 impl Worker {
-    /// Whether something new may go to it: it is listed as ready, and is still the process that it was.
+    /// Whether new work may be sent to it: it is listed as ready, and the process has not restarted since.
     pub fn accepts_new_work(&self) -> bool {
         self.state.get() == ListState::Ready
     }
 
-    /// A worker of which nothing is known but its line in the list.
+    /// A worker of which only its entry in the list is known.
     pub(crate) fn new(
         entry: ListEntry,
-        allowance: f64,
+        concurrency_limit: f64,
         types: usize,
-        budget: (f64, f64),
+        cold_budget: (f64, f64),
     ) -> Worker {
         Worker {
             state: Cell::new(entry.state),
-            asks: Cell::new(entry.pulls_work.then_some(0)),
-            out: Cell::new(0),
+            open_requests: Cell::new(entry.pulls_work.then_some(0)),
+            in_flight: Cell::new(0),
             unstarted: Cell::new(0),
-            slots_out: Cell::new(0.0),
-            running: Cell::new(0.0),
-            allowance: Cell::new(allowance),
-            heard: RefCell::new(vec![DecayingMean::default(); types]),
-            pace: RefCell::default(),
-            delay: Cell::new((0.0, 0.0)),
-            standing: RefCell::new(vec![OutlierStatus::default(); types]),
-            heard_at: Cell::new(0.0),
-            others: Cell::new(0.0),
-            lanes: Cell::new(0.0),
-            met: Cell::new(false),
-            theirs: RefCell::default(),
-            noted: Cell::new(false),
-            budget: Cell::new(budget),
+            slots_in_flight: Cell::new(0.0),
+            slots_running: Cell::new(0.0),
+            concurrency_limit: Cell::new(concurrency_limit),
+            run_times: RefCell::new(vec![DecayingMean::default(); types]),
+            slowness: RefCell::default(),
+            start_delay: Cell::new((0.0, 0.0)),
+            health: RefCell::new(vec![OutlierStatus::default(); types]),
+            slowness_at: Cell::new(0.0),
+            peer_slots_total: Cell::new(0.0),
+            peak_slots: Cell::new(0.0),
+            tracked: Cell::new(false),
+            peer_slots: RefCell::default(),
+            change_queued: Cell::new(false),
+            cold_budget: Cell::new(cold_budget),
             report: Cell::new((LoadReport::default(), 0.0)),
-            sent_since: Cell::new(0.0),
-            sends: Cell::new(0),
+            slots_sent_since_report: Cell::new(0.0),
+            sent_count: Cell::new(0),
             entry,
         }
     }
 
-    /// A project type has this number from now on, and what was heard of the one that it continues.
-    pub(crate) fn take_type(&self, number: usize, continues: Option<usize>) {
-        fn take<T: Copy + Default>(of: &mut Vec<T>, number: usize, continues: Option<usize>) {
-            let heard = continues.map_or_else(T::default, |old| of[old]);
-            of.resize(of.len().max(number + 1), T::default());
-            of[number] = heard;
+    /// Prepares for a project type with this number; it takes over what was learned of its predecessor.
+    pub(crate) fn set_project_type(&self, number: usize, predecessor: Option<usize>) {
+        fn copy<T: Copy + Default>(values: &mut Vec<T>, number: usize, predecessor: Option<usize>) {
+            let learned = predecessor.map_or_else(T::default, |old| values[old]);
+            values.resize(values.len().max(number + 1), T::default());
+            values[number] = learned;
         }
-        take(&mut self.heard.borrow_mut(), number, continues);
-        take(&mut self.standing.borrow_mut(), number, continues);
+        copy(&mut self.run_times.borrow_mut(), number, predecessor);
+        copy(&mut self.health.borrow_mut(), number, predecessor);
     }
 
-    /// Its zone and kind, and what it runs.
-    pub(crate) fn kin(&self) -> (u16, u16, ProjectTypeSet) {
+    /// Key of the group of interchangeable workers that it belongs to: zone, kind of machine and project types.
+    pub(crate) fn group_key(&self) -> (u16, u16, ProjectTypeSet) {
         (
             self.entry.zone,
             self.entry.machine_kind,
@@ -484,59 +532,61 @@
         )
     }
 
-    pub(crate) fn took(&self, slots: f64, work: f64) {
-        self.out.set(self.out.get() + 1);
+    pub(crate) fn record_send(&self, slots: f64, work: f64) {
+        self.in_flight.set(self.in_flight.get() + 1);
         self.unstarted.set(self.unstarted.get() + 1);
-        self.slots_out.set(self.slots_out.get() + slots);
-        self.sent_since.set(self.sent_since.get() + slots);
-        self.asks.set(self.asks.get().map(|asks| asks - 1));
-        self.sends.set(self.sends.get() + 1);
-        let (budget, at) = self.budget.get();
-        self.budget.set((budget - slots * work, at));
-    }
-
-    /// What was lost has started after all.
-    pub(crate) fn found(&self, slots: f64) {
-        self.out.set(self.out.get() + 1);
+        self.slots_in_flight.set(self.slots_in_flight.get() + slots);
+        self.slots_sent_since_report
+            .set(self.slots_sent_since_report.get() + slots);
+        self.open_requests
+            .set(self.open_requests.get().map(|requests| requests - 1));
+        self.sent_count.set(self.sent_count.get() + 1);
+        let (budget, at) = self.cold_budget.get();
+        self.cold_budget.set((budget - slots * work, at));
+    }
+
+    /// Counts an allocation again that was marked as lost and has started after all.
+    pub(crate) fn restore_lost(&self, slots: f64) {
+        self.in_flight.set(self.in_flight.get() + 1);
         self.unstarted.set(self.unstarted.get() + 1);
-        self.slots_out.set(self.slots_out.get() + slots);
+        self.slots_in_flight.set(self.slots_in_flight.get() + slots);
     }
 
-    /// Another scheduler holds so many slots there.
-    pub(crate) fn hear(&self, now: f64, from: usize, slots: u8) {
-        let mut theirs = self.theirs.borrow_mut();
-        let most = theirs.len().max(from + 1);
-        theirs.resize(most, (0, now));
-        theirs[from] = (slots, now);
-        self.others
-            .set(theirs.iter().map(|(slots, _)| f64::from(*slots)).sum());
+    /// Records how many slots another scheduler holds there.
+    pub(crate) fn record_peer_slots(&self, now: f64, from: usize, slots: u8) {
+        let mut peer_slots = self.peer_slots.borrow_mut();
+        let schedulers = peer_slots.len().max(from + 1);
+        peer_slots.resize(schedulers, (0, now));
+        peer_slots[from] = (slots, now);
+        self.peer_slots_total
+            .set(peer_slots.iter().map(|(slots, _)| f64::from(*slots)).sum());
     }
 
-    /// What was told before that moment holds no more.
-    pub(crate) fn void(&self, before: f64) {
-        let mut theirs = self.theirs.borrow_mut();
-        theirs
+    /// Discards what other schedulers reported before this time.
+    pub(crate) fn expire_peer_slots(&self, before: f64) {
+        let mut peer_slots = self.peer_slots.borrow_mut();
+        peer_slots
             .iter_mut()
             .filter(|(_, at)| *at < before)
             .for_each(|(slots, _)| *slots = 0);
-        self.others
-            .set(theirs.iter().map(|(slots, _)| f64::from(*slots)).sum());
+        self.peer_slots_total
+            .set(peer_slots.iter().map(|(slots, _)| f64::from(*slots)).sum());
     }
 
-    /// What the others are told that we hold there.
-    pub(crate) fn tell(&self) -> u8 {
-        self.noted.set(false);
-        self.slots_out.get().ceil().clamp(0.0, 255.0) as u8
+    /// The slots held there to report to the other schedulers; clears `change_queued`.
+    pub(crate) fn slots_for_peers(&self) -> u8 {
+        self.change_queued.set(false);
+        self.slots_in_flight.get().ceil().clamp(0.0, 255.0) as u8
     }
 
-    /// A job of ours took this long to start there.
-    pub(crate) fn heard_start(&self, now: f64, delay: f64) {
-        let (old, _) = self.delay.get();
-        self.delay.set((old + (delay - old) / 2.0, now));
+    /// Records how long an allocation took to start there.
+    pub(crate) fn record_start_delay(&self, now: f64, delay: f64) {
+        let (old, _) = self.start_delay.get();
+        self.start_delay.set((old + (delay - old) / 2.0, now));
     }
 
-    /// For the log, that it is a suspect from now on, or was one.
-    pub(crate) fn judged(&self, was: bool, project_type: usize, over: f64) -> String {
+    /// The log line for a worker that has become a suspect, or is none any more.
+    pub(crate) fn suspect_log_line(&self, was: bool, project_type: usize, over: f64) -> String {
         let now_is = if was {
             "trusted again"
         } else {
@@ -548,70 +598,79 @@
         )
     }
 
-    pub(crate) fn halve(&self) {
-        self.allowance.set((self.allowance.get() / 2.0).max(1.0));
+    pub(crate) fn halve_concurrency_limit(&self) {
+        self.concurrency_limit
+            .set((self.concurrency_limit.get() / 2.0).max(1.0));
     }
 
-    /// What it has told of its load. Reports may be absurd: what is no number of slots is no report.
+    /// Records a load report. One whose number of free slots is negative or not finite is ignored.
     pub fn record_report(&self, now: f64, report: LoadReport) {
         if report.free_slots.is_some_and(|f| f.is_finite() && f >= 0.0) {
             self.report.set((report, now));
-            self.sent_since.set(0.0);
+            self.slots_sent_since_report.set(0.0);
         }
     }
 
-    /// One that fetches its work waits for so many work units. Of those it was sent it had heard of so many by
-    /// then; the others are on their way, and take up as many.
+    /// Records that a worker that pulls its work waits for `waiting` work units, and has received `orders` of those
+    /// ever sent to it. The rest are still on their way and count against `waiting`.
     pub fn record_pull(&self, waiting: u64, orders: u64) {
-        self.asks.set(Some(
-            waiting as i64 + orders as i64 - self.sends.get() as i64,
+        self.open_requests.set(Some(
+            waiting as i64 + orders as i64 - self.sent_count.get() as i64,
         ));
     }
 
-    pub(crate) fn began(&self, slots: f64) {
+    pub(crate) fn record_start(&self, slots: f64) {
         self.unstarted.set(self.unstarted.get() - 1);
-        self.running.set(self.running.get() + slots);
+        self.slots_running.set(self.slots_running.get() + slots);
     }
 
-    pub(crate) fn gave_back(&self, slots: f64, had_started: bool) {
-        self.out.set(self.out.get() - 1);
-        // Empty is empty, whatever sums of fractions leave.
-        let left = if self.out.get() == 0 { 0.0 } else { 1.0 };
-        self.slots_out.set((self.slots_out.get() - slots) * left);
+    pub(crate) fn release_slots(&self, slots: f64, had_started: bool) {
+        self.in_flight.set(self.in_flight.get() - 1);
+        // Rounding errors of fractional slots must not leave an idle worker with a remainder.
+        let left = if self.in_flight.get() == 0 { 0.0 } else { 1.0 };
+        self.slots_in_flight
+            .set((self.slots_in_flight.get() - slots) * left);
         if had_started {
-            self.running.set((self.running.get() - slots) * left);
+            self.slots_running
+                .set((self.slots_running.get() - slots) * left);
         } else {
             self.unstarted.set(self.unstarted.get() - 1);
         }
     }
 
-    /// Our slots there that have no outcome yet.
+    /// Slots of this scheduler's allocations in flight there.
     pub fn slots_in_flight(&self) -> f64 {
-        self.slots_out.get()
+        self.slots_in_flight.get()
     }
 }
 
-/// All that the decisions can do.
+/// The program that embeds a scheduler: carries out its decisions and answers its questions.
 pub trait Host {
-    /// Whether limits that are not this scheduler's alone let the work unit have an allocation there now.
+    /// Whether limits outside the scheduler allow this allocation now.
     fn permits(&self, _wu: &WorkUnit, _worker: &Worker) -> bool {
         true
     }
-    /// The worker that would serve the work unit best, where the front knows of one.
+    /// Id of the worker that would serve the work unit best, if the host knows one.
     fn preferred_worker(&self, _wu: &WorkUnit) -> Option<u64> {
         None
     }
+    /// Sends an allocation to its worker.
     fn allocate(&mut self, alloc: &Allocation);
+    /// Cancels an allocation in flight; its outcome is reported all the same.
     fn cancel(&mut self, alloc: &Allocation);
-    /// A final answer: turned away, trying again is harmless.
-    fn defer(&mut self, wu: &WorkUnit, come_back: f64);
-    /// A final answer that promises nothing.
+    /// Gives the final answer that the work unit was turned away and that a repeat is harmless, best after
+    /// `retry_after` seconds.
+    fn defer(&mut self, wu: &WorkUnit, retry_after: f64);
+    /// Gives the final answer that leaves open whether the work unit has run.
     fn abort(&mut self, wu: &WorkUnit);
+    /// Requests a load report from a worker.
     fn probe(&mut self, worker: &Worker);
+    /// Requests the worker list from the list service.
     fn request_worker_list(&mut self);
-    /// Tells all other schedulers; where there is no way to, it is lost like any word may be.
+    /// Sends a message to all other schedulers. Messages may be lost, and a host without a way to send them drops them.
     fn broadcast(&mut self, _bytes: &[u8]) {}
-    /// Asks for a call of `woke` this many seconds from now.
+    /// Requests a call of [`decide::Scheduler::on_timer`] this many seconds from now.
     fn set_timer(&mut self, seconds: f64);
+    /// Writes a line to the log.
     fn log(&mut self, line: &str);
 }
--- a/crates/mintlb-scheduler/src/peers.rs
+++ b/crates/mintlb-scheduler/src/peers.rs
@@ -1,4 +1,4 @@
-//! What the schedulers have told one another, and what is yet to be told: nothing is decided here.
+//! Exchange of load between schedulers: which slots each holds at which worker.
 
 use crate::Worker;
 use crate::peer_message::{self, PeerMessage};
@@ -6,76 +6,91 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// What is too old is looked for each time this part of the longest that work may last is over.
-const LOOK: f64 = 1.0 / 8.0;
+/// Interval of the search for expired reports, as a share of `max_work_duration`.
+const EXPIRY_INTERVAL_SHARE: f64 = 1.0 / 8.0;
 
+/// What other schedulers have reported, and what is to be reported to them.
 #[derive(Default)]
 pub struct Peers {
-    /// Where what we hold has changed since it was told.
-    news: Vec<Rc<Worker>>,
-    /// When each other scheduler's last word was written, by its own clock, and when it came, by ours.
-    heard: BTreeMap<usize, (f64, f64)>,
-    /// The longest that work may last. Who holds some for longer has begun it since, and has told: so what is older was
-    /// told by one that is gone or has started anew, or a later word was lost.
-    pub longest: f64,
-    /// When that was last looked for.
-    looked: f64,
+    /// Workers where this scheduler's slots have changed since they were last reported.
+    changed_workers: Vec<Rc<Worker>>,
+    /// Of each other scheduler's last message: when it was sent by its clock, and when it arrived by ours.
+    last_messages: BTreeMap<usize, (f64, f64)>,
+    /// Longest time that an allocation may take, in seconds. A slot is held for longer only if other work has started
+    /// since, which is reported. So an older report is from a scheduler that is gone or has restarted, or a later
+    /// message was lost.
+    pub max_work_duration: f64,
+    /// When expired reports were last searched for.
+    last_expiry: f64,
 }
 
 impl Peers {
-    /// We hold more or less there than before, which the others are to be told.
-    pub fn changed(&mut self, worker: &Rc<Worker>, shares: bool) {
-        if shares && !worker.noted.replace(true) {
-            self.news.push(worker.clone());
+    /// Notes that this scheduler's slots at a worker have changed, to be reported to the others.
+    pub fn record_change(&mut self, worker: &Rc<Worker>, is_enabled: bool) {
+        if is_enabled && !worker.change_queued.replace(true) {
+            self.changed_workers.push(worker.clone());
         }
     }
 
-    pub fn has_news(&self) -> bool {
-        !self.news.is_empty()
+    pub fn has_changes(&self) -> bool {
+        !self.changed_workers.is_empty()
     }
 
-    /// As much as one word has room for, if there is any; of the rest the next one tells.
-    pub fn word(&mut self, now: f64) -> Option<PeerMessage> {
-        let most = self.news.len().min(peer_message::MAX_ENTRIES);
-        let told = |w: Rc<Worker>| (w.entry.peer_key(), w.tell());
-        let slots_held: Vec<_> = self.news.drain(..most).map(told).collect();
-        (most > 0).then_some(PeerMessage {
+    /// As many changes as fit into one message, if there are any; the rest is left for the next one.
+    pub fn next_message(&mut self, now: f64) -> Option<PeerMessage> {
+        let count = self.changed_workers.len().min(peer_message::MAX_ENTRIES);
+        let report_of = |w: Rc<Worker>| (w.entry.peer_key(), w.slots_for_peers());
+        let slots_held: Vec<_> = self.changed_workers.drain(..count).map(report_of).collect();
+        (count > 0).then_some(PeerMessage {
             sent_at: now,
             slots_held,
         })
     }
 
-    /// A word of another scheduler counts if it is later than those heard. Workers told of are ranked one by one.
-    pub fn hear(&mut self, now: f64, from: usize, word: &PeerMessage, workers: &mut WorkerIndex) {
-        let oldest = now - self.longest;
-        // A clock that was set back is believed again once its old word is as old as that.
+    /// Applies a message of another scheduler, unless it is older than one already applied. The workers that it names
+    /// are ranked individually from now on.
+    pub fn apply(
+        &mut self,
+        now: f64,
+        from: usize,
+        message: &PeerMessage,
+        workers: &mut WorkerIndex,
+    ) {
+        let expired_before = now - self.max_work_duration;
+        // If the sender's clock was set back, its messages count again after that time.
         if self
-            .heard
+            .last_messages
             .get(&from)
-            .is_some_and(|(sent, came)| word.sent_at <= *sent && *came >= oldest)
+            .is_some_and(|(sent, received)| message.sent_at <= *sent && *received >= expired_before)
         {
             return;
         }
-        self.heard.insert(from, (word.sent_at, now));
-        for (key, slots) in &word.slots_held {
-            if let Some(w) = workers.keyed(*key).cloned() {
-                w.hear(now, from, *slots);
-                workers.meet(&w);
+        self.last_messages.insert(from, (message.sent_at, now));
+        for (key, slots) in &message.slots_held {
+            if let Some(w) = workers.by_peer_key(*key).cloned() {
+                w.record_peer_slots(now, from, *slots);
+                workers.track(&w);
             }
         }
-        if now >= self.looked + self.longest * LOOK {
-            self.looked = now;
-            workers.all().for_each(|w| w.void(oldest));
+        if now >= self.last_expiry + self.max_work_duration * EXPIRY_INTERVAL_SHARE {
+            self.last_expiry = now;
+            workers
+                .all()
+                .for_each(|w| w.expire_peer_slots(expired_before));
         }
     }
 
-    /// Where nobody tells anything any more, what was told holds no more.
-    pub fn allow(&mut self, shares: bool, workers: &WorkerIndex) {
-        if shares {
+    /// Enables or disables the exchange; when it is disabled, all reports are discarded.
+    pub fn set_enabled(&mut self, is_enabled: bool, workers: &WorkerIndex) {
+        if is_enabled {
             return;
         }
-        workers.all().for_each(|w| w.void(f64::INFINITY));
-        self.news.drain(..).for_each(|w| w.noted.set(false));
-        self.heard.clear();
+        workers
+            .all()
+            .for_each(|w| w.expire_peer_slots(f64::INFINITY));
+        self.changed_workers
+            .drain(..)
+            .for_each(|w| w.change_queued.set(false));
+        self.last_messages.clear();
     }
 }
--- a/crates/mintlb-scheduler/src/settings.rs
+++ b/crates/mintlb-scheduler/src/settings.rs
@@ -1,5 +1,7 @@
-//! What the settings mean: values by path, read into the parts of the decision module. Both wires bring
-//! them here, the bench's as `path=value` lines, the sockets' as nested JSON made flat in the same way.
+//! Settings of a scheduler: values by path, parsed into the scheduler's parts.
+//!
+//! The bench adapter gets them as lines `path=value`, `mintlb serve` as nested JSON that is flattened to the same
+//! paths.
 
 use crate::decide::{FairShares, Fleet, ListPolling, Queues, RetryPolicy, Scheduler};
 use crate::util::Rng;
@@ -7,24 +9,26 @@
 use std::collections::BTreeMap;
 use std::str::FromStr;
 
-/// What the list has to tell counts as told so many seconds after it had it and could be reached, heard or not, whatever
-/// call failed. Half of it may pass from one question to the next; the rest is a call's.
+/// A change in the worker list has to take effect within this many seconds after the list service knows it and can be
+/// reached, whichever request failed. Half of it may pass between two requests; the rest is for the request itself.
 pub const MAX_LIST_DELAY_S: f64 = 6.0;
 
-/// Points for each allocation that crosses zones, where no price is set.
-const CROSSING: f64 = 0.021;
+/// Cost of a cross-zone allocation in points, if `prices.cross_zone` is not set: the price where the scheduler was
+/// first tried.
+const DEFAULT_CROSS_ZONE_COST: f64 = 0.021;
 
-/// What may change while a scheduler serves, beside the project types.
+/// Settings that may change while a scheduler runs, beside the project types.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ReloadableSettings {
     pub retry_policy: RetryPolicy,
+    /// Factor of the credit of work beyond its customer's share.
     pub excess_credit: f64,
-    /// How long clients heed advice on when to come back; 0 where they get none.
+    /// Longest `Retry-After` that clients respect, in seconds; 0 if they get none.
     pub max_retry_after: f64,
     pub costs: Costs,
 }
 
-/// The values by path; those that nobody asks for are passed over.
+/// Values by path. Paths that are never read are ignored.
 pub struct FlatSettings(BTreeMap<String, String>);
 
 impl FromIterator<(String, String)> for FlatSettings {
@@ -34,6 +38,7 @@
 }
 
 impl FlatSettings {
+    /// From lines `path=value`; lines without `=` are ignored.
     pub fn new(lines: &str) -> FlatSettings {
         let pairs = lines.lines().filter_map(|line| line.split_once('='));
         pairs
@@ -52,23 +57,27 @@
             .map_err(|_| format!("the setting {path}={value} cannot be read"))
     }
 
+    /// A duration in seconds; the setting is in milliseconds.
     pub fn seconds(&self, path: &str) -> Result<f64, String> {
         let ms: f64 = self.get(path)?;
         if ms.is_finite() {
             Ok(ms / 1000.0)
         } else {
-            Err(format!("the setting {path}={ms} is no time"))
+            Err(format!(
+                "the setting {path}={ms} is not a finite number of milliseconds"
+            ))
         }
     }
 
-    fn or<T: FromStr>(&self, path: &str, absent: T) -> Result<T, String> {
+    fn get_or<T: FromStr>(&self, path: &str, default: T) -> Result<T, String> {
         if self.0.contains_key(path) {
             self.get(path)
         } else {
-            Ok(absent)
+            Ok(default)
         }
     }
 
+    /// A comma-separated list; empty if the setting is absent.
     pub fn list(&self, path: &str) -> Vec<&str> {
         let value = self.0.get(path).map_or("", String::as_str);
         value
@@ -78,8 +87,8 @@
             .collect()
     }
 
-    /// One of a list with an item for each project type.
-    fn item<T: FromStr>(&self, path: &str, i: usize) -> Result<Option<T>, String> {
+    /// Item of a list that has one for each project type; `None` if the list is absent or too short.
+    fn list_item<T: FromStr>(&self, path: &str, i: usize) -> Result<Option<T>, String> {
         let Some(value) = self.list(path).get(i).copied() else {
             return Ok(None);
         };
@@ -94,7 +103,7 @@
         (0..count).map(|i| self.project_type(i)).collect()
     }
 
-    /// By their names, each of which is there once.
+    /// The project types with their names, which must be unique and not empty.
     pub fn named_types(&self) -> Result<Vec<(String, ProjectType)>, String> {
         let types = self.project_types()?.into_iter().enumerate();
         let name = |i: usize| self.get::<String>(&format!("project_types.{i}.name"));
@@ -107,27 +116,28 @@
             }
             if named[..i].iter().any(|(other, _)| other == name) {
                 return Err(format!(
-                    "the setting project_types.{i}.name={name} is there twice"
+                    "the setting project_types.{i}.name={name} is a duplicate"
                 ));
             }
         }
         Ok(named)
     }
 
-    /// A number that counts or measures something: absent, endless or below 0 it means nothing.
-    fn amount(&self, path: &str) -> Result<f64, String> {
+    /// A finite number that is not negative.
+    fn non_negative(&self, path: &str) -> Result<f64, String> {
         let value: f64 = self.get(path)?;
-        let good = value.is_finite() && value >= 0.0;
-        good.then_some(value)
-            .ok_or_else(|| format!("the setting {path}={value} is no amount"))
+        let is_valid = value.is_finite() && value >= 0.0;
+        is_valid.then_some(value).ok_or_else(|| {
+            format!("the setting {path}={value} is not a finite number of at least 0")
+        })
     }
 
-    /// What may change while a scheduler serves.
+    /// The settings that may change while a scheduler runs.
     pub fn reloadable(&self) -> Result<ReloadableSettings, String> {
         let max_allocations = self.get("permissions.most_allocations")?;
         if max_allocations == 0 {
             return Err(
-                "the setting permissions.most_allocations=0 lets no work go anywhere".to_string(),
+                "the setting permissions.most_allocations=0 allows no work to be sent".to_string(),
             );
         }
         Ok(ReloadableSettings {
@@ -136,7 +146,7 @@
                 may_cancel: self.get("permissions.may_cancel")?,
                 max_allocations,
             },
-            excess_credit: self.or("excess_credit", 1.0)?,
+            excess_credit: self.get_or("excess_credit", 1.0)?,
             max_retry_after: match self.get("permissions.retry_after")? {
                 true => self.seconds("permissions.max_retry_after")?,
                 false => 0.0,
@@ -146,13 +156,13 @@
     }
 
     fn project_type(&self, i: usize) -> Result<ProjectType, String> {
-        let at = |key: &str| format!("project_types.{i}.{key}");
-        let effect: String = self.get(&at("effect"))?;
+        let path = |key: &str| format!("project_types.{i}.{key}");
+        let effect: String = self.get(&path("effect"))?;
         let idempotency = match effect.as_str() {
             "read_like" => Idempotency::Idempotent,
             "non_idempotent" => Idempotency::NonIdempotent,
             "idempotency_key" => {
-                let group: String = self.get(&at("group"))?;
+                let group: String = self.get(&path("group"))?;
                 let scope = match group.as_str() {
                     "all" => DedupScope::All,
                     "zone" => DedupScope::Zone,
@@ -160,44 +170,47 @@
                     _ => {
                         return Err(format!(
                             "the setting {}={group} cannot be read",
-                            at("group")
+                            path("group")
                         ));
                     }
                 };
                 Idempotency::Deduplicated {
                     scope,
-                    window: self.seconds(&at("window"))?,
+                    window: self.seconds(&path("window"))?,
                 }
             }
             _ => {
                 return Err(format!(
                     "the setting {}={effect} cannot be read",
-                    at("effect")
+                    path("effect")
                 ));
             }
         };
-        let hard_limit = self.seconds(&at("hard_limit"))?;
+        let hard_limit = self.seconds(&path("hard_limit"))?;
         if hard_limit <= 0.0 {
             return Err(format!(
-                "the setting {}={} is no time to do work in",
-                at("hard_limit"),
+                "the setting {}={} must be greater than 0",
+                path("hard_limit"),
                 hard_limit * 1e3
             ));
         }
-        let kind: Option<i32> = self.item("family_info.class_kind", i)?;
+        let kind: Option<i32> = self.list_item("family_info.class_kind", i)?;
         Ok(ProjectType {
-            credit: self.amount(&at("credit"))?,
-            late_credit: self.amount(&at("late_credit"))?,
-            turnaround_stretch: self.item("family_info.class_stretch", i)?.unwrap_or(0.0),
-            promised_turnaround: self.amount(&at("promised_turnaround"))? / 1000.0,
+            credit: self.non_negative(&path("credit"))?,
+            late_credit: self.non_negative(&path("late_credit"))?,
+            turnaround_stretch: self
+                .list_item("family_info.class_stretch", i)?
+                .unwrap_or(0.0),
+            promised_turnaround: self.non_negative(&path("promised_turnaround"))? / 1000.0,
             hard_limit,
             idempotency,
             machine_kind: kind.and_then(|k| u16::try_from(k).ok()),
         })
     }
 
+    /// Number of customers; 0 if none are configured.
     pub fn customer_count(&self) -> Result<usize, String> {
-        self.or("tenants.count", 0)
+        self.get_or("tenants.count", 0)
     }
 
     fn quotas(&self) -> Result<Vec<f64>, String> {
@@ -206,30 +219,34 @@
             .collect()
     }
 
-    /// Where they are not told, crossing costs what it did where this was first tried, and nobody tells anything.
+    /// The costs; without the settings a default for cross-zone allocations applies, and schedulers exchange no
+    /// messages.
     fn costs(&self) -> Result<Costs, String> {
-        let or = |path: &str, absent: f64| {
+        let non_negative_or = |path: &str, default: f64| {
             if self.0.contains_key(path) {
-                self.amount(path)
+                self.non_negative(path)
             } else {
-                Ok(absent)
+                Ok(default)
             }
         };
-        let message = or("prices.peer", 0.0)?;
+        let message_cost = non_negative_or("prices.peer", 0.0)?;
         Ok(Costs {
-            cross_zone: or("prices.cross_zone", CROSSING)?,
-            peer_message: self.or("permissions.peers", false)?.then_some(message),
+            cross_zone: non_negative_or("prices.cross_zone", DEFAULT_CROSS_ZONE_COST)?,
+            peer_message: self
+                .get_or("permissions.peers", false)?
+                .then_some(message_cost),
         })
     }
 
+    /// A scheduler with these settings.
     pub fn scheduler(&self, seed: u64) -> Result<Scheduler, String> {
-        let schedulers: usize = self.get("balancers")?;
-        let cold = SlowStart {
+        let scheduler_count: usize = self.get("balancers")?;
+        let slow_start = SlowStart {
             initial_share: self.get("rules.cold_from")?,
             duration: self.seconds("rules.warm_after")?,
             overload_multiple: self.get("rules.fall_multiple")?,
             overload_window: self.seconds("rules.fall")?,
-            scheduler_count: schedulers as f64,
+            scheduler_count: scheduler_count as f64,
         };
         let discovery: String = self.get("discovery")?;
         let ReloadableSettings {
@@ -239,10 +256,10 @@
             costs,
         } = self.reloadable()?;
         let types = self.project_types()?;
-        let tells_start = self.or("family_info.tells_start", false)?;
-        let fleet = Fleet::new(cold, self.get("zone")?, tells_start, costs, &types);
-        let buffers = Queues::new(types, excess_credit, max_retry_after);
-        let follow = ListPolling {
+        let reports_starts = self.get_or("family_info.tells_start", false)?;
+        let fleet = Fleet::new(slow_start, self.get("zone")?, reports_starts, costs, &types);
+        let queues = Queues::new(types, excess_credit, max_retry_after);
+        let list_polling = ListPolling {
             on_request: discovery == "on_request",
             max_interval: self
                 .seconds("rules.ask_within")?
@@ -253,11 +270,11 @@
             Rng::new(seed),
             (
                 FairShares::new(&self.quotas()?),
-                buffers,
+                queues,
                 retry_policy,
                 fleet,
             ),
-            follow,
+            list_polling,
         ))
     }
 }
--- a/crates/mintlb-scheduler/src/util.rs
+++ b/crates/mintlb-scheduler/src/util.rs
@@ -1,9 +1,9 @@
-//! Tools of the decisions that decide nothing: chance, a mean that forgets, due times in order.
+//! Random numbers, decaying means and a queue of timers.
 
 use crate::Host;
 use std::collections::BTreeMap;
 
-/// Chance: multiply-with-carry, from the seed the instance was started with.
+/// Pseudo-random number generator (multiply-with-carry).
 pub struct Rng(u64);
 
 impl Rng {
@@ -11,14 +11,14 @@
         Rng(((seed ^ (seed >> 32)) % 0xffff_da60_ffff_ffff) | 1)
     }
 
-    /// A number from 0 up to 1.
+    /// A random number from 0 (inclusive) to 1 (exclusive).
     pub fn uniform(&mut self) -> f64 {
         self.0 = (self.0 & 0xffff_ffff) * 0xffff_da61 + (self.0 >> 32);
         (self.0 & 0xffff_ffff) as f64 / 4_294_967_296.0
     }
 }
 
-/// A mean in which what is older counts less.
+/// Weighted mean in which older values count less.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct DecayingMean {
     pub sum: f64,
@@ -26,19 +26,21 @@
 }
 
 impl DecayingMean {
-    pub fn add(&mut self, value: f64, keep: f64) {
-        self.sum = self.sum * keep + value;
-        self.weight = self.weight * keep + 1.0;
+    /// Adds a value with weight 1, after multiplying the weight of the previous ones by `decay`.
+    pub fn add(&mut self, value: f64, decay: f64) {
+        self.sum = self.sum * decay + value;
+        self.weight = self.weight * decay + 1.0;
     }
 
-    /// The mean, as if it had been heard `times` times before that it is `usual`.
-    pub fn with_prior(&self, usual: f64, times: f64) -> f64 {
-        (self.sum + times * usual) / (self.weight + times).max(f64::MIN_POSITIVE)
+    /// The mean, as if `prior` had been added before with `prior_weight`.
+    pub fn with_prior(&self, prior: f64, prior_weight: f64) -> f64 {
+        (self.sum + prior_weight * prior) / (self.weight + prior_weight).max(f64::MIN_POSITIVE)
     }
 }
 
-/// Times to start: the quickest, where nothing held the job up; the smoothed one; and when one was heard.
+/// Start delays (seconds from send to start) observed in a zone.
 pub struct StartDelays {
+    /// The shortest: that of work which did not have to wait.
     pub min: f64,
     pub mean: DecayingMean,
     pub updated_at: f64,
@@ -53,13 +55,13 @@
         }
     }
 
-    pub fn add(&mut self, now: f64, delay: f64, keep: f64) {
+    pub fn add(&mut self, now: f64, delay: f64, decay: f64) {
         (self.min, self.updated_at) = (self.min.min(delay), now);
-        self.mean.add(delay, keep);
+        self.mean.add(delay, decay);
     }
 }
 
-/// The lower one of the two in the middle, if they are even in number.
+/// The median; of an even number of values the lower one of the two in the middle. 0 without values.
 pub fn median(mut values: Vec<f64>) -> f64 {
     let middle = values.len().saturating_sub(1) / 2;
     if values.is_empty() {
@@ -69,55 +71,60 @@
     }
 }
 
-/// A timer may ring a rounding error early; without this grace it would pass for one still to ring, no other
-/// would be asked for, and all that waits would be forgotten.
+/// A timer may fire early by a rounding error. Without this tolerance its event would not be due yet, while the timer
+/// would still count as armed, so that no other is set and all queued work is stuck.
 pub const TIMER_TOLERANCE_S: f64 = 1e-6;
 
-/// All due times, in order; the door is asked for one timer only.
+/// Timers ordered by due time; only one timer is set at the host, the earliest.
 pub struct TimerQueue<T> {
-    due: BTreeMap<(u64, u64), T>,
-    added: u64,
-    armed: f64,
+    timers: BTreeMap<(u64, u64), T>,
+    /// Number of timers ever added; orders those with the same due time.
+    sequence: u64,
+    /// Due time for which the host's timer is set.
+    armed_for: f64,
 }
 
 impl<T> Default for TimerQueue<T> {
     fn default() -> TimerQueue<T> {
         TimerQueue {
-            due: BTreeMap::new(),
-            added: 0,
-            armed: 0.0,
+            timers: BTreeMap::new(),
+            sequence: 0,
+            armed_for: 0.0,
         }
     }
 }
 
 impl<T> TimerQueue<T> {
-    pub fn add(&mut self, at: f64, due: T) {
-        self.added += 1;
-        // The bits of positive numbers are in the numbers' order.
-        self.due.insert((at.max(0.0).to_bits(), self.added), due);
+    pub fn add(&mut self, due_at: f64, event: T) {
+        self.sequence += 1;
+        // The bit patterns of non-negative floats sort like the floats.
+        self.timers
+            .insert((due_at.max(0.0).to_bits(), self.sequence), event);
     }
 
+    /// The next event that is due, in order of due time.
     pub fn pop_due(&mut self, now: f64) -> Option<T> {
-        let first = self.due.first_entry()?;
+        let first = self.timers.first_entry()?;
         (f64::from_bits(first.key().0) <= now + TIMER_TOLERANCE_S).then(|| first.remove())
     }
 
-    /// Asks for the timer. What has ended meanwhile needs none: most work ends long before its limit.
-    pub fn arm(&mut self, door: &mut dyn Host, now: f64, is_void: impl Fn(&T) -> bool) {
+    /// Sets the host's timer for the earliest event. Obsolete events at the head are dropped first, as most work ends
+    /// long before its deadline.
+    pub fn arm(&mut self, host: &mut dyn Host, now: f64, is_obsolete: impl Fn(&T) -> bool) {
         while self
-            .due
+            .timers
             .first_entry()
-            .is_some_and(|first| is_void(first.get()))
+            .is_some_and(|first| is_obsolete(first.get()))
         {
-            self.due.pop_first();
+            self.timers.pop_first();
         }
-        let Some((&(at, _), _)) = self.due.first_key_value() else {
+        let Some((&(due_at, _), _)) = self.timers.first_key_value() else {
             return;
         };
-        let at = f64::from_bits(at);
-        if self.armed <= now + TIMER_TOLERANCE_S || at < self.armed {
-            self.armed = at;
-            door.set_timer((at - now).max(0.0));
+        let due_at = f64::from_bits(due_at);
+        if self.armed_for <= now + TIMER_TOLERANCE_S || due_at < self.armed_for {
+            self.armed_for = due_at;
+            host.set_timer((due_at - now).max(0.0));
         }
     }
 }
--- a/crates/mintlb-scheduler/src/worker_index.rs
+++ b/crates/mintlb-scheduler/src/worker_index.rs
@@ -1,19 +1,21 @@
-//! The workers that the list names, as one holds a roll: nothing is decided here.
+//! The workers of the list, indexed by id and peer key, and grouped for the choice of candidates.
 
 use crate::util::{DecayingMean, Rng};
 use crate::{ListEntry, ListState, ProjectTypeSet, Worker};
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
+/// The listed workers.
 #[derive(Default)]
 pub struct WorkerIndex {
     workers: BTreeMap<u64, Rc<Worker>>,
-    /// By what schedulers call them among themselves.
-    keyed: BTreeMap<u16, Rc<Worker>>,
-    /// Workers that were sent something: each is ranked by what is known of it.
-    met: Vec<Rc<Worker>>,
-    /// The others, by zone, kind and what they run: one is as good as another, and to rank them all would only cost.
-    unmet: BTreeMap<(u16, u16, ProjectTypeSet), Vec<Rc<Worker>>>,
+    /// By the key that schedulers use among themselves.
+    by_peer_key: BTreeMap<u16, Rc<Worker>>,
+    /// Workers that are ranked individually: this scheduler has sent them something, or another reported slots there.
+    tracked: Vec<Rc<Worker>>,
+    /// The others, by zone, kind of machine and project types. Within a group they are equivalent, and ranking them all
+    /// would only cost time.
+    untracked: BTreeMap<(u16, u16, ProjectTypeSet), Vec<Rc<Worker>>>,
 }
 
 impl WorkerIndex {
@@ -21,8 +23,8 @@
         self.workers.get(&id)
     }
 
-    pub fn keyed(&self, key: u16) -> Option<&Rc<Worker>> {
-        self.keyed.get(&key)
+    pub fn by_peer_key(&self, key: u16) -> Option<&Rc<Worker>> {
+        self.by_peer_key.get(&key)
     }
 
     pub fn all(&self) -> impl Iterator<Item = &Rc<Worker>> {
@@ -33,9 +35,9 @@
         self.all().filter(|w| w.state.get() == ListState::Ready)
     }
 
-    /// A line for each that is in none of these: it is gone.
-    pub fn missing(&self, lines: &[ListEntry]) -> Vec<ListEntry> {
-        let named: BTreeSet<u64> = lines.iter().map(|l| l.id).collect();
+    /// Entries with the state `Gone` for the workers that have none in `entries`.
+    pub fn entries_for_missing(&self, entries: &[ListEntry]) -> Vec<ListEntry> {
+        let named: BTreeSet<u64> = entries.iter().map(|e| e.id).collect();
         let missing = self.all().filter(|w| !named.contains(&w.entry.id));
         missing
             .map(|w| ListEntry {
@@ -45,73 +47,79 @@
             .collect()
     }
 
-    /// The mean of those met.
-    pub fn allowance(&self) -> DecayingMean {
+    /// Mean over the tracked workers.
+    pub fn mean_concurrency_limit(&self) -> DecayingMean {
         let mut mean = DecayingMean::default();
-        self.met
+        self.tracked
             .iter()
-            .for_each(|w| mean.add(w.allowance.get(), 1.0));
+            .for_each(|w| mean.add(w.concurrency_limit.get(), 1.0));
         mean
     }
 
-    pub fn add(&mut self, worker: Rc<Worker>) {
-        self.unmet
-            .entry(worker.kin())
+    pub fn insert(&mut self, worker: Rc<Worker>) {
+        self.untracked
+            .entry(worker.group_key())
             .or_default()
             .push(worker.clone());
-        self.keyed.insert(worker.entry.peer_key(), worker.clone());
+        self.by_peer_key
+            .insert(worker.entry.peer_key(), worker.clone());
         self.workers.insert(worker.entry.id, worker);
     }
 
-    pub fn strike(&mut self, worker: &Rc<Worker>) {
+    pub fn remove(&mut self, worker: &Rc<Worker>) {
         worker.state.set(ListState::Gone);
         self.workers.remove(&worker.entry.id);
-        // Two may share a key; the other's stays.
+        // Two workers may share a peer key; the entry of the other one stays.
         if self
-            .keyed(worker.entry.peer_key())
-            .is_some_and(|keyed| Rc::ptr_eq(keyed, worker))
+            .by_peer_key(worker.entry.peer_key())
+            .is_some_and(|by_peer_key| Rc::ptr_eq(by_peer_key, worker))
         {
-            self.keyed.remove(&worker.entry.peer_key());
+            self.by_peer_key.remove(&worker.entry.peer_key());
         }
-        self.met.retain(|met| !Rc::ptr_eq(met, worker));
-        self.unmet
-            .entry(worker.kin())
+        self.tracked.retain(|tracked| !Rc::ptr_eq(tracked, worker));
+        self.untracked
+            .entry(worker.group_key())
             .or_default()
-            .retain(|unmet| !Rc::ptr_eq(unmet, worker));
+            .retain(|untracked| !Rc::ptr_eq(untracked, worker));
     }
 
-    /// It is sent something.
-    pub fn meet(&mut self, worker: &Rc<Worker>) {
-        if worker.met.replace(true) {
+    /// Ranks a worker individually from now on.
+    pub fn track(&mut self, worker: &Rc<Worker>) {
+        if worker.tracked.replace(true) {
             return;
         }
-        let strangers = self.unmet.entry(worker.kin()).or_default();
-        if let Some(at) = strangers.iter().position(|s| Rc::ptr_eq(s, worker)) {
-            self.met.push(strangers.swap_remove(at));
+        let group = self.untracked.entry(worker.group_key()).or_default();
+        if let Some(at) = group.iter().position(|w| Rc::ptr_eq(w, worker)) {
+            self.tracked.push(group.swap_remove(at));
         }
     }
 
-    /// It is ranked by itself from now on, as if it had been sent something.
-    pub fn meet_by_id(&mut self, id: u64) {
+    /// Ranks the worker with this id individually from now on, if it is listed.
+    pub fn track_by_id(&mut self, id: u64) {
         if let Some(worker) = self.workers.get(&id).cloned() {
-            self.meet(&worker);
+            self.track(&worker);
         }
     }
 
-    /// Those met, and of the others one drawn by chance for each zone and kind, from those that have room: of
-    /// hundreds that are cold a scheduler's budget is open for few, and one closed must not hide them.
-    pub fn drawn(&self, chance: &mut Rng, has_room: impl Fn(&Worker) -> bool) -> Vec<Rc<Worker>> {
-        let mut workers = self.met.clone();
-        for group in self.unmet.values().filter(|group| !group.is_empty()) {
-            let mut draw = |of: usize| (chance.uniform() * of as f64) as usize;
-            let one = &group[draw(group.len())];
-            if has_room(one) {
-                workers.push(one.clone());
+    /// The tracked workers, and one drawn at random from each group of the others. If that one has no headroom, it is
+    /// drawn from those that have: of hundreds of cold workers a scheduler has a budget for only a few, which must be
+    /// found.
+    pub fn candidates(
+        &self,
+        rng: &mut Rng,
+        has_headroom: impl Fn(&Worker) -> bool,
+    ) -> Vec<Rc<Worker>> {
+        let mut workers = self.tracked.clone();
+        for group in self.untracked.values().filter(|group| !group.is_empty()) {
+            let mut draw = |of: usize| (rng.uniform() * of as f64) as usize;
+            let drawn = &group[draw(group.len())];
+            if has_headroom(drawn) {
+                workers.push(drawn.clone());
                 continue;
             }
-            let open: Vec<_> = group.iter().filter(|w| has_room(w)).collect();
-            if !open.is_empty() {
-                workers.push(open[draw(open.len())].clone());
+            let with_headroom: Vec<_> = group.iter().filter(|w| has_headroom(w)).collect();
+            if !with_headroom.is_empty() {
+                workers.push(with_headroom[draw(with_headroom.len())].clone());
             }
         }
         workers
