--- a/crates/mintlb-scheduler/tests/decisions.rs
+++ b/crates/mintlb-scheduler/tests/decisions.rs
@@ -1,16 +1,19 @@
-//! Tables of cases on the decisions, through the door. Each row: what is shown, the script, the acts.
+//! Decisions of one scheduler. The rows of most tables are: the case, the script, and the actions that the host is
+//! asked for. `scripted/mod.rs` explains the scripts.
 
-mod world;
+mod scripted;
 
 use mintlb_scheduler::{Costs, LoadReport, Outcome};
-use world::{SPAN, World, world, world_at, world_by};
+use scripted::{
+    OVERLOAD_WINDOW_S, ScriptedScheduler, scripted, scripted_with_costs, scripted_with_seed,
+};
 
 fn check(parallel: bool, cases: &[(&str, &str, &str)]) {
-    for (shown, script, acts) in cases {
+    for (case, script, actions) in cases {
         assert_eq!(
-            world(parallel, false).run(script),
-            *acts,
-            "{shown}: {script}"
+            scripted(parallel, false).run(script),
+            *actions,
+            "{case}: {script}"
         );
     }
 }
@@ -21,49 +24,53 @@
         false,
         &[
             (
-                "waiting work is deferred once the promise is out",
+                "queued work is deferred when the promised turnaround is over",
                 "call 1 0; at 0.2; wake",
                 "defer 1",
             ),
             (
-                "a timer may ring a hair early",
+                "the timer fires early by a rounding error",
                 "call 1 0; at 0.1999999999; wake; at 9; wake",
                 "defer 1",
             ),
-            ("hopeless only then", "call 1 0; at 0.19; wake", ""),
             (
-                "the limit's time-out is answered",
-                "list 1; call 1 2; at 3.2; back 1.0 late",
+                "not before the turnaround is over",
+                "call 1 0; at 0.19; wake",
+                "",
+            ),
+            (
+                "time-out at the deadline",
+                "list 1; call 1 2; at 3.2; end 1.0 timeout",
                 "send 1>1, abort 1",
             ),
             (
-                "also where no outcome came",
+                "deadline without an outcome",
                 "list 1; call 1 2; at 3.2; wake",
-                "send 1>1, abort 1, recall 1.0",
+                "send 1>1, abort 1, cancel 1.0",
             ),
             (
-                "who left is answered no more",
-                "list 1; call 1 0; left 1; back 1.0 error",
-                "send 1>1, recall 1.0",
+                "no answer to a client that has gone",
+                "list 1; call 1 0; client-gone 1; end 1.0 error",
+                "send 1>1, cancel 1.0",
             ),
             (
-                "nor who was answered",
-                "list 1; call 1 0; back 1.0 ok; at 9; wake; left 1",
+                "no second answer",
+                "list 1; call 1 0; end 1.0 ok; at 9; wake; client-gone 1",
                 "send 1>1",
             ),
             (
-                "moot is final",
-                "list 1; call 1 0; back 1.0 moot",
+                "no retry after Moot",
+                "list 1; call 1 0; end 1.0 moot",
                 "send 1>1, defer 1",
             ),
             (
-                "the last of three",
-                "list 1; call 1 0; back 1.0 full; back 1.1 full; back 1.2 full",
+                "limit of three allocations",
+                "list 1; call 1 0; end 1.0 full; end 1.1 full; end 1.2 full",
                 "send 1>1, send 1>1, send 1>1, defer 1",
             ),
             (
-                "no second chance past hope",
-                "list 1; call 1 0; at 0.3; back 1.0 error",
+                "no retry when the turnaround is over",
+                "list 1; call 1 0; at 0.3; end 1.0 error",
                 "send 1>1, defer 1",
             ),
         ],
@@ -71,77 +78,77 @@
 }
 
 #[test]
-fn nothing_takes_effect_twice() {
+fn work_is_repeated_only_where_its_idempotency_allows() {
     check(
         false,
         &[
             (
-                "rerunnable",
-                "list 1; call 1 0; back 1.0 error",
+                "idempotent",
+                "list 1; call 1 0; end 1.0 error",
                 "send 1>1, send 1>1",
             ),
             (
-                "exclusive, may have run",
-                "list 1; call 1 2; back 1.0 error",
+                "non-idempotent, may have run",
+                "list 1; call 1 2; end 1.0 error",
                 "send 1>1, abort 1",
             ),
             (
-                "reset may have run",
-                "list 1; call 1 2; back 1.0 reset",
+                "may have run after a lost connection",
+                "list 1; call 1 2; end 1.0 reset",
                 "send 1>1, abort 1",
             ),
             (
-                "so may recalled",
-                "list 1; call 1 2; back 1.0 recalled",
+                "may have run after a cancellation",
+                "list 1; call 1 2; end 1.0 recalled",
                 "send 1>1, abort 1",
             ),
             (
-                "full never ran",
-                "list 1; call 1 2; back 1.0 full",
+                "did not run if rejected",
+                "list 1; call 1 2; end 1.0 full",
                 "send 1>1, send 1>1",
             ),
             (
-                "no connection never ran",
-                "list 1; call 1 2; back 1.0 down",
+                "did not run without a connection",
+                "list 1; call 1 2; end 1.0 down",
                 "send 1>1, send 1>1",
             ),
             (
-                "never ran may be deferred",
-                "list 1; call 1 2; at 0.3; back 1.0 full",
+                "deferred if it did not run",
+                "list 1; call 1 2; at 0.3; end 1.0 full",
                 "send 1>1, defer 1",
             ),
             (
-                "receipted, in its cell",
-                "list 1; call 1 1; change 1g 2; back 1.0 error",
+                "deduplicated, in its cell",
+                "list 1; call 1 1; change 1g 2; end 1.0 error",
                 "send 1>1, send 1>2",
             ),
             (
-                "not in another",
-                "list 1; call 1 1; change 1g 11; back 1.0 error",
+                "deduplicated, not in another cell",
+                "list 1; call 1 1; change 1g 11; end 1.0 error",
                 "send 1>1, abort 1",
             ),
             (
-                "unless it never ran",
-                "list 1; call 1 1; change 1g 11; back 1.0 full",
+                "deduplicated, in another cell if it did not run",
+                "list 1; call 1 1; change 1g 11; end 1.0 full",
                 "send 1>1, send 1>11",
             ),
             (
-                "known everywhere",
-                "list 1; call 1 3; change 1g 11; back 1.0 error",
+                "deduplicated everywhere",
+                "list 1; call 1 3; change 1g 11; end 1.0 error",
                 "send 1>1, send 1>11",
             ),
             (
-                "not past the window",
-                "list 1; call 1 4; at 0.1; back 1.0 error",
+                "not after the window",
+                "list 1; call 1 4; at 0.1; end 1.0 error",
                 "send 1>1, abort 1",
             ),
             (
-                "then a deferral, if known everywhere",
-                "list 1; call 1 5; at 0.1; back 1.0 error",
+                "deferred after the window if deduplicated everywhere",
+                "list 1; call 1 5; at 0.1; end 1.0 error",
                 "send 1>1, defer 1",
             ),
             (
-                "never two at once here",
+                "one at a time without parallel attempts",
                 "list 1 2; call 1 0; at 0.1; wake",
                 "send 1>1",
             ),
@@ -151,88 +158,88 @@
         true,
         &[
             (
-                "a late start brings a second",
+                "late start: second allocation",
                 "list 1 2; call 1 0; at 0.05; wake",
                 "send 1>1, send 1>2",
             ),
             (
                 "the first to start is kept",
                 "list 1 2; call 1 0; at 0.05; wake; start 1.1; start 1.0",
-                "send 1>1, send 1>2, recall 1.0, recall 1.0",
+                "send 1>1, send 1>2, cancel 1.0, cancel 1.0",
             ),
             (
-                "the answer ends the other",
-                "list 1 2; call 1 0; at 0.05; wake; back 1.1 ok; back 1.0 recalled",
-                "send 1>1, send 1>2, recall 1.0",
+                "the answer cancels the other",
+                "list 1 2; call 1 0; at 0.05; wake; end 1.1 ok; end 1.0 recalled",
+                "send 1>1, send 1>2, cancel 1.0",
             ),
             (
-                "receipted only in its cell",
+                "deduplicated: second allocation only in its cell",
                 "list 1 11; call 1 1; at 0.05; wake",
                 "send 1>1",
             ),
             (
-                "a note after the outcome tells nothing",
-                "list 1; call 1 0; back 1.0 error; start 1.0",
+                "a start reported after the outcome is ignored",
+                "list 1; call 1 0; end 1.0 error; start 1.0",
                 "send 1>1, send 1>1",
             ),
             (
-                "nor of work that waits again",
-                "list 1; call 1 0; change 1d 2d; back 1.0 full ended; start 1.0",
+                "also if the work is queued again",
+                "list 1; call 1 0; change 1d 2d; end 1.0 full ended; start 1.0",
                 "send 1>1",
             ),
             (
-                "exclusive never",
+                "non-idempotent: no second allocation",
                 "list 1 2; call 1 2; at 0.05; wake",
                 "send 1>1",
             ),
             (
-                "what has not started fills a worker",
+                "unstarted work fills a worker",
                 "list 1; call 1 2; at 0.1; call 2 0",
                 "send 1>1",
             ),
             (
-                "but exclusive work that starts too late is taken for lost there",
+                "overdue non-idempotent work is marked as lost",
                 "list 1; call 1 2; at 0.15; call 2 0; at 0.21; wake",
                 "send 1>1, send 2>1",
             ),
             (
-                "and no more of its type is sent there",
+                "no more work of its type is sent there",
                 "list 1 2 3; call 1 2; call 2 1; call 3 1; at 0.15; call 4 2; call 5 0; at 0.21; wake",
                 "send 1>1, send 2>3, send 3>2, send 5>1",
             ),
             (
-                "then it first goes to where some has started since, however far",
-                "list 1 101; call 1 2; at 0.1; call 2 2; start 2.0; back 2.0 ok; at 0.21; wake; call 3 2; call 4 0",
+                "work of its type prefers a worker where some has started since, also in another zone",
+                "list 1 101; call 1 2; at 0.1; call 2 2; start 2.0; end 2.0 ok; at 0.21; wake; call 3 2; call 4 0",
                 "send 1>1, send 2>101, send 3>101, send 4>1",
             ),
             (
-                "it looks no longer than its patience",
+                "no second allocation after the turnaround",
                 "list 1; call 1 1; at 0.1; wake; at 0.2; wake; change 2",
                 "send 1>1",
             ),
             (
-                "where a repeat is harmless it is given up while it has not started and can earn nothing any more",
+                "withdrawn if it has not started in time to earn credit and a repeat is harmless",
                 "list 1; call 1 0; at 0.1; wake; at 0.2; wake; change 2",
-                "send 1>1, defer 1, recall 1.0",
+                "send 1>1, defer 1, cancel 1.0",
             ),
             (
-                "receipted work known everywhere, too",
+                "withdrawn if deduplicated everywhere",
                 "list 1; call 1 3; at 0.2; wake",
-                "send 1>1, defer 1, recall 1.0",
+                "send 1>1, defer 1, cancel 1.0",
             ),
             (
-                "never exclusive work that may have run",
+                "non-idempotent work that may have run is not withdrawn",
                 "list 1; call 1 2; at 0.2; wake; at 3; wake",
                 "send 1>1",
             ),
             (
-                "not so once it has started",
+                "not withdrawn after its start",
                 "list 1; call 1 0; at 0.1; start 1.0; at 0.2; wake; change 2",
                 "send 1>1",
             ),
             (
-                "what fails meanwhile past hope ends",
-                "list 1; call 1 0; at 0.1; start 1.0; at 0.3; wake; back 1.0 error",
+                "no retry of a failure after the turnaround",
+                "list 1; call 1 0; at 0.1; start 1.0; at 0.3; wake; end 1.0 error",
                 "send 1>1, defer 1",
             ),
         ],
@@ -240,7 +247,7 @@
 }
 
 #[test]
-fn the_list_is_obeyed() {
+fn worker_list_is_followed() {
     check(
         false,
         &[
@@ -250,19 +257,23 @@
                 "",
             ),
             (
-                "nor does one hide those never met",
+                "draining workers do not hide an untracked one",
                 "list 1 2 3 4 5; change 1d 2d 3d 4d; call 1 0",
                 "send 1>5",
             ),
-            ("nor a gone one", "list 1; change 1g; call 1 0", ""),
             (
-                "absent from a full list is gone",
+                "a gone worker gets nothing new",
+                "list 1; change 1g; call 1 0",
+                "",
+            ),
+            (
+                "a worker missing from a full list is gone",
                 "list 1 2; list 2; call 1 0",
                 "send 1>2",
             ),
             (
-                "the old list holds out of reach",
-                "list 1; lost; call 1 0",
+                "the old list holds while the service is out of reach",
+                "list 1; list-failed; call 1 0",
                 "send 1>1",
             ),
             (
@@ -271,8 +282,8 @@
                 "send 1>1",
             ),
             (
-                "started anew it is a new one",
-                "list 1; call 1 0; change 1n; call 2 0; at 0.01; back 1.0 ok",
+                "a restarted worker is another one",
+                "list 1; call 1 0; change 1n; call 2 0; at 0.01; end 1.0 ok",
                 "send 1>1",
             ),
             (
@@ -282,28 +293,29 @@
             ),
         ],
     );
-    let mut w = world(false, true);
-    assert_eq!(w.run("on; at 0.375; wake"), "ask");
+    let mut w = scripted(false, true);
+    assert_eq!(w.run("on; at 0.375; wake"), "request-list");
     assert_eq!(
-        w.run("lost; lost; lost; wake"),
+        w.run("list-failed; list-failed; list-failed; wake"),
         "",
-        "no flood, however many failures"
+        "one request, however many failures"
     );
-    assert_eq!(w.run("at 9; wake"), "ask");
-    // Hundredths of a second until asked again: spread over an eighth of the three seconds, then over all that is left.
-    let mut waits = |news: &str| -> Vec<usize> {
-        let asks = |w: &mut World| {
-            w.run(news);
+    assert_eq!(w.run("at 9; wake"), "request-list");
+    // Hundredths of a second until the next request: spread over an eighth of the 3 s first, later over the rest of
+    // them.
+    let mut waits = |update: &str| -> Vec<usize> {
+        let next_request = |w: &mut ScriptedScheduler| {
+            w.run(update);
             (0..600).position(|_| {
                 w.now += 0.01;
-                w.run("wake") == "ask"
+                w.run("wake") == "request-list"
             })
         };
         (0..40)
-            .map(|_| asks(&mut w).expect("asks again well within the time it must"))
+            .map(|_| next_request(&mut w).expect("no request within 6 s"))
             .collect()
     };
-    let (first, later) = (waits("list 1; lost"), waits("lost"));
+    let (first, later) = (waits("list 1; list-failed"), waits("list-failed"));
     let spread = |waits: &[usize]| waits.iter().max().unwrap() - waits.iter().min().unwrap();
     assert!(
         first.iter().all(|w| *w <= 38) && spread(&first) > 24,
@@ -316,7 +328,7 @@
 }
 
 #[test]
-fn the_rule_picks_by_pressure_and_room() {
+fn dispatch_follows_pressure_and_room() {
     check(
         false,
         &[
@@ -332,17 +344,13 @@
                 "send 2>1",
             ),
             (
-                "less past a customer's share",
+                "lower weight beyond a customer's share",
                 "list 1 2 3 4; call 1 0 1; call 2 0 1; call 3 0 1; call 4 0 1; call 5 0 1; call 6 0 1; call 7 0 0; change 5",
                 "send 1>4, send 2>3, send 3>2, send 4>1, send 7>5",
             ),
+            ("unknown customer", "list 1; call 1 0 99", "send 1>1"),
             (
-                "a customer that is not known",
-                "list 1; call 1 0 99",
-                "send 1>1",
-            ),
-            (
-                "the unstarted fill a worker",
+                "unstarted work fills a worker",
                 "list 1; call 1 0; call 2 0",
                 "send 1>1",
             ),
@@ -352,103 +360,103 @@
                 "send 1>1, send 2>1",
             ),
             (
-                "the ceiling is what was seen to run",
+                "the limit is the number of slots observed running",
                 "list 1; call 1 0; start 1.0; call 2 0; start 2.0; call 3 0",
                 "send 1>1, send 2>1",
             ),
             (
-                "a late start halves the allowance",
+                "a late start halves the concurrency limit",
                 "list 1; call 1 0; at 0.1; start 1.0; call 2 0",
                 "send 1>1",
             ),
             (
-                "a completed one adds to it",
-                "list 1; call 1 0; at 0.1; start 1.0; back 1.0 ok; call 2 0; start 2.0; call 3 0",
+                "a completion raises the concurrency limit",
+                "list 1; call 1 0; at 0.1; start 1.0; end 1.0 ok; call 2 0; start 2.0; call 3 0",
                 "send 1>1, send 2>1, send 3>1",
             ),
             (
-                "full halves it too",
-                "list 1; call 1 0; back 1.0 full; start 1.1; call 2 0",
+                "a rejection halves the concurrency limit",
+                "list 1; call 1 0; end 1.0 full; start 1.1; call 2 0",
                 "send 1>1, send 1>1",
             ),
             (
-                "an empty worker fits any size",
+                "an idle worker takes work of any size",
                 "list 1; call 1 2 0 8",
                 "send 1>1",
             ),
             (
-                "another does not, and blocks none",
+                "large work does not fit a busy worker, and does not block other work",
                 "list 1; call 1 0; start 1.0; call 2 2 0 8; call 3 0",
                 "send 1>1, send 3>1",
             ),
             (
-                "our own zone first",
+                "own zone first",
                 "list 100 1 101; call 1 0; call 2 0; start 1.0; call 3 0",
                 "send 1>1, send 2>100, send 3>101",
             ),
             (
-                "most room first",
+                "most headroom first",
                 "list 1 2; call 1 0; start 1.0; call 2 0; call 3 0",
                 "send 1>1, send 2>2, send 3>1",
             ),
             (
-                "long waits in our zone send work to another",
-                "list 1 100; call 1 0; at 3; start 1.0; back 1.0 ok; call 2 0",
+                "long start delays in the own zone send work to another",
+                "list 1 100; call 1 0; at 3; start 1.0; end 1.0 ok; call 2 0",
                 "send 1>1, send 2>100",
             ),
             (
-                "no sends where starts outlast what work bears, late answers earning nothing",
-                "list 1; call 1 0; at 1; start 1.0; back 1.0 ok; call 2 0",
+                "no work where it would start too late to earn credit",
+                "list 1; call 1 0; at 1; start 1.0; end 1.0 ok; call 2 0",
                 "send 1>1",
             ),
             (
-                "what is known of a wait fades, and work is sent again",
-                "list 1; call 1 0; at 3; start 1.0; back 1.0 ok; at 60; call 2 0",
+                "a known start delay decays",
+                "list 1; call 1 0; at 3; start 1.0; end 1.0 ok; at 60; call 2 0",
                 "send 1>1, send 2>1",
             ),
             (
-                "a failing worker is left alone",
-                "list 1 100 101; call 1 0; back 1.0 error; call 2 0",
+                "a suspect is avoided",
+                "list 1 100 101; call 1 0; end 1.0 error; call 2 0",
                 "send 1>1, send 1>100, send 2>101",
             ),
             (
-                "though only for the project type that fails",
-                "list 1 100 101; call 1 0; back 1.0 error; call 2 1",
+                "a suspect is avoided only for the type that fails",
+                "list 1 100 101; call 1 0; end 1.0 error; call 2 1",
                 "send 1>1, send 1>100, send 2>1",
             ),
             (
-                "and for what can't be repeated",
-                "list 1 100 101; call 1 0; back 1.0 error; call 2 2",
+                "non-idempotent work avoids suspects of any type",
+                "list 1 100 101; call 1 0; end 1.0 error; call 2 2",
                 "send 1>1, send 1>100, send 2>101",
             ),
             (
-                "and tried with what may repeat",
-                "list 1 100 101; call 1 0; back 1.0 error; change 100g 101g; back 1.1 error ended; at 5; call 2 2; call 3 0",
+                "trials of a suspect use work that may be repeated",
+                "list 1 100 101; call 1 0; end 1.0 error; change 100g 101g; end 1.1 error ended; at 5; call 2 2; call 3 0",
                 "send 1>1, send 1>100, send 3>1",
             ),
         ],
     );
 }
 
-/// Where all workers fail now and then, as with resets on the way, a single failure must not rest one.
+/// Where all workers fail now and then, as with resets on the network, a single failure must not make one a suspect.
 #[test]
-fn one_failure_tells_less_where_all_fail() {
+fn one_failure_counts_less_where_all_workers_fail() {
     for (every, suspect) in [(1000, true), (8, false)] {
-        let mut w = world(false, false);
+        let mut w = scripted(false, false);
         w.run("list 1 2 3 4 5 6 7 8 9");
         for id in 0..200 {
             w.now += 0.05;
             w.run(&format!("call {id} 0; start {id}.0"));
             w.run(&if id % every == 5 {
-                format!("back {id}.0 error ended")
+                format!("end {id}.0 error ended")
             } else {
-                format!("back {id}.0 ok")
+                format!("end {id}.0 ok")
             });
         }
-        // Newcomers: none of them has failed before.
+        // New workers, none of which has failed before.
         w.run("list 11 12 13 14 15 16 17 18 19");
         let to = w
-            .run("call 900 0; back 900.0 error ended")
+            .run("call 900 0; end 900.0 error ended")
             .replace("send 900>", "");
         let others = (11..20)
             .map(|id| format!("{id}d"))
@@ -463,76 +471,76 @@
 }
 
 #[test]
-fn what_the_others_hold_takes_room() {
-    // Two lanes; four schedulers, we are one of them. Each script ends with work that comes, and where it goes.
+fn slots_held_by_other_schedulers_take_room() {
+    // Two slots, four schedulers. Each script ends with the arrival of a work unit; `then` is where it goes.
     let cheap = Some(0.01);
     for (peer_message, script, then) in [
         (cheap, "list 1; call 1 0", "send 1>1"),
-        (cheap, "list 1; hear 1 0 1 2; call 1 0", ""),
+        (cheap, "list 1; peer 1 0 1 2; call 1 0", ""),
         (
             cheap,
-            "list 1 2; hear 1 0 1 1; hear 2 0 1 1; call 1 0",
+            "list 1 2; peer 1 0 1 1; peer 2 0 1 1; call 1 0",
             "send 1>2",
         ),
-        (cheap, "list 1 2; hear 1 0 1 1; call 1 0 0 2", "send 1>2"),
-        // Its own later word counts, in whatever order they come.
+        (cheap, "list 1 2; peer 1 0 1 1; call 1 0 0 2", "send 1>2"),
+        // Of one sender the message sent last counts, in whatever order they arrive.
         (
             cheap,
-            "list 1; hear 1 0.5 1 2; hear 1 0.2 1 0; call 1 0",
+            "list 1; peer 1 0.5 1 2; peer 1 0.2 1 0; call 1 0",
             "send 1>1",
         ),
         (
             cheap,
-            "list 1; hear 1 0.2 1 0; hear 1 0.5 1 2; call 1 0",
+            "list 1; peer 1 0.2 1 0; peer 1 0.5 1 2; call 1 0",
             "send 1>1",
         ),
-        // Nobody of us, no worker of ours, a worker that has started since.
-        (cheap, "list 1; hear 4 0 1 2; call 1 0", "send 1>1"),
-        (cheap, "list 1; hear 1 0 7 2; call 1 0", "send 1>1"),
+        // Ignored: an unknown sender, an unknown worker, a worker that has restarted since.
+        (cheap, "list 1; peer 4 0 1 2; call 1 0", "send 1>1"),
+        (cheap, "list 1; peer 1 0 7 2; call 1 0", "send 1>1"),
         (
             cheap,
-            "list 1; hear 1 0 1 2; change 1n; at 119; call 1 0",
+            "list 1; peer 1 0 1 2; change 1n; at 119; call 1 0",
             "send 1>1",
         ),
         (
             cheap,
-            "list 1; change 1n; hear 1 0 1 2; at 119; call 1 0",
+            "list 1; change 1n; peer 1 0 1 2; at 119; call 1 0",
             "send 1>1",
         ),
-        // Who is silent for longer than any work may last holds nothing.
+        // The slots of a sender that is silent for longer than any work may last expire.
         (
             cheap,
-            "list 1; hear 1 0 1 2; at 3.3; hear 2 0; call 1 0",
+            "list 1; peer 1 0 1 2; at 3.3; peer 2 0; call 1 0",
             "send 1>1",
         ),
         (
             cheap,
-            "list 1; hear 1 0 1 2; at 3.1; hear 2 0; call 1 0",
+            "list 1; peer 1 0 1 2; at 3.1; peer 2 0; call 1 0",
             "",
         ),
-        // Nor does one word that was lost, or a scheduler that has started anew, keep a worker from us for longer.
+        // The same after a lost message or a restart of the sender, although it sends other messages.
         (
             cheap,
-            "list 1; hear 1 0 1 2; at 3.1; hear 1 0 7 1; at 3.7; hear 1 0 7 0; call 1 0",
+            "list 1; peer 1 0 1 2; at 3.1; peer 1 0 7 1; at 3.7; peer 1 0 7 0; call 1 0",
             "send 1>1",
         ),
-        // A clock that was set back counts again.
+        // Messages count again after the sender's clock was set back.
         (
             cheap,
-            "list 1; hear 1 0 1 2; at 3.4; hear 1 9 1 0; call 1 0",
+            "list 1; peer 1 0 1 2; at 3.4; peer 1 9 1 0; call 1 0",
             "send 1>1",
         ),
-        // What makes room sends what waits.
+        // A message that makes headroom lets queued work be sent.
         (
             cheap,
-            "list 1; hear 1 0.1 1 2; call 1 0; hear 1 0 1 0; at 0.01; wake",
+            "list 1; peer 1 0.1 1 2; call 1 0; peer 1 0 1 0; at 0.01; wake",
             "send 1>1",
         ),
-        // Where words cost too much, or there are none, nobody listens.
-        (Some(1.0), "list 1; hear 1 0 1 2; call 1 0", "send 1>1"),
-        (None, "list 1; hear 1 0 1 2; call 1 0", "send 1>1"),
+        // Messages are ignored if they cost too much or are not permitted.
+        (Some(1.0), "list 1; peer 1 0 1 2; call 1 0", "send 1>1"),
+        (None, "list 1; peer 1 0 1 2; call 1 0", "send 1>1"),
     ] {
-        let mut w = world_at(
+        let mut w = scripted_with_costs(
             false,
             false,
             Costs {
@@ -544,10 +552,10 @@
     }
 }
 
-/// From then on what was told holds no more, and nobody is told.
+/// From then on earlier messages no longer count, and none are sent.
 #[test]
-fn words_can_be_given_up_while_it_serves() {
-    let mut w = world_at(
+fn peer_messages_can_be_disabled_at_run_time() {
+    let mut w = scripted_with_costs(
         false,
         false,
         Costs {
@@ -555,13 +563,13 @@
             peer_message: Some(0.01),
         },
     );
-    w.run("list 1; hear 1 0 1 1; call 1 0; start 1.0; hush");
+    w.run("list 1; peer 1 0 1 1; call 1 0; start 1.0; no-peers");
     assert_eq!(w.run("at 0.05; wake; call 2 0"), "send 2>1");
 }
 
 #[test]
-fn the_others_are_told_of_what_changed() {
-    let mut w = world_at(
+fn changes_are_broadcast() {
+    let mut w = scripted_with_costs(
         false,
         false,
         Costs {
@@ -570,19 +578,19 @@
         },
     );
     w.run("list 1 2; call 1 0; call 2 0");
-    assert_eq!(w.run("at 0.01; wake"), "tell 1 1");
+    assert_eq!(w.run("at 0.01; wake"), "broadcast 1 1");
     assert_eq!(
         w.run("start 1.0; start 2.0; at 0.15; wake"),
         "",
-        "nothing has changed"
+        "nothing to report"
     );
-    assert_eq!(w.run("back 1.0 ok; at 0.17; wake"), "tell 0");
-    // Work that waits for room is looked at again as soon as others may have told of some.
-    w.run("hear 1 0 1 2 2 2; call 3 0");
-    assert!(w.acts.wake < 0.01, "in {} s", w.acts.wake);
-    // More workers than one word holds: the next one tells of the rest.
+    assert_eq!(w.run("end 1.0 ok; at 0.17; wake"), "broadcast 0");
+    // While work waits for headroom, the next dispatch is as soon as others may have reported some.
+    w.run("peer 1 0 1 2 2 2; call 3 0");
+    assert!(w.host.timer < 0.01, "in {} s", w.host.timer);
+    // More workers than fit into one message: the next one has the rest.
     let many: Vec<String> = (1..=100).map(|id| id.to_string()).collect();
-    let mut w = world_at(
+    let mut w = scripted_with_costs(
         false,
         false,
         Costs {
@@ -592,52 +600,56 @@
     );
     w.run(&format!("list {}", many.join(" ")));
     (1..=200).for_each(|id| drop(w.run(&format!("call {id} 0; start {id}.0"))));
-    let told = |acts: String| acts.split(' ').filter(|a| *a == "2").count();
+    let reported = |actions: String| actions.split(' ').filter(|a| *a == "2").count();
     assert_eq!(
-        [told(w.run("at 0.01; wake")), told(w.run("at 0.02; wake"))],
+        [
+            reported(w.run("at 0.01; wake")),
+            reported(w.run("at 0.02; wake"))
+        ],
         [84, 16]
     );
 }
 
 #[test]
-fn no_second_allocation_where_workers_tell_of_room() {
-    for (told, second) in [
+fn no_second_allocation_where_workers_report_free_slots() {
+    for (report, second) in [
         ("", "send 1>2"),
-        ("told 1 0; call 8 0; start 8.0; back 8.0 ok;", ""),
+        ("report 1 0; call 8 0; start 8.0; end 8.0 ok;", ""),
     ] {
-        let mut w = world(true, false);
-        w.run(&format!("list 1; {told} call 1 0; change 2"));
-        let acts = w.run("at 0.1; wake");
+        let mut w = scripted(true, false);
+        w.run(&format!("list 1; {report} call 1 0; change 2"));
+        let actions = w.run("at 0.1; wake");
         assert_eq!(
-            acts.split(", ")
+            actions
+                .split(", ")
                 .find(|a| a.starts_with("send"))
                 .unwrap_or(""),
             second,
-            "{told}"
+            "{report}"
         );
     }
 }
 
 #[test]
-fn no_work_goes_where_it_would_be_late() {
-    // Work usually runs for 0.2 s and may start 0.2 s late.
+fn no_work_is_sent_where_it_would_be_late() {
+    // Work is assumed to run for 0.2 s, and its start may be 0.2 s late.
     for (script, then) in [
         ("call 1 0; start 1.0; at 0.3; call 2 0", "send 2>1"),
-        // One long run tells nothing of the worker until it has ended: it may be long anywhere.
+        // An allocation that still runs says nothing of the worker: the work may take long anywhere.
         ("call 1 0; start 1.0; at 2; call 2 0", "send 2>1"),
-        // One that was slow is kept from until that was a while ago.
+        // A slow worker is avoided until that was a while ago.
         (
-            "call 1 0; start 1.0; at 3; back 1.0 ok; at 3.1; call 2 0",
+            "call 1 0; start 1.0; at 3; end 1.0 ok; at 3.1; call 2 0",
             "",
         ),
         (
-            "call 1 0; start 1.0; at 3; back 1.0 ok; at 9; call 2 0",
+            "call 1 0; start 1.0; at 3; end 1.0 ok; at 9; call 2 0",
             "send 2>1",
         ),
     ] {
-        let mut w = world(false, false);
+        let mut w = scripted(false, false);
         w.run("list 1");
-        let acts = w.run(script);
+        let actions = w.run(script);
         let last = script
             .rsplit("call ")
             .next()
@@ -645,7 +657,7 @@
             .split(' ')
             .next()
             .unwrap();
-        let sent = acts
+        let sent = actions
             .split(", ")
             .find(|a| a.starts_with(&format!("send {last}>")))
             .unwrap_or("");
@@ -654,25 +666,25 @@
 }
 
 #[test]
-fn given_up_is_answered_at_once_and_says_when_to_come_back() {
-    // With nobody to run it work is given up at the end of its promise, not of its client's patience.
+fn giving_up_is_answered_at_once_with_retry_after() {
+    // Without a worker, work is given up when its turnaround is over, not at the client's deadline.
     for (kind, answer) in [(0, "defer 1"), (1, "defer 1"), (2, "defer 1")] {
-        let mut w = world(false, false);
+        let mut w = scripted(false, false);
         assert_eq!(w.run(&format!("list; call 1 {kind}; at 0.19; wake")), "");
         assert_eq!(w.run("at 0.2; wake"), answer, "type {kind}");
-        assert_eq!(w.acts.come_back, [0.1], "half a promise");
+        assert_eq!(w.host.retry_after, [0.1], "half the turnaround");
     }
-    // What comes back undone when its promise is over is answered in the same call.
+    // A failure after the turnaround is answered in the same call.
     for (kind, outcome, answer) in [
         (0, "error", "defer 1"),
         (1, "error", "abort 1"),
         (2, "error", "abort 1"),
         (2, "full", "defer 1"),
     ] {
-        let mut w = world(false, false);
+        let mut w = scripted(false, false);
         w.run(&format!("list 1; call 1 {kind}; start 1.0; at 0.3"));
         assert_eq!(
-            w.run(&format!("back 1.0 {outcome}")),
+            w.run(&format!("end 1.0 {outcome}")),
             answer,
             "type {kind}, {outcome}"
         );
@@ -680,15 +692,17 @@
 }
 
 #[test]
-fn late_starts_close_the_window() {
-    // Twelve workers, as many work units at once: all are sent, until starts have come late for a while.
-    let mut w = world(false, false);
+fn late_starts_shrink_the_start_window() {
+    // Twelve workers, and twelve work units at once: a full window of them is sent until starts have been late for a
+    // while.
+    let mut w = scripted(false, false);
     w.run("list 1 2 3 4 5 6 7 8 9 10 11 12");
-    let burst = |w: &mut World, from: u64| -> Vec<String> {
-        let acts: Vec<String> = (from..from + 12)
+    let burst = |w: &mut ScriptedScheduler, from: u64| -> Vec<String> {
+        let actions: Vec<String> = (from..from + 12)
             .map(|id| w.run(&format!("call {id} 0")))
             .collect();
-        acts.join(", ")
+        actions
+            .join(", ")
             .split(", ")
             .filter_map(|a| Some(a.strip_prefix("send ")?.to_string()))
             .collect()
@@ -699,11 +713,11 @@
     assert_eq!(
         burst(&mut w, 20).len(),
         4,
-        "what is stuck stops nothing else for long"
+        "unstarted work must not stop other work for long"
     );
     for late in 0..8 {
         w.now += 0.25;
-        w.run(&format!("start {late}.0; back {late}.0 ok"));
+        w.run(&format!("start {late}.0; end {late}.0 ok"));
     }
     w.now += 60.0;
     w.run("wake");
@@ -711,9 +725,9 @@
 }
 
 #[test]
-fn lists_of_any_length_are_followed() {
+fn lists_of_any_length_are_applied() {
     let long: Vec<String> = (1..4000).map(|id| id.to_string()).collect();
-    let mut w = world(false, false);
+    let mut w = scripted(false, false);
     for (list, known) in [
         (&long[..], 3999),
         (&long[..], 3999),
@@ -722,68 +736,69 @@
         (&long[..2], 2),
     ] {
         w.run(&format!("list {}", list.join(" ")));
-        let held = (1..4000)
+        let work_units = (1..4000)
             .filter(|id| w.scheduler.worker(*id).is_some())
             .count();
-        assert_eq!(held, known);
+        assert_eq!(work_units, known);
     }
     assert_eq!(
         w.run("list 1 1 1; call 1 0; call 2 0"),
         "send 1>1",
-        "a worker named twice is one"
+        "a worker listed twice is one worker"
     );
 }
 
-/// Sends to one worker as fast as it answers, for a time; how many it got.
-fn hammer(w: &mut World, seconds: f64) -> usize {
+/// Work units arrive as fast as worker 1 rejects them, for this time; returns how many it was sent.
+fn overload(w: &mut ScriptedScheduler, seconds: f64) -> usize {
     let mut sent = 0;
     for i in 0..(seconds * 100.0) as u64 {
         w.now += 0.01;
-        let acts = w.run(&format!("call {i} 0; wake"));
-        for id in acts
+        let actions = w.run(&format!("call {i} 0; wake"));
+        for id in actions
             .split(", ")
             .filter_map(|a| a.strip_prefix("send ")?.strip_suffix(">1"))
         {
             sent += 1;
-            w.run(&format!("start {id}.0; back {id}.0 full ended"));
+            w.run(&format!("start {id}.0; end {id}.0 full ended"));
         }
     }
     sent
 }
 
 #[test]
-fn a_cold_worker_is_spared() {
-    // Four schedulers; 3 x 20% of what two slots can run, in units that are taken to run 0.2 s.
-    let most = 3.0 * 0.35 * 2.0 / 0.2 * SPAN / 4.0;
+fn cold_worker_gets_no_more_than_its_budget() {
+    // One of four schedulers: 3 x 35 % (a bound of the capacity in this time) of what two slots run, in units of 0.2 s.
+    let allowed = 3.0 * 0.35 * 2.0 / 0.2 * OVERLOAD_WINDOW_S / 4.0;
     for (listed, cold) in [("list 1n", true), ("list 1", false)] {
-        let mut w = world(false, false);
+        let mut w = scripted(false, false);
         w.run(listed);
-        let sent = hammer(&mut w, SPAN) as f64;
+        let sent = overload(&mut w, OVERLOAD_WINDOW_S) as f64;
         assert_eq!(
-            sent <= most && sent > 0.0,
+            sent <= allowed && sent > 0.0,
             cold,
-            "{listed}: {sent} sent, {most} allowed"
+            "{listed}: {sent} sent, {allowed} allowed"
         );
     }
 }
 
-/// Worker 1 is in our zone and holds one work unit, 101 in another holds none, or as many. Where most of sixty go.
+/// Worker 1 is in the scheduler's zone and holds one work unit; 101 in another zone holds none, or as many. `expected`
+/// is where most of sixty work units go.
 #[test]
-fn crossing_is_weighed_by_its_price() {
-    let (none, dear, words) = (0.0, 0.1, Some(0.01));
-    for (peer_message, cross_zone, held, most) in [
-        (None, none, "call 1 0; start 1.0; change 101", "101"),
-        (None, dear, "call 1 0; start 1.0; change 101", "1"),
-        // With words, however many free slots are told there: room is capped before it is weighed.
-        (words, dear, "change 101; hear 1 0 1 7 101 0", "1"),
-        (words, none, "change 101; hear 1 0 1 7 101 0", "both"),
-        // All see the same: the emptier worker must not get the work of all.
-        (words, none, "change 2; hear 1 0 1 6 2 0", "both"),
+fn cross_zone_sends_depend_on_their_cost() {
+    let (free, expensive, messages) = (0.0, 0.1, Some(0.01));
+    for (peer_message, cross_zone, setup, expected) in [
+        (None, free, "call 1 0; start 1.0; change 101", "101"),
+        (None, expensive, "call 1 0; start 1.0; change 101", "1"),
+        // With messages, however many free slots were reported: headroom is capped before it is weighted.
+        (messages, expensive, "change 101; peer 1 0 1 7 101 0", "1"),
+        (messages, free, "change 101; peer 1 0 1 7 101 0", "both"),
+        // All schedulers know the same load: the emptier worker must not get the work of all.
+        (messages, free, "change 2; peer 1 0 1 6 2 0", "both"),
     ] {
         let mut crossed = 0;
         for seed in 1..=60u64 {
             let seed = seed.wrapping_mul(0x9e37_79b9_7f4a_7c15);
-            let mut w = world_by(
+            let mut w = scripted_with_seed(
                 seed,
                 false,
                 false,
@@ -792,10 +807,10 @@
                     peer_message,
                 },
             );
-            w.run("list 1; call 900 0; told 1 9; start 900.0; back 900.0 ok");
-            w.run(held);
+            w.run("list 1; call 900 0; report 1 9; start 900.0; end 900.0 ok");
+            w.run(setup);
             let sent = w.run("call 20 0");
-            assert!(sent.contains("send 20>"), "{held}: {sent}");
+            assert!(sent.contains("send 20>"), "{setup}: {sent}");
             crossed +=
                 !sent.contains("send 20>1,") as usize & !sent.ends_with("send 20>1") as usize;
         }
@@ -805,76 +820,83 @@
             _ => "both",
         };
         assert_eq!(
-            to, most,
-            "{peer_message:?}, {cross_zone}, {held}: {crossed} of 60"
+            to, expected,
+            "{peer_message:?}, {cross_zone}, {setup}: {crossed} of 60"
         );
     }
 }
 
-/// Each script learns something of workers 1 and 2, then the list changes. What is known of a process holds while it is
-/// listed, of project types always, and what was seen of others is no figure of those that are left.
+/// Each script lets the scheduler learn something of workers 1 and 2, then the list changes. What is known of a
+/// process holds while it is listed, what is known of project types always, and what was observed at workers that are
+/// gone does not apply to those that are left.
 #[test]
-fn what_was_learned_carries_over_a_move_where_it_means_the_same() {
-    let roomy = "list 1; call 1 0; told 1 9; start 1.0; back 1.0 ok;";
-    let slow = "list 1; call 1 0; start 1.0; at 2; back 1.0 ok; at 2.1;";
-    let waits = "list 1; call 1 0; at 1; start 1.0; back 1.0 ok;";
-    let failed = "list 1 2 3 4 5; call 1 0; back 1.0 error ended;";
+fn learned_values_survive_list_changes_only_where_they_apply() {
+    let roomy = "list 1; call 1 0; report 1 9; start 1.0; end 1.0 ok;";
+    let slow = "list 1; call 1 0; start 1.0; at 2; end 1.0 ok; at 2.1;";
+    let waits = "list 1; call 1 0; at 1; start 1.0; end 1.0 ok;";
+    let failed = "list 1 2 3 4 5; call 1 0; end 1.0 error ended;";
     let late = "list 1 2 3 4 5 6 7 8 9;".to_string()
         + &(0..8).map(|id| format!("call {id} 0;")).collect::<String>()
         + &(0..8)
-            .map(|id| format!("at {}; start {id}.0; back {id}.0 ok;", 1 + id))
+            .map(|id| format!("at {}; start {id}.0; end {id}.0 ok;", 1 + id))
             .collect::<String>()
         + "at 200; wake;";
     let four = "call 20 0; call 21 0; call 22 0; call 23 0";
-    for (learned, list, then, sent, shown) in [
-        // Under messages room is lanes: eight where nine free slots were told, two where nothing was.
+    for (learned, list, then, sent, case) in [
+        // With messages the limit is the most slots observed: 8 where 9 free slots were reported, 2 where nothing was.
         (
             roomy,
             "list 1;",
-            "hear 1 0 1 5; call 20 0",
+            "peer 1 0 1 5; call 20 0",
             1,
-            "lanes of a worker that stays",
+            "slots of a worker that stays",
         ),
         (
             roomy,
             "list 1 3;",
-            "hear 1 0 1 5 3 5; call 20 0",
+            "peer 1 0 1 5 3 5; call 20 0",
             1,
-            "also for others beside it",
+            "also for workers beside it",
         ),
         (
             roomy,
             "list 3 4;",
-            "hear 1 0 3 5 4 5; call 20 0",
+            "peer 1 0 3 5 4 5; call 20 0",
             0,
-            "not of others",
+            "not of other workers",
         ),
-        (slow, "list 1;", "call 20 0", 0, "a process that was slow"),
+        (slow, "list 1;", "call 20 0", 0, "a slow worker that stays"),
         (
             waits,
             "list 1 2;",
             "call 20 0",
             0,
-            "a zone where starts take long, while somebody stays",
+            "start delays of a zone while a worker stays",
+        ),
+        (
+            waits,
+            "list 2;",
+            "call 20 0",
+            1,
+            "not when all are replaced",
         ),
-        (waits, "list 2;", "call 20 0", 1, "not where nobody is left"),
-        (slow, "list 2;", "call 20 0", 1, "not another"),
+        (slow, "list 2;", "call 20 0", 1, "not another worker"),
         (
             late.as_str(),
             "list 1 2 3 4 5 6 7 8 9;",
             four,
             1,
-            "a window closed by late starts",
+            "a start window that late starts have shrunk",
         ),
         (
             late.as_str(),
             "list 11 12 13 14;",
             four,
             4,
-            "not where nobody is left",
+            "not when all are replaced",
         ),
     ] {
-        let mut w = world_at(
+        let mut w = scripted_with_costs(
             false,
             false,
             Costs {
@@ -883,44 +905,48 @@
             },
         );
         if learned != roomy {
-            w = world(false, false);
+            w = scripted(false, false);
         }
         w.run(learned.trim_end_matches(';'));
         w.run(list.trim_end_matches(';'));
-        let acts = w.run(then);
-        assert_eq!(acts.matches("send").count(), sent, "{shown}: {acts}");
+        let actions = w.run(then);
+        assert_eq!(actions.matches("send").count(), sent, "{case}: {actions}");
     }
-    // A process that fails is a suspect in the next list, too.
-    let mut w = world(false, false);
+    // A suspect stays one in the next list.
+    let mut w = scripted(false, false);
     let to = w.run(failed.trim_end_matches(';')).replace("send 1>", "");
     w.run(&format!("list {to}"));
     assert_eq!(w.run("call 20 0"), "");
-    // How long work runs is known at once: patience ends that much before the limit.
-    let mut w = world(true, false);
-    w.run("list 1; call 1 0; told 1 9; start 1.0; back 1.0 ok; list 2; call 20 0; change 3");
+    // What a worker that is gone has reported does not prevent second allocations.
+    let mut w = scripted(true, false);
+    w.run("list 1; call 1 0; report 1 9; start 1.0; end 1.0 ok; list 2; call 20 0; change 3");
     let second = w.run("at 0.1; wake");
     assert!(
         second.contains("send 20>3"),
-        "second allocations again, as these workers tell of no room: {second}"
+        "no second allocation, although these workers do not report free slots: {second}"
     );
 }
 
-/// Budgets of cold workers count lanes. Those of workers that are gone must not fill smaller ones.
+/// The budget of a cold worker depends on the most slots observed. Slots observed at a worker that is gone must not
+/// count.
 #[test]
-fn a_cold_worker_is_spared_after_a_move() {
-    let most = 3.0 * 0.35 * 2.0 / 0.2 * SPAN / 4.0;
-    let mut w = world(false, false);
-    w.run("list 2; call 9000 0; told 2 20; start 9000.0; back 9000.0 ok");
+fn cold_worker_gets_no_more_than_its_budget_after_a_larger_one_is_gone() {
+    let allowed = 3.0 * 0.35 * 2.0 / 0.2 * OVERLOAD_WINDOW_S / 4.0;
+    let mut w = scripted(false, false);
+    w.run("list 2; call 9000 0; report 2 20; start 9000.0; end 9000.0 ok");
     w.run("list 1n");
-    let sent = hammer(&mut w, SPAN) as f64;
-    assert!(sent <= most && sent > 0.0, "{sent} sent, {most} allowed");
+    let sent = overload(&mut w, OVERLOAD_WINDOW_S) as f64;
+    assert!(
+        sent <= allowed && sent > 0.0,
+        "{sent} sent, {allowed} allowed"
+    );
 }
 
 #[test]
-fn odd_input_disturbs_no_count() {
-    let mut w = world(true, false);
+fn invalid_and_repeated_events_leave_the_counts_right() {
+    let mut w = scripted(true, false);
     w.run("list 1 2 3 11");
-    let mut acts = Vec::new();
+    let mut actions = Vec::new();
     for i in 0..400u64 {
         w.now += 0.013;
         let id = i * 7 % 97;
@@ -931,14 +957,14 @@
         } else {
             "wake"
         };
-        acts.push(w.run(&format!(
+        actions.push(w.run(&format!(
             "call {i} {} {} {}; {kind}",
             i % 6,
             i % 3,
             1 << (i % 4)
         )));
-        if let Some(alloc) = w.held.get(&id).and_then(|wu| wu.allocation(0)) {
-            let absurd = [f64::NAN, -3.0, f64::INFINITY, 0.0][(i % 4) as usize];
+        if let Some(alloc) = w.work_units.get(&id).and_then(|wu| wu.allocation(0)) {
+            let free_slots = [f64::NAN, -3.0, f64::INFINITY, 0.0][(i % 4) as usize];
             let outcome = [
                 Outcome::Error,
                 Outcome::Full,
@@ -946,35 +972,35 @@
                 Outcome::Dropped,
             ][(i / 4 % 4) as usize];
             let report = LoadReport {
-                free_slots: Some(absurd),
+                free_slots: Some(free_slots),
             };
-            w.scheduler.on_start(&mut w.acts, w.now, &alloc);
+            w.scheduler.on_start(&mut w.host, w.now, &alloc);
             let ended = outcome == Outcome::Completed;
             w.scheduler
-                .on_outcome(&mut w.acts, w.now, &alloc, outcome, ended);
+                .on_outcome(&mut w.host, w.now, &alloc, outcome, ended);
             w.scheduler
-                .on_outcome(&mut w.acts, w.now, &alloc, outcome, ended);
-            w.scheduler.on_start(&mut w.acts, w.now, &alloc);
+                .on_outcome(&mut w.host, w.now, &alloc, outcome, ended);
+            w.scheduler.on_start(&mut w.host, w.now, &alloc);
             alloc.worker.record_report(w.now, report);
         }
     }
     w.now += 10.0;
-    acts.push(w.run("wake"));
-    for wu in w.held.clone().values() {
+    actions.push(w.run("wake"));
+    for wu in w.work_units.clone().values() {
         for n in 0..3 {
             if let Some(alloc) = wu.allocation(n) {
                 w.scheduler
-                    .on_outcome(&mut w.acts, w.now, &alloc, Outcome::Recalled, true);
+                    .on_outcome(&mut w.host, w.now, &alloc, Outcome::Recalled, true);
             }
         }
-        w.scheduler.on_client_gone(&mut w.acts, w.now, wu);
+        w.scheduler.on_client_gone(&mut w.host, w.now, wu);
         assert!(wu.is_settled(), "work unit {} is still open", wu.id);
     }
-    acts.append(&mut w.acts.said);
-    let acts = acts.join(", ");
-    for id in w.held.keys() {
+    actions.append(&mut w.host.actions);
+    let actions = actions.join(", ");
+    for id in w.work_units.keys() {
         let answers = [format!("defer {id}"), format!("abort {id}")];
-        let given = acts
+        let given = actions
             .split(", ")
             .filter(|a| answers.iter().any(|f| f == a))
             .count();
--- a/crates/mintlb-scheduler/tests/word.rs
+++ b/crates/mintlb-scheduler/tests/peer_message.rs
@@ -1,16 +1,16 @@
-//! What schedulers tell one another, as bytes.
+//! Encoding of the messages between schedulers.
 
 use mintlb_scheduler::peer_message::{MAX_BYTES, MAX_ENTRIES, PeerMessage};
 
 #[test]
-fn words_come_back_as_they_were_written() {
+fn messages_survive_encoding() {
     for (slots_held, sent, age) in [
         (vec![], 100.0, 0.0),
         (vec![(0, 0), (65535, 255)], 100.25, 0.02),
-        // The two bytes of time go round between writing and reading.
+        // The two bytes of time wrap around between encoding and decoding.
         (vec![(7, 1)], 65.5, 0.1),
         (vec![(7, 1)], 1.7e9, 30.0),
-        // A clock that is ahead of ours.
+        // The sender's clock is ahead.
         (vec![(7, 1)], 200.0, -3.0),
         (vec![(9, 2); MAX_ENTRIES], 100.0, 0.0),
     ] {
@@ -20,10 +20,10 @@
         }
         .encode();
         assert!(bytes.len() <= MAX_BYTES);
-        let word = PeerMessage::decode(sent + age, &bytes).unwrap();
+        let message = PeerMessage::decode(sent + age, &bytes).unwrap();
         assert!(
-            (word.sent_at - sent).abs() < 0.002 && word.slots_held == slots_held,
-            "{sent} {age}: {word:?}"
+            (message.sent_at - sent).abs() < 0.002 && message.slots_held == slots_held,
+            "{sent} {age}: {message:?}"
         );
     }
     let long = PeerMessage {
@@ -38,11 +38,11 @@
 }
 
 #[test]
-fn what_is_none_of_ours_is_passed_over() {
+fn other_bytes_are_rejected() {
     for (bytes, why) in [
         (&[][..], "empty"),
-        (&[1, 0], "cut short in the head"),
-        (&[1, 0, 0, 9], "cut short in an entry"),
+        (&[1, 0], "truncated in the header"),
+        (&[1, 0, 0, 9], "truncated in an entry"),
         (&[2, 0, 0, 0, 9, 1], "another first byte"),
         (b"GET /", "another protocol"),
         (&[1; 258], "too long"),
--- a/crates/mintlb-scheduler/tests/preferred.rs
+++ b/crates/mintlb-scheduler/tests/preferred_worker.rs
@@ -1,4 +1,4 @@
-//! Work that is best served by one certain worker finds it, also in a fleet that was sent little so far.
+//! Work units with a preferred worker reach it, also in a large fleet where most workers are untracked.
 
 use mintlb_scheduler::decide::{FairShares, Fleet, ListPolling, Queues, RetryPolicy, Scheduler};
 use mintlb_scheduler::util::Rng;
@@ -9,7 +9,7 @@
 
 const WORKERS: u64 = 90;
 
-/// Permits the preferred worker only.
+/// A host that permits the preferred worker only.
 struct OnlyPreferred {
     preferred: Option<u64>,
     sent_to: Vec<u64>,
@@ -34,7 +34,7 @@
     fn log(&mut self, _: &str) {}
 }
 
-fn scheduler(door: &mut OnlyPreferred) -> Scheduler {
+fn scheduler(host: &mut OnlyPreferred) -> Scheduler {
     let project_type = ProjectType {
         credit: 1.0,
         late_credit: 0.0,
@@ -50,19 +50,19 @@
         peer_message: None,
     };
     let fleet = Fleet::new(SlowStart::default(), 0, true, costs, &types);
-    let repeats = RetryPolicy {
+    let retry_policy = RetryPolicy {
         parallel_attempts: false,
         may_cancel: true,
         max_allocations: 8,
     };
-    let parts = (
+    let stages = (
         FairShares::new(&[]),
         Queues::new(types, 1.0, 0.0),
-        repeats,
+        retry_policy,
         fleet,
     );
-    let mut scheduler = Scheduler::new(Rng::new(7), parts, ListPolling::default());
-    let line = |id| ListEntry {
+    let mut scheduler = Scheduler::new(Rng::new(7), stages, ListPolling::default());
+    let entry = |id| ListEntry {
         id,
         zone: (id % 4) as u16,
         cell: 0,
@@ -72,38 +72,42 @@
         project_types: ProjectTypeSet::default(),
         pulls_work: false,
     };
-    let lines: Vec<ListEntry> = (1..=WORKERS).map(line).collect();
-    scheduler.on_list_update(door, 0.0, ListUpdate::Full(&lines));
+    let entries: Vec<ListEntry> = (1..=WORKERS).map(entry).collect();
+    scheduler.on_list_update(host, 0.0, ListUpdate::Full(&entries));
     scheduler
 }
 
 #[test]
-fn a_preferred_worker_is_found_before_it_was_sent_anything() {
-    let mut door = OnlyPreferred {
+fn untracked_preferred_worker_is_used() {
+    let mut host = OnlyPreferred {
         preferred: None,
         sent_to: Vec::new(),
     };
-    let mut scheduler = scheduler(&mut door);
+    let mut scheduler = scheduler(&mut host);
     for id in 1..=WORKERS {
-        door.preferred = Some(id);
+        host.preferred = Some(id);
         let work = WorkUnit::new(id, 0, None, 1.0, 1.0, 3.0);
-        scheduler.on_arrival(&mut door, 1.0, &work);
-        assert_eq!(door.sent_to.pop(), Some(id), "at once, without a wait");
+        scheduler.on_arrival(&mut host, 1.0, &work);
+        assert_eq!(host.sent_to.pop(), Some(id), "sent on arrival");
     }
 }
 
 #[test]
-fn a_preferred_worker_that_is_not_listed_is_no_hindrance() {
-    let mut door = OnlyPreferred {
+fn unlisted_preferred_worker_does_not_block_work() {
+    let mut host = OnlyPreferred {
         preferred: Some(WORKERS + 1),
         sent_to: Vec::new(),
     };
-    let mut scheduler = scheduler(&mut door);
+    let mut scheduler = scheduler(&mut host);
     let gone = WorkUnit::new(1, 0, None, 1.0, 1.0, 3.0);
-    scheduler.on_arrival(&mut door, 1.0, &gone);
-    assert!(door.sent_to.is_empty());
-    door.preferred = None;
+    scheduler.on_arrival(&mut host, 1.0, &gone);
+    assert!(host.sent_to.is_empty());
+    host.preferred = None;
     let other = WorkUnit::new(2, 0, None, 1.0, 1.0, 3.0);
-    scheduler.on_arrival(&mut door, 1.0, &other);
-    assert_eq!(door.sent_to.len(), 2, "both find a worker once any will do");
+    scheduler.on_arrival(&mut host, 1.0, &other);
+    assert_eq!(
+        host.sent_to.len(),
+        2,
+        "both are sent once any worker is permitted"
+    );
 }
--- a/crates/mintlb-scheduler/tests/wire_fixtures.rs
+++ b/crates/mintlb-scheduler/tests/wire_fixtures.rs
@@ -1,13 +1,13 @@
-//! The bytes of what schedulers tell one another. Schedulers of different versions do so during an update, so that a
-//! change of the source, such as a renaming, must leave them as they are in `fixtures/words.txt`.
+//! Bytes of the messages between schedulers. During an update schedulers of different versions exchange them, so that
+//! no change of the source may change the bytes in `fixtures/words.txt`.
 
 mod fixture;
 
 use mintlb_scheduler::peer_message::{MAX_ENTRIES, PeerMessage};
 
-const WORDS: &str = include_str!("fixtures/words.txt");
+const MESSAGES: &str = include_str!("fixtures/words.txt");
 
-fn words() -> Vec<(&'static str, PeerMessage)> {
+fn messages() -> Vec<(&'static str, PeerMessage)> {
     vec![
         (
             "nothing-held",
@@ -41,22 +41,22 @@
 }
 
 #[test]
-fn words_are_written_as_in_the_fixtures() {
-    let written: Vec<_> = words()
+fn messages_are_encoded_as_in_the_fixtures() {
+    let written: Vec<_> = messages()
         .into_iter()
-        .map(|(name, word)| (name, word.encode()))
+        .map(|(name, message)| (name, message.encode()))
         .collect();
-    fixture::check(WORDS, &written);
+    fixture::check(MESSAGES, &written);
 }
 
 #[test]
-fn the_fixtures_are_read_as_the_same_words() {
-    let (words, held) = (words(), fixture::read(WORDS));
-    assert_eq!(words.len(), held.len());
-    for ((name, word), (_, bytes)) in words.into_iter().zip(held) {
-        let read =
-            PeerMessage::decode(word.sent_at, &bytes).unwrap_or_else(|| panic!("{name}: no word"));
-        assert_eq!(read, word, "{name}");
-        assert_eq!(read.encode(), bytes, "{name}: written again");
+fn fixtures_are_decoded_as_the_same_messages() {
+    let (messages, stored) = (messages(), fixture::read(MESSAGES));
+    assert_eq!(messages.len(), stored.len());
+    for ((name, message), (_, bytes)) in messages.into_iter().zip(stored) {
+        let decoded = PeerMessage::decode(message.sent_at, &bytes)
+            .unwrap_or_else(|| panic!("{name}: no message"));
+        assert_eq!(decoded, message, "{name}");
+        assert_eq!(decoded.encode(), bytes, "{name}: encoded again");
     }
 }
--- a/crates/mintlb/tests/crossings.rs
+++ b/crates/mintlb/tests/crossings.rs
@@ -54,7 +54,7 @@
             }
             _ => {
                 *slot.lock().unwrap() = listing(3, &[("s-1", at, state)]);
-                program.logged("the list has no ready worker");
+                program.logged("worker list has no ready worker");
             }
         }
         let came = came_late(late, TRIED_AGAIN);
@@ -278,7 +278,7 @@
             let back = back
                 .recv_timeout(Duration::from_secs(30))
                 .expect("it is called five times");
-            program.logged("the list has no ready worker");
+            program.logged("worker list has no ready worker");
             let took = back.elapsed().as_secs_f64();
             assert!(took < 6.0, "{how}: heard after {took} s");
         })
@@ -315,7 +315,7 @@
             }
             idle.push(stream);
         }
-        program.logged("the list is out of reach");
+        program.logged("worker list is out of reach");
         // They go on coming, so that whatever is given up is taken by the next.
         let (heard, at) = (Arc::new(AtomicBool::new(false)), program.at);
         let come = {
@@ -332,7 +332,7 @@
         *slot.lock().unwrap() = listing(9, &[("s-1", worker, "DRAINING")]);
         let back = Instant::now();
         let mut said = String::new();
-        while !said.ends_with("patience is out\n") {
+        while !said.ends_with("when it times out\n") {
             assert!(
                 program.log.read_line(&mut said).unwrap() > 0,
                 "{shown}: it ended"
@@ -381,7 +381,7 @@
             "\"promised_turnaround\": 2900.0",
         );
         let mut program = start_at(at, "", &[SOON, ("127.0.0.1:8500", &list), patient], None);
-        program.logged("the list has no ready worker");
+        program.logged("worker list has no ready worker");
         let clients = (0..many).map(|_| {
             let mut client = program.connect();
             client
