--- a/crates/mintlb-quota/src/messages.rs
+++ b/crates/mintlb-quota/src/messages.rs
@@ -1,24 +1,24 @@
-//! The messages between dispatchers and owners. Their minicbor indexes are fixed: processes of
+//! The messages between dispatchers and owners. Their minicbor indexes are fixed, as processes of
 //! different releases exchange them.
 
 use minicbor::{Decode, Encode};
 
-/// The limit of a tenant, by one version of the configuration.
+/// The limit of a tenant in one version of the configuration.
 #[derive(Clone, Copy, Debug, PartialEq, Encode, Decode)]
 pub struct RateLimit {
-    /// The `config_version` that it is from. An owner goes by the newest that it knows.
+    /// The `config_version` that the limit is from. An owner applies the newest limit that it knows.
     #[n(0)]
     pub version: u64,
-    /// Requests a second; above 0.
+    /// Requests per second; above 0.
     #[n(1)]
     pub rate: f64,
-    /// Requests beyond the rate that may come at once.
+    /// Requests that may arrive at once beyond the rate; 0 or above.
     #[n(2)]
     pub burst: f64,
 }
 
 impl RateLimit {
-    /// Whether it can be counted: the rate above 0, the burst 0 or above.
+    /// Whether rate and burst are finite, the rate above 0 and the burst 0 or above. A peer may send any number.
     pub fn is_valid(&self) -> bool {
         let is_rate = self.rate.is_finite() && self.rate > 0.0;
         is_rate && self.burst.is_finite() && self.burst >= 0.0
@@ -28,10 +28,10 @@
 /// Asks an owner to admit one request of a tenant.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub struct AdmitRequest {
-    /// The name of the tenant.
+    /// The tenant's name, from which its owners are computed.
     #[n(0)]
     pub tenant: String,
-    /// Its limit, as the dispatcher knows it.
+    /// The tenant's limit in the dispatcher's version of the configuration.
     #[n(1)]
     pub limit: RateLimit,
 }
@@ -39,17 +39,18 @@
 /// The response to an [`AdmitRequest`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 pub enum AdmitResponse {
-    /// The request may run.
+    /// A token was taken: the request may run.
     #[n(0)]
     Admitted,
-    /// The slice is used up.
+    /// The slice has no token.
     #[n(1)]
     Rejected {
-        /// When a request that comes back may be admitted, in ms from now.
+        /// The time after which a retry may be admitted, in milliseconds.
         #[n(0)]
         retry_after_ms: u32,
     },
-    /// The receiver owns no slice of this tenant, or can't tell.
+    /// The receiver owns no slice of this tenant, or can't decide: the limit is invalid, or it has no space for the
+    /// slice.
     #[n(2)]
     NotOwner,
 }
--- a/crates/mintlb-quota/src/slice_counter.rs
+++ b/crates/mintlb-quota/src/slice_counter.rs
@@ -1,4 +1,4 @@
-//! The slices that one controller owns.
+//! The slices of all tenants that one controller owns.
 
 use crate::messages::{AdmitRequest, AdmitResponse, RateLimit};
 use crate::slices::{Division, owners};
@@ -6,10 +6,11 @@
 use rustc_hash::FxHashMap;
 use std::time::Duration;
 
-/// Slices kept at most. Beyond it the full ones are dropped, which begin anew without a loss.
+/// The largest number of slices kept. Beyond it the full ones are dropped, which lose no tokens by
+/// that: created again, they have been filling since `filling_since`.
 const MAX_SLICES: usize = 8192;
 
-/// A time in whole milliseconds, rounded up.
+/// Rounds up to whole milliseconds, so that a client does not retry too early.
 fn milliseconds(time: Duration) -> u32 {
     let milliseconds = time.as_micros().div_ceil(1000);
     u32::try_from(milliseconds).unwrap_or(u32::MAX)
@@ -18,13 +19,13 @@
 /// The token buckets of one controller.
 #[derive(Debug)]
 pub struct SliceCounter {
-    own: u64,
+    own_id: u64,
     division: Division,
     members: Vec<u64>,
-    /// Since when `members` are the members, and the newest limits are known: a slice that is new here has been filling
-    /// since then. Before, another owner may have given out its tokens.
+    /// When the members or the newest version of the limits last changed. A slice that is new here starts empty at that
+    /// time, as another owner may have given out its tokens before.
     filling_since: Duration,
-    /// The newest version of limits that a request has told.
+    /// The newest version of the limits that a request has named.
     newest_version: Option<u64>,
     slices: FxHashMap<String, Slice>,
 }
@@ -36,10 +37,10 @@
 }
 
 impl SliceCounter {
-    /// The counter of the member `own`; it owns nothing before [`SliceCounter::set_members`].
-    pub fn new(own: u64, division: Division) -> SliceCounter {
+    /// The counter of the member `own_id`. It owns no slice until [`SliceCounter::set_members`] is called.
+    pub fn new(own_id: u64, division: Division) -> SliceCounter {
         SliceCounter {
-            own,
+            own_id,
             division,
             members: Vec::new(),
             filling_since: Duration::ZERO,
@@ -48,8 +49,8 @@
         }
     }
 
-    /// Applies the members of a replica set. Another member may own, from now on, what was owned
-    /// here, and may have given out its tokens before it is owned here again.
+    /// Applies the members of a replica set, and drops the slices that are no longer owned here:
+    /// should one return later, other owners may have given out its tokens meanwhile.
     pub fn set_members(&mut self, members: impl Iterator<Item = u64>, now: Duration) {
         let mut members: Vec<u64> = members.collect();
         members.sort_unstable();
@@ -72,7 +73,7 @@
         self.slices = slices;
     }
 
-    /// Decides about a request.
+    /// Decides about a request by its tenant's newest known limit.
     pub fn admit(&mut self, request: &AdmitRequest, now: Duration) -> AdmitResponse {
         if !request.limit.is_valid() {
             return AdmitResponse::NotOwner;
@@ -110,7 +111,8 @@
         }
     }
 
-    /// Under newer limits a tenant may have more slices, and so owners that had none before.
+    /// Notes the version of a limit. Under a newer one a tenant may have more slices, and so new owners, which must
+    /// start with empty slices.
     fn follow_version(&mut self, version: u64, now: Duration) {
         let newest = self.newest_version.get_or_insert(version);
         if version > *newest {
@@ -119,15 +121,15 @@
         }
     }
 
-    /// The number of slices of a limit, if one of them is owned here.
+    /// The number of slices of a limit; `None` if none of them is owned here.
     fn owned_slices(&self, tenant: &str, limit: &RateLimit) -> Option<usize> {
         let count = self.division.slice_count(limit, self.members.len());
         owners(&self.members, tenant, count)
-            .contains(&self.own)
+            .contains(&self.own_id)
             .then_some(count)
     }
 
-    /// Whether another slice can be kept, after the full ones were dropped if need be.
+    /// Whether there is space for another slice. Drops the full ones if necessary.
     fn has_space(&mut self, now: Duration) -> bool {
         if self.slices.len() >= MAX_SLICES {
             self.slices.retain(|_, slice| !slice.bucket.is_full(now));
--- a/crates/mintlb-quota/src/slices.rs
+++ b/crates/mintlb-quota/src/slices.rs
@@ -1,29 +1,30 @@
-//! The division of a tenant's limit into slices, and their owners.
+//! The division of a tenant's limit into slices, and the choice of their owners.
 
 use crate::messages::RateLimit;
 use crate::token_bucket::BucketLimit;
 use mintlb_common::mix64::mix64;
 
-/// A slice has at least this rate, in tokens a second, if the limit suffices for more than one slice.
+/// The least rate of a slice, in tokens per second, unless the limit has only [`MIN_SLICES`] slices.
 const MIN_SLICE_RATE: f64 = 1.0;
-/// A slice holds at least this burst, in tokens, if the limit suffices for more than one slice.
+/// The least burst of a slice, in tokens, unless the limit has only [`MIN_SLICES`] slices.
 const MIN_SLICE_BURST: f64 = 2.5;
-/// A limit has this many slices at least, so that the loss of an owner leaves one; fewer if its burst
-/// has no whole token for each.
+/// The least number of slices, so that one is left when an owner is lost; fewer if the burst does not
+/// have a whole token for each.
 const MIN_SLICES: usize = 2;
-/// The share of the slack that makes the bursts of the slices larger together than the limit's: a
-/// request meets one slice, whose burst is only a part of the whole.
+/// The fraction of the slack that is added to the burst before it is divided: a request finds the
+/// burst of one slice only, which is a fraction of the total.
 const BURST_SLACK_SHARE: f64 = 0.5;
 
-/// How limits are divided; the same at all processes.
+/// How limits are divided into slices. Must be the same in all processes.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Division {
-    /// Requests by which a tenant may exceed its limit in a window (`quota_slack`).
+    /// The number of requests by which a tenant may exceed its limit in a window; the setting
+    /// `quota_slack`.
     pub slack: f64,
 }
 
 impl Division {
-    /// The number of slices of a limit among so many members.
+    /// The number of slices of a limit, one for each owner, at most `members`.
     pub fn slice_count(&self, limit: &RateLimit, members: usize) -> usize {
         let by_rate = limit.rate / MIN_SLICE_RATE;
         let by_burst = self.total_burst(limit) / MIN_SLICE_BURST;
@@ -32,7 +33,7 @@
         count.max(least).max(1).min(members)
     }
 
-    /// The limit of one of so many slices.
+    /// The limit of each slice of a limit that is divided into `slices`.
     pub fn slice_limit(&self, limit: &RateLimit, slices: usize) -> BucketLimit {
         let slices = slices.max(1) as f64;
         BucketLimit {
@@ -41,14 +42,14 @@
         }
     }
 
-    /// The bursts of all slices together.
+    /// The burst that is divided among the slices.
     fn total_burst(&self, limit: &RateLimit) -> f64 {
         limit.burst + self.slack * BURST_SLACK_SHARE
     }
 }
 
-/// The owners of a tenant's slices among the members, by rendezvous hashing: a member that leaves
-/// or joins changes only the owners of its own slices.
+/// The owners of a tenant's slices among the members, chosen by rendezvous hashing: when a member
+/// leaves or joins, only the slices that it owns change their owner.
 pub fn owners(members: &[u64], tenant: &str, slices: usize) -> Vec<u64> {
     let tenant = tenant_hash(tenant);
     let mut ranked: Vec<u64> = members.to_vec();
@@ -57,7 +58,8 @@
     ranked
 }
 
-/// FNV-1a of the name: the same in every build, as owners and dispatchers have to agree.
+/// FNV-1a of the name. It is the same in every build, as dispatchers and owners of different releases
+/// must agree on the owners.
 fn tenant_hash(tenant: &str) -> u64 {
     const FNV_OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
     const FNV_PRIME: u64 = 0x0100_0000_01b3;
--- a/crates/mintlb-quota/tests/fleet_bound.rs
+++ b/crates/mintlb-quota/tests/fleet_bound.rs
@@ -1,5 +1,5 @@
-//! Dispatchers and owners together, in virtual time: the bound of a tenant's limit under faults, and the share of
-//! requests that is rejected without need while all is calm.
+//! Dispatchers and owners together, in virtual time: the bound of a tenant's limit under faults, and the fraction
+//! of requests that is rejected without faults although the tenant keeps to its limit.
 
 use mintlb_common::mix64::{SPLITMIX64_INCREMENT, mix64};
 use mintlb_quota::inquiry::Inquiry;
@@ -20,18 +20,18 @@
 const WINDOW: Time = 5 * SECOND;
 const OVERAGE: f64 = 0.1;
 const SLACK: f64 = 20.0;
-/// How long an owner goes on after its last contact with the others.
+/// How long an owner continues to admit requests after its last contact with the others.
 const MAX_TIME_WITHOUT_CONTACT: Time = 4 * SECOND;
-/// How long a member is silent before the others may remove it.
+/// How long a member must be silent before the others may remove it.
 const UNRESPONSIVE_TIME: Time = 3 * SECOND;
-/// How long a dispatcher waits for one owner.
+/// How long a dispatcher waits for the answer of one owner.
 const OWNER_TIMEOUT: Time = 100 * MILLISECOND;
-/// A replica set that bears the loss of two has this many members at least.
+/// The least number of members of a replica set that tolerates the loss of two.
 const MIN_MEMBERS: usize = 5;
 const TOLERATED_LOSSES: usize = 2;
 const DISPATCHERS: usize = 60;
 
-/// Random numbers of a seed.
+/// A pseudo-random number generator (SplitMix64).
 struct Random(u64);
 
 impl Random {
@@ -40,7 +40,7 @@
         mix64(self.0)
     }
 
-    /// From 0 up to, but without, `end`.
+    /// From 0 to `end`, exclusive.
     fn below(&mut self, end: u64) -> u64 {
         self.next() % end
     }
@@ -53,8 +53,8 @@
         least + self.below(most - least + 1)
     }
 
-    fn chance(&mut self, share: f64) -> bool {
-        self.unit() < share
+    fn chance(&mut self, probability: f64) -> bool {
+        self.unit() < probability
     }
 
     /// Above 0, at most 1.
@@ -67,7 +67,7 @@
     }
 }
 
-/// The members since some time. Who is in contact learns them a little later.
+/// The members from a point in time. Owners in contact and dispatchers learn them after their delays.
 struct Membership {
     since: Time,
     members: Vec<u64>,
@@ -76,23 +76,23 @@
 struct Owner {
     id: u64,
     counter: SliceCounter,
-    /// Down or frozen until then; what arrives meanwhile is lost or waits.
+    /// Until when it is down or frozen. What arrives meanwhile is lost if it is down, and waits if it is frozen.
     down_until: Time,
     frozen_until: Time,
     /// The origin of its clock.
     started_at: Time,
     /// From when until when it has no contact with the other owners.
-    cut: (Time, Time),
-    /// How long after a change of the members it knows of it.
+    isolated: (Time, Time),
+    /// How long after a change of the members it learns of it.
     delay: Time,
-    /// The dispatchers that don't reach it, by a bit each, and until when.
-    unreached: (u64, Time),
+    /// A bit mask of the dispatchers that can't reach it, and until when.
+    unreachable: (u64, Time),
 }
 
 struct Dispatcher {
     frozen_until: Time,
     members_delay: Time,
-    /// How long after the second version of the limit was published it knows it.
+    /// How long after the second version of the limit is published it learns of it.
     limit_delay: Time,
 }
 
@@ -100,7 +100,7 @@
     dispatcher: usize,
     limit: RateLimit,
     inquiry: Inquiry<u64>,
-    /// The number of the question that it waits for.
+    /// The number of the question whose answer it waits for.
     question: usize,
     done: bool,
 }
@@ -135,33 +135,33 @@
     NotOwner,
 }
 
-/// What happens in one run.
-struct Plan {
+/// The inputs of one run.
+struct Scenario {
     limits: [RateLimit; 2],
     /// When the second limit is published.
     changed_at: Time,
-    /// Requests a second, before and from `hot_at`, until `ends_at`.
+    /// Requests per second, before and from `overload_at`, until `ends_at`.
     demand: [f64; 2],
-    hot_at: Time,
+    overload_at: Time,
     ends_at: Time,
 }
 
 struct Simulation {
     random: Random,
-    plan: Plan,
+    scenario: Scenario,
     owners: Vec<Owner>,
     dispatchers: Vec<Dispatcher>,
     memberships: Vec<Membership>,
     events: BinaryHeap<Reverse<(Time, u64, Event)>>,
     pushed: u64,
     requests: Vec<Request>,
-    /// When requests were admitted, as their dispatchers saw it.
+    /// When dispatchers received the admission of a request.
     admissions: Vec<Time>,
     rejections: Vec<Time>,
 }
 
 impl Simulation {
-    fn new(mut random: Random, plan: Plan, members: usize) -> Simulation {
+    fn new(mut random: Random, scenario: Scenario, members: usize) -> Simulation {
         let ids: Vec<u64> = (0..members).map(|_| random.next()).collect();
         let owners = ids.iter().map(|id| Owner::new(*id, &mut random)).collect();
         let dispatchers = (0..DISPATCHERS)
@@ -177,7 +177,7 @@
         };
         Simulation {
             random,
-            plan,
+            scenario,
             owners,
             dispatchers,
             memberships: vec![first],
@@ -189,8 +189,8 @@
         }
     }
 
-    /// Some dispatchers have no contact either: each fourth goes on by the members that it knew, for so long.
-    fn delay_news(&mut self, delay: Time) {
+    /// Every fourth dispatcher learns of changes of the members only after `delay`, as if it had no contact either.
+    fn delay_membership_updates(&mut self, delay: Time) {
         for dispatcher in self.dispatchers.iter_mut().step_by(4) {
             dispatcher.members_delay = delay;
         }
@@ -231,20 +231,20 @@
     }
 
     fn on_arrival(&mut self, now: Time) {
-        let demand = self.plan.demand[usize::from(now >= self.plan.hot_at)];
+        let demand = self.scenario.demand[usize::from(now >= self.scenario.overload_at)];
         let next = now + self.random.exponential(demand);
-        if next < self.plan.ends_at {
+        if next < self.scenario.ends_at {
             self.push(next, Event::Arrival);
         }
         let dispatcher = self.random.index(DISPATCHERS);
-        let knows = now >= self.plan.changed_at + self.dispatchers[dispatcher].limit_delay;
-        let limit = self.plan.limits[usize::from(knows)];
+        let knows = now >= self.scenario.changed_at + self.dispatchers[dispatcher].limit_delay;
+        let limit = self.scenario.limits[usize::from(knows)];
         let delay = self.dispatchers[dispatcher].members_delay;
         let members = members_at(&self.memberships, now.saturating_sub(delay));
         let slices = DIVISION.slice_count(&limit, members.len());
         let mut owners = owners(members, TENANT, slices);
-        for place in (1..owners.len()).rev() {
-            owners.swap(place, self.random.index(place + 1));
+        for index in (1..owners.len()).rev() {
+            owners.swap(index, self.random.index(index + 1));
         }
         self.requests.push(Request {
             dispatcher,
@@ -256,7 +256,7 @@
         self.ask_next(now, self.requests.len() - 1);
     }
 
-    /// Asks the next owner, or gives up.
+    /// Asks the next owner, or rejects the request if there is none.
     fn ask_next(&mut self, now: Time, number: usize) {
         let request = &mut self.requests[number];
         request.question += 1;
@@ -296,14 +296,14 @@
     fn on_ask(&mut self, now: Time, number: usize, request: usize, question: usize) {
         let dispatcher = self.requests[request].dispatcher;
         let owner = &mut self.owners[number];
-        let (unreached, until) = owner.unreached;
-        if now < owner.down_until || (now < until && unreached >> dispatcher & 1 == 1) {
+        let (unreachable, until) = owner.unreachable;
+        if now < owner.down_until || (now < until && unreachable >> dispatcher & 1 == 1) {
             return;
         }
         if now < owner.frozen_until {
-            let thaw = owner.frozen_until;
+            let continues_at = owner.frozen_until;
             return self.push(
-                thaw,
+                continues_at,
                 Event::Ask {
                     owner: number,
                     request,
@@ -342,10 +342,10 @@
     }
 
     fn on_answer(&mut self, now: Time, number: usize, question: usize, answer: Answer) {
-        let thaw = self.dispatchers[self.requests[number].dispatcher].frozen_until;
-        if now < thaw {
+        let continues_at = self.dispatchers[self.requests[number].dispatcher].frozen_until;
+        if now < continues_at {
             return self.push(
-                thaw,
+                continues_at,
                 Event::Answer {
                     request: number,
                     question,
@@ -372,10 +372,10 @@
     }
 
     fn on_timeout(&mut self, now: Time, number: usize, question: usize) {
-        let thaw = self.dispatchers[self.requests[number].dispatcher].frozen_until;
-        if now < thaw {
+        let continues_at = self.dispatchers[self.requests[number].dispatcher].frozen_until;
+        if now < continues_at {
             return self.push(
-                thaw,
+                continues_at,
                 Event::Timeout {
                     request: number,
                     question,
@@ -388,29 +388,29 @@
         }
     }
 
-    /// The tokens of the worst window, over its bound.
+    /// The largest ratio of the admissions in a window to the bound, and the start of that window.
     fn worst_ratio(&self) -> (f64, Time) {
         let learned_by = self
             .dispatchers
             .iter()
             .map(|dispatcher| dispatcher.limit_delay)
             .max();
-        let binds_at = self.plan.changed_at + learned_by.unwrap_or(0) + OWNER_TIMEOUT;
+        let binds_at = self.scenario.changed_at + learned_by.unwrap_or(0) + OWNER_TIMEOUT;
         let mut worst = (0.0, 0);
         let mut end = 0;
-        for (place, start) in self.admissions.iter().enumerate() {
+        for (index, start) in self.admissions.iter().enumerate() {
             while end < self.admissions.len() && self.admissions[end] < start + WINDOW {
                 end += 1;
             }
             let mut rate: f64 = 0.0;
             if *start < binds_at {
-                rate = rate.max(self.plan.limits[0].rate);
+                rate = rate.max(self.scenario.limits[0].rate);
             }
-            if start + WINDOW > self.plan.changed_at {
-                rate = rate.max(self.plan.limits[1].rate);
+            if start + WINDOW > self.scenario.changed_at {
+                rate = rate.max(self.scenario.limits[1].rate);
             }
             let bound = (rate * 5.0 + rate) * (1.0 + OVERAGE) + SLACK;
-            let ratio = (end - place) as f64 / bound;
+            let ratio = (end - index) as f64 / bound;
             if ratio > worst.0 {
                 worst = (ratio, *start);
             }
@@ -427,17 +427,17 @@
             down_until: 0,
             frozen_until: 0,
             started_at: 0,
-            cut: (Time::MAX, Time::MAX),
+            isolated: (Time::MAX, Time::MAX),
             delay: random.below(SECOND),
-            unreached: (0, 0),
+            unreachable: (0, 0),
         }
     }
 
-    /// Up to when it knows the changes of the members; none if its last contact is too long ago.
+    /// The time up to which it knows changes of the members; none if its last contact is too long ago.
     fn knows_until(&self, now: Time) -> Option<Time> {
-        let (from, until) = self.cut;
+        let (from, until) = self.isolated;
         if now < from || now >= until {
-            // What was published while it was cut off is the first that it hears.
+            // Once in contact again it learns first what was published while it was isolated.
             let known = now.saturating_sub(self.delay);
             return Some(if now >= until {
                 known.max(until)
@@ -460,11 +460,11 @@
     &newest.unwrap_or(&memberships[0]).members
 }
 
-/// Draws a run full of faults, each of which tolerates what the fleet has to tolerate: two owners that are lost, cut off
-/// or frozen at a time.
+/// Draws a run with the faults that the fleet must tolerate: at most two owners at a time that are down, isolated or
+/// frozen.
 fn draw_faults(seed: u64) -> Simulation {
     let mut random = Random(mix64(seed));
-    // From 6 to 179 requests a second; the slack hides least at the large ones.
+    // From 6 to 179 requests per second, often above 100, where the slack is the smallest part of the bound.
     let rate = match random.below(2) {
         0 => 6.0 * (179.0_f64 / 6.0).powf(random.unit()),
         _ => 100.0 + 79.0 * random.unit(),
@@ -480,18 +480,18 @@
         burst: rate,
     };
     let limits = [limit(1, rate), limit(2, (rate * factor).min(179.0))];
-    let plan = Plan {
+    let scenario = Scenario {
         limits,
         changed_at: random.between(4 * SECOND, 14 * SECOND),
         demand: [rate * 0.3, rate * (1.0 + 2.0 * random.unit())],
-        hot_at: random.between(5 * SECOND, 14 * SECOND),
+        overload_at: random.between(5 * SECOND, 14 * SECOND),
         ends_at: 22 * SECOND,
     };
-    // A loss costs most in the smallest set.
+    // A loss has the largest effect in the smallest set.
     let most = if random.chance(0.5) { MIN_MEMBERS } else { 9 };
     let members = random.between(MIN_MEMBERS as u64, most as u64) as usize;
-    let mut simulation = Simulation::new(random, plan, members);
-    simulation.delay_news(10 * SECOND);
+    let mut simulation = Simulation::new(random, scenario, members);
+    simulation.delay_membership_updates(10 * SECOND);
     let mut losses_begin = 6 * SECOND;
     while losses_begin < 20 * SECOND {
         draw_losses(&mut simulation, losses_begin);
@@ -504,9 +504,9 @@
     simulation
 }
 
-/// Up to two members restart, freeze, or are cut off from the others, and some dispatchers may not reach them. Who is
-/// silent for long enough is removed, or replaced by a new member.
-fn draw_losses(simulation: &mut Simulation, begin: Time) {
+/// Up to two members restart, freeze or are isolated from the others, and some dispatchers may not reach them. A member
+/// that is silent for long enough is removed, or replaced by a new one.
+fn draw_losses(simulation: &mut Simulation, begins_at: Time) {
     let newest = simulation.memberships.last().expect("there is a first one");
     let mut members = newest.members.clone();
     let together = simulation.random.chance(0.25);
@@ -514,20 +514,20 @@
     let lost = simulation
         .random
         .between(least as u64, TOLERATED_LOSSES as u64);
-    if together && simulation.plan.hot_at >= begin {
-        simulation.plan.hot_at = begin + UNRESPONSIVE_TIME;
+    if together && simulation.scenario.overload_at >= begins_at {
+        simulation.scenario.overload_at = begins_at + UNRESPONSIVE_TIME;
     }
     let mut changes = Vec::new();
     for _ in 0..lost {
         let random = &mut simulation.random;
         let id = members[random.index(members.len())];
-        // The cases that cost most are those in which all comes together.
+        // The worst cases are those in which all faults begin together.
         let spread = if together { 1 } else { 500 * MILLISECOND };
-        let at = begin + random.below(spread);
+        let at = begins_at + random.below(spread);
         let number = simulation.owners.iter().position(|owner| owner.id == id);
         let number = number.expect("each member is an owner");
         let owner = &mut simulation.owners[number];
-        if owner.cut.0 < Time::MAX && owner.cut.1 > begin {
+        if owner.isolated.0 < Time::MAX && owner.isolated.1 > begins_at {
             continue;
         }
         let least = if together {
@@ -537,7 +537,7 @@
         };
         let length = random.between(least, 9500 * MILLISECOND);
         if random.chance(0.3) {
-            owner.unreached = (random.next(), at + length);
+            owner.unreachable = (random.next(), at + length);
         }
         match random.below(4) {
             0 if !together => {
@@ -553,10 +553,10 @@
             }
             1 if !together => {
                 owner.frozen_until = at + length;
-                // Contact is found again some time after the thaw.
-                owner.cut = (at, at + length + random.below(300 * MILLISECOND));
+                // It regains contact some time after it continues.
+                owner.isolated = (at, at + length + random.below(300 * MILLISECOND));
             }
-            _ => owner.cut = (at, at + length),
+            _ => owner.isolated = (at, at + length),
         }
         let late = if together { 1 } else { SECOND };
         let removed_at = at + UNRESPONSIVE_TIME + random.below(late);
@@ -587,7 +587,7 @@
 fn no_window_exceeds_the_bound_under_faults() {
     const SEEDS: u64 = 300;
     let mut worst = (0.0, 0, 0);
-    let mut beyond = Vec::new();
+    let mut violations = Vec::new();
     let mut changes = 0;
     for seed in 0..SEEDS {
         let mut simulation = draw_faults(seed);
@@ -598,9 +598,9 @@
             worst = (ratio, seed, start);
         }
         if ratio > 1.0 {
-            let limits = simulation.plan.limits.map(|limit| limit.rate.round());
+            let limits = simulation.scenario.limits.map(|limit| limit.rate.round());
             let members = simulation.memberships[0].members.len();
-            beyond.push(format!(
+            violations.push(format!(
                 "seed {seed}: {ratio:.3} of the bound from {start} us, rates {limits:?}, {members} members"
             ));
         }
@@ -609,20 +609,21 @@
         "worst ratio to the bound: {:.3} (seed {}, window from {} us); {changes} changes of members in {SEEDS} seeds",
         worst.0, worst.1, worst.2
     );
-    assert!(changes >= 100, "{changes} changes of members test little");
+    assert!(changes >= 100, "only {changes} changes of members");
     assert!(
-        beyond.is_empty(),
+        violations.is_empty(),
         "{} seeds:\n{}",
-        beyond.len(),
-        beyond.join("\n")
+        violations.len(),
+        violations.join("\n")
     );
 }
 
-/// The case that costs most: two owners are cut off from the others, but not from the dispatchers, two new members that
-/// learn it at once take their places as early as they may, and the tenant, idle before, then sends thrice its rate.
+/// The worst case: two owners are isolated from the others, but not from the dispatchers; two new members, which learn
+/// of it at once, replace them as early as possible; and the tenant, nearly idle before, then sends three times its
+/// rate.
 #[test]
-fn two_owners_that_go_on_after_they_were_replaced_keep_the_bound() {
-    let mut beyond = Vec::new();
+fn two_owners_that_continue_after_their_replacement_keep_the_bound() {
+    let mut violations = Vec::new();
     for members in [MIN_MEMBERS, 8, 9] {
         for rate in [6.0, 20.0, 60.0, 120.0, 179.0] {
             let limit = RateLimit {
@@ -630,20 +631,20 @@
                 rate,
                 burst: rate,
             };
-            let cut_at = 10 * SECOND;
-            let removed_at = cut_at + UNRESPONSIVE_TIME;
-            let plan = Plan {
+            let isolated_at = 10 * SECOND;
+            let removed_at = isolated_at + UNRESPONSIVE_TIME;
+            let scenario = Scenario {
                 limits: [limit; 2],
                 changed_at: 0,
                 demand: [rate * 0.1, rate * 3.0],
-                hot_at: removed_at,
+                overload_at: removed_at,
                 ends_at: 20 * SECOND,
             };
-            let mut simulation = Simulation::new(Random(mix64(rate as u64)), plan, members);
-            simulation.delay_news(10 * SECOND);
+            let mut simulation = Simulation::new(Random(mix64(rate as u64)), scenario, members);
+            simulation.delay_membership_updates(10 * SECOND);
             let mut set = simulation.memberships[0].members.clone();
-            for (place, member) in set.iter_mut().enumerate().take(TOLERATED_LOSSES) {
-                simulation.owners[place].cut = (cut_at, cut_at + 7 * SECOND);
+            for (index, member) in set.iter_mut().enumerate().take(TOLERATED_LOSSES) {
+                simulation.owners[index].isolated = (isolated_at, isolated_at + 7 * SECOND);
                 let mut joiner = Owner::new(simulation.random.next(), &mut simulation.random);
                 joiner.delay = 0;
                 *member = joiner.id;
@@ -655,26 +656,26 @@
             });
             simulation.push(removed_at, Event::Arrival);
             simulation.run();
-            let in_hot_phase = simulation.admissions.iter().filter(|at| **at >= removed_at);
+            let in_overload = simulation.admissions.iter().filter(|at| **at >= removed_at);
             assert!(
-                in_hot_phase.count() as f64 >= rate,
-                "the hot phase tests little"
+                in_overload.count() as f64 >= rate,
+                "too few admissions in the overload"
             );
             let (ratio, start) = simulation.worst_ratio();
             println!("{members} members, rate {rate}: {ratio:.3} of the bound from {start} us");
             if ratio > 1.0 {
-                beyond.push((members, rate, ratio));
+                violations.push((members, rate, ratio));
             }
         }
     }
     assert!(
-        beyond.is_empty(),
-        "members, rate, ratio to the bound: {beyond:?}"
+        violations.is_empty(),
+        "members, rate, ratio to the bound: {violations:?}"
     );
 }
 
-/// The share of requests that are rejected, of a tenant that keeps to 0.63 of its rate.
-fn rejected_share(rate: f64, members: usize, seed: u64) -> f64 {
+/// The fraction of requests that are rejected, of a tenant that sends 0.63 of its rate.
+fn rejected_fraction(rate: f64, members: usize, seed: u64) -> f64 {
     const WARM_UP: Time = 20 * SECOND;
     let limit = RateLimit {
         version: 1,
@@ -683,14 +684,14 @@
     };
     let demand = 0.63 * rate;
     let requests = 12_000.0;
-    let plan = Plan {
+    let scenario = Scenario {
         limits: [limit; 2],
         changed_at: 0,
         demand: [demand; 2],
-        hot_at: 0,
+        overload_at: 0,
         ends_at: WARM_UP + (requests / demand) as Time * SECOND,
     };
-    let mut simulation = Simulation::new(Random(mix64(seed)), plan, members);
+    let mut simulation = Simulation::new(Random(mix64(seed)), scenario, members);
     simulation.run();
     let count = |times: &[Time]| times.iter().filter(|time| **time >= WARM_UP).count() as f64;
     let rejected = count(&simulation.rejections);
@@ -698,22 +699,22 @@
 }
 
 #[test]
-fn a_tenant_below_its_rate_is_hardly_ever_rejected_while_all_is_calm() {
-    let mut beyond = Vec::new();
+fn a_tenant_below_its_rate_is_hardly_ever_rejected_without_faults() {
+    let mut violations = Vec::new();
     for rate in [6.0, 10.0, 15.0, 25.0, 60.0, 179.0] {
         for members in [5, 7, 8, 9] {
-            let share = rejected_share(rate, members, rate as u64 * 16 + members as u64);
+            let fraction = rejected_fraction(rate, members, rate as u64 * 16 + members as u64);
             println!(
                 "rate {rate}, {members} members: {:.3}% rejected",
-                share * 100.0
+                fraction * 100.0
             );
-            if share >= 0.01 {
-                beyond.push((rate, members, share));
+            if fraction >= 0.01 {
+                violations.push((rate, members, fraction));
             }
         }
     }
     assert!(
-        beyond.is_empty(),
-        "rate, members, share rejected: {beyond:?}"
+        violations.is_empty(),
+        "rate, members, fraction rejected: {violations:?}"
     );
 }
--- a/crates/mintlb-quota/tests/inquiry.rs
+++ b/crates/mintlb-quota/tests/inquiry.rs
@@ -1,4 +1,4 @@
-//! Whom a dispatcher asks, and when it gives up.
+//! Which owners a dispatcher asks, and when it gives up.
 
 use mintlb_quota::inquiry::Inquiry;
 use mintlb_quota::messages::RateLimit;
@@ -6,12 +6,12 @@
 
 const MS: Duration = Duration::from_millis(1);
 
-/// An inquiry at five owners. Each of their slices gets a token in 50 ms.
+/// An inquiry at five owners, whose slices gain a token in 50 ms each.
 fn inquiry() -> Inquiry<u32> {
-    inquiry_by_rate(100.0)
+    inquiry_with_rate(100.0)
 }
 
-fn inquiry_by_rate(rate: f64) -> Inquiry<u32> {
+fn inquiry_with_rate(rate: f64) -> Inquiry<u32> {
     let limit = RateLimit {
         version: 1,
         rate,
@@ -20,7 +20,7 @@
     Inquiry::new(vec![3, 1, 5, 2, 4], &limit)
 }
 
-/// The owners that are asked if each rejects with the next of these times.
+/// The owners that are asked if each rejects the request with the next of these times to retry.
 fn asked(mut inquiry: Inquiry<u32>, rejections: &[Duration]) -> Vec<u32> {
     let mut times = rejections.iter();
     let mut asked = Vec::new();
@@ -34,28 +34,28 @@
 }
 
 #[test]
-fn owners_are_asked_once_each_and_in_their_order() {
+fn each_owner_is_asked_once_in_order() {
     assert_eq!(asked(inquiry(), &[]), [3, 1, 5, 2, 4]);
 }
 
 #[test]
-fn owners_that_are_used_up_but_not_crowded_do_not_end_it() {
+fn rejections_by_owners_without_a_backlog_do_not_end_an_inquiry() {
     assert_eq!(asked(inquiry(), &[MS; 5]), [3, 1, 5, 2, 4]);
 }
 
 #[test]
-fn a_slice_whose_next_token_is_free_is_not_crowded() {
-    // The whole time of a token: the bucket was just emptied.
+fn a_time_of_one_token_is_no_backlog() {
+    // The bucket was just emptied, and its next token goes to this request.
     assert_eq!(asked(inquiry(), &[50 * MS; 5]), [3, 1, 5, 2, 4]);
 }
 
 #[test]
-fn a_slice_whose_next_token_is_spoken_for_is_crowded() {
+fn a_time_of_more_than_one_token_is_a_backlog() {
     assert_eq!(asked(inquiry(), &[51 * MS; 5]), [3, 1]);
 }
 
 #[test]
-fn one_crowded_owner_does_not_end_it_and_the_second_does() {
+fn the_second_owner_with_a_backlog_ends_an_inquiry() {
     assert_eq!(
         asked(inquiry(), &[51 * MS, MS, MS, MS, MS]),
         [3, 1, 5, 2, 4]
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn an_ended_inquiry_stays_ended() {
+fn no_owner_is_asked_after_the_end() {
     let mut inquiry = inquiry();
     inquiry.next_owner();
     inquiry.on_rejection(Duration::MAX);
@@ -76,17 +76,17 @@
 }
 
 #[test]
-fn the_time_to_come_back_is_the_earliest_that_any_owner_told() {
+fn the_time_to_retry_is_the_earliest_of_all_rejections() {
     let mut inquiry = inquiry();
-    for (told, earliest) in [(40, 40), (30, 30), (45, 30), (10, 10), (50, 10)] {
+    for (returned, earliest) in [(40, 40), (30, 30), (45, 30), (10, 10), (50, 10)] {
         inquiry.next_owner();
-        inquiry.on_rejection(told * MS);
+        inquiry.on_rejection(returned * MS);
         assert_eq!(inquiry.retry_after(), Some(earliest * MS));
     }
 }
 
 #[test]
-fn without_a_rejection_there_is_no_time_to_come_back() {
+fn without_a_rejection_there_is_no_time_to_retry() {
     let mut inquiry = inquiry();
     while inquiry.next_owner().is_some() {}
     assert_eq!(inquiry.retry_after(), None);
@@ -105,11 +105,11 @@
 }
 
 #[test]
-fn rates_without_a_time_for_a_token_are_asked_about_without_a_panic() {
+fn rates_whose_token_time_is_not_finite_cause_no_panic() {
     let hour = Duration::from_secs(3600);
     for rate in [0.0, 1e-300, f64::MIN_POSITIVE, f64::NAN, -1.0] {
-        let owners = asked(inquiry_by_rate(rate), &[hour; 5]);
+        let owners = asked(inquiry_with_rate(rate), &[hour; 5]);
         assert!(!owners.is_empty(), "{rate}");
     }
-    assert_eq!(asked(inquiry_by_rate(f64::INFINITY), &[MS; 5]), [3, 1]);
+    assert_eq!(asked(inquiry_with_rate(f64::INFINITY), &[MS; 5]), [3, 1]);
 }
--- a/crates/mintlb-quota/tests/changed_circumstances.rs
+++ b/crates/mintlb-quota/tests/limit_changes_and_floods.rs
@@ -1,5 +1,5 @@
-//! Owners and a dispatcher's inquiry together, after something has changed: a tenant's limit, or the
-//! end of a flood of requests.
+//! Owners together with a dispatcher's inquiry, after a tenant's limit has changed and after a flood of
+//! requests has ended.
 
 use mintlb_quota::inquiry::Inquiry;
 use mintlb_quota::messages::{AdmitRequest, AdmitResponse, RateLimit};
@@ -13,7 +13,7 @@
 const TENANT: &str = "huka270";
 const HOUR: Duration = Duration::from_secs(3600);
 
-/// The owners, by their ids.
+/// The slice counters of all members, by member id.
 struct Fleet {
     counters: BTreeMap<u64, SliceCounter>,
 }
@@ -38,11 +38,11 @@
         self.counters.get_mut(&owner).unwrap().admit(&request, now)
     }
 
-    /// How many requests all owners of the limit's slices admit at one time.
+    /// The number of requests that all owners of the limit's slices together admit at time `now`.
     fn admitted_at_once(&mut self, limit: RateLimit, now: Duration) -> usize {
-        let asked = limit_owners(&limit);
+        let owners = limit_owners(&limit);
         let mut admitted = 0;
-        for owner in asked {
+        for owner in owners {
             while self.ask(owner, limit, now) == AdmitResponse::Admitted {
                 admitted += 1;
             }
@@ -50,8 +50,8 @@
         admitted
     }
 
-    /// Whether a request is admitted that asks the owners in this order.
-    fn inquire(&mut self, owners: Vec<u64>, limit: RateLimit, now: Duration) -> bool {
+    /// Whether one of the owners, asked in this order, admits a request.
+    fn is_admitted(&mut self, owners: Vec<u64>, limit: RateLimit, now: Duration) -> bool {
         let mut inquiry = Inquiry::new(owners, &limit);
         while let Some(owner) = inquiry.next_owner() {
             match self.ask(owner, limit, now) {
@@ -65,9 +65,9 @@
         false
     }
 
-    /// Requests far over the limit for 10 s, 100 a second at each owner, and 60 s of quiet, in which
-    /// all slices fill. Returns the time at its end.
-    fn flood_and_quiet(&mut self, limit: RateLimit) -> Duration {
+    /// Sends 100 requests per second to each owner for 10 s, far beyond the limit, and then none for
+    /// 60 s, in which all slices fill. Returns the time at the end.
+    fn flood_and_pause(&mut self, limit: RateLimit) -> Duration {
         for tick in 0..1000 {
             for owner in limit_owners(&limit) {
                 self.ask(owner, limit, HOUR + Duration::from_millis(10 * tick));
@@ -90,15 +90,15 @@
     }
 }
 
-/// What the rule allows in a window of 5 s, at the usual bounds.
+/// The most requests that may be admitted in a window of 5 s, at the default overage and slack.
 fn allowed(limit: &RateLimit) -> f64 {
     (limit.rate * 5.0 + limit.burst) * 1.1 + 20.0
 }
 
 #[test]
-fn a_higher_rate_that_adds_owners_does_not_give_out_the_burst_twice() {
+fn the_burst_is_not_granted_twice_when_a_higher_rate_adds_owners() {
     let mut fleet = Fleet::new();
-    // The burst stays. The rate was enough for two slices, and is for five.
+    // Same burst. The former rate is divided into two slices, the newer one into five.
     let former = limit(1, 5.0, 200.0);
     let newer = limit(2, 10.0, 200.0);
     let admitted = fleet.admitted_at_once(former, HOUR) + fleet.admitted_at_once(newer, HOUR);
@@ -107,7 +107,7 @@
 }
 
 #[test]
-fn a_lower_rate_that_takes_owners_away_does_not_give_out_the_burst_twice() {
+fn the_burst_is_not_granted_twice_when_a_lower_rate_removes_owners() {
     let mut fleet = Fleet::new();
     let former = limit(1, 10.0, 200.0);
     let newer = limit(2, 5.0, 200.0);
@@ -117,11 +117,11 @@
 }
 
 #[test]
-fn the_time_to_come_back_is_one_token_s_time_at_most_once_a_flood_is_over() {
+fn after_a_flood_the_time_to_retry_is_at_most_that_of_one_token() {
     let mut fleet = Fleet::new();
     let limit = limit(1, 10.0, 10.0);
     let owner = limit_owners(&limit)[0];
-    let now = fleet.flood_and_quiet(limit);
+    let now = fleet.flood_and_pause(limit);
     let slice = DIVISION.slice_limit(&limit, limit_owners(&limit).len());
     for _ in 0..slice.burst as usize {
         assert_eq!(fleet.ask(owner, limit, now), AdmitResponse::Admitted);
@@ -133,22 +133,25 @@
     let token_ms = 1000.0 / slice.rate;
     assert!(
         f64::from(retry_after_ms) <= token_ms,
-        "{retry_after_ms} ms, and a token comes in {token_ms} ms"
+        "told to retry after {retry_after_ms} ms, but a token accrues in {token_ms} ms"
     );
 }
 
 #[test]
-fn a_request_is_not_rejected_beside_full_slices_once_a_flood_is_over() {
+fn after_a_flood_a_request_is_admitted_while_slices_are_full() {
     let mut fleet = Fleet::new();
     let limit = limit(1, 10.0, 10.0);
-    let asked = limit_owners(&limit);
-    let now = fleet.flood_and_quiet(limit);
-    let slice = DIVISION.slice_limit(&limit, asked.len());
-    // Two of five slices are used up by what was admitted, and nobody was turned away since the flood.
-    for owner in &asked[..2] {
+    let owners = limit_owners(&limit);
+    let now = fleet.flood_and_pause(limit);
+    let slice = DIVISION.slice_limit(&limit, owners.len());
+    // Two of five slices are used up by admitted requests, and none has been rejected since the flood.
+    for owner in &owners[..2] {
         for _ in 0..slice.burst as usize {
             assert_eq!(fleet.ask(*owner, limit, now), AdmitResponse::Admitted);
         }
     }
-    assert!(fleet.inquire(asked, limit, now), "the others are full");
+    assert!(
+        fleet.is_admitted(owners, limit, now),
+        "the other slices are full"
+    );
 }
--- a/crates/mintlb-quota/tests/slice_counter.rs
+++ b/crates/mintlb-quota/tests/slice_counter.rs
@@ -1,4 +1,5 @@
-//! The slices that one controller owns: who admits, by which limit, and what becomes of a slice that moves.
+//! The slices that one controller owns: which members admit requests, by which limit, and what happens to a slice whose
+//! owner changes.
 
 use mintlb_quota::messages::{AdmitRequest, AdmitResponse, RateLimit};
 use mintlb_quota::slice_counter::SliceCounter;
@@ -8,7 +9,7 @@
 const DIVISION: Division = Division { slack: 20.0 };
 const MEMBERS: [u64; 5] = [1, 2, 3, 4, 5];
 const HOUR: Duration = Duration::from_secs(3600);
-/// Slices that a controller may keep; a limit of the program that this test states once more.
+/// The largest number of slices that a controller keeps; the same as the constant in the program.
 const MAX_SLICES: usize = 8192;
 
 fn limit(version: u64, rate: f64) -> RateLimit {
@@ -32,7 +33,7 @@
     counter
 }
 
-/// How many requests of so many are admitted at one time.
+/// The number of requests, out of 1000 at the same time, that are admitted.
 fn admitted(counter: &mut SliceCounter, tenant: &str, limit: RateLimit, now: Duration) -> usize {
     let request = request(tenant, limit);
     (0..1000)
@@ -47,7 +48,7 @@
 
 #[test]
 fn only_owners_admit() {
-    // Two slices, by its rate.
+    // Its rate suffices for two slices.
     let limit = limit(1, 2.0);
     for tenant in (0..50).map(|number| format!("tenant-{number}")) {
         let owners = owners(&MEMBERS, &tenant, 2);
@@ -65,7 +66,7 @@
 }
 
 #[test]
-fn a_counter_without_members_or_outside_of_them_owns_nothing() {
+fn a_counter_that_is_not_a_member_owns_nothing() {
     let request = request("acme", limit(1, 60.0));
     let mut new = SliceCounter::new(1, DIVISION);
     assert_eq!(new.admit(&request, HOUR), AdmitResponse::NotOwner);
@@ -78,7 +79,7 @@
 }
 
 #[test]
-fn a_newer_limit_wins_and_an_older_request_does_not_bring_the_former_back() {
+fn the_newest_limit_applies_also_to_requests_with_an_older_one() {
     let (former, newer) = (limit(1, 100.0), limit(2, 10.0));
     let mut counter = counter(1, &MEMBERS, Duration::ZERO);
     assert!(admitted(&mut counter, "acme", former, HOUR) > 10);
@@ -89,7 +90,7 @@
     );
     let left = slice_burst(&newer, MEMBERS.len()) - 1;
     assert_eq!(admitted(&mut counter, "acme", former, full), left);
-    // A slice of the newer limit fills by 2 tokens in a second, of the former by 20.
+    // A slice gains 2 tokens per second by the newer limit, and 20 by the former.
     let second = full + Duration::from_secs(1);
     assert_eq!(admitted(&mut counter, "acme", former, second), 2);
     assert_eq!(
@@ -99,7 +100,7 @@
 }
 
 #[test]
-fn a_higher_limit_of_a_newer_version_gives_no_tokens_at_once() {
+fn a_higher_limit_adds_no_tokens_at_once() {
     let (former, newer) = (limit(1, 10.0), limit(2, 100.0));
     let mut counter = counter(1, &MEMBERS, Duration::ZERO);
     assert!(admitted(&mut counter, "acme", former, HOUR) > 0);
@@ -108,9 +109,9 @@
     assert_eq!(admitted(&mut counter, "acme", newer, second), 20);
 }
 
-/// A member that joins takes the slice over for a while: what it gave out must not be given out again.
+/// A member that joins owns the slice for a while. The tokens that it granted must not be granted again.
 #[test]
-fn a_slice_that_comes_back_after_another_owner_had_it_begins_empty() {
+fn a_slice_that_returns_from_another_owner_is_empty() {
     let limit = limit(1, 2.0);
     let joined: Vec<u64> = (1..=9).collect();
     let mut moved = 0;
@@ -137,9 +138,9 @@
     assert!(moved >= 10, "{moved} slices moved");
 }
 
-/// The same, for a tenant that was not asked for before the members changed.
+/// The same, for a tenant without requests before the members changed.
 #[test]
-fn a_slice_that_is_new_here_begins_empty() {
+fn a_slice_that_is_new_here_is_empty() {
     let mut counter = counter(1, &[2, 3, 4, 5], Duration::ZERO);
     counter.set_members(MEMBERS.into_iter(), HOUR);
     let limit = limit(1, 60.0);
@@ -149,7 +150,7 @@
 }
 
 #[test]
-fn a_slice_that_stays_keeps_its_tokens_and_gets_no_others() {
+fn a_slice_that_keeps_its_owner_keeps_its_tokens() {
     let limit = limit(1, 60.0);
     let mut counter = counter(1, &MEMBERS, Duration::ZERO);
     let full = slice_burst(&limit, MEMBERS.len());
@@ -159,7 +160,7 @@
     }
     counter.set_members([1, 2, 3, 4].into_iter(), HOUR);
     assert_eq!(admitted(&mut counter, "acme", limit, HOUR), full - 4);
-    // A list that is the same changes nothing, also in another order.
+    // The same members in another order change nothing.
     counter.set_members([4, 3, 2, 1].into_iter(), 2 * HOUR);
     let all = slice_burst(&limit, 4);
     assert_eq!(admitted(&mut counter, "acme", limit, 2 * HOUR), all);
@@ -185,9 +186,9 @@
     }
 }
 
-/// What a client is told has to be long enough, also in whole milliseconds.
+/// The time to retry must be long enough, also when it is rounded to whole milliseconds.
 #[test]
-fn a_rejected_request_that_comes_back_when_it_was_told_is_admitted() {
+fn a_rejected_request_is_admitted_at_its_retry_time() {
     arbtest::arbtest(|input| {
         let limit = limit(1, f64::from(input.int_in_range(100..=20_000_u32)?) / 100.0);
         let owner = owners(&MEMBERS, "acme", 1)[0];
@@ -198,21 +199,21 @@
             match counter.admit(&request, now) {
                 AdmitResponse::Admitted => {}
                 AdmitResponse::Rejected { retry_after_ms } => break retry_after_ms,
-                AdmitResponse::NotOwner => panic!("the owner says that it is none"),
+                AdmitResponse::NotOwner => panic!("the owner answers NotOwner"),
             }
         };
-        let back = now + Duration::from_millis(retry_after_ms.into());
-        let response = counter.admit(&request, back);
+        let retry_at = now + Duration::from_millis(retry_after_ms.into());
+        let response = counter.admit(&request, retry_at);
         assert_eq!(
             response,
             AdmitResponse::Admitted,
-            "{limit:?}: told to come back after {retry_after_ms} ms"
+            "{limit:?}: told to retry after {retry_after_ms} ms"
         );
         Ok(())
     });
 }
 
-/// The slices that are kept. Nothing but the debug output shows them.
+/// The number of slices that are kept, counted in the debug output, as nothing else shows it.
 fn kept(counter: &SliceCounter) -> usize {
     format!("{counter:?}").matches("bucket: ").count()
 }
--- a/crates/mintlb-quota/tests/slices.rs
+++ b/crates/mintlb-quota/tests/slices.rs
@@ -1,4 +1,4 @@
-//! How limits are divided, and who owns the slices.
+//! The division of limits into slices, and the choice of their owners.
 
 use mintlb_quota::messages::RateLimit;
 use mintlb_quota::slices::{Division, owners};
@@ -14,14 +14,14 @@
 }
 
 #[test]
-fn the_number_of_slices_goes_by_rate_burst_and_members() {
+fn the_number_of_slices_depends_on_rate_burst_and_members() {
     let division = Division { slack: SLACK };
     let cases = [
         // rate, burst, members, slices
         (179.0, 179.0, 8, 8),
         (6.0, 6.0, 8, 6),
         (6.0, 6.0, 5, 5),
-        // 11 tokens of burst, 2.5 a slice.
+        // 11 tokens of burst, at least 2.5 in each slice.
         (100.0, 1.0, 8, 4),
         (2.5, 100.0, 8, 2),
         (0.1, 1.0, 8, 2),
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn all_slices_together_are_the_limit_and_at_most_half_of_the_slack() {
+fn slices_add_up_to_the_limit_and_at_most_half_of_the_slack() {
     arbtest::arbtest(|input| {
         let division = Division {
             slack: f64::from(input.int_in_range(4..=40_u32)?),
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn a_member_that_leaves_or_joins_moves_only_its_own_slices() {
+fn a_member_that_leaves_or_joins_changes_the_owner_of_its_own_slices_only() {
     arbtest::arbtest(|input| {
         let mut members: Vec<u64> = (0..input.int_in_range(2..=9)?)
             .map(|_| input.arbitrary())
@@ -74,27 +74,27 @@
         let slices = input.int_in_range(1..=members.len())?;
         let before = owners(&members, &tenant, slices);
         assert_eq!(before.len(), slices);
-        let leaver = members[input.choose_index(members.len())?];
+        let leaving = members[input.choose_index(members.len())?];
         let rest: Vec<u64> = members
             .iter()
             .copied()
-            .filter(|member| *member != leaver)
+            .filter(|member| *member != leaving)
             .collect();
         let after = owners(&rest, &tenant, slices);
         let kept: Vec<u64> = before
             .iter()
             .copied()
-            .filter(|member| *member != leaver)
+            .filter(|member| *member != leaving)
             .collect();
         assert_eq!(
             after[..kept.len()],
             kept[..],
             "the others keep their slices and their order"
         );
-        if !before.contains(&leaver) {
+        if !before.contains(&leaving) {
             assert_eq!(after, before);
         }
-        // Read backwards, the same is a member that joins.
+        // From `rest` to `members`, the same is a member that joins.
         assert!(after.len() <= kept.len() + 1);
         Ok(())
     });
@@ -108,9 +108,9 @@
     assert_eq!(owners(&forward, tenant, 4), owners(&backward, tenant, 4));
 }
 
-/// Slices are spread evenly: no member owns the slices of twice as many tenants as it should.
+/// Each member owns 1000 slices on average, and none differs from that by more than 15 %.
 #[test]
-fn slices_are_spread_over_the_members() {
+fn slices_are_distributed_evenly() {
     let members: Vec<u64> = (1..=8).map(|member| member * 0x0123_4567_89ab).collect();
     let mut owned = vec![0; members.len()];
     for tenant in 0..4000 {
@@ -127,7 +127,8 @@
     }
 }
 
-/// Processes of different builds have to agree: these are constants, computed apart from the program.
+/// Processes of different builds must agree on the owners. The expected ones were computed independently of the
+/// program.
 #[test]
 fn owners_are_the_same_in_every_build() {
     let members = [1, 2, 3, 0x0123_4567_89ab_cdef, u64::MAX];
--- a/crates/mintlb-quota/tests/token_bucket.rs
+++ b/crates/mintlb-quota/tests/token_bucket.rs
@@ -1,12 +1,12 @@
-//! The bound that one bucket keeps, and the times at which rejected requests are told to come back.
+//! The bound that one bucket keeps, and the times at which rejected requests are told to retry.
 
 use mintlb_quota::token_bucket::{BucketLimit, TokenBucket};
 use std::time::Duration;
 
-/// What rounding may add to the tokens of a window.
+/// The excess allowed for rounding errors, in tokens.
 const ROUNDING: f64 = 1e-6;
 
-/// The largest excess of the admissions over the bound, over all windows that begin and end with an admission.
+/// The largest excess of admissions over the bound in any window that begins and ends with an admission.
 fn worst_excess(admissions: &[Duration], limit: BucketLimit) -> f64 {
     let mut worst = f64::NEG_INFINITY;
     for first in 0..admissions.len() {
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn no_window_gives_more_than_its_rate_and_one_burst() {
+fn no_window_exceeds_its_rate_and_one_burst() {
     arbtest::arbtest(|input| {
         let limit = draw_limit(input)?;
         let mut now = Duration::from_millis(input.int_in_range(0..=100_000)?);
@@ -45,14 +45,17 @@
             }
         }
         let excess = worst_excess(&admissions, limit);
-        assert!(excess <= ROUNDING, "{excess} tokens too many, {limit:?}");
+        assert!(
+            excess <= ROUNDING,
+            "{excess} tokens over the bound, {limit:?}"
+        );
         Ok(())
     });
 }
 
-/// The bucket is given a clock that goes back now and then; the windows are those of the true time.
+/// The clock of the bucket is set back now and then. The windows are measured in true time.
 #[test]
-fn a_clock_that_goes_back_adds_no_tokens() {
+fn a_clock_that_is_set_back_adds_no_tokens() {
     arbtest::arbtest(|input| {
         let limit = draw_limit(input)?;
         let mut true_time = Duration::from_secs(1000);
@@ -72,13 +75,16 @@
             }
         }
         let excess = worst_excess(&admissions, limit);
-        assert!(excess <= ROUNDING, "{excess} tokens too many, {limit:?}");
+        assert!(
+            excess <= ROUNDING,
+            "{excess} tokens over the bound, {limit:?}"
+        );
         Ok(())
     });
 }
 
-/// The times at which so many requests, rejected one after the other by an empty bucket, are told to come back.
-fn times_to_come_back(bucket: &mut TokenBucket, now: Duration, requests: usize) -> Vec<Duration> {
+/// The times at which `requests` requests that are rejected one after another are told to retry.
+fn retry_times(bucket: &mut TokenBucket, now: Duration, requests: usize) -> Vec<Duration> {
     let mut times = Vec::new();
     while times.len() < requests {
         if let Err(wait) = bucket.take(now) {
@@ -89,18 +95,18 @@
 }
 
 #[test]
-fn rejected_requests_get_rising_times_to_come_back() {
+fn retry_times_are_one_token_apart() {
     arbtest::arbtest(|input| {
         let limit = draw_limit(input)?;
         let now = Duration::from_micros(input.int_in_range(0..=100_000_000)?);
         let mut bucket = TokenBucket::new(limit, Duration::ZERO, now);
-        let times = times_to_come_back(&mut bucket, now, 30);
+        let times = retry_times(&mut bucket, now, 30);
         let token_time = 1.0 / limit.rate;
         for pair in times.windows(2) {
-            let distance = (pair[1].saturating_sub(pair[0])).as_secs_f64();
+            let interval = (pair[1].saturating_sub(pair[0])).as_secs_f64();
             assert!(
-                (distance - token_time).abs() <= 1e-6,
-                "{distance} s between two times, a token takes {token_time} s"
+                (interval - token_time).abs() <= 1e-6,
+                "{interval} s between two times, a token takes {token_time} s"
             );
         }
         Ok(())
@@ -108,17 +114,17 @@
 }
 
 #[test]
-fn each_rejected_request_that_comes_back_in_time_finds_its_own_token() {
+fn each_rejected_request_finds_a_token_at_its_retry_time() {
     arbtest::arbtest(|input| {
         let limit = draw_limit(input)?;
         let now = Duration::from_micros(input.int_in_range(0..=100_000_000)?);
         let mut bucket = TokenBucket::new(limit, Duration::ZERO, now);
-        let times = times_to_come_back(&mut bucket, now, 30);
-        for (place, time) in times.iter().enumerate() {
+        let times = retry_times(&mut bucket, now, 30);
+        for (index, time) in times.iter().enumerate() {
             let taken = bucket.take(*time);
             assert!(
                 taken.is_ok(),
-                "request {place}, rejected at {now:?}, came back at {time:?} as told, and got {taken:?}; {limit:?}"
+                "request {index}, rejected at {now:?}, retried at {time:?} as told and got {taken:?}; {limit:?}"
             );
         }
         Ok(())
@@ -126,7 +132,7 @@
 }
 
 #[test]
-fn a_lower_limit_binds_at_once() {
+fn a_lower_limit_applies_at_once() {
     arbtest::arbtest(|input| {
         let before = draw_limit(input)?;
         let after = BucketLimit {
@@ -150,14 +156,14 @@
         let excess = worst_excess(&admissions, after);
         assert!(
             excess <= ROUNDING,
-            "{excess} tokens too many, {before:?} then {after:?}"
+            "{excess} tokens over the bound, {before:?} then {after:?}"
         );
         Ok(())
     });
 }
 
 #[test]
-fn a_bucket_begins_empty_and_fills_at_its_rate() {
+fn a_bucket_starts_empty_and_fills_at_its_rate() {
     let limit = BucketLimit {
         rate: 2.0,
         burst: 3.0,
--- a/crates/mintlb-quota/tests/limits_at_the_edge.rs
+++ b/crates/mintlb-quota/tests/unusual_limits.rs
@@ -1,4 +1,4 @@
-//! Limits that are unusual: raised while their tokens are used, without slack, or no limits at all.
+//! Unusual limits: raised while their tokens are in use, without slack, or invalid.
 
 use mintlb_quota::messages::{AdmitRequest, AdmitResponse, RateLimit};
 use mintlb_quota::slice_counter::SliceCounter;
@@ -7,7 +7,7 @@
 
 const MEMBERS: [u64; 9] = [11, 22, 33, 44, 55, 66, 77, 88, 99];
 const HOUR: Duration = Duration::from_secs(3600);
-/// The step in which a window of 5 s is played, and the number of steps.
+/// The time step in which a window of 5 s is simulated, and the number of steps.
 const STEP: Duration = Duration::from_millis(10);
 const STEPS: u32 = 500;
 
@@ -27,7 +27,7 @@
     }
 }
 
-/// Takes all tokens that the owners have now.
+/// Takes all tokens that the owners have at `now`. Returns their number.
 fn take_all(owners: &mut [SliceCounter], limit: RateLimit, now: Duration) -> usize {
     let request = request(limit);
     let mut taken = 0;
@@ -39,7 +39,7 @@
     taken
 }
 
-/// Takes all tokens that come within 5 s.
+/// Takes all tokens that the owners have and gain in the 5 s from `start`. Returns their number.
 fn take_all_in_window(owners: &mut [SliceCounter], limit: RateLimit, start: Duration) -> usize {
     let steps = (0..STEPS).map(|step| take_all(owners, limit, start + STEP * step));
     steps.sum()
@@ -49,9 +49,9 @@
     (limit.rate * 5.0 + limit.burst) * 1.1 + division.slack
 }
 
-/// A raised rate has more slices: their owners must not give out the burst that others have just given out.
+/// A raised rate has more slices. Their owners must not grant the burst that other owners have just granted.
 #[test]
-fn a_raised_limit_does_not_give_out_its_burst_twice() {
+fn a_raised_limit_does_not_grant_its_burst_twice() {
     let division = Division { slack: 20.0 };
     let limit = |version, rate, burst| RateLimit {
         version,
@@ -63,16 +63,16 @@
         let (old, new) = (limit(1, old, burst), limit(2, new, burst));
         let mut taken = take_all(&mut owners, old, HOUR);
         taken += take_all_in_window(&mut owners, new, HOUR);
-        let most = bound(&new, division);
+        let allowed = bound(&new, division);
         assert!(
-            taken as f64 <= most,
-            "{new:?}: {taken} taken, {most} allowed"
+            taken as f64 <= allowed,
+            "{new:?}: {taken} taken, {allowed} allowed"
         );
     }
 }
 
 #[test]
-fn without_slack_a_small_limit_is_kept() {
+fn a_small_limit_without_slack_is_not_exceeded() {
     let division = Division { slack: 0.0 };
     for (rate, burst) in [(0.2, 0.0), (0.2, 1.0), (1.0, 2.0), (3.0, 0.0)] {
         let limit = RateLimit {
@@ -81,17 +81,17 @@
             burst,
         };
         let taken = take_all_in_window(&mut owners(division), limit, HOUR);
-        let most = bound(&limit, division).max(1.0);
+        let allowed = bound(&limit, division).max(1.0);
         assert!(
-            taken as f64 <= most,
-            "{limit:?}: {taken} taken, {most} allowed"
+            taken as f64 <= allowed,
+            "{limit:?}: {taken} taken, {allowed} allowed"
         );
     }
 }
 
-/// A message of a peer may hold any number.
+/// A peer may send any number.
 #[test]
-fn a_limit_that_is_none_admits_nothing() {
+fn an_invalid_limit_admits_nothing() {
     let limits = [
         (f64::NAN, 5.0),
         (f64::INFINITY, 5.0),
--- a/crates/mintlb-quota/tests/wire.rs
+++ b/crates/mintlb-quota/tests/wire.rs
@@ -1,10 +1,11 @@
-//! The bytes of the messages between dispatchers and owners, which processes of other releases send
-//! and expect. They are derived by hand from RFC 8949: a message is an array of its fields in the
-//! order of their indexes, an enum an array of its variant's index and of an array of its fields.
+//! The encoding of the messages between dispatchers and owners, which processes of other releases send
+//! and expect. The expected bytes are derived by hand from RFC 8949: a message is an array of its
+//! fields in the order of their indexes, an enum an array of its variant's index and an array of its
+//! fields.
 
 use mintlb_quota::messages::{AdmitRequest, AdmitResponse, RateLimit};
 
-/// `[7, 119.0, 60.5]`: an array of 3, an integer, two floats of 64 bits.
+/// `[7, 119.0, 60.5]`: an array of an integer and two 64-bit floats.
 const LIMIT: &[u8] = &[
     0x83, // array of 3
     0x07, // 0: version
@@ -15,7 +16,7 @@
 /// `["huka270", [7, 119.0, 60.5]]`.
 const REQUEST: &[u8] = &[
     0x82, // array of 2
-    0x67, b'h', b'u', b'k', b'a', b'2', b'7', b'0', // 0: tenant, a text of 7 bytes
+    0x67, b'h', b'u', b'k', b'a', b'2', b'7', b'0', // 0: tenant, a text string of 7 bytes
     0x83, 0x07, // 1: limit
     0xfb, 0x40, 0x5d, 0xc0, 0x00, 0x00, 0x00, 0x00, 0x00, //
     0xfb, 0x40, 0x4e, 0x40, 0x00, 0x00, 0x00, 0x00, 0x00,
@@ -56,13 +57,13 @@
 }
 
 #[test]
-fn a_limit_has_these_bytes() {
+fn a_limit_is_encoded_as_expected() {
     assert_eq!(minicbor::to_vec(limit()).unwrap(), LIMIT);
     assert_eq!(minicbor::decode::<RateLimit>(LIMIT).unwrap(), limit());
 }
 
 #[test]
-fn a_request_has_these_bytes() {
+fn a_request_is_encoded_as_expected() {
     assert_eq!(minicbor::to_vec(request()).unwrap(), REQUEST);
     assert_eq!(
         minicbor::decode::<AdmitRequest>(REQUEST).unwrap(),
@@ -71,7 +72,7 @@
 }
 
 #[test]
-fn each_response_has_these_bytes() {
+fn responses_are_encoded_as_expected() {
     for (response, bytes) in responses() {
         assert_eq!(minicbor::to_vec(response).unwrap(), bytes, "{response:?}");
         assert_eq!(minicbor::decode::<AdmitResponse>(bytes).unwrap(), response);
@@ -79,7 +80,7 @@
 }
 
 #[test]
-fn a_message_with_a_field_of_a_later_release_is_understood() {
+fn a_message_with_an_additional_field_is_decoded() {
     let mut longer = vec![0x83];
     longer.extend_from_slice(&REQUEST[1..]);
     longer.push(0x01);
@@ -94,18 +95,18 @@
     for end in 0..REQUEST.len() {
         assert!(
             minicbor::decode::<AdmitRequest>(&REQUEST[..end]).is_err(),
-            "{end}"
+            "{end} bytes"
         );
     }
     for (response, bytes) in responses() {
         for end in 0..bytes.len() {
             let decoded = minicbor::decode::<AdmitResponse>(&bytes[..end]);
-            assert!(decoded.is_err(), "{response:?}, {end}");
+            assert!(decoded.is_err(), "{response:?}, {end} bytes");
         }
     }
 }
 
 #[test]
-fn a_response_of_an_unknown_kind_is_an_error() {
+fn a_response_with_an_unknown_variant_is_an_error() {
     assert!(minicbor::decode::<AdmitResponse>(&[0x82, 0x03, 0x80]).is_err());
 }
--- a/crates/mintlb-rate-limit/src/config.rs
+++ b/crates/mintlb-rate-limit/src/config.rs
@@ -1,194 +1,200 @@
-//! The table `[fleet]` of the operator's file, and what it comes to for one scheduler.
+//! The settings of a fleet, the table `[fleet]` of the operator's file, and their validation for one scheduler.
 
-use crate::division::{Part, equal};
-use crate::word::MOST;
+use crate::message::MAX_BUDGETS;
+use crate::share::{Share, equal_share};
 use serde::Deserialize;
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::{Display, Formatter};
 use std::net::SocketAddr;
 
-/// The table as it is written. Times are seconds.
+/// The settings as they are written in the file. Times are in seconds.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct Config {
-    /// Words of a fleet with another name are not heard.
-    #[serde(default = "name")]
+    /// Messages of a fleet with another name are dropped.
+    #[serde(default = "default_name")]
     pub name: String,
     #[serde(default)]
     pub division: Division,
-    /// Each scheduler of the fleet by its name, and the address (UDP) that it binds and its words come from.
+    /// The schedulers of the fleet by name, each with the UDP address that it binds and sends from.
     pub members: BTreeMap<String, SocketAddr>,
-    /// Those of them that may divide, three or five: the others go by a majority of them.
-    #[serde(default)]
-    pub keepers: Vec<String>,
-    /// For how long a member may spend what it was given when it hears nothing any more.
-    #[serde(default = "lease")]
+    /// The members that elect one of themselves as coordinator by a majority: usually three, or five in larger fleets.
+    #[serde(default, rename = "keepers")]
+    pub voters: Vec<String>,
+    /// How long a member that receives no more messages may use the shares that it was last granted.
+    #[serde(default = "default_lease")]
     pub lease: f64,
-    /// A second of a member's clock is at most this much longer or shorter than a true one, in parts of it.
-    #[serde(default = "drift")]
+    /// The largest relative error of a member's clock: one of its seconds lasts `1 - drift` to `1 + drift` true
+    /// seconds.
+    #[serde(default = "default_drift")]
     pub drift: f64,
     #[serde(default)]
-    pub budgets: Vec<Whole>,
+    pub budgets: Vec<BudgetConfig>,
 }
 
-/// One limit of the whole fleet.
+/// A limit of the whole fleet.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields)]
-pub struct Whole {
+pub struct BudgetConfig {
     pub name: String,
-    pub limits: Limits,
-    /// So many a second, over the whole fleet.
+    #[serde(rename = "limits")]
+    pub scope: BudgetScope,
+    /// Tokens per second, over the whole fleet.
     pub rate: f64,
-    /// And so many at once after a pause.
+    /// Tokens that may be spent at once after a pause, over the whole fleet.
     pub burst: f64,
 }
 
-/// What is limited.
+/// What a budget limits. The names of the variants are part of the budgets' keys, on which all members must agree.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "kebab-case")]
-pub enum Limits {
-    /// Allocations after a work unit's first: retries and second copies.
+pub enum BudgetScope {
+    /// Allocations after the first one of a work unit: retries and duplicates.
     Again,
 }
 
-/// How the parts are made.
+/// How a budget is divided into shares.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "kebab-case")]
 pub enum Division {
-    /// Equal parts that never move, and need no word.
+    /// Equal shares that never change. Members exchange no messages.
     Equal,
-    /// Parts that follow the demand, for a lease at a time, by one of the keepers.
+    /// Shares that follow the demand, granted by the coordinator for a lease at a time.
     #[default]
     Leases,
 }
 
-fn name() -> String {
+fn default_name() -> String {
     "mintlb".into()
 }
 
-fn lease() -> f64 {
+fn default_lease() -> f64 {
     2.0
 }
 
-fn drift() -> f64 {
+fn default_drift() -> f64 {
     0.001
 }
 
-/// What one scheduler does with it.
+/// The validated settings of one scheduler in its fleet.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MemberConfig {
-    pub table: Config,
-    /// Its own name, and where it binds.
+    pub fleet: Config,
+    /// The scheduler's own name, a key of the members.
     pub name: String,
-    pub at: SocketAddr,
+    /// The UDP address that it binds.
+    pub address: SocketAddr,
 }
 
-/// Seconds and rates that can be counted and bring something.
-const LEASES: (f64, f64) = (0.2, 60.0);
-const RATES: (f64, f64) = (0.01, 1e6);
+/// The range of a lease, in seconds.
+const LEASE_RANGE: (f64, f64) = (0.2, 60.0);
+/// The range of a budget's rate, in tokens per second: its thousandths fit into 32 bits, and are not 0. The upper bound
+/// is that of its burst, too.
+const RATE_RANGE: (f64, f64) = (0.01, 1e6);
 
 impl MemberConfig {
-    /// For the scheduler of this name. An error names the field.
-    pub fn new(table: Config, name: &str) -> Result<MemberConfig, String> {
-        let at = table.members.get(name).copied();
-        let at = at.ok_or_else(|| format!("fleet.members: {name} is not among them"))?;
+    /// Validates the settings for the scheduler of this name. An error begins with the path of the wrong field.
+    pub fn new(fleet: Config, name: &str) -> Result<MemberConfig, String> {
+        let address = fleet.members.get(name).copied();
+        let address = address
+            .ok_or_else(|| format!("fleet.members: no entry for this scheduler, {name:?}"))?;
         let mut addresses = BTreeSet::new();
-        for (name, at) in &table.members {
-            if !addresses.insert(at) {
+        for (name, address) in &fleet.members {
+            if !addresses.insert(address) {
                 return Err(format!(
-                    "fleet.members.{name}: {at} is another member's, too"
+                    "fleet.members.{name}: {address} is also the address of another member"
                 ));
             }
         }
-        if !(0.0..0.5).contains(&table.drift) {
+        if !(0.0..0.5).contains(&fleet.drift) {
             return Err(format!(
-                "fleet.drift: {} is none, from 0 up to 0.5 is needed",
-                table.drift
+                "fleet.drift: {} is out of range; must be at least 0 and below 0.5",
+                fleet.drift
             ));
         }
-        let leases = table.division == Division::Leases;
-        for (i, keeper) in table.keepers.iter().enumerate() {
-            if !table.members.contains_key(keeper) || table.keepers[..i].contains(keeper) {
+        let uses_leases = fleet.division == Division::Leases;
+        for (i, voter) in fleet.voters.iter().enumerate() {
+            if !fleet.members.contains_key(voter) || fleet.voters[..i].contains(voter) {
                 return Err(format!(
-                    "fleet.keepers[{i}]: {keeper:?} is no member, or named before"
+                    "fleet.keepers[{i}]: {voter:?} is not a member, or is listed twice"
                 ));
             }
         }
-        if leases && !matches!(table.keepers.len(), 1 | 3 | 5 | 7) {
-            let n = table.keepers.len();
+        if uses_leases && !matches!(fleet.voters.len(), 1 | 3 | 5 | 7) {
+            let n = fleet.voters.len();
             return Err(format!(
-                "fleet.keepers: {n} of them; three are needed, five for larger fleets"
+                "fleet.keepers: {n} listed; must be 1, 3, 5 or 7: use 3, or 5 in larger fleets"
             ));
         }
-        if !(LEASES.0..=LEASES.1).contains(&table.lease) {
-            let (least, most) = LEASES;
+        if !(LEASE_RANGE.0..=LEASE_RANGE.1).contains(&fleet.lease) {
+            let (min, max) = LEASE_RANGE;
             return Err(format!(
-                "fleet.lease: {} s is none, {least} to {most} is needed",
-                table.lease
+                "fleet.lease: {} s is out of range; must be {min} to {max} s",
+                fleet.lease
             ));
         }
-        if table.budgets.len() > MOST {
+        if fleet.budgets.len() > MAX_BUDGETS {
             return Err(format!(
-                "fleet.budgets: {} of them, {MOST} at most",
-                table.budgets.len()
+                "fleet.budgets: {} listed; at most {MAX_BUDGETS} are supported",
+                fleet.budgets.len()
             ));
         }
-        for (i, whole) in table.budgets.iter().enumerate() {
-            let wrong =
-                |field: &str, what: String| Err(format!("fleet.budgets[{i}].{field}: {what}"));
-            if table.budgets[..i]
+        for (i, budget) in fleet.budgets.iter().enumerate() {
+            let invalid =
+                |field: &str, reason: String| Err(format!("fleet.budgets[{i}].{field}: {reason}"));
+            if fleet.budgets[..i]
                 .iter()
-                .any(|other| other.name == whole.name)
+                .any(|other| other.name == budget.name)
             {
-                return wrong(
+                return invalid(
                     "name",
-                    format!("{:?} names another budget, too", whole.name),
+                    format!("{:?} is also the name of another budget", budget.name),
                 );
             }
-            if whole.name.is_empty()
-                || !whole
+            if budget.name.is_empty()
+                || !budget
                     .name
                     .chars()
                     .all(|c| c.is_ascii_alphanumeric() || c == '-')
             {
-                return wrong(
+                return invalid(
                     "name",
-                    format!("{:?} is none: letters, digits and - make one", whole.name),
+                    format!("{:?} is not valid; use letters, digits and -", budget.name),
                 );
             }
-            if !(RATES.0..=RATES.1).contains(&whole.rate) {
-                let (least, most) = RATES;
-                return wrong(
+            if !(RATE_RANGE.0..=RATE_RANGE.1).contains(&budget.rate) {
+                let (min, max) = RATE_RANGE;
+                return invalid(
                     "rate",
-                    format!("{} is none, {least} to {most} is needed", whole.rate),
+                    format!("{} is out of range; must be {min} to {max}", budget.rate),
                 );
             }
-            // Less than one at once can never be spent.
-            let least = if leases {
+            // A share with a burst below one token could never be spent.
+            let min = if uses_leases {
                 1.0
             } else {
-                table.members.len() as f64
+                fleet.members.len() as f64
             };
-            if !(least..=RATES.1).contains(&whole.burst) {
-                let why = format!(
-                    "{} is none, {least} at least is needed: one for each part",
-                    whole.burst
+            if !(min..=RATE_RANGE.1).contains(&budget.burst) {
+                let reason = format!(
+                    "{} is out of range; must be at least {min}, one token for each share",
+                    budget.burst
                 );
-                return wrong("burst", why);
+                return invalid("burst", reason);
             }
         }
         Ok(MemberConfig {
             name: name.to_string(),
-            at,
-            table,
+            address,
+            fleet,
         })
     }
 
-    /// The part of a budget that is held without a word.
-    pub fn unmoved(&self, whole: &Whole) -> Part {
-        match self.table.division {
-            Division::Equal => equal(whole, self.table.members.len()),
-            Division::Leases => Part::NONE,
+    /// The share of a budget that is held without a grant of the coordinator.
+    pub fn fixed_share(&self, budget: &BudgetConfig) -> Share {
+        match self.fleet.division {
+            Division::Equal => equal_share(budget, self.fleet.members.len()),
+            Division::Leases => Share::NONE,
         }
     }
 }
@@ -198,39 +204,42 @@
         let Config {
             name,
             members,
-            keepers,
+            voters,
             lease,
             division,
             ..
-        } = &self.table;
+        } = &self.fleet;
         writeln!(
             f,
-            "fleet {name}: {} binds {}, one of {} members",
+            "fleet {name}: this scheduler is {} at {}, one of {} members",
             self.name,
-            self.at,
+            self.address,
             members.len()
         )?;
         match division {
-            Division::Equal => writeln!(f, "equal parts, which never move")?,
+            Division::Equal => writeln!(f, "equal shares that never change")?,
             Division::Leases => {
-                writeln!(f, "parts for {lease} s, by one of {}", keepers.join(", "))?
+                writeln!(f, "leases of {lease} s, by one of {}", voters.join(", "))?
             }
         }
-        self.table.budgets.iter().try_for_each(|whole| {
-            let Whole {
+        self.fleet.budgets.iter().try_for_each(|budget| {
+            let BudgetConfig {
                 name,
-                limits,
+                scope,
                 rate,
                 burst,
-            } = whole;
-            let part = self.unmoved(whole);
-            let own = match division {
-                Division::Equal => format!("; here {} and {}", part.rate, part.burst),
+            } = budget;
+            let share = self.fixed_share(budget);
+            let own_share = match division {
+                Division::Equal => format!(
+                    "; own share {} per second, burst {}",
+                    share.rate, share.burst
+                ),
                 Division::Leases => String::new(),
             };
             writeln!(
                 f,
-                "budget {name} ({limits:?}): {rate} a second, {burst} at once{own}"
+                "budget {name} ({scope:?}): {rate} per second, burst {burst}{own_share}"
             )
         })
     }
--- a/crates/mintlb-rate-limit/src/fleet.rs
+++ b/crates/mintlb-rate-limit/src/fleet.rs
@@ -1,15 +1,16 @@
-//! The purses behind the core's door, and the task that has words with the other members: the socket and the clock.
+//! This scheduler's membership of the fleet: the token buckets that the core checks and spends from, and the task that
+//! exchanges messages with the other members over UDP.
 
-use crate::config::{Division, Limits, MemberConfig, Whole};
+use crate::config::{BudgetConfig, BudgetScope, Division, MemberConfig};
 use crate::demand::Demand;
-use crate::division::Part;
 use crate::lease::Lease;
 use crate::ledger;
-use crate::members::{Dropped, Members};
-use crate::node::{Node, Out};
-use crate::purse::Purse;
-use crate::word::{Id, LONGEST, Letter, ONE, id, of};
-use mintlb_core::budget::{Expense, Reservation, SharedBudgets as Door};
+use crate::members::{DropReason, Members};
+use crate::message::{Datagram, MAX_DATAGRAM_BYTES, MemberId, ONE_TOKEN_MILLI, amount_of, name_id};
+use crate::node::{Node, Outbox};
+use crate::share::Share;
+use crate::token_bucket::TokenBucket;
+use mintlb_core::budget::{Expense, Reservation, SharedBudgets as CoreBudgets};
 use mintlb_core::subsystem::Subsystem;
 use nix::time::ClockId;
 use parking_lot::Mutex;
@@ -23,8 +24,8 @@
 use tokio::sync::Notify;
 use tokio::time::sleep;
 
-/// Seconds of a clock that no one sets and that goes on while the machine sleeps: what lapsed meanwhile must be known
-/// to have lapsed. Where it can't be read, all has lapsed.
+/// Seconds of a clock that can't be set and that counts the time for which the machine is suspended, so that leases
+/// expire meanwhile. If it can't be read, all leases have expired.
 fn now() -> f64 {
     let time = ClockId::CLOCK_BOOTTIME.now();
     time.map_or(f64::INFINITY, |time| {
@@ -32,142 +33,155 @@
     })
 }
 
-/// Microseconds of Unix time, so that a later life has a greater number, and some chance, so that no two are alike also
-/// if the clock was set back.
-fn life(seed: u64) -> u64 {
-    let unix = SystemTime::now()
+/// A new incarnation: Unix time in microseconds, so that incarnations increase with each restart, and 12 random bits,
+/// so that they differ even if the clock was set back.
+fn new_incarnation(seed: u64) -> u64 {
+    let unix_time = SystemTime::now()
         .duration_since(SystemTime::UNIX_EPOCH)
         .unwrap_or_default();
-    (unix.as_micros() as u64) << 12 | seed & 0xfff
+    (unix_time.as_micros() as u64) << 12 | seed & 0xfff
 }
 
 struct Budget {
     name: String,
-    /// Another limit under an old name is another budget.
+    /// A hash of the name and the scope: a budget whose scope changes becomes another budget.
     key: u64,
-    limits: Limits,
-    whole: ledger::Budget,
-    /// The part that needs no word.
-    unmoved: Part,
-    purse: Arc<Mutex<Purse>>,
+    scope: BudgetScope,
+    limit: ledger::Budget,
+    /// The share that needs no grant of the coordinator.
+    fixed_share: Share,
+    bucket: Arc<Mutex<TokenBucket>>,
     demand: Arc<Mutex<Demand>>,
 }
 
-/// What the words are about.
-struct Talk {
+/// The state of the exchange with the other members.
+struct Exchange {
     node: Node,
     members: Members,
-    wants: Vec<(u64, u32)>,
-    /// Since when nothing is held, if so.
-    alone: Option<f64>,
-    dropped: BTreeMap<Dropped, u64>,
+    /// The demands of the next request, by budget key.
+    demands: Vec<(u64, u32)>,
+    /// Since when no share is held; `None` while one is.
+    without_share_since: Option<f64>,
+    dropped: BTreeMap<DropReason, u64>,
     sent: u64,
-    heard: u64,
+    received: u64,
 }
 
 impl Budget {
-    /// Whether this would spend of it.
-    fn limits(&self, spend: Expense) -> bool {
-        match self.limits {
-            Limits::Again => spend.is_retry,
+    /// Whether this expense needs a token of the budget.
+    fn limits(&self, expense: Expense) -> bool {
+        match self.scope {
+            BudgetScope::Again => expense.is_retry,
         }
     }
 }
 
-/// These budgets, by a plan that holds until the next start; what was spent and is held of one that was there before
-/// goes on.
-fn budgets(plan: &MemberConfig, wholes: &[Whole], before: &[Arc<Budget>]) -> Vec<Arc<Budget>> {
-    let budget = |whole: &Whole| {
+/// Creates the budgets from their settings. `config` holds the settings that apply until the next start. A budget that
+/// existed before keeps its bucket and its demand.
+fn budgets(
+    config: &MemberConfig,
+    budgets: &[BudgetConfig],
+    before: &[Arc<Budget>],
+) -> Vec<Arc<Budget>> {
+    let create = |budget: &BudgetConfig| {
         let (name, key) = (
-            whole.name.clone(),
-            id(&format!("{}/{:?}", whole.name, whole.limits)),
+            budget.name.clone(),
+            name_id(&format!("{}/{:?}", budget.name, budget.scope)),
         );
-        let amount = ledger::Budget {
+        let ledger_budget = ledger::Budget {
             key,
-            whole: Node::whole(whole.rate, whole.burst),
+            total: Node::amount(budget.rate, budget.burst),
         };
         let known = before.iter().find(|known| known.key == key);
-        let purse = known.map(|known| known.purse.clone());
-        let purse = purse.unwrap_or_else(|| Arc::new(Mutex::new(Purse::new(plan.table.drift))));
+        let bucket = known.map(|known| known.bucket.clone());
+        let bucket =
+            bucket.unwrap_or_else(|| Arc::new(Mutex::new(TokenBucket::new(config.fleet.drift))));
         let demand = known.map_or_else(Arc::default, |known| known.demand.clone());
-        let unmoved = plan.unmoved(whole);
+        let fixed_share = config.fixed_share(budget);
         Arc::new(Budget {
             name,
             key,
-            limits: whole.limits,
-            whole: amount,
-            unmoved,
-            purse,
+            scope: budget.scope,
+            limit: ledger_budget,
+            fixed_share,
+            bucket,
             demand,
         })
     };
-    wholes.iter().map(budget).collect()
+    budgets.iter().map(create).collect()
 }
 
-/// The address that is held for as long as the process lives: no other may vote, or hold parts, under this name meanwhile.
-struct Bound {
+/// The bound UDP address. It is held for as long as the process lives, so that no other process can vote or hold shares
+/// under this name meanwhile.
+struct Endpoint {
     socket: UdpSocket,
-    /// Where parts move.
-    talk: Option<Mutex<Talk>>,
+    /// Present if shares are granted by a coordinator.
+    exchange: Option<Mutex<Exchange>>,
 }
 
 struct Shared {
-    plan: MemberConfig,
+    config: MemberConfig,
     seed: u64,
-    /// The ids of the fleet's name and of one's own, and what this life is known by.
-    name: u64,
-    me: Id,
-    life: u64,
-    /// As the file says that was taken last.
+    /// The id of the fleet's name.
+    fleet_id: u64,
+    own_id: MemberId,
+    incarnation: u64,
+    /// The budgets of the settings that were applied last.
     budgets: Mutex<Arc<Vec<Arc<Budget>>>>,
-    /// Nothing is held, and no word said, before.
-    bound: OnceLock<Bound>,
-    /// Something was refused where nothing had been for a while.
-    hungry: Notify,
+    /// Set once the address is bound. Before, no share is held and no message sent.
+    endpoint: OnceLock<Endpoint>,
+    /// Notified when the demand has changed, so that shares should be requested early.
+    demand_changed: Notify,
     log: Logger,
 }
 
-/// This scheduler's place in the fleet.
+/// This scheduler's membership of the fleet.
 #[derive(Clone)]
 pub struct Fleet(Arc<Shared>);
 
-/// Between tries to bind an address that another process still has, or to read where that fails.
-const AGAIN: Duration = Duration::from_millis(50);
+/// The wait before another attempt to bind an address in use, or to receive after an error.
+const RETRY_INTERVAL: Duration = Duration::from_millis(50);
 
 impl Fleet {
-    /// Binds its address, and holds its parts from then on or as it is given them. Where another process has the address,
-    /// as one of its name does that it takes over from, that is tried again until that one has ended.
-    pub async fn start(plan: MemberConfig, seed: u64, log: Logger) -> Result<Fleet, String> {
-        let budgets = Mutex::new(Arc::new(budgets(&plan, &plan.table.budgets, &[])));
-        let (name, me, at) = (id(&plan.table.name), id(&plan.name), plan.at);
-        let (life, bound, hungry) = (life(seed), OnceLock::new(), Notify::new());
+    /// Binds the scheduler's address, and from then on holds its shares, or those that it is granted. If another
+    /// process has the address, as one of the same name has that this one replaces, binding is retried until that one
+    /// has ended.
+    pub async fn start(config: MemberConfig, seed: u64, log: Logger) -> Result<Fleet, String> {
+        let budgets = Mutex::new(Arc::new(budgets(&config, &config.fleet.budgets, &[])));
+        let (fleet_id, own_id, at) = (
+            name_id(&config.fleet.name),
+            name_id(&config.name),
+            config.address,
+        );
+        let (incarnation, endpoint, demand_changed) =
+            (new_incarnation(seed), OnceLock::new(), Notify::new());
         let fleet = Fleet(Arc::new(Shared {
-            plan,
+            config,
             seed,
-            name,
-            me,
-            life,
+            fleet_id,
+            own_id,
+            incarnation,
             budgets,
-            bound,
-            hungry,
+            endpoint,
+            demand_changed,
             log,
         }));
         match UdpSocket::bind(at).await {
             Ok(socket) => fleet.join(socket),
             Err(e) if e.kind() == ErrorKind::AddrInUse => {
                 let log = &fleet.0.log;
-                warn!(log, "fleet: another process has this address, nothing is held until it ends"; "at" => %at);
-                tokio::spawn(fleet.clone().wait(at));
+                warn!(log, "fleet: the address is in use by another process; no share is held until that process ends"; "address" => %at);
+                tokio::spawn(fleet.clone().retry_bind(at));
             }
-            Err(e) => return Err(format!("fleet.members.{}: {at}: {e}", fleet.0.plan.name)),
+            Err(e) => return Err(format!("fleet.members.{}: {at}: {e}", fleet.0.config.name)),
         }
         Ok(fleet)
     }
 
-    async fn wait(self, at: SocketAddr) {
+    async fn retry_bind(self, address: SocketAddr) {
         loop {
-            sleep(AGAIN).await;
-            if let Ok(socket) = UdpSocket::bind(at).await {
+            sleep(RETRY_INTERVAL).await;
+            if let Ok(socket) = UdpSocket::bind(address).await {
                 return self.join(socket);
             }
         }
@@ -175,8 +189,8 @@
 
     fn lease(&self) -> Lease {
         Lease {
-            seconds: self.0.plan.table.lease,
-            drift: self.0.plan.table.drift,
+            seconds: self.0.config.fleet.lease,
+            drift: self.0.config.fleet.drift,
         }
     }
 
@@ -184,305 +198,342 @@
         self.0.budgets.lock().clone()
     }
 
-    /// Holds the parts that need no word.
-    fn hold_unmoved(&self, now: f64) {
-        let unmoved = self.0.plan.table.division == Division::Equal;
-        for budget in self.budgets().iter().filter(|_| unmoved) {
-            budget.purse.lock().take(now, budget.unmoved);
+    /// Applies the fixed shares, if the budgets are divided into such.
+    fn apply_fixed_shares(&self, now: f64) {
+        let is_fixed = self.0.config.fleet.division == Division::Equal;
+        for budget in self.budgets().iter().filter(|_| is_fixed) {
+            budget.bucket.lock().set_share(now, budget.fixed_share);
         }
     }
 
-    /// From now on the budgets are this file's; its members, keepers and times wait for the next start.
-    pub fn reconfigure(&self, plan: &MemberConfig) {
+    /// Applies the budgets of new settings. Changes of the members, voters and times wait for the next start.
+    pub fn reconfigure(&self, config: &MemberConfig) {
         let now = now();
         let before = self.budgets();
-        let new = budgets(&self.0.plan, &plan.table.budgets, &before);
-        // Nothing of one that is gone may be spent any more.
+        let new = budgets(&self.0.config, &config.fleet.budgets, &before);
+        // Nothing may be spent of a budget that was removed, also by allocations that hold on to it.
         before.iter().for_each(|old| {
             if new.iter().all(|new| new.key != old.key) {
-                old.purse.lock().take(now, Part::NONE);
+                old.bucket.lock().set_share(now, Share::NONE);
             }
         });
         *self.0.budgets.lock() = Arc::new(new);
-        let Some(bound) = self.0.bound.get() else {
+        let Some(endpoint) = self.0.endpoint.get() else {
             return;
         };
-        self.hold_unmoved(now);
-        if let Some(mut talk) = bound.talk.as_ref().map(Mutex::lock) {
-            let wholes = self.budgets().iter().map(|budget| budget.whole).collect();
-            talk.node.retune(now, wholes);
-            talk.node.hurry(now);
-            self.0.hungry.notify_one();
+        self.apply_fixed_shares(now);
+        if let Some(mut exchange) = endpoint.exchange.as_ref().map(Mutex::lock) {
+            let limits = self.budgets().iter().map(|budget| budget.limit).collect();
+            exchange.node.set_budgets(now, limits);
+            exchange.node.request_soon(now);
+            self.0.demand_changed.notify_one();
         }
-        info!(self.0.log, "fleet: the new file's budgets hold here"; "budgets" => self.budgets().len());
+        info!(self.0.log, "fleet: budgets of the new settings applied"; "budgets" => self.budgets().len());
     }
 
-    /// The address is bound. A keeper counts from now, as until now another may have voted under its name.
+    /// Starts as a member, now that the address is bound. A voter's startup wait begins now: another process may have
+    /// voted under its name until now.
     fn join(&self, socket: UdpSocket) {
         let Shared {
-            plan,
-            me,
-            name,
-            life,
+            config,
+            own_id,
+            fleet_id,
+            incarnation,
             seed,
             log,
             ..
         } = &*self.0;
-        let (now, table, budgets) = (now(), &plan.table, self.budgets());
-        self.hold_unmoved(now);
-        let talk = (table.division == Division::Leases).then(|| {
-            let members: BTreeMap<Id, _> = table
+        let (now, fleet, budgets) = (now(), &config.fleet, self.budgets());
+        self.apply_fixed_shares(now);
+        let exchange = (fleet.division == Division::Leases).then(|| {
+            let members: BTreeMap<MemberId, _> = fleet
                 .members
                 .iter()
-                .map(|(name, at)| (id(name), *at))
+                .map(|(name, address)| (name_id(name), *address))
                 .collect();
-            let keepers = table.keepers.iter().map(|name| id(name)).collect();
-            let wholes = budgets.iter().map(|budget| budget.whole).collect();
-            let all = members.keys().copied().collect();
-            Mutex::new(Talk {
-                node: Node::new(now, (*me, *life), self.lease(), wholes, all, keepers, *seed),
-                members: Members::new(*name, *me, members, table.lease),
-                wants: Vec::new(),
-                alone: Some(now),
+            let voters = fleet.voters.iter().map(|name| name_id(name)).collect();
+            let limits = budgets.iter().map(|budget| budget.limit).collect();
+            let ids = members.keys().copied().collect();
+            Mutex::new(Exchange {
+                node: Node::new(
+                    now,
+                    (*own_id, *incarnation),
+                    self.lease(),
+                    limits,
+                    ids,
+                    voters,
+                    *seed,
+                ),
+                members: Members::new(*fleet_id, *own_id, members, fleet.lease),
+                demands: Vec::new(),
+                without_share_since: Some(now),
                 dropped: BTreeMap::new(),
                 sent: 0,
-                heard: 0,
+                received: 0,
             })
         });
-        let moves = talk.is_some();
-        info!(log, "fleet: joined"; "parts move" => moves, "members" => table.members.len(), "at" => %plan.at);
-        if self.0.bound.set(Bound { socket, talk }).is_ok() && moves {
-            tokio::spawn(self.clone().talk());
+        let uses_leases = exchange.is_some();
+        info!(log, "fleet: joined"; "leases" => uses_leases, "members" => fleet.members.len(), "address" => %config.address);
+        if self.0.endpoint.set(Endpoint { socket, exchange }).is_ok() && uses_leases {
+            tokio::spawn(self.clone().run());
         }
     }
 
-    /// Has words with the others for as long as the program runs.
-    async fn talk(self) {
-        let Some(Bound {
+    /// Exchanges messages with the other members for as long as the program runs.
+    async fn run(self) {
+        let Some(Endpoint {
             socket,
-            talk: Some(talk),
-        }) = self.0.bound.get()
+            exchange: Some(exchange),
+        }) = self.0.endpoint.get()
         else {
             return;
         };
-        let mut bytes = [0; LONGEST + 1];
+        let mut bytes = [0; MAX_DATAGRAM_BYTES + 1];
         loop {
-            let wait = Duration::from_secs_f64((talk.lock().node.due() - now()).clamp(0.0, 60.0));
-            let read = tokio::select! {
+            let wait = Duration::from_secs_f64(
+                (exchange.lock().node.next_tick_at() - now()).clamp(0.0, 60.0),
+            );
+            let received = tokio::select! {
                 biased;
                 () = sleep(wait) => None,
-                read = socket.recv_from(&mut bytes) => Some(read),
-                () = self.0.hungry.notified() => {
-                    talk.lock().node.hurry(now());
+                received = socket.recv_from(&mut bytes) => Some(received),
+                () = self.0.demand_changed.notified() => {
+                    exchange.lock().node.request_soon(now());
                     continue;
                 }
             };
-            let mut talk = talk.lock();
-            let mut out = Out::new();
-            match read {
-                Some(Ok((n, from))) => match talk.members.read(now(), from, &bytes[..n]) {
-                    Ok(letter) => {
-                        talk.heard += 1;
-                        talk.node
-                            .hear(now(), (letter.from, letter.life), letter.word, &mut out);
+            let mut exchange = exchange.lock();
+            let mut out = Outbox::new();
+            match received {
+                Some(Ok((n, from))) => match exchange.members.decode(now(), from, &bytes[..n]) {
+                    Ok(datagram) => {
+                        exchange.received += 1;
+                        exchange.node.receive(
+                            now(),
+                            (datagram.from, datagram.incarnation),
+                            datagram.message,
+                            &mut out,
+                        );
                     }
-                    Err(why) => *talk.dropped.entry(why).or_default() += 1,
+                    Err(reason) => *exchange.dropped.entry(reason).or_default() += 1,
                 },
-                // What can't be read is lost, like any word. It must not keep the core from all else.
+                // The datagram counts as lost. The pause keeps repeated errors from taking the processor from the core.
                 Some(Err(_)) => {
-                    drop(talk);
-                    sleep(AGAIN).await;
+                    drop(exchange);
+                    sleep(RETRY_INTERVAL).await;
                     continue;
                 }
                 None => {
                     let now = now();
-                    if talk.node.asks(now) {
-                        talk.wants = self.wants(now);
+                    if exchange.node.is_request_due(now) {
+                        exchange.demands = self.demands(now);
                     }
-                    let wants = std::mem::take(&mut talk.wants);
-                    talk.node.tick(now, &wants, &mut out);
-                    talk.wants = wants;
+                    let demands = std::mem::take(&mut exchange.demands);
+                    exchange.node.tick(now, &demands, &mut out);
+                    exchange.demands = demands;
                 }
             }
-            self.post(socket, &mut talk, out);
-            self.hold(&mut talk);
+            self.send(socket, &mut exchange, out);
+            self.apply_shares(&mut exchange);
         }
     }
 
-    fn wants(&self, now: f64) -> Vec<(u64, u32)> {
-        let want = |budget: &Arc<Budget>| {
-            let mut purse = budget.purse.lock();
-            let (counts, whole) = ((purse.spent, purse.refused), budget.whole.whole.flow);
-            let want = budget
-                .demand
-                .lock()
-                .look(now, self.lease().round(), counts, whole);
-            purse.looked();
-            (budget.key, want)
+    fn demands(&self, now: f64) -> Vec<(u64, u32)> {
+        let demand = |budget: &Arc<Budget>| {
+            let mut bucket = budget.bucket.lock();
+            let (counts, total) = (
+                (bucket.spent, bucket.refused),
+                budget.limit.total.rate_milli,
+            );
+            let demand =
+                budget
+                    .demand
+                    .lock()
+                    .update(now, self.lease().request_interval(), counts, total);
+            bucket.record_report();
+            (budget.key, demand)
         };
-        self.budgets().iter().map(want).collect()
+        self.budgets().iter().map(demand).collect()
     }
 
-    fn post(&self, socket: &UdpSocket, talk: &mut Talk, out: Out) {
-        for (to, word) in out {
-            let letter = Letter {
-                fleet: self.0.name,
-                from: self.0.me,
-                life: self.0.life,
+    fn send(&self, socket: &UdpSocket, exchange: &mut Exchange, out: Outbox) {
+        for (to, message) in out {
+            let datagram = Datagram {
+                fleet: self.0.fleet_id,
+                from: self.0.own_id,
+                incarnation: self.0.incarnation,
                 to,
-                word,
+                message,
             };
-            let sent = letter.write().zip(talk.members.at(to)).map(|(bytes, at)| {
-                // A full buffer loses the word, as the way may.
-                socket.try_send_to(&bytes, at).is_ok()
-            });
-            talk.sent += u64::from(sent == Some(true));
+            let sent =
+                datagram
+                    .encode()
+                    .zip(exchange.members.address(to))
+                    .map(|(bytes, address)| {
+                        // If the send buffer is full the message is lost, as it may be on the network.
+                        socket.try_send_to(&bytes, address).is_ok()
+                    });
+            exchange.sent += u64::from(sent == Some(true));
         }
     }
 
-    /// The purses hold what the node does.
-    fn hold(&self, talk: &mut Talk) {
+    /// Applies the shares that the node holds to the token buckets.
+    fn apply_shares(&self, exchange: &mut Exchange) {
         let now = now();
-        let (parts, until) = talk.node.parts(now);
+        let (shares, until) = exchange.node.shares(now);
         for budget in self.budgets().iter() {
-            let amount = of(parts, budget.key);
-            let value = |thousandths: u32| f64::from(thousandths) / f64::from(ONE);
-            let part = Part {
-                rate: value(amount.flow),
-                burst: value(amount.stock),
+            let amount = amount_of(shares, budget.key);
+            let tokens = |thousandths: u32| f64::from(thousandths) / f64::from(ONE_TOKEN_MILLI);
+            let share = Share {
+                rate: tokens(amount.rate_milli),
+                burst: tokens(amount.burst_milli),
                 until,
             };
-            let mut purse = budget.purse.lock();
-            if purse.part() != part {
-                purse.take(now, part);
+            let mut bucket = budget.bucket.lock();
+            if bucket.share() != share {
+                bucket.set_share(now, share);
             }
         }
-        let (term, holds) = (talk.node.term(), !parts.is_empty());
-        match (holds, talk.alone) {
+        let (term, has_shares) = (exchange.node.term(), !shares.is_empty());
+        match (has_shares, exchange.without_share_since) {
             (true, Some(since)) => {
-                talk.alone = None;
-                info!(self.0.log, "fleet: parts are held"; "term" => term.number, "after" => now - since);
+                exchange.without_share_since = None;
+                info!(self.0.log, "fleet: shares granted"; "term" => term.number, "seconds without" => now - since);
             }
             (false, None) => {
-                talk.alone = Some(now);
-                warn!(self.0.log, "fleet: parts have lapsed, nothing of a budget is spent"; "term" => term.number);
+                exchange.without_share_since = Some(now);
+                warn!(self.0.log, "fleet: shares expired, no budget can be spent from"; "term" => term.number);
             }
             _ => {}
         }
     }
 }
 
-impl Door for Fleet {
-    fn has_available(&self, spend: Expense) -> bool {
+impl CoreBudgets for Fleet {
+    fn has_available(&self, expense: Expense) -> bool {
         let (now, budgets) = (now(), self.budgets());
         budgets
             .iter()
-            .filter(|budget| budget.limits(spend))
+            .filter(|budget| budget.limits(expense))
             .all(|budget| {
-                let mut purse = budget.purse.lock();
-                let has = purse.has(now);
-                if !has && purse.is_news() {
-                    self.0.hungry.notify_one();
+                let mut bucket = budget.bucket.lock();
+                let has = bucket.has_token(now);
+                if !has && bucket.is_first_refusal() {
+                    self.0.demand_changed.notify_one();
                 }
                 has
             })
     }
 
-    fn reserve(&self, spend: Expense) -> Option<Arc<dyn Reservation>> {
+    fn reserve(&self, expense: Expense) -> Option<Arc<dyn Reservation>> {
         let (now, budgets) = (now(), self.budgets());
-        let mut aside = Aside(Mutex::default());
-        let held = aside.0.get_mut();
-        for budget in budgets.iter().filter(|budget| budget.limits(spend)) {
-            if !budget.purse.lock().set_aside(now) {
+        let mut reservation = TokenReservation(Mutex::default());
+        let reserved = reservation.0.get_mut();
+        for budget in budgets.iter().filter(|budget| budget.limits(expense)) {
+            if !budget.bucket.lock().reserve(now) {
                 return None;
             }
-            held.push((budget.clone(), false));
+            reserved.push((budget.clone(), false));
         }
-        Some(Arc::new(aside))
+        Some(Arc::new(reservation))
     }
 }
 
-/// What one allocation has set aside, by budget, and whether it was paid.
-struct Aside(Mutex<Vec<(Arc<Budget>, bool)>>);
+/// The tokens that are reserved for one allocation: their budgets, and whether each was spent.
+struct TokenReservation(Mutex<Vec<(Arc<Budget>, bool)>>);
 
-impl Reservation for Aside {
+impl Reservation for TokenReservation {
     fn commit(&self) -> bool {
         let now = now();
-        self.0.lock().iter_mut().all(|(budget, paid)| {
-            *paid = *paid || budget.purse.lock().pay(now);
-            *paid
+        self.0.lock().iter_mut().all(|(budget, spent)| {
+            *spent = *spent || budget.bucket.lock().spend(now);
+            *spent
         })
     }
 
     fn refund(&self) {
-        for (budget, paid) in self.0.lock().iter_mut().filter(|(_, paid)| *paid) {
-            budget.purse.lock().back();
-            *paid = false;
+        for (budget, spent) in self.0.lock().iter_mut().filter(|(_, spent)| *spent) {
+            budget.bucket.lock().refund();
+            *spent = false;
         }
     }
 }
 
-impl Drop for Aside {
+impl Drop for TokenReservation {
     fn drop(&mut self) {
-        let unpaid = self.0.get_mut().iter().filter(|(_, paid)| !paid);
-        unpaid.for_each(|(budget, _)| budget.purse.lock().give_up());
+        let unspent = self.0.get_mut().iter().filter(|(_, spent)| !spent);
+        unspent.for_each(|(budget, _)| budget.bucket.lock().cancel_reservation());
     }
 }
 
-impl std::fmt::Debug for Aside {
+impl std::fmt::Debug for TokenReservation {
     fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
-        let of = self.0.lock();
+        let reserved = self.0.lock();
         f.debug_list()
-            .entries(of.iter().map(|(budget, paid)| (&budget.name, paid)))
+            .entries(reserved.iter().map(|(budget, spent)| (&budget.name, spent)))
             .finish()
     }
 }
 
 impl Subsystem for Fleet {
     fn finish_shutdown(&self) {
-        let Some(Bound {
+        let Some(Endpoint {
             socket,
-            talk: Some(talk),
-        }) = self.0.bound.get()
+            exchange: Some(exchange),
+        }) = self.0.endpoint.get()
         else {
             return;
         };
-        let (mut talk, mut out) = (talk.lock(), Out::new());
-        talk.node.leave(now(), &mut out);
-        self.post(socket, &mut talk, out);
-        self.hold(&mut talk);
+        let (mut exchange, mut out) = (exchange.lock(), Outbox::new());
+        exchange.node.leave(now(), &mut out);
+        self.send(socket, &mut exchange, out);
+        self.apply_shares(&mut exchange);
     }
 
     fn metrics(&self) -> String {
         let mut page = String::new();
-        let mut line =
+        let mut write_metric =
             |name: &str, value: f64| page += &format!("edge_router.fleet.{name}={value}\n");
         for budget in self.budgets().iter() {
-            let mut purse = budget.purse.lock();
-            purse.look(now());
-            let part = purse.part();
+            let mut bucket = budget.bucket.lock();
+            bucket.refresh(now());
+            let share = bucket.share();
             for (figure, value) in [
-                ("whole", f64::from(budget.whole.whole.flow) / f64::from(ONE)),
-                ("part", part.rate),
-                ("spent", purse.spent as f64),
-                ("refused", purse.refused as f64),
+                (
+                    "whole",
+                    f64::from(budget.limit.total.rate_milli) / f64::from(ONE_TOKEN_MILLI),
+                ),
+                ("part", share.rate),
+                ("spent", bucket.spent as f64),
+                ("refused", bucket.refused as f64),
             ] {
-                line(&format!("{}.{figure}", budget.name), value);
+                write_metric(&format!("{}.{figure}", budget.name), value);
             }
         }
-        if let Some(talk) = self
+        if let Some(exchange) = self
             .0
-            .bound
+            .endpoint
             .get()
-            .and_then(|bound| bound.talk.as_ref())
+            .and_then(|endpoint| endpoint.exchange.as_ref())
             .map(Mutex::lock)
         {
             let now = now();
-            line("alone_s", talk.alone.map_or(0.0, |since| now - since));
-            line("divides", f64::from(u8::from(talk.node.divides(now))));
-            line("words_sent", talk.sent as f64);
-            line("words_heard", talk.heard as f64);
-            line("words_dropped", talk.dropped.values().sum::<u64>() as f64);
+            write_metric(
+                "alone_s",
+                exchange
+                    .without_share_since
+                    .map_or(0.0, |since| now - since),
+            );
+            write_metric(
+                "divides",
+                f64::from(u8::from(exchange.node.is_coordinator(now))),
+            );
+            write_metric("words_sent", exchange.sent as f64);
+            write_metric("words_heard", exchange.received as f64);
+            write_metric(
+                "words_dropped",
+                exchange.dropped.values().sum::<u64>() as f64,
+            );
         }
         page
     }
--- a/crates/mintlb-rate-limit/src/ledger.rs
+++ b/crates/mintlb-rate-limit/src/ledger.rs
@@ -1,46 +1,51 @@
-//! What the divider has given, and to whom it gives how much. Pure.
+//! The coordinator's record of what it has granted, and its decision how much each member gets.
 //!
-//! The claim: all that lives, stopped and cut off processes included, believe together to hold no more than the whole.
-//! Of each life of each member the ledger counts the most that it may believe: what it said that it holds, and every
-//! answer that it may still take. A part is free for another only once its holder has said that it holds less, or when
-//! all that it was ever given is over. A divider that begins gives nothing but what members bring along, which nobody
-//! else can be given, until all that others may have given before is over.
+//! Invariant: all processes together, including those that are stopped or cut off, believe that they hold at most the
+//! total of each budget. For each incarnation of each member the ledger counts the most that it may believe to hold:
+//! what it reported, and every grant that it may still accept. A share becomes free for others only once its holder has
+//! reported that it holds less, or once all grants to it have expired. Until all grants of former coordinators have
+//! expired, a new coordinator grants only what members report to hold from them: no one else can hold that.
 
 use crate::lease::Lease;
-use crate::word::{Amount, Amounts, Id, ONE, Term, Wanted, of};
+use crate::message::{Amount, Amounts, BudgetDemand, MemberId, ONE_TOKEN_MILLI, Term, amount_of};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// A whole, by its key.
+/// A budget and its total over the fleet.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Budget {
     pub key: u64,
-    pub whole: Amount,
+    pub total: Amount,
 }
 
+/// What is known of one incarnation of a member.
 #[derive(Clone, Debug, Default)]
 struct Entry {
-    /// The last word of its that counted.
+    /// The number of the last request that was processed.
     number: u64,
-    holds: Amounts,
-    wants: Vec<(u64, u32)>,
-    /// Answers that it may still take: number, until when, and what.
-    given: VecDeque<(u64, f64, Amounts)>,
-    /// All that it may hold is over by then.
-    until: f64,
-    /// When it was first given more than nothing of a budget, and when it was last told to have nothing.
+    held: Amounts,
+    /// By budget, in thousandths of a token per second.
+    demands: Vec<(u64, u32)>,
+    /// Grants that it may still accept: their request's number, when they expire, and their amounts.
+    unacked: VecDeque<(u64, f64, Amounts)>,
+    /// When all that it may hold has expired.
+    expires_at: f64,
+    /// By budget: when its last turn began, that is, it was granted something while it held nothing, and when it ended.
     turns: BTreeMap<u64, (f64, f64)>,
 }
 
 impl Entry {
     /// The most that it may believe to hold.
-    fn counted(&self, key: u64) -> Amount {
-        let given = self.given.iter().map(|(_, _, amounts)| of(amounts, key));
-        given.fold(of(&self.holds, key), Amount::max)
+    fn max_held(&self, key: u64) -> Amount {
+        let granted = self
+            .unacked
+            .iter()
+            .map(|(_, _, amounts)| amount_of(amounts, key));
+        granted.fold(amount_of(&self.held, key), Amount::max)
     }
 
-    /// Since when an answer to it has not been confirmed.
-    fn deaf_since(&self) -> Option<u64> {
-        self.given.front().map(|(number, _, _)| *number)
+    /// The number of the oldest request whose grant is not acknowledged.
+    fn first_unacked(&self) -> Option<u64> {
+        self.unacked.front().map(|(number, _, _)| *number)
     }
 }
 
@@ -49,236 +54,258 @@
     pub term: Term,
     lease: Lease,
     budgets: Vec<Budget>,
-    /// What members brought along, by key; the whole is given only from `opens` on.
-    brought: BTreeMap<u64, Amount>,
-    opens: f64,
-    /// The same for budgets that came while it divides.
-    late: BTreeMap<u64, f64>,
-    /// Who has brought its part along. Each life does so once.
-    joined: BTreeSet<(Id, u64)>,
-    entries: BTreeMap<(Id, u64), Entry>,
-    /// What each is to have, and when that was worked out.
-    targets: BTreeMap<(Id, u64), Amounts>,
-    worked_out: f64,
+    /// What members reported to hold from former coordinators, by budget. No more than that is granted before
+    /// `opens_at`.
+    carried_over: BTreeMap<u64, Amount>,
+    opens_at: f64,
+    /// The same for budgets that were added during the term: nothing of them is granted before.
+    new_budgets_open_at: BTreeMap<u64, f64>,
+    /// The incarnations that have reported what they hold. Each counts once in `carried_over`.
+    joined: BTreeSet<(MemberId, u64)>,
+    entries: BTreeMap<(MemberId, u64), Entry>,
+    /// The shares that members should have, and when they were computed.
+    targets: BTreeMap<(MemberId, u64), Amounts>,
+    targets_updated_at: f64,
 }
 
-/// Answers to one member that it may still take, at the most: it asks four times a round at the most.
-const ANSWERS: usize = 64;
-/// One that has not confirmed so many answers hears nothing: parts would be wasted on it.
-const DEAF: u64 = 4;
-/// Where too few can hold a part at once, each keeps it for so many rounds at least.
-const TURN: f64 = 4.0;
-/// And for so many times what it takes to fill its burst, as a part begins empty.
-const FILLED: f64 = 8.0;
+/// The largest number of unacknowledged grants to a member. It sends at most four requests per interval.
+const MAX_UNACKED_GRANTS: usize = 64;
+/// A member that has not acknowledged a grant after this many more requests seems to receive none, so that a share
+/// would be wasted on it.
+const MAX_ACK_LAG: u64 = 4;
+/// Where too few members can hold a share at once, each keeps it for at least this many request intervals,
+const MIN_TURN_INTERVALS: f64 = 4.0;
+/// and for this many times what it takes to fill its burst, as a share begins without tokens.
+const MIN_TURN_BURST_FILLS: f64 = 8.0;
 
 impl Ledger {
-    /// Of a divider that takes office now.
+    /// The ledger of a coordinator whose term begins now.
     pub fn new(now: f64, term: Term, lease: Lease, budgets: Vec<Budget>) -> Ledger {
-        let wait = if crate::slip!(Unwaiting) {
+        let wait = if crate::mutated!(SkipStartupWait) {
             0.0
         } else {
-            lease.outlasted()
+            lease.grantor_seconds()
         };
-        let (brought, late, joined, entries, targets) = Default::default();
-        let (opens, worked_out) = (now + wait, f64::NEG_INFINITY);
+        let (carried_over, new_budgets_open_at, joined, entries, targets) = Default::default();
+        let (opens_at, targets_updated_at) = (now + wait, f64::NEG_INFINITY);
         Ledger {
             term,
             lease,
             budgets,
-            brought,
-            opens,
-            late,
+            carried_over,
+            opens_at,
+            new_budgets_open_at,
             joined,
             entries,
             targets,
-            worked_out,
+            targets_updated_at,
         }
     }
 
-    /// Surely nobody else has divided in the last so many seconds, this divider's own time apart.
-    pub fn has_been_idle(&mut self, now: f64, idle: f64) {
-        self.opens = self.opens.min(now - idle + self.lease.outlasted());
+    /// Shortens the wait for former grants: apart from this coordinator, surely none was active in the last `idle`
+    /// seconds.
+    pub fn shorten_wait(&mut self, now: f64, idle: f64) {
+        self.opens_at = self.opens_at.min(now - idle + self.lease.grantor_seconds());
     }
 
-    /// From now on these are the wholes. What is held beyond a smaller one is given back as it is asked for again, and
-    /// nobody gets more meanwhile. Of a budget that is new here somebody may hold a part by an earlier file.
-    pub fn retune(&mut self, now: f64, budgets: Vec<Budget>) {
+    /// Replaces the budgets. What members hold beyond a smaller total is given back with their next requests, and no
+    /// one gets more meanwhile. Shares of a budget that is new here may still be held under earlier settings.
+    pub fn set_budgets(&mut self, now: f64, budgets: Vec<Budget>) {
         for new in budgets
             .iter()
             .filter(|new| self.budgets.iter().all(|old| old.key != new.key))
         {
-            self.late.insert(new.key, now + self.lease.outlasted());
+            self.new_budgets_open_at
+                .insert(new.key, now + self.lease.grantor_seconds());
         }
-        (self.budgets, self.worked_out) = (budgets, f64::NEG_INFINITY);
+        (self.budgets, self.targets_updated_at) = (budgets, f64::NEG_INFINITY);
     }
 
-    /// Whether the whole may be given.
+    /// Whether the totals may be granted, as the grants of former coordinators have expired.
     pub fn is_open(&self, now: f64) -> bool {
-        now >= self.opens
+        now >= self.opens_at
     }
 
-    /// Whether a life of this member's has come.
-    pub fn has_joined(&self, who: Id) -> bool {
+    /// Whether an incarnation of this member has reported what it holds.
+    pub fn has_joined(&self, member: MemberId) -> bool {
         self.joined
-            .range((who, 0)..=(who, u64::MAX))
+            .range((member, 0)..=(member, u64::MAX))
             .next()
             .is_some()
     }
 
-    /// What may be given altogether now.
-    fn pool(&self, now: f64, budget: &Budget) -> Amount {
-        if self.late.get(&budget.key).is_some_and(|opens| now < *opens) {
+    /// What may be granted to all members together now.
+    fn grantable(&self, now: f64, budget: &Budget) -> Amount {
+        if self
+            .new_budgets_open_at
+            .get(&budget.key)
+            .is_some_and(|opens_at| now < *opens_at)
+        {
             return Amount::NONE;
         }
-        match now >= self.opens {
-            true => budget.whole,
+        match now >= self.opens_at {
+            true => budget.total,
             false => self
-                .brought
+                .carried_over
                 .get(&budget.key)
                 .copied()
                 .unwrap_or_default()
-                .min(budget.whole),
+                .min(budget.total),
         }
     }
 
-    /// A member's question, and what it is answered. One that is doubled, or older than one heard, is not answered.
-    pub fn want(
+    /// Processes a member's request and returns what it is granted; `None` if the request is a duplicate, is older than
+    /// one already processed, or finds too many grants unacknowledged.
+    pub fn handle_request(
         &mut self,
         now: f64,
-        who: (Id, u64),
+        member: (MemberId, u64),
         number: u64,
         accepted: u64,
-        wanted: &[Wanted],
+        demands: &[BudgetDemand],
     ) -> Option<Amounts> {
-        self.entries.retain(|_, entry| now < entry.until);
-        let entry = self.entries.entry(who).or_default();
+        self.entries.retain(|_, entry| now < entry.expires_at);
+        let entry = self.entries.entry(member).or_default();
         if number <= entry.number {
             return None;
         }
         entry.number = number;
         entry
-            .given
+            .unacked
             .retain(|(number, until, _)| *number > accepted && now < *until);
-        // One that asks faster than any member does is answered again when its answers are over.
-        if entry.given.len() >= ANSWERS {
+        // A member that sends more requests than any should gets grants again once the earlier ones have expired.
+        if entry.unacked.len() >= MAX_UNACKED_GRANTS {
             return None;
         }
-        entry.holds = wanted.iter().map(|w| (w.key, w.holds)).collect();
-        entry.wants = wanted.iter().map(|w| (w.key, w.want)).collect();
-        // Whatever it holds it asked for before now.
-        entry.until = now + self.lease.outlasted();
-        // Once the whole is open, who brought what along matters no more, and lives come and go without end.
-        if now >= self.opens {
+        entry.held = demands.iter().map(|d| (d.key, d.held)).collect();
+        entry.demands = demands.iter().map(|d| (d.key, d.demand_milli)).collect();
+        // Whatever the member holds, it requested before now.
+        entry.expires_at = now + self.lease.grantor_seconds();
+        // Once the totals may be granted, `joined` is not needed; clearing it keeps it from growing with each restart.
+        if now >= self.opens_at {
             self.joined.clear();
-        } else if self.joined.insert(who) {
-            for w in wanted {
-                let brought = self.brought.entry(w.key).or_default();
-                *brought = brought.plus(w.holds);
+        } else if self.joined.insert(member) {
+            for demand in demands {
+                let carried_over = self.carried_over.entry(demand.key).or_default();
+                *carried_over = carried_over.saturating_add(demand.held);
             }
         }
-        if now >= self.worked_out + self.lease.round() / 2.0 || !self.targets.contains_key(&who) {
-            self.work_out(now);
+        if now >= self.targets_updated_at + self.lease.request_interval() / 2.0
+            || !self.targets.contains_key(&member)
+        {
+            self.update_targets(now);
         }
-        let targets = self.targets.get(&who).cloned().unwrap_or_default();
-        let mut gives = Amounts::new();
+        let targets = self.targets.get(&member).cloned().unwrap_or_default();
+        let mut grants = Amounts::new();
         for budget in &self.budgets {
-            let others = self.entries.iter().filter(|(other, _)| **other != who);
+            let others = self.entries.iter().filter(|(other, _)| **other != member);
             let others = others.fold(Amount::NONE, |sum, (_, entry)| {
-                sum.plus(entry.counted(budget.key))
+                sum.saturating_add(entry.max_held(budget.key))
             });
-            let give = of(&targets, budget.key).min(self.pool(now, budget).less(others));
-            // Less than one at once can't be spent.
-            gives.push((
+            let grant = amount_of(&targets, budget.key)
+                .min(self.grantable(now, budget).saturating_sub(others));
+            // With a burst below one token nothing could be spent.
+            grants.push((
                 budget.key,
-                if give.stock < ONE { Amount::NONE } else { give },
+                if grant.burst_milli < ONE_TOKEN_MILLI {
+                    Amount::NONE
+                } else {
+                    grant
+                },
             ));
         }
-        let entry = self.entries.get_mut(&who)?;
-        for (key, give) in &gives {
-            let had = of(&entry.holds, *key) != Amount::NONE;
+        let entry = self.entries.get_mut(&member)?;
+        for (key, grant) in &grants {
+            let had = amount_of(&entry.held, *key) != Amount::NONE;
             let turn = entry
                 .turns
                 .entry(*key)
                 .or_insert((f64::NEG_INFINITY, f64::NEG_INFINITY));
-            match *give != Amount::NONE {
+            match *grant != Amount::NONE {
                 true if !had => turn.0 = now,
                 false if had => turn.1 = now,
                 _ => {}
             }
         }
         entry
-            .given
-            .push_back((number, now + self.lease.outlasted(), gives.clone()));
-        Some(gives)
+            .unacked
+            .push_back((number, now + self.lease.grantor_seconds(), grants.clone()));
+        Some(grants)
     }
 
-    /// It has said that this life holds nothing and takes nothing any more.
-    pub fn bye(&mut self, who: (Id, u64)) {
-        // Its earlier words may come again; it has joined all the same.
-        self.joined.insert(who);
-        self.entries.remove(&who);
-        self.worked_out = f64::NEG_INFINITY;
+    /// Removes an incarnation that has announced that it holds nothing and will accept no grant.
+    pub fn remove(&mut self, member: (MemberId, u64)) {
+        // Its earlier requests may arrive again, and must not count as carried over.
+        self.joined.insert(member);
+        self.entries.remove(&member);
+        self.targets_updated_at = f64::NEG_INFINITY;
     }
 
-    /// Fair parts of what is wanted, and of what is left an equal part for each.
-    fn work_out(&mut self, now: f64) {
-        self.worked_out = now;
+    /// Computes the target of each member from its share of each budget.
+    fn update_targets(&mut self, now: f64) {
+        self.targets_updated_at = now;
         self.targets = self
             .entries
             .keys()
-            .map(|who| (*who, Amounts::new()))
+            .map(|member| (*member, Amounts::new()))
             .collect();
         for budget in &self.budgets {
-            let shares = self.shares(now, budget);
-            for (who, share) in shares {
-                // A third of three is one, whatever fractions leave.
-                let part = |whole: u32| (f64::from(whole) * share + 1e-6) as u32;
+            let shares = self.compute_shares(now, budget);
+            for (member, share) in shares {
+                // The small addition keeps rounding errors from reducing, say, a third of three tokens to less than
+                // one.
+                let scaled = |total: u32| (f64::from(total) * share + 1e-6) as u32;
                 let amount = Amount {
-                    flow: part(budget.whole.flow),
-                    stock: part(budget.whole.stock),
+                    rate_milli: scaled(budget.total.rate_milli),
+                    burst_milli: scaled(budget.total.burst_milli),
                 };
                 self.targets
-                    .entry(who)
+                    .entry(member)
                     .or_default()
                     .push((budget.key, amount));
             }
         }
     }
 
-    fn shares(&self, now: f64, budget: &Budget) -> Vec<((Id, u64), f64)> {
-        // Less than this part of the whole is less than one at once.
-        let least = (f64::from(ONE) / f64::from(budget.whole.stock.max(1))).min(1.0);
-        let places = (budget.whole.stock / ONE).max(1) as usize;
-        let whole = f64::from(budget.whole.flow.max(1));
-        let hears = |entry: &Entry| entry.deaf_since().is_none_or(|n| entry.number < n + DEAF);
-        let heard: Vec<_> = self
+    /// The share of the total for each member, from 0 to 1: max-min fair shares of the demands, and what is left in
+    /// equal parts.
+    fn compute_shares(&self, now: f64, budget: &Budget) -> Vec<((MemberId, u64), f64)> {
+        // A smaller share of the total has a burst below one token.
+        let min_share =
+            (f64::from(ONE_TOKEN_MILLI) / f64::from(budget.total.burst_milli.max(1))).min(1.0);
+        let max_holders = (budget.total.burst_milli / ONE_TOKEN_MILLI).max(1) as usize;
+        let total_rate = f64::from(budget.total.rate_milli.max(1));
+        let is_live = |e: &Entry| e.first_unacked().is_none_or(|n| e.number < n + MAX_ACK_LAG);
+        let live: Vec<_> = self
             .entries
             .iter()
-            .filter(|(_, entry)| hears(entry))
+            .filter(|(_, entry)| is_live(entry))
             .collect();
-        let want = |entry: &Entry| {
-            let want = entry
-                .wants
+        let demand = |entry: &Entry| {
+            let demand = entry
+                .demands
                 .iter()
                 .find(|(key, _)| *key == budget.key)
-                .map_or(0, |(_, want)| *want);
-            (f64::from(want) / whole).min(1.0)
+                .map_or(0, |(_, demand)| *demand);
+            (f64::from(demand) / total_rate).min(1.0)
         };
-        let mut wanting: Vec<_> = heard
+        let mut demanding: Vec<_> = live
             .iter()
-            .filter(|(_, entry)| want(entry) > 0.0)
+            .filter(|(_, entry)| demand(entry) > 0.0)
             .collect();
-        // Where not all can have one at once, who has one keeps it for its turn, then who went longest without.
-        let turn = TURN * self.lease.round()
-            + FILLED * f64::from(budget.whole.stock.min(ONE)) / f64::from(budget.whole.flow.max(1));
-        if wanting.len() > places {
-            wanting.sort_by(|(a, x), (b, y)| {
+        // If there is not one token for each, those whose turn lasts keep their share, then those who have been without
+        // one for longest get it.
+        let turn = MIN_TURN_INTERVALS * self.lease.request_interval()
+            + MIN_TURN_BURST_FILLS * f64::from(budget.total.burst_milli.min(ONE_TOKEN_MILLI))
+                / f64::from(budget.total.rate_milli.max(1));
+        if demanding.len() > max_holders {
+            demanding.sort_by(|(a, x), (b, y)| {
                 let rank = |entry: &Entry| {
-                    let has = entry.counted(budget.key) != Amount::NONE;
+                    let has = entry.max_held(budget.key) != Amount::NONE;
                     let never = (f64::NEG_INFINITY, f64::NEG_INFINITY);
                     let (began, ended) = entry.turns.get(&budget.key).copied().unwrap_or(never);
                     let keeps = has && ended < began && now < began + turn;
-                    // One whose turn is over comes after all that wait.
+                    // A member whose turn is over comes after all that wait.
                     (!keeps, has && !keeps, ended)
                 };
                 let ((a0, a1, a2), (b0, b1, b2)) = (rank(x), rank(y));
@@ -287,21 +314,21 @@
                     .then(a2.total_cmp(&b2))
                     .then(a.cmp(b))
             });
-            wanting.truncate(places);
+            demanding.truncate(max_holders);
         }
-        // Filled evenly from below: each gets what it wants, or as much as all others that get less than they want.
-        wanting.sort_by(|(a, x), (b, y)| want(x).total_cmp(&want(y)).then(a.cmp(b)));
-        let (mut left, mut among) = (1.0, wanting.len());
-        let mut shares: BTreeMap<(Id, u64), f64> = BTreeMap::new();
-        for (who, entry) in wanting {
-            let share = want(entry).max(least).min(left / among as f64);
-            shares.insert(**who, share);
-            (left, among) = (left - share, among - 1);
+        // Max-min fairness, in order of demand: each gets its demand, or an equal part of what is left if that is less.
+        demanding.sort_by(|(a, x), (b, y)| demand(x).total_cmp(&demand(y)).then(a.cmp(b)));
+        let (mut left, mut members_left) = (1.0, demanding.len());
+        let mut shares: BTreeMap<(MemberId, u64), f64> = BTreeMap::new();
+        for (member, entry) in demanding {
+            let share = demand(entry).max(min_share).min(left / members_left as f64);
+            shares.insert(**member, share);
+            (left, members_left) = (left - share, members_left - 1);
         }
-        let (n, spare) = (heard.len().max(1) as f64, left.max(0.0));
-        for (who, _) in &heard {
-            let share = shares.entry(**who).or_default();
-            if *share > 0.0 || spare / n >= least {
+        let (n, spare) = (live.len().max(1) as f64, left.max(0.0));
+        for (member, _) in &live {
+            let share = shares.entry(**member).or_default();
+            if *share > 0.0 || spare / n >= min_share {
                 *share += spare / n;
             }
         }
--- a/crates/mintlb-rate-limit/src/lib.rs
+++ b/crates/mintlb-rate-limit/src/lib.rs
@@ -1,23 +1,23 @@
-//! Limits of a whole fleet of schedulers, each of which holds a part.
+//! Fleet-wide rate limits: each limit is divided into shares, one for each scheduler of the fleet.
 //!
 //! ```text
-//!   operator's file ──> table ──> node (vote, ledger, holder) ──Part──> purse <──look, pay── the core
-//!                                   ^ word, members
+//!   settings ──> config ──> node (vote, ledger, lease_holder) ──Share──> token_bucket <──reserve, spend── core
+//!                             ^ message, members
 //! ```
 //!
-//! All but `fleet` is pure: a clock and inputs go in. `fleet` joins them to the socket and the clock. The promise, what
-//! it rests on and what it costs are in `docs/budgets.md`.
+//! Only `fleet` does I/O: it connects the other modules to the UDP socket and the clock. They take the time and their
+//! inputs as arguments. `docs/budgets.md` states the guarantee, its assumptions and its costs.
 
 pub mod config;
 pub mod demand;
-pub mod division;
 pub mod fleet;
-pub mod holder;
 pub mod lease;
+pub mod lease_holder;
 pub mod ledger;
 pub mod members;
+pub mod message;
+pub mod mutation;
 pub mod node;
-pub mod purse;
-pub mod slip;
+pub mod share;
+pub mod token_bucket;
 pub mod vote;
-pub mod word;
--- a/crates/mintlb-rate-limit/src/node.rs
+++ b/crates/mintlb-rate-limit/src/node.rs
@@ -1,170 +1,179 @@
-//! One member: it holds parts, and where it is a keeper it votes, and divides while it has a majority. Pure: words and a
-//! clock go in, words come out.
+//! One member of the fleet. It holds shares; if it is a voter it also votes, and is the coordinator while it has the
+//! votes of a majority. Takes messages and the time as inputs, and returns the messages to send.
 
-use crate::holder::Holder;
 use crate::lease::Lease;
+use crate::lease_holder::LeaseHolder;
 use crate::ledger::{Budget, Ledger};
-use crate::vote::{Keeper, Office};
-use crate::word::{Amount, Id, Term, Word};
+use crate::message::{Amount, MemberId, Message, Term};
+use crate::vote::{Candidacy, Voter};
 use mintlb_scheduler::util::Rng;
 
 pub struct Node {
-    me: Id,
-    life: u64,
+    own_id: MemberId,
+    incarnation: u64,
     lease: Lease,
     budgets: Vec<Budget>,
-    /// All that may ask it for parts, as far as its file names them.
-    members: Vec<Id>,
-    /// Those who may divide, in the order of their ids, and the turn of who is asked for the divider next.
-    keepers: Vec<Id>,
-    turn: usize,
-    chance: Rng,
-    holder: Holder,
-    keeper: Option<Keeper>,
-    office: Office,
+    /// All members that may request shares, according to this member's settings.
+    members: Vec<MemberId>,
+    /// The members that may be the coordinator, sorted by id.
+    voters: Vec<MemberId>,
+    /// The index of the voter that was last asked for the coordinator.
+    voter_index: usize,
+    rng: Rng,
+    lease_holder: LeaseHolder,
+    voter: Option<Voter>,
+    candidacy: Candidacy,
+    /// Present while this member is the coordinator.
     ledger: Option<Ledger>,
-    /// When it asks for its parts next, for votes next, and when it may stand at the earliest.
-    asks: f64,
-    asked: f64,
-    renews: f64,
-    stands: f64,
-    /// The keepers have been asked since it divides.
-    told: bool,
-    left: bool,
+    /// When it next requests shares, when it last did, when it next renews its votes or ends its
+    /// candidacy, and the earliest time of the next candidacy.
+    next_request_at: f64,
+    last_request_at: f64,
+    renews_at: f64,
+    candidate_after: f64,
+    /// Whether the voters have been sent a request that names this member the coordinator.
+    announced: bool,
+    has_left: bool,
 }
 
-/// Silent for this part of a lease, the divider is asked for at the keepers.
-const SILENT: f64 = 0.25;
+/// The time-out of a coordinator, as a fraction of a lease: one that has not answered for that long is taken for lost.
+const COORDINATOR_TIMEOUT_LEASES: f64 = 0.25;
 
-pub type Out = Vec<(Id, Word)>;
+/// Messages to send, with their receivers.
+pub type Outbox = Vec<(MemberId, Message)>;
 
 impl Node {
     pub fn new(
         now: f64,
-        (me, life): (Id, u64),
+        (own_id, incarnation): (MemberId, u64),
         lease: Lease,
         budgets: Vec<Budget>,
-        members: Vec<Id>,
-        mut keepers: Vec<Id>,
+        members: Vec<MemberId>,
+        mut voters: Vec<MemberId>,
         seed: u64,
     ) -> Node {
-        keepers.sort_unstable();
-        let keeper = keepers.contains(&me).then(|| Keeper::new(now, lease));
-        // Members whose seeds are close, or the same, must not stand together again and again.
-        let mut chance =
-            Rng::new(seed ^ (life ^ me.rotate_left(32)).wrapping_mul(0x9e37_79b9_7f4a_7c15));
-        (0..4).for_each(|_| _ = chance.uniform());
-        let turn = (chance.uniform() * keepers.len() as f64) as usize;
-        // Those who start together do not ask together.
-        let asks = now + chance.uniform() * lease.round();
-        let (holder, office) = (Holder::new(now, lease), Office::default());
-        let (ledger, renews, told, left) = (None, f64::INFINITY, false, false);
-        let stands = now;
+        voters.sort_unstable();
+        let voter = voters.contains(&own_id).then(|| Voter::new(now, lease));
+        // Members with similar or equal seeds must not become candidates at the same time again and again.
+        let mut rng = Rng::new(
+            seed ^ (incarnation ^ own_id.rotate_left(32)).wrapping_mul(0x9e37_79b9_7f4a_7c15),
+        );
+        (0..4).for_each(|_| _ = rng.uniform());
+        let voter_index = (rng.uniform() * voters.len() as f64) as usize;
+        // Spreads the first requests of members that start at the same time.
+        let next_request_at = now + rng.uniform() * lease.request_interval();
+        let (lease_holder, candidacy) = (LeaseHolder::new(now, lease), Candidacy::default());
+        let (ledger, renews_at, announced, has_left) = (None, f64::INFINITY, false, false);
+        let candidate_after = now;
         Node {
-            me,
-            life,
+            own_id,
+            incarnation,
             lease,
             budgets,
             members,
-            keepers,
-            turn,
-            chance,
-            holder,
-            keeper,
-            office,
+            voters,
+            voter_index,
+            rng,
+            lease_holder,
+            voter,
+            candidacy,
             ledger,
-            asks,
-            asked: now,
-            renews,
-            stands,
-            told,
-            left,
+            next_request_at,
+            last_request_at: now,
+            renews_at,
+            candidate_after,
+            announced,
+            has_left,
         }
     }
 
-    /// What it may spend now, by budget, and until when.
-    pub fn parts(&self, now: f64) -> (&[(u64, Amount)], f64) {
-        (self.holder.parts(now), self.holder.until)
+    /// The shares held now, by budget, and when they expire.
+    pub fn shares(&self, now: f64) -> (&[(u64, Amount)], f64) {
+        (self.lease_holder.shares(now), self.lease_holder.until)
     }
 
-    /// Whether it divides now.
-    pub fn divides(&self, now: f64) -> bool {
-        self.ledger.is_some() && self.office.holds(now, self.keepers.len())
+    /// Whether this member is the coordinator now.
+    pub fn is_coordinator(&self, now: f64) -> bool {
+        self.ledger.is_some() && self.candidacy.has_majority(now, self.voters.len())
     }
 
     pub fn term(&self) -> Term {
-        self.holder.term
+        self.lease_holder.term
     }
 
-    /// When `tick` is to be called next at the latest.
-    pub fn due(&self) -> f64 {
-        if self.left {
+    /// When [`Node::tick`] must be called next, at the latest.
+    pub fn next_tick_at(&self) -> f64 {
+        if self.has_left {
             f64::INFINITY
         } else {
-            self.asks.min(self.renews)
+            self.next_request_at.min(self.renews_at)
         }
     }
 
-    /// Whether the next tick asks for parts, so that what is wanted is to be known.
-    pub fn asks(&self, now: f64) -> bool {
-        now >= self.asks
+    /// Whether the next tick requests shares, and so needs the current demands.
+    pub fn is_request_due(&self, now: f64) -> bool {
+        now >= self.next_request_at
     }
 
-    /// From now on these are the wholes, should it divide.
-    pub fn retune(&mut self, now: f64, budgets: Vec<Budget>) {
+    /// Replaces the budgets that it grants when it is the coordinator.
+    pub fn set_budgets(&mut self, now: f64, budgets: Vec<Budget>) {
         self.ledger
             .iter_mut()
-            .for_each(|ledger| ledger.retune(now, budgets.clone()));
+            .for_each(|ledger| ledger.set_budgets(now, budgets.clone()));
         self.budgets = budgets;
     }
 
-    /// Something has changed that the divider is to hear of soon, but not with every change.
-    pub fn hurry(&mut self, now: f64) {
-        self.asks = self
-            .asks
-            .min((self.asked + self.lease.round() / 4.0).max(now));
+    /// Requests shares early, as something has changed, but at least a quarter of an interval after the last request.
+    pub fn request_soon(&mut self, now: f64) {
+        self.next_request_at = self
+            .next_request_at
+            .min((self.last_request_at + self.lease.request_interval() / 4.0).max(now));
     }
 
-    /// What time brings. `wants` tells of each budget how much would be spent.
-    pub fn tick(&mut self, now: f64, wants: &[(u64, u32)], out: &mut Out) {
-        if self.left {
+    /// Does what is due. `demands` holds the demand for each budget, in thousandths of a token per second.
+    pub fn tick(&mut self, now: f64, demands: &[(u64, u32)], out: &mut Outbox) {
+        if self.has_left {
             return;
         }
-        self.keep_office(now, out);
-        if now >= self.asks {
-            // Not in step with the others, whatever brought them into it.
-            self.asked = now;
-            self.asks = now + self.lease.round() * (0.9 + 0.2 * self.chance.uniform());
-            let to = self.divider(now);
-            let word = self.holder.ask(now, wants);
-            self.send(now, to, word, out);
-            self.stand(now, out);
+        self.renew_or_resign(now, out);
+        if now >= self.next_request_at {
+            // Jitter, so that members do not stay in step, whatever brought them into it.
+            self.last_request_at = now;
+            self.next_request_at =
+                now + self.lease.request_interval() * (0.9 + 0.2 * self.rng.uniform());
+            let to = self.request_target(now);
+            let message = self.lease_holder.next_request(now, demands);
+            self.send(now, to, message, out);
+            self.become_candidate(now, out);
         }
     }
 
-    /// Whom it asks: the divider that it knows, or while that is silent one keeper after the other.
-    fn divider(&mut self, now: f64) -> Id {
-        let silent = now >= self.holder.answered + SILENT * self.lease.seconds;
-        if self.divides(now) || self.holder.term.who != 0 && !silent {
-            return self.holder.term.who;
+    /// Where it sends its request: to the coordinator that it knows, or once that has timed out to one voter after
+    /// another.
+    fn request_target(&mut self, now: f64) -> MemberId {
+        let timed_out = now
+            >= self.lease_holder.last_answer_at + COORDINATOR_TIMEOUT_LEASES * self.lease.seconds;
+        if self.is_coordinator(now) || self.lease_holder.term.member != 0 && !timed_out {
+            return self.lease_holder.term.member;
         }
-        self.turn = (self.turn + 1) % self.keepers.len();
-        self.keepers[self.turn]
+        self.voter_index = (self.voter_index + 1) % self.voters.len();
+        self.voters[self.voter_index]
     }
 
-    /// To another, or to itself at once.
-    fn send(&mut self, now: f64, to: Id, word: Word, out: &mut Out) {
-        match to == self.me {
-            true => self.hear(now, (self.me, self.life), word, out),
-            false => out.push((to, word)),
+    /// Sends a message to another member; handles one to itself at once.
+    fn send(&mut self, now: f64, to: MemberId, message: Message, out: &mut Outbox) {
+        match to == self.own_id {
+            true => self.receive(now, (self.own_id, self.incarnation), message, out),
+            false => out.push((to, message)),
         }
     }
 
-    fn ask_votes(&mut self, now: f64, out: &mut Out) {
-        let (term, number) = (self.office.term, self.office.ask(now));
-        self.renews = now + self.lease.of_office().seconds / 4.0;
-        let divides = self.ledger.is_some();
-        // Until all that was given before is over, whoever has not come yet is called: what it brings need not lapse.
+    fn request_votes(&mut self, now: f64, out: &mut Outbox) {
+        let (term, number) = (self.candidacy.term, self.candidacy.next_request(now));
+        self.renews_at = now + self.lease.vote_lease().seconds / 4.0;
+        let is_coordinator = self.ledger.is_some();
+        // Until former grants have expired, members that have not joined yet are notified, so that what they hold can
+        // be renewed before it expires.
         let missing = self
             .ledger
             .as_ref()
@@ -173,243 +182,269 @@
                 let missing = self
                     .members
                     .iter()
-                    .filter(|id| **id != self.me && !ledger.has_joined(**id));
-                missing.copied().collect::<Vec<Id>>()
+                    .filter(|id| **id != self.own_id && !ledger.has_joined(**id));
+                missing.copied().collect::<Vec<MemberId>>()
             });
         out.extend(
             missing
                 .into_iter()
                 .flatten()
-                .map(|id| (id, Word::Lead { term })),
+                .map(|id| (id, Message::CoordinatorHint { term })),
         );
-        for keeper in self.keepers.clone() {
+        for voter in self.voters.clone() {
             self.send(
                 now,
-                keeper,
-                Word::Ask {
+                voter,
+                Message::VoteRequest {
                     term,
                     number,
-                    divides,
+                    is_coordinator,
                 },
                 out,
             );
         }
     }
 
-    /// Stands for divider, where there seems to be none.
-    fn stand(&mut self, now: f64, out: &mut Out) {
-        let Some(keeper) = &self.keeper else { return };
-        let silent = now >= self.holder.answered + SILENT * self.lease.seconds;
-        let free = keeper.votes(now) && !keeper.has_voted(now);
-        if self.renews.is_finite() || !silent || !free || now < self.stands {
+    /// Becomes a candidate if there seems to be no coordinator.
+    fn become_candidate(&mut self, now: f64, out: &mut Outbox) {
+        let Some(voter) = &self.voter else { return };
+        let timed_out = now
+            >= self.lease_holder.last_answer_at + COORDINATOR_TIMEOUT_LEASES * self.lease.seconds;
+        let is_free = voter.may_vote(now) && !voter.has_voted(now);
+        if self.renews_at.is_finite() || !timed_out || !is_free || now < self.candidate_after {
             return;
         }
-        let number = keeper.top.max(self.holder.term).number.saturating_add(1);
-        self.office.stand(Term {
+        let number = voter
+            .latest_term
+            .max(self.lease_holder.term)
+            .number
+            .saturating_add(1);
+        self.candidacy.begin(Term {
             number,
-            who: self.me,
-            life: self.life,
+            member: self.own_id,
+            incarnation: self.incarnation,
         });
-        self.ask_votes(now, out);
+        self.request_votes(now, out);
     }
 
-    /// Renews its votes while it divides, and gives up where it has no majority.
-    fn keep_office(&mut self, now: f64, out: &mut Out) {
-        let holds = self.office.holds(now, self.keepers.len());
-        if self.ledger.is_some() && !holds {
+    /// Renews the votes of a coordinator. Resigns if it has no majority, or if a candidacy did not get one in time.
+    fn renew_or_resign(&mut self, now: f64, out: &mut Outbox) {
+        let has_majority = self.candidacy.has_majority(now, self.voters.len());
+        if self.ledger.is_some() && !has_majority {
             self.resign(now, out);
-        } else if now >= self.renews {
+        } else if now >= self.renews_at {
             match self.ledger.is_some() {
-                true => self.ask_votes(now, out),
+                true => self.request_votes(now, out),
                 false => self.resign(now, out),
             }
         }
     }
 
-    fn resign(&mut self, now: f64, out: &mut Out) {
-        if let Some(keeper) = self.keeper.as_mut().filter(|_| self.ledger.is_some()) {
-            keeper.divided = now;
+    fn resign(&mut self, now: f64, out: &mut Outbox) {
+        if let Some(voter) = self.voter.as_mut().filter(|_| self.ledger.is_some()) {
+            voter.last_coordinated_at = now;
         }
-        let number = self.office.resign();
-        (self.ledger, self.renews, self.told) = (None, f64::INFINITY, false);
-        self.stands = now + self.lease.seconds * (0.125 + 0.375 * self.chance.uniform());
-        for keeper in self.keepers.clone() {
-            self.send(now, keeper, Word::Free { number }, out);
+        let number = self.candidacy.resign();
+        (self.ledger, self.renews_at, self.announced) = (None, f64::INFINITY, false);
+        self.candidate_after = now + self.lease.seconds * (0.125 + 0.375 * self.rng.uniform());
+        for voter in self.voters.clone() {
+            self.send(now, voter, Message::ReleaseVote { number }, out);
         }
     }
 
-    /// A word of another's life.
-    pub fn hear(&mut self, now: f64, (from, life): (Id, u64), word: Word, out: &mut Out) {
-        if self.left {
+    /// Handles a message from another member's incarnation.
+    pub fn receive(
+        &mut self,
+        now: f64,
+        (from, incarnation): (MemberId, u64),
+        message: Message,
+        out: &mut Outbox,
+    ) {
+        if self.has_left {
             return;
         }
-        // Once without a majority another may have divided: a vote that comes late must not let the same term go on.
-        if self.ledger.is_some() && !self.office.holds(now, self.keepers.len()) {
+        // While it had no majority another member may have been the coordinator: a late vote must not let the same term
+        // go on.
+        if self.ledger.is_some() && !self.candidacy.has_majority(now, self.voters.len()) {
             self.resign(now, out);
         }
-        match word {
-            Word::Ask {
+        match message {
+            Message::VoteRequest {
                 term,
                 number,
-                divides,
+                is_coordinator,
             } => {
-                let own = (term.who, term.life) == (from, life);
-                let dividing = self.ledger.is_some() && from != self.me;
-                let Some(keeper) = self.keeper.as_mut().filter(|_| own) else {
+                let is_own_term = (term.member, term.incarnation) == (from, incarnation);
+                let coordinating = self.ledger.is_some() && from != self.own_id;
+                let Some(voter) = self.voter.as_mut().filter(|_| is_own_term) else {
                     return;
                 };
-                let vote = keeper.ask(now, (term, number), divides, dividing);
-                self.send(now, from, vote, out);
+                let response =
+                    voter.handle_request(now, (term, number), is_coordinator, coordinating);
+                self.send(now, from, response, out);
             }
-            Word::Vote {
+            Message::VoteResponse {
                 term,
                 number,
                 granted,
-                idle,
-                top,
+                idle_ms,
+                latest_term,
             } => {
-                if let Some(keeper) = &mut self.keeper {
-                    keeper.top = keeper.top.max(top);
+                if let Some(voter) = &mut self.voter {
+                    voter.latest_term = voter.latest_term.max(latest_term);
                 }
-                if !self.keepers.contains(&from) {
+                if !self.voters.contains(&from) {
                     return;
                 }
-                self.office
-                    .hear(from, &self.lease, (term, number), granted, idle);
-                self.take_office(now, out);
+                self.candidacy
+                    .handle_response(from, &self.lease, (term, number), granted, idle_ms);
+                self.become_coordinator(now, out);
             }
-            Word::Free { number } => {
-                self.keeper
+            Message::ReleaseVote { number } => {
+                self.voter
                     .iter_mut()
-                    .for_each(|keeper| keeper.free(from, life, number));
+                    .for_each(|voter| voter.release(from, incarnation, number));
             }
-            Word::Want {
+            Message::ShareRequest {
                 term,
                 number,
                 accepted,
-                of,
-            } => self.wanted(now, (from, life), term, (number, accepted), &of, out),
-            Word::Give {
+                demands,
+            } => self.handle_share_request(
+                now,
+                (from, incarnation),
+                term,
+                (number, accepted),
+                &demands,
+                out,
+            ),
+            Message::ShareGrant {
                 term,
-                life,
+                incarnation,
                 number,
-                of,
+                amounts,
             } => {
-                // What an earlier life was given is not this one's, whose numbers are the same ones.
-                if term.who == from && (life == self.life || crate::slip!(AnyLife)) {
-                    // Who is told to hold less says that it does at once: others wait for that.
-                    if self.holder.take(now, term, number, of) {
-                        self.hurry(now);
+                // A grant to an earlier incarnation is not for this one, which uses the same request numbers.
+                if term.member == from
+                    && (incarnation == self.incarnation || crate::mutated!(AnyIncarnation))
+                {
+                    // A reduced share is confirmed soon, as others wait for that.
+                    if self.lease_holder.accept(now, term, number, amounts) {
+                        self.request_soon(now);
                     }
                 }
             }
-            Word::Lead { term } => {
-                if self.keepers.contains(&term.who) && self.holder.follow(term) {
-                    // The new divider is to know what is held as soon as can be.
-                    self.asks = now;
-                    self.holder.answered = now;
+            Message::CoordinatorHint { term } => {
+                if self.voters.contains(&term.member) && self.lease_holder.adopt_term(term) {
+                    // The new coordinator should learn as soon as possible what is held.
+                    self.next_request_at = now;
+                    self.lease_holder.last_answer_at = now;
                 }
             }
-            Word::Bye => self
+            Message::Leave => self
                 .ledger
                 .iter_mut()
-                .for_each(|ledger| ledger.bye((from, life))),
+                .for_each(|ledger| ledger.remove((from, incarnation))),
         }
     }
 
-    /// With a majority it divides from now on. While it does nobody else has, so what all keepers say of how long they
-    /// have not shortens the wait, also later.
-    fn take_office(&mut self, now: f64, out: &mut Out) {
-        let keepers = self.keepers.len();
-        if !self.office.holds(now, keepers) {
+    /// Becomes the coordinator if it has a majority. No other member can be the coordinator meanwhile, so that the
+    /// voters' reports how long they have not been it shorten the wait, also those that arrive later.
+    fn become_coordinator(&mut self, now: f64, out: &mut Outbox) {
+        let voters = self.voters.len();
+        if !self.candidacy.has_majority(now, voters) {
             return;
         }
         if self.ledger.is_none() {
-            let term = self.office.term;
+            let term = self.candidacy.term;
             self.ledger = Some(Ledger::new(now, term, self.lease, self.budgets.clone()));
-            self.holder.follow(term);
-            self.asks = now;
+            self.lease_holder.adopt_term(term);
+            self.next_request_at = now;
         }
-        let idle = self.office.idle(keepers);
+        let idle = self.candidacy.idle_seconds(voters);
         self.ledger
             .iter_mut()
-            .for_each(|ledger| ledger.has_been_idle(now, idle));
-        if !self.told {
-            // The keepers are to know whom to send members to.
-            self.told = true;
-            self.ask_votes(now, out);
+            .for_each(|ledger| ledger.shorten_wait(now, idle));
+        if !self.announced {
+            // Another vote request tells the voters which coordinator to name to members.
+            self.announced = true;
+            self.request_votes(now, out);
         }
     }
 
-    /// A member asks. Who does not divide says who is believed to.
-    fn wanted(
+    /// Grants shares if it is the coordinator; otherwise names the coordinator that it knows.
+    fn handle_share_request(
         &mut self,
         now: f64,
-        who: (Id, u64),
+        member: (MemberId, u64),
         term: Term,
         (number, accepted): (u64, u64),
-        of: &[crate::word::Wanted],
-        out: &mut Out,
+        demands: &[crate::message::BudgetDemand],
+        out: &mut Outbox,
     ) {
-        if let Some(keeper) = &mut self.keeper {
-            keeper.top = keeper.top.max(term);
+        if let Some(voter) = &mut self.voter {
+            voter.latest_term = voter.latest_term.max(term);
         }
-        let divides = self.divides(now);
-        match self.ledger.as_mut().filter(|_| divides) {
+        let is_coordinator = self.is_coordinator(now);
+        match self.ledger.as_mut().filter(|_| is_coordinator) {
             Some(ledger) if ledger.term == term => {
-                let gives = ledger.want(now, who, number, accepted, of);
-                if let Some(of) = gives {
+                let grants = ledger.handle_request(now, member, number, accepted, demands);
+                if let Some(amounts) = grants {
                     self.send(
                         now,
-                        who.0,
-                        Word::Give {
+                        member.0,
+                        Message::ShareGrant {
                             term,
-                            life: who.1,
+                            incarnation: member.1,
                             number,
-                            of,
+                            amounts,
                         },
                         out,
                     );
                 }
             }
-            // It knows of a later term than mine: mine must be later still, or it would never hear me.
+            // The member knows a later term, and ignores earlier ones: only a term later still can reach it.
             Some(ledger) if term > ledger.term => self.resign(now, out),
             Some(ledger) => {
                 let term = ledger.term;
-                self.send(now, who.0, Word::Lead { term }, out);
+                self.send(now, member.0, Message::CoordinatorHint { term }, out);
             }
             None => {
-                let known = self.keeper.as_ref().and_then(|keeper| keeper.knows(now));
+                let known = self
+                    .voter
+                    .as_ref()
+                    .and_then(|voter| voter.known_coordinator(now));
                 if let Some(term) = known.filter(|known| *known > term) {
-                    self.send(now, who.0, Word::Lead { term }, out);
+                    self.send(now, member.0, Message::CoordinatorHint { term }, out);
                 }
             }
         }
     }
 
-    /// It ends: what it holds, and its office, are free at once for those who hear of it.
-    pub fn leave(&mut self, now: f64, out: &mut Out) {
-        self.holder.leave();
-        let divider = self.holder.term.who;
-        if self.divides(now) {
+    /// Ends this member: gives up its shares and its office, which are free at once for those who receive the messages.
+    pub fn leave(&mut self, now: f64, out: &mut Outbox) {
+        self.lease_holder.leave();
+        let coordinator = self.lease_holder.term.member;
+        if self.is_coordinator(now) {
             self.ledger
                 .iter_mut()
-                .for_each(|ledger| ledger.bye((self.me, self.life)));
-        } else if divider != 0 {
-            out.push((divider, Word::Bye));
+                .for_each(|ledger| ledger.remove((self.own_id, self.incarnation)));
+        } else if coordinator != 0 {
+            out.push((coordinator, Message::Leave));
         }
-        if self.keeper.is_some() {
+        if self.voter.is_some() {
             self.resign(now, out);
         }
-        self.left = true;
+        self.has_left = true;
     }
 
-    /// The amounts that the file gives, as they are counted.
-    pub fn whole(rate: f64, burst: f64) -> Amount {
-        let thousandths = |value: f64| (value * f64::from(crate::word::ONE)) as u32;
+    /// Converts a rate and burst from the settings, in tokens, to an amount.
+    pub fn amount(rate: f64, burst: f64) -> Amount {
+        let thousandths =
+            |tokens: f64| (tokens * f64::from(crate::message::ONE_TOKEN_MILLI)) as u32;
         Amount {
-            flow: thousandths(rate),
-            stock: thousandths(burst),
+            rate_milli: thousandths(rate),
+            burst_milli: thousandths(burst),
         }
     }
 }
--- a/crates/mintlb-rate-limit/tests/address.rs
+++ b/crates/mintlb-rate-limit/tests/address.rs
@@ -1,4 +1,4 @@
-//! The address of a member is held by one process at a time, and with it its parts.
+//! Only one process at a time holds a member's address, and with it the member's shares.
 
 use mintlb_core::budget::{Expense, SharedBudgets};
 use mintlb_core::subsystem::Subsystem;
@@ -8,59 +8,62 @@
 use tokio::net::UdpSocket;
 use tokio::time::sleep;
 
-fn plan(at: &str, more: &str, rate: f64) -> MemberConfig {
+fn config(address: &str, settings: &str, rate: f64) -> MemberConfig {
     let text = format!(
-        "{more}\nmembers = {{ a = {at:?} }}\nbudgets = [{{ name = \"x\", limits = \"again\", rate = {rate:?}, burst = 5.0 }}]"
+        "{settings}\nmembers = {{ a = {address:?} }}\nbudgets = [{{ name = \"x\", limits = \"again\", rate = {rate:?}, burst = 5.0 }}]"
     );
     MemberConfig::new(toml::from_str::<Config>(&text).unwrap(), "a").unwrap()
 }
 
-async fn start(plan: MemberConfig) -> Fleet {
-    Fleet::start(plan, 1, slog::Logger::root(slog::Discard, slog::o!()))
+async fn start(config: MemberConfig) -> Fleet {
+    Fleet::start(config, 1, slog::Logger::root(slog::Discard, slog::o!()))
         .await
         .unwrap()
 }
 
-/// A new version starts beside the old one, holds nothing while that lives, and its part once that has ended.
+/// A process that starts while another has its address holds no share until that one has ended.
 #[tokio::test]
-async fn one_at_a_time() {
-    let again = Expense { is_retry: true };
-    for (more, at) in [
+async fn only_the_process_with_the_address_holds_shares() {
+    let retry = Expense { is_retry: true };
+    for (settings, address) in [
         ("division = \"equal\"", "127.93.0.1:7"),
         ("keepers = [\"a\"]\nlease = 0.4", "127.93.0.1:8"),
     ] {
-        let old = UdpSocket::bind(at).await.unwrap();
-        let new = start(plan(at, more, 100.0)).await;
+        let old = UdpSocket::bind(address).await.unwrap();
+        let new = start(config(address, settings, 100.0)).await;
         sleep(Duration::from_millis(700)).await;
         assert!(
-            !new.has_available(again) && new.reserve(again).is_none(),
-            "{at}: the old one has the address"
+            !new.has_available(retry) && new.reserve(retry).is_none(),
+            "{address}: another process has the address"
         );
-        // The file that is taken meanwhile is the one that holds then.
-        new.reconfigure(&plan(at, more, 50.0));
+        // Settings that are changed meanwhile apply once the address is bound.
+        new.reconfigure(&config(address, settings, 50.0));
         drop(old);
-        let mut waited = 0;
-        while !new.has_available(again) {
+        let mut waited_ms = 0;
+        while !new.has_available(retry) {
             sleep(Duration::from_millis(20)).await;
-            waited += 20;
-            assert!(waited < 4000, "{at}: it has the address, and no part");
+            waited_ms += 20;
+            assert!(
+                waited_ms < 4000,
+                "{address}: no share 4 s after the address became free"
+            );
         }
         assert!(
             new.metrics().contains("edge_router.fleet.x.part=50\n"),
-            "{at}: {}",
+            "{address}: {}",
             new.metrics()
         );
-        // Set aside, paid and not taken: as good as never paid.
-        let slip = new.reserve(again).unwrap();
-        assert!(slip.commit());
-        slip.refund();
+        // A token that is reserved, spent and returned counts as not spent.
+        let reservation = new.reserve(retry).unwrap();
+        assert!(reservation.commit());
+        reservation.refund();
         assert!(
-            slip.commit() && slip.commit(),
-            "{at}: paid once, however often it is asked for"
+            reservation.commit() && reservation.commit(),
+            "{address}: a token is spent once, however often that is asked for"
         );
         assert!(
             new.metrics().contains("edge_router.fleet.x.spent=1\n"),
-            "{at}: {}",
+            "{address}: {}",
             new.metrics()
         );
         new.finish_shutdown();
--- a/crates/mintlb-rate-limit/tests/wire_fixtures.rs
+++ b/crates/mintlb-rate-limit/tests/wire_fixtures.rs
@@ -1,207 +1,211 @@
-//! The datagrams of the fleet's limits. Members of different versions exchange them during an update, so that a change of
-//! the source, such as a renaming, must leave each of them as it is in `fixtures/letters.txt`. By the ids that are made
-//! of names, among them that of a budget, two members mean the same: `fixtures/ids.txt`.
+//! The datagrams between members. Members of different versions exchange them during an update, so a change of the
+//! source, such as a rename, must leave each of them as it is in `fixtures/letters.txt`. The ids that are hashes of
+//! names, such as a budget's key, must be the same in all members, too: `fixtures/ids.txt`.
 
 #[path = "../../mintlb-scheduler/tests/fixture/mod.rs"]
 mod fixture;
 
 use mintlb_rate_limit::config::{Config, MemberConfig};
 use mintlb_rate_limit::fleet::Fleet;
-use mintlb_rate_limit::word::{Amount, Letter, Term, Wanted, Word};
+use mintlb_rate_limit::message::{Amount, BudgetDemand, Datagram, Message, Term};
 use std::time::Duration;
 use tokio::net::UdpSocket;
 use tokio::time::timeout;
 
-const LETTERS: &str = include_str!("fixtures/letters.txt");
+const DATAGRAMS: &str = include_str!("fixtures/letters.txt");
 const IDS: &str = include_str!("fixtures/ids.txt");
 
-/// So many kinds of words there are, numbered from 0.
+/// The number of kinds of messages, which are numbered from 0.
 const KINDS: u8 = 7;
-/// Where a letter without great numbers has the number of its word's kind: behind a first byte and four numbers.
-const KIND_AT: usize = 5;
+/// The offset of the message's kind in a datagram whose ids are below 128: after the first byte and four ids.
+const KIND_OFFSET: usize = 5;
 
-fn letters() -> Vec<(&'static str, Letter)> {
+fn datagrams() -> Vec<(&'static str, Datagram)> {
     let term = Term {
         number: 300,
-        who: u64::MAX,
-        life: 70_000,
+        member: u64::MAX,
+        incarnation: 70_000,
     };
-    let top = Term {
+    let latest_term = Term {
         number: 301,
-        who: 2,
-        life: 3,
+        member: 2,
+        incarnation: 3,
     };
-    let holds = Amount {
-        flow: 12_500,
-        stock: u32::MAX,
+    let held = Amount {
+        rate_milli: 12_500,
+        burst_milli: u32::MAX,
     };
-    let wanted = |key: u64| Wanted {
+    let demand = |key: u64| BudgetDemand {
         key,
-        holds,
-        want: 2_500,
+        held,
+        demand_milli: 2_500,
     };
-    let words = [
+    let messages = [
         (
             "ask",
-            Word::Ask {
+            Message::VoteRequest {
                 term,
                 number: 9,
-                divides: true,
+                is_coordinator: true,
             },
         ),
         (
             "ask-standing",
-            Word::Ask {
+            Message::VoteRequest {
                 term,
                 number: u64::MAX,
-                divides: false,
+                is_coordinator: false,
             },
         ),
         (
             "vote",
-            Word::Vote {
+            Message::VoteResponse {
                 term,
                 number: 9,
                 granted: true,
-                idle: 4_000,
-                top,
+                idle_ms: 4_000,
+                latest_term,
             },
         ),
         (
             "vote-refused",
-            Word::Vote {
+            Message::VoteResponse {
                 term,
                 number: 9,
                 granted: false,
-                idle: 0,
-                top: term,
+                idle_ms: 0,
+                latest_term: term,
             },
         ),
-        ("free", Word::Free { number: 200 }),
+        ("free", Message::ReleaseVote { number: 200 }),
         (
             "want",
-            Word::Want {
+            Message::ShareRequest {
                 term,
                 number: 10,
                 accepted: 8,
-                of: vec![wanted(1), wanted(u64::MAX)],
+                demands: vec![demand(1), demand(u64::MAX)],
             },
         ),
         (
             "want-nothing",
-            Word::Want {
+            Message::ShareRequest {
                 term,
                 number: 10,
                 accepted: 0,
-                of: vec![],
+                demands: vec![],
             },
         ),
         (
             "give",
-            Word::Give {
+            Message::ShareGrant {
                 term,
-                life: 5,
+                incarnation: 5,
                 number: 10,
-                of: vec![(1, holds), (u64::MAX, Amount::NONE)],
+                amounts: vec![(1, held), (u64::MAX, Amount::NONE)],
             },
         ),
         (
             "give-nothing",
-            Word::Give {
+            Message::ShareGrant {
                 term,
-                life: 5,
+                incarnation: 5,
                 number: 10,
-                of: vec![],
+                amounts: vec![],
             },
         ),
-        ("lead", Word::Lead { term }),
-        ("bye", Word::Bye),
+        ("lead", Message::CoordinatorHint { term }),
+        ("bye", Message::Leave),
     ];
-    let small = |word| Letter {
+    let with_small_ids = |message| Datagram {
         fleet: 1,
         from: 2,
-        life: 3,
+        incarnation: 3,
         to: 4,
-        word,
+        message,
     };
-    let great = Letter {
+    let with_large_ids = Datagram {
         fleet: u64::MAX,
         from: 1 << 40,
-        life: 300,
+        incarnation: 300,
         to: 1 << 63,
-        word: Word::Bye,
+        message: Message::Leave,
     };
-    words
+    messages
         .into_iter()
-        .map(|(name, word)| (name, small(word)))
-        .chain([("bye-of-great-ids", great)])
+        .map(|(name, message)| (name, with_small_ids(message)))
+        .chain([("bye-of-great-ids", with_large_ids)])
         .collect()
 }
 
 #[test]
-fn datagrams_are_written_as_in_the_fixtures() {
-    let written: Vec<_> = letters()
+fn datagrams_are_encoded_as_in_the_fixtures() {
+    let encoded: Vec<_> = datagrams()
         .into_iter()
-        .map(|(name, letter)| (name, letter.write().unwrap()))
+        .map(|(name, datagram)| (name, datagram.encode().unwrap()))
         .collect();
-    fixture::check(LETTERS, &written);
+    fixture::check(DATAGRAMS, &encoded);
 }
 
 #[test]
-fn the_fixtures_are_read_as_the_same_letters() {
-    let (letters, held) = (letters(), fixture::read(LETTERS));
-    assert_eq!(letters.len(), held.len());
-    for ((name, letter), (_, bytes)) in letters.into_iter().zip(held) {
-        let read = Letter::read(&bytes).unwrap_or_else(|| panic!("{name}: no letter"));
-        assert_eq!(read, letter, "{name}");
-        assert_eq!(read.write().unwrap(), bytes, "{name}: written again");
+fn fixtures_decode_to_the_same_datagrams() {
+    let (datagrams, fixtures) = (datagrams(), fixture::read(DATAGRAMS));
+    assert_eq!(datagrams.len(), fixtures.len());
+    for ((name, datagram), (_, bytes)) in datagrams.into_iter().zip(fixtures) {
+        let decoded = Datagram::decode(&bytes).unwrap_or_else(|| panic!("{name}: not decoded"));
+        assert_eq!(decoded, datagram, "{name}");
+        assert_eq!(decoded.encode().unwrap(), bytes, "{name}: encoded again");
     }
 }
 
 #[test]
-fn every_kind_of_word_has_a_fixture() {
-    let held = fixture::read(LETTERS);
-    let small = held
+fn every_kind_of_message_has_a_fixture() {
+    let fixtures = fixture::read(DATAGRAMS);
+    let with_small_ids = fixtures
         .iter()
-        .filter(|(_, bytes)| bytes[1..KIND_AT] == [1, 2, 3, 4]);
-    let mut kinds: Vec<u8> = small.map(|(_, bytes)| bytes[KIND_AT]).collect();
+        .filter(|(_, bytes)| bytes[1..KIND_OFFSET] == [1, 2, 3, 4]);
+    let mut kinds: Vec<u8> = with_small_ids
+        .map(|(_, bytes)| bytes[KIND_OFFSET])
+        .collect();
     kinds.dedup();
     assert_eq!(kinds, (0..KINDS).collect::<Vec<_>>());
     for zeros in 0..64 {
-        let past_the_last = [&[held[0].1[0], 1, 2, 3, 4, KINDS][..], &vec![0; zeros]].concat();
+        let unknown_kind = [&[fixtures[0].1[0], 1, 2, 3, 4, KINDS][..], &vec![0; zeros]].concat();
         assert_eq!(
-            Letter::read(&past_the_last),
+            Datagram::decode(&unknown_kind),
             None,
-            "a kind of word without a fixture"
+            "a kind of message without a fixture"
         );
     }
 }
 
-/// A member asks its keeper, here a socket of the test's: what it says is known but for its life and its counts.
+/// A member sends a share request to its only voter, here a socket of the test. The ids in it must be those of the
+/// fixtures.
 #[tokio::test]
-async fn names_come_to_the_same_ids() {
-    let keeper = UdpSocket::bind("127.94.0.2:7").await.unwrap();
-    let table = r#"
+async fn ids_of_names_are_those_in_the_fixtures() {
+    let voter = UdpSocket::bind("127.94.0.2:7").await.unwrap();
+    let settings = r#"
         members = { first = "127.94.0.1:7", second = "127.94.0.2:7" }
         keepers = ["second"]
         budgets = [{ name = "some", limits = "again", rate = 10.0, burst = 5.0 }]
     "#;
-    let plan = MemberConfig::new(toml::from_str::<Config>(table).unwrap(), "first").unwrap();
+    let config = MemberConfig::new(toml::from_str::<Config>(settings).unwrap(), "first").unwrap();
     let log = slog::Logger::root(slog::Discard, slog::o!());
-    let _member = Fleet::start(plan, 1, log).await.unwrap();
+    let _member = Fleet::start(config, 1, log).await.unwrap();
     let mut bytes = [0; 2000];
-    let heard = timeout(Duration::from_secs(10), keeper.recv(&mut bytes)).await;
-    let letter = Letter::read(&bytes[..heard.expect("no word came").unwrap()]).unwrap();
-    let Word::Want { of, .. } = &letter.word else {
-        panic!("it asks for its parts first: {letter:?}")
+    let received = timeout(Duration::from_secs(10), voter.recv(&mut bytes)).await;
+    let datagram =
+        Datagram::decode(&bytes[..received.expect("no datagram within 10 s").unwrap()]).unwrap();
+    let Message::ShareRequest { demands, .. } = &datagram.message else {
+        panic!("the first message is a share request: {datagram:?}")
     };
-    let [budget] = &of[..] else {
-        panic!("one budget: {of:?}")
+    let [budget] = &demands[..] else {
+        panic!("one budget: {demands:?}")
     };
     let ids = [
-        ("fleet", letter.fleet),
-        ("from", letter.from),
-        ("to", letter.to),
+        ("fleet", datagram.fleet),
+        ("from", datagram.from),
+        ("to", datagram.to),
         ("budget", budget.key),
     ];
     fixture::check(
