--- a/crates/mintlb-core/src/budget.rs
+++ b/crates/mintlb-core/src/budget.rs
@@ -1,27 +1,29 @@
-//! Limits that are not this scheduler's alone: looked at before an allocation is decided on, paid at its byte.
+//! Budgets shared by several schedulers: checked before an allocation is decided, and charged as its last byte is
+//! written.
 
 use std::fmt::Debug;
 use std::sync::Arc;
 
-/// What an allocation would spend.
+/// The kind of charge that an allocation causes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Expense {
-    /// It is not its work unit's first.
+    /// The allocation is not the first of its work unit.
     pub is_retry: bool,
 }
 
-/// What this scheduler may spend now of what belongs to many.
+/// This scheduler's current part of the shared budgets.
 pub trait SharedBudgets: Send + Sync {
-    fn has_available(&self, spend: Expense) -> bool;
-    /// Sets it aside, if it is there.
-    fn reserve(&self, spend: Expense) -> Option<Arc<dyn Reservation>>;
+    /// Whether the budgets that limit this charge have something left.
+    fn has_available(&self, expense: Expense) -> bool;
+    /// Reserves the charge; `None` if the budgets are exhausted.
+    fn reserve(&self, expense: Expense) -> Option<Arc<dyn Reservation>>;
 }
 
-/// Set aside for one allocation. Dropped unpaid, it is free again.
+/// A charge reserved for one allocation. Dropped without a commit, it is released.
 pub trait Reservation: Debug + Send + Sync {
-    /// Asked right before the write that makes the allocation whole, by the clock of that moment: an answer of old may
-    /// not hold any more. If not, the byte must not be written.
+    /// Charges the budget. Called right before the write that completes the allocation, as a reservation may have
+    /// expired by then; on `false` the byte must not be written.
     fn commit(&self) -> bool;
-    /// The system did not take the byte after all.
+    /// Takes back a commit: the operating system did not accept the byte.
     fn refund(&self);
 }
--- a/crates/mintlb-core/src/capacity.rs
+++ b/crates/mintlb-core/src/capacity.rs
@@ -1,38 +1,40 @@
-//! What may be held at once, by all fronts together: one grant of the machine's, whoever brings the work.
+//! Limits on the work units and request bodies held at once, shared by all frontends of the process.
 
 use std::sync::Arc;
 use tokio::sync::{OwnedSemaphorePermit, Semaphore};
 
-/// Work units that may still be taken, and kilobytes of their bodies.
+/// Capacity left for work units, and for their bodies in units of 1024 bytes.
 #[derive(Clone)]
 pub struct Capacity {
-    open: Arc<Semaphore>,
-    bodies: Arc<Semaphore>,
+    work_units: Arc<Semaphore>,
+    body_kilobytes: Arc<Semaphore>,
 }
 
-/// Held for a body; and for a work unit. Dropped, it is free again.
+/// Reserved capacity for a body or a work unit, released on drop.
 pub type CapacityPermit = OwnedSemaphorePermit;
 
-const KILO: usize = 1024;
+/// Bytes of a body per semaphore permit.
+const BYTES_PER_PERMIT: usize = 1024;
 
 impl Capacity {
-    /// For so many work units, and so many bytes of their bodies.
-    pub fn new(open: usize, bodies: usize) -> Capacity {
+    /// Limits the work units held at once, and the bytes of their bodies.
+    pub fn new(work_units: usize, body_bytes: usize) -> Capacity {
         Capacity {
-            open: Arc::new(Semaphore::new(open)),
-            bodies: Arc::new(Semaphore::new(bodies / KILO)),
+            work_units: Arc::new(Semaphore::new(work_units)),
+            body_kilobytes: Arc::new(Semaphore::new(body_bytes / BYTES_PER_PERMIT)),
         }
     }
 
-    /// For a body of so many bytes.
+    /// Reserves capacity for a body of this many bytes; `None` if too little is left.
     pub fn reserve_body(&self, bytes: usize) -> Option<CapacityPermit> {
-        self.bodies
+        self.body_kilobytes
             .clone()
-            .try_acquire_many_owned(bytes.div_ceil(KILO) as u32)
+            .try_acquire_many_owned(bytes.div_ceil(BYTES_PER_PERMIT) as u32)
             .ok()
     }
 
+    /// Reserves capacity for one work unit; `None` if none is left.
     pub fn reserve_work_unit(&self) -> Option<CapacityPermit> {
-        self.open.clone().try_acquire_owned().ok()
+        self.work_units.clone().try_acquire_owned().ok()
     }
 }
--- a/crates/mintlb-core/src/clock.rs
+++ b/crates/mintlb-core/src/clock.rs
@@ -1,39 +1,42 @@
-//! One clock for all parts: Unix time in seconds, which never steps while the program runs.
+//! The process clock: Unix time in seconds, advanced by the monotonic clock so that it never steps.
 
 use std::time::{Duration, SystemTime};
 use tokio::time::Instant;
 
+/// Unix time that was read once at start and advances with the monotonic clock.
 #[derive(Clone, Copy)]
 pub struct Clock {
-    began: Instant,
-    unix: f64,
+    started_at: Instant,
+    start_unix_s: f64,
 }
 
 impl Clock {
+    /// Reads the system time. It is not read again, so later adjustments of it have no effect.
     pub fn start() -> Clock {
-        let unix = SystemTime::now()
+        let since_epoch = SystemTime::now()
             .duration_since(SystemTime::UNIX_EPOCH)
             .unwrap_or_default();
         Clock {
-            began: Instant::now(),
-            unix: unix.as_secs_f64(),
+            started_at: Instant::now(),
+            start_unix_s: since_epoch.as_secs_f64(),
         }
     }
 
+    /// The current Unix time, in seconds.
     pub fn now(&self) -> f64 {
-        self.unix + self.began.elapsed().as_secs_f64()
+        self.start_unix_s + self.started_at.elapsed().as_secs_f64()
     }
 
-    /// The moment of a time of this clock.
-    pub fn instant(&self, at: f64) -> Instant {
-        self.began + clamped_duration(at - self.unix)
+    /// Converts a time of this clock to an instant. Times before the start give the start.
+    pub fn instant(&self, unix_s: f64) -> Instant {
+        self.started_at + clamped_duration(unix_s - self.start_unix_s)
     }
 }
 
-/// So many seconds; what is no length of time is none, what is absurdly long a day.
-pub fn clamped_duration(length: f64) -> Duration {
-    Duration::from_secs_f64(if length.is_finite() {
-        length.clamp(0.0, 86_400.0)
+/// Converts seconds to a duration of 0 to 86400 s. Values that are not finite become 0.
+pub fn clamped_duration(seconds: f64) -> Duration {
+    Duration::from_secs_f64(if seconds.is_finite() {
+        seconds.clamp(0.0, 86_400.0)
     } else {
         0.0
     })
--- a/crates/mintlb-core/src/dispatch_policy.rs
+++ b/crates/mintlb-core/src/dispatch_policy.rs
@@ -1,23 +1,24 @@
-//! What is asked, beside the decisions, whether work may go to a worker now: a limit of its own, or room that only the
-//! front's protocol knows of.
+//! A check, in addition to the scheduling decisions, whether a work unit may be sent to a worker now: a limit of its
+//! own, or capacity that only the frontend's protocol knows.
 
 use crate::work::Payload;
 use mintlb_scheduler::{WorkUnit, Worker};
 
-/// An answer to the question.
+/// The result of a check.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Permission {
-    /// It may.
+    /// The work unit may be sent.
     Granted,
-    /// It may not, until something else changes.
+    /// The work unit may not be sent until some other state changes.
     Refused,
-    /// It may not before this time of the clock.
+    /// The work unit may not be sent before this Unix time, in seconds.
     NotBefore(f64),
 }
 
-/// Who is asked. It is asked for each request that waits and each worker with room, so it has to be quick.
+/// Decides whether a work unit may be sent to a worker. Called for each pair of a queued work unit and a worker with
+/// capacity, so it must be fast.
 pub trait DispatchPolicy: Send + Sync {
-    /// Whether this may go there now.
+    /// Whether the work unit may be sent to the worker now.
     fn permits(
         &self,
         now: f64,
@@ -26,7 +27,7 @@
         worker: &Worker,
     ) -> Permission;
 
-    /// The worker that would serve this best, where one is known to. Asked once, as the request arrives.
+    /// The worker that would serve the work unit best, if one is known. Called once, when it arrives.
     fn preferred_worker(&self, _payload: &Payload) -> Option<u64> {
         None
     }
--- a/crates/mintlb-core/src/executor.rs
+++ b/crates/mintlb-core/src/executor.rs
@@ -1,4 +1,4 @@
-//! Carries out what the reducer asks for.
+//! Executes the actions that the reducer returns, and logs and counts them.
 
 use crate::clock::{Clock, clamped_duration};
 use crate::metrics::{AnswerCounts, Metrics};
@@ -11,100 +11,108 @@
 use std::sync::atomic::Ordering::Relaxed;
 use tokio::time::Instant;
 
-/// Follows the list service; each call begins a watch, unless one is alive.
+/// Follows the list service. Each call starts a watch unless one is running.
 pub trait ListWatcher {
-    /// Has the list heard from there on, or from its whole if no version of it is known.
+    /// Reports the changes after this version, or the complete list first if no version is known.
     fn watch(&mut self, after: Option<u64>);
 }
 
+/// Executes actions, one at a time, on the event loop.
 pub struct ActionExecutor<W> {
     pub list_watcher: W,
     clock: Clock,
     log: Logger,
-    /// What gives up an allocation that is out.
-    out: FxHashMap<AllocationId, Box<dyn CancelHandle>>,
-    /// When the decisions want to be woken.
+    /// Cancels the allocations in flight.
+    in_flight: FxHashMap<AllocationId, Box<dyn CancelHandle>>,
+    /// When the next [`crate::reducer::Event::TimerFired`] is due, if the scheduler has asked for one.
     pub wake_at: Option<Instant>,
     metrics: Arc<Metrics>,
-    /// The counters of each project type, by its number.
-    ends: Vec<Arc<AnswerCounts>>,
-    /// Allocations called off since the last line of counts, and what the figures said then.
-    closed: u64,
-    counted: [u64; 4],
+    /// The answer counters, indexed by project type number.
+    counts_by_number: Vec<Arc<AnswerCounts>>,
+    /// Allocations cancelled since the counts were last logged.
+    cancelled: u64,
+    /// The totals when the counts were last logged.
+    logged_totals: [u64; 4],
 }
 
 impl<W: ListWatcher> ActionExecutor<W> {
+    /// Without project types and without any allocation in flight.
     pub fn new(
         list_watcher: W,
         clock: Clock,
         log: Logger,
         metrics: Arc<Metrics>,
     ) -> ActionExecutor<W> {
-        let (out, wake_at, ends, counted) = Default::default();
+        let (in_flight, wake_at, counts_by_number, logged_totals) = Default::default();
         ActionExecutor {
             list_watcher,
             clock,
             log,
-            out,
+            in_flight,
             wake_at,
             metrics,
-            ends,
-            closed: 0,
-            counted,
+            counts_by_number,
+            cancelled: 0,
+            logged_totals,
         }
     }
 
-    /// These project types stand for their numbers from now on.
+    /// Assigns project types to their numbers from now on.
     pub fn set_project_types(&mut self, types: &[NamedProjectType]) {
         for named in types {
-            let ends = self.metrics.answer_counts(&named.name);
-            self.ends
-                .resize(self.ends.len().max(named.number + 1), ends.clone());
-            self.ends[named.number] = ends;
+            let counts = self.metrics.answer_counts(&named.name);
+            self.counts_by_number.resize(
+                self.counts_by_number.len().max(named.number + 1),
+                counts.clone(),
+            );
+            self.counts_by_number[named.number] = counts;
         }
     }
 
-    /// An allocation that is back needs no recalling.
-    pub fn record_result(&mut self, back: &AllocationResult) {
-        if self.out.remove(&back.allocation_id).is_some() {
-            let (work_unit, number) = back.allocation_id;
-            debug!(self.log, "allocation back"; "outcome" => ?back.outcome, "n" => number, "wu" => work_unit);
+    /// Logs the result of an allocation, which can't be cancelled any more.
+    pub fn record_result(&mut self, result: &AllocationResult) {
+        if self.in_flight.remove(&result.allocation_id).is_some() {
+            let (work_unit, number) = result.allocation_id;
+            debug!(self.log, "allocation back"; "outcome" => ?result.outcome, "n" => number, "wu" => work_unit);
         }
     }
 
+    /// Logs that a worker has started an allocation.
     pub fn log_started(&self, (work_unit, number): AllocationId) {
         debug!(self.log, "allocation started"; "n" => number, "wu" => work_unit);
     }
 
+    /// Logs that the client of a work unit has disconnected.
     pub fn log_client_left(&self, work_unit: u64) {
-        debug!(self.log, "its client has left"; "wu" => work_unit);
+        debug!(self.log, "client disconnected"; "wu" => work_unit);
     }
 
-    /// One line of counts, where there is something to count.
+    /// Logs the counts since the last call, unless all are zero.
     pub fn log_counts(&mut self, held: usize) {
-        let (totals, closed) = (self.metrics.totals(), std::mem::take(&mut self.closed));
-        let before = std::mem::replace(&mut self.counted, totals);
-        let since = |i: usize| totals[i] - before[i];
+        let (totals, cancelled) = (self.metrics.totals(), std::mem::take(&mut self.cancelled));
+        let previous = std::mem::replace(&mut self.logged_totals, totals);
+        let since = |i: usize| totals[i] - previous[i];
         let [completed, deferred, aborted, sent] = [since(0), since(1), since(2), since(3)];
         if sent + completed + deferred + aborted > 0 {
             info!(self.log, "counts"; "aborted" => aborted, "deferred" => deferred, "completed" => completed,
-                "allocations closed" => closed, "allocations sent" => sent, "held" => held);
+                "allocations closed" => cancelled, "allocations sent" => sent, "held" => held);
         }
     }
 
-    pub fn execute(&mut self, act: Action) {
-        match act {
+    /// Executes one action.
+    pub fn execute(&mut self, action: Action) {
+        match action {
             Action::Send { endpoint, request } => {
                 let allocation_id = request.allocation_id;
                 debug!(self.log, "allocation sent"; "worker" => %endpoint, "project type" => request.project_type,
                     "n" => allocation_id.1, "wu" => allocation_id.0);
-                self.out.insert(allocation_id, endpoint.send(request));
+                self.in_flight.insert(allocation_id, endpoint.send(request));
             }
             Action::Cancel(allocation_id) => {
-                self.closed += 1;
+                self.cancelled += 1;
                 debug!(self.log, "allocation called off"; "n" => allocation_id.1, "wu" => allocation_id.0);
-                if let Some(out) = self.out.remove(&allocation_id) {
-                    out.cancel();
+                if let Some(cancel_handle) = self.in_flight.remove(&allocation_id) {
+                    cancel_handle.cancel();
                 }
             }
             Action::Answer {
@@ -113,23 +121,24 @@
                 responder,
                 answer,
             } => {
-                let ends = project_type.and_then(|number| self.ends.get(number));
-                let (count, what) = match answer {
-                    Answer::Completed(_) => (ends.map(|ends| &ends.completed), "completed"),
-                    Answer::Deferred(_) => (ends.map(|ends| &ends.deferred), "deferred"),
-                    Answer::Aborted => (ends.map(|ends| &ends.aborted), "aborted"),
+                let counts = project_type.and_then(|number| self.counts_by_number.get(number));
+                let (counter, answer_name) = match answer {
+                    Answer::Completed(_) => (counts.map(|counts| &counts.completed), "completed"),
+                    Answer::Deferred(_) => (counts.map(|counts| &counts.deferred), "deferred"),
+                    Answer::Aborted => (counts.map(|counts| &counts.aborted), "aborted"),
                     Answer::Duplicate => (None, "repeated"),
                 };
-                if let Some(count) = count {
-                    count.fetch_add(1, Relaxed);
+                if let Some(counter) = counter {
+                    counter.fetch_add(1, Relaxed);
                 }
-                debug!(self.log, "answered"; "answer" => what, "wu" => work_unit);
+                debug!(self.log, "answered"; "answer" => answer_name, "wu" => work_unit);
                 responder.respond(answer);
             }
             Action::Probe { worker, endpoint } => endpoint.probe(worker),
             Action::Watch { after } => self.list_watcher.watch(after),
-            Action::WakeIn(after) => {
-                self.wake_at = Some(self.clock.instant(self.clock.now()) + clamped_duration(after))
+            Action::WakeIn(seconds) => {
+                self.wake_at =
+                    Some(self.clock.instant(self.clock.now()) + clamped_duration(seconds))
             }
             Action::Log(line) => info!(self.log, "{}", line),
         }
--- a/crates/mintlb-core/src/lib.rs
+++ b/crates/mintlb-core/src/lib.rs
@@ -1,13 +1,14 @@
-//! The core of a mintlb scheduler, which knows no protocol.
+//! The protocol-independent core of a mintlb scheduler.
 //!
 //! ```text
-//!   fronts ──Arrival──> reducer ──Act──> hands ──Order──> backs
-//!                       (decide)
+//!   frontends ──Submission──> reducer ──Action──> executor ──AllocationRequest──> backends
+//!                             (decide)
 //! ```
 //!
-//! A front turns what its clients hand in into an [`work::Submission`] and waits for the one [`work::Answer`]. A back is
-//! reached through [`work::Endpoint`]: it takes an [`work::AllocationRequest`] and tells the [`work::AllocationResult`]. What lies between,
-//! [`reducer::Reducer`], alone changes state, on one thread; [`executor::ActionExecutor`] carries out what it asks for.
+//! A frontend turns each client request into a [`work::Submission`] and waits for its single [`work::Answer`]. A
+//! backend implements [`work::Endpoint`]: it takes a [`work::AllocationRequest`] and reports a
+//! [`work::AllocationResult`]. Between them, only [`reducer::Reducer`] changes state, on one thread;
+//! [`executor::ActionExecutor`] carries out the actions that it returns.
 
 pub mod budget;
 pub mod capacity;
--- a/crates/mintlb-core/src/lifecycle.rs
+++ b/crates/mintlb-core/src/lifecycle.rs
@@ -1,105 +1,113 @@
-//! Whether this process takes clients: starting, ready, leaving or stopping. Pure; all else follows from it.
+//! Whether this process takes clients: starting, ready, leaving or stopping. No I/O.
 
-/// What moves it. Each may come at any time, in any order and more than once.
+/// A change of the lifecycle. Events may come at any time, in any order and repeatedly.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LifecycleEvent {
-    /// It can serve.
+    /// The process can serve.
     Ready,
-    /// Clients are to go elsewhere.
+    /// Clients are to use other processes.
     Leave,
-    /// And may come again.
+    /// Clients may use this process again.
     Join,
-    /// The program is to end. With a successor, there is already one who takes new clients.
+    /// The process is to exit. With a successor, another process already accepts the new clients.
     Stop { has_successor: bool },
 }
 
-/// How many seconds after the word to leave, and to stop, connections stay open. Who asks whether we serve must have had
-/// time to notice, or clients would come back here; and after the word to stop others may be starting again.
+/// How long connections stay open, in seconds. Health checks need time to notice the change, or clients would reconnect
+/// to this process; after a stop other processes may be restarting as well.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct CloseDelays {
+    /// Seconds after [`LifecycleEvent::Leave`].
     pub after_leave: f64,
+    /// Seconds after [`LifecycleEvent::Stop`].
     pub after_stop: f64,
 }
 
-/// Where it stands, and since when. Facts that don't replace each other, so that their order doesn't matter.
+/// The lifecycle state with its times. The facts are independent of each other, so that the order of events does not
+/// matter.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Lifecycle {
-    notice: CloseDelays,
+    delays: CloseDelays,
     ready: bool,
-    left: Option<f64>,
-    stopped: Option<(f64, bool)>,
+    left_at: Option<f64>,
+    /// When the process was told to exit, and whether it had a successor.
+    stop: Option<(f64, bool)>,
 }
 
 impl Lifecycle {
-    pub fn new(notice: CloseDelays) -> Lifecycle {
+    /// The state of a process that has just started.
+    pub fn new(delays: CloseDelays) -> Lifecycle {
         Lifecycle {
-            notice,
+            delays,
             ready: false,
-            left: None,
-            stopped: None,
+            left_at: None,
+            stop: None,
         }
     }
 
-    /// What it is from then on; an error where the word can't be followed, and nothing has changed.
-    pub fn apply(&mut self, now: f64, word: LifecycleEvent) -> Result<(), &'static str> {
-        match word {
+    /// Applies an event at `now`, in seconds of Unix time.
+    ///
+    /// # Errors
+    /// If the event is not allowed in this state. Nothing has changed then.
+    pub fn apply(&mut self, now: f64, event: LifecycleEvent) -> Result<(), &'static str> {
+        match event {
             LifecycleEvent::Ready => self.ready = true,
-            LifecycleEvent::Leave => self.left = self.left.or(Some(now)),
-            LifecycleEvent::Join if self.stopped.is_some() => {
+            LifecycleEvent::Leave => self.left_at = self.left_at.or(Some(now)),
+            LifecycleEvent::Join if self.stop.is_some() => {
                 return Err("it is stopping, and takes no clients again");
             }
-            LifecycleEvent::Join => self.left = None,
+            LifecycleEvent::Join => self.left_at = None,
             LifecycleEvent::Stop { has_successor } => {
-                self.stopped = self.stopped.or(Some((now, has_successor)))
+                self.stop = self.stop.or(Some((now, has_successor)))
             }
         }
         Ok(())
     }
 
-    /// Whether clients should come.
+    /// Whether new clients are welcome.
     pub fn is_ready(&self) -> bool {
-        self.ready && self.left.is_none() && self.stopped.is_none()
+        self.ready && self.left_at.is_none() && self.stop.is_none()
     }
 
-    /// Since when they should not come any more, whoever said so first.
+    /// Since when new clients are unwelcome: the earlier of leaving and stopping.
     pub fn draining_since(&self) -> Option<f64> {
-        self.left
+        self.left_at
             .into_iter()
             .chain(self.stopping_since())
             .reduce(f64::min)
     }
 
-    /// Whether clients are sent away for now.
+    /// Whether clients are being sent to other processes for now.
     pub fn is_leaving(&self) -> bool {
-        self.left.is_some()
+        self.left_at.is_some()
     }
 
-    /// Since when it is to end.
+    /// When the process was told to exit.
     pub fn stopping_since(&self) -> Option<f64> {
-        self.stopped.map(|(since, _)| since)
+        self.stop.map(|(since, _)| since)
     }
 
-    /// Whether each answer is to be the last of its connection. A successor takes clients at once.
+    /// Whether connections are closed after their next answer; with a successor at once.
     pub fn closes_after_answer(&self, now: f64) -> bool {
         self.closes_idle_connections(now)
-            || self.stopped.is_some_and(|(_, has_successor)| has_successor)
+            || self.stop.is_some_and(|(_, has_successor)| has_successor)
     }
 
-    /// Whether idle connections are to be closed, too. With a successor not at once: most bring a request before,
-    /// and one that crosses a close is read by nobody.
+    /// Whether idle connections are closed as well. With a successor this waits for the delay: most connections bring a
+    /// request before, and a request that crosses a close is read by nobody.
     pub fn closes_idle_connections(&self, now: f64) -> bool {
-        let over = |since: Option<f64>, notice| since.is_some_and(|since| now - since >= notice);
-        over(self.left, self.notice.after_leave)
-            || over(self.stopping_since(), self.notice.after_stop)
+        let elapsed = |since: Option<f64>, delay| since.is_some_and(|since| now - since >= delay);
+        elapsed(self.left_at, self.delays.after_leave)
+            || elapsed(self.stopping_since(), self.delays.after_stop)
     }
 
-    /// One word for it.
+    /// The state's name, as operators see it.
     pub fn state_name(&self) -> &'static str {
         match self {
+            Lifecycle { stop: Some(_), .. } => "stopping",
             Lifecycle {
-                stopped: Some(_), ..
-            } => "stopping",
-            Lifecycle { left: Some(_), .. } => "leaving",
+                left_at: Some(_), ..
+            } => "leaving",
             Lifecycle { ready: true, .. } => "ready",
             _ => "starting",
         }
--- a/crates/mintlb-core/src/membership.rs
+++ b/crates/mintlb-core/src/membership.rs
@@ -1,6 +1,6 @@
-//! Who the workers are, as several sources tell it: each speaks for the workers that it names, and for no other.
+//! The known workers, merged from several sources. Each source speaks only for the workers that it names.
 //!
-//! Pure: what a source says goes in, the lines for the decisions come out.
+//! No I/O: updates from the sources go in, entries for the scheduling decisions come out.
 
 use crate::work::Endpoint;
 use mintlb_scheduler::{ListEntry, ListState};
@@ -8,67 +8,72 @@
 use std::net::IpAddr;
 use std::sync::Arc;
 
-/// Who tells of workers.
+/// Where the knowledge of a worker comes from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WorkerSource {
     /// The list service.
     ListService,
-    /// Workers that came to us by themselves.
+    /// Workers that connected to this process by themselves.
     SelfRegistered,
 }
 
-/// A worker as a source has it. Without a way to it, it is known but nothing can be sent.
+/// A worker as reported by a source. Without an endpoint it is known, but nothing can be sent to it.
 #[derive(Clone)]
 pub struct Member {
     pub name: String,
     pub entry: ListEntry,
-    /// The machine that it runs on, where its address tells.
+    /// The machine that it runs on, if its address tells.
     pub host: Option<IpAddr>,
     pub endpoint: Option<Arc<dyn Endpoint>>,
 }
 
-/// What a source tells: all that it knows, or what has changed.
+/// A report from a source: all of its workers, or only changes.
 pub struct MembershipUpdate {
     pub source: WorkerSource,
+    /// `members` is all that the source knows.
     pub full: bool,
     pub members: Vec<Member>,
 }
 
+/// The merged membership.
 #[derive(Default)]
 pub struct Membership {
-    known: HashMap<u64, Known>,
-    /// What the log is to say, since it was last taken.
-    said: Vec<String>,
+    known: HashMap<u64, KnownMember>,
+    /// Lines for the log since they were last taken.
+    log_lines: Vec<String>,
 }
 
-struct Known {
+struct KnownMember {
     source: WorkerSource,
     entry: ListEntry,
     endpoint: Option<Arc<dyn Endpoint>>,
-    shown: String,
+    address: String,
 }
 
 impl Membership {
+    /// The endpoint of a worker, if it is known and can be reached.
     pub fn endpoint(&self, id: u64) -> Option<&Arc<dyn Endpoint>> {
         self.known.get(&id)?.endpoint.as_ref()
     }
 
+    /// Takes the lines for the log that have accumulated.
     pub fn take_log_lines(&mut self) -> Vec<String> {
-        std::mem::take(&mut self.said)
+        std::mem::take(&mut self.log_lines)
     }
 
-    /// The lines for the decisions, and whether they are all that there are. One source's whole list must not
-    /// strike out the workers of another, so theirs are added to it.
-    pub fn apply(&mut self, told: MembershipUpdate) -> (bool, Vec<ListEntry>) {
+    /// Applies an update. Returns whether the entries are the complete membership, and the entries. A full update from
+    /// one source must not remove the workers of the others, so these are added to it.
+    pub fn apply(&mut self, update: MembershipUpdate) -> (bool, Vec<ListEntry>) {
         let MembershipUpdate {
             source,
             full,
             members,
-        } = told;
-        let mut lines: Vec<ListEntry> = members.iter().map(|member| member.entry.clone()).collect();
+        } = update;
+        let mut entries: Vec<ListEntry> =
+            members.iter().map(|member| member.entry.clone()).collect();
         if full {
-            self.known.retain(|_, known| known.source != source);
-            lines.extend(self.known.values().map(|known| known.entry.clone()));
+            self.known.retain(|_, member| member.source != source);
+            entries.extend(self.known.values().map(|member| member.entry.clone()));
         }
         for Member {
             name,
@@ -81,30 +86,30 @@
                 self.known.remove(&entry.id);
                 continue;
             }
-            let shown = endpoint
+            let address = endpoint
                 .as_ref()
                 .map(|endpoint| endpoint.to_string())
                 .unwrap_or_default();
             let id = entry.id;
-            let was = self.known.insert(
+            let previous = self.known.insert(
                 id,
-                Known {
+                KnownMember {
                     source,
                     entry,
                     endpoint,
-                    shown: shown.clone(),
+                    address: address.clone(),
                 },
             );
-            if !shown.is_empty() && was.is_none_or(|was| was.shown != shown) {
-                self.said
-                    .push(format!("worker {id:012x} is {name} at {shown}"));
+            if !address.is_empty() && previous.is_none_or(|previous| previous.address != address) {
+                self.log_lines
+                    .push(format!("worker {id:012x} is {name} at {address}"));
             }
         }
-        (full, lines)
+        (full, entries)
     }
 }
 
-/// A worker's name as a number of 48 bits, the same at all schedulers (FNV-1a, folded).
+/// Maps a worker's name to a 48-bit id, the same at all schedulers (FNV-1a, folded).
 pub fn worker_id(name: &str) -> u64 {
     let hash = name.bytes().fold(0xcbf2_9ce4_8422_2325, |hash, byte| {
         (hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3)
--- a/crates/mintlb-core/src/metrics.rs
+++ b/crates/mintlb-core/src/metrics.rs
@@ -1,11 +1,11 @@
-//! What was done, counted once, where it is known. The door's page and the log read the same counters, which begin
-//! at 0 with each process.
+//! Process-wide counters, each incremented in one place. The operators' metrics page and the log read the same
+//! counters, which start at 0 with each process.
 
 use crate::project_types::MAX_NUMBERS_PER_TYPE;
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-/// The answers that work units of one project type got.
+/// The final answers to work units of one project type.
 #[derive(Debug, Default)]
 pub struct AnswerCounts {
     pub completed: AtomicU64,
@@ -14,85 +14,95 @@
 }
 
 impl AnswerCounts {
-    fn all(&self) -> [u64; 3] {
-        [&self.completed, &self.deferred, &self.aborted].map(|count| count.load(Relaxed))
+    fn values(&self) -> [u64; 3] {
+        [&self.completed, &self.deferred, &self.aborted].map(|counter| counter.load(Relaxed))
     }
 }
 
+/// The counters that all parts of a scheduler share.
 #[derive(Default)]
 pub struct Metrics {
-    /// By name, so that a project type that is dropped and comes back counts on.
-    types: Mutex<Vec<(String, Arc<AnswerCounts>)>>,
-    /// Allocations whose last byte the system took on its way to a worker.
+    /// Keyed by name, so that the counts of a project type go on if it is removed and added again.
+    counts_by_type: Mutex<Vec<(String, Arc<AnswerCounts>)>>,
+    /// Allocations whose last byte the operating system accepted for sending to a worker.
     sent_allocations: Arc<AtomicU64>,
-    /// Configurations taken and turned down while serving.
+    /// Configurations put in force while serving.
     pub configs_applied: AtomicU64,
+    /// Configurations rejected while serving.
     pub configs_rejected: AtomicU64,
 }
 
-/// What is so now, and known elsewhere.
+/// Current values that other components hold.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Gauges {
-    /// Work units taken and not answered.
+    /// Work units accepted and not yet answered.
     pub open_work_units: usize,
+    /// Workers in the membership list.
     pub listed_workers: usize,
+    /// Listed workers that are avoided as unhealthy.
     pub avoided_workers: usize,
 }
 
-/// Names kept at the most, as configurations may name others without end: those of a number of type tables.
-const NAMES: usize = 4 * MAX_NUMBERS_PER_TYPE;
+/// Limit on the names kept, as successive configurations may introduce any number of names. It leaves room for several
+/// complete tables of project types.
+const MAX_NAMES: usize = 4 * MAX_NUMBERS_PER_TYPE;
 
 impl Metrics {
-    fn types(&self) -> MutexGuard<'_, Vec<(String, Arc<AnswerCounts>)>> {
-        self.types.lock().unwrap_or_else(PoisonError::into_inner)
+    fn counts_by_type(&self) -> MutexGuard<'_, Vec<(String, Arc<AnswerCounts>)>> {
+        self.counts_by_type
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The counters of the project type of this name, also if it was dropped meanwhile.
+    /// The counters of the project type of this name, also if it has been removed since.
     pub fn answer_counts(&self, name: &str) -> Arc<AnswerCounts> {
-        let mut types = self.types();
-        if let Some((_, ends)) = types.iter().find(|(known, _)| known == name) {
-            return ends.clone();
+        let mut counts_by_type = self.counts_by_type();
+        if let Some((_, counts)) = counts_by_type
+            .iter()
+            .find(|(known_name, _)| known_name == name)
+        {
+            return counts.clone();
         }
-        if types.len() >= NAMES {
-            // Nobody counts on it but this list.
-            let unused = types
+        if counts_by_type.len() >= MAX_NAMES {
+            // Evicts a name whose counters are referenced by this list alone.
+            let unused = counts_by_type
                 .iter()
-                .position(|(_, ends)| Arc::strong_count(ends) == 1);
-            types.remove(unused.unwrap_or(0));
+                .position(|(_, counts)| Arc::strong_count(counts) == 1);
+            counts_by_type.remove(unused.unwrap_or(0));
         }
-        let ends: Arc<AnswerCounts> = Arc::default();
-        types.push((name.to_string(), ends.clone()));
-        ends
+        let counts: Arc<AnswerCounts> = Arc::default();
+        counts_by_type.push((name.to_string(), counts.clone()));
+        counts
     }
 
-    /// The counter of allocations written whole, for what writes them.
+    /// The counter of completely written allocations, for the code that writes them.
     pub fn sent_allocations(&self) -> Arc<AtomicU64> {
         self.sent_allocations.clone()
     }
 
-    /// Completed, deferred and aborted over all project types, and allocations sent, so far.
+    /// Completed, deferred and aborted work units over all project types, then allocations sent, since the start.
     pub fn totals(&self) -> [u64; 4] {
-        let ends = self
-            .types()
+        let counts = self
+            .counts_by_type()
             .iter()
-            .map(|(_, ends)| ends.all())
-            .fold([0; 3], |sum, ends| {
-                [sum[0] + ends[0], sum[1] + ends[1], sum[2] + ends[2]]
+            .map(|(_, counts)| counts.values())
+            .fold([0; 3], |sum, counts| {
+                [sum[0] + counts[0], sum[1] + counts[1], sum[2] + counts[2]]
             });
         [
-            ends[0],
-            ends[1],
-            ends[2],
+            counts[0],
+            counts[1],
+            counts[2],
             self.sent_allocations.load(Relaxed),
         ]
     }
 
-    /// The page that operators read, a figure a line.
+    /// Renders the operators' metrics page, one metric per line.
     pub fn render(&self, gauges: Gauges) -> String {
         let mut page = String::new();
         let mut line = |name: &str, value: u64| page += &format!("edge_router.{name}={value}\n");
-        for (name, ends) in self.types().iter() {
-            // A name is free text, and must not end a line or a figure's name.
+        for (name, counts) in self.counts_by_type().iter() {
+            // Names are free text: they must not break the line or the metric name.
             let name: String = name
                 .chars()
                 .map(|c| {
@@ -103,8 +113,11 @@
                     }
                 })
                 .collect();
-            for (figure, value) in ["answered", "deferred", "errored"].iter().zip(ends.all()) {
-                line(&format!("transactions.{name}.{figure}"), value);
+            for (counter_name, value) in ["answered", "deferred", "errored"]
+                .iter()
+                .zip(counts.values())
+            {
+                line(&format!("transactions.{name}.{counter_name}"), value);
             }
         }
         line("sends", self.sent_allocations.load(Relaxed));
--- a/crates/mintlb-core/src/reducer.rs
+++ b/crates/mintlb-core/src/reducer.rs
@@ -1,7 +1,7 @@
-//! All changes of state, on one thread: what was read goes in, what is to be done comes out.
+//! All state changes, on one thread: an [`Event`] goes in, the resulting [`Action`]s come out.
 //!
-//! The decisions act through their door; here it writes down [`Action`]s. Nothing in this file reads, writes or
-//! waits, so that each case can be played in a test.
+//! The scheduler acts through its `Host` trait, whose implementation here records [`Action`]s. Nothing in this file
+//! performs I/O or waits, so that every case can be replayed in a test.
 
 use crate::budget::{Expense, SharedBudgets};
 use crate::dispatch_policy::{DispatchPolicy, Permission};
@@ -25,118 +25,133 @@
 use std::sync::Arc;
 use tokio_util::sync::CancellationToken;
 
-/// What was read.
+/// An input of the reducer.
 pub enum Event {
+    /// A frontend has submitted a work unit.
     Submitted(Submission),
-    /// The client has gone away.
+    /// The client of this work unit has disconnected.
     ClientLeft(u64),
-    /// Nothing more is to be tried for it: its answer is due now.
+    /// No further attempt is possible for this work unit: its answer is due now.
     NoMoreAttempts(u64),
+    /// A worker has started an allocation.
     Started(AllocationId),
+    /// An allocation has ended.
     Finished(AllocationResult),
+    /// A worker has reported its load.
     LoadReported(u64, LoadReport),
-    /// A worker that fetches its work waits for so many work units; it had heard of so many orders by then.
+    /// A worker that fetches its work has asked for more.
     WorkerPolled {
         worker: u64,
+        /// Work units that it asks for.
         requested: u64,
+        /// Allocation requests that it had received by then.
         requests_seen: u64,
     },
-    /// A source has told of workers; the list service also which version that was.
+    /// A source has reported workers; from the list service, with the version of the list.
     MembershipChanged(Option<u64>, MembershipUpdate),
-    /// The list service has failed.
+    /// The watch of the list service has ended.
     ListFailed,
-    /// The list service is at another address.
+    /// The list service has a new address.
     ListMoved,
+    /// The timer of [`Action::WakeIn`] is due.
     TimerFired,
-    /// The program ends: what is still held gets its answer now.
+    /// The time for draining is over: every work unit still held gets its answer now.
     DrainDeadline,
 }
 
-/// What is to be done.
+/// An effect to be carried out by the executor.
 pub enum Action {
+    /// Sends an allocation to a worker.
     Send {
         endpoint: Arc<dyn Endpoint>,
         request: AllocationRequest,
     },
-    /// Gives up an allocation.
+    /// Cancels an allocation in flight.
     Cancel(AllocationId),
+    /// Gives the client its final answer.
     Answer {
         work_unit: u64,
-        /// `None` if the work unit was not taken.
+        /// `None` if the work unit was not accepted.
         project_type: Option<usize>,
         responder: Box<dyn Responder>,
         answer: Answer,
     },
+    /// Requests a load report from a worker.
     Probe {
         worker: u64,
         endpoint: Arc<dyn Endpoint>,
     },
-    Watch {
-        after: Option<u64>,
-    },
+    /// Watches the list service for changes after this version.
+    Watch { after: Option<u64> },
+    /// Sends a timer event after this many seconds.
     WakeIn(f64),
+    /// Writes a line to the log.
     Log(String),
 }
 
-struct Held {
+/// A work unit with its request, until it is over.
+struct HeldWorkUnit {
     work_unit: Rc<WorkUnit>,
     client_request_id: Option<Box<[u8]>>,
     payload: Payload,
-    /// Where the final answer goes, until it is given.
+    /// Receives the final answer; `None` once it is given, or the client has disconnected.
     responder: Option<Box<dyn Responder>>,
 }
 
+/// The state of a scheduler process.
 pub struct Reducer {
     scheduler: Scheduler,
     project_types: ProjectTypes,
-    /// Allocations that may be out at once, and how many seconds before its client's limit one ends.
-    most_out: usize,
-    margin: f64,
-    held: FxHashMap<u64, Held>,
-    /// The clients' ids of what is held, and of what is over, up to when its client would have given up.
-    ids: HashSet<Box<[u8]>>,
-    over: VecDeque<(f64, Box<[u8]>)>,
-    /// What is out, and what takes it back as far as it is not written.
-    out: FxHashMap<AllocationId, CancellationToken>,
+    /// Limit on the allocations in flight.
+    max_in_flight: usize,
+    /// Seconds before the client's limit at which an allocation times out.
+    send_margin: f64,
+    held: FxHashMap<u64, HeldWorkUnit>,
+    /// The client request ids of work units that are held, or listed in `recent_request_ids`.
+    request_ids: HashSet<Box<[u8]>>,
+    /// The client request ids of work units that are over, with the time at which the client would have given up.
+    recent_request_ids: VecDeque<(f64, Box<[u8]>)>,
+    /// The allocations in flight, with the tokens that stop the writing of what is not written yet.
+    in_flight: FxHashMap<AllocationId, CancellationToken>,
     membership: Membership,
-    version: Option<u64>,
-    /// Limits of many schedulers together, where there are any.
-    purse: Option<Arc<dyn SharedBudgets>>,
-    /// What else is asked whether work may go to a worker, where anything is.
-    permit: Option<Arc<dyn DispatchPolicy>>,
-    look_at: f64,
+    list_version: Option<u64>,
+    /// Budgets shared by several schedulers, if configured.
+    budgets: Option<Arc<dyn SharedBudgets>>,
+    /// An additional check whether work may be sent to a worker, if set.
+    policy: Option<Arc<dyn DispatchPolicy>>,
+    recheck_at: f64,
 }
 
-/// The module's door onto the backs.
-struct OpenDoor<'a> {
+/// Records the actions of the scheduler during one call, with the state that it needs for them.
+struct ActionCollector<'a> {
     now: f64,
-    most_out: usize,
-    margin: f64,
-    version: Option<u64>,
-    held: &'a mut FxHashMap<u64, Held>,
-    out: &'a mut FxHashMap<AllocationId, CancellationToken>,
+    max_in_flight: usize,
+    send_margin: f64,
+    list_version: Option<u64>,
+    held: &'a mut FxHashMap<u64, HeldWorkUnit>,
+    in_flight: &'a mut FxHashMap<AllocationId, CancellationToken>,
     membership: &'a Membership,
-    purse: Option<&'a dyn SharedBudgets>,
-    has: Cell<Option<bool>>,
-    permit: Option<&'a dyn DispatchPolicy>,
-    /// The earliest time at which what was refused may be permitted.
-    look_at: Cell<f64>,
-    acts: Vec<Action>,
-    /// Allocations whose outcome is known without a word from the worker.
-    known: Vec<AllocationResult>,
-    /// Work units that may be over.
-    touched: Vec<u64>,
+    budgets: Option<&'a dyn SharedBudgets>,
+    has_budget: Cell<Option<bool>>,
+    policy: Option<&'a dyn DispatchPolicy>,
+    /// The earliest time at which a refused work unit may be permitted.
+    recheck_at: Cell<f64>,
+    actions: Vec<Action>,
+    /// Results of allocations that are known without a response from the worker.
+    immediate_results: Vec<AllocationResult>,
+    /// Work units that may have ended during this call.
+    possibly_ended: Vec<u64>,
 }
 
-impl OpenDoor<'_> {
+impl ActionCollector<'_> {
     fn answer(&mut self, id: u64, answer: Answer) {
-        self.touched.push(id);
+        self.possibly_ended.push(id);
         let held = self.held.get_mut(&id);
         if let Some((responder, work_unit)) =
             held.and_then(|held| Some((held.responder.take()?, &held.work_unit)))
         {
             let project_type = Some(work_unit.project_type);
-            self.acts.push(Action::Answer {
+            self.actions.push(Action::Answer {
                 work_unit: id,
                 project_type,
                 responder,
@@ -146,60 +161,61 @@
     }
 }
 
-impl Host for OpenDoor<'_> {
+impl Host for ActionCollector<'_> {
     fn permits(&self, work_unit: &WorkUnit, worker: &Worker) -> bool {
-        if let Some((permit, held)) = self.permit.zip(self.held.get(&work_unit.id)) {
-            match permit.permits(self.now, work_unit, &held.payload, worker) {
+        if let Some((policy, held)) = self.policy.zip(self.held.get(&work_unit.id)) {
+            match policy.permits(self.now, work_unit, &held.payload, worker) {
                 Permission::Granted => {}
                 Permission::Refused => return false,
                 Permission::NotBefore(at) => {
-                    self.look_at.set(self.look_at.get().min(at));
+                    self.recheck_at.set(self.recheck_at.get().min(at));
                     return false;
                 }
             }
         }
-        let Some(purse) = self.purse.filter(|_| work_unit.is_retry()) else {
+        let Some(budgets) = self.budgets.filter(|_| work_unit.is_retry()) else {
             return true;
         };
-        // Asked for each work unit that waits and each worker: the answer holds until something is sent.
-        let has = self
-            .has
+        // Called for each queued work unit and each worker: the answer is cached until something is sent.
+        let has_budget = self
+            .has_budget
             .get()
-            .unwrap_or_else(|| purse.has_available(Expense { is_retry: true }));
-        self.has.set(Some(has));
-        has
+            .unwrap_or_else(|| budgets.has_available(Expense { is_retry: true }));
+        self.has_budget.set(Some(has_budget));
+        has_budget
     }
     fn preferred_worker(&self, work_unit: &WorkUnit) -> Option<u64> {
-        let (permit, held) = self.permit.zip(self.held.get(&work_unit.id))?;
-        permit.preferred_worker(&held.payload)
+        let (policy, held) = self.policy.zip(self.held.get(&work_unit.id))?;
+        policy.preferred_worker(&held.payload)
     }
-    fn allocate(&mut self, alloc: &Allocation) {
-        let Some(work_unit) = alloc.work_unit.upgrade() else {
+    fn allocate(&mut self, allocation: &Allocation) {
+        let Some(work_unit) = allocation.work_unit.upgrade() else {
             return;
         };
-        let id = (work_unit.id, alloc.number);
-        let full = self.out.len() >= self.most_out;
+        let id = (work_unit.id, allocation.number);
+        let is_unsendable = self.in_flight.len() >= self.max_in_flight;
         let withdrawn = CancellationToken::new();
-        self.out.insert(id, withdrawn.clone());
-        let is_retry = alloc.number > 0;
+        self.in_flight.insert(id, withdrawn.clone());
+        let is_retry = allocation.number > 0;
         let reservation = self
-            .purse
+            .budgets
             .filter(|_| is_retry)
-            .map(|purse| purse.reserve(Expense { is_retry }));
-        self.has.set(None);
-        // What was permitted a moment ago may have lapsed.
-        let full = full || reservation.as_ref().is_some_and(Option::is_none);
+            .map(|budgets| budgets.reserve(Expense { is_retry }));
+        self.has_budget.set(None);
+        // The budget may have expired since it was checked.
+        let is_unsendable = is_unsendable || reservation.as_ref().is_some_and(Option::is_none);
         match (
-            self.membership.endpoint(alloc.worker.entry.id),
+            self.membership.endpoint(allocation.worker.entry.id),
             self.held.get(&work_unit.id),
         ) {
-            // Without a descriptor or a budget to spare it is not sent, and that is known at once.
-            (Some(_), Some(_)) if full => self
-                .known
+            // Without a free connection slot or budget it is not sent, and its outcome is known at once.
+            (Some(_), Some(_)) if is_unsendable => self
+                .immediate_results
                 .push(AllocationResult::from_outcome(id, Outcome::Moot)),
             (Some(endpoint), Some(held)) => {
                 let (project_type, customer) = (work_unit.project_type, work_unit.customer);
-                let (payload, deadline) = (held.payload.clone(), work_unit.deadline - self.margin);
+                let (payload, deadline) =
+                    (held.payload.clone(), work_unit.deadline - self.send_margin);
                 let reservation = reservation.flatten();
                 let request = AllocationRequest {
                     allocation_id: id,
@@ -210,23 +226,23 @@
                     reservation,
                     withdrawn,
                 };
-                self.acts.push(Action::Send {
+                self.actions.push(Action::Send {
                     endpoint: endpoint.clone(),
                     request,
                 });
             }
             _ => self
-                .known
+                .immediate_results
                 .push(AllocationResult::from_outcome(id, Outcome::NoConnection)),
         }
     }
-    fn cancel(&mut self, alloc: &Allocation) {
-        let Some(work_unit) = alloc.work_unit.upgrade() else {
+    fn cancel(&mut self, allocation: &Allocation) {
+        let Some(work_unit) = allocation.work_unit.upgrade() else {
             return;
         };
-        let id = (work_unit.id, alloc.number);
-        self.acts.push(Action::Cancel(id));
-        self.known
+        let id = (work_unit.id, allocation.number);
+        self.actions.push(Action::Cancel(id));
+        self.immediate_results
             .push(AllocationResult::from_outcome(id, Outcome::Recalled));
     }
     fn defer(&mut self, work_unit: &WorkUnit, come_back: f64) {
@@ -238,80 +254,84 @@
     fn probe(&mut self, worker: &Worker) {
         let worker = worker.entry.id;
         if let Some(endpoint) = self.membership.endpoint(worker) {
-            self.acts.push(Action::Probe {
+            self.actions.push(Action::Probe {
                 worker,
                 endpoint: endpoint.clone(),
             });
         }
     }
     fn request_worker_list(&mut self) {
-        self.acts.push(Action::Watch {
-            after: self.version,
+        self.actions.push(Action::Watch {
+            after: self.list_version,
         });
     }
     fn set_timer(&mut self, seconds: f64) {
-        self.acts.push(Action::WakeIn(seconds));
+        self.actions.push(Action::WakeIn(seconds));
     }
     fn log(&mut self, line: &str) {
-        self.acts.push(Action::Log(line.into()));
+        self.actions.push(Action::Log(line.into()));
     }
 }
 
 impl Reducer {
+    /// A reducer without workers or work units. `send_margin` is in seconds.
     pub fn new(
         scheduler: Scheduler,
         project_types: ProjectTypes,
-        most_out: usize,
-        margin: f64,
+        max_in_flight: usize,
+        send_margin: f64,
     ) -> Reducer {
-        let (held, ids, over, out, membership) = Default::default();
-        let (version, purse, permit, look_at) = (None, None, None, f64::INFINITY);
+        let (held, request_ids, recent_request_ids, in_flight, membership) = Default::default();
+        let (list_version, budgets, policy, recheck_at) = (None, None, None, f64::INFINITY);
         Reducer {
             scheduler,
             project_types,
-            most_out,
-            margin,
+            max_in_flight,
+            send_margin,
             held,
-            ids,
-            over,
-            out,
+            request_ids,
+            recent_request_ids,
+            in_flight,
             membership,
-            version,
-            purse,
-            permit,
-            look_at,
+            list_version,
+            budgets,
+            policy,
+            recheck_at,
         }
     }
 
-    /// From now on requests go only where this permits it, too.
-    pub fn set_dispatch_policy(&mut self, permit: Arc<dyn DispatchPolicy>) {
-        self.permit = Some(permit);
+    /// Sets an additional check for sending work to a worker.
+    pub fn set_dispatch_policy(&mut self, policy: Arc<dyn DispatchPolicy>) {
+        self.policy = Some(policy);
     }
 
-    /// The earliest time of the clock at which something that was refused since the last call may be permitted:
-    /// [`Event::TimerFired`] is due then, whatever else wakes it.
+    /// The earliest time, in Unix seconds, at which a work unit that was refused since the last call may be permitted.
+    /// A timer event is due then, in addition to those that the scheduler asks for.
     pub fn take_recheck_time(&mut self) -> Option<f64> {
-        let at = std::mem::replace(&mut self.look_at, f64::INFINITY);
+        let at = std::mem::replace(&mut self.recheck_at, f64::INFINITY);
         at.is_finite().then_some(at)
     }
 
-    /// From now on allocations are sent within these limits, too.
-    pub fn set_shared_budgets(&mut self, purse: Arc<dyn SharedBudgets>) {
-        self.purse = Some(purse);
+    /// Limits allocations by these shared budgets as well.
+    pub fn set_shared_budgets(&mut self, budgets: Arc<dyn SharedBudgets>) {
+        self.budgets = Some(budgets);
     }
 
-    /// How many work units are held.
+    /// The number of work units held.
     pub fn held_count(&self) -> usize {
         self.held.len()
     }
 
-    /// The project types in service.
+    /// The active project types.
     pub fn project_types(&self) -> &[NamedProjectType] {
         self.project_types.active()
     }
 
-    /// New work is of these project types and under these terms from now on; an error, and nothing has changed. All
-    /// that was read before must have been reduced before, as it goes by the numbers of then.
+    /// Replaces the project types and terms for new work. Events received before must be reduced before, as they use
+    /// the previous project type numbers.
+    ///
+    /// # Errors
+    /// If no project type number is free. Nothing has changed then.
     pub fn reconfigure(
         &mut self,
         types: &[(String, ProjectType)],
@@ -340,7 +360,7 @@
         Ok(())
     }
 
-    /// What is so now, for the figures.
+    /// Current values for the metrics page.
     pub fn gauges(&self) -> Gauges {
         let (listed_workers, avoided_workers) = self.scheduler.worker_counts();
         let open_work_units = self
@@ -355,61 +375,63 @@
         }
     }
 
-    /// The start: what the list last said, and which version that was, then whatever the decisions ask for first.
-    /// `takes_over` from a process that still sends.
+    /// Starts the scheduler with the last known worker list and its version, if any, and returns the first actions.
+    /// `takes_over` is set if another process that still sends is being replaced.
     pub fn start(
         &mut self,
         now: f64,
-        known: Option<(u64, MembershipUpdate)>,
+        cached: Option<(u64, MembershipUpdate)>,
         takes_over: bool,
     ) -> Vec<Action> {
-        self.version = known.as_ref().map(|(version, _)| *version);
-        let lines = known
-            .map(|(_, told)| self.membership.apply(told).1)
+        self.list_version = cached.as_ref().map(|(version, _)| *version);
+        let entries = cached
+            .map(|(_, update)| self.membership.apply(update).1)
             .unwrap_or_default();
-        self.with_door(now, |scheduler, door| {
-            scheduler.start(door, now);
-            let news = if takes_over {
-                ListUpdate::Inherited(&lines)
+        self.with_collector(now, |scheduler, collector| {
+            scheduler.start(collector, now);
+            let list_update = if takes_over {
+                ListUpdate::Inherited(&entries)
             } else {
-                ListUpdate::Cached(&lines)
+                ListUpdate::Cached(&entries)
             };
-            scheduler.on_list_update(door, now, news);
+            scheduler.on_list_update(collector, now, list_update);
         })
     }
 
+    /// Applies an event at `now`, in seconds of Unix time.
     pub fn reduce(&mut self, now: f64, event: Event) -> Vec<Action> {
         match event {
-            Event::Submitted(a)
-                if self.held.contains_key(&a.id)
-                    || !self.is_new(now, a.client_request_id.as_deref()) =>
+            Event::Submitted(submission)
+                if self.held.contains_key(&submission.id)
+                    || !self.claim_request_id(now, submission.client_request_id.as_deref()) =>
             {
                 vec![Action::Answer {
-                    work_unit: a.id,
+                    work_unit: submission.id,
                     project_type: None,
-                    responder: a.responder,
+                    responder: submission.responder,
                     answer: Answer::Duplicate,
                 }]
             }
-            Event::Submitted(a) => {
+            Event::Submitted(submission) => {
                 let work_unit = WorkUnit::new(
-                    a.id,
-                    a.project_type,
-                    a.customer,
-                    a.slots,
-                    a.arrived_at,
-                    a.time_budget,
+                    submission.id,
+                    submission.project_type,
+                    submission.customer,
+                    submission.slots,
+                    submission.arrived_at,
+                    submission.time_budget,
                 );
-                let (client_request_id, payload) = (a.client_request_id, a.payload);
-                let held = Held {
+                let (client_request_id, payload) =
+                    (submission.client_request_id, submission.payload);
+                let held = HeldWorkUnit {
                     work_unit: work_unit.clone(),
                     client_request_id,
                     payload,
-                    responder: Some(a.responder),
+                    responder: Some(submission.responder),
                 };
-                self.held.insert(a.id, held);
-                self.with_door(now, |scheduler, door| {
-                    scheduler.on_arrival(door, now, &work_unit)
+                self.held.insert(submission.id, held);
+                self.with_collector(now, |scheduler, collector| {
+                    scheduler.on_arrival(collector, now, &work_unit)
                 })
             }
             Event::ClientLeft(id) => {
@@ -418,33 +440,37 @@
                 };
                 held.responder = None;
                 let work_unit = held.work_unit.clone();
-                self.with_door(now, |scheduler, door| {
-                    door.touched.push(id);
-                    scheduler.on_client_gone(door, now, &work_unit);
+                self.with_collector(now, |scheduler, collector| {
+                    collector.possibly_ended.push(id);
+                    scheduler.on_client_gone(collector, now, &work_unit);
                 })
             }
             Event::NoMoreAttempts(id) => {
-                let open = self.held.get(&id).filter(|held| held.responder.is_some());
-                let Some(work_unit) = open.map(|held| held.work_unit.clone()) else {
+                let unanswered = self.held.get(&id).filter(|held| held.responder.is_some());
+                let Some(work_unit) = unanswered.map(|held| held.work_unit.clone()) else {
                     return Vec::new();
                 };
-                self.with_door(now, |scheduler, door| {
-                    scheduler.give_up(door, now, &work_unit)
+                self.with_collector(now, |scheduler, collector| {
+                    scheduler.give_up(collector, now, &work_unit)
                 })
             }
             Event::Started((id, number)) => {
-                let alloc = self
+                let allocation = self
                     .held
                     .get(&id)
                     .and_then(|held| held.work_unit.allocation(number));
-                let Some(alloc) = alloc.filter(|_| self.out.contains_key(&(id, number))) else {
+                let Some(allocation) =
+                    allocation.filter(|_| self.in_flight.contains_key(&(id, number)))
+                else {
                     return Vec::new();
                 };
-                self.with_door(now, |scheduler, door| scheduler.on_start(door, now, &alloc))
-            }
-            Event::Finished(told) => {
-                self.with_door(now, |scheduler, door| back(scheduler, door, told))
+                self.with_collector(now, |scheduler, collector| {
+                    scheduler.on_start(collector, now, &allocation)
+                })
             }
+            Event::Finished(result) => self.with_collector(now, |scheduler, collector| {
+                finish_allocation(scheduler, collector, result)
+            }),
             Event::LoadReported(worker, report) => {
                 if let Some(worker) = self.scheduler.worker(worker).cloned() {
                     worker.record_report(now, report);
@@ -460,154 +486,168 @@
                     return Vec::new();
                 };
                 worker.record_pull(requested, requests_seen);
-                self.with_door(now, |scheduler, door| scheduler.on_timer(door, now))
+                self.with_collector(now, |scheduler, collector| {
+                    scheduler.on_timer(collector, now)
+                })
             }
-            Event::ListFailed => self.with_door(now, |s, door| {
-                s.on_list_update(door, now, ListUpdate::Failed)
+            Event::ListFailed => self.with_collector(now, |s, collector| {
+                s.on_list_update(collector, now, ListUpdate::Failed)
             }),
-            Event::MembershipChanged(version, told) => {
-                self.version = version.or(self.version);
-                // Only what the list says is a sign of life of the list.
-                let from_list = told.source == WorkerSource::ListService;
-                let (full, lines) = self.membership.apply(told);
-                let news = match full {
-                    true => ListUpdate::Full(&lines),
-                    false if from_list => ListUpdate::Changes(&lines),
-                    false => ListUpdate::SelfRegistered(&lines),
+            Event::MembershipChanged(version, update) => {
+                self.list_version = version.or(self.list_version);
+                // Only updates from the list service show that it is alive.
+                let from_list = update.source == WorkerSource::ListService;
+                let (full, entries) = self.membership.apply(update);
+                let list_update = match full {
+                    true => ListUpdate::Full(&entries),
+                    false if from_list => ListUpdate::Changes(&entries),
+                    false => ListUpdate::SelfRegistered(&entries),
                 };
-                let acts = self.with_door(now, |s, door| s.on_list_update(door, now, news));
-                self.take_back();
-                acts
+                let actions = self.with_collector(now, |s, collector| {
+                    s.on_list_update(collector, now, list_update)
+                });
+                self.withdraw_unwritten();
+                actions
             }
-            // At once, whatever was to be asked of the old one: nothing it says from now on is heard. Another service
-            // may be another deployment's, with versions of its own.
+            // Immediately, whatever request to the old address was due: its responses are ignored from now on. The new
+            // service may belong to another deployment, with versions of its own.
             Event::ListMoved => {
-                self.version = None;
+                self.list_version = None;
                 vec![Action::Watch { after: None }]
             }
-            Event::TimerFired => self.with_door(now, |s, door| s.on_timer(door, now)),
-            Event::DrainDeadline => self.last_call(now),
+            Event::TimerFired => {
+                self.with_collector(now, |s, collector| s.on_timer(collector, now))
+            }
+            Event::DrainDeadline => self.answer_all(now),
         }
     }
 
-    /// What is still to be written to a worker that takes nothing new, or is another process by now, stays unwritten
-    /// (rules 3 and 4): a connection may come up long after the list has told of that.
-    fn take_back(&self) {
-        for ((id, number), withdrawn) in &self.out {
-            let alloc = self
+    /// Stops the writing of requests to workers that accept nothing new, or have been replaced by another process
+    /// (rules 3 and 4): a connection may be established long after the list has reported that.
+    fn withdraw_unwritten(&self) {
+        for ((id, number), withdrawn) in &self.in_flight {
+            let allocation = self
                 .held
                 .get(id)
                 .and_then(|held| held.work_unit.allocation(*number));
-            if alloc.is_some_and(|alloc| !alloc.worker.accepts_new_work()) {
+            if allocation.is_some_and(|allocation| !allocation.worker.accepts_new_work()) {
                 withdrawn.cancel();
             }
         }
     }
 
-    /// Each request has an id of its own. Who sends another's must not reach a worker with it, which would
-    /// take it for the same work, nor touch the answer that the other is owed.
-    fn is_new(&mut self, now: f64, client_request_id: Option<&[u8]>) -> bool {
-        while let Some((_, id)) = self.over.pop_front_if(|(until, _)| *until <= now) {
-            self.ids.remove(&id);
+    /// Claims the id for a new request; `false` if another request has it. A duplicate must not reach a worker, which
+    /// would take it for the same work, nor affect the answer to the other request.
+    fn claim_request_id(&mut self, now: f64, client_request_id: Option<&[u8]>) -> bool {
+        while let Some((_, id)) = self
+            .recent_request_ids
+            .pop_front_if(|(until, _)| *until <= now)
+        {
+            self.request_ids.remove(&id);
         }
-        client_request_id.is_none_or(|id| self.ids.insert(id.into()))
+        client_request_id.is_none_or(|id| self.request_ids.insert(id.into()))
     }
 
-    /// What is still unanswered is given up; how, the decisions know.
-    fn last_call(&mut self, now: f64) -> Vec<Action> {
-        let open = self.held.values().filter(|held| held.responder.is_some());
-        let open: Vec<Rc<WorkUnit>> = open.map(|held| held.work_unit.clone()).collect();
-        self.with_door(now, |scheduler, door| {
-            open.iter()
-                .for_each(|work_unit| scheduler.give_up(door, now, work_unit));
+    /// Has the scheduler give up every unanswered work unit.
+    fn answer_all(&mut self, now: f64) -> Vec<Action> {
+        let unanswered = self.held.values().filter(|held| held.responder.is_some());
+        let unanswered: Vec<Rc<WorkUnit>> = unanswered.map(|held| held.work_unit.clone()).collect();
+        self.with_collector(now, |scheduler, collector| {
+            unanswered
+                .iter()
+                .for_each(|work_unit| scheduler.give_up(collector, now, work_unit));
         })
     }
 
-    fn with_door(
+    fn with_collector(
         &mut self,
         now: f64,
-        call: impl FnOnce(&mut Scheduler, &mut OpenDoor),
+        call: impl FnOnce(&mut Scheduler, &mut ActionCollector),
     ) -> Vec<Action> {
-        let acts = self
+        let actions = self
             .membership
             .take_log_lines()
             .into_iter()
             .map(Action::Log)
             .collect();
-        let mut door = OpenDoor {
+        let mut collector = ActionCollector {
             now,
-            most_out: self.most_out,
-            margin: self.margin,
-            version: self.version,
+            max_in_flight: self.max_in_flight,
+            send_margin: self.send_margin,
+            list_version: self.list_version,
             held: &mut self.held,
-            out: &mut self.out,
+            in_flight: &mut self.in_flight,
             membership: &self.membership,
-            purse: self.purse.as_deref(),
-            has: Cell::new(None),
-            permit: self.permit.as_deref(),
-            look_at: Cell::new(f64::INFINITY),
-            acts,
-            known: Vec::new(),
-            touched: Vec::new(),
+            budgets: self.budgets.as_deref(),
+            has_budget: Cell::new(None),
+            policy: self.policy.as_deref(),
+            recheck_at: Cell::new(f64::INFINITY),
+            actions,
+            immediate_results: Vec::new(),
+            possibly_ended: Vec::new(),
         };
-        call(&mut self.scheduler, &mut door);
-        while let Some(told) = door.known.pop() {
-            back(&mut self.scheduler, &mut door, told);
+        call(&mut self.scheduler, &mut collector);
+        while let Some(result) = collector.immediate_results.pop() {
+            finish_allocation(&mut self.scheduler, &mut collector, result);
         }
-        let OpenDoor {
-            acts,
-            touched,
-            look_at,
+        let ActionCollector {
+            actions,
+            possibly_ended,
+            recheck_at,
             ..
-        } = door;
-        self.look_at = self.look_at.min(look_at.get());
-        for id in touched {
+        } = collector;
+        self.recheck_at = self.recheck_at.min(recheck_at.get());
+        for id in possibly_ended {
             if let Entry::Occupied(held) = self.held.entry(id)
                 && held.get().work_unit.ended()
             {
-                // Where nothing may be called off, what is not written yet still may not go.
-                let allocs =
+                // Even where allocations must not be cancelled, requests that are not fully written must not be sent.
+                let allocations =
                     (0..).map_while(|n| held.get().work_unit.allocation(n).map(|_| (id, n)));
-                allocs
-                    .filter_map(|id| self.out.get(&id))
+                allocations
+                    .filter_map(|id| self.in_flight.get(&id))
                     .for_each(CancellationToken::cancel);
                 if !held.get().work_unit.is_settled() {
                     continue;
                 }
-                let Held {
+                let HeldWorkUnit {
                     work_unit,
                     client_request_id,
                     ..
                 } = held.remove();
-                self.over
+                self.recent_request_ids
                     .extend(client_request_id.map(|id| (work_unit.deadline, id)));
             }
         }
-        acts
+        actions
     }
 }
 
-/// An outcome, once for each allocation: a later word on it says nothing.
-fn back(scheduler: &mut Scheduler, door: &mut OpenDoor, told: AllocationResult) {
-    let now = door.now;
-    if door.out.remove(&told.allocation_id).is_none() {
+/// Applies the result of an allocation. Only the first result counts.
+fn finish_allocation(
+    scheduler: &mut Scheduler,
+    collector: &mut ActionCollector,
+    result: AllocationResult,
+) {
+    let now = collector.now;
+    if collector.in_flight.remove(&result.allocation_id).is_none() {
         return;
     }
-    let Some(work_unit) = door
+    let Some(work_unit) = collector
         .held
-        .get(&told.allocation_id.0)
+        .get(&result.allocation_id.0)
         .map(|held| held.work_unit.clone())
     else {
         return;
     };
-    let Some(alloc) = work_unit.allocation(told.allocation_id.1) else {
+    let Some(allocation) = work_unit.allocation(result.allocation_id.1) else {
         return;
     };
-    door.touched.push(work_unit.id);
-    let completed = told.outcome == Outcome::Completed;
+    collector.possibly_ended.push(work_unit.id);
+    let completed = result.outcome == Outcome::Completed;
     if completed {
-        door.answer(work_unit.id, Answer::Completed(told.result));
+        collector.answer(work_unit.id, Answer::Completed(result.result));
     }
-    alloc.worker.record_report(now, told.report);
-    scheduler.on_outcome(door, now, &alloc, told.outcome, completed);
+    allocation.worker.record_report(now, result.report);
+    scheduler.on_outcome(collector, now, &allocation, result.outcome, completed);
 }
--- a/crates/mintlb-core/src/subsystem.rs
+++ b/crates/mintlb-core/src/subsystem.rs
@@ -1,24 +1,24 @@
-//! What the program's loop says to the parts that are joined to it. It knows none of them by name.
+//! The calls of the program's event loop to optional components, which it does not know by name.
 
 use crate::membership::MembershipUpdate;
 
-/// A part that can be left out. It takes its events by tasks of its own, and hears the loop's words here.
+/// An optional component. It handles its own events in tasks of its own; the event loop notifies it here.
 pub trait Subsystem: Send + Sync {
-    /// What the list service told of workers.
-    fn on_membership_update(&self, _told: &MembershipUpdate) {}
-    /// Whether clients are to go elsewhere for now.
+    /// The list service has reported workers.
+    fn on_membership_update(&self, _update: &MembershipUpdate) {}
+    /// Clients are to use other processes, or may use this one again.
     fn set_leaving(&self, _leaving: bool) {}
-    /// The program is to end.
+    /// The process is to exit: begin a graceful shutdown.
     fn begin_shutdown(&self) {}
-    /// The program ends now: the last word that it may say.
+    /// The process exits now: the last chance to send anything.
     fn finish_shutdown(&self) {}
-    /// Nothing of it waits to be written.
+    /// Whether no output waits to be written.
     fn is_flushed(&self) -> bool {
         true
     }
-    /// A line of counts for the log, where there is something to count.
+    /// Logs its counts since the last call, if any.
     fn log_counts(&self) {}
-    /// Its figures for the operators' page, a line each.
+    /// Its metrics for the operators' page, one per line.
     fn metrics(&self) -> String {
         String::new()
     }
--- a/crates/mintlb-core/src/work.rs
+++ b/crates/mintlb-core/src/work.rs
@@ -1,4 +1,4 @@
-//! What passes between fronts, the reducer and backs, whatever protocol either of them speaks.
+//! The types exchanged between frontends, the reducer and backends, independent of their protocols.
 
 use crate::budget::Reservation;
 use bytes::Bytes;
@@ -10,47 +10,49 @@
 use tokio::sync::oneshot;
 use tokio_util::sync::CancellationToken;
 
-/// A work unit's number at this scheduler, and the allocation's among the work unit's.
+/// The work unit's id at this scheduler, and the allocation's number within the work unit.
 pub type AllocationId = (u64, u16);
 
-/// The numbers of work units, one row for all fronts.
+/// Assigns the ids of work units, in one sequence for all frontends.
 #[derive(Clone, Default)]
 pub struct WorkUnitIds(Arc<AtomicU64>);
 
 impl WorkUnitIds {
-    /// A number that no work unit had before, from 1.
+    /// The next unused id, from 1.
     pub fn next(&self) -> u64 {
         self.0.fetch_add(1, Relaxed) + 1
     }
 }
 
-/// What a client handed in. The body goes on as the bytes that came; what else its protocol has is known to that
-/// protocol alone, and a back of another one does without it.
+/// What a client submitted. The body is forwarded unchanged; other data is known to the frontend's protocol only, and a
+/// backend of another protocol does without it.
 #[derive(Clone, Debug)]
 pub struct Payload {
     pub body: Bytes,
-    /// It may not simply run again, so that whether it ran is worth knowing.
+    /// The request must not simply run again, so that it matters whether it ran.
     pub non_idempotent: bool,
+    /// Data of the frontend's protocol, for a backend that speaks the same one.
     pub protocol_data: Arc<dyn Any + Send + Sync>,
 }
 
-/// A work unit, as a front hands it in.
+/// A work unit as submitted by a frontend.
 pub struct Submission {
     pub id: u64,
-    /// The client's own name for it, where there is one: nobody else may use it meanwhile.
+    /// The client's request id, if it has one: no other request may use it at the same time.
     pub client_request_id: Option<Box<[u8]>>,
     pub project_type: usize,
     pub customer: Option<usize>,
+    /// Slots that it takes at a worker.
     pub slots: f64,
-    /// Seconds of the clock.
+    /// Unix time in seconds.
     pub arrived_at: f64,
-    /// Seconds from then to the hard limit.
+    /// Seconds from the arrival to the hard limit.
     pub time_budget: f64,
     pub payload: Payload,
     pub responder: Box<dyn Responder>,
 }
 
-/// Where a final answer goes. It is called once for each work unit taken.
+/// Receives the final answer. Called once for each accepted work unit.
 pub trait Responder: Send {
     fn respond(self: Box<Self>, answer: Answer);
 }
@@ -61,34 +63,36 @@
     }
 }
 
-/// A final answer.
+/// The final answer to a work unit.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Answer {
+    /// Completed with this result.
     Completed(Bytes),
-    /// Trying again is harmless, best after so many seconds.
+    /// A retry is harmless, preferably after this many seconds.
     Deferred(f64),
-    /// No promise either way.
+    /// The work unit may have run, or not.
     Aborted,
-    /// Not taken: the client's id is another's, whose work unit it leaves alone.
+    /// Not accepted: another work unit, which is not affected, has the same client request id.
     Duplicate,
 }
 
-/// An allocation to be sent, which ends at `until` (seconds of the clock).
+/// An allocation to be sent to a worker.
 #[derive(Clone, Debug)]
 pub struct AllocationRequest {
     pub allocation_id: AllocationId,
     pub project_type: usize,
     pub customer: Option<usize>,
     pub payload: Payload,
+    /// When the allocation times out, in Unix time in seconds.
     pub deadline: f64,
-    /// What it has to pay at the byte that makes it whole, where something limits it.
+    /// The charge to be committed as its last byte is written, if a shared budget limits it.
     pub reservation: Option<Arc<dyn Reservation>>,
-    /// Cancelled, no more of it may be written: its worker takes nothing new, or its work unit has its answer. What is
-    /// not whole by then never ran; what is stays out.
+    /// Once cancelled, no more of the request may be written: the worker accepts nothing new, or the work unit has its
+    /// answer. A request that is incomplete by then never ran; a complete one stays in flight.
     pub withdrawn: CancellationToken,
 }
 
-/// An allocation that has come back.
+/// The result of an allocation.
 #[derive(Debug)]
 pub struct AllocationResult {
     pub allocation_id: AllocationId,
@@ -98,7 +102,7 @@
 }
 
 impl AllocationResult {
-    /// With nothing else told.
+    /// A result without a load report or a body.
     pub fn from_outcome(allocation_id: AllocationId, outcome: Outcome) -> AllocationResult {
         AllocationResult {
             allocation_id,
@@ -109,20 +113,20 @@
     }
 }
 
-/// The way to one worker, through the back that speaks its protocol. How it shows is for the log.
+/// One worker, reached through the backend that speaks its protocol. The `Display` text is for the log.
 pub trait Endpoint: Display + Send + Sync {
-    /// Sends an allocation. Its one outcome is told later, also if it can't be sent.
+    /// Sends an allocation. Its outcome is reported once, later, also if it can't be sent.
     fn send(&self, request: AllocationRequest) -> Box<dyn CancelHandle>;
-    /// Asks for a load report, where the protocol has such a thing.
+    /// Requests a load report, if the protocol has load reports.
     fn probe(&self, worker: u64);
 }
 
-/// Gives up an allocation that is out; nothing more is told of it.
+/// Cancels an allocation in flight; nothing more is reported of it.
 pub trait CancelHandle: Send {
     fn cancel(self: Box<Self>);
 }
 
-/// An allocation that nothing can be done about any more, as its outcome is told already.
+/// For an allocation whose outcome has already been reported, so that there is nothing to cancel.
 impl CancelHandle for () {
     fn cancel(self: Box<Self>) {}
 }
--- a/crates/mintlb-core/tests/standing.rs
+++ b/crates/mintlb-core/tests/lifecycle.rs
@@ -1,19 +1,20 @@
-//! The standing: words in any order, and what follows from them.
+//! The lifecycle: every order of events gives the expected state and closing times.
 
 use mintlb_core::lifecycle::{CloseDelays, Lifecycle, LifecycleEvent};
 
-/// Words, each at its time: `ready`, `leave`, `join`, `stop`, `succeeded` (stop, with a successor); `!` where it is an error.
-fn after(words: &str) -> Lifecycle {
+/// Applies a script of `time:event` steps. Events: `ready`, `leave`, `join`, `stop`, and `succeeded` (a stop with a
+/// successor); a trailing `!` expects an error that changes nothing.
+fn lifecycle_after(script: &str) -> Lifecycle {
     let mut lifecycle = Lifecycle::new(CloseDelays {
         after_leave: 0.7,
         after_stop: 1.7,
     });
-    for said in words.split_whitespace() {
-        let (at, word) = said.split_once(':').unwrap();
-        let (word, fails) = word
+    for step in script.split_whitespace() {
+        let (at, event) = step.split_once(':').unwrap();
+        let (event, is_error) = event
             .strip_suffix('!')
-            .map_or((word, false), |word| (word, true));
-        let word = match word {
+            .map_or((event, false), |event| (event, true));
+        let event = match event {
             "ready" => LifecycleEvent::Ready,
             "leave" => LifecycleEvent::Leave,
             "join" => LifecycleEvent::Join,
@@ -26,19 +27,20 @@
             other => panic!("{other}"),
         };
         let before = lifecycle;
-        let heard = lifecycle.apply(at.parse().unwrap(), word);
-        assert_eq!(heard.is_err(), fails, "{words}: {said}");
+        let applied = lifecycle.apply(at.parse().unwrap(), event);
+        assert_eq!(applied.is_err(), is_error, "{script}: {step}");
         assert!(
-            heard.is_ok() || lifecycle == before,
-            "{words}: {said} changed something"
+            applied.is_ok() || lifecycle == before,
+            "{script}: the rejected step {step} changed the state"
         );
     }
     lifecycle
 }
 
 #[test]
-fn words_in_any_order() {
-    // Whether it is ready at time 10, what it shows, and from when on its answers end connections, and idle ones close.
+fn events_in_any_order_give_the_expected_state() {
+    // The script, whether the process is ready at its end, the state's name, and from when on connections are closed
+    // after an answer, and while idle.
     let cases = [
         ("", false, "starting", None, None),
         ("0:ready", true, "ready", None, None),
@@ -60,7 +62,7 @@
             Some(3.7),
         ),
         ("0:ready 1:join", true, "ready", None, None),
-        // Told to leave before it could serve, it says no from the first moment on.
+        // A process that was told to leave before it could serve is never ready.
         ("0:leave 1:ready", false, "leaving", Some(0.7), Some(0.7)),
         ("0:leave 1:join", false, "starting", None, None),
         ("0:leave 1:join 2:ready", true, "ready", None, None),
@@ -101,7 +103,7 @@
             Some(2.7),
         ),
         ("0:stop 1:ready", false, "stopping", Some(1.7), Some(1.7)),
-        // A successor takes clients at once, but idle connections first get their time.
+        // A successor takes the clients at once, but idle connections stay open for the delay.
         (
             "0:ready 1:succeeded",
             false,
@@ -117,38 +119,46 @@
             Some(2.7),
         ),
     ];
-    for (words, ready, state_name, closes, closes_idle) in cases {
-        let lifecycle = after(words);
-        assert_eq!(lifecycle.is_ready(), ready, "{words}");
-        assert_eq!(lifecycle.state_name(), state_name, "{words}");
+    for (script, ready, state_name, closes_after, closes_idle_after) in cases {
+        let lifecycle = lifecycle_after(script);
+        assert_eq!(lifecycle.is_ready(), ready, "{script}: ready");
+        assert_eq!(lifecycle.state_name(), state_name, "{script}: state");
         assert_eq!(
             lifecycle.draining_since().is_some(),
-            closes.is_some(),
-            "{words}"
+            closes_after.is_some(),
+            "{script}: draining"
         );
-        let last = words
+        let last_event_at = script
             .split_whitespace()
-            .filter_map(|w| w.split_once(':')?.0.parse().ok())
+            .filter_map(|step| step.split_once(':')?.0.parse().ok())
             .fold(0.0, f64::max);
-        for (what, from, says) in [
+        for (connections, expected, closes_at) in [
             (
-                "answers",
-                closes,
+                "answered connections",
+                closes_after,
                 Lifecycle::closes_after_answer as fn(&Lifecycle, f64) -> bool,
             ),
-            ("idle ones", closes_idle, Lifecycle::closes_idle_connections),
+            (
+                "idle connections",
+                closes_idle_after,
+                Lifecycle::closes_idle_connections,
+            ),
         ] {
             let first = (0..200)
-                .map(|tenth| tenth as f64 / 20.0)
-                .find(|at| says(&lifecycle, at + 1e-9));
-            let from: Option<f64> = from;
-            let near = match (first, from) {
-                (Some(first), Some(from)) => {
-                    (first - from).abs() < 0.06 || first <= from && from <= last
+                .map(|step| step as f64 / 20.0)
+                .find(|time| closes_at(&lifecycle, time + 1e-9));
+            let expected: Option<f64> = expected;
+            let matches = match (first, expected) {
+                (Some(first), Some(expected)) => {
+                    (first - expected).abs() < 0.06
+                        || first <= expected && expected <= last_event_at
                 }
-                (first, from) => first == from,
+                (first, expected) => first == expected,
             };
-            assert!(near, "{words}: {what} close from {first:?}, not {from:?}");
+            assert!(
+                matches,
+                "{script}: {connections} close from {first:?}, expected {expected:?}"
+            );
         }
     }
 }
--- a/crates/mintlb-http/src/connection_slots.rs
+++ b/crates/mintlb-http/src/connection_slots.rs
@@ -1,5 +1,5 @@
-//! The places for clients' connections. When all are taken, the one that is missed least makes room: a flood
-//! of connections must not keep out those that bring work.
+//! Slots for client connections. When all are in use, the least valuable connection is closed: a flood of connections
+//! must not keep out those that bring work.
 
 use crate::sniffer::{EvictionRank, RequestSniffer};
 use parking_lot::Mutex;
@@ -9,111 +9,121 @@
 use tokio::sync::Notify;
 use tokio::time::timeout;
 
+/// The slots of one listener.
 pub struct ConnectionSlots {
-    most: usize,
-    /// A request that has not come whole by then is not one of a usual client.
-    takes: Duration,
-    taken: Mutex<BTreeMap<u64, Arc<RequestSniffer>>>,
-    left: Notify,
+    capacity: usize,
+    /// The time in which an ordinary client sends a complete request.
+    request_time: Duration,
+    connections: Mutex<BTreeMap<u64, Arc<RequestSniffer>>>,
+    slot_freed: Notify,
 }
 
-/// Held by a connection for as long as it lasts.
+/// The slot of one connection, released on drop.
 pub struct ConnectionSlot {
-    number: u64,
+    connection_id: u64,
     pub sniffer: Arc<RequestSniffer>,
-    places: Arc<ConnectionSlots>,
+    slots: Arc<ConnectionSlots>,
 }
 
 impl ConnectionSlot {
-    /// Whether it may still close, now that its end has been called for. What was read since, or what has come and is not
-    /// read yet, would be lost with it: a request may have come, in part or whole, and wait for its answer.
+    /// Whether the connection may still be closed after a close was requested. Not if bytes have arrived since: a
+    /// request that has arrived in part or completely would be lost.
     pub fn may_close(&self) -> bool {
         self.sniffer
-            .eviction_rank(self.places.takes)
-            .is_some_and(|(missed, _)| missed != EvictionRank::MaybeReceiving)
+            .eviction_rank(self.slots.request_time)
+            .is_some_and(|(rank, _)| rank != EvictionRank::MaybeReceiving)
     }
 }
 
 impl Drop for ConnectionSlot {
     fn drop(&mut self) {
-        self.places.taken.lock().remove(&self.number);
-        self.places.left.notify_one();
+        self.slots.connections.lock().remove(&self.connection_id);
+        self.slots.slot_freed.notify_one();
     }
 }
 
 impl ConnectionSlots {
-    pub fn new(most: usize, takes: Duration) -> Arc<ConnectionSlots> {
-        let (taken, left) = Default::default();
+    /// `request_time` is the time in which an ordinary client sends a complete request.
+    pub fn new(capacity: usize, request_time: Duration) -> Arc<ConnectionSlots> {
+        let (connections, slot_freed) = Default::default();
         Arc::new(ConnectionSlots {
-            most,
-            takes,
-            taken,
-            left,
+            capacity,
+            request_time,
+            connections,
+            slot_freed,
         })
     }
 
+    /// The number of connections.
     pub fn in_use(&self) -> usize {
-        self.taken.lock().len()
+        self.connections.lock().len()
     }
 
-    /// Waits until there is a place; how many connections were ended for it.
+    /// Waits for a free slot, evicting connections as needed. Returns the number of connections asked to close.
     pub async fn wait_for_slot(&self) -> u64 {
-        let mut ended = 0;
-        while self.in_use() >= self.most {
-            ended += u64::from(self.evict_one());
-            timeout(self.takes / 4, self.left.notified()).await.ok();
+        let mut closed = 0;
+        while self.in_use() >= self.capacity {
+            closed += u64::from(self.evict_one());
+            timeout(self.request_time / 4, self.slot_freed.notified())
+                .await
+                .ok();
         }
-        ended
+        closed
     }
 
-    /// Ends the connection that is missed least. Before those that bring work go, or may yet, it waits to see who else
-    /// brings none; but not while these are few: whoever waits to be accepted may have handed in work already.
+    /// Asks the least valuable connection to close; returns whether there was one. Connections that bring work, or may
+    /// be sending a request, are spared at first, to find others that bring none; but not while few may be sending one,
+    /// as the clients that wait to be accepted may already have sent work.
     pub fn evict_one(&self) -> bool {
-        let taken = self.taken.lock();
-        let missed = || {
-            taken
+        let connections = self.connections.lock();
+        let ranked = || {
+            connections
                 .values()
-                .filter_map(|sniffer| Some((sniffer.eviction_rank(self.takes)?, sniffer)))
+                .filter_map(|sniffer| Some((sniffer.eviction_rank(self.request_time)?, sniffer)))
         };
-        let may_yet = missed()
-            .filter(|((missed, _), _)| *missed == EvictionRank::MaybeReceiving)
+        let maybe_receiving = ranked()
+            .filter(|((rank, _), _)| *rank == EvictionRank::MaybeReceiving)
             .count();
-        let goes = |missed| {
-            missed < EvictionRank::MaybeReceiving
-                || missed > EvictionRank::MaybeReceiving && may_yet < self.most.div_ceil(2)
+        let is_evictable = |rank| {
+            rank < EvictionRank::MaybeReceiving
+                || rank > EvictionRank::MaybeReceiving
+                    && maybe_receiving < self.capacity.div_ceil(2)
         };
-        let least = missed()
-            .filter(|((missed, _), _)| goes(*missed))
-            .min_by_key(|&(missed, _)| missed);
-        least.map(|(_, sniffer)| sniffer.request_close()).is_some()
+        let victim = ranked()
+            .filter(|((rank, _), _)| is_evictable(*rank))
+            .min_by_key(|&(rank, _)| rank);
+        victim.map(|(_, sniffer)| sniffer.request_close()).is_some()
     }
 
-    /// Ends all connections but those that wait for an answer, or whose request is or may be on its way: one that
-    /// comes slowly is bounded by the time that any request is given.
+    /// Asks all connections to close that neither wait for a response nor are, or may be, sending a request. A slow
+    /// request is bounded by the read timeout.
     pub fn close_idle(&self) {
-        let taken = self.taken.lock();
-        let missed = |sniffer: &RequestSniffer| {
+        let connections = self.connections.lock();
+        let rank = |sniffer: &RequestSniffer| {
             sniffer
-                .eviction_rank(self.takes)
-                .map_or(EvictionRank::MaybeReceiving, |(missed, _)| missed)
+                .eviction_rank(self.request_time)
+                .map_or(EvictionRank::MaybeReceiving, |(rank, _)| rank)
         };
         let idle = |sniffer: &&Arc<RequestSniffer>| {
-            !sniffer.is_busy() && missed(sniffer) != EvictionRank::MaybeReceiving
+            !sniffer.is_busy() && rank(sniffer) != EvictionRank::MaybeReceiving
         };
-        taken
+        connections
             .values()
             .filter(idle)
             .for_each(|sniffer| sniffer.request_close());
     }
 
-    /// Only the one loop that accepts takes places, so one that was free is still free.
-    pub fn acquire(self: &Arc<ConnectionSlots>, number: u64) -> ConnectionSlot {
+    /// Acquires a slot. Only the accept loop does so, so that a slot found free by [`ConnectionSlots::wait_for_slot`]
+    /// is still free.
+    pub fn acquire(self: &Arc<ConnectionSlots>, connection_id: u64) -> ConnectionSlot {
         let sniffer = Arc::new(RequestSniffer::default());
-        self.taken.lock().insert(number, sniffer.clone());
+        self.connections
+            .lock()
+            .insert(connection_id, sniffer.clone());
         ConnectionSlot {
-            number,
+            connection_id,
             sniffer,
-            places: self.clone(),
+            slots: self.clone(),
         }
     }
 }
--- a/crates/mintlb-http/src/dial.rs
+++ b/crates/mintlb-http/src/dial.rs
@@ -1,4 +1,4 @@
-//! Connections to workers and to the list service: dialled within limits, and with their bytes counted.
+//! Connections to workers and to the list service: dialled within limits, with their written bytes counted.
 
 use axum::http::Uri;
 use hyper::rt::{Read, ReadBufCursor, Write};
@@ -22,7 +22,8 @@
 use tokio::time::{Instant, sleep, timeout};
 use tokio_util::sync::CancellationToken;
 
-/// The bytes of a connection that the system took so far, and at how many of them a request will be whole.
+/// The bytes of a connection that the operating system has accepted so far, the total at which the current request is
+/// complete (0 if there is none), and the request's gate.
 #[derive(Clone, Default)]
 pub struct WriteProgress(
     Arc<AtomicU64>,
@@ -30,8 +31,8 @@
     Arc<Mutex<Option<WriteGate>>>,
 );
 
-/// What has to hold while a request is written: its slip is paid at the byte that makes it whole, and it is not taken
-/// back before.
+/// The conditions for writing a request: its reservation is committed with the byte that completes it, and the request
+/// is not withdrawn before.
 #[derive(Clone)]
 pub struct WriteGate {
     pub reservation: Option<Arc<dyn Reservation>>,
@@ -39,19 +40,21 @@
 }
 
 impl WriteProgress {
-    pub fn so_far(&self) -> u64 {
+    /// The bytes accepted so far.
+    pub fn total(&self) -> u64 {
         self.0.load(Relaxed)
     }
 
-    /// A request of so many bytes is written next, as far as its gate lets it.
+    /// A request of this many bytes is written next, as far as its gate permits.
     pub fn expect(&self, length: u64, gate: WriteGate) {
-        self.1.store(self.so_far() + length, Relaxed);
+        self.1.store(self.total() + length, Relaxed);
         *self.2.lock() = Some(gate);
     }
 
-    /// Up to this many more bytes are about to be written: what has been paid for that.
-    fn pay(&self, bytes: usize) -> io::Result<Option<Arc<dyn Reservation>>> {
-        let whole = self.1.load(Relaxed);
+    /// Checks the gate before up to this many bytes are written, and commits the reservation if they may complete the
+    /// request. Returns the reservation that was committed.
+    fn authorize(&self, bytes: usize) -> io::Result<Option<Arc<dyn Reservation>>> {
+        let complete_at = self.1.load(Relaxed);
         let gate = self.2.lock().clone();
         if gate
             .as_ref()
@@ -59,7 +62,7 @@
         {
             return Err(io::Error::other(Withdrawn));
         }
-        if whole == 0 || self.so_far() + (bytes as u64) < whole {
+        if complete_at == 0 || self.total() + (bytes as u64) < complete_at {
             return Ok(None);
         }
         let reservation = gate.and_then(|gate| gate.reservation);
@@ -72,57 +75,58 @@
         }
     }
 
-    /// So many more bytes were taken; whether they make a request whole.
-    fn count(&self, bytes: u64) -> bool {
-        let so_far = self.0.fetch_add(bytes, Relaxed) + bytes;
-        let whole = self.1.load(Relaxed);
-        let makes_whole = whole > 0 && so_far >= whole;
-        if makes_whole {
+    /// The operating system accepted this many more bytes. Returns whether they complete the request.
+    fn advance(&self, bytes: u64) -> bool {
+        let total = self.0.fetch_add(bytes, Relaxed) + bytes;
+        let complete_at = self.1.load(Relaxed);
+        let completes_request = complete_at > 0 && total >= complete_at;
+        if completes_request {
             self.1.store(0, Relaxed);
             self.2.lock().take();
         }
-        makes_whole
+        completes_request
     }
 }
 
+/// A connection that counts its written bytes and checks the gate of the current request.
 pub struct CountedStream {
     io: TokioIo<TcpStream>,
     written: WriteProgress,
-    sends: Arc<AtomicU64>,
-    _link: OwnedSemaphorePermit,
-    /// Dropped after the connection, whose descriptor it takes before anybody else can.
-    _spare: Option<Refill>,
+    sent_requests: Arc<AtomicU64>,
+    _slot: OwnedSemaphorePermit,
+    /// Dropped after the connection, so that it takes the descriptor before anything else can.
+    _refill: Option<RefillOnDrop>,
 }
 
-/// A descriptor kept for who must be able to dial when others have taken all that there are.
+/// A file descriptor in reserve, for a dialer that must work when all other descriptors are in use.
 #[derive(Clone)]
-struct Spare(Arc<Mutex<Option<OwnedFd>>>);
+struct ReservedDescriptor(Arc<Mutex<Option<OwnedFd>>>);
 
-impl Spare {
-    fn new() -> Spare {
-        let spare = Spare(Arc::default());
-        spare.fill();
-        spare
+impl ReservedDescriptor {
+    fn new() -> ReservedDescriptor {
+        let reserve = ReservedDescriptor(Arc::default());
+        reserve.fill();
+        reserve
     }
 
-    /// Takes a descriptor into reserve, if there is none and one is to be had.
+    /// Opens a descriptor as the reserve, unless there is one or none is available.
     fn fill(&self) {
-        let mut kept = self.0.lock();
-        if kept.is_none() {
-            *kept = File::open("/dev/null").ok().map(OwnedFd::from);
+        let mut descriptor = self.0.lock();
+        if descriptor.is_none() {
+            *descriptor = File::open("/dev/null").ok().map(OwnedFd::from);
         }
     }
 
-    /// Gives it to whoever asks the system next; whether there was one.
-    fn free(&self) -> bool {
+    /// Closes the descriptor, for the next caller that opens one. Returns whether there was one.
+    fn release(&self) -> bool {
         self.0.lock().take().is_some()
     }
 }
 
-/// Fills the reserve as soon as a connection has given its descriptor back.
-struct Refill(Spare);
+/// Refills the reserve as soon as a connection has closed its descriptor.
+struct RefillOnDrop(ReservedDescriptor);
 
-impl Drop for Refill {
+impl Drop for RefillOnDrop {
     fn drop(&mut self) {
         self.0.fill();
     }
@@ -131,23 +135,27 @@
 impl Read for CountedStream {
     fn poll_read(
         mut self: Pin<&mut Self>,
-        cx: &mut Context,
-        buf: ReadBufCursor,
+        context: &mut Context,
+        buffer: ReadBufCursor,
     ) -> Poll<io::Result<()>> {
-        Pin::new(&mut self.io).poll_read(cx, buf)
+        Pin::new(&mut self.io).poll_read(context, buffer)
     }
 }
 
 impl CountedStream {
-    fn count(
+    /// Counts the accepted bytes, and refunds the reservation if the request is not complete.
+    fn record_write(
         &self,
-        paid: Option<Arc<dyn Reservation>>,
+        committed: Option<Arc<dyn Reservation>>,
         written: Poll<io::Result<usize>>,
     ) -> Poll<io::Result<usize>> {
-        let makes_whole = matches!(written, Poll::Ready(Ok(n)) if self.written.count(n as u64));
-        self.sends.fetch_add(makes_whole.into(), Relaxed);
-        // The byte that was paid for has not gone: it may go at any time, and is paid for then.
-        paid.filter(|_| !makes_whole)
+        let completes_request =
+            matches!(written, Poll::Ready(Ok(n)) if self.written.advance(n as u64));
+        self.sent_requests
+            .fetch_add(completes_request.into(), Relaxed);
+        // The completing byte was not accepted: it is committed again when it is written.
+        committed
+            .filter(|_| !completes_request)
             .iter()
             .for_each(|reservation| reservation.refund());
         written
@@ -157,30 +165,32 @@
 impl Write for CountedStream {
     fn poll_write(
         mut self: Pin<&mut Self>,
-        cx: &mut Context,
-        buf: &[u8],
+        context: &mut Context,
+        buffer: &[u8],
     ) -> Poll<io::Result<usize>> {
-        let paid = self.written.pay(buf.len())?;
-        let written = Pin::new(&mut self.io).poll_write(cx, buf);
-        self.count(paid, written)
+        let committed = self.written.authorize(buffer.len())?;
+        let written = Pin::new(&mut self.io).poll_write(context, buffer);
+        self.record_write(committed, written)
     }
-    fn poll_flush(mut self: Pin<&mut Self>, cx: &mut Context) -> Poll<io::Result<()>> {
-        Pin::new(&mut self.io).poll_flush(cx)
+    fn poll_flush(mut self: Pin<&mut Self>, context: &mut Context) -> Poll<io::Result<()>> {
+        Pin::new(&mut self.io).poll_flush(context)
     }
-    fn poll_shutdown(mut self: Pin<&mut Self>, cx: &mut Context) -> Poll<io::Result<()>> {
-        Pin::new(&mut self.io).poll_shutdown(cx)
+    fn poll_shutdown(mut self: Pin<&mut Self>, context: &mut Context) -> Poll<io::Result<()>> {
+        Pin::new(&mut self.io).poll_shutdown(context)
     }
     fn is_write_vectored(&self) -> bool {
         self.io.is_write_vectored()
     }
     fn poll_write_vectored(
         mut self: Pin<&mut Self>,
-        cx: &mut Context,
-        bufs: &[io::IoSlice],
+        context: &mut Context,
+        buffers: &[io::IoSlice],
     ) -> Poll<io::Result<usize>> {
-        let paid = self.written.pay(bufs.iter().map(|buf| buf.len()).sum())?;
-        let written = Pin::new(&mut self.io).poll_write_vectored(cx, bufs);
-        self.count(paid, written)
+        let committed = self
+            .written
+            .authorize(buffers.iter().map(|buffer| buffer.len()).sum())?;
+        let written = Pin::new(&mut self.io).poll_write_vectored(context, buffers);
+        self.record_write(committed, written)
     }
 }
 
@@ -190,68 +200,68 @@
     }
 }
 
-/// Nothing was dialled for want of descriptors or the like. That is no fault of who would have been called.
+/// No connection was dialled for lack of local resources, such as file descriptors. The peer is not at fault.
 #[derive(Debug)]
 pub struct NoDescriptor;
 
 impl Display for NoDescriptor {
     fn fmt(&self, f: &mut Formatter) -> std::fmt::Result {
-        f.write_str("no descriptor to spare")
+        f.write_str("no descriptor available")
     }
 }
 
 impl Error for NoDescriptor {}
 
-/// An allocation's last byte was held back, as what it would have spent was there no more.
+/// The last byte of a request was not written, as its budget reservation had expired.
 #[derive(Debug)]
 pub struct BudgetExhausted;
 
 impl Display for BudgetExhausted {
     fn fmt(&self, f: &mut Formatter) -> std::fmt::Result {
-        f.write_str("its budget is spent or has lapsed")
+        f.write_str("the shared budget is exhausted or has expired")
     }
 }
 
 impl Error for BudgetExhausted {}
 
-/// An allocation was taken back before its last byte was written.
+/// A request was withdrawn before its last byte was written.
 #[derive(Debug)]
 pub struct Withdrawn;
 
 impl Display for Withdrawn {
     fn fmt(&self, f: &mut Formatter) -> std::fmt::Result {
-        f.write_str("taken back before it was written")
+        f.write_str("withdrawn before it was completely written")
     }
 }
 
 impl Error for Withdrawn {}
 
-/// Whether this scheduler's own system had nothing left for it.
-fn is_short(error: &(dyn Error + 'static)) -> bool {
-    let code = error
+/// Whether the error is a lack of local resources.
+fn is_local_exhaustion(error: &(dyn Error + 'static)) -> bool {
+    let os_error = error
         .downcast_ref::<io::Error>()
         .and_then(io::Error::raw_os_error);
-    code.is_some_and(|c| {
+    os_error.is_some_and(|code| {
         [
             libc::EMFILE,
             libc::ENFILE,
             libc::ENOBUFS,
             libc::EADDRNOTAVAIL,
         ]
-        .contains(&c)
-    }) || error.source().is_some_and(is_short)
+        .contains(&code)
+    }) || error.source().is_some_and(is_local_exhaustion)
 }
 
-/// Dials with a limit in time, as what never comes up must be known as such, and in number, as descriptors
-/// run out.
+/// Dials connections with a time-out, so that unreachable peers are detected, and with a limit on their number, as
+/// descriptors are limited.
 #[derive(Clone)]
 pub struct Dialer {
     connector: HttpConnector,
-    links: Arc<Semaphore>,
-    wait: Duration,
-    /// Counts the requests written whole that were expected.
-    sends: Arc<AtomicU64>,
-    spare: Option<Spare>,
+    connection_slots: Arc<Semaphore>,
+    dial_timeout: Duration,
+    /// Counts the requests that were completely written.
+    sent_requests: Arc<AtomicU64>,
+    reserve: Option<ReservedDescriptor>,
 }
 
 impl tower_service::Service<Uri> for Dialer {
@@ -259,62 +269,74 @@
     type Error = Box<dyn Error + Send + Sync>;
     type Future = Pin<Box<dyn Future<Output = Result<CountedStream, Self::Error>> + Send>>;
 
-    fn poll_ready(&mut self, cx: &mut Context) -> Poll<Result<(), Self::Error>> {
-        self.connector.poll_ready(cx).map_err(Into::into)
+    fn poll_ready(&mut self, context: &mut Context) -> Poll<Result<(), Self::Error>> {
+        self.connector.poll_ready(context).map_err(Into::into)
     }
     fn call(&mut self, to: Uri) -> Self::Future {
-        let (links, wait, mut connector) = (self.links.clone(), self.wait, self.connector.clone());
-        let (sends, spare) = (self.sends.clone(), self.spare.clone());
+        let (connection_slots, dial_timeout, mut connector) = (
+            self.connection_slots.clone(),
+            self.dial_timeout,
+            self.connector.clone(),
+        );
+        let (sent_requests, reserve) = (self.sent_requests.clone(), self.reserve.clone());
         Box::pin(async move {
-            let Ok(link) = timeout(wait, links.acquire_owned()).await else {
+            let Ok(slot) = timeout(dial_timeout, connection_slots.acquire_owned()).await else {
                 return Err(NoDescriptor.into());
             };
-            let _spare = spare.clone().map(Refill);
-            let end = Instant::now() + wait;
+            let _refill = reserve.clone().map(RefillOnDrop);
+            let deadline = Instant::now() + dial_timeout;
             let io = loop {
                 let io = connector.call(to.clone()).await;
-                let short = io.as_ref().is_err_and(|e| is_short(e));
-                let Some(spare) = spare.as_ref().filter(|_| short && Instant::now() < end) else {
+                let exhausted = io.as_ref().is_err_and(|e| is_local_exhaustion(e));
+                let Some(reserve) = reserve
+                    .as_ref()
+                    .filter(|_| exhausted && Instant::now() < deadline)
+                else {
                     break io;
                 };
-                // Freed, it is the next that the system gives: nothing else runs on this thread in between. If it is out,
-                // the last connection is about to give it back.
-                if !spare.free() {
-                    sleep(wait / 16).await;
+                // Once closed, the descriptor is the next to be allocated: nothing else runs on this thread in between.
+                // If it is in use, the last connection is about to close it.
+                if !reserve.release() {
+                    sleep(dial_timeout / 16).await;
                 }
             };
-            let io = io.map_err(|e| match is_short(&e) {
+            let io = io.map_err(|e| match is_local_exhaustion(&e) {
                 true => NoDescriptor.into(),
                 false => Self::Error::from(e),
             })?;
             Ok(CountedStream {
                 io,
                 written: WriteProgress::default(),
-                sends,
-                _link: link?,
-                _spare,
+                sent_requests,
+                _slot: slot?,
+                _refill,
             })
         })
     }
 }
 
 impl Dialer {
-    pub fn new(links: usize, wait: Duration, sends: Arc<AtomicU64>) -> Dialer {
+    /// `dial_timeout` limits both the wait for a slot and the dialling.
+    pub fn new(
+        connection_slots: usize,
+        dial_timeout: Duration,
+        sent_requests: Arc<AtomicU64>,
+    ) -> Dialer {
         let mut connector = HttpConnector::new();
-        connector.set_connect_timeout(Some(wait));
+        connector.set_connect_timeout(Some(dial_timeout));
         connector.set_nodelay(true);
         Dialer {
             connector,
-            links: Arc::new(Semaphore::new(links)),
-            wait,
-            sends,
-            spare: None,
+            connection_slots: Arc::new(Semaphore::new(connection_slots)),
+            dial_timeout,
+            sent_requests,
+            reserve: None,
         }
     }
 
-    /// One that can dial when all descriptors are taken, by the one that it keeps.
+    /// Reserves a descriptor, so that the dialer works when all others are in use.
     pub fn with_reserved_descriptor(mut self) -> Dialer {
-        self.spare = Some(Spare::new());
+        self.reserve = Some(ReservedDescriptor::new());
         self
     }
 }
--- a/crates/mintlb-http/src/error_chain.rs
+++ b/crates/mintlb-http/src/error_chain.rs
@@ -1,13 +1,13 @@
-//! An error's causes, for the log.
+//! The causes of an error, for the log.
 
 use std::error::Error;
 
-/// An error with what lies behind it: a library's outermost one seldom tells the cause.
+/// Formats an error with its sources: the outermost error of a library seldom tells the cause.
 pub fn error_chain(error: &dyn Error) -> String {
-    let (mut text, mut behind) = (error.to_string(), error.source());
-    while let Some(cause) = behind {
+    let (mut text, mut source) = (error.to_string(), error.source());
+    while let Some(cause) = source {
         text += &format!(": {cause}");
-        behind = cause.source();
+        source = cause.source();
     }
     text
 }
--- a/crates/mintlb-http/src/frontend.rs
+++ b/crates/mintlb-http/src/frontend.rs
@@ -1,8 +1,8 @@
-//! The sockets towards clients: axum's router on hyper's connections.
+//! The HTTP server for clients: axum's router on hyper's connections.
 //!
-//! A handler hands its work unit to the reducer and waits for the one answer. If its client leaves, the
-//! handler is dropped, and the reducer is told. A client that sends what can't be taken gets an error, and one
-//! that sends no whole request in time is closed; either loses its connection, and none of it goes anywhere.
+//! A handler submits its work unit to the reducer and waits for the single answer. If the client disconnects, the
+//! handler is dropped, which notifies the reducer. An invalid request gets an error response, and a client that sends
+//! no complete request in time is disconnected; either closes the connection, and nothing of the request is forwarded.
 
 use crate::connection_slots::{ConnectionSlot, ConnectionSlots};
 use crate::error_chain::error_chain;
@@ -52,88 +52,92 @@
 use tokio_util::io::InspectReader;
 use tower_service::Service;
 
-/// So many bytes behind a request are passed over at once.
-const PASSED_OVER: usize = 4 << 10;
+/// The buffer for bytes after a request, which are discarded.
+const DISCARD_BUFFER_BYTES: usize = 4 << 10;
 
-/// What the front must know of a project type.
-struct Entry {
+/// The properties of a project type that the frontend needs.
+struct ProjectTypeEntry {
     number: usize,
+    /// Seconds from the arrival of a request.
     hard_limit: f64,
-    receipted: bool,
+    needs_idempotency_key: bool,
     non_idempotent: bool,
-    ends: Arc<AnswerCounts>,
+    answer_counts: Arc<AnswerCounts>,
 }
 
+/// The server for clients.
 pub struct Frontend {
-    project_types: Mutex<HashMap<String, Arc<Entry>>>,
+    project_types: Mutex<HashMap<String, Arc<ProjectTypeEntry>>>,
     customers: Vec<String>,
     limits: HttpLimits,
     clock: Clock,
-    tell: UnboundedSender<Event>,
+    event_sender: UnboundedSender<Event>,
     log: Logger,
-    numbers: WorkUnitIds,
+    work_unit_ids: WorkUnitIds,
     capacity: Capacity,
-    places: Arc<ConnectionSlots>,
-    /// Whether clients are to come here, and to stay.
+    slots: Arc<ConnectionSlots>,
+    /// Whether clients are accepted, and their connections kept open.
     lifecycle: Arc<Mutex<Lifecycle>>,
-    /// Requests that were not taken and connections closed to make room, since the last line of counts.
-    not_taken: AtomicU64,
-    closed: AtomicU64,
+    /// Requests rejected since the counts were last logged.
+    rejected: AtomicU64,
+    /// Connections evicted since the counts were last logged.
+    evicted: AtomicU64,
 }
 
-/// Tells the reducer that the client has left, if it is dropped before the answer has come.
-struct Waiting<'a> {
+/// Notifies the reducer that the client has disconnected, if dropped before the answer.
+struct PendingAnswer<'a> {
     id: u64,
-    tell: Option<&'a UnboundedSender<Event>>,
+    event_sender: Option<&'a UnboundedSender<Event>>,
 }
 
-impl Drop for Waiting<'_> {
+impl Drop for PendingAnswer<'_> {
     fn drop(&mut self) {
-        if let Some(tell) = self.tell {
-            tell.send(Event::ClientLeft(self.id)).ok();
+        if let Some(event_sender) = self.event_sender {
+            event_sender.send(Event::ClientLeft(self.id)).ok();
         }
     }
 }
 
-/// Why a request is not taken; none of it has gone anywhere.
-type Unfit = (StatusCode, String);
+/// The response to a request that is rejected. Nothing of it was forwarded.
+type Rejection = (StatusCode, String);
 
 impl Frontend {
+    /// No project types are accepted yet.
     pub fn new(
         customers: Vec<String>,
         limits: HttpLimits,
         shared: (WorkUnitIds, Capacity, Clock, Arc<Mutex<Lifecycle>>),
-        tell: UnboundedSender<Event>,
+        event_sender: UnboundedSender<Event>,
         log: Logger,
     ) -> Arc<Frontend> {
-        let (numbers, capacity, clock, lifecycle) = shared;
+        let (work_unit_ids, capacity, clock, lifecycle) = shared;
         Arc::new(Frontend {
             project_types: Mutex::default(),
             customers,
             clock,
-            tell,
+            event_sender,
             log,
-            numbers,
+            work_unit_ids,
             capacity,
-            places: ConnectionSlots::new(limits.max_client_connections, limits.read_timeout / 20),
+            slots: ConnectionSlots::new(limits.max_client_connections, limits.read_timeout / 20),
             lifecycle,
-            not_taken: AtomicU64::new(0),
-            closed: AtomicU64::new(0),
+            rejected: AtomicU64::new(0),
+            evicted: AtomicU64::new(0),
             limits,
         })
     }
 
-    /// From now on work of these project types is taken, and of no others.
+    /// Accepts work of these project types only, from now on.
     pub fn set_project_types(&self, types: &[NamedProjectType], metrics: &Metrics) {
-        let entry = |named: &NamedProjectType| Entry {
+        let entry = |named: &NamedProjectType| ProjectTypeEntry {
             number: named.number,
             hard_limit: named.project_type.hard_limit,
-            receipted: matches!(
+            needs_idempotency_key: matches!(
                 named.project_type.idempotency,
                 Idempotency::Deduplicated { .. }
             ),
             non_idempotent: named.project_type.idempotency != Idempotency::Idempotent,
-            ends: metrics.answer_counts(&named.name),
+            answer_counts: metrics.answer_counts(&named.name),
         };
         *self.project_types.lock() = types
             .iter()
@@ -141,19 +145,20 @@
             .collect();
     }
 
+    /// Accepts connections until the future is dropped.
     pub async fn listen(self: Arc<Frontend>, listener: TcpListener) {
         let router = Router::new()
             .route("/healthz", get(healthz))
-            .fallback(hand_in)
+            .fallback(submit)
             .with_state(self.clone());
         let mut failing = false;
-        for number in 0.. {
-            self.closed
-                .fetch_add(self.places.wait_for_slot().await, Relaxed);
+        for connection_id in 0.. {
+            self.evicted
+                .fetch_add(self.slots.wait_for_slot().await, Relaxed);
             let accepted = listener.accept().await;
             if let Err(e) = &accepted {
-                // Most often there is no descriptor left: who is missed least makes room. A flood fails often,
-                // and must not fill the log.
+                // Usually there are no descriptors left, so the least valuable connection is closed. Repeated failures
+                // are logged once, as a flood of connections must not fill the log.
                 if !failing {
                     warn!(self.log, "a connection could not be accepted"; "why" => %e);
                 }
@@ -162,40 +167,40 @@
             }
             failing = accepted.is_err();
             if let Ok((stream, _)) = accepted {
-                let place = self.places.acquire(number);
-                tokio::spawn(self.clone().connection(stream, router.clone(), place));
+                let slot = self.slots.acquire(connection_id);
+                tokio::spawn(self.clone().connection(stream, router.clone(), slot));
             }
         }
     }
 
-    /// Idle connections close. New ones are still answered, so this is to be said again and again.
+    /// Closes idle connections. New connections are still accepted, so this has to be called repeatedly.
     pub fn close_idle(&self) {
-        self.places.close_idle();
+        self.slots.close_idle();
     }
 
-    /// The connection that is missed least closes, if there is one that may; whether there is.
+    /// Closes the least valuable connection that may be closed; returns whether there is one.
     pub fn evict_one(&self) -> bool {
-        self.places.evict_one()
+        self.slots.evict_one()
     }
 
-    /// Whether each answer is to end its connection.
+    /// Whether connections are closed after their next response.
     fn closes_after_answer(&self) -> bool {
         self.lifecycle.lock().closes_after_answer(self.clock.now())
     }
 
-    /// How many connections clients have.
+    /// The number of client connections.
     pub fn connections(&self) -> usize {
-        self.places.in_use()
+        self.slots.in_use()
     }
 
-    /// One line of counts, where there is something to count.
+    /// Logs the counts since the last call, unless all are zero.
     pub fn log_counts(&self) {
-        let (not_taken, closed) = (
-            self.not_taken.swap(0, Relaxed),
-            self.closed.swap(0, Relaxed),
+        let (rejected, evicted) = (
+            self.rejected.swap(0, Relaxed),
+            self.evicted.swap(0, Relaxed),
         );
-        if not_taken + closed > 0 {
-            info!(self.log, "clients"; "closed to make room" => closed, "requests not taken" => not_taken,
+        if rejected + evicted > 0 {
+            info!(self.log, "clients"; "evicted" => evicted, "requests rejected" => rejected,
                 "connected" => self.connections());
         }
     }
@@ -204,122 +209,124 @@
         self: Arc<Frontend>,
         stream: TcpStream,
         router: Router,
-        place: ConnectionSlot,
+        slot: ConnectionSlot,
     ) {
         stream.set_nodelay(true).ok();
         let (sniffer, read_timeout, socket) = (
-            place.sniffer.clone(),
+            slot.sniffer.clone(),
             self.limits.read_timeout,
             Arc::new(stream),
         );
-        let looking = sniffer.clone();
+        let observer = sniffer.clone();
         let stream = InspectReader::new(SharedSocket(socket.clone()), move |bytes: &[u8]| {
-            looking.observe(bytes)
+            observer.observe(bytes)
         });
         let service = service_fn(|mut request: Request<Incoming>| {
             request.extensions_mut().insert(sniffer.clone());
             router.clone().call(request)
         });
-        let mut served = http1::Builder::new()
+        let mut connection = http1::Builder::new()
             .timer(TokioTimer::new())
             .header_read_timeout(None)
             .max_buf_size(self.limits.max_head_bytes)
             .serve_connection(TokioIo::new(stream), service);
-        let (mut close_requested, mut alarm) = (
-            pin!(place.sniffer.close_requested()),
+        let (mut close_requested, mut read_timer) = (
+            pin!(slot.sniffer.close_requested()),
             pin!(sleep(read_timeout)),
         );
-        let ended = poll_fn(|cx| {
-            if let Poll::Ready(ended) = Pin::new(&mut served).poll(cx) {
-                return Poll::Ready(Some(ended));
+        let outcome = poll_fn(|context| {
+            if let Poll::Ready(outcome) = Pin::new(&mut connection).poll(context) {
+                return Poll::Ready(Some(outcome));
             }
-            while close_requested.as_mut().poll(cx).is_ready() {
-                if place.may_close() && !has_come(socket.as_raw_fd()) {
+            while close_requested.as_mut().poll(context).is_ready() {
+                if slot.may_close() && !has_unread_bytes(socket.as_raw_fd()) {
                     return Poll::Ready(None);
                 }
-                close_requested.set(place.sniffer.close_requested());
+                close_requested.set(slot.sniffer.close_requested());
             }
-            let since = match place.sniffer.phase() {
+            let since = match slot.sniffer.phase() {
                 Phase::Receiving(since) => since,
-                // While bytes behind the request lie unread, the library looks no further, and would not see
-                // its client leave.
-                Phase::InFlight => return poll_left(&socket, &place.sniffer, cx).map(|()| None),
+                // While bytes after the request are unread, hyper reads no further, and would not notice that the
+                // client disconnects.
+                Phase::InFlight => {
+                    return poll_client_left(&socket, &slot.sniffer, context).map(|()| None);
+                }
                 Phase::Idle(_) => return Poll::Pending,
             };
-            // What is left of a body gets an error first.
-            let due = since + read_timeout + read_timeout / 16;
-            if alarm.deadline() != due {
-                alarm.as_mut().reset(due);
+            // Later than the time-out of the body, so that an incomplete body gets an error response first.
+            let deadline = since + read_timeout + read_timeout / 16;
+            if read_timer.deadline() != deadline {
+                read_timer.as_mut().reset(deadline);
             }
-            alarm.as_mut().poll(cx).map(|()| None)
+            read_timer.as_mut().poll(context).map(|()| None)
         });
-        let Some(ended) = ended.await else { return };
-        if let Err(e) = ended {
-            debug!(self.log, "a client's connection broke"; "why" => error_chain(&e));
+        let Some(outcome) = outcome.await else { return };
+        if let Err(e) = outcome {
+            debug!(self.log, "client connection failed"; "why" => error_chain(&e));
         }
-        // Closed with bytes unread, it would be reset, and the answer lost on its way.
-        let mut stream = served.into_parts().io.into_inner().into_inner();
+        // Closing a socket with unread bytes would reset the connection, and the response could be lost.
+        let mut stream = connection.into_parts().io.into_inner().into_inner();
         let mut unread = vec![0; self.limits.max_head_bytes];
-        let rest = async { while stream.read(&mut unread).await.is_ok_and(|n| n > 0) {} };
-        tokio::select! { _ = timeout(read_timeout, rest) => (), () = close_requested => () }
+        let discard = async { while stream.read(&mut unread).await.is_ok_and(|n| n > 0) {} };
+        tokio::select! { _ = timeout(read_timeout, discard) => (), () = close_requested => () }
     }
 
-    /// Reads what the decisions need out of a request; all else stays as it came.
-    async fn take(
+    /// Reads and checks a request. Headers that the scheduler does not need are kept unchanged.
+    async fn accept(
         &self,
         request: Request,
         sniffer: &RequestSniffer,
-    ) -> Result<(Submission, Arc<AnswerCounts>, oneshot::Receiver<Answer>), Unfit> {
+    ) -> Result<(Submission, Arc<AnswerCounts>, oneshot::Receiver<Answer>), Rejection> {
         let (head, body) = request.into_parts();
-        let unfit = |status, why: &str| (status, why.to_string());
+        let reject = |status, why: &str| (status, why.to_string());
         if let Some(why) = sniffer.fault() {
-            return Err(unfit(StatusCode::BAD_REQUEST, why));
+            return Err(reject(StatusCode::BAD_REQUEST, why));
         }
         if head.method != Method::POST {
-            return Err(unfit(
+            return Err(reject(
                 StatusCode::METHOD_NOT_ALLOWED,
                 "work units come by POST",
             ));
         }
-        // Workers close on what they can't read.
+        // Workers close the connection on paths that they can't parse.
         if !head
             .uri
             .path_and_query()
             .is_some_and(|p| p.as_str().bytes().all(|b| b.is_ascii_graphic()))
         {
-            return Err(unfit(StatusCode::BAD_REQUEST, "the path is no text"));
+            return Err(reject(StatusCode::BAD_REQUEST, "the path is no text"));
         }
         let name = head.uri.path().split('/').nth(1).unwrap_or_default();
         let entry = || {
-            let none = || unfit(StatusCode::NOT_FOUND, "there is no such project type");
+            let unknown = || reject(StatusCode::NOT_FOUND, "there is no such project type");
             self.project_types
                 .lock()
                 .get(name)
                 .cloned()
-                .ok_or_else(none)
+                .ok_or_else(unknown)
         };
         entry()?;
-        if one(&head, "request-id").is_none() {
-            return Err(unfit(StatusCode::BAD_REQUEST, "one Request-Id is needed"));
+        if single_header(&head, "request-id").is_none() {
+            return Err(reject(StatusCode::BAD_REQUEST, "one Request-Id is needed"));
         }
         let customer =
-            text(&head, "tenant").and_then(|t| self.customers.iter().position(|c| c == t));
-        let slots = info(&head, "slots").unwrap_or(1.0);
+            header_text(&head, "tenant").and_then(|t| self.customers.iter().position(|c| c == t));
+        let slots = request_info(&head, "slots").unwrap_or(1.0);
         let body = self.body(body, sniffer).await?;
-        // Its time counts from its last byte: one that came slowly is not late for that.
+        // The arrival time is that of the last byte: a slow transfer does not use up the time budget.
         let arrived_at = self.clock.now();
-        // While the body came, the project type may have changed: what holds is what holds when the work is taken.
+        // The project type may have changed while the body arrived: the current one applies.
         let entry = entry()?;
-        if entry.receipted && one(&head, "idempotency-key").is_none() {
-            return Err(unfit(
+        if entry.needs_idempotency_key && single_header(&head, "idempotency-key").is_none() {
+            return Err(reject(
                 StatusCode::BAD_REQUEST,
                 "one Idempotency-Key is needed",
             ));
         }
-        let time_budget = match text(&head, "request-timeout") {
+        let time_budget = match header_text(&head, "request-timeout") {
             None => entry.hard_limit,
-            // Nobody waits longer than the hard limit, whatever is asked for: each wait has a bound.
-            Some(value) => length(value)
+            // The hard limit bounds every wait, whatever time-out the client requests.
+            Some(value) => parse_duration(value)
                 .ok_or_else(|| {
                     (
                         StatusCode::BAD_REQUEST,
@@ -329,7 +336,7 @@
                 .min(entry.hard_limit),
         };
         let (answer, receiver) = oneshot::channel();
-        let (id, project_type) = (self.numbers.next(), entry.number);
+        let (id, project_type) = (self.work_unit_ids.next(), entry.number);
         let client_request_id = head
             .headers
             .get("request-id")
@@ -340,7 +347,7 @@
             protocol_data: Arc::new(head),
         };
         let responder = Box::new(answer);
-        let arrival = Submission {
+        let submission = Submission {
             id,
             client_request_id,
             project_type,
@@ -351,17 +358,17 @@
             payload,
             responder,
         };
-        Ok((arrival, entry.ends.clone(), receiver))
+        Ok((submission, entry.answer_counts.clone(), receiver))
     }
 
-    /// The whole body, if it comes in time and is as long as was said.
-    async fn body(&self, body: Body, sniffer: &RequestSniffer) -> Result<Bytes, Unfit> {
-        let large = (
+    /// Reads the complete body, within the limits on time and size.
+    async fn body(&self, body: Body, sniffer: &RequestSniffer) -> Result<Bytes, Rejection> {
+        let too_large = (
             StatusCode::PAYLOAD_TOO_LARGE,
             format!("a body of over {} bytes", self.limits.max_body_bytes),
         );
         if body.size_hint().lower() > self.limits.max_body_bytes as u64 {
-            return Err(large);
+            return Err(too_large);
         }
         let Phase::Receiving(since) = sniffer.phase() else {
             return Err((
@@ -383,7 +390,7 @@
         let body =
             body.map_err(
                 |e| match e.source().is_some_and(|e| e.is::<LengthLimitError>()) {
-                    true => large,
+                    true => too_large,
                     false => (
                         StatusCode::BAD_REQUEST,
                         format!("the body: {}", error_chain(&e)),
@@ -397,79 +404,90 @@
     }
 
     async fn answer(&self, request: Request, sniffer: &RequestSniffer) -> Response {
-        // What may be held at once is bounded; a body whose length is not told may be as long as allowed.
-        let most = request
+        // The bytes held at once are limited; a body of unknown length counts with the largest allowed length.
+        let max_bytes = request
             .body()
             .size_hint()
             .upper()
             .unwrap_or(u64::MAX)
             .min(self.limits.max_body_bytes as u64);
-        let room = self.capacity.reserve_body(most as usize);
-        let (arrival, ends, receiver) = match self.take(request, sniffer).await {
-            Ok(taken) => taken,
+        let body_permit = self.capacity.reserve_body(max_bytes as usize);
+        let (submission, answer_counts, receiver) = match self.accept(request, sniffer).await {
+            Ok(accepted) => accepted,
             Err((status, why)) => {
-                self.not_taken.fetch_add(1, Relaxed);
-                debug!(self.log, "a request was not taken"; "status" => status.as_u16(), "why" => &why);
+                self.rejected.fetch_add(1, Relaxed);
+                debug!(self.log, "request rejected"; "status" => status.as_u16(), "why" => &why);
                 return (status, why).into_response();
             }
         };
         sniffer.request_accepted();
-        let (Some(_room), Some(_open)) = (room, self.capacity.reserve_work_unit()) else {
-            ends.deferred.fetch_add(1, Relaxed);
+        let (Some(_body_permit), Some(_work_unit_permit)) =
+            (body_permit, self.capacity.reserve_work_unit())
+        else {
+            answer_counts.deferred.fetch_add(1, Relaxed);
             return deferred(self.limits.retry_after_s);
         };
-        let mut waiting = Waiting {
-            id: arrival.id,
-            tell: Some(&self.tell),
+        let mut pending = PendingAnswer {
+            id: submission.id,
+            event_sender: Some(&self.event_sender),
         };
-        if self.tell.send(Event::Submitted(arrival)).is_err() {
+        if self
+            .event_sender
+            .send(Event::Submitted(submission))
+            .is_err()
+        {
             return deferred(self.limits.retry_after_s);
         }
         let answer = receiver.await;
-        waiting.tell = None;
+        pending.event_sender = None;
         match answer {
             Ok(Answer::Completed(result)) => Body::from(result).into_response(),
             Ok(Answer::Deferred(retry_after_s)) => deferred(retry_after_s),
             Ok(Answer::Duplicate) => {
-                self.not_taken.fetch_add(1, Relaxed);
+                self.rejected.fetch_add(1, Relaxed);
                 (StatusCode::CONFLICT, "this Request-Id has been here").into_response()
             }
-            // It may have run: never a status that says that trying again is harmless.
+            // The work unit may have run, so that the status must not suggest a harmless retry.
             Ok(Answer::Aborted) | Err(_) => StatusCode::BAD_GATEWAY.into_response(),
         }
     }
 }
 
 fn deferred(retry_after_s: f64) -> Response {
-    let mut answer = StatusCode::SERVICE_UNAVAILABLE.into_response();
+    let mut response = StatusCode::SERVICE_UNAVAILABLE.into_response();
     if let Some(after) = Some(retry_after_s)
-        .filter(|&s| s > 0.0)
-        .and_then(|s| format!("{s:.3}").parse().ok())
+        .filter(|&seconds| seconds > 0.0)
+        .and_then(|seconds| format!("{seconds:.3}").parse().ok())
     {
-        answer.headers_mut().insert(RETRY_AFTER, after);
+        response.headers_mut().insert(RETRY_AFTER, after);
     }
-    answer
+    response
 }
 
-/// Passes over what its client still sends, none of which is of its request, until it leaves.
-fn poll_left(socket: &TcpStream, sniffer: &RequestSniffer, cx: &mut Context) -> Poll<()> {
-    let mut behind = [0; PASSED_OVER];
+/// Discards what the client sends after its request, until it disconnects.
+fn poll_client_left(
+    socket: &TcpStream,
+    sniffer: &RequestSniffer,
+    context: &mut Context,
+) -> Poll<()> {
+    let mut discarded = [0; DISCARD_BUFFER_BYTES];
     loop {
-        match ready!(socket.poll_read_ready(cx)).and_then(|()| socket.try_read(&mut behind)) {
-            Ok(n) if n > 0 => sniffer.observe(&behind[..n]),
+        match ready!(socket.poll_read_ready(context)).and_then(|()| socket.try_read(&mut discarded))
+        {
+            Ok(n) if n > 0 => sniffer.observe(&discarded[..n]),
             Err(e) if e.kind() == ErrorKind::WouldBlock => {}
             Ok(_) | Err(_) => return Poll::Ready(()),
         }
     }
 }
 
-/// Whether bytes wait to be read there, also such as we have not been told of.
-fn has_come(socket: RawFd) -> bool {
-    let look = MsgFlags::MSG_PEEK | MsgFlags::MSG_DONTWAIT;
-    recv(socket, &mut [0], look).is_ok_and(|bytes| bytes > 0)
+/// Whether the socket has unread bytes, including bytes that have not been signalled as readable yet.
+fn has_unread_bytes(socket: RawFd) -> bool {
+    let flags = MsgFlags::MSG_PEEK | MsgFlags::MSG_DONTWAIT;
+    recv(socket, &mut [0], flags).is_ok_and(|bytes| bytes > 0)
 }
 
-/// Who asks for this has no work to bring, and needs no place for longer.
+/// Closes the connection, as health checks bring no work and must not occupy a slot.
 async fn healthz(State(frontend): State<Arc<Frontend>>) -> impl IntoResponse {
     let ready = frontend.lifecycle.lock().is_ready();
     let status = if ready {
@@ -480,43 +498,43 @@
     (status, [(CONNECTION, "close")])
 }
 
-async fn hand_in(
+async fn submit(
     State(frontend): State<Arc<Frontend>>,
     Extension(sniffer): Extension<Arc<RequestSniffer>>,
     request: Request,
 ) -> Response {
-    let mut answer = frontend.answer(request, &sniffer).await;
-    let goes_on = sniffer.request_answered() && !answer.status().is_client_error();
-    if frontend.closes_after_answer() || !goes_on {
-        answer
+    let mut response = frontend.answer(request, &sniffer).await;
+    let keep_alive = sniffer.request_answered() && !response.status().is_client_error();
+    if frontend.closes_after_answer() || !keep_alive {
+        response
             .headers_mut()
             .insert(CONNECTION, HeaderValue::from_static("close"));
     }
-    answer
+    response
 }
 
-fn text<'a>(head: &'a Parts, name: &str) -> Option<&'a str> {
+fn header_text<'a>(head: &'a Parts, name: &str) -> Option<&'a str> {
     head.headers.get(name)?.to_str().ok().map(str::trim)
 }
 
-/// A header that must be there once, and say something.
-fn one<'a>(head: &'a Parts, name: &str) -> Option<&'a str> {
+/// The value of a header that must be present once and not be empty.
+fn single_header<'a>(head: &'a Parts, name: &str) -> Option<&'a str> {
     let single = head.headers.get_all(name).iter().count() == 1;
-    text(head, name).filter(|value| single && !value.is_empty())
+    header_text(head, name).filter(|value| single && !value.is_empty())
 }
 
-/// A figure out of `Request-Info: name=value,name=value`.
-fn info(head: &Parts, wanted: &str) -> Option<f64> {
-    let pairs = text(head, "request-info")?
+/// A number from the header `Request-Info: name=value,name=value`.
+fn request_info(head: &Parts, key: &str) -> Option<f64> {
+    let pairs = header_text(head, "request-info")?
         .split(',')
         .filter_map(|pair| pair.split_once('='));
     pairs
-        .filter(|(name, _)| name.trim() == wanted)
+        .filter(|(name, _)| name.trim() == key)
         .find_map(|(_, value)| value.trim().parse().ok())
 }
 
-/// A length of time, a number and its unit, in seconds.
-fn length(value: &str) -> Option<f64> {
+/// Parses a duration, a number with the unit `m` (milliseconds) or `u` (microseconds), to seconds.
+fn parse_duration(value: &str) -> Option<f64> {
     let (number, unit) = value.split_at_checked(value.len().checked_sub(1)?)?;
     let number: f64 = number.trim().parse().ok()?;
     let seconds = match unit {
--- a/crates/mintlb-http/src/last_byte.rs
+++ b/crates/mintlb-http/src/last_byte.rs
@@ -1,8 +1,8 @@
-//! A request's body, the last byte of which waits until the connection has had time to prove sound.
+//! A request body whose last byte is delayed until the connection has had time to fail.
 //!
-//! A worker begins a request when its last byte has come. One that resets a connection as it comes up, or under
-//! a request that is still coming, does so within a round trip; what breaks before the last byte is written
-//! provably never ran, and may go elsewhere (rule 2).
+//! A worker starts a request when it has received the last byte. A worker that resets a connection as it is
+//! established, or during an incomplete request, does so within a round trip. A request whose connection breaks before
+//! the last byte is written provably never ran, and may be sent to another worker (rule 2).
 
 use bytes::Bytes;
 use hyper::body::{Body, Frame, SizeHint};
@@ -13,28 +13,30 @@
 use std::time::Duration;
 use tokio::time::{Sleep, sleep};
 
+/// A body that is sent in two parts: all bytes but the last, then the last one after a delay.
 #[derive(Default)]
 pub struct DelayedLastByte {
-    first: Bytes,
+    all_but_last: Bytes,
     last: Bytes,
-    wait: Duration,
-    waits: Option<Pin<Box<Sleep>>>,
+    delay: Duration,
+    timer: Option<Pin<Box<Sleep>>>,
 }
 
 impl DelayedLastByte {
-    pub fn new(mut body: Bytes, wait: Duration) -> DelayedLastByte {
+    /// With a delay of zero the last byte follows at once.
+    pub fn new(mut body: Bytes, delay: Duration) -> DelayedLastByte {
         let last = body.split_off(body.len().saturating_sub(1));
         DelayedLastByte {
-            first: body,
+            all_but_last: body,
             last,
-            wait,
-            waits: None,
+            delay,
+            timer: None,
         }
     }
 
-    /// How many bytes are still to be written.
+    /// The number of bytes that hyper has not taken yet.
     pub fn remaining(&self) -> u64 {
-        (self.first.len() + self.last.len()) as u64
+        (self.all_but_last.len() + self.last.len()) as u64
     }
 }
 
@@ -44,21 +46,23 @@
 
     fn poll_frame(
         mut self: Pin<&mut Self>,
-        cx: &mut Context,
+        context: &mut Context,
     ) -> Poll<Option<Result<Frame<Bytes>, Infallible>>> {
-        if !self.first.is_empty() {
-            return Poll::Ready(Some(Ok(Frame::data(std::mem::take(&mut self.first)))));
+        if !self.all_but_last.is_empty() {
+            return Poll::Ready(Some(Ok(Frame::data(std::mem::take(
+                &mut self.all_but_last,
+            )))));
         }
         if self.last.is_empty() {
             return Poll::Ready(None);
         }
-        if !self.wait.is_zero() {
-            let wait = self.wait;
+        if !self.delay.is_zero() {
+            let delay = self.delay;
             ready!(
-                self.waits
-                    .get_or_insert_with(|| Box::pin(sleep(wait)))
+                self.timer
+                    .get_or_insert_with(|| Box::pin(sleep(delay)))
                     .as_mut()
-                    .poll(cx)
+                    .poll(context)
             );
         }
         Poll::Ready(Some(Ok(Frame::data(std::mem::take(&mut self.last)))))
--- a/crates/mintlb-http/src/lib.rs
+++ b/crates/mintlb-http/src/lib.rs
@@ -1,5 +1,5 @@
-//! HTTP/1.1 round the core of a mintlb scheduler: the front towards clients, the back towards workers, and the
-//! list service.
+//! HTTP/1.1 for a mintlb scheduler: the frontend for clients, the backend for workers, and the client of the list
+//! service.
 
 pub mod connection_slots;
 pub mod dial;
--- a/crates/mintlb-http/src/limits.rs
+++ b/crates/mintlb-http/src/limits.rs
@@ -1,45 +1,52 @@
-//! Every size, count and time that bounds HTTP, filled at start and handed down.
+//! The limits on sizes, counts and times of HTTP, set at start-up and passed to all parts.
 
 use std::time::Duration;
 
+/// The limits of one scheduler process.
 #[derive(Clone, Debug)]
 pub struct HttpLimits {
-    /// Bytes of a body, and of a head, which is also what a connection buffers.
+    /// Bytes of a request body.
     pub max_body_bytes: usize,
+    /// Bytes of a request head. A connection buffers as much.
     pub max_head_bytes: usize,
-    /// Bytes of one line of a worker: a body, escaped, and some words.
+    /// Bytes of one line of a worker's response: an escaped body and some fields.
     pub max_worker_line_bytes: usize,
-    /// Bytes of one line that the list service writes.
+    /// Bytes of one message of the list service.
     pub max_list_line_bytes: usize,
-    /// Connections from clients; more than work that may be open, so that what is too much still gets its answer.
+    /// Connections from clients. More than the work units that may be held, so that excess requests still get a
+    /// response.
     pub max_client_connections: usize,
-    /// Connections to workers, and of them idle ones to one worker.
+    /// Connections to workers.
     pub max_worker_connections: usize,
+    /// Idle connections to one worker.
     pub max_idle_per_worker: usize,
-    /// A connection that is not up by then never comes up.
+    /// Limit on establishing a connection. A peer that takes longer counts as unreachable.
     pub dial_timeout: Duration,
-    /// A connection that is to be reset as it comes up, or under a request, is by then.
+    /// Delay of the last byte of a non-idempotent request. A worker that resets the connection as it is established, or
+    /// during the request, does so within this time.
     pub last_byte_delay: Duration,
-    /// Idle connections to workers are kept shorter than workers keep theirs.
+    /// How long idle connections to workers are kept: less than the workers' own idle timeout.
     pub idle_timeout: Duration,
-    /// A new connection that takes longer is worth keeping.
+    /// Connections to a worker are reused only if establishing one takes longer than this.
     pub reuse_threshold: Duration,
-    /// A client's request is whole by then, from the connection's begin or from its first byte on.
+    /// Limit on receiving a complete request, from its first byte, or from the start of the connection.
     pub read_timeout: Duration,
-    /// A probe is answered by then, or never.
+    /// Limit on a load probe.
     pub probe_timeout: Duration,
-    /// The list service is never silent for so long, while it is there.
+    /// Limit on the silence of a watch: the list service is never silent for so long while it is up.
     pub list_idle_timeout: Duration,
-    /// A call of it is answered by then, from its dial to the end of a whole list or to a watch's head, or it has failed.
+    /// Limit on a call of the list service, from dialling to the end of a full list, or to the response head of a
+    /// watch.
     pub list_call_timeout: Duration,
-    /// A client that is turned away for want of room is told to come back after so many seconds, or 0.
+    /// `Retry-After` for clients that are rejected for lack of capacity, in seconds; 0 for none.
     pub retry_after_s: f64,
 }
 
-/// The protocol's largest body; a head needs far less.
+/// The largest body that the protocol allows.
 pub const MAX_BODY_BYTES: usize = 64 << 10;
+/// The largest head: heads are far smaller than bodies.
 pub const MAX_HEAD_BYTES: usize = MAX_BODY_BYTES / 4;
-/// A client that sends no whole request is owed an error or a close by then.
+/// A client that sends an incomplete request must get an error or a close within this time, by the protocol.
 pub const REQUEST_ERROR_DEADLINE_S: f64 = 3.0;
-/// The protocol's pause between empty lines of a watch.
+/// Interval of the empty lines in a watch, by the protocol.
 pub const LIST_HEARTBEAT_S: f64 = 2.0;
--- a/crates/mintlb-http/src/list_service.rs
+++ b/crates/mintlb-http/src/list_service.rs
@@ -1,4 +1,4 @@
-//! Watches the list of workers: one call that lasts, each line of it a message.
+//! The client of the list service: a watch is one long response whose lines are messages.
 
 use crate::dial::Dialer;
 use crate::error_chain::error_chain;
@@ -34,7 +34,7 @@
     pub workers: Vec<ListedWorker>,
 }
 
-/// A worker, as the list service has it.
+/// A worker in the list service's format.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct ListedWorker {
     pub id: String,
@@ -53,60 +53,63 @@
 }
 
 impl ListedWorker {
+    /// The worker's state for the scheduler.
     pub fn listed_state(&self) -> ListState {
         match self.state.as_str() {
             "SERVING" => ListState::Ready,
             "DELETED" => ListState::Gone,
-            // What a state unknown to us means for new work is unknown, too.
+            // An unknown state: whether the worker takes new work is unknown as well.
             _ => ListState::Draining,
         }
     }
 }
 
-/// What the list's words stand for, and the way to the workers that it names.
+/// Translates messages of the list service to membership updates.
 #[derive(Clone)]
 pub struct ListDecoder {
+    /// The names of zones and machine kinds, in the order of their numbers.
     pub zones: Vec<String>,
     pub kinds: Vec<String>,
-    /// The project types that workers of the list run.
+    /// The project types that the listed workers run.
     pub runs: ProjectTypeSet,
+    /// Sends requests to the listed workers.
     pub worker_client: WorkerClient,
 }
 
 impl ListDecoder {
-    /// What a message of the list tells of the workers.
-    pub fn membership_update(&self, listing: &ListMessage) -> MembershipUpdate {
-        let members = listing
+    /// Translates one message.
+    pub fn membership_update(&self, message: &ListMessage) -> MembershipUpdate {
+        let members = message
             .workers
             .iter()
             .map(|worker| self.member(worker))
             .collect();
         MembershipUpdate {
             source: WorkerSource::ListService,
-            full: listing.full,
+            full: message.full,
             members,
         }
     }
 
     fn member(&self, worker: &ListedWorker) -> Member {
-        let place = |names: &[String], name: &str| {
+        let index_of = |names: &[String], name: &str| {
             names
                 .iter()
-                .position(|n| n == name)
-                .map_or(u16::MAX, |at| at as u16)
+                .position(|known| known == name)
+                .map_or(u16::MAX, |index| index as u16)
         };
-        let (zone, kind) = (
-            place(&self.zones, &worker.zone),
-            place(&self.kinds, &worker.kind),
+        let (zone, machine_kind) = (
+            index_of(&self.zones, &worker.zone),
+            index_of(&self.kinds, &worker.kind),
         );
-        let came_up = if worker.started_ms.is_finite() {
+        let started_at = if worker.started_ms.is_finite() {
             worker.started_ms.max(0.0) / 1000.0
         } else {
             0.0
         };
-        let (id, cell, listed) = (worker_id(&worker.id), worker.cell, worker.listed_state());
+        let (id, cell, state) = (worker_id(&worker.id), worker.cell, worker.listed_state());
         let address: Option<SocketAddr> = worker.addr.parse().ok();
-        let way = address.map(|address| HttpEndpoint {
+        let endpoint = address.map(|address| HttpEndpoint {
             client: self.worker_client.clone(),
             address,
         });
@@ -116,204 +119,223 @@
                 id,
                 zone,
                 cell,
-                machine_kind: kind,
-                state: listed,
-                started_at: came_up,
+                machine_kind,
+                state,
+                started_at,
                 project_types: self.runs,
                 pulls_work: false,
             },
             host: address.map(|address| address.ip().to_canonical()),
-            endpoint: way.map(|way| Arc::new(way) as Arc<dyn Endpoint>),
+            endpoint: endpoint.map(|endpoint| Arc::new(endpoint) as Arc<dyn Endpoint>),
         }
     }
 }
 
-/// Keeps one watch of the list alive at a time.
+/// Runs at most one watch of the list service at a time.
 pub struct ListWatch {
-    list: ListClient,
-    reading: ListDecoder,
-    tell: UnboundedSender<Event>,
-    /// Who else must hear what the list tells.
-    besides: ListObserver,
+    client: ListClient,
+    decoder: ListDecoder,
+    event_sender: UnboundedSender<Event>,
+    /// Receives every message, in addition to the reducer.
+    observer: ListObserver,
     log: Logger,
-    alive: Option<AbortHandle>,
+    task: Option<AbortHandle>,
 }
 
-/// Hears what the list tells, beside the core: its words, and what they mean.
+/// Receives each message of the list service, and the update that it was translated to.
 pub type ListObserver = Arc<dyn Fn(&ListMessage, &MembershipUpdate) + Send + Sync>;
 
 impl ListWatch {
+    /// No watch is started yet.
     pub fn new(
-        list: ListClient,
-        reading: ListDecoder,
-        tell: UnboundedSender<Event>,
-        besides: ListObserver,
+        client: ListClient,
+        decoder: ListDecoder,
+        event_sender: UnboundedSender<Event>,
+        observer: ListObserver,
         log: Logger,
     ) -> ListWatch {
         ListWatch {
-            list,
-            reading,
-            tell,
-            besides,
+            client,
+            decoder,
+            event_sender,
+            observer,
             log,
-            alive: None,
+            task: None,
         }
     }
 
-    /// The list is watched there from now on; a watch of the old address ends.
-    pub fn replace_client(&mut self, list: ListClient) {
-        self.list = list;
-        self.alive.take().iter().for_each(AbortHandle::abort);
+    /// Uses another list service from now on, and ends the watch of the old one.
+    pub fn replace_client(&mut self, client: ListClient) {
+        self.client = client;
+        self.task.take().iter().for_each(AbortHandle::abort);
     }
 }
 
 impl ListWatcher for ListWatch {
     fn watch(&mut self, after: Option<u64>) {
-        // A question that was due before the list moved must not end the watch that has begun since.
-        if self
-            .alive
-            .as_ref()
-            .is_some_and(|watch| !watch.is_finished())
-        {
+        // A request that was due before the list service moved must not end the watch that has started since.
+        if self.task.as_ref().is_some_and(|task| !task.is_finished()) {
             return;
         }
-        let (list, reading) = (self.list.clone(), self.reading.clone());
-        let (tell, besides, log) = (self.tell.clone(), self.besides.clone(), self.log.clone());
-        let task = async move {
-            let hear = |listing: ListMessage| {
-                let told = reading.membership_update(&listing);
-                besides(&listing, &told);
-                tell.send(Event::MembershipChanged(Some(listing.version), told))
+        let (client, decoder) = (self.client.clone(), self.decoder.clone());
+        let (event_sender, observer, log) = (
+            self.event_sender.clone(),
+            self.observer.clone(),
+            self.log.clone(),
+        );
+        let watch = async move {
+            let on_message = |message: ListMessage| {
+                let update = decoder.membership_update(&message);
+                observer(&message, &update);
+                event_sender
+                    .send(Event::MembershipChanged(Some(message.version), update))
                     .ok();
             };
-            let why = list.watch(after, hear).await;
-            tell.send(Event::ListFailed).ok();
-            warn!(log, "the watch of the list ended"; "why" => why);
+            let why = client.watch(after, on_message).await;
+            event_sender.send(Event::ListFailed).ok();
+            warn!(log, "list service: watch ended"; "why" => why);
         };
-        self.alive = Some(tokio::spawn(task).abort_handle());
+        self.task = Some(tokio::spawn(watch).abort_handle());
     }
 }
 
+/// Calls the list service.
 #[derive(Clone)]
 pub struct ListClient {
     client: Client<Dialer, Empty<Bytes>>,
     address: SocketAddr,
-    line: usize,
-    silence: Duration,
-    call: Duration,
+    max_message_bytes: usize,
+    idle_timeout: Duration,
+    call_timeout: Duration,
 }
 
 impl ListClient {
+    /// A client of the list service at this address.
     pub fn new(limits: &HttpLimits, address: SocketAddr) -> ListClient {
-        // An old watch may end only while the new one is dialled.
+        // Two connections: the old watch may still be ending while the new one is dialled.
         let dialer = Dialer::new(2, limits.dial_timeout, Arc::default()).with_reserved_descriptor();
         let client = Client::builder(TokioExecutor::new())
             .pool_max_idle_per_host(0)
             .build(dialer);
         let HttpLimits {
-            max_list_line_bytes: line,
-            list_idle_timeout: silence,
-            list_call_timeout: call,
+            max_list_line_bytes: max_message_bytes,
+            list_idle_timeout: idle_timeout,
+            list_call_timeout: call_timeout,
             ..
         } = *limits;
         ListClient {
             client,
             address,
-            line,
-            silence,
-            call,
+            max_message_bytes,
+            idle_timeout,
+            call_timeout,
         }
     }
 
-    /// Has what changes after this version heard until the watch ends, or first the whole list if no version is known;
-    /// the cause of the end.
-    pub async fn watch(&self, after: Option<u64>, hear: impl Fn(ListMessage)) -> String {
-        self.follow(after, hear)
+    /// Passes on the changes after this version, or the full list first if no version is known, until the watch ends.
+    /// Returns the cause of the end.
+    pub async fn watch(&self, after: Option<u64>, on_message: impl Fn(ListMessage)) -> String {
+        self.try_watch(after, on_message)
             .await
             .err()
-            .unwrap_or_else(|| "it ended".to_string())
+            .unwrap_or_else(|| "the list service closed it".to_string())
     }
 
-    async fn follow(&self, after: Option<u64>, hear: impl Fn(ListMessage)) -> Result<(), String> {
+    async fn try_watch(
+        &self,
+        after: Option<u64>,
+        on_message: impl Fn(ListMessage),
+    ) -> Result<(), String> {
         let after = match after {
             Some(version) => version,
             None => {
-                let whole = within(self.call, self.whole()).await??;
-                let version = whole.version;
-                hear(whole);
+                let full_list = with_timeout(self.call_timeout, self.full_list()).await??;
+                let version = full_list.version;
+                on_message(full_list);
                 version
             }
         };
-        let head = within(self.call, self.ask(&format!("?watch=1&after={after}"))).await??;
-        let mut lines = LineReader::new(head, self.line);
-        while let Some(listing) = within(self.silence, self.said(&mut lines)).await?? {
-            listing.into_iter().for_each(&hear);
+        let body = with_timeout(
+            self.call_timeout,
+            self.get(&format!("?watch=1&after={after}")),
+        )
+        .await??;
+        let mut lines = LineReader::new(body, self.max_message_bytes);
+        while let Some(message) =
+            with_timeout(self.idle_timeout, self.next_message(&mut lines)).await??
+        {
+            message.into_iter().for_each(&on_message);
         }
         Ok(())
     }
 
-    /// The next message of a watch, which may come indented over several lines, or an empty line of one that has
-    /// nothing to say; `None` at its end. All of it has to come in time: what never becomes whole is no news.
-    async fn said(&self, lines: &mut LineReader) -> Result<Option<Option<ListMessage>>, String> {
-        let mut held = BytesMut::new();
+    /// The next message of a watch, which may span several lines, or `Some(None)` for an empty line, the heartbeat of a
+    /// watch without changes; `None` at the end. The caller limits the time for the whole message.
+    async fn next_message(
+        &self,
+        lines: &mut LineReader,
+    ) -> Result<Option<Option<ListMessage>>, String> {
+        let mut buffer = BytesMut::new();
         while let Some(line) = lines.next().await? {
-            if held.is_empty() && line.iter().all(u8::is_ascii_whitespace) {
+            if buffer.is_empty() && line.iter().all(u8::is_ascii_whitespace) {
                 return Ok(Some(None));
             }
-            // Read again at each of its lines, a long one would cost the square of its length.
-            let may_end = held.is_empty() || line.trim_ascii_end().ends_with(b"}");
-            held.extend(&line);
-            if !may_end && held.len() < self.line {
-                held.extend(b"\n");
+            // Parsing a long message at each of its lines would take quadratic time.
+            let may_be_complete = buffer.is_empty() || line.trim_ascii_end().ends_with(b"}");
+            buffer.extend(&line);
+            if !may_be_complete && buffer.len() < self.max_message_bytes {
+                buffer.extend(b"\n");
                 continue;
             }
-            match serde_json::from_slice(&held) {
-                Ok(listing) => return Ok(Some(Some(listing))),
-                // Between two lines of one only white space may stand.
-                Err(e) if e.is_eof() && held.len() < self.line => held.extend(b"\n"),
-                Err(e) => return Err(format!("a bad line: {e}")),
+            match serde_json::from_slice(&buffer) {
+                Ok(message) => return Ok(Some(Some(message))),
+                // Incomplete: lines of a message are separated by white space only.
+                Err(e) if e.is_eof() && buffer.len() < self.max_message_bytes => {
+                    buffer.extend(b"\n")
+                }
+                Err(e) => return Err(format!("invalid message: {e}")),
             }
         }
-        if held.is_empty() {
+        if buffer.is_empty() {
             Ok(None)
         } else {
-            Err("it ended within a message".to_string())
+            Err("ended within a message".to_string())
         }
     }
 
-    async fn whole(&self) -> Result<ListMessage, String> {
-        let body = Limited::new(self.ask("").await?, self.line).collect();
+    async fn full_list(&self) -> Result<ListMessage, String> {
+        let body = Limited::new(self.get("").await?, self.max_message_bytes).collect();
         let body = body
             .await
-            .map_err(|e| format!("no whole list: {e}"))?
+            .map_err(|e| format!("reading the full list failed: {e}"))?
             .to_bytes();
-        let listing: ListMessage =
-            serde_json::from_slice(&body).map_err(|e| format!("a bad list: {e}"))?;
-        if listing.full {
-            Ok(listing)
+        let message: ListMessage =
+            serde_json::from_slice(&body).map_err(|e| format!("invalid full list: {e}"))?;
+        if message.full {
+            Ok(message)
         } else {
-            Err("a list that says it is not the whole".to_string())
+            Err("the list is not marked as full".to_string())
         }
     }
 
-    async fn ask(&self, query: &str) -> Result<Incoming, String> {
+    async fn get(&self, query: &str) -> Result<Incoming, String> {
         let url = format!("http://{}/v1/servers{query}", self.address);
         let url = url.parse().map_err(|e| format!("{url}: {e}"))?;
-        let answer = self
+        let response = self
             .client
             .get(url)
             .await
-            .map_err(|e| format!("no answer: {}", error_chain(&e)))?;
-        match answer.status() {
-            StatusCode::OK => Ok(answer.into_body()),
-            status => Err(format!("answered {status}")),
+            .map_err(|e| format!("no response: {}", error_chain(&e)))?;
+        match response.status() {
+            StatusCode::OK => Ok(response.into_body()),
+            status => Err(format!("response status {status}")),
         }
     }
 }
 
-/// The step, if it is done in so long.
-async fn within<T>(long: Duration, step: impl Future<Output = T>) -> Result<T, String> {
-    timeout(long, step)
+/// Limits the time of a future.
+async fn with_timeout<T>(limit: Duration, future: impl Future<Output = T>) -> Result<T, String> {
+    timeout(limit, future)
         .await
-        .map_err(|_| format!("silent for {} s", long.as_secs_f64()))
+        .map_err(|_| format!("timed out after {} s", limit.as_secs_f64()))
 }
--- a/crates/mintlb-http/src/sniffer.rs
+++ b/crates/mintlb-http/src/sniffer.rs
@@ -1,7 +1,7 @@
-//! What a client sends, seen before the library reads it.
+//! Inspects the bytes of a client connection before hyper reads them.
 //!
-//! The library passes over two contradicting lengths of a body, takes requests that come before the answer to
-//! the last, and tells nothing of one that has come in part. So a client's bytes pass by here on their way.
+//! hyper accepts contradicting body lengths and pipelined requests, and does not report an incomplete request. The
+//! sniffer detects them, and tells how far a request has arrived.
 
 use httparse::{EMPTY_HEADER, Request, Status};
 use parking_lot::Mutex;
@@ -9,91 +9,100 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// What is seen of one connection.
+/// The state of one client connection, as seen from its bytes.
 pub struct RequestSniffer {
-    state: Mutex<State>,
-    called: Notify,
+    state: Mutex<SnifferState>,
+    close_notify: Notify,
 }
 
-struct State {
-    at: At,
+struct SnifferState {
+    framing: Framing,
     phase: Phase,
     fault: Option<&'static str>,
-    /// When bytes last came, or the connection.
-    heard: Instant,
-    /// In how many pieces the request has come so far.
-    pieces: u32,
-    /// It has handed in work that was taken.
-    worked: bool,
+    /// When bytes were last received, or the connection was accepted.
+    last_read_at: Instant,
+    /// The number of reads that the current request has taken so far.
+    reads: u32,
+    /// The connection has submitted work that was accepted.
+    has_worked: bool,
 }
 
-/// What the next bytes are.
-enum At {
+/// What the next bytes belong to.
+enum Framing {
+    /// A request head, of which these bytes have arrived.
     Head(Vec<u8>),
-    /// So many bytes of a body.
+    /// A body with this many bytes remaining.
     Body(u64),
-    /// The request is whole, and none may come before its answer.
-    Whole,
-    /// Not followed any further: the connection ends with the next answer.
-    Unframed,
+    /// The request is complete. Nothing may follow before its response.
+    Complete,
+    /// Not tracked any further: the connection is closed after the next response.
+    Unknown,
 }
 
+/// The progress of a connection's current request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Phase {
-    /// A request is to come, or has come in part, since then.
+    /// Waiting for a request, or receiving it, since this time.
     Receiving(Instant),
-    /// It was taken, and waits for its answer.
+    /// The request was accepted, and waits for its response.
     InFlight,
-    /// Answered, since then.
+    /// The request was answered at this time.
     Idle(Instant),
 }
 
-/// How much a connection would be missed if its place went to another, least first.
+/// The order in which connections are closed for new ones, first to last.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum EvictionRank {
-    /// It has sent no whole request, and after its first bytes nothing for the time that one takes.
+    /// No complete request has arrived, and nothing after the first read for the time that a request takes.
     Stalled,
-    /// It is idle, and has handed in no work.
+    /// Idle, and has submitted no work.
     IdleUnused,
-    /// Its request may be on its way.
+    /// A request may be on its way.
     MaybeReceiving,
-    /// Its request comes piece by piece: whoever fills places with half of one does not go on with it.
+    /// A request has stalled after several reads. Clients that occupy slots with incomplete requests don't continue
+    /// them, so that this one is probably an ordinary client.
     Trickling,
-    /// It is idle, and has handed in work before.
+    /// Idle, and has submitted work before.
     IdleAfterWork,
 }
 
-/// A head as far as its request's end hangs on it.
+/// The parts of a request head that determine where the request ends.
 #[derive(Debug, PartialEq)]
 enum Head {
-    /// More is to come.
-    Part,
-    /// The library refuses it by itself.
+    /// The head is incomplete.
+    Incomplete,
+    /// Invalid: hyper rejects it.
     Unreadable,
-    /// Its own length, and the body's, if one is told.
+    /// The length of the head, and of the body unless it is chunked.
     Length(usize, Option<u64>),
+    /// Rejected by this sniffer, for this reason.
     Fault(&'static str),
 }
 
-const HEADERS: usize = 100;
+/// Limit on the headers of a request.
+const MAX_HEADERS: usize = 100;
 
-fn head(bytes: &[u8]) -> Head {
-    let mut headers = [EMPTY_HEADER; HEADERS];
+fn parse_head(bytes: &[u8]) -> Head {
+    let mut headers = [EMPTY_HEADER; MAX_HEADERS];
     let mut request = Request::new(&mut headers);
     let end = match request.parse(bytes) {
         Ok(Status::Complete(end)) => end,
-        Ok(Status::Partial) => return Head::Part,
+        Ok(Status::Partial) => return Head::Incomplete,
         Err(_) => return Head::Unreadable,
     };
-    let all = |name: &str| -> Vec<&[u8]> {
+    let values = |name: &str| -> Vec<&[u8]> {
         let named = request
             .headers
             .iter()
             .filter(|h| h.name.eq_ignore_ascii_case(name));
         named.map(|h| h.value).collect()
     };
-    match (&all("transfer-encoding")[..], &all("content-length")[..]) {
-        // Who believes the one finds another request in what the other takes for the body.
+    match (
+        &values("transfer-encoding")[..],
+        &values("content-length")[..],
+    ) {
+        // Request smuggling: a reader that goes by one length finds another request in what the other takes for the
+        // body.
         ([_, ..], [_, ..]) => Head::Fault("both Content-Length and Transfer-Encoding"),
         ([], []) => Head::Length(end, Some(0)),
         ([coding], []) if coding.eq_ignore_ascii_case(b"chunked") => Head::Length(end, None),
@@ -111,145 +120,153 @@
 
 impl Default for RequestSniffer {
     fn default() -> RequestSniffer {
-        let (at, heard) = (At::Head(Vec::new()), Instant::now());
-        let state = State {
-            at,
-            phase: Phase::Receiving(heard),
+        let (framing, last_read_at) = (Framing::Head(Vec::new()), Instant::now());
+        let state = SnifferState {
+            framing,
+            phase: Phase::Receiving(last_read_at),
             fault: None,
-            heard,
-            pieces: 0,
-            worked: false,
+            last_read_at,
+            reads: 0,
+            has_worked: false,
         };
         RequestSniffer {
             state: Mutex::new(state),
-            called: Notify::new(),
+            close_notify: Notify::new(),
         }
     }
 }
 
 impl RequestSniffer {
-    /// The bytes that came, in their order.
+    /// Processes the bytes of one read.
     pub fn observe(&self, mut bytes: &[u8]) {
         let mut state = self.state.lock();
-        state.heard = Instant::now();
+        state.last_read_at = Instant::now();
         if let Phase::Idle(_) = state.phase {
-            (state.phase, state.pieces) = (Phase::Receiving(state.heard), 0);
+            (state.phase, state.reads) = (Phase::Receiving(state.last_read_at), 0);
         }
-        state.pieces += 1;
+        state.reads += 1;
         while !bytes.is_empty() {
-            match &mut state.at {
-                At::Head(held) => {
-                    let before = held.len();
-                    held.extend_from_slice(bytes);
-                    match head(held) {
-                        Head::Part => return,
-                        Head::Unreadable => state.at = At::Unframed,
-                        Head::Fault(why) => (state.at, state.fault) = (At::Unframed, Some(why)),
-                        Head::Length(_, None) => state.at = At::Unframed,
+            match &mut state.framing {
+                Framing::Head(buffer) => {
+                    let previous_length = buffer.len();
+                    buffer.extend_from_slice(bytes);
+                    match parse_head(buffer) {
+                        Head::Incomplete => return,
+                        Head::Unreadable => state.framing = Framing::Unknown,
+                        Head::Fault(why) => {
+                            (state.framing, state.fault) = (Framing::Unknown, Some(why))
+                        }
+                        Head::Length(_, None) => state.framing = Framing::Unknown,
                         Head::Length(end, Some(length)) => {
-                            bytes = &bytes[end - before..];
-                            state.at = if length > 0 {
-                                At::Body(length)
+                            bytes = &bytes[end - previous_length..];
+                            state.framing = if length > 0 {
+                                Framing::Body(length)
                             } else {
-                                At::Whole
+                                Framing::Complete
                             };
                         }
                     }
                 }
-                At::Body(remaining) => {
-                    let part = (*remaining).min(bytes.len() as u64);
-                    *remaining -= part;
-                    bytes = &bytes[part as usize..];
+                Framing::Body(remaining) => {
+                    let taken = (*remaining).min(bytes.len() as u64);
+                    *remaining -= taken;
+                    bytes = &bytes[taken as usize..];
                     if *remaining == 0 {
-                        state.at = At::Whole;
+                        state.framing = Framing::Complete;
                     }
                 }
-                At::Whole => {
+                Framing::Complete => {
                     let why = "more than the body, or a request before the answer to the last";
-                    (state.at, state.fault) = (At::Unframed, Some(why));
+                    (state.framing, state.fault) = (Framing::Unknown, Some(why));
                 }
-                At::Unframed => return,
+                Framing::Unknown => return,
             }
         }
     }
 
+    /// Why the client's bytes are not acceptable, if they are not.
     pub fn fault(&self) -> Option<&'static str> {
         self.state.lock().fault
     }
 
+    /// The progress of the current request.
     pub fn phase(&self) -> Phase {
         self.state.lock().phase
     }
 
-    /// The request is whole, and is taken.
+    /// The request is complete and accepted.
     pub fn request_accepted(&self) {
         let mut state = self.state.lock();
-        (state.phase, state.worked) = (Phase::InFlight, true);
+        (state.phase, state.has_worked) = (Phase::InFlight, true);
     }
 
-    /// Whether the connection may go on once the answer is given, as far as is known before it is.
+    /// Whether the connection may be kept open after the response, as known so far.
     pub fn may_keep_alive(&self) -> bool {
         let state = self.state.lock();
-        state.phase == Phase::InFlight && matches!(state.at, At::Whole)
+        state.phase == Phase::InFlight && matches!(state.framing, Framing::Complete)
     }
 
-    /// The request has its answer. Whether the connection may go on: only after work that was taken, and
-    /// where it is known that the next byte begins a request.
+    /// The request has its response. Returns whether the connection may be kept open: only after an accepted request,
+    /// and if the next byte is known to begin another one.
     pub fn request_answered(&self) -> bool {
         let mut state = self.state.lock();
-        let goes_on = state.phase == Phase::InFlight && matches!(state.at, At::Whole);
-        state.at = if goes_on {
-            At::Head(Vec::new())
+        let keep_alive =
+            state.phase == Phase::InFlight && matches!(state.framing, Framing::Complete);
+        state.framing = if keep_alive {
+            Framing::Head(Vec::new())
         } else {
-            At::Unframed
+            Framing::Unknown
         };
         state.phase = Phase::Idle(Instant::now());
-        goes_on
+        keep_alive
     }
 
-    /// How much it would be missed, and since when; `None` while it waits for an answer. Of a usual client
-    /// something comes in the time that a request takes.
-    pub fn eviction_rank(&self, takes: Duration) -> Option<(EvictionRank, Instant)> {
+    /// The rank for eviction, and since when; `None` while a request is in flight. An ordinary client sends something
+    /// within `request_time`.
+    pub fn eviction_rank(&self, request_time: Duration) -> Option<(EvictionRank, Instant)> {
         let state = self.state.lock();
         match state.phase {
-            // Of those that say nothing who has for longest goes first.
+            // Of silent connections the one that has been silent for longest is closed first.
             Phase::Receiving(_) => {
-                let missed = match state.pieces {
-                    _ if state.heard.elapsed() < takes => EvictionRank::MaybeReceiving,
+                let rank = match state.reads {
+                    _ if state.last_read_at.elapsed() < request_time => {
+                        EvictionRank::MaybeReceiving
+                    }
                     0 | 1 => EvictionRank::Stalled,
                     _ => EvictionRank::Trickling,
                 };
-                Some((missed, state.heard))
+                Some((rank, state.last_read_at))
             }
-            Phase::Idle(since) if state.worked => Some((EvictionRank::IdleAfterWork, since)),
+            Phase::Idle(since) if state.has_worked => Some((EvictionRank::IdleAfterWork, since)),
             Phase::Idle(since) => Some((EvictionRank::IdleUnused, since)),
             Phase::InFlight => None,
         }
     }
 
-    /// Whether it would be read by nobody if it were to end now: a request of it has come in part, or waits.
+    /// Whether closing the connection now would lose a request, which has arrived in part or is in flight.
     pub fn is_busy(&self) -> bool {
         let state = self.state.lock();
         match state.phase {
-            Phase::Receiving(_) => state.pieces > 0,
+            Phase::Receiving(_) => state.reads > 0,
             Phase::InFlight => true,
             Phase::Idle(_) => false,
         }
     }
 
-    /// Whether it waits for a request of which nothing has come.
+    /// Whether the connection waits for a request of which nothing has arrived.
     pub fn is_idle(&self) -> bool {
         let state = self.state.lock();
         matches!(state.phase, Phase::Idle(_))
-            || matches!(state.phase, Phase::Receiving(_)) && state.pieces == 0
+            || matches!(state.phase, Phase::Receiving(_)) && state.reads == 0
     }
 
-    /// The connection is to end.
+    /// Asks the connection's task to close it.
     pub fn request_close(&self) {
-        self.called.notify_one();
+        self.close_notify.notify_one();
     }
 
+    /// Waits until a close is requested.
     pub async fn close_requested(&self) {
-        self.called.notified().await;
+        self.close_notify.notified().await;
     }
 }
--- a/crates/mintlb-http/src/socket.rs
+++ b/crates/mintlb-http/src/socket.rs
@@ -1,4 +1,4 @@
-//! A client's socket, which the library reads and writes while the front looks whether its client is still there.
+//! A client's socket, read and written by hyper while the frontend checks whether the client is still connected.
 
 use nix::sys::socket::{Shutdown, shutdown};
 use std::io::{self, IoSlice};
@@ -9,19 +9,19 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 
-/// One of its holders. All are polled by one task: the system's word on it wakes the task that asked last.
+/// A handle of the socket. All handles must be polled by one task, as readiness wakes only the task that polled last.
 pub struct SharedSocket(pub Arc<TcpStream>);
 
-/// Tries until the system takes or gives something, or says that it will later.
-fn attempt(
-    mut ready: impl FnMut() -> Poll<io::Result<()>>,
-    mut step: impl FnMut() -> io::Result<usize>,
+/// Repeats the I/O until it succeeds or fails, or the socket is not ready.
+fn poll_io(
+    mut poll_ready: impl FnMut() -> Poll<io::Result<()>>,
+    mut try_io: impl FnMut() -> io::Result<usize>,
 ) -> Poll<io::Result<usize>> {
     loop {
-        ready!(ready())?;
-        match step() {
+        ready!(poll_ready())?;
+        match try_io() {
             Err(e) if e.kind() == io::ErrorKind::WouldBlock => {}
-            done => return Poll::Ready(done),
+            result => return Poll::Ready(result),
         }
     }
 }
@@ -29,20 +29,27 @@
 impl AsyncRead for SharedSocket {
     fn poll_read(
         self: Pin<&mut Self>,
-        cx: &mut Context,
-        buf: &mut ReadBuf,
+        context: &mut Context,
+        buffer: &mut ReadBuf,
     ) -> Poll<io::Result<()>> {
-        let read = attempt(
-            || self.0.poll_read_ready(cx),
-            || self.0.try_read(buf.initialize_unfilled()),
+        let read = poll_io(
+            || self.0.poll_read_ready(context),
+            || self.0.try_read(buffer.initialize_unfilled()),
         );
-        read.map_ok(|n| buf.advance(n))
+        read.map_ok(|n| buffer.advance(n))
     }
 }
 
 impl AsyncWrite for SharedSocket {
-    fn poll_write(self: Pin<&mut Self>, cx: &mut Context, buf: &[u8]) -> Poll<io::Result<usize>> {
-        attempt(|| self.0.poll_write_ready(cx), || self.0.try_write(buf))
+    fn poll_write(
+        self: Pin<&mut Self>,
+        context: &mut Context,
+        buffer: &[u8],
+    ) -> Poll<io::Result<usize>> {
+        poll_io(
+            || self.0.poll_write_ready(context),
+            || self.0.try_write(buffer),
+        )
     }
     fn poll_flush(self: Pin<&mut Self>, _: &mut Context) -> Poll<io::Result<()>> {
         Poll::Ready(Ok(()))
@@ -55,12 +62,12 @@
     }
     fn poll_write_vectored(
         self: Pin<&mut Self>,
-        cx: &mut Context,
-        bufs: &[IoSlice],
+        context: &mut Context,
+        buffers: &[IoSlice],
     ) -> Poll<io::Result<usize>> {
-        attempt(
-            || self.0.poll_write_ready(cx),
-            || self.0.try_write_vectored(bufs),
+        poll_io(
+            || self.0.poll_write_ready(context),
+            || self.0.try_write_vectored(buffers),
         )
     }
 }
