--- a/crates/mintlb-http/src/worker.rs
+++ b/crates/mintlb-http/src/worker.rs
@@ -1,10 +1,11 @@
-//! The client side towards workers: one allocation a call, its outcome told once.
+//! The client for workers: each call sends one allocation and reports its outcome once.
 //!
-//! What never ran must be proven (rule 2). Error kinds of a library don't prove it, so each connection counts
-//! the bytes that the system took of it: an allocation whose last byte was never written never ran.
+//! An allocation may be retried freely only if it provably never ran (rule 2). The error kinds of a library don't prove
+//! that, so each connection counts the bytes that the operating system accepted: an allocation whose last byte was
+//! never written never ran.
 //!
-//! A kept connection may have died, or be closing, and what is written to it may have run. So each allocation
-//! dials, unless a new connection to that worker has been seen to be dear and kept ones to have lasted.
+//! A reused connection may be dead or closing, and a request written to it may have run. So every allocation dials,
+//! unless connecting to that worker has proved slow, and reused connections have proved reliable.
 
 use crate::dial::{BudgetExhausted, Dialer, NoDescriptor, WriteGate, WriteProgress};
 use crate::error_chain::error_chain;
@@ -43,49 +44,56 @@
 use tokio::task::AbortHandle;
 use tokio::time::{Instant, timeout, timeout_at};
 
-/// What dials the workers, shared by the allocations.
+/// Sends allocations and load probes to workers. Clones share their connections.
 #[derive(Clone)]
 pub struct WorkerClient {
-    dialling: Client<Dialer, DelayedLastByte>,
-    keeping: Client<Dialer, DelayedLastByte>,
-    /// The quickest that a worker took an allocation on a new connection, its handshake and way included, and
-    /// from where on that is dear.
-    quickest: Arc<Mutex<HashMap<SocketAddr, Duration>>>,
+    /// Dials for every request.
+    fresh_client: Client<Dialer, DelayedLastByte>,
+    /// Reuses connections.
+    pooled_client: Client<Dialer, DelayedLastByte>,
+    /// The shortest time from dialling to the response head, by worker, on new connections.
+    fastest_start: Arc<Mutex<HashMap<SocketAddr, Duration>>>,
+    /// Connections are reused where that time is longer than this.
     reuse_threshold: Duration,
-    /// A kept connection has died under an allocation: none is kept any more.
-    died: Arc<AtomicBool>,
-    /// A connection that lasts so long under a request is sound.
+    /// A reused connection has broken during an allocation: none is reused any more.
+    reuse_disabled: Arc<AtomicBool>,
+    /// Delay of the last byte of a non-idempotent request.
     last_byte_delay: Duration,
     clock: Clock,
-    tell: UnboundedSender<Event>,
+    event_sender: UnboundedSender<Event>,
     log: Logger,
-    /// The longest line of an answer.
+    /// Limit on the length of a line of a response.
     max_worker_line_bytes: usize,
     dial_timeout: Duration,
     probe_timeout: Duration,
-    /// The report's field for free slots, where reports have one.
+    /// The field of load reports with the free slots, if reports have it.
     free_slots: Option<&'static str>,
-    /// How work is worded that came by another protocol.
-    worded: Arc<RequestTemplate>,
+    /// For work units that were submitted through another protocol.
+    template: Arc<RequestTemplate>,
 }
 
-/// What HTTP needs to word work that was not handed in by HTTP: a name for it that no other scheduler gives,
-/// and the names of project types and customers, by their numbers.
+/// The data for building HTTP requests for work units that were not submitted through HTTP.
 #[derive(Debug, Default)]
 pub struct RequestTemplate {
+    /// A prefix of request ids, unique to this scheduler.
     pub scheduler_name: String,
+    /// The names of project types, by number.
     pub project_types: Vec<String>,
+    /// The names of customers, by number.
     pub customers: Vec<String>,
 }
 
 impl RequestTemplate {
-    fn head(&self, order: &AllocationRequest) -> Option<Parts> {
-        let id = format!("{}-{}", self.scheduler_name, order.allocation_id.0);
-        let request = Request::post(format!("/{}", self.project_types.get(order.project_type)?));
+    fn head(&self, allocation: &AllocationRequest) -> Option<Parts> {
+        let id = format!("{}-{}", self.scheduler_name, allocation.allocation_id.0);
+        let request = Request::post(format!(
+            "/{}",
+            self.project_types.get(allocation.project_type)?
+        ));
         let request = request
             .header("request-id", &id)
             .header("idempotency-key", &id);
-        let customer = order
+        let customer = allocation
             .customer
             .and_then(|customer| self.customers.get(customer));
         let request = match customer {
@@ -96,7 +104,7 @@
     }
 }
 
-/// The way to a worker that listens at an address.
+/// A worker that listens at an address.
 pub struct HttpEndpoint {
     pub client: WorkerClient,
     pub address: SocketAddr,
@@ -109,12 +117,11 @@
 }
 
 impl Endpoint for HttpEndpoint {
-    fn send(&self, order: AllocationRequest) -> Box<dyn CancelHandle> {
+    fn send(&self, allocation: AllocationRequest) -> Box<dyn CancelHandle> {
         let (client, address) = (self.client.clone(), self.address);
-        Box::new(Out(tokio::spawn(async move {
-            client.allocate(&order, address).await
-        })
-        .abort_handle()))
+        Box::new(SpawnedAllocation(
+            tokio::spawn(async move { client.allocate(&allocation, address).await }).abort_handle(),
+        ))
     }
     fn probe(&self, worker: u64) {
         let (client, address) = (self.client.clone(), self.address);
@@ -122,18 +129,18 @@
     }
 }
 
-/// Closing its connection is the protocol's only way to call an allocation off.
-struct Out(AbortHandle);
+/// An allocation in flight. Closing its connection is the protocol's only way to cancel it.
+struct SpawnedAllocation(AbortHandle);
 
-impl CancelHandle for Out {
+impl CancelHandle for SpawnedAllocation {
     fn cancel(self: Box<Self>) {
         self.0.abort();
     }
 }
 
-/// A line of a worker's answer.
+/// A line of a worker's response.
 #[derive(Deserialize)]
-struct Said<'a> {
+struct ResponseLine<'a> {
     #[serde(borrow)]
     id: Cow<'a, str>,
     #[serde(borrow)]
@@ -145,12 +152,14 @@
 }
 
 impl WorkerClient {
+    /// `report_fields` are the names of the fields in load reports; `sent_allocations` counts completely written
+    /// allocations.
     pub fn new(
         limits: &HttpLimits,
         clock: Clock,
-        tell: UnboundedSender<Event>,
-        fields: &[&str],
-        worded: RequestTemplate,
+        event_sender: UnboundedSender<Event>,
+        report_fields: &[&str],
+        template: RequestTemplate,
         sent_allocations: Arc<AtomicU64>,
         log: Logger,
     ) -> WorkerClient {
@@ -159,20 +168,20 @@
             limits.dial_timeout,
             sent_allocations,
         );
-        let client = |idle| {
+        let client = |max_idle| {
             Client::builder(TokioExecutor::new())
-                // The library must never send again by itself: that would be a second allocation (rule 2).
+                // hyper must never retry by itself: that would be a second allocation (rule 2).
                 .retry_canceled_requests(false)
-                // A worker closes what stands idle; a request that crosses that may have run.
+                // A worker closes idle connections; a request that crosses the close may have run.
                 .pool_idle_timeout(limits.idle_timeout)
                 .pool_timer(TokioTimer::new())
-                .pool_max_idle_per_host(idle)
+                .pool_max_idle_per_host(max_idle)
                 .http1_max_buf_size(limits.max_head_bytes)
                 .build(dialer.clone())
         };
-        let (dialling, keeping) = (client(0), client(limits.max_idle_per_worker));
-        let (quickest, died) = Default::default();
-        let free_slots = fields.contains(&"x0").then_some("x0");
+        let (fresh_client, pooled_client) = (client(0), client(limits.max_idle_per_worker));
+        let (fastest_start, reuse_disabled) = Default::default();
+        let free_slots = report_fields.contains(&"x0").then_some("x0");
         let HttpLimits {
             max_worker_line_bytes,
             dial_timeout,
@@ -181,105 +190,113 @@
             last_byte_delay,
             ..
         } = *limits;
-        let worded = Arc::new(worded);
+        let template = Arc::new(template);
         WorkerClient {
-            dialling,
-            keeping,
-            quickest,
+            fresh_client,
+            pooled_client,
+            fastest_start,
             reuse_threshold,
-            died,
+            reuse_disabled,
             last_byte_delay,
             clock,
-            tell,
+            event_sender,
             log,
             max_worker_line_bytes,
             dial_timeout,
             probe_timeout,
             free_slots,
-            worded,
+            template,
         }
     }
 
-    /// One allocation, from its first byte to its outcome. Dropped, it closes its connection.
-    pub async fn allocate(&self, order: &AllocationRequest, to: SocketAddr) {
-        let end = self.clock.instant(order.deadline);
-        let run = timeout_at(end, self.run(order, to)).await;
-        let (back, rest) = run.unwrap_or_else(|_| {
+    /// Sends an allocation and reports its result. Dropping the future closes the connection.
+    pub async fn allocate(&self, allocation: &AllocationRequest, address: SocketAddr) {
+        let deadline = self.clock.instant(allocation.deadline);
+        let run = timeout_at(deadline, self.run(allocation, address)).await;
+        let (result, rest) = run.unwrap_or_else(|_| {
             (
-                AllocationResult::from_outcome(order.allocation_id, Outcome::TimedOut),
+                AllocationResult::from_outcome(allocation.allocation_id, Outcome::TimedOut),
                 None,
             )
         });
-        if back.outcome != Outcome::Completed {
-            debug!(self.log, "an allocation came back undone"; "worker" => %to, "outcome" => ?back.outcome);
+        if result.outcome != Outcome::Completed {
+            debug!(self.log, "allocation not completed"; "worker" => %address, "outcome" => ?result.outcome);
         }
-        self.tell.send(Event::Finished(back)).ok();
+        self.event_sender.send(Event::Finished(result)).ok();
         if let Some(rest) = rest {
             timeout(self.dial_timeout, rest.drain()).await.ok();
         }
     }
 
-    /// What came back, and what of the answer is still to be read.
+    /// Returns the result, and the rest of the response that is still to be read.
     async fn run(
         &self,
-        order: &AllocationRequest,
-        to: SocketAddr,
+        allocation: &AllocationRequest,
+        address: SocketAddr,
     ) -> (AllocationResult, Option<LineReader>) {
-        let mut back = AllocationResult::from_outcome(order.allocation_id, Outcome::Moot);
-        let remaining = order.deadline - self.clock.now();
-        let wait = if order.payload.non_idempotent {
+        let mut result = AllocationResult::from_outcome(allocation.allocation_id, Outcome::Moot);
+        let remaining = allocation.deadline - self.clock.now();
+        let last_byte_delay = if allocation.payload.non_idempotent {
             self.last_byte_delay
         } else {
             Duration::ZERO
         };
-        let worded = match order.payload.protocol_data.downcast_ref::<Parts>() {
+        let head = match allocation.payload.protocol_data.downcast_ref::<Parts>() {
             Some(head) => Some(Cow::Borrowed(head)),
-            None => self.worded.head(order).map(Cow::Owned),
+            None => self.template.head(allocation).map(Cow::Owned),
         };
-        let Some(head) = worded else {
-            return (back, None);
+        let Some(head) = head else {
+            return (result, None);
         };
-        let Ok(request) = onward(to, &head, &order.payload.body, remaining, wait) else {
-            return (back, None);
+        let Ok(request) = forwarded_request(
+            address,
+            &head,
+            &allocation.payload.body,
+            remaining,
+            last_byte_delay,
+        ) else {
+            return (result, None);
         };
         let gate = WriteGate {
-            reservation: order.reservation.clone(),
-            withdrawn: order.withdrawn.clone(),
+            reservation: allocation.reservation.clone(),
+            withdrawn: allocation.withdrawn.clone(),
         };
-        let answer = match self
-            .send(to, request, gate, order.payload.non_idempotent)
+        let response = match self
+            .send(address, request, gate, allocation.payload.non_idempotent)
             .await
         {
-            Ok(answer) => answer,
-            Err(outcome) => return (AllocationResult { outcome, ..back }, None),
+            Ok(response) => response,
+            Err(outcome) => return (AllocationResult { outcome, ..result }, None),
         };
-        if let Some(load) = answer.headers().get("server-load") {
-            back.report = self.report(load.as_bytes());
+        if let Some(load) = response.headers().get("server-load") {
+            result.report = self.report(load.as_bytes());
         }
-        let refused = refusal(answer.status(), answer.headers());
-        let mut lines = LineReader::new(answer.into_body(), self.max_worker_line_bytes);
-        if let Some(outcome) = refused {
-            return (AllocationResult { outcome, ..back }, Some(lines));
+        let refusal_outcome = refusal(response.status(), response.headers());
+        let mut lines = LineReader::new(response.into_body(), self.max_worker_line_bytes);
+        if let Some(outcome) = refusal_outcome {
+            return (AllocationResult { outcome, ..result }, Some(lines));
         }
-        let id = head
+        let request_id = head
             .headers
             .get("request-id")
             .map(HeaderValue::as_bytes)
             .unwrap_or_default();
-        // An end without a last word, a broken line, another's line: it may have run.
+        // Without a final state, or with an invalid line or another request's line, the allocation may have run.
         while let Ok(Some(line)) = lines.next().await {
             if line.iter().all(u8::is_ascii_whitespace) {
                 continue;
             }
-            let Ok(said) = serde_json::from_slice::<Said>(&line) else {
+            let Ok(response_line) = serde_json::from_slice::<ResponseLine>(&line) else {
                 break;
             };
-            if said.id.as_bytes() != id {
+            if response_line.id.as_bytes() != request_id {
                 break;
             }
-            back.outcome = match &*said.state {
+            result.outcome = match &*response_line.state {
                 "started" => {
-                    self.tell.send(Event::Started(order.allocation_id)).ok();
+                    self.event_sender
+                        .send(Event::Started(allocation.allocation_id))
+                        .ok();
                     continue;
                 }
                 "done" => Outcome::Completed,
@@ -288,184 +305,199 @@
                 "lost" => Outcome::Dropped,
                 _ => continue,
             };
-            back.report = said
+            result.report = response_line
                 .load
-                .map_or(back.report, |load| self.report(load.get().as_bytes()));
-            back.result = said
+                .map_or(result.report, |load| self.report(load.get().as_bytes()));
+            result.result = response_line
                 .result
-                .map(|raw| text_of(&line, raw))
+                .map(|raw| json_text(&line, raw))
                 .unwrap_or_default();
-            return (back, Some(lines));
+            return (result, Some(lines));
         }
         (
             AllocationResult {
                 outcome: Outcome::Dropped,
-                ..back
+                ..result
             },
             None,
         )
     }
 
-    /// Sends a request on a connection that is its alone meanwhile, up to the answer's head.
+    /// Sends a request on a connection of its own, and waits for the response head.
     async fn send(
         &self,
-        to: SocketAddr,
+        address: SocketAddr,
         mut request: Request<DelayedLastByte>,
         gate: WriteGate,
         non_idempotent: bool,
     ) -> Result<Response<Incoming>, Outcome> {
-        let length = least_length(&request);
-        let captured = capture_connection(&mut request);
-        let began = Instant::now();
-        let quickest = self.quickest.lock().get(&to).copied();
-        // Where it is not known yet, the first connection is there to be kept. But a refusal names no work: on a kept
-        // connection one that comes late, of the work before, would prove of this that it never ran (rule 2).
-        let keep = !non_idempotent
-            && quickest.is_none_or(|q| q > self.reuse_threshold)
-            && !self.died.load(Relaxed);
-        let mut sending = pin!(if keep { &self.keeping } else { &self.dialling }.request(request));
-        let mut on: Option<(WriteProgress, u64)> = None;
+        let min_length = min_written_length(&request);
+        let connection = capture_connection(&mut request);
+        let started_at = Instant::now();
+        let fastest_start = self.fastest_start.lock().get(&address).copied();
+        // A connection to a worker of unknown speed is pooled. Non-idempotent requests never reuse one: refusals carry
+        // no request id, so that a late refusal of the previous request would wrongly prove that this one never ran
+        // (rule 2).
+        let use_pool = !non_idempotent
+            && fastest_start.is_none_or(|fastest| fastest > self.reuse_threshold)
+            && !self.reuse_disabled.load(Relaxed);
+        let mut sending = pin!(
+            if use_pool {
+                &self.pooled_client
+            } else {
+                &self.fresh_client
+            }
+            .request(request)
+        );
+        let mut used: Option<(WriteProgress, u64)> = None;
         let mut withdrawn = pin!(gate.withdrawn.cancelled());
-        // The connection is known as soon as the client has picked it, in the same poll, and before its own
-        // task writes, as all tasks share one thread: so the count then is that of earlier requests.
-        let answer = poll_fn(|cx| {
-            let polled = sending.as_mut().poll(cx);
-            if on.is_none() {
-                on = captured
+        // The connection is known in the same poll in which the client picks it, before the connection's task writes,
+        // as all tasks share one thread: so the count at that time is that of earlier requests.
+        let sent = poll_fn(|context| {
+            let polled = sending.as_mut().poll(context);
+            if used.is_none() {
+                used = connection
                     .connection_metadata()
                     .as_ref()
-                    .and_then(|connected| {
+                    .and_then(|metadata| {
                         let mut extras = axum::http::Extensions::new();
-                        connected.get_extras(&mut extras);
+                        metadata.get_extras(&mut extras);
                         let written: WriteProgress = extras.remove()?;
-                        let before = written.so_far();
-                        written.expect(length, gate.clone());
-                        Some((written, before))
+                        let written_before = written.total();
+                        written.expect(min_length, gate.clone());
+                        Some((written, written_before))
                     });
             }
-            // Its gate keeps the rest from being written; what is whole is waited for.
-            let whole =
-                |(written, before): &(WriteProgress, u64)| written.so_far() - before >= length;
-            if polled.is_pending() && !on.as_ref().is_some_and(whole) {
-                return withdrawn.as_mut().poll(cx).map(|()| None);
+            // A withdrawn request ends here unless it is completely written; the gate blocks the rest.
+            let is_written = |(written, written_before): &(WriteProgress, u64)| {
+                written.total() - written_before >= min_length
+            };
+            if polled.is_pending() && !used.as_ref().is_some_and(is_written) {
+                return withdrawn.as_mut().poll(context).map(|()| None);
             }
             polled.map(Some)
         });
-        let Some(answer) = answer.await else {
+        let Some(sent) = sent.await else {
             return Err(Outcome::Full);
         };
-        let error = match answer {
-            Ok(answer) => {
-                if on.is_some_and(|(_, before)| before == 0) {
-                    let took = began.elapsed();
-                    self.quickest
+        let error = match sent {
+            Ok(response) => {
+                if used.is_some_and(|(_, written_before)| written_before == 0) {
+                    let elapsed = started_at.elapsed();
+                    self.fastest_start
                         .lock()
-                        .entry(to)
-                        .and_modify(|q| *q = took.min(*q))
-                        .or_insert(took);
+                        .entry(address)
+                        .and_modify(|fastest| *fastest = elapsed.min(*fastest))
+                        .or_insert(elapsed);
                 }
-                return Ok(answer);
+                return Ok(response);
             }
             Err(error) => error,
         };
-        debug!(self.log, "no answer to an allocation"; "why" => error_chain(&error));
-        if short(&error) {
+        debug!(self.log, "no response to an allocation"; "why" => error_chain(&error));
+        if was_never_sent(&error) {
             return Err(Outcome::Moot);
         }
-        // The gate may be heard of through the connection first: that is no fault of the connection or the worker.
-        let whole = on
-            .as_ref()
-            .is_some_and(|(written, before)| written.so_far() - before >= length);
-        if gate.withdrawn.is_cancelled() && !whole {
+        // The withdrawal may show first as an error of the connection, which is not at fault.
+        let is_written = used.as_ref().is_some_and(|(written, written_before)| {
+            written.total() - written_before >= min_length
+        });
+        if gate.withdrawn.is_cancelled() && !is_written {
             return Err(Outcome::Full);
         }
-        if on.as_ref().is_some_and(|(_, before)| *before > 0) && !self.died.swap(true, Relaxed) {
-            info!(self.log, "a kept connection died under an allocation: from now on each dials"; "worker" => %to);
+        if used
+            .as_ref()
+            .is_some_and(|(_, written_before)| *written_before > 0)
+            && !self.reuse_disabled.swap(true, Relaxed)
+        {
+            info!(self.log, "a reused connection broke during an allocation: connections are not reused from now on"; "worker" => %address);
         }
-        Err(if whole {
+        Err(if is_written {
             Outcome::Dropped
         } else {
             Outcome::NoConnection
         })
     }
 
-    /// Asks a worker for its load report.
-    pub async fn probe(&self, worker: u64, to: SocketAddr) {
-        let asked = async {
-            let answer = self
-                .keeping
-                .get(format!("http://{to}/load").parse().ok()?)
+    /// Requests the load report of a worker.
+    pub async fn probe(&self, worker: u64, address: SocketAddr) {
+        let call = async {
+            let response = self
+                .pooled_client
+                .get(format!("http://{address}/load").parse().ok()?)
                 .await
                 .ok()?;
-            let good = answer.status() == StatusCode::OK;
-            let body = Limited::new(answer.into_body(), self.max_worker_line_bytes)
+            let is_ok = response.status() == StatusCode::OK;
+            let body = Limited::new(response.into_body(), self.max_worker_line_bytes)
                 .collect()
                 .await
                 .ok()?
                 .to_bytes();
-            good.then(|| self.report(&body))
+            is_ok.then(|| self.report(&body))
         };
-        if let Ok(Some(report)) = timeout(self.probe_timeout, asked).await {
-            self.tell.send(Event::LoadReported(worker, report)).ok();
+        if let Ok(Some(report)) = timeout(self.probe_timeout, call).await {
+            self.event_sender
+                .send(Event::LoadReported(worker, report))
+                .ok();
         }
     }
 
     fn report(&self, json: &[u8]) -> LoadReport {
         let fields: Option<serde_json::Map<String, serde_json::Value>> =
             serde_json::from_slice(json).ok();
-        let free_slots = fields.and_then(|f| f.get(self.free_slots?)?.as_f64());
+        let free_slots = fields.and_then(|fields| fields.get(self.free_slots?)?.as_f64());
         LoadReport { free_slots }
     }
 }
 
-/// It was never sent, and not for any fault of the worker's.
-fn short(error: &(dyn Error + 'static)) -> bool {
-    let unpaid = error
+/// Whether the request was never sent, for a reason that is not the worker's fault.
+fn was_never_sent(error: &(dyn Error + 'static)) -> bool {
+    let inner = error
         .downcast_ref::<io::Error>()
         .and_then(io::Error::get_ref);
     error.is::<NoDescriptor>()
-        || unpaid.is_some_and(|e| e.is::<BudgetExhausted>())
-        || error.source().is_some_and(short)
+        || inner.is_some_and(|e| e.is::<BudgetExhausted>())
+        || error.source().is_some_and(was_never_sent)
 }
 
-/// The client's request as it goes on: all as it came, but for what belongs to the connection and the time.
-fn onward(
-    to: SocketAddr,
+/// The client's request as forwarded: unchanged except for hop-by-hop headers and the remaining time.
+fn forwarded_request(
+    address: SocketAddr,
     head: &Parts,
     body: &Bytes,
-    left: f64,
-    wait: Duration,
+    remaining_s: f64,
+    last_byte_delay: Duration,
 ) -> Result<Request<DelayedLastByte>, axum::http::Error> {
-    let path = head.uri.path_and_query().map_or("/", |p| p.as_str());
+    let path = head.uri.path_and_query().map_or("/", |path| path.as_str());
     let mut request = Request::builder()
         .method(&head.method)
-        .uri(format!("http://{to}{path}"));
+        .uri(format!("http://{address}{path}"));
     if let Some(headers) = request.headers_mut() {
         headers.extend(head.headers.clone());
-        for own in [&CONNECTION, &CONTENT_LENGTH, &HOST, &TRANSFER_ENCODING] {
-            headers.remove(own);
+        for name in [&CONNECTION, &CONTENT_LENGTH, &HOST, &TRANSFER_ENCODING] {
+            headers.remove(name);
         }
-        for own in ["keep-alive", "te", "trailer", "upgrade", "expect"] {
-            headers.remove(own);
+        for name in ["keep-alive", "te", "trailer", "upgrade", "expect"] {
+            headers.remove(name);
         }
     }
     let request = request
         .header(CONTENT_LENGTH, body.len())
-        .header(HOST, to.to_string());
-    let mut request = request.body(DelayedLastByte::new(body.clone(), wait))?;
-    let remaining = format!("{}u", (left.max(0.0) * 1e6) as u64);
+        .header(HOST, address.to_string());
+    let mut request = request.body(DelayedLastByte::new(body.clone(), last_byte_delay))?;
+    let remaining = format!("{}u", (remaining_s.max(0.0) * 1e6) as u64);
     request
         .headers_mut()
         .insert("request-timeout", remaining.parse()?);
     Ok(request)
 }
 
-/// No less than this is written of a request once its last byte is.
-fn least_length(request: &Request<DelayedLastByte>) -> u64 {
+/// A lower bound on the bytes written of a request once its last byte is written.
+fn min_written_length(request: &Request<DelayedLastByte>) -> u64 {
     let path = request
         .uri()
         .path_and_query()
-        .map_or(1, |p| p.as_str().len());
+        .map_or(1, |path| path.as_str().len());
     let line = request.method().as_str().len() + path + "  HTTP/1.1\r\n\r\n".len();
     let headers: usize = request
         .headers()
@@ -475,27 +507,27 @@
     (line + headers) as u64 + request.body().remaining()
 }
 
-/// What an answer without a stream means. Only a marked one proves that nothing ran.
+/// The outcome of a response without a stream. Only a `not-started` header proves that the allocation did not run.
 fn refusal(status: StatusCode, headers: &HeaderMap) -> Option<Outcome> {
-    let unstarted = headers
+    let not_started = headers
         .get("not-started")
         .is_some_and(|v| v.as_bytes() == b"1");
     match status {
         StatusCode::OK => None,
-        StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if unstarted => {
+        StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if not_started => {
             Some(Outcome::Full)
         }
         _ => Some(Outcome::Error),
     }
 }
 
-/// A JSON text's content, as the bytes that came unless it has escapes; of any other value its JSON.
-fn text_of(line: &Bytes, raw: &RawValue) -> Bytes {
+/// The content of a JSON string, without copying unless it has escapes; for any other value its JSON.
+fn json_text(line: &Bytes, raw: &RawValue) -> Bytes {
     #[derive(Deserialize)]
-    struct Text<'a>(#[serde(borrow)] Cow<'a, str>);
-    match serde_json::from_str::<Text>(raw.get()) {
-        Ok(Text(Cow::Borrowed(text))) => line.slice_ref(text.as_bytes()),
-        Ok(Text(Cow::Owned(text))) => text.into(),
+    struct JsonText<'a>(#[serde(borrow)] Cow<'a, str>);
+    match serde_json::from_str::<JsonText>(raw.get()) {
+        Ok(JsonText(Cow::Borrowed(text))) => line.slice_ref(text.as_bytes()),
+        Ok(JsonText(Cow::Owned(text))) => text.into(),
         Err(_) => line.slice_ref(raw.get().as_bytes()),
     }
 }
--- a/crates/mintlb-http/tests/outcomes.rs
+++ b/crates/mintlb-http/tests/outcomes.rs
@@ -1,8 +1,7 @@
-//! One allocation against a stand-in worker on loopback: what comes back, and what that means.
+//! Allocations sent to a fake worker on the loopback interface: the outcome of each response and failure.
 
-mod machine;
+mod support;
 
-use machine::{limits, quiet};
 use mintlb_core::budget::Reservation;
 use mintlb_core::clock::Clock;
 use mintlb_core::reducer::Event;
@@ -18,11 +17,12 @@
 use std::sync::atomic::{AtomicI32, Ordering::Relaxed};
 use std::sync::mpsc::{Receiver, channel};
 use std::time::{Duration, Instant};
+use support::{discarding_logger, limits};
 use tokio::sync::mpsc::unbounded_channel;
 use tokio::time::timeout;
 use tokio_util::sync::CancellationToken;
 
-fn order(n: u16, body: usize, deadline: f64) -> AllocationRequest {
+fn allocation_request(n: u16, body: usize, deadline: f64) -> AllocationRequest {
     let head = axum::http::Request::post("/charge/7?x=1")
         .header("request-id", "a1")
         .body(())
@@ -44,12 +44,12 @@
     }
 }
 
-/// Reads a request, its head and body; `None` if the connection ends before.
+/// Reads a request with its body; `None` if the connection ends before it is complete.
 fn read_request(stream: &mut TcpStream) -> Option<String> {
-    let mut got = Vec::new();
-    let mut piece = [0; 4096];
+    let mut received = Vec::new();
+    let mut buffer = [0; 4096];
     loop {
-        let text = String::from_utf8_lossy(&got).to_lowercase();
+        let text = String::from_utf8_lossy(&received).to_lowercase();
         if let Some((head, body)) = text.split_once("\r\n\r\n") {
             let length = head
                 .split("content-length: ")
@@ -59,81 +59,90 @@
                 return Some(text);
             }
         }
-        match stream.read(&mut piece) {
+        match stream.read(&mut buffer) {
             Ok(0) | Err(_) => return None,
-            Ok(n) => got.extend(&piece[..n]),
+            Ok(n) => received.extend(&buffer[..n]),
         }
     }
 }
 
-/// A worker that answers each request with these bytes; `|` waits for the caller to close, the end closes.
-/// Tells of each request, and of each end of a connection, by its name.
-fn worker(answer: String) -> (SocketAddr, Receiver<String>) {
+/// Starts a worker that answers each request with these bytes, and then closes the connection. A trailing `|` waits for
+/// the client to close it, a trailing `+` keeps it open for further requests. Returns a log of the requests received,
+/// with `closed` for each end of a connection.
+fn start_worker(response: String) -> (SocketAddr, Receiver<String>) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let (address, (tell, told)) = (listener.local_addr().unwrap(), channel());
+    let (address, (sender, worker_log)) = (listener.local_addr().unwrap(), channel());
     std::thread::spawn(move || {
         for stream in listener.incoming() {
-            let (mut stream, tell, answer) = (stream.unwrap(), tell.clone(), answer.clone());
+            let (mut stream, sender, response) =
+                (stream.unwrap(), sender.clone(), response.clone());
             std::thread::spawn(move || {
                 while let Some(request) = read_request(&mut stream) {
-                    tell.send(request).ok();
+                    sender.send(request).ok();
                     stream
-                        .write_all(answer.trim_end_matches(['|', '+']).as_bytes())
+                        .write_all(response.trim_end_matches(['|', '+']).as_bytes())
                         .ok();
-                    if answer.ends_with('|') {
+                    if response.ends_with('|') {
                         stream.read_exact(&mut [0; 1]).ok();
                     }
-                    if !answer.ends_with('+') {
+                    if !response.ends_with('+') {
                         break;
                     }
                 }
                 drop(stream);
-                tell.send("closed".into()).ok();
+                sender.send("closed".into()).ok();
             });
         }
     });
-    (address, told)
+    (address, worker_log)
 }
 
-/// Plays allocations one after another; what is told of each is its outcome, and of a start before.
-async fn play(
+/// Sends allocations one after another. Returns the events as texts: the outcomes, and the starts before them.
+async fn send_allocations(
     address: SocketAddr,
     limits: &HttpLimits,
     body: usize,
     times: u16,
-    left: f64,
+    timeout_s: f64,
 ) -> Vec<String> {
-    play_as(&vec![true; times as usize], address, limits, body, left).await
+    send_allocations_as(
+        &vec![true; times as usize],
+        address,
+        limits,
+        body,
+        timeout_s,
+    )
+    .await
 }
 
-/// Of work that may run once, or again.
-async fn play_as(
+/// The same for allocations of which each is non-idempotent or not.
+async fn send_allocations_as(
     non_idempotent: &[bool],
     address: SocketAddr,
     limits: &HttpLimits,
     body: usize,
-    left: f64,
+    timeout_s: f64,
 ) -> Vec<String> {
     let clock = Clock::start();
-    let (tell, mut told) = unbounded_channel();
+    let (event_sender, mut events) = unbounded_channel();
     let client = WorkerClient::new(
         limits,
         clock,
-        tell,
+        event_sender,
         &["util", "x0"],
         RequestTemplate::default(),
         Arc::default(),
-        quiet(),
+        discarding_logger(),
     );
     for (n, non_idempotent) in non_idempotent.iter().enumerate() {
-        let mut request = order(n as u16, body, clock.now() + left);
+        let mut request = allocation_request(n as u16, body, clock.now() + timeout_s);
         request.payload.non_idempotent = *non_idempotent;
         client.allocate(&request, address).await;
     }
     drop(client);
-    let mut said = Vec::new();
-    while let Some(event) = told.recv().await {
-        said.push(match event {
+    let mut outcomes = Vec::new();
+    while let Some(event) = events.recv().await {
+        outcomes.push(match event {
             Event::Started(_) => "started".into(),
             Event::Finished(AllocationResult {
                 outcome: Outcome::Completed,
@@ -151,13 +160,13 @@
             _ => "?".into(),
         });
     }
-    said
+    outcomes
 }
 
 const STARTED: &str = r#"{"id":"a1","from":"w","state":"started"}"#;
 const DONE: &str = r#"{"id":"a1","from":"w","state":"done","result":"yes"}"#;
 
-/// These lines as a stream of chunks, up to its proper end.
+/// A chunked response with one chunk per line, and the final chunk.
 fn stream(lines: &[&str]) -> String {
     let chunks = lines
         .iter()
@@ -167,7 +176,7 @@
 }
 
 #[tokio::test]
-async fn what_comes_back_has_one_meaning() {
+async fn each_worker_response_has_one_outcome() {
     let plain = str::to_string;
     let cut = |lines| stream(lines).replace("0\r\n\r\n", "");
     let cases = [
@@ -178,12 +187,12 @@
             "done \"q\"",
         ),
         (
-            "a result that is no text",
+            "a result that is not a string",
             stream(&[r#"{"id":"a1","state":"done","result":{"a":1}}"#]),
             "done {\"a\":1}",
         ),
         (
-            "a start, progress, the end",
+            "a start, progress, done",
             stream(&[
                 STARTED,
                 r#"{"id":"a1","state":"running","share":0.4}"#,
@@ -198,12 +207,12 @@
             "Error",
         ),
         (
-            "handed back, with a report",
+            "returned, with a load report",
             stream(&[r#"{"id":"a1","state":"returned","load":{"x0":2}}"#]),
             "Full with 2 free",
         ),
         (
-            "killed",
+            "lost",
             stream(&[r#"{"id":"a1","state":"lost"}"#]),
             "Dropped",
         ),
@@ -213,32 +222,32 @@
             "started, Dropped",
         ),
         (
-            "broken off after the start",
+            "connection closed after the start",
             cut(&[STARTED]),
             "started, Dropped",
         ),
         ("half a line", cut(&[DONE]).replace("\"yes", ""), "Dropped"),
-        ("no JSON", stream(&["no!"]), "Dropped"),
+        ("not JSON", stream(&["no!"]), "Dropped"),
         (
-            "another's line",
+            "the line of another request",
             stream(&[r#"{"id":"b2","state":"done","result":"yes"}"#]),
             "Dropped",
         ),
         (
-            "a line without end",
+            "too long a line",
             stream(&[&"x".repeat(140_000)]),
             "Dropped",
         ),
-        ("closed without a word", plain(""), "Dropped"),
+        ("closed without a response", plain(""), "Dropped"),
         (
-            "turned away",
+            "refused",
             plain(
                 "HTTP/1.1 503 No\r\nnot-started: 1\r\nserver-load: {\"x0\":0}\r\ncontent-length: 0\r\n\r\n",
             ),
             "Full with 0 free",
         ),
         (
-            "unavailable, unmarked",
+            "unavailable, without not-started",
             plain("HTTP/1.1 503 No\r\ncontent-length: 0\r\n\r\n"),
             "Error",
         ),
@@ -247,34 +256,40 @@
             plain("HTTP/1.1 500 No\r\ncontent-length: 0\r\n\r\n"),
             "Error",
         ),
-        ("silence", plain("|"), "TimedOut"),
+        ("no response", plain("|"), "TimedOut"),
         (
-            "silence after the start",
+            "silent after the start",
             cut(&[STARTED]) + "|",
             "started, TimedOut",
         ),
     ];
-    for (shown, answer, outcome) in cases {
-        let (address, told) = worker(answer);
-        let said = play(address, &limits(), 10, 1, 0.4).await.join(", ");
-        assert_eq!(said, outcome, "{shown}");
-        let requests = told.try_iter().filter(|t| t != "closed").count();
-        assert_eq!(requests, 1, "{shown}: it was sent more than once");
+    for (case, response, outcome) in cases {
+        let (address, worker_log) = start_worker(response);
+        let outcomes = send_allocations(address, &limits(), 10, 1, 0.4)
+            .await
+            .join(", ");
+        assert_eq!(outcomes, outcome, "{case}");
+        let requests = worker_log
+            .try_iter()
+            .filter(|entry| entry != "closed")
+            .count();
+        assert_eq!(requests, 1, "{case}: number of requests");
     }
 }
 
-/// A kept connection may be closed or reset as the next request is written to it, and that may then have run.
-/// So none is kept but where a new one is dear, and none once one has died; and a library that sends again by itself would make a second copy.
+/// A worker may close or reset a reused connection while the next request is written to it, which then may have run. So
+/// connections are reused only where dialling is slow, and no more after one has broken. A retry by hyper itself would
+/// be a second copy of the request.
 #[tokio::test]
-async fn a_connection_is_kept_only_where_a_new_one_is_dear() {
+async fn connections_are_reused_only_where_dialling_is_slow() {
     for (reuse_threshold, connections) in [
         (Duration::from_secs(1), &[1, 1, 1, 1, 1][..]),
         (Duration::ZERO, &[3, 1, 1]),
     ] {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
-        let seen = std::thread::spawn(move || {
-            let (mut seen, mut total) = (Vec::new(), 0);
+        let requests_per_connection = std::thread::spawn(move || {
+            let (mut counts, mut total) = (Vec::new(), 0);
             while total < 5 {
                 let (mut stream, _) = listener.accept().unwrap();
                 stream
@@ -283,13 +298,13 @@
                 let before = total;
                 while read_request(&mut stream).is_some() {
                     total += 1;
-                    // The third is never answered.
+                    // The third request is never answered.
                     if total == 3 {
                         break;
                     }
                     stream.write_all(self::stream(&[DONE]).as_bytes()).unwrap();
                 }
-                seen.push(total - before);
+                counts.push(total - before);
             }
             listener.set_nonblocking(true).unwrap();
             std::thread::sleep(Duration::from_millis(200));
@@ -297,37 +312,45 @@
                 listener
                     .accept()
                     .is_err_and(|e| e.kind() == ErrorKind::WouldBlock),
-                "sent again"
+                "a request was sent again"
             );
-            seen
+            counts
         });
         let limits = HttpLimits {
             reuse_threshold,
             ..limits()
         };
-        let said = play_as(&[false; 5], address, &limits, 10, 1.0).await;
+        let outcomes = send_allocations_as(&[false; 5], address, &limits, 10, 1.0).await;
         assert_eq!(
-            said,
+            outcomes,
             ["done yes", "done yes", "Dropped", "done yes", "done yes"],
             "{reuse_threshold:?}"
         );
         assert_eq!(
-            seen.join().unwrap(),
+            requests_per_connection.join().unwrap(),
             connections,
             "requests on each connection, {reuse_threshold:?}"
         );
     }
 }
 
-/// A worker that answers once more, when the next request is whole on the same connection: that must not prove of work
-/// that may not run again that it never ran.
+/// A worker refuses a request after it has answered it, when the next request has arrived on the same connection. The
+/// refusal must not prove that the next request never ran, if that one is non-idempotent.
 #[tokio::test]
-async fn a_late_refusal_proves_nothing_of_the_next() {
+async fn a_late_refusal_does_not_apply_to_the_next_request() {
     const LATE: &str = "HTTP/1.1 503 No\r\nnot-started: 1\r\ncontent-length: 0\r\n\r\n";
-    for (shown, non_idempotent, outcomes) in [
-        ("may run again", [false, false], ["done yes", "Full"]),
-        ("may run once", [false, true], ["done yes", "done yes"]),
-        ("both once", [true, true], ["done yes", "done yes"]),
+    for (case, non_idempotent, outcomes) in [
+        ("idempotent", [false, false], ["done yes", "Full"]),
+        (
+            "the second non-idempotent",
+            [false, true],
+            ["done yes", "done yes"],
+        ),
+        (
+            "both non-idempotent",
+            [true, true],
+            ["done yes", "done yes"],
+        ),
     ] {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
@@ -349,9 +372,9 @@
             ..limits()
         };
         assert_eq!(
-            play_as(&non_idempotent, address, &limits, 10, 1.0).await,
+            send_allocations_as(&non_idempotent, address, &limits, 10, 1.0).await,
             outcomes,
-            "{shown}"
+            "{case}"
         );
     }
 }
@@ -360,60 +383,64 @@
     stream(&[DONE])
 }
 
-/// What stands idle as long as a worker keeps it may be closed while the next request is written to it.
+/// A connection that is idle for as long as the worker keeps it may be closed while the next request is written to it.
 #[tokio::test]
-async fn idle_connections_are_left_before_their_worker_closes_them() {
-    let ours = limits();
+async fn idle_connections_are_closed_before_the_worker_closes_them() {
+    let default_limits = limits();
     assert!(
-        ours.idle_timeout < Duration::from_secs(5),
-        "the settings' keepalive"
+        default_limits.idle_timeout < Duration::from_secs(5),
+        "shorter than the workers' keep-alive of 5 s"
     );
     for (idle_timeout, closed) in [
         (Duration::from_millis(50), true),
-        (ours.idle_timeout, false),
+        (default_limits.idle_timeout, false),
     ] {
-        let (address, told) = worker(stream(&[DONE]) + "+");
+        let (address, worker_log) = start_worker(stream(&[DONE]) + "+");
         let limits = HttpLimits {
             idle_timeout,
             reuse_threshold: Duration::ZERO,
             ..limits()
         };
-        let (tell, _kept) = unbounded_channel();
+        let (event_sender, _events) = unbounded_channel();
         let client = WorkerClient::new(
             &limits,
             Clock::start(),
-            tell,
+            event_sender,
             &[],
             RequestTemplate::default(),
             Arc::default(),
-            quiet(),
+            discarding_logger(),
         );
         for n in 0..2 {
-            let mut request = order(n, 0, Clock::start().now() + 1.0);
+            let mut request = allocation_request(n, 0, Clock::start().now() + 1.0);
             request.payload.non_idempotent = false;
             client.allocate(&request, address).await;
             tokio::time::sleep(Duration::from_millis(100)).await;
         }
-        let told: Vec<String> = told.try_iter().collect();
-        assert_eq!(told[1] == "closed", closed, "{idle_timeout:?}: {told:?}");
+        let worker_log: Vec<String> = worker_log.try_iter().collect();
+        assert_eq!(
+            worker_log[1] == "closed",
+            closed,
+            "{idle_timeout:?}: {worker_log:?}"
+        );
     }
 }
 
 #[tokio::test]
-async fn what_never_ran_is_proven() {
-    // Held but not listened on: given back, the port could be another test's by the time that it is dialled.
+async fn requests_that_never_ran_are_reported_as_such() {
+    // Bound but not listening. If it were released, another test could listen on the port by the time it is dialled.
     let held = tokio::net::TcpSocket::new_v4().unwrap();
     held.bind("127.0.0.1:0".parse().unwrap()).unwrap();
-    let refused = held.local_addr().unwrap();
-    // Accepts, reads the start of what is sent and breaks off.
-    let broken = TcpListener::bind("127.0.0.1:0").unwrap();
-    let breaks = broken.local_addr().unwrap();
+    let refusing = held.local_addr().unwrap();
+    // Accepts, reads the start of the request and closes.
+    let closing_listener = TcpListener::bind("127.0.0.1:0").unwrap();
+    let closing = closing_listener.local_addr().unwrap();
     std::thread::spawn(move || {
-        for stream in broken.incoming() {
+        for stream in closing_listener.incoming() {
             stream.unwrap().read_exact(&mut [0; 64]).ok();
         }
     });
-    // Never accepts, with no queue to speak of: further connections never come up.
+    // Never accepts, and its queue is full: further connections are never established.
     let socket = tokio::net::TcpSocket::new_v4().unwrap();
     socket.bind("127.0.0.1:0".parse().unwrap()).unwrap();
     let never_up = socket.local_addr().unwrap();
@@ -421,121 +448,127 @@
     let _queued: Vec<_> = (0..4)
         .map(|_| TcpStream::connect_timeout(&never_up, Duration::from_millis(50)))
         .collect();
-    let short = HttpLimits {
+    let no_connections = HttpLimits {
         max_worker_connections: 0,
         ..limits()
     };
-    let hasty = HttpLimits {
+    let no_delay = HttpLimits {
         last_byte_delay: Duration::ZERO,
         ..limits()
     };
     let cases = [
-        ("refused", refused, 10, limits(), "NoConnection"),
-        ("never up", never_up, 10, limits(), "NoConnection"),
-        ("no descriptor to spare", breaks, 10, short, "Moot"),
+        ("connection refused", refusing, 10, limits(), "NoConnection"),
+        ("never established", never_up, 10, limits(), "NoConnection"),
+        ("no connection slot", closing, 10, no_connections, "Moot"),
         (
-            "broken off before the last byte was written",
-            breaks,
+            "closed before the last byte was written",
+            closing,
             32 << 20,
             limits(),
             "NoConnection",
         ),
         (
-            "reset under it, while its last byte waits",
-            breaks,
+            "reset while the last byte is delayed",
+            closing,
             10,
             limits(),
             "NoConnection",
         ),
-        ("broken off after it", breaks, 10, hasty, "Dropped"),
         (
-            "broken off after it, without a body",
-            breaks,
+            "closed after the last byte",
+            closing,
+            10,
+            no_delay,
+            "Dropped",
+        ),
+        (
+            "closed after a request without a body",
+            closing,
             0,
             limits(),
             "Dropped",
         ),
     ];
-    for (shown, address, body, limits, outcome) in cases {
-        let began = Instant::now();
+    for (case, address, body, limits, outcome) in cases {
+        let started_at = Instant::now();
         assert_eq!(
-            play(address, &limits, body, 1, 5.0).await,
+            send_allocations(address, &limits, body, 1, 5.0).await,
             [outcome],
-            "{shown}"
+            "{case}"
         );
         assert!(
-            began.elapsed() < Duration::from_secs(2),
-            "{shown}: a bounded wait"
+            started_at.elapsed() < Duration::from_secs(2),
+            "{case}: took over 2 s"
         );
     }
 }
 
-/// Taken back while there is no connection yet, while it waits for a link or while its last byte does, nothing more of it
-/// is written, and that it never ran is told at once. Once it is whole it stays out.
+/// A request that is withdrawn while it dials, waits for a connection slot, or delays its last byte is written no
+/// further, and reported at once as not run. A completely written request stays in flight.
 #[tokio::test]
-async fn what_is_taken_back_is_written_no_further() {
-    // One whose connections come up only when they are accepted: its queue holds no more than two.
+async fn a_withdrawn_request_is_written_no_further() {
+    // Its queue holds no more than two connections: others are established only when it accepts.
     let socket = tokio::net::TcpSocket::new_v4().unwrap();
     socket.bind("127.0.0.1:0".parse().unwrap()).unwrap();
-    let late = socket.local_addr().unwrap();
+    let never_accepting = socket.local_addr().unwrap();
     let listener = socket.listen(0).unwrap().into_std().unwrap();
     listener.set_nonblocking(false).unwrap();
     let mut queued = Vec::new();
-    while let Ok(stream) = TcpStream::connect_timeout(&late, Duration::from_millis(50)) {
+    while let Ok(stream) = TcpStream::connect_timeout(&never_accepting, Duration::from_millis(50)) {
         queued.push(stream);
     }
     let seconds = Duration::from_secs;
-    let patient = HttpLimits {
+    let slow = HttpLimits {
         dial_timeout: seconds(4),
         last_byte_delay: seconds(4),
         ..limits()
     };
-    let whole = HttpLimits {
+    let no_delay = HttpLimits {
         last_byte_delay: Duration::ZERO,
-        ..patient.clone()
+        ..slow.clone()
     };
-    for (shown, limits, dials, outcome) in [
-        ("dialling", patient.clone(), true, "Full"),
+    for (case, limits, dials, outcome) in [
+        ("dialling", slow.clone(), true, "Full"),
         (
-            "waiting for a link",
+            "waiting for a connection slot",
             HttpLimits {
                 max_worker_connections: 0,
-                ..patient.clone()
+                ..slow.clone()
             },
             true,
             "Full",
         ),
-        ("its last byte waits", patient.clone(), false, "Full"),
-        ("whole", whole, false, "Completed"),
+        ("last byte delayed", slow.clone(), false, "Full"),
+        ("completely written", no_delay, false, "Completed"),
     ] {
-        let at = TcpListener::bind("127.0.0.1:0").unwrap();
-        let (to, clock) = (
+        let worker_listener = TcpListener::bind("127.0.0.1:0").unwrap();
+        let (address, clock) = (
             if dials {
-                late
+                never_accepting
             } else {
-                at.local_addr().unwrap()
+                worker_listener.local_addr().unwrap()
             },
             Clock::start(),
         );
-        let (tell, mut told) = unbounded_channel();
+        let (event_sender, mut events) = unbounded_channel();
         let client = WorkerClient::new(
             &limits,
             clock,
-            tell,
+            event_sender,
             &[],
             RequestTemplate::default(),
             Arc::default(),
-            quiet(),
+            discarding_logger(),
         );
-        let request = order(0, 2, clock.now() + 20.0);
+        let request = allocation_request(0, 2, clock.now() + 20.0);
         let withdrawn = request.withdrawn.clone();
-        let task = tokio::spawn(async move { client.allocate(&request, to).await });
-        // The fact that it is on its way: its head is there, or it waits where nobody can see it.
+        let task = tokio::spawn(async move { client.allocate(&request, address).await });
+        // Waits until the request is under way: its head has arrived, or it is waiting to be sent.
         let mut stream = None;
         if !dials {
             stream = Some(tokio::task::spawn_blocking(move || {
-                let (mut stream, _) = at.accept().unwrap();
-                let (mut got, wanted) = (
+                let (mut stream, _) = worker_listener.accept().unwrap();
+                let (mut received, wanted) = (
                     Vec::new(),
                     if outcome == "Full" {
                         "\r\n\r\nx"
@@ -543,10 +576,10 @@
                         "\r\n\r\nxx"
                     },
                 );
-                while !String::from_utf8_lossy(&got).ends_with(wanted) {
+                while !String::from_utf8_lossy(&received).ends_with(wanted) {
                     let mut byte = [0];
                     stream.read_exact(&mut byte).unwrap();
-                    got.extend(byte);
+                    received.extend(byte);
                 }
                 stream
             }));
@@ -565,24 +598,28 @@
                 .write_all(self::stream(&[DONE]).as_bytes())
                 .unwrap();
         }
-        let began = Instant::now();
-        let Ok(Some(Event::Finished(back))) = timeout(limits.dial_timeout / 2, told.recv()).await
+        let started_at = Instant::now();
+        let Ok(Some(Event::Finished(result))) =
+            timeout(limits.dial_timeout / 2, events.recv()).await
         else {
-            panic!("{shown}: nothing is told")
+            panic!("{case}: no result")
         };
-        assert_eq!(format!("{:?}", back.outcome), outcome, "{shown}");
+        assert_eq!(format!("{:?}", result.outcome), outcome, "{case}");
         assert!(
-            began.elapsed() < limits.dial_timeout / 8,
-            "{shown}: at once"
+            started_at.elapsed() < limits.dial_timeout / 8,
+            "{case}: not reported at once"
         );
         task.await.unwrap();
         if let Some(mut stream) = stream.filter(|_| outcome == "Full") {
             let mut rest = Vec::new();
             stream.read_to_end(&mut rest).ok();
-            assert!(rest.is_empty(), "{shown}: {rest:?}");
+            assert!(
+                rest.is_empty(),
+                "{case}: bytes after the withdrawal: {rest:?}"
+            );
         }
     }
-    // Now the connection could come up: whoever comes has nothing to say.
+    // Now the connections can be established: no byte may arrive on them.
     listener.set_nonblocking(true).unwrap();
     drop(queued);
     let until = Instant::now() + seconds(2);
@@ -594,7 +631,7 @@
                 .unwrap();
             assert!(
                 !matches!(stream.read(&mut [0]), Ok(n) if n > 0),
-                "a byte came after all"
+                "a byte arrived after the withdrawal"
             );
         }
         tokio::time::sleep(Duration::from_millis(20)).await;
@@ -602,46 +639,50 @@
 }
 
 #[tokio::test]
-async fn giving_up_closes_the_connection() {
-    for (shown, answer) in [
-        ("before an answer", "|"),
-        ("after its head", "HTTP/1.1 200 OK\r\n\r\n|"),
+async fn cancelling_an_allocation_closes_its_connection() {
+    for (case, response) in [
+        ("before a response", "|"),
+        ("after the response head", "HTTP/1.1 200 OK\r\n\r\n|"),
     ] {
-        let (address, told) = worker(answer.into());
+        let (address, worker_log) = start_worker(response.into());
         let clock = Clock::start();
-        let (tell, _kept) = unbounded_channel();
+        let (event_sender, _events) = unbounded_channel();
         let client = WorkerClient::new(
             &limits(),
             clock,
-            tell,
+            event_sender,
             &[],
             RequestTemplate::default(),
             Arc::default(),
-            quiet(),
+            discarding_logger(),
         );
         let task = tokio::spawn(async move {
             client
-                .allocate(&order(0, 0, clock.now() + 9.0), address)
+                .allocate(&allocation_request(0, 0, clock.now() + 9.0), address)
                 .await;
         });
-        // Waits without stopping the client, which shares the thread.
-        let next = async |most: u64| {
-            for _ in 0..most / 5 {
-                if let Ok(heard) = told.try_recv() {
-                    return heard;
+        // Polls, as a blocking wait would stop the client on the same thread.
+        let next_log_entry = async |max_ms: u64| {
+            for _ in 0..max_ms / 5 {
+                if let Ok(entry) = worker_log.try_recv() {
+                    return entry;
                 }
                 tokio::time::sleep(Duration::from_millis(5)).await;
             }
             "nothing".to_string()
         };
-        assert!(next(2000).await.starts_with("post"), "{shown}");
-        assert_eq!(next(200).await, "nothing", "{shown}: still open");
+        assert!(next_log_entry(2000).await.starts_with("post"), "{case}");
+        assert_eq!(
+            next_log_entry(200).await,
+            "nothing",
+            "{case}: the connection must still be open"
+        );
         task.abort();
-        assert_eq!(next(2000).await, "closed", "{shown}");
+        assert_eq!(next_log_entry(2000).await, "closed", "{case}");
     }
 }
 
-/// A watch that says nothing, or nothing that can be read, ends, and the decisions are told.
+/// A watch that is silent, or sends invalid messages, ends with the cause.
 #[tokio::test]
 async fn a_watch_ends_in_bounded_time() {
     const LINE: &str = r#"{"version":1,"full":true,"servers":[]}"#;
@@ -652,28 +693,52 @@
             body.len()
         )
     };
-    let (after, whole) = (Some(7), None);
+    let (after, from_start) = (Some(7), None);
     let cases = [
-        ("silent from the start", after, "|".to_string(), 0, "silent"),
+        (
+            "silent from the start",
+            after,
+            "|".to_string(),
+            0,
+            "timed out after 0.2 s",
+        ),
         (
             "silent after a line",
             after,
             cut(&[LINE]) + "|",
             1,
-            "silent",
+            "timed out after 0.2 s",
         ),
         (
             "half a line, then silence",
             after,
             cut(&[LINE]) + "9\r\n{\"version|",
             1,
-            "silent",
+            "timed out after 0.2 s",
         ),
-        ("ended", after, stream(&["", LINE, "", LINE]), 2, "it ended"),
-        ("broken off", after, cut(&[LINE]), 1, "broken off"),
-        ("no list", after, stream(&["[]"]), 0, "a bad line"),
         (
-            "indented, within lines, and empty ones",
+            "ended",
+            after,
+            stream(&["", LINE, "", LINE]),
+            2,
+            "the list service closed it",
+        ),
+        (
+            "connection closed",
+            after,
+            cut(&[LINE]),
+            1,
+            "reading the body failed",
+        ),
+        (
+            "not a message",
+            after,
+            stream(&["[]"]),
+            0,
+            "invalid message",
+        ),
+        (
+            "a message over several lines, with empty ones",
             after,
             stream(&[
                 "",
@@ -686,24 +751,24 @@
                 "",
             ]),
             1,
-            "it ended",
+            "the list service closed it",
         ),
         (
-            "indented, ended within",
+            "ended within a message",
             after,
             stream(&["{", "\"version\":1,"]),
             0,
-            "ended within",
+            "ended within a message",
         ),
         (
-            "indented, silent within",
+            "silent within a message",
             after,
             cut(&["{", "\"version\":1,"]) + "|",
             0,
-            "silent",
+            "timed out after 0.2 s",
         ),
         (
-            "indented, with no end",
+            "a message without end",
             after,
             stream(
                 &["{\"version\":1,"; 1]
@@ -713,101 +778,120 @@
                     .collect::<Vec<_>>(),
             ),
             0,
-            "a bad line",
+            "invalid message",
         ),
         (
-            "two in a row that are none",
+            "an incomplete message over two lines",
             after,
             stream(&["{", "}"]),
             0,
-            "a bad line",
+            "invalid message",
         ),
         (
             "too long a line",
             after,
             stream(&[&" ".repeat(1000)]),
             0,
-            "a line of over 500 bytes",
+            "line exceeds 500 bytes",
         ),
         (
-            "busy",
+            "unavailable",
             after,
             "HTTP/1.1 503 No\r\ncontent-length: 0\r\n\r\n".into(),
             0,
-            "answered 503",
+            "response status 503",
+        ),
+        // The full list comes first, by a call of its own; the watch gets the same response here.
+        (
+            "full list, then a watch",
+            from_start,
+            plain(LINE),
+            2,
+            "the list service closed it",
+        ),
+        (
+            "full list, silent",
+            from_start,
+            "|".to_string(),
+            0,
+            "timed out after 0.2 s",
         ),
-        // The whole list comes first, by a call of its own; the watch is answered with the same here.
-        ("whole, then watched", whole, plain(LINE), 2, "it ended"),
-        ("whole, silent", whole, "|".to_string(), 0, "silent"),
         (
-            "whole, silent half way",
-            whole,
+            "full list, silent half-way",
+            from_start,
             plain(LINE)[..60].to_string() + "|",
             0,
-            "silent",
+            "timed out after 0.2 s",
         ),
         (
-            "whole, broken off",
-            whole,
+            "full list, connection closed",
+            from_start,
             plain(LINE)[..60].to_string(),
             0,
-            "no whole list",
+            "reading the full list failed",
         ),
         (
-            "whole, too long",
-            whole,
+            "full list, too long",
+            from_start,
             plain(&" ".repeat(1000)),
             0,
-            "no whole list",
+            "reading the full list failed",
         ),
-        ("whole, no list", whole, plain("[]"), 0, "a bad list"),
         (
-            "whole, a part",
-            whole,
+            "full list, not a message",
+            from_start,
+            plain("[]"),
+            0,
+            "invalid full list",
+        ),
+        (
+            "full list, not marked as full",
+            from_start,
             plain(&LINE.replace("true", "false")),
             0,
-            "not the whole",
+            "the list is not marked as full",
         ),
         (
-            "whole, busy",
-            whole,
+            "full list, unavailable",
+            from_start,
             "HTTP/1.1 503 No\r\ncontent-length: 0\r\n\r\n".into(),
             0,
-            "answered 503",
+            "response status 503",
         ),
     ];
-    for (shown, after, answer, lists, why) in cases {
-        let (address, _told) = worker(answer);
-        let soon = Duration::from_millis(200);
+    for (case, after, response, messages, expected_cause) in cases {
+        let (address, _worker_log) = start_worker(response);
+        let list_timeout = Duration::from_millis(200);
         let limits = HttpLimits {
-            list_idle_timeout: soon,
-            list_call_timeout: soon,
+            list_idle_timeout: list_timeout,
+            list_call_timeout: list_timeout,
             max_list_line_bytes: 500,
             ..limits()
         };
-        let heard = Cell::new(0);
-        let said = ListClient::new(&limits, address)
-            .watch(after, |_| heard.set(heard.get() + 1))
+        let message_count = Cell::new(0);
+        let cause = ListClient::new(&limits, address)
+            .watch(after, |_| message_count.set(message_count.get() + 1))
             .await;
-        assert!(said.contains(why), "{shown}: {said}");
-        assert_eq!(heard.get(), lists, "{shown}");
+        assert!(cause.contains(expected_cause), "{case}: {cause}");
+        assert_eq!(message_count.get(), messages, "{case}");
     }
 }
 
-/// Receipted work goes on in its own cell alone, so that two cells must not pass for one, whatever their numbers.
+/// Receipted work is retried in its own cell only, so that two cells must not be mistaken for one, whatever their
+/// numbers.
 #[tokio::test]
-async fn cells_are_told_apart() {
-    let (tell, _) = unbounded_channel();
+async fn cell_numbers_are_not_truncated() {
+    let (event_sender, _) = unbounded_channel();
     let worker_client = WorkerClient::new(
         &limits(),
         Clock::start(),
-        tell,
+        event_sender,
         &[],
         RequestTemplate::default(),
         Arc::default(),
-        quiet(),
+        discarding_logger(),
     );
-    let reading = ListDecoder {
+    let decoder = ListDecoder {
         zones: Vec::new(),
         kinds: Vec::new(),
         runs: ProjectTypeSet::default(),
@@ -819,8 +903,8 @@
         r#"{{"version":1,"full":true,"servers":[{}]}}"#,
         lines.join(",")
     );
-    let told = reading.membership_update(&serde_json::from_str(&list).unwrap());
-    let mut cells: Vec<u64> = told
+    let update = decoder.membership_update(&serde_json::from_str(&list).unwrap());
+    let mut cells: Vec<u64> = update
         .members
         .iter()
         .map(|member| member.entry.cell)
@@ -830,13 +914,13 @@
 }
 
 #[tokio::test]
-async fn what_goes_on_is_what_came() {
-    let (address, told) = worker(stream(&[DONE]) + "+");
+async fn requests_are_forwarded_unchanged() {
+    let (address, worker_log) = start_worker(stream(&[DONE]) + "+");
     assert_eq!(
-        play(address, &limits(), 5, 2, 1.0).await,
+        send_allocations(address, &limits(), 5, 2, 1.0).await,
         ["done yes", "done yes"]
     );
-    let request = told.recv().unwrap();
+    let request = worker_log.recv().unwrap();
     assert!(
         request.starts_with("post /charge/7?x=1 http/1.1\r\n"),
         "{request}"
@@ -857,17 +941,21 @@
         "{request}"
     );
     assert_eq!(
-        told.iter().find(|t| t != "closed").unwrap().len(),
+        worker_log
+            .iter()
+            .find(|entry| entry != "closed")
+            .unwrap()
+            .len(),
         request.len(),
-        "the second"
+        "length of the second request"
     );
 }
 
-/// Lets pay or not, and counts what was paid and not taken back.
+/// Allows commits or not, and counts the commits that were not refunded.
 #[derive(Debug)]
-struct Counted(bool, AtomicI32);
+struct CountingReservation(bool, AtomicI32);
 
-impl Reservation for Counted {
+impl Reservation for CountingReservation {
     fn commit(&self) -> bool {
         self.1.fetch_add(i32::from(self.0), Relaxed);
         self.0
@@ -877,45 +965,52 @@
     }
 }
 
-/// An allocation is paid once, in the write that makes it whole; unpaid its last byte does not go, and that is nobody's
-/// fault.
+/// A reservation is committed once, in the write that completes the request. If the commit fails, the last byte is not
+/// written, and the worker is not blamed.
 #[tokio::test]
-async fn what_is_not_paid_is_not_sent() {
+async fn a_request_without_a_committed_reservation_is_not_sent() {
     for body in [0, 1, 5, 60_000] {
-        for pays in [true, false] {
-            let (address, seen) = worker(stream(&[STARTED, DONE]));
+        for can_commit in [true, false] {
+            let (address, worker_log) = start_worker(stream(&[STARTED, DONE]));
             let clock = Clock::start();
-            let (tell, mut told) = unbounded_channel();
-            let worded = RequestTemplate::default();
-            let client =
-                WorkerClient::new(&limits(), clock, tell, &[], worded, Arc::default(), quiet());
-            let reservation = Arc::new(Counted(pays, AtomicI32::new(0)));
+            let (event_sender, mut events) = unbounded_channel();
+            let template = RequestTemplate::default();
+            let client = WorkerClient::new(
+                &limits(),
+                clock,
+                event_sender,
+                &[],
+                template,
+                Arc::default(),
+                discarding_logger(),
+            );
+            let reservation = Arc::new(CountingReservation(can_commit, AtomicI32::new(0)));
             let request = AllocationRequest {
                 reservation: Some(reservation.clone()),
-                ..order(0, body, clock.now() + 2.0)
+                ..allocation_request(0, body, clock.now() + 2.0)
             };
             client.allocate(&request, address).await;
             drop(client);
             let mut outcome = None;
-            while let Some(event) = told.recv().await {
-                if let Event::Finished(back) = event {
-                    outcome = Some(back.outcome);
+            while let Some(event) = events.recv().await {
+                if let Event::Finished(result) = event {
+                    outcome = Some(result.outcome);
                 }
             }
-            let expected = if pays {
+            let expected = if can_commit {
                 Outcome::Completed
             } else {
                 Outcome::Moot
             };
             assert_eq!(
                 (outcome, reservation.1.load(Relaxed)),
-                (Some(expected), i32::from(pays)),
-                "{body} {pays}"
+                (Some(expected), i32::from(can_commit)),
+                "{body} {can_commit}"
             );
-            let whole = seen
+            let is_complete = worker_log
                 .recv_timeout(Duration::from_secs(2))
-                .is_ok_and(|said| said != "closed");
-            assert_eq!(whole, pays, "{body} {pays}");
+                .is_ok_and(|entry| entry != "closed");
+            assert_eq!(is_complete, can_commit, "{body} {can_commit}");
         }
     }
 }
--- a/crates/mintlb-http/tests/machine/mod.rs
+++ b/crates/mintlb-http/tests/support/mod.rs
@@ -1,5 +1,5 @@
-//! The limits that tests play with, a log that nobody reads, and a front on loopback.
-#![allow(dead_code, reason = "each of the tests that share it uses a part")]
+//! Shared by the tests: limits, a logger without output, and a frontend on the loopback interface.
+#![allow(dead_code, reason = "each test program uses a part of this module")]
 
 use mintlb_core::capacity::Capacity;
 use mintlb_core::clock::Clock;
@@ -20,9 +20,9 @@
 use tokio::sync::mpsc::{UnboundedReceiver, unbounded_channel};
 use tokio::time::timeout;
 
-/// As a machine of 192 MB and 1024 descriptors has them, where dials take 250 ms at most.
+/// The limits of a machine with 192 MB and 1024 descriptors, with a dial time-out of 250 ms.
 pub fn limits() -> HttpLimits {
-    let time = Duration::from_millis;
+    let ms = Duration::from_millis;
     HttpLimits {
         max_body_bytes: 64 << 10,
         max_head_bytes: 16 << 10,
@@ -31,32 +31,32 @@
         max_client_connections: 512,
         max_worker_connections: 384,
         max_idle_per_worker: 8,
-        dial_timeout: time(250),
-        last_byte_delay: time(250) / 32,
-        idle_timeout: time(3750),
-        reuse_threshold: time(50),
-        read_timeout: time(2000),
-        probe_timeout: time(500),
-        list_idle_timeout: time(2500),
-        list_call_timeout: time(2750),
+        dial_timeout: ms(250),
+        last_byte_delay: ms(250) / 32,
+        idle_timeout: ms(3750),
+        reuse_threshold: ms(50),
+        read_timeout: ms(2000),
+        probe_timeout: ms(500),
+        list_idle_timeout: ms(2500),
+        list_call_timeout: ms(2750),
         retry_after_s: 0.2,
     }
 }
 
-pub fn quiet() -> slog::Logger {
+pub fn discarding_logger() -> slog::Logger {
     slog::Logger::root(slog::Discard, slog::o!())
 }
 
-pub struct Served {
+pub struct TestFrontend {
     pub frontend: Arc<Frontend>,
     pub lifecycle: Arc<Mutex<Lifecycle>>,
     pub clock: Clock,
     pub address: SocketAddr,
 }
 
-/// A front of one project type, `w`, and what it tells.
-pub async fn served() -> (Served, UnboundedReceiver<Event>) {
-    let (tell, events) = unbounded_channel();
+/// Starts a frontend for one project type, `w`. Returns it with the events that it sends.
+pub async fn start_frontend() -> (TestFrontend, UnboundedReceiver<Event>) {
+    let (event_sender, events) = unbounded_channel();
     let clock = Clock::start();
     let lifecycle = Arc::new(Mutex::new(Lifecycle::new(CloseDelays {
         after_leave: 0.0,
@@ -72,7 +72,13 @@
         clock,
         lifecycle.clone(),
     );
-    let frontend = Frontend::new(Vec::new(), limits(), shared, tell, quiet());
+    let frontend = Frontend::new(
+        Vec::new(),
+        limits(),
+        shared,
+        event_sender,
+        discarding_logger(),
+    );
     let (credit, late_credit, promised_turnaround, turnaround_stretch, hard_limit) =
         (1.0, 0.0, 1.0, 0.0, 3.0);
     let (idempotency, machine_kind) = (Idempotency::Idempotent, None);
@@ -97,7 +103,7 @@
     let address = listener.local_addr().unwrap();
     tokio::spawn(frontend.clone().listen(listener));
     (
-        Served {
+        TestFrontend {
             frontend,
             lifecycle,
             clock,
@@ -107,17 +113,17 @@
     )
 }
 
-/// All that comes until an answer is whole, or the connection ends.
-pub async fn answer(stream: &mut TcpStream) -> String {
-    let (mut got, mut piece) = (String::new(), [0; 1024]);
-    while !got.ends_with("yes") {
-        let read = timeout(Duration::from_secs(4), stream.read(&mut piece))
+/// Reads until the response is complete (its body is `yes`), or the connection ends.
+pub async fn read_answer(stream: &mut TcpStream) -> String {
+    let (mut received, mut buffer) = (String::new(), [0; 1024]);
+    while !received.ends_with("yes") {
+        let read = timeout(Duration::from_secs(4), stream.read(&mut buffer))
             .await
-            .expect("an answer or an end");
+            .expect("a response or the end of the connection within 4 s");
         match read {
             Ok(0) | Err(_) => break,
-            Ok(n) => got += &String::from_utf8_lossy(&piece[..n]),
+            Ok(n) => received += &String::from_utf8_lossy(&buffer[..n]),
         }
     }
-    got
+    received
 }
