--- a/crates/mintlb-dispatcher/src/admission_statistics.rs
+++ b/crates/mintlb-dispatcher/src/admission_statistics.rs
@@ -1,4 +1,4 @@
-//! Counts of admissions by outcome, for the log.
+//! Counts of admissions by outcome, which the dispatcher logs.
 
 use crate::tenants::AuthenticationError;
 use parking_lot::Mutex;
@@ -6,29 +6,29 @@
 use std::fmt;
 use std::time::Duration;
 
-/// Tenants whose rejections are counted by name; those of others are counted together.
+/// Maximum number of tenants whose rejections are counted by name; those of further tenants are counted together.
 const MAX_TENANTS: usize = 1024;
 
 /// The counts since the last report.
 #[derive(Debug, Default)]
 pub struct AdmissionCounters(Mutex<AdmissionCounts>);
 
-/// Counts of admissions.
+/// The counts of one report.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct AdmissionCounts {
-    /// Requests that a tenant's limit admitted.
+    /// Requests within their tenant's limit.
     pub admitted: u64,
     /// Requests without a key.
     pub without_key: u64,
     /// Requests with a malformed `Authorization`.
     pub malformed: u64,
-    /// Requests with a key that no tenant has.
+    /// Requests with a key of no tenant.
     pub unknown_key: u64,
-    /// Requests that no owner of their tenant's limit decided about.
+    /// Requests without a decision, because no owner of their tenant's limit responded in time.
     pub undecided: u64,
-    /// The sum of the times that decisions took.
+    /// Total time that decisions took.
     pub waited: Duration,
-    /// The longest of these.
+    /// The longest time that a decision took.
     pub longest_wait: Duration,
     /// Requests over their tenant's limit, by tenant.
     pub over_limit: FxHashMap<String, u64>,
@@ -37,7 +37,7 @@
 }
 
 impl AdmissionCounters {
-    /// Counts a request that was not authenticated.
+    /// Counts a request that was rejected because of its credentials.
     pub fn on_unauthenticated(&self, error: AuthenticationError) {
         let counts = &mut *self.0.lock();
         let count = match error {
@@ -48,14 +48,14 @@
         *count += 1;
     }
 
-    /// Counts a request that was admitted.
+    /// Counts an admitted request, whose decision took this long.
     pub fn on_admitted(&self, waited: Duration) {
         let counts = &mut *self.0.lock();
         counts.admitted += 1;
         counts.add_wait(waited);
     }
 
-    /// Counts a request over its tenant's limit.
+    /// Counts a request over its tenant's limit, whose decision took this long.
     pub fn on_over_limit(&self, tenant: &str, waited: Duration) {
         let counts = &mut *self.0.lock();
         counts.add_wait(waited);
@@ -68,21 +68,21 @@
         }
     }
 
-    /// Counts a request that no owner decided about.
+    /// Counts a request without a decision, which was awaited this long.
     pub fn on_undecided(&self, waited: Duration) {
         let counts = &mut *self.0.lock();
         counts.undecided += 1;
         counts.add_wait(waited);
     }
 
-    /// The counts since the last call.
+    /// Returns the counts since the last call and resets them.
     pub fn take(&self) -> AdmissionCounts {
         std::mem::take(&mut self.0.lock())
     }
 }
 
 impl AdmissionCounts {
-    /// Whether nothing was counted.
+    /// Whether all counts are 0.
     pub fn is_empty(&self) -> bool {
         *self == AdmissionCounts::default()
     }
@@ -97,10 +97,10 @@
     }
 
     /// The tenant with the most requests over its limit.
-    fn most_over_limit(&self) -> Option<(&str, u64)> {
+    fn top_rejected_tenant(&self) -> Option<(&str, u64)> {
         let counts = self.over_limit.iter();
-        let most = counts.max_by_key(|(tenant, count)| (**count, std::cmp::Reverse(*tenant)))?;
-        Some((most.0, *most.1))
+        let top = counts.max_by_key(|(tenant, count)| (**count, std::cmp::Reverse(*tenant)))?;
+        Some((top.0, *top.1))
     }
 }
 
@@ -120,7 +120,7 @@
             self.malformed,
             self.unknown_key,
         )?;
-        match self.most_over_limit() {
+        match self.top_rejected_tenant() {
             Some((tenant, count)) => write!(f, "; most over the limit: {tenant}, {count}"),
             None => Ok(()),
         }
--- a/crates/mintlb-dispatcher/src/batch/calls.rs
+++ b/crates/mintlb-dispatcher/src/batch/calls.rs
@@ -1,11 +1,11 @@
-//! Clients' calls on batch jobs: submit, read results, read a body, end.
+//! Clients' calls on batch jobs: submit a job, read its results, read an item's body, end a job.
 
 mod request_fields;
 mod responses;
 mod submit;
 
 use super::page;
-use super::runner::Runner;
+use super::runner::ItemRunner;
 use super::submission::parse;
 use crate::batch_executor::{BatchCall, BatchHandler};
 use axum::body::Body;
@@ -15,8 +15,8 @@
 use mintlb_batch::messages::DispatcherId;
 use mintlb_common::record::{ENDED_JOB_PREFIX, Record};
 use mintlb_gossip::GossipService;
-use request_fields::{Resource, host_name, milliseconds, parameter, resource};
-use responses::{Answer, answer, bad_request, job_error, json, unavailable};
+use request_fields::{Resource, duration_header, host_name, query_parameter, resource};
+use responses::{ResponseFuture, bad_request, job_error, json, status_response, unavailable};
 use std::future::Future;
 use std::pin::Pin;
 use std::sync::Arc;
@@ -24,31 +24,31 @@
 use std::time::Duration;
 use submit::{submission, submit, submit_timeout};
 
-/// Size limit of the results in one response.
+/// Maximum size of the results in one response.
 const MAX_PAGE_BYTES: usize = 1 << 20;
-/// The longest that a read waits for a result.
+/// Maximum time that a read waits for a result.
 const MAX_READ_WAIT: Duration = Duration::from_millis(1000);
-/// Lifetime of the record that a job was ended, in seconds.
+/// Lifetime of the gossip record that a job was ended, in seconds.
 const ENDED_LIFETIME_S: u32 = 60;
 
 /// Handles clients' calls on batch jobs.
-pub struct BatchCalls {
+pub struct BatchCallHandler {
     client: Arc<BatchClient>,
-    runner: Arc<Runner>,
+    runner: Arc<ItemRunner>,
     gossip: Arc<GossipService>,
     dispatcher_id: DispatcherId,
     draining: AtomicBool,
 }
 
-impl BatchCalls {
-    /// Calls go to the stores by `client`; accepted items go to `runner`.
+impl BatchCallHandler {
+    /// Creates the handler. Calls go to the stores through `client`; `runner` runs the items of accepted jobs.
     pub fn new(
         client: Arc<BatchClient>,
-        runner: Arc<Runner>,
+        runner: Arc<ItemRunner>,
         gossip: Arc<GossipService>,
         dispatcher_id: DispatcherId,
-    ) -> BatchCalls {
-        BatchCalls {
+    ) -> BatchCallHandler {
+        BatchCallHandler {
             client,
             runner,
             gossip,
@@ -58,12 +58,12 @@
     }
 }
 
-impl BatchHandler for BatchCalls {
+impl BatchHandler for BatchCallHandler {
     fn handle(&self, call: BatchCall) -> Pin<Box<dyn Future<Output = Response> + Send>> {
         if let Some(route) = call.route {
             return match call.method == Method::POST {
                 true => self.submit(&call, route),
-                false => answer(StatusCode::METHOD_NOT_ALLOWED),
+                false => status_response(StatusCode::METHOD_NOT_ALLOWED),
             };
         }
         let (path, query) = call
@@ -74,8 +74,8 @@
             (Some(Resource::Job(id)), &Method::GET) => self.read(&call, id, query),
             (Some(Resource::Job(id)), &Method::DELETE) => self.end(&call, id),
             (Some(Resource::Items(id)), &Method::GET) => self.body(&call, id, query),
-            (Some(_), _) => answer(StatusCode::METHOD_NOT_ALLOWED),
-            (None, _) => answer(StatusCode::NOT_FOUND),
+            (Some(_), _) => status_response(StatusCode::METHOD_NOT_ALLOWED),
+            (None, _) => status_response(StatusCode::NOT_FOUND),
         }
     }
 
@@ -89,10 +89,10 @@
     }
 }
 
-impl BatchCalls {
-    fn submit(&self, call: &BatchCall, route: usize) -> Answer {
+impl BatchCallHandler {
+    fn submit(&self, call: &BatchCall, route: usize) -> ResponseFuture {
         let Some(route) = call.configuration.route_list.get(route) else {
-            return answer(StatusCode::NOT_FOUND);
+            return status_response(StatusCode::NOT_FOUND);
         };
         if self.draining.load(Relaxed) {
             return Box::pin(async { unavailable() });
@@ -112,7 +112,7 @@
         let time_limit = submit_timeout(&call.headers);
         let (client, runner, dispatcher_id) =
             (self.client.clone(), self.runner.clone(), self.dispatcher_id);
-        // On its own task: an accepted job is run here, also if its client has disconnected meanwhile.
+        // Runs on a task of its own, so that an accepted job is run here even if its client has disconnected.
         let task =
             tokio::spawn(
                 async move { submit(&client, &runner, dispatcher_id, job, time_limit).await },
@@ -123,12 +123,12 @@
         })
     }
 
-    fn read(&self, call: &BatchCall, job_id: &str, query: &str) -> Answer {
-        let start_after = match parameter(query, "start_after").map_or(Ok(0), str::parse) {
+    fn read(&self, call: &BatchCall, job_id: &str, query: &str) -> ResponseFuture {
+        let start_after = match query_parameter(query, "start_after").map_or(Ok(0), str::parse) {
             Ok(position) => position,
             Err(_) => return bad_request("M415 start_after: is no position".to_string()),
         };
-        let wait = milliseconds(&call.headers, "mintlb-wait-ms")
+        let wait = duration_header(&call.headers, "mintlb-wait-ms")
             .unwrap_or_default()
             .min(MAX_READ_WAIT);
         let (client, access) = (self.client.clone(), call.access.clone());
@@ -144,8 +144,8 @@
         })
     }
 
-    fn body(&self, call: &BatchCall, job_id: &str, query: &str) -> Answer {
-        let Some(instance_id) = parameter(query, "instance_id").map(str::to_string) else {
+    fn body(&self, call: &BatchCall, job_id: &str, query: &str) -> ResponseFuture {
+        let Some(instance_id) = query_parameter(query, "instance_id").map(str::to_string) else {
             return bad_request("M416 instance_id: one is needed".to_string());
         };
         let (client, access) = (self.client.clone(), call.access.clone());
@@ -158,7 +158,7 @@
         })
     }
 
-    fn end(&self, call: &BatchCall, job_id: &str) -> Answer {
+    fn end(&self, call: &BatchCall, job_id: &str) -> ResponseFuture {
         let (client, runner, gossip) = (
             self.client.clone(),
             self.runner.clone(),
--- a/crates/mintlb-dispatcher/src/batch/calls/request_fields.rs
+++ b/crates/mintlb-dispatcher/src/batch/calls/request_fields.rs
@@ -3,20 +3,20 @@
 use axum::http::HeaderMap;
 use std::time::Duration;
 
-/// The longest time that a header may give, in milliseconds.
+/// Maximum duration in a header, in milliseconds. Longer ones are capped.
 const MAX_MILLISECONDS: f64 = 1e6;
 const MILLISECONDS_PER_SECOND: f64 = 1e3;
 
-/// The resource that a path under `/v1/` names.
+/// A resource under `/v1/`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Resource<'a> {
-    /// A batch job, by its id.
+    /// The batch job with this id.
     Job(&'a str),
-    /// The items of a batch job, by its id.
+    /// The items of the batch job with this id.
     Items(&'a str),
 }
 
-/// The resource of a path; `None` if it names none.
+/// The resource that a path names, if any.
 pub(super) fn resource(path: &str) -> Option<Resource<'_>> {
     let is_id = |id: &&str| !id.is_empty() && !id.contains('/');
     let job = path
@@ -31,22 +31,22 @@
 }
 
 /// The value of a query parameter.
-pub(super) fn parameter<'a>(query: &'a str, name: &str) -> Option<&'a str> {
+pub(super) fn query_parameter<'a>(query: &'a str, name: &str) -> Option<&'a str> {
     query
         .split('&')
         .find_map(|pair| pair.split_once('=').filter(|(key, _)| *key == name))
         .map(|(_, value)| value)
 }
 
-/// The host's name without a port, by which jobs are keyed.
+/// The lower-case host name without a port. Jobs are stored under it.
 pub(super) fn host_name(host: &str) -> String {
     host.rsplit_once(':')
         .map_or(host, |(name, _)| name)
         .to_ascii_lowercase()
 }
 
-/// The time that a header gives in milliseconds; `None` if it is missing or no time.
-pub(super) fn milliseconds(headers: &HeaderMap, name: &str) -> Option<Duration> {
+/// A duration that a header gives in milliseconds; `None` if it is missing or invalid.
+pub(super) fn duration_header(headers: &HeaderMap, name: &str) -> Option<Duration> {
     let value: f64 = headers.get(name)?.to_str().ok()?.trim().parse().ok()?;
     let is_time = value.is_finite() && value >= 0.0;
     is_time.then(|| Duration::from_secs_f64(value.min(MAX_MILLISECONDS) / MILLISECONDS_PER_SECOND))
--- a/crates/mintlb-dispatcher/src/batch/calls/responses.rs
+++ b/crates/mintlb-dispatcher/src/batch/calls/responses.rs
@@ -7,42 +7,42 @@
 use std::future::Future;
 use std::pin::Pin;
 
-/// `Retry-After` of a rejected call, in seconds.
+/// `Retry-After` of a call that no store could take, in seconds.
 const RETRY_AFTER_SECONDS: &str = "0.5";
 /// `Retry-After` of a submission over the quota, in seconds.
 const QUOTA_RETRY_AFTER_SECONDS: &str = "1";
 
-/// The text of a 403.
-const OTHER_TENANT: &str = "M427 the lot belongs to another tenant";
+/// Body of a 403.
+const OTHER_TENANT_TEXT: &str = "M427 the lot belongs to another tenant";
 
-/// The response to a call, once it is known.
-pub(super) type Answer = Pin<Box<dyn Future<Output = Response> + Send>>;
+/// Resolves to the response to a call.
+pub(super) type ResponseFuture = Pin<Box<dyn Future<Output = Response> + Send>>;
 
-/// A response that is known at once.
-pub(super) fn answer(status: StatusCode) -> Answer {
+/// A response without a body.
+pub(super) fn status_response(status: StatusCode) -> ResponseFuture {
     Box::pin(async move { status.into_response() })
 }
 
-/// A 400 with the numbered error.
-pub(super) fn bad_request(why: String) -> Answer {
-    Box::pin(async move { (StatusCode::BAD_REQUEST, why).into_response() })
+/// A 400 with the text of the error.
+pub(super) fn bad_request(error: String) -> ResponseFuture {
+    Box::pin(async move { (StatusCode::BAD_REQUEST, error).into_response() })
 }
 
-/// The call was not executed and never will be; it may be repeated.
+/// A 503 for a call that was not executed and never will be; the client may retry.
 pub(super) fn unavailable() -> Response {
     retry_later(StatusCode::SERVICE_UNAVAILABLE, RETRY_AFTER_SECONDS)
 }
 
-/// The response to a call on an accepted job that failed.
+/// The response to a failed call on an existing job.
 pub(super) fn job_error(error: JobError) -> Response {
     match error {
         JobError::NotFound => StatusCode::NOT_FOUND.into_response(),
-        JobError::OtherTenant => (StatusCode::FORBIDDEN, OTHER_TENANT).into_response(),
+        JobError::OtherTenant => (StatusCode::FORBIDDEN, OTHER_TENANT_TEXT).into_response(),
         JobError::Unavailable => unavailable(),
     }
 }
 
-/// The submission does not fit into its tenant's quota; it may be repeated later.
+/// A 429 for a submission over the quota of its tenant on its route; the client may retry later.
 pub(super) fn over_quota() -> Response {
     retry_later(StatusCode::TOO_MANY_REQUESTS, QUOTA_RETRY_AFTER_SECONDS)
 }
--- a/crates/mintlb-dispatcher/src/batch/calls/submit.rs
+++ b/crates/mintlb-dispatcher/src/batch/calls/submit.rs
@@ -1,8 +1,8 @@
 //! Submission of a batch job by a client.
 
-use super::request_fields::{host_name, milliseconds};
+use super::request_fields::{duration_header, host_name};
 use super::responses::{over_quota, unavailable};
-use crate::batch::runner::Runner;
+use crate::batch::runner::ItemRunner;
 use crate::batch_executor::BatchCall;
 use axum::http::{HeaderMap, StatusCode};
 use axum::response::{IntoResponse, Response};
@@ -13,12 +13,12 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Timeout of a submission without a client's deadline.
+/// Timeout of a submission, also if the client's deadline is later.
 const SUBMIT_TIMEOUT: Duration = Duration::from_millis(3000);
-/// A submission gets its response this long before the client's deadline.
+/// A submission gets its response at least this long before the client's deadline.
 const SUBMIT_MARGIN: Duration = Duration::from_millis(300);
-/// Default retention of a job's items, in milliseconds.
-const USUAL_RETENTION_MS: u64 = 60_000;
+/// Default retention of a job's items, and default of their completion target, in milliseconds.
+const DEFAULT_RETENTION_MS: u64 = 60_000;
 
 /// The job that a call submits.
 pub(super) fn submission(
@@ -33,16 +33,16 @@
         route: route.name.clone(),
         tenant: call.access.tenant().map(str::to_string),
         job_id: job_id.to_string(),
-        terms: terms(route, now_ms),
+        terms: job_terms(route, now_ms),
         max_queued_tokens: route.max_queued_tokens,
         items,
     }
 }
 
-/// Submits a job; once it is accepted, its items run at this dispatcher.
+/// Submits a job. If it is accepted and its items are leased to this dispatcher, they are run here.
 pub(super) async fn submit(
     client: &BatchClient,
-    runner: &Arc<Runner>,
+    runner: &Arc<ItemRunner>,
     dispatcher_id: DispatcherId,
     job: Submission,
     time_limit: Duration,
@@ -52,7 +52,7 @@
     let response = match submitted {
         Ok(Submitted { items_leased }) => {
             if items_leased {
-                runner.take(leased(job));
+                runner.enqueue(leased_items(job));
             }
             StatusCode::ACCEPTED.into_response()
         }
@@ -61,7 +61,7 @@
             (StatusCode::CONFLICT, "M417 another lot has this id").into_response()
         }
         Err(SubmitError::Rejected) => unavailable(),
-        // It may be committed: no status that denies it is allowed.
+        // The job may have been accepted, so that the status must not say otherwise.
         Err(SubmitError::Indeterminate) => StatusCode::GATEWAY_TIMEOUT.into_response(),
     };
     let counters = runner.counters();
@@ -69,7 +69,7 @@
     response
 }
 
-fn leased(job: Submission) -> Vec<LeasedItem> {
+fn leased_items(job: Submission) -> Vec<LeasedItem> {
     let Submission {
         host,
         route,
@@ -79,7 +79,7 @@
         items,
         ..
     } = job;
-    let leased = |(index, item)| LeasedItem {
+    let leased_item = |(index, item)| LeasedItem {
         host: host.clone(),
         route: route.clone(),
         tenant: tenant.clone(),
@@ -89,23 +89,23 @@
         item,
         failures: 0,
     };
-    items.into_iter().enumerate().map(leased).collect()
+    items.into_iter().enumerate().map(leased_item).collect()
 }
 
-fn terms(route: &Route, now_ms: u64) -> JobTerms {
+fn job_terms(route: &Route, now_ms: u64) -> JobTerms {
     JobTerms {
         sent_at_ms: now_ms,
-        completion_target_ms: route.completion_target_ms.unwrap_or(USUAL_RETENTION_MS),
+        completion_target_ms: route.completion_target_ms.unwrap_or(DEFAULT_RETENTION_MS),
         retention_ms: route
             .retention_s
-            .map_or(USUAL_RETENTION_MS, |seconds| (seconds * 1e3) as u64),
+            .map_or(DEFAULT_RETENTION_MS, |seconds| (seconds * 1e3) as u64),
         max_attempts: route.max_attempts,
     }
 }
 
-/// How long a submission may take, by the deadline of its client.
+/// Timeout of a submission, by the deadline of its client.
 pub(super) fn submit_timeout(headers: &HeaderMap) -> Duration {
-    let deadline = milliseconds(headers, "mintlb-deadline-ms");
+    let deadline = duration_header(headers, "mintlb-deadline-ms");
     deadline.map_or(SUBMIT_TIMEOUT, |deadline| {
         deadline.saturating_sub(SUBMIT_MARGIN).min(SUBMIT_TIMEOUT)
     })
--- a/crates/mintlb-dispatcher/src/batch/mod.rs
+++ b/crates/mintlb-dispatcher/src/batch/mod.rs
@@ -1,7 +1,7 @@
 //! Batch jobs at a dispatcher: clients' calls, and the execution of leased items.
 //!
-//! Pure: [`submission`], [`page`], [`progress`], [`queue`]. Joined with the stores and the reducer: [`calls`], [`runner`].
-//! [`statistics`]: counts for the log.
+//! Without I/O: [`submission`], [`page`], [`progress`], [`queue`], [`concurrency_limit`]. Connected to the stores and the
+//! reducer: [`calls`], [`runner`]. Counts for the log: [`statistics`].
 
 pub mod calls;
 pub mod concurrency_limit;
@@ -22,8 +22,8 @@
 use mintlb_gossip::GossipService;
 use std::sync::Arc;
 
-/// Starts the handler of batch calls and the runner of leased items. `dispatcher_id` owns the leases; it differs at each
-/// start.
+/// Starts the handler of batch calls and the runner of leased items. `dispatcher_id` identifies the owner of leases and
+/// differs for each start of a dispatcher.
 pub fn start(
     transport: Arc<Transport>,
     gossip: Arc<GossipService>,
@@ -36,19 +36,21 @@
         transport,
         Arc::new(move || current.load_full()),
     ));
-    let runner = runner::Runner::start(client.clone(), batch_executor, dispatcher_id);
-    let listener = runner.clone();
+    let runner = runner::ItemRunner::start(client.clone(), batch_executor, dispatcher_id);
+    let job_end_runner = runner.clone();
     gossip.subscribe(Arc::new(move |record: &Record| {
         if record.key == PLACEMENT {
             match minicbor::decode(&record.body) {
                 Ok(newer) => placement.store(Arc::new(newer)),
-                Err(why) => log::warn!("batch: can't decode placement {}: {why}", record.version),
+                Err(error) => {
+                    log::warn!("batch: can't decode placement {}: {error}", record.version)
+                }
             }
         } else if let Some(job_id) = record.key.strip_prefix(ENDED_JOB_PREFIX) {
-            listener.job_ended(&String::from_utf8_lossy(&record.body), job_id);
+            job_end_runner.job_ended(&String::from_utf8_lossy(&record.body), job_id);
         }
     }));
-    Arc::new(calls::BatchCalls::new(
+    Arc::new(calls::BatchCallHandler::new(
         client,
         runner,
         gossip,
--- a/crates/mintlb-dispatcher/src/batch/page.rs
+++ b/crates/mintlb-dispatcher/src/batch/page.rs
@@ -18,7 +18,7 @@
     text: std::borrow::Cow<'a, str>,
 }
 
-/// The JSON of a page.
+/// Encodes a page: `total` is the number of items of the job, `next` the position after the last result of the page.
 pub fn to_json(total: u64, next: u64, results: &[CommittedResult]) -> Vec<u8> {
     let page = Page {
         total,
--- a/crates/mintlb-dispatcher/src/batch/queue.rs
+++ b/crates/mintlb-dispatcher/src/batch/queue.rs
@@ -1,36 +1,36 @@
-//! Queue of the items leased by this dispatcher, ordered by due time. Pure.
+//! Queue of the items leased by this dispatcher, ordered by due time. Without I/O.
 
 use mintlb_batch::client::{LeasedItem, LeasedJob};
 use mintlb_batch::messages::ItemFailures;
 use std::collections::{BTreeMap, HashMap, HashSet, VecDeque};
 
-/// Number of ended jobs remembered: a lease response in flight may still bring their items.
+/// Maximum number of ended jobs that are remembered, as a lease response in flight may still contain their items.
 const MAX_ENDED_JOBS: usize = 4096;
 
-/// Local number of a leased item.
+/// Number of a leased item at this dispatcher.
 pub type ItemNumber = u64;
 
 /// A batch job's host and id.
 pub type JobKey = (String, String);
 
-/// Leased items, the earliest due first.
+/// Leased items, of which the earliest due is run first.
 #[derive(Default)]
 pub struct ItemQueue {
     waiting: BTreeMap<(u64, ItemNumber), LeasedItem>,
     leased: HashMap<JobKey, HashSet<u32>>,
     running: HashMap<ItemNumber, (JobKey, u32)>,
-    /// Those of them whose result is being recorded.
+    /// The running items whose result is being recorded.
     recording: HashSet<ItemNumber>,
-    /// Failed attempts of the items that run.
+    /// Failed attempts of the running items, by job and index.
     failures: HashMap<JobKey, BTreeMap<u32, u32>>,
-    /// The jobs that ended last, as a set and in order.
+    /// The jobs that ended last, as a set and in the order of their end.
     ended: HashSet<JobKey>,
     ended_order: VecDeque<JobKey>,
     next_number: ItemNumber,
 }
 
 impl ItemQueue {
-    /// Adds an item, unless it is queued already or its job is known to be ended.
+    /// Adds a leased item, unless this dispatcher already has it or its job has ended.
     pub fn add(&mut self, item: LeasedItem) {
         let key = (item.host.clone(), item.job_id.clone());
         if self.ended.contains(&key) || !self.leased.entry(key).or_default().insert(item.index) {
@@ -44,7 +44,7 @@
         self.next_number += 1;
     }
 
-    /// The next item to run, if fewer than `limit` run.
+    /// Takes the next item to run, if fewer than `limit` are running.
     pub fn start(&mut self, limit: usize) -> Option<(ItemNumber, LeasedItem)> {
         if self.running.len() >= limit {
             return None;
@@ -57,7 +57,7 @@
         Some((number, item))
     }
 
-    /// Removes a running item: recorded, ended or released.
+    /// Removes an item that no longer runs, and its lease.
     pub fn finish(&mut self, number: ItemNumber) {
         self.recording.remove(&number);
         if let Some((key, index)) = self.running.remove(&number) {
@@ -65,7 +65,7 @@
         }
     }
 
-    /// Notes that the result of a running item is being recorded.
+    /// Marks that the result of a running item is being recorded.
     pub fn begin_recording(&mut self, number: ItemNumber) {
         if self.running.contains_key(&number) {
             self.recording.insert(number);
@@ -77,8 +77,8 @@
         !self.recording.is_empty()
     }
 
-    /// Drops all items but those whose results are being recorded. Returns the dropped ones by job, for the release of
-    /// their leases, and the numbers of those that run.
+    /// Drops all items except those whose results are being recorded. Returns the dropped items by job, whose leases are to
+    /// be released, and the numbers of the running ones among them.
     pub fn drain(&mut self) -> (Vec<LeasedJob>, Vec<ItemNumber>) {
         self.waiting.clear();
         let recorded: HashSet<(JobKey, u32)> = self
@@ -102,8 +102,9 @@
         (dropped, stopped.copied().collect())
     }
 
-    /// Records a running item's failed attempts, over all lease holders. Returns the renewal that reports them.
-    pub fn failed(&mut self, number: ItemNumber, count: u32) -> Option<LeasedJob> {
+    /// Records the number of failed attempts of a running item at all dispatchers. Returns the lease renewal that reports
+    /// it.
+    pub fn record_failures(&mut self, number: ItemNumber, count: u32) -> Option<LeasedJob> {
         let (key, index) = self.running.get(&number).filter(|_| count > 0)?;
         self.failures
             .entry(key.clone())
@@ -121,7 +122,7 @@
         })
     }
 
-    /// Whether a running item is still leased: its job has not ended, its lease was not lost.
+    /// Whether a running item is still leased: its job has not ended and its lease was not lost.
     pub fn is_leased(&self, number: ItemNumber) -> bool {
         let running = self.running.get(&number);
         running.is_some_and(|(key, index)| {
@@ -131,14 +132,14 @@
         })
     }
 
-    /// Drops these items, or without `items` the complete job. Returns those that are running.
+    /// Drops these items of a job, or all if `items` is `None`. Returns the numbers of those that are running.
     pub fn drop_items(&mut self, key: &JobKey, items: Option<&[u32]>) -> Vec<ItemNumber> {
-        let fits = |index: u32| items.is_none_or(|items| items.contains(&index));
+        let is_selected = |index: u32| items.is_none_or(|items| items.contains(&index));
         self.waiting.retain(|_, item| {
-            !((&item.host, &item.job_id) == (&key.0, &key.1) && fits(item.index))
+            !((&item.host, &item.job_id) == (&key.0, &key.1) && is_selected(item.index))
         });
         if let Some(leased) = self.leased.get_mut(key) {
-            leased.retain(|index| !fits(*index));
+            leased.retain(|index| !is_selected(*index));
             if leased.is_empty() {
                 self.leased.remove(key);
             }
@@ -146,11 +147,12 @@
         let running = self
             .running
             .iter()
-            .filter(|(_, (of, index))| of == key && fits(*index));
+            .filter(|(_, (of, index))| of == key && is_selected(*index));
         running.map(|(number, _)| *number).collect()
     }
 
-    /// Ends a job: none of its items runs here any more, nor those leased later. Returns those that are running.
+    /// Drops all items of an ended job, and ignores those that are added later. Returns the numbers of those that are
+    /// running.
     pub fn end_job(&mut self, key: JobKey) -> Vec<ItemNumber> {
         let stopped = self.drop_items(&key, None);
         if self.ended.insert(key.clone()) {
@@ -164,7 +166,7 @@
         stopped
     }
 
-    /// The leased items, for the renewal of their leases.
+    /// All leased items with their failed attempts, for the renewal of their leases.
     pub fn leased(&self) -> Vec<LeasedJob> {
         let job = |(key, items): (&JobKey, &HashSet<u32>)| {
             let (host, job_id) = key.clone();
@@ -183,7 +185,7 @@
         self.leased.iter().map(job).collect()
     }
 
-    /// Removes the items that are due last, until `limit` wait. Returns them by job, for the release of their leases.
+    /// Removes the items that are due last until `limit` are queued. Returns them by job, for the release of their leases.
     pub fn take_excess(&mut self, limit: usize) -> Vec<LeasedJob> {
         let mut excess: BTreeMap<JobKey, Vec<u32>> = BTreeMap::new();
         while self.waiting.len() > limit {
@@ -200,12 +202,12 @@
             .collect()
     }
 
-    /// Items that wait to run.
+    /// Number of queued items.
     pub fn waiting(&self) -> usize {
         self.waiting.len()
     }
 
-    /// Items that run.
+    /// Number of running items.
     pub fn running(&self) -> usize {
         self.running.len()
     }
--- a/crates/mintlb-dispatcher/src/batch/runner.rs
+++ b/crates/mintlb-dispatcher/src/batch/runner.rs
@@ -1,11 +1,11 @@
-//! Runs the items leased by this dispatcher, beside live requests and through the same reducer.
+//! Runs the items leased by this dispatcher, through the same reducer as live requests.
 
 use super::concurrency_limit::ConcurrencyLimit;
-use super::progress::{AttemptOutcome, Next, Progress};
+use super::progress::{AttemptOutcome, ItemProgress, NextStep};
 use super::queue::{ItemNumber, ItemQueue};
 use super::statistics::{BatchCounters, REPORT_INTERVAL};
 use crate::batch_executor::{BatchExecutor, ItemOutcome, ItemRequest, ItemStep};
-use crate::events::{event_data, event_id, split_events};
+use crate::event_stream::{event_data, event_id, split_events};
 use axum::http::{HeaderMap, HeaderName, HeaderValue, StatusCode};
 use mintlb_batch::client::{BatchClient, ItemResult, Leased, LeasedItem};
 use mintlb_batch::messages::DispatcherId;
@@ -19,18 +19,18 @@
 
 /// How often leases are renewed.
 const RENEWAL_INTERVAL: Duration = Duration::from_millis(1000);
-/// Items requested in one lease call, if none are queued.
-const LEASE_AT_ONCE: usize = 16;
-/// Interval of lease calls after one that returned items.
-const LEASE_INTERVAL: Duration = Duration::from_millis(120);
-/// Backoff before a result is recorded again, and the limit of attempts.
+/// Maximum number of items requested in one lease call.
+const MAX_ITEMS_PER_LEASE_CALL: usize = 16;
+/// Delay before the next lease call after one that returned items, or while no items are needed.
+const LEASE_CALL_INTERVAL: Duration = Duration::from_millis(120);
+/// Backoff between attempts to record a result, and the maximum number of attempts.
 const RECORD_BACKOFF: Duration = Duration::from_millis(300);
 const MAX_RECORD_ATTEMPTS: usize = 40;
-/// Time limit of one attempt of an item.
+/// Maximum duration of one attempt of an item.
 const MAX_ATTEMPT_TIME: Duration = Duration::from_secs(60);
 
 /// Leases items of batch jobs and runs them.
-pub struct Runner {
+pub struct ItemRunner {
     client: Arc<BatchClient>,
     batch_executor: BatchExecutor,
     dispatcher_id: DispatcherId,
@@ -41,14 +41,14 @@
     counters: BatchCounters,
 }
 
-impl Runner {
-    /// Starts with nothing to run.
+impl ItemRunner {
+    /// Starts the tasks that lease items, renew leases and log the counts.
     pub fn start(
         client: Arc<BatchClient>,
         batch_executor: BatchExecutor,
         dispatcher_id: DispatcherId,
-    ) -> Arc<Runner> {
-        let runner = Arc::new(Runner {
+    ) -> Arc<ItemRunner> {
+        let runner = Arc::new(ItemRunner {
             client,
             batch_executor,
             dispatcher_id,
@@ -64,17 +64,17 @@
         runner
     }
 
-    /// Unix time in ms, which never steps while the process runs.
+    /// Unix time in ms by a clock that is not adjusted while the process runs.
     pub fn now_ms(&self) -> u64 {
         self.batch_executor.now_ms()
     }
 
-    /// The counts of this dispatcher's batch work.
+    /// Counters of this dispatcher's work on batch jobs.
     pub fn counters(&self) -> &BatchCounters {
         &self.counters
     }
 
-    /// Logs the counts while there is batch work.
+    /// Regularly logs the counts, while there is anything to report.
     async fn report(self: Arc<Self>) {
         let mut ticks = interval(REPORT_INTERVAL);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
@@ -87,13 +87,13 @@
             };
             if waiting > 0 || running > 0 || !counts.is_empty() {
                 let limit = self.limit.lock().limit();
-                log::info!("batch: {waiting} items wait, {running} of {limit} run; {counts}");
+                log::info!("batch: {waiting} items queued, {running} of {limit} running; {counts}");
             }
         }
     }
 
-    /// Queues items leased by this dispatcher.
-    pub fn take(self: &Arc<Self>, items: Vec<LeasedItem>) {
+    /// Queues leased items and starts as many as the concurrency limit allows. Ignored during a shutdown.
+    pub fn enqueue(self: &Arc<Self>, items: Vec<LeasedItem>) {
         if self.draining.load(Relaxed) {
             return;
         }
@@ -104,7 +104,7 @@
         self.release_excess();
     }
 
-    /// Releases the items that wait beyond what may run at once: other dispatchers may run them sooner.
+    /// Releases queued items beyond the concurrency limit, as other dispatchers may run them sooner.
     fn release_excess(self: &Arc<Self>) {
         let limit = self.limit.lock().limit();
         let excess = self.queue.lock().take_excess(limit);
@@ -120,7 +120,7 @@
         });
     }
 
-    /// Stops all items of an ended job, also those whose lease is still in flight.
+    /// Stops all items of an ended job, and ignores those whose lease response is still in flight.
     pub fn job_ended(&self, host: &str, job_id: &str) {
         let stopped = self
             .queue
@@ -129,8 +129,8 @@
         self.cancel(&stopped);
     }
 
-    /// Stops all items and releases their leases, as the process shuts down. Results that are being recorded go on: their
-    /// items have run.
+    /// Stops all items and releases their leases, because the process shuts down. The recording of results continues, as
+    /// their items have run.
     pub fn start_draining(self: &Arc<Self>) {
         self.draining.store(true, Relaxed);
         let (released, stopped) = self.queue.lock().drain();
@@ -176,17 +176,17 @@
         }
     }
 
-    /// Runs an item until it has a result, which is to be recorded.
+    /// Runs an item until it has a result to record; `None` if its lease is lost before.
     async fn run(self: &Arc<Self>, number: ItemNumber, item: &LeasedItem) -> Option<ItemResult> {
         let result = self.run_to_result(number, item).await;
         if result.is_some() {
-            // Before the next wait: from now on no shutdown stops it.
+            // Called before the next await point, so that no shutdown stops the item once it has a result.
             self.queue.lock().begin_recording(number);
         }
         result
     }
 
-    /// The result of an item; none if its lease is lost before.
+    /// Makes attempts until an item has a result; `None` if its lease is lost before.
     async fn run_to_result(
         self: &Arc<Self>,
         number: ItemNumber,
@@ -195,7 +195,7 @@
         let Some((id, headers)) = request_headers(item) else {
             return Some(ItemResult::Unrecoverable);
         };
-        let mut progress = Progress::after_failures(item.failures);
+        let mut progress = ItemProgress::after_failures(item.failures);
         if progress.has_exhausted_attempts(&item.terms) {
             return Some(ItemResult::Unrecoverable);
         }
@@ -203,12 +203,15 @@
             let outcome = self
                 .attempt(item, id.clone(), headers.clone(), &mut progress)
                 .await;
-            let next = progress.ended(&outcome, &item.terms, self.now_ms());
-            let failed = self.queue.lock().failed(number, progress.failures());
+            let next = progress.on_attempt_ended(&outcome, &item.terms, self.now_ms());
+            let failed = self
+                .queue
+                .lock()
+                .record_failures(number, progress.failures());
             match next {
-                Next::Record(result) => return Some(result),
-                Next::RunAgain(backoff) => {
-                    // Reported at once, so that another lease holder does not restart the count.
+                NextStep::Record(result) => return Some(result),
+                NextStep::Retry(backoff) => {
+                    // Reported at once, so that another dispatcher that takes over the lease continues the count.
                     if let Some(failed) = failed.filter(|_| outcome == AttemptOutcome::Failed) {
                         self.client.renew(self.dispatcher_id, vec![failed]).await;
                     }
@@ -219,7 +222,7 @@
         None
     }
 
-    /// Adapts the limit of concurrent items to the occupancy that an item's service has now.
+    /// Adapts the concurrency limit to the current occupancy of an item's service, and starts further items.
     fn adapt_limit(self: &Arc<Self>, occupancy: Option<f64>) {
         let running = self.queue.lock().running();
         let now = self.now_ms() as f64 / 1e3;
@@ -232,16 +235,16 @@
         item: &LeasedItem,
         id: HeaderValue,
         headers: HeaderMap,
-        progress: &mut Progress,
+        progress: &mut ItemProgress,
     ) -> AttemptOutcome {
-        let mut run = self.batch_executor.run(ItemRequest {
+        let mut run = self.batch_executor.execute(ItemRequest {
             host: item.host.clone(),
             path: item.item.path.clone(),
             id,
             headers,
             tenant: item.tenant.clone(),
             body: item.item.body.clone(),
-            time: MAX_ATTEMPT_TIME,
+            time_limit: MAX_ATTEMPT_TIME,
             last_event_id: progress.last_event(),
         });
         self.adapt_limit(run.occupancy());
@@ -250,7 +253,7 @@
                 ItemStep::Events(events) => {
                     self.adapt_limit(run.occupancy());
                     for event in split_events(events) {
-                        progress.event(event_id(&event), &event_data(&event));
+                        progress.add_event(event_id(&event), &event_data(&event));
                     }
                 }
                 ItemStep::Ended(outcome) => return attempt_outcome(outcome),
@@ -273,7 +276,7 @@
         log::warn!("batch: could not record a result of job {}", item.job_id);
     }
 
-    /// Renews leases regularly.
+    /// Renews leases each [`RENEWAL_INTERVAL`].
     async fn renew(self: Arc<Self>) {
         let mut tick = interval(RENEWAL_INTERVAL);
         tick.set_missed_tick_behavior(MissedTickBehavior::Delay);
@@ -284,7 +287,7 @@
         }
     }
 
-    /// Renews all leases, and stops the items whose leases are lost.
+    /// Renews all leases and stops the items whose leases are lost.
     async fn renew_leases(&self) {
         let leased = self.queue.lock().leased();
         if !leased.is_empty() {
@@ -299,19 +302,19 @@
         }
     }
 
-    /// Leases unclaimed items, while this dispatcher has few.
+    /// Leases items that no dispatcher runs, whenever this one has none queued.
     async fn lease(self: Arc<Self>) {
         while !self.draining.load(Relaxed) {
             let limit = self.limit.lock().limit();
-            let has_few = {
+            let needs_items = {
                 let queue = self.queue.lock();
                 queue.waiting() == 0 && queue.running() <= limit
             };
-            let asked_at = Instant::now();
-            let leased = match has_few {
+            let called_at = Instant::now();
+            let leased = match needs_items {
                 true => {
                     self.client
-                        .lease(self.dispatcher_id, LEASE_AT_ONCE.min(limit))
+                        .lease(self.dispatcher_id, MAX_ITEMS_PER_LEASE_CALL.min(limit))
                         .await
                 }
                 false => Leased::default(),
@@ -321,15 +324,15 @@
                 unanswered,
             } = leased;
             self.counters.on_lease_call(leased.len(), unanswered);
-            let delay = if leased.is_empty() && has_few {
+            let delay = if leased.is_empty() && needs_items {
                 RENEWAL_INTERVAL
             } else {
-                LEASE_INTERVAL
+                LEASE_CALL_INTERVAL
             };
-            let is_late = asked_at.elapsed() >= RENEWAL_INTERVAL;
-            self.take(leased);
+            let is_late = called_at.elapsed() >= RENEWAL_INTERVAL;
+            self.enqueue(leased);
             if is_late {
-                // Little is left of the leases of a late response.
+                // The leases of a late response are about to expire.
                 self.renew_leases().await;
             }
             sleep(delay).await;
@@ -340,15 +343,15 @@
 fn attempt_outcome(outcome: ItemOutcome) -> AttemptOutcome {
     match outcome {
         ItemOutcome::Completed => AttemptOutcome::Completed,
-        ItemOutcome::Refused => AttemptOutcome::NotRun,
+        ItemOutcome::NotExecuted => AttemptOutcome::NotRun,
         ItemOutcome::Failed(StatusCode::INTERNAL_SERVER_ERROR) => AttemptOutcome::Failed,
         ItemOutcome::Failed(_) | ItemOutcome::Broken { .. } => AttemptOutcome::Broken,
-        ItemOutcome::CannotBeDone => AttemptOutcome::CannotBeDone,
+        ItemOutcome::Unprocessable => AttemptOutcome::Unprocessable,
         ItemOutcome::NoRoute => AttemptOutcome::NoRoute,
     }
 }
 
-/// The id and headers of an item's request; none if they can't be sent.
+/// The id and headers of an item's request; `None` if they are not valid in an HTTP request.
 fn request_headers(item: &LeasedItem) -> Option<(HeaderValue, HeaderMap)> {
     let id = HeaderValue::from_str(&item.item.instance_id).ok()?;
     let mut headers = HeaderMap::new();
--- a/crates/mintlb-dispatcher/src/batch/statistics.rs
+++ b/crates/mintlb-dispatcher/src/batch/statistics.rs
@@ -1,4 +1,4 @@
-//! Counts of a dispatcher's batch work, logged regularly while there is any.
+//! Counts of a dispatcher's work on batch jobs, which are logged regularly.
 
 use axum::http::StatusCode;
 use std::fmt;
@@ -26,7 +26,7 @@
 }
 
 impl BatchCounters {
-    /// Counts a submission by its response.
+    /// Counts a submission by the status of its response.
     pub fn on_submitted(&self, status: StatusCode, took: Duration) {
         let counter = match status {
             StatusCode::ACCEPTED => &self.accepted,
@@ -40,13 +40,13 @@
         self.slowest_submission_ms.fetch_max(took_ms, Relaxed);
     }
 
-    /// Counts items that were leased from a store's backlog, and lease calls without a response.
+    /// Counts leased items, and lease calls to stores without a response.
     pub fn on_lease_call(&self, items: usize, unanswered: usize) {
         self.leased.fetch_add(items as u64, Relaxed);
         self.unanswered_leases.fetch_add(unanswered as u64, Relaxed);
     }
 
-    /// Counts leases that were lost to another owner, and renewals without a response.
+    /// Counts lost leases, and renewals without a response.
     pub fn on_renewal(&self, lost: usize, unanswered: usize) {
         self.lost_leases.fetch_add(lost as u64, Relaxed);
         self.unanswered_renewals
@@ -62,7 +62,7 @@
         counter.fetch_add(1, Relaxed);
     }
 
-    /// The counts since the last call.
+    /// Returns the counts since the last call and resets them.
     pub fn take(&self) -> BatchCounts {
         let take = |counter: &AtomicU64| counter.swap(0, Relaxed);
         BatchCounts {
@@ -87,19 +87,19 @@
 pub struct BatchCounts {
     /// Submissions that were accepted.
     pub accepted: u64,
-    /// Submissions over their route's quota (429).
+    /// Submissions over the quota of their tenant on their route (429).
     pub over_quota: u64,
     /// Submissions that no store could take (503).
     pub rejected: u64,
-    /// Submissions that contradict an accepted job (409).
+    /// Submissions with another status, such as those that contradict an accepted job (409).
     pub invalid: u64,
-    /// Submissions with an unknown outcome.
+    /// Submissions with an unknown outcome (504).
     pub indeterminate: u64,
-    /// The longest that a submission took, in ms.
+    /// Duration of the slowest submission in ms.
     pub slowest_submission_ms: u64,
-    /// Items leased from a backlog.
+    /// Items leased from a store's backlog.
     pub leased: u64,
-    /// Leases that another dispatcher has taken over, or whose job is done.
+    /// Leases lost because another dispatcher has taken over, or the job has ended.
     pub lost_leases: u64,
     /// Lease calls without a response.
     pub unanswered_leases: u64,
@@ -112,7 +112,7 @@
 }
 
 impl BatchCounts {
-    /// Whether there was nothing to count.
+    /// Whether all counts are 0.
     pub fn is_empty(&self) -> bool {
         *self == BatchCounts::default()
     }
--- a/crates/mintlb-dispatcher/src/batch/submission.rs
+++ b/crates/mintlb-dispatcher/src/batch/submission.rs
@@ -1,4 +1,4 @@
-//! Parser of a submitted batch job: validated completely before anything of it is stored.
+//! Parser for submitted batch jobs. A job is validated completely before any part of it is stored.
 
 use base64::Engine;
 use base64::engine::general_purpose::STANDARD;
@@ -9,31 +9,32 @@
 use std::borrow::Cow;
 use std::collections::{BTreeMap, HashSet};
 
-/// Limit of items in a job.
+/// Maximum number of items in a job.
 pub const MAX_ITEMS: usize = 200;
 
 /// Why a submission is invalid. The client gets the text with a 400.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum SubmissionError {
-    /// It is no JSON of this shape.
+    /// The body is not the JSON of a job.
     #[error("M411 the lot can't be read: {0}")]
     Unreadable(String),
-    /// It has no items, or too many.
+    /// The job has no items, or more than [`MAX_ITEMS`].
     #[error("M412 requests: {0} items, from 1 to {MAX_ITEMS} are taken")]
     Count(usize),
-    /// A field of an item is wrong.
+    /// A field of an item is invalid.
     #[error("M413 requests[{position}].{field}: {reason}")]
     Item {
-        /// Its position in the job.
+        /// Position of the item in the job.
         position: usize,
-        /// The field.
+        /// Name of the field.
         field: &'static str,
-        /// Why it is invalid.
+        /// Why the field is invalid.
         reason: String,
     },
 }
 
-/// A submitted batch job. serde puts the type's name into the texts of M411, which clients see, so it stays `Lot`.
+/// A submitted batch job. serde puts the name of the type into the texts of M411, which clients see, so it stays `Lot`.
+/// The same applies to `Request`.
 #[derive(Deserialize)]
 struct Lot<'a> {
     #[serde(borrow)]
--- a/crates/mintlb-dispatcher/src/body.rs
+++ b/crates/mintlb-dispatcher/src/body.rs
@@ -1,4 +1,4 @@
-//! Bodies of responses to clients.
+//! Bodies of responses to clients: complete, relayed from a worker, or from the batch handler.
 
 use crate::exchange::{BodyChunk, Exchange};
 use crate::shared::RequestIdReservation;
@@ -13,33 +13,33 @@
 use std::task::{Context, Poll};
 
 /// Where the body of a response comes from.
-pub enum Source {
-    /// It is complete.
+pub enum BodySource {
+    /// A complete body; `None` if it is empty.
     Complete(Option<Bytes>),
-    /// It is relayed from a worker.
+    /// The response of an exchange, as its worker sends it.
     Relay(Relay),
-    /// A batch handler made it.
+    /// A response of the batch handler.
     Boxed(AxumBody),
 }
 
 /// The body of a response to a client.
 pub struct ResponseBody {
-    source: Source,
-    /// The sniffer of the client's connection, until the response is complete.
+    source: BodySource,
+    /// Observer of the client's connection, until the response is complete.
     sniffer: Option<Arc<RequestSniffer>>,
 }
 
-/// Reads the response of an exchange. Dropping it before its end means that the client has disconnected.
+/// Reads the response of an exchange. Dropping it before the end of the response cancels the request.
 pub struct Relay {
     exchange: Arc<Exchange>,
-    is_over: bool,
+    is_complete: bool,
     /// Capacity reserved for the request and its body.
     _reservation: (CapacityPermit, Option<CapacityPermit>),
     _request_id: Option<RequestIdReservation>,
 }
 
 impl Relay {
-    /// The body of this exchange's response. Reservation and id are released when it ends.
+    /// Creates the relay of an exchange's response. Dropping it releases the reservations of capacity and request id.
     pub fn new(
         exchange: Arc<Exchange>,
         reservation: (CapacityPermit, Option<CapacityPermit>),
@@ -47,13 +47,13 @@
     ) -> Relay {
         Relay {
             exchange,
-            is_over: false,
+            is_complete: false,
             _reservation: reservation,
             _request_id: request_id,
         }
     }
 
-    /// The exchange that it reads.
+    /// The exchange whose response is relayed.
     pub fn exchange(&self) -> &Exchange {
         &self.exchange
     }
@@ -61,54 +61,56 @@
 
 impl Drop for Relay {
     fn drop(&mut self) {
-        self.exchange.abandon();
+        self.exchange.cancel();
     }
 }
 
-impl Source {
-    fn is_over(&self) -> bool {
+impl BodySource {
+    fn is_complete(&self) -> bool {
         match self {
-            Source::Complete(bytes) => bytes.as_ref().is_none_or(Bytes::is_empty),
-            Source::Relay(relay) => relay.is_over || relay.exchange.remaining_length() == Some(0),
-            Source::Boxed(body) => body.is_end_stream(),
+            BodySource::Complete(bytes) => bytes.as_ref().is_none_or(Bytes::is_empty),
+            BodySource::Relay(relay) => {
+                relay.is_complete || relay.exchange.remaining_length() == Some(0)
+            }
+            BodySource::Boxed(body) => body.is_end_stream(),
         }
     }
 
     fn poll(&mut self, cx: &mut Context) -> Poll<Option<io::Result<Frame<Bytes>>>> {
         match self {
-            Source::Complete(bytes) => {
+            BodySource::Complete(bytes) => {
                 let bytes = bytes.take().filter(|bytes| !bytes.is_empty());
                 Poll::Ready(bytes.map(|bytes| Ok(Frame::data(bytes))))
             }
-            Source::Relay(relay) => relay.exchange.poll_chunk(cx).map(|chunk| match chunk {
+            BodySource::Relay(relay) => relay.exchange.poll_chunk(cx).map(|chunk| match chunk {
                 BodyChunk::Data(bytes) => Some(Ok(Frame::data(bytes))),
                 BodyChunk::Complete => {
-                    relay.is_over = true;
+                    relay.is_complete = true;
                     None
                 }
-                // The library ends the connection without the last chunk: nothing looks complete.
+                // On an error hyper closes the connection without the last chunk, so that the client sees the truncation.
                 BodyChunk::Broken => Some(Err(io::ErrorKind::ConnectionAborted.into())),
             }),
-            Source::Boxed(body) => Pin::new(body).poll_frame(cx).map_err(io::Error::other),
+            BodySource::Boxed(body) => Pin::new(body).poll_frame(cx).map_err(io::Error::other),
         }
     }
 }
 
 impl ResponseBody {
-    /// A body sent on the connection of this sniffer.
-    pub fn new(source: Source, sniffer: Arc<RequestSniffer>) -> ResponseBody {
+    /// Creates a body for the connection that `sniffer` observes.
+    pub fn new(source: BodySource, sniffer: Arc<RequestSniffer>) -> ResponseBody {
         let mut body = ResponseBody {
             source,
             sniffer: Some(sniffer),
         };
-        body.look_over();
+        body.mark_answered_if_complete();
         body
     }
 
-    /// Once the response is complete, the next byte of the connection begins another request. A body is not polled
-    /// again once all of its declared length was read, so this is checked after each chunk.
-    fn look_over(&mut self) {
-        if self.source.is_over()
+    /// Tells the observer once the response is complete, as the next byte on the connection then starts another request.
+    /// This is checked after each chunk, because a body is not polled again after the last byte of its declared length.
+    fn mark_answered_if_complete(&mut self) {
+        if self.source.is_complete()
             && let Some(sniffer) = self.sniffer.take()
         {
             sniffer.request_answered();
@@ -127,25 +129,25 @@
         let body = self.get_mut();
         let polled = body.source.poll(cx);
         if polled.is_ready() {
-            body.look_over();
+            body.mark_answered_if_complete();
         }
         polled
     }
 
     fn is_end_stream(&self) -> bool {
-        self.source.is_over()
+        self.source.is_complete()
     }
 
     fn size_hint(&self) -> SizeHint {
         match &self.source {
-            Source::Complete(bytes) => {
+            BodySource::Complete(bytes) => {
                 SizeHint::with_exact(bytes.as_ref().map_or(0, Bytes::len) as u64)
             }
-            Source::Relay(relay) => relay
+            BodySource::Relay(relay) => relay
                 .exchange
                 .remaining_length()
                 .map_or_else(SizeHint::new, SizeHint::with_exact),
-            Source::Boxed(body) => body.size_hint(),
+            BodySource::Boxed(body) => body.size_hint(),
         }
     }
 }
--- a/crates/mintlb-dispatcher/src/cluster_state.rs
+++ b/crates/mintlb-dispatcher/src/cluster_state.rs
@@ -1,11 +1,11 @@
-//! Cluster state from gossip records: the configuration and the workers.
+//! Cluster state that a dispatcher receives as gossip records: the configuration and the workers.
 //!
-//! Updates are applied by the reducer's loop, in the order in which they came into force.
+//! The event loop applies updates in the order in which they were received.
 
-use crate::shared::Shared;
-use crate::tuning::ServiceNumbers;
+use crate::scheduler_settings::ServiceIds;
+use crate::shared::SharedState;
 use crate::upstream::WorkerUpstream;
-use crate::workers::EndpointNumbers;
+use crate::workers::SchedulerIds;
 use mintlb_common::configuration::Configuration;
 use mintlb_common::record::{CONFIGURATION, Record, WORKER_PREFIX, WorkerRecord};
 use mintlb_core::membership::{MembershipUpdate, WorkerSource};
@@ -13,18 +13,18 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// A decoded record that concerns a dispatcher.
+/// An update of the cluster state for the event loop.
 pub enum ClusterUpdate {
-    /// A configuration, with its version.
+    /// A configuration with its version.
     Configuration(u64, Arc<Configuration>),
-    /// A worker.
+    /// The state of a worker.
     Worker(WorkerRecord),
-    /// The records from before this process joined were received.
+    /// The process has joined the gossip and received the records that were published before.
     Joined,
 }
 
-/// Decodes a record; `None` for those that don't concern a dispatcher or can't be decoded.
-pub fn read(record: &Record) -> Option<ClusterUpdate> {
+/// Decodes a record; `None` if it does not concern dispatchers or can't be decoded.
+pub fn decode(record: &Record) -> Option<ClusterUpdate> {
     if record.key == CONFIGURATION {
         return match Configuration::parse(&record.body) {
             Ok(configuration) => Some(ClusterUpdate::Configuration(
@@ -50,37 +50,37 @@
     }
 }
 
-/// The scheduler's numbers of zones and services, by name.
-pub struct Numbering {
+/// Assigns the ids by which the scheduler knows zones and services.
+pub struct SchedulerIdRegistry {
     zones: BTreeMap<String, u16>,
-    /// Of services.
-    pub services: ServiceNumbers,
+    /// Ids of services.
+    pub services: ServiceIds,
 }
 
-impl Numbering {
-    /// For these zones.
-    pub fn new<'a>(zones: impl Iterator<Item = &'a String>) -> Numbering {
+impl SchedulerIdRegistry {
+    /// Creates the registry for these zones, whose ids follow their order.
+    pub fn new<'a>(zones: impl Iterator<Item = &'a String>) -> SchedulerIdRegistry {
         let zones = zones.cloned().zip(0..).collect();
-        Numbering {
+        SchedulerIdRegistry {
             zones,
-            services: ServiceNumbers::default(),
+            services: ServiceIds::default(),
         }
     }
 
-    /// The number of a zone. An unknown one counts as remote from all others.
-    pub fn zone(&self, name: &str) -> u16 {
+    /// The id of a zone. Unknown zones share an id that no known zone has, so that they count as remote.
+    pub fn zone_id(&self, name: &str) -> u16 {
         self.zones.get(name).copied().unwrap_or(u16::MAX)
     }
 
     /// Applies a worker's record and returns the membership event for the reducer.
-    pub fn worker_event(&mut self, shared: &Shared, record: &WorkerRecord) -> Option<Event> {
-        let numbers = EndpointNumbers {
-            zone: self.zone(&record.zone),
-            kind: self.services.of(&record.service),
+    pub fn worker_event(&mut self, shared: &SharedState, record: &WorkerRecord) -> Option<Event> {
+        let ids = SchedulerIds {
+            zone: self.zone_id(&record.zone),
+            service: self.services.id(&record.service),
         };
         let member = shared
             .workers
-            .apply_record(record, numbers, |entry| Arc::new(WorkerUpstream(entry)))?;
+            .apply_record(record, ids, |entry| Arc::new(WorkerUpstream(entry)))?;
         let members = MembershipUpdate {
             source: WorkerSource::ListService,
             full: false,
--- a/crates/mintlb-dispatcher/src/dispatcher.rs
+++ b/crates/mintlb-dispatcher/src/dispatcher.rs
@@ -1,16 +1,16 @@
-//! The event loop around the reducer: events go in, its actions are carried out.
+//! The dispatcher's event loop: passes events to the reducer and carries out the actions that it returns.
 
 use crate::admission::{RateLimiter, Unlimited};
 use crate::batch_executor::{BatchExecutor, BatchHandler};
-use crate::cluster_state::{ClusterUpdate, Numbering};
+use crate::cluster_state::{ClusterUpdate, SchedulerIdRegistry};
 use crate::downstream::{Downstream, DownstreamConfig};
 use crate::log_bridge;
 use crate::permits::Permits;
 use crate::readiness;
 use crate::routing::RoutingTable;
-use crate::shared::Shared;
+use crate::scheduler_settings;
+use crate::shared::SharedState;
 use crate::statistics::REPORT_INTERVAL;
-use crate::tuning;
 use mintlb_common::configuration::Configuration;
 use mintlb_core::capacity::Capacity;
 use mintlb_core::clock::Clock;
@@ -31,97 +31,98 @@
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender, unbounded_channel};
 use tokio::time::{Instant, sleep_until};
 
-/// Interval of housekeeping; the second applies during a graceful shutdown.
+/// Interval of housekeeping while serving, and during a graceful shutdown.
 const HOUSEKEEPING_INTERVAL: Duration = Duration::from_millis(500);
 const DRAINING_HOUSEKEEPING_INTERVAL: Duration = Duration::from_millis(40);
-/// After this time with a configuration the process is ready, also if a service has no worker.
+/// After this time with a configuration the process reports that it is ready even if a service has no worker.
 const MAX_READINESS_WAIT: Duration = Duration::from_millis(1500);
-/// Seconds for which a draining process keeps idle connections, until the platform has noticed.
+/// Seconds for which a draining process keeps idle connections open, until the platform's load balancer has noticed that
+/// it is no longer ready.
 const IDLE_CLOSE_DELAY: f64 = 2.2;
-/// Requests that arrive this many seconds after the shutdown began are rejected, as they could outlast it; limited to
-/// this share of the grace period.
-const LATE_ACCEPT: f64 = 2.6;
-const LATE_ACCEPT_SHARE: f64 = 1.0 / 3.0;
-/// The process exits no sooner than this many seconds after the shutdown began, as clients may still be routed here.
-const MIN_SHUTDOWN: f64 = 3.2;
-/// Requests in flight get their final response the first number of seconds before the kill; the process exits the
-/// second number before it.
+/// Requests that arrive later than this many seconds after the shutdown began are rejected, as they could outlast the
+/// grace period. The window is at most this share of the grace period.
+const LATE_ACCEPT_WINDOW: f64 = 2.6;
+const LATE_ACCEPT_WINDOW_SHARE: f64 = 1.0 / 3.0;
+/// Minimum duration of a shutdown in seconds, as the load balancer may still send clients here.
+const MIN_SHUTDOWN_DURATION: f64 = 3.2;
+/// Requests in flight get their final response this many seconds before the end of the grace period, when the platform
+/// kills the process; the process exits `EXIT_MARGIN` seconds before it.
 const FINAL_RESPONSE_MARGIN: f64 = 1.2;
 const EXIT_MARGIN: f64 = 0.6;
-/// An attempt ends this many seconds before its client's deadline.
-const SEND_MARGIN: f64 = 0.02;
-/// Limit of events handled in one turn of the loop.
+/// An attempt times out this many seconds before its request's deadline.
+const ATTEMPT_DEADLINE_MARGIN: f64 = 0.02;
+/// Maximum number of events handled in one iteration of the loop.
 const MAX_EVENTS_PER_TURN: usize = 64;
-/// The share of the process's memory for bodies of requests.
+/// Share of the process's memory that request bodies may use.
 const BODY_MEMORY_SHARE: f64 = 0.25;
-/// File descriptors reserved for anything but clients and workers.
-const OTHER_DESCRIPTORS: u64 = 400;
+/// File descriptors reserved for uses other than connections of clients and workers.
+const RESERVED_DESCRIPTORS: u64 = 400;
 
 /// Zones, resource limits and grace period of a dispatcher.
 #[derive(Clone, Debug)]
 pub struct DispatcherConfig {
-    /// The own zone.
+    /// The zone that this dispatcher runs in.
     pub zone: String,
-    /// All zones.
+    /// All zones of the cluster. Their order determines the zone ids that the scheduler uses.
     pub zones: Vec<String>,
-    /// Memory in MB.
+    /// Memory of the process in MB.
     pub memory_mb: u64,
-    /// Limit of open file descriptors.
+    /// Maximum number of open file descriptors.
     pub max_open_files: u64,
-    /// Seconds between SIGTERM and the kill.
+    /// Seconds between SIGTERM and SIGKILL.
     pub grace_period_s: f64,
-    /// Seed of the random number generator.
+    /// Seed of the random number generators.
     pub seed: u64,
 }
 
-/// A dispatcher that does not serve yet.
+/// A dispatcher that is configured but not serving yet.
 pub struct Dispatcher {
-    /// State shared by its tasks.
-    pub shared: Arc<Shared>,
-    /// Channel for updates of the cluster state.
+    /// State shared by the dispatcher's tasks.
+    pub shared: Arc<SharedState>,
+    /// Sends updates of the cluster state to the event loop.
     pub update_sender: UnboundedSender<ClusterUpdate>,
-    /// Handler of calls on batch jobs.
+    /// Handles clients' calls on batch jobs; without one they get a 503.
     pub batch: Option<Arc<dyn BatchHandler>>,
-    /// Counts the requests of tenants.
+    /// Decides whether a tenant's request is within its rate limit.
     pub rate_limiter: Arc<dyn RateLimiter>,
     config: DispatcherConfig,
     events: UnboundedReceiver<Event>,
     updates: UnboundedReceiver<ClusterUpdate>,
 }
 
-/// Worker lists come from records, not from a watch.
-struct NoWatch;
+/// A watcher that does nothing: changes of the worker list arrive as gossip records.
+struct NoopWatcher;
 
-impl ListWatcher for NoWatch {
+impl ListWatcher for NoopWatcher {
     fn watch(&mut self, _after: Option<u64>) {}
 }
 
 /// State of the event loop.
 struct EventLoop {
-    shared: Arc<Shared>,
+    shared: Arc<SharedState>,
     reducer: Reducer,
-    effects: ActionExecutor<NoWatch>,
-    numbering: Numbering,
+    executor: ActionExecutor<NoopWatcher>,
+    scheduler_ids: SchedulerIdRegistry,
     lifecycle: Arc<Mutex<Lifecycle>>,
     downstream: Arc<Downstream>,
     batch: Option<Arc<dyn BatchHandler>>,
     version: Option<u64>,
-    /// A configuration that the reducer could not apply yet.
+    /// A configuration that the reducer could not apply yet; it is retried by the housekeeping.
     deferred: Option<(u64, Arc<Configuration>)>,
-    configured: Option<Instant>,
+    configured_at: Option<Instant>,
     joined: bool,
     recheck_at: Option<Instant>,
     final_responses_sent: bool,
-    grace: f64,
+    grace_period: f64,
     reported_at: Instant,
 }
 
 impl Dispatcher {
-    /// Creates a dispatcher without any cluster state.
+    /// Creates a dispatcher that knows neither routes nor workers and admits every request.
     pub fn new(config: DispatcherConfig) -> Dispatcher {
         let (event_sender, events) = unbounded_channel();
         let (update_sender, updates) = unbounded_channel();
-        let shared = Arc::new(Shared::new(Clock::start(), event_sender, config.seed));
+        let shared = Arc::new(SharedState::new(Clock::start(), event_sender, config.seed));
         Dispatcher {
             shared,
             update_sender,
@@ -133,12 +134,13 @@
         }
     }
 
-    /// An executor of batch items on this dispatcher.
+    /// Creates an executor that runs batch items through this dispatcher.
     pub fn batch_executor(&self) -> BatchExecutor {
         BatchExecutor::new(self.shared.clone())
     }
 
-    /// Serves until `stop` resolves, and then until all accepted requests got their response.
+    /// Serves until `stop` resolves, then shuts down gracefully: returns once all accepted requests have their response,
+    /// or shortly before the grace period ends.
     pub async fn serve(
         self,
         frontend: TcpListener,
@@ -154,22 +156,23 @@
             mut events,
             mut updates,
         } = self;
-        let notice = CloseDelays {
+        let close_delays = CloseDelays {
             after_leave: IDLE_CLOSE_DELAY,
             after_stop: IDLE_CLOSE_DELAY,
         };
-        let lifecycle = Arc::new(Mutex::new(Lifecycle::new(notice)));
+        let lifecycle = Arc::new(Mutex::new(Lifecycle::new(close_delays)));
         let descriptors = config
             .max_open_files
-            .saturating_sub(OTHER_DESCRIPTORS)
+            .saturating_sub(RESERVED_DESCRIPTORS)
             .max(64) as usize;
-        let bodies = (config.memory_mb as f64 * BODY_MEMORY_SHARE * 1e6) as usize;
+        let max_body_bytes = (config.memory_mb as f64 * BODY_MEMORY_SHARE * 1e6) as usize;
         let downstream = Downstream::new(DownstreamConfig {
             shared: shared.clone(),
-            capacity: Capacity::new(descriptors / 2, bodies),
+            capacity: Capacity::new(descriptors / 2, max_body_bytes),
             connections: descriptors / 2,
             lifecycle: lifecycle.clone(),
-            late_accept_seconds: LATE_ACCEPT.min(config.grace_period_s * LATE_ACCEPT_SHARE),
+            late_accept_seconds: LATE_ACCEPT_WINDOW
+                .min(config.grace_period_s * LATE_ACCEPT_WINDOW_SHARE),
             batch: batch.clone(),
             rate_limiter,
         });
@@ -179,16 +182,16 @@
             Arc::new(move || readiness_lifecycle.lock().is_ready()),
         ));
         tokio::spawn(downstream.clone().listen(frontend));
-        let numbering = Numbering::new(config.zones.iter());
+        let scheduler_ids = SchedulerIdRegistry::new(config.zones.iter());
         let mut reducer = Reducer::new(
-            scheduler(&config, &numbering),
+            scheduler(&config, &scheduler_ids),
             ProjectTypes::new(Vec::new()),
             descriptors / 2,
-            SEND_MARGIN,
+            ATTEMPT_DEADLINE_MARGIN,
         );
         reducer.set_dispatch_policy(Arc::new(Permits::new(shared.clone())));
-        let effects = ActionExecutor::new(
-            NoWatch,
+        let executor = ActionExecutor::new(
+            NoopWatcher,
             shared.clock,
             log_bridge::logger(),
             Arc::new(Metrics::default()),
@@ -196,66 +199,68 @@
         let mut event_loop = EventLoop {
             shared: shared.clone(),
             reducer,
-            effects,
-            numbering,
+            executor,
+            scheduler_ids,
             lifecycle,
             downstream,
             batch,
             version: None,
             deferred: None,
-            configured: None,
+            configured_at: None,
             joined: false,
             recheck_at: None,
             final_responses_sent: false,
-            grace: config.grace_period_s,
+            grace_period: config.grace_period_s,
             reported_at: Instant::now(),
         };
         let actions = event_loop.reducer.start(shared.clock.now(), None, false);
         actions
             .into_iter()
-            .for_each(|action| event_loop.effects.execute(action));
+            .for_each(|action| event_loop.executor.execute(action));
         let (mut stop, mut stopping) = (pin!(stop), false);
-        let (mut tick, mut timer) = (
+        let (mut next_housekeeping, mut timer) = (
             Instant::now() + HOUSEKEEPING_INTERVAL,
             pin!(sleep_until(Instant::now())),
         );
         loop {
-            let due = event_loop.due().map_or(tick, |due| due.min(tick));
+            let due = event_loop
+                .next_timer()
+                .map_or(next_housekeeping, |due| due.min(next_housekeeping));
             if timer.deadline() != due {
                 timer.as_mut().reset(due);
             }
             tokio::select! {
                 Some(event) = events.recv() => {
-                    event_loop.step(event);
+                    event_loop.handle_event(event);
                     for _ in 0..MAX_EVENTS_PER_TURN {
                         let Ok(event) = events.try_recv() else { break };
-                        event_loop.step(event);
+                        event_loop.handle_event(event);
                     }
                 }
                 Some(update) = updates.recv() => {
-                    // Events from before the update go by the project types in force until now.
+                    // Events received before the update refer to the current project types.
                     while let Ok(event) = events.try_recv() {
-                        event_loop.step(event);
+                        event_loop.handle_event(event);
                     }
                     event_loop.apply_update(update);
                 }
                 () = &mut timer => {
-                    event_loop.wake();
-                    if Instant::now() >= tick {
+                    event_loop.fire_timers();
+                    if Instant::now() >= next_housekeeping {
                         let interval = if stopping {
                             DRAINING_HOUSEKEEPING_INTERVAL
                         } else {
                             HOUSEKEEPING_INTERVAL
                         };
-                        tick = Instant::now() + interval;
-                        if event_loop.tick(&mut events) {
+                        next_housekeeping = Instant::now() + interval;
+                        if event_loop.run_housekeeping(&mut events) {
                             return;
                         }
                     }
                 }
                 () = &mut stop, if !stopping => {
                     stopping = true;
-                    tick = Instant::now() + DRAINING_HOUSEKEEPING_INTERVAL;
+                    next_housekeeping = Instant::now() + DRAINING_HOUSEKEEPING_INTERVAL;
                     event_loop.start_draining();
                 }
             }
@@ -263,70 +268,75 @@
     }
 }
 
-fn scheduler(config: &DispatcherConfig, numbering: &Numbering) -> Scheduler {
+fn scheduler(config: &DispatcherConfig, scheduler_ids: &SchedulerIdRegistry) -> Scheduler {
     let slow_start = SlowStart {
         scheduler_count: 1.0,
         ..SlowStart::default()
     };
     let fleet = Fleet::new(
         slow_start,
-        numbering.zone(&config.zone),
+        scheduler_ids.zone_id(&config.zone),
         true,
-        tuning::costs(),
+        scheduler_settings::costs(),
         &[],
     );
-    let buffers = Queues::new(Vec::new(), 1.0, tuning::come_back());
-    let chain = (FairShares::new(&[]), buffers, tuning::repeats(), fleet);
-    Scheduler::new(Rng::new(config.seed), chain, ListPolling::default())
+    let queues = Queues::new(Vec::new(), 1.0, scheduler_settings::max_retry_after());
+    let policies = (
+        FairShares::new(&[]),
+        queues,
+        scheduler_settings::retry_policy(),
+        fleet,
+    );
+    Scheduler::new(Rng::new(config.seed), policies, ListPolling::default())
 }
 
 impl EventLoop {
-    fn step(&mut self, event: Event) {
+    fn handle_event(&mut self, event: Event) {
         match &event {
-            Event::Finished(back) => self.effects.record_result(back),
-            Event::Started(attempt) => self.effects.log_started(*attempt),
-            Event::ClientLeft(wu) => self.effects.log_client_left(*wu),
+            Event::Finished(result) => self.executor.record_result(result),
+            Event::Started(attempt) => self.executor.log_started(*attempt),
+            Event::ClientLeft(id) => self.executor.log_client_left(*id),
             _ => {}
         }
         let actions = self.reducer.reduce(self.shared.clock.now(), event);
         actions
             .into_iter()
-            .for_each(|action| self.effects.execute(action));
+            .for_each(|action| self.executor.execute(action));
         if let Some(at) = self.reducer.take_recheck_time() {
             let at = self.shared.clock.instant(at);
             self.recheck_at = Some(self.recheck_at.map_or(at, |recheck_at| recheck_at.min(at)));
         }
     }
 
-    /// When the reducer's next timer is due.
-    fn due(&self) -> Option<Instant> {
-        self.effects
+    /// When the next timer of the reducer or of an action fires.
+    fn next_timer(&self) -> Option<Instant> {
+        self.executor
             .wake_at
             .into_iter()
             .chain(self.recheck_at)
             .min()
     }
 
-    fn wake(&mut self) {
+    fn fire_timers(&mut self) {
         let now = Instant::now();
         let is_due = |due: &mut Option<Instant>| due.take_if(|due| *due <= now).is_some();
         let (due, recheck_at) = (
-            is_due(&mut self.effects.wake_at),
+            is_due(&mut self.executor.wake_at),
             is_due(&mut self.recheck_at),
         );
         if due || recheck_at {
-            self.step(Event::TimerFired);
+            self.handle_event(Event::TimerFired);
         }
     }
 
     fn apply_update(&mut self, update: ClusterUpdate) {
         match update {
             ClusterUpdate::Configuration(version, configuration) => {
-                self.configure(version, configuration)
+                self.apply_configuration(version, configuration)
             }
             ClusterUpdate::Worker(record) => {
-                if let Some(event) = self.numbering.worker_event(&self.shared, &record) {
-                    self.step(event);
+                if let Some(event) = self.scheduler_ids.worker_event(&self.shared, &record) {
+                    self.handle_event(event);
                 }
             }
             ClusterUpdate::Joined => self.joined = true,
@@ -334,21 +344,26 @@
         self.update_readiness();
     }
 
-    /// Puts a complete configuration in force, unless a newer one is.
-    fn configure(&mut self, version: u64, configuration: Arc<Configuration>) {
+    /// Applies a configuration, unless the same or a newer version is in force.
+    fn apply_configuration(&mut self, version: u64, configuration: Arc<Configuration>) {
         if self.version.is_some_and(|current| current >= version) {
             return;
         }
-        let types = tuning::project_types(&configuration, &mut self.numbering.services);
-        if let Err(why) = self.reducer.reconfigure(&types, &tuning::terms()) {
-            log::warn!("dispatch: configuration {version} deferred: {why}");
+        let types =
+            scheduler_settings::project_types(&configuration, &mut self.scheduler_ids.services);
+        if let Err(error) = self
+            .reducer
+            .reconfigure(&types, &scheduler_settings::reloadable_settings())
+        {
+            log::warn!("dispatch: configuration {version} deferred: {error}");
             self.deferred = Some((version, configuration));
             return;
         }
         self.deferred = None;
         self.version = Some(version);
-        self.configured = self.configured.or(Some(Instant::now()));
-        self.effects.set_project_types(self.reducer.project_types());
+        self.configured_at = self.configured_at.or(Some(Instant::now()));
+        self.executor
+            .set_project_types(self.reducer.project_types());
         self.shared.set_routing(RoutingTable::new(
             configuration,
             self.reducer.project_types(),
@@ -357,25 +372,26 @@
             "dispatch: configuration {version} is in force, {} project types",
             types.len()
         );
-        self.step(Event::TimerFired);
+        self.handle_event(Event::TimerFired);
     }
 
-    /// Reports readiness once a configuration and the workers are known.
+    /// Marks the process as ready once the cluster state was received and each service has a worker, or
+    /// [`MAX_READINESS_WAIT`] is over.
     fn update_readiness(&mut self) {
         if self.lifecycle.lock().is_ready() {
             return;
         }
-        let Some((configured, table)) = self.configured.zip(self.shared.routing()) else {
+        let Some((configured_at, table)) = self.configured_at.zip(self.shared.routing()) else {
             return;
         };
-        let served = || {
+        let all_services_served = || {
             table
                 .configuration
                 .service_list
                 .iter()
                 .all(|service| self.shared.workers.serves(&service.name))
         };
-        if self.joined && (configured.elapsed() >= MAX_READINESS_WAIT || served()) {
+        if self.joined && (configured_at.elapsed() >= MAX_READINESS_WAIT || all_services_served()) {
             self.lifecycle
                 .lock()
                 .apply(self.shared.clock.now(), LifecycleEvent::Ready)
@@ -400,8 +416,8 @@
         self.batch.iter().for_each(|batch| batch.start_draining());
     }
 
-    /// Logs the counts of requests regularly.
-    fn report(&mut self) {
+    /// Logs the counts of requests and admissions each [`REPORT_INTERVAL`].
+    fn log_statistics(&mut self) {
         if self.reported_at.elapsed() < REPORT_INTERVAL {
             return;
         }
@@ -415,20 +431,20 @@
         }
     }
 
-    /// Housekeeping; returns whether the process may exit.
-    fn tick(&mut self, events: &mut UnboundedReceiver<Event>) -> bool {
+    /// Runs periodic tasks; returns whether the process may exit.
+    fn run_housekeeping(&mut self, events: &mut UnboundedReceiver<Event>) -> bool {
         if let Some((version, configuration)) = self.deferred.take() {
             while let Ok(event) = events.try_recv() {
-                self.step(event);
+                self.handle_event(event);
             }
-            self.configure(version, configuration);
+            self.apply_configuration(version, configuration);
         }
         self.update_readiness();
-        self.report();
+        self.log_statistics();
         self.shared.workers.sweep();
         let members = self.shared.workers.remove_unresponsive();
         if !members.is_empty() {
-            self.step(Event::MembershipChanged(
+            self.handle_event(Event::MembershipChanged(
                 None,
                 MembershipUpdate {
                     source: WorkerSource::ListService,
@@ -438,34 +454,35 @@
             ));
         }
         let (now, lifecycle) = (self.shared.clock.now(), *self.lifecycle.lock());
-        let Some(stopped) = lifecycle.stopping_since() else {
+        let Some(draining_since) = lifecycle.stopping_since() else {
             return false;
         };
-        let since = now - stopped;
+        let elapsed = now - draining_since;
         if lifecycle.closes_idle_connections(now) {
             self.downstream.close_idle();
         }
-        if since >= self.grace - FINAL_RESPONSE_MARGIN
+        if elapsed >= self.grace_period - FINAL_RESPONSE_MARGIN
             && !std::mem::replace(&mut self.final_responses_sent, true)
         {
             log::warn!(
                 "dispatch: shutdown deadline reached, {} requests in flight",
                 self.reducer.held_count()
             );
-            self.shared.end();
-            self.step(Event::DrainDeadline);
+            self.shared.set_exiting();
+            self.handle_event(Event::DrainDeadline);
         }
         let is_recording = self.batch.iter().any(|batch| batch.is_recording());
-        let quiet =
+        let is_idle =
             self.reducer.held_count() == 0 && self.downstream.connected() == 0 && !is_recording;
-        let over = since >= self.grace - EXIT_MARGIN
-            || quiet && since >= MIN_SHUTDOWN.min(self.grace - FINAL_RESPONSE_MARGIN);
-        if over {
+        let may_exit = elapsed >= self.grace_period - EXIT_MARGIN
+            || is_idle
+                && elapsed >= MIN_SHUTDOWN_DURATION.min(self.grace_period - FINAL_RESPONSE_MARGIN);
+        if may_exit {
             log::info!(
                 "dispatch: stopped, {} connections open",
                 self.downstream.connected()
             );
         }
-        over
+        may_exit
     }
 }
--- a/crates/mintlb-dispatcher/src/error.rs
+++ b/crates/mintlb-dispatcher/src/error.rs
@@ -3,21 +3,21 @@
 use std::io;
 use std::net::SocketAddr;
 
-/// A dispatcher can't start.
+/// Why a dispatcher can't start.
 #[derive(Debug, thiserror::Error)]
 pub enum DispatchError {
-    /// The settings name no address for this.
+    /// The settings lack this listen address.
     #[error("M421 listen_addresses.{0} is missing")]
     NoAddress(&'static str),
-    /// It can't listen there.
+    /// An address can't be bound.
     #[error("M422 can't listen on {address}: {cause}")]
     Listen {
-        /// The address.
+        /// The address that was to be bound.
         address: SocketAddr,
-        /// The cause.
+        /// The error of the system call.
         cause: io::Error,
     },
-    /// The runtime or its signals can't be set up.
-    #[error("M423 the runtime: {0}")]
+    /// The async runtime or its signal handlers can't be set up.
+    #[error("M423 can't set up the async runtime: {0}")]
     Runtime(#[from] io::Error),
 }
--- a/crates/mintlb-dispatcher/src/exchange.rs
+++ b/crates/mintlb-dispatcher/src/exchange.rs
@@ -1,13 +1,13 @@
-//! The state of one request between its client and its workers: request, progress of the response, and wakers. The
-//! downstream side (or the batch executor) reads the response while the upstream side writes it.
+//! The exchange: state of one request and its response, shared by the downstream and the upstream side. The upstream side
+//! writes the response; the reader is the downstream side, or the batch executor.
 //!
-//! A request may take several attempts, one after the other. Only valid parts of the response pass: complete events of
-//! a stream, in order, each once; other responses completely, or the head once the body exceeds the buffer.
+//! A request may take several attempts, one after the other. Only validated parts of a response are forwarded: complete
+//! events of a stream, in order and each once; other responses once they are complete, or once they exceed the buffer.
 
-use crate::prompts::{PREFERRED, Prompt};
-use crate::routing::RouteTerms;
-use crate::shared::Shared;
-use crate::statistics::{PromptPlacement, Start};
+use crate::prefix_affinity::{PREFERRED_WORKERS, Prompt};
+use crate::routing::RouteSettings;
+use crate::shared::SharedState;
+use crate::statistics::{PromptPlacement, RequestStart};
 use axum::http::{HeaderMap, HeaderValue, Method, StatusCode};
 use bytes::Bytes;
 use mintlb_core::reducer::Event;
@@ -17,62 +17,62 @@
 use std::sync::Arc;
 use std::task::{Context, Poll, Waker};
 
-/// Bytes queued for a slow client before its worker is no longer read (backpressure).
+/// Bytes queued for a slow reader at which the worker's response is no longer read (backpressure).
 const MAX_QUEUED_BYTES: usize = 256 << 10;
-/// A request with less than this many seconds left is not retried.
-const MIN_TIME_LEFT: f64 = 0.05;
-/// `Retry-After` in seconds for a request that was given up before any attempt.
+/// A request with less than this many seconds left until its deadline is not retried.
+const MIN_RETRY_TIME_LEFT: f64 = 0.05;
+/// `Retry-After` in seconds for a request that no worker has received.
 const UNSENT_RETRY_AFTER: f64 = 0.05;
-/// Number of workers that a request remembers as attempted.
-const MAX_ATTEMPTED: usize = 4;
+/// Number of workers that a request remembers having been sent to.
+const MAX_REMEMBERED_WORKERS: usize = 4;
 
 /// A client's request.
 #[derive(Debug)]
 pub struct ClientRequest {
-    /// Its method.
+    /// The HTTP method.
     pub method: Method,
-    /// Path and query as received.
+    /// The request target: path and query as received.
     pub target: String,
-    /// Its headers, without hop-by-hop headers and those that each attempt sets.
+    /// The headers, without hop-by-hop headers and those that each attempt sets.
     pub headers: HeaderMap,
-    /// Its id.
+    /// The request id that the client chose.
     pub id: HeaderValue,
-    /// The last event that its client has.
+    /// The last event that the client already has, if it resumes a stream.
     pub last_event_id: Option<u64>,
 }
 
 /// How workers' failures are handled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ExchangeMode {
-    /// A client waits: after a failure the request is retried elsewhere if that is allowed.
+    /// A client waits for the response: after a failure the request is retried at another worker if that is allowed.
     Live,
-    /// An item of a batch job: each failure is reported with the worker's status.
+    /// An item of a batch job: each failure is reported with the worker's status, and the batch runner decides on retries.
     Item,
 }
 
 /// The head of a response, as the client gets it.
 #[derive(Clone, Debug)]
-pub struct Head {
-    /// Its status.
+pub struct ForwardedHead {
+    /// The status code.
     pub status: StatusCode,
-    /// Its headers.
+    /// The headers, without hop-by-hop headers and the worker's load report.
     pub headers: HeaderMap,
 }
 
-/// How a request ended without a worker's response.
+/// Why there is no worker's response to forward.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Refusal {
-    /// It has not run and never will; `Retry-After` in seconds.
+    /// The request has not run and never will; with `Retry-After` in seconds.
     NotRun(f64),
-    /// It may have run.
+    /// The request may have run.
     Unknown,
-    /// Its deadline has passed.
+    /// The deadline has passed.
     TimedOut,
 }
 
 /// How the body of a response ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum End {
+enum BodyEnd {
     Complete,
     Broken,
 }
@@ -88,134 +88,135 @@
 }
 
 #[derive(Default)]
-struct State {
-    /// Its current number at the reducer.
+struct ExchangeState {
+    /// The number under which the reducer knows the request now; each submission gets a new one.
     request_number: u64,
-    /// Workers that were sent its complete head.
+    /// Number of workers that the complete head was sent to.
     attempts: u32,
-    attempted: [Option<u64>; MAX_ATTEMPTED],
+    attempted: [Option<u64>; MAX_REMEMBERED_WORKERS],
     may_have_run: bool,
-    /// When the last attempt's head was about to reach its worker, in seconds of the clock.
+    /// When the last attempt's complete head was sent, in seconds of the clock.
     sent_at: f64,
-    head: Option<Head>,
-    /// The reader has got the head, or bytes are queued for it.
+    head: Option<ForwardedHead>,
+    /// Whether part of a response was queued for the reader.
     begun: bool,
-    /// The reader has got the head.
+    /// Whether the reader has taken the head.
     head_taken: bool,
     refusal: Option<Refusal>,
-    /// A worker's failure, which is the response if no retry succeeds.
-    failure: Option<(Head, Bytes)>,
-    /// The status of a worker's failure of an item.
+    /// A worker's error response, which is forwarded if no retry succeeds.
+    failure: Option<(ForwardedHead, Bytes)>,
+    /// The status of a worker's error response to an item.
     item_failure: Option<StatusCode>,
     queue: VecDeque<Bytes>,
     queued_bytes: usize,
-    end: Option<End>,
-    /// The last event that was queued for the client.
+    end: Option<BodyEnd>,
+    /// Id of the last event that was queued for the reader.
     last_event: Option<u64>,
-    abandoned: bool,
-    reader: Option<Waker>,
-    writer: Option<Waker>,
-    preferred: Option<(u64, [Option<u64>; PREFERRED])>,
+    cancelled: bool,
+    reader_waker: Option<Waker>,
+    writer_waker: Option<Waker>,
+    /// The workers preferred for its prompt, with the generation of the worker table for which they were ranked.
+    preferred: Option<(u64, [Option<u64>; PREFERRED_WORKERS])>,
 }
 
-/// One request and the state of its response.
+/// A request in progress and the state of its response.
 pub struct Exchange {
-    /// A client's request.
+    /// The request as it is sent to workers.
     pub request: ClientRequest,
-    /// Its body.
+    /// The complete request body.
     pub body: Bytes,
-    /// The terms of its route when it was read.
-    pub terms: Arc<RouteTerms>,
-    /// The service drawn for it.
+    /// Settings of its route, as they were when the request was read.
+    pub route: Arc<RouteSettings>,
+    /// The service that the routing decision chose.
     pub service: Arc<str>,
-    /// Its priority.
+    /// The priority by which it was routed.
     pub priority: u32,
-    /// What its headers say of its prompt.
+    /// What the client's headers declare about the prompt.
     pub prompt: Option<Prompt>,
-    /// How workers' failures are handled.
+    /// Whether a client waits for the response, or the batch runner.
     pub mode: ExchangeMode,
-    /// When it was read, and its deadline, in seconds of the clock.
-    pub arrived: f64,
-    /// See `arrived`.
-    pub limit: f64,
-    shared: Arc<Shared>,
-    state: Mutex<State>,
+    /// When the request was submitted, in seconds of the clock.
+    pub arrived_at: f64,
+    /// The deadline, in seconds of the clock.
+    pub deadline: f64,
+    shared: Arc<SharedState>,
+    state: Mutex<ExchangeState>,
 }
 
 /// The parameters of a new exchange.
-pub struct NewExchange {
-    /// See [`Exchange`].
+pub struct ExchangeParameters {
+    /// See [`Exchange::request`].
     pub request: ClientRequest,
-    /// See [`Exchange`].
+    /// See [`Exchange::body`].
     pub body: Bytes,
-    /// See [`Exchange`].
-    pub terms: Arc<RouteTerms>,
-    /// See [`Exchange`].
+    /// See [`Exchange::route`].
+    pub route: Arc<RouteSettings>,
+    /// See [`Exchange::service`].
     pub service: Arc<str>,
-    /// See [`Exchange`].
+    /// See [`Exchange::priority`].
     pub priority: u32,
-    /// See [`Exchange`].
+    /// See [`Exchange::mode`].
     pub mode: ExchangeMode,
-    /// Its project type.
+    /// Number of the project type that the routing decision chose.
     pub project_type: usize,
     /// Seconds from now to its deadline.
     pub time_budget: f64,
 }
 
 impl Exchange {
-    /// Submits a request to the reducer. A reader that stops early calls [`Exchange::abandon`].
-    pub fn start(shared: &Arc<Shared>, new: NewExchange) -> Arc<Exchange> {
-        let NewExchange {
+    /// Submits a request to the reducer. A reader that stops reading early has to call [`Exchange::cancel`].
+    pub fn start(shared: &Arc<SharedState>, parameters: ExchangeParameters) -> Arc<Exchange> {
+        let ExchangeParameters {
             request,
             body,
-            terms,
+            route,
             service,
             priority,
             mode,
             project_type,
             time_budget,
-        } = new;
+        } = parameters;
         let header = |name: &str| {
             request
                 .headers
                 .get(name)
                 .and_then(|value| value.to_str().ok())
         };
-        let prompt = Prompt::read(header("mintlb-prompt-prefix"), header("mintlb-token-usage"));
-        let arrived = shared.clock.now();
-        let state = State {
+        let prompt = Prompt::parse(header("mintlb-prompt-prefix"), header("mintlb-token-usage"));
+        let arrived_at = shared.clock.now();
+        let state = ExchangeState {
             last_event: request.last_event_id,
-            ..State::default()
+            ..ExchangeState::default()
         };
         let exchange = Arc::new(Exchange {
             request,
             body,
-            terms,
+            route,
             service,
             priority,
             prompt,
             mode,
-            arrived,
-            limit: arrived + time_budget,
+            arrived_at,
+            deadline: arrived_at + time_budget,
             shared: shared.clone(),
             state: Mutex::new(state),
         });
-        exchange.clone().submit(project_type, arrived);
+        exchange.clone().submit(project_type, arrived_at);
         exchange
     }
 
     fn submit(self: Arc<Self>, project_type: usize, now: f64) {
-        let id = self.shared.numbers.next();
+        let id = self.shared.work_unit_ids.next();
         self.state.lock().request_number = id;
-        let once = !self.terms.idempotent;
+        let runs_at_most_once = !self.route.idempotent;
         let payload = Payload {
             body: self.body.clone(),
-            non_idempotent: once,
+            non_idempotent: runs_at_most_once,
             protocol_data: self.clone(),
         };
-        let time_budget = self.limit - now;
-        let answer = Box::new(Settlement(self));
-        let arrival = Submission {
+        let time_budget = self.deadline - now;
+        let decision_receiver = Box::new(DecisionReceiver(self));
+        let submission = Submission {
             id,
             client_request_id: None,
             project_type,
@@ -224,57 +225,57 @@
             arrived_at: now,
             time_budget,
             payload,
-            responder: answer,
+            responder: decision_receiver,
         };
-        let shared = match arrival.payload.protocol_data.downcast_ref::<Exchange>() {
+        let shared = match submission.payload.protocol_data.downcast_ref::<Exchange>() {
             Some(exchange) => exchange.shared.clone(),
             None => return,
         };
-        shared.event_sender.send(Event::Submitted(arrival)).ok();
+        shared.event_sender.send(Event::Submitted(submission)).ok();
     }
 
     /// State shared by the dispatcher's tasks.
-    pub fn shared(&self) -> &Arc<Shared> {
+    pub fn shared(&self) -> &Arc<SharedState> {
         &self.shared
     }
 
-    // Called by the upstream side.
+    // Methods called by the upstream side.
 
-    /// Whether it may be sent to a worker at all.
+    /// Whether another attempt is allowed. Attempts of batch items are limited by the batch runner.
     pub fn may_be_sent(&self) -> bool {
         let state = self.state.lock();
-        state.attempts < self.terms.max_attempts || self.mode == ExchangeMode::Item
+        state.attempts < self.route.max_attempts || self.mode == ExchangeMode::Item
     }
 
-    /// Whether it was sent to this worker before.
+    /// Whether the request was sent to this worker before.
     pub fn has_attempted(&self, worker: u64) -> bool {
         self.state.lock().attempted.contains(&Some(worker))
     }
 
-    /// Records that the complete head is about to reach this worker, which may then start.
-    pub fn sent(&self, worker: u64) {
+    /// Records that the complete head is being sent to this worker, which may run the request from then on.
+    pub fn record_sent(&self, worker: u64) {
         let mut state = self.state.lock();
-        let position = state.attempts as usize % MAX_ATTEMPTED;
+        let position = state.attempts as usize % MAX_REMEMBERED_WORKERS;
         state.attempted[position] = Some(worker);
         state.attempts += 1;
         state.may_have_run = true;
         state.sent_at = self.shared.clock.now();
     }
 
-    /// Counts its first event, or its head if it is no stream, at this worker.
+    /// Counts the request as started at this worker: with the first event of a stream, or the head of another response.
     pub fn count_start(&self, worker: u64) {
         let placement = self.long_prompt().and_then(|_| self.placement(worker));
         let sent_at = self.state.lock().sent_at;
-        let start = Start {
-            waited: sent_at - self.arrived,
-            latency: self.shared.clock.now() - self.arrived,
-            target: self.terms.target,
+        let start = RequestStart {
+            waited: sent_at - self.arrived_at,
+            latency: self.shared.clock.now() - self.arrived_at,
+            target_latency: self.route.target_latency,
             placement,
         };
-        self.shared.counters.on_start(&self.terms.name, start);
+        self.shared.counters.on_start(&self.route.name, start);
     }
 
-    /// Whether this worker is the one that was preferred for its prompt, as far as it was ranked.
+    /// Whether this worker is one of those preferred for the prompt; `None` if workers were not ranked.
     fn placement(&self, worker: u64) -> Option<PromptPlacement> {
         let (_, preferred) = self.state.lock().preferred?;
         Some(match preferred.contains(&Some(worker)) {
@@ -283,36 +284,37 @@
         })
     }
 
-    /// Records the worker's statement that the last attempt has not run.
-    pub fn not_run(&self, ran_before: bool) {
+    /// Records that the worker stated that it has not run the request. `ran_before` says whether an earlier attempt may
+    /// have.
+    pub fn record_not_run(&self, ran_before: bool) {
         self.state.lock().may_have_run = ran_before;
     }
 
-    /// Revokes [`Exchange::sent`]: the head was not written completely.
-    pub fn not_sent(&self, ran_before: bool) {
+    /// Reverts [`Exchange::record_sent`], as the head was not written completely.
+    pub fn undo_sent(&self, ran_before: bool) {
         let mut state = self.state.lock();
         state.attempts -= 1;
         state.may_have_run = ran_before;
     }
 
-    /// Whether an earlier attempt may have run.
+    /// Whether an attempt may have run.
     pub fn may_have_run(&self) -> bool {
         self.state.lock().may_have_run
     }
 
-    /// The last event sent to the client or queued for it.
+    /// Id of the last event that the client has or that is queued for it.
     pub fn last_event(&self) -> Option<u64> {
         self.state.lock().last_event
     }
 
-    /// Whether part of a response has passed, so that any retry has to resume there.
+    /// Whether part of a response was forwarded, so that a retry has to resume after it.
     pub fn has_begun(&self) -> bool {
         self.state.lock().begun
     }
 
-    /// Queues part of a response. The first part brings the head; the head of a later attempt is dropped, as the
-    /// response keeps its first.
-    pub fn pass(&self, head: &mut Option<Head>, bytes: Bytes, last_event: Option<u64>) {
+    /// Queues part of a response for the reader. The head is forwarded with the first part; heads of later attempts are
+    /// dropped. `last_event` is the id of the last event so far.
+    pub fn forward(&self, head: &mut Option<ForwardedHead>, bytes: Bytes, last_event: Option<u64>) {
         let mut state = self.state.lock();
         if !state.begun {
             state.head = head.take();
@@ -328,24 +330,24 @@
 
     /// Whether a response that has begun can be resumed by another attempt.
     pub fn can_resume(&self) -> bool {
-        can_resume(&self.state.lock(), &self.terms)
+        can_resume(&self.state.lock(), &self.route)
     }
 
-    /// Queues the last part of a response that is no stream.
-    pub fn finish(&self, head: &mut Option<Head>, bytes: Bytes) {
+    /// Queues the last part of a response that is not a stream, and completes it.
+    pub fn finish(&self, head: &mut Option<ForwardedHead>, bytes: Bytes) {
         let last_event = self.last_event();
-        self.pass(head, bytes, last_event);
+        self.forward(head, bytes, last_event);
         self.complete();
     }
 
-    /// Records a worker's failure of an item, also after other attempts produced part of its output.
-    pub fn fail_item(&self, head: Head) {
+    /// Records a worker's error response to an item, also if earlier attempts have produced part of its output.
+    pub fn fail_item(&self, head: ForwardedHead) {
         let mut state = self.state.lock();
         state.item_failure = Some(head.status);
         let end = if state.begun {
-            End::Broken
+            BodyEnd::Broken
         } else {
-            End::Complete
+            BodyEnd::Complete
         };
         if !state.begun {
             (state.head, state.begun) = (Some(head), true);
@@ -354,63 +356,64 @@
         wake(&mut state);
     }
 
-    /// The status of a worker's failure of an item.
+    /// The status of a worker's error response to an item.
     pub fn item_failure(&self) -> Option<StatusCode> {
         self.state.lock().item_failure
     }
 
-    /// Completes the response.
+    /// Marks the response as complete.
     pub fn complete(&self) {
         let mut state = self.state.lock();
-        state.end = state.end.or(Some(End::Complete));
+        state.end = state.end.or(Some(BodyEnd::Complete));
         wake(&mut state);
     }
 
-    /// Ends the response as truncated.
+    /// Marks the response as truncated.
     pub fn truncate(&self) {
         let mut state = self.state.lock();
-        state.end = state.end.or(Some(End::Broken));
+        state.end = state.end.or(Some(BodyEnd::Broken));
         wake(&mut state);
     }
 
-    /// Stores a worker's failure as the response if no retry succeeds.
-    pub fn store_failure(&self, head: Head, body: Bytes) {
+    /// Stores a worker's error response, which is forwarded if no retry succeeds.
+    pub fn store_failure(&self, head: ForwardedHead, body: Bytes) {
         self.state.lock().failure = Some((head, body));
     }
 
-    /// Ready while fewer than `MAX_QUEUED_BYTES` are queued for the client.
+    /// Ready while fewer than `MAX_QUEUED_BYTES` are queued for the reader.
     pub fn poll_queue_space(&self, cx: &Context) -> Poll<()> {
         let mut state = self.state.lock();
         if state.queued_bytes < MAX_QUEUED_BYTES {
             return Poll::Ready(());
         }
-        state.writer = Some(cx.waker().clone());
+        state.writer_waker = Some(cx.waker().clone());
         Poll::Pending
     }
 
-    /// Its prompt, if it is to go to a worker that is likely to have it cached.
+    /// The prompt, if the request prefers a worker that is likely to have its prefix cached.
     pub fn long_prompt(&self) -> Option<Prompt> {
-        let is_placed = self.terms.session_affinity && self.mode == ExchangeMode::Live;
-        self.prompt.filter(|prompt| is_placed && prompt.is_long())
+        let is_placed = self.route.session_affinity && self.mode == ExchangeMode::Live;
+        self.prompt
+            .filter(|prompt| is_placed && prompt.has_long_prefix())
     }
 
-    /// The workers preferred for its prompt, ranked once per age of the worker table.
+    /// The workers preferred for the prompt. `rank` is called once per generation of the worker table.
     pub fn preferred(
         &self,
-        age: u64,
-        rank: impl FnOnce() -> [Option<u64>; PREFERRED],
-    ) -> [Option<u64>; PREFERRED] {
+        generation: u64,
+        rank: impl FnOnce() -> [Option<u64>; PREFERRED_WORKERS],
+    ) -> [Option<u64>; PREFERRED_WORKERS] {
         let mut state = self.state.lock();
         match state.preferred {
-            Some((ranked_at, preferred)) if ranked_at == age => preferred,
-            _ => state.preferred.insert((age, rank())).1,
+            Some((ranked_at, preferred)) if ranked_at == generation => preferred,
+            _ => state.preferred.insert((generation, rank())).1,
         }
     }
 
-    // Called by the reader.
+    // Methods called by the reader.
 
-    /// The head of the response, or why there is none.
-    pub fn poll_head(&self, cx: &Context) -> Poll<Result<Head, Refusal>> {
+    /// Polls for the head of the response, or the reason why there is none.
+    pub fn poll_head(&self, cx: &Context) -> Poll<Result<ForwardedHead, Refusal>> {
         let mut state = self.state.lock();
         if let Some(head) = state.head.take() {
             state.head_taken = true;
@@ -419,40 +422,40 @@
         if let Some(refusal) = state.refusal {
             return Poll::Ready(Err(refusal));
         }
-        state.reader = Some(cx.waker().clone());
+        state.reader_waker = Some(cx.waker().clone());
         Poll::Pending
     }
 
-    /// The next chunk of the response's body.
+    /// Polls for the next chunk of the response's body.
     pub fn poll_chunk(&self, cx: &Context) -> Poll<BodyChunk> {
         let mut state = self.state.lock();
         if let Some(bytes) = state.queue.pop_front() {
             state.queued_bytes -= bytes.len();
-            if let Some(writer) = state.writer.take() {
-                writer.wake();
+            if let Some(writer_waker) = state.writer_waker.take() {
+                writer_waker.wake();
             }
             return Poll::Ready(BodyChunk::Data(bytes));
         }
         match state.end {
-            Some(End::Complete) => Poll::Ready(BodyChunk::Complete),
-            Some(End::Broken) => Poll::Ready(BodyChunk::Broken),
+            Some(BodyEnd::Complete) => Poll::Ready(BodyChunk::Complete),
+            Some(BodyEnd::Broken) => Poll::Ready(BodyChunk::Broken),
             None => {
-                state.reader = Some(cx.waker().clone());
+                state.reader_waker = Some(cx.waker().clone());
                 Poll::Pending
             }
         }
     }
 
-    /// The unread bytes of the body, if it is complete.
+    /// Number of unread bytes of the body, once it was received completely.
     pub fn remaining_length(&self) -> Option<u64> {
         let state = self.state.lock();
-        (state.end == Some(End::Complete)).then_some(state.queued_bytes as u64)
+        (state.end == Some(BodyEnd::Complete)).then_some(state.queued_bytes as u64)
     }
 
-    /// Cancels the request: its client has disconnected.
-    pub fn abandon(&self) {
+    /// Cancels the request, because the client has disconnected. Does nothing if the request has ended.
+    pub fn cancel(&self) {
         let mut state = self.state.lock();
-        if std::mem::replace(&mut state.abandoned, true)
+        if std::mem::replace(&mut state.cancelled, true)
             || state.end.is_some()
             || state.refusal.is_some()
         {
@@ -464,21 +467,23 @@
             .ok();
     }
 
-    // Decisions of the reducer.
+    // Handling of the reducer's decisions.
 
-    /// The reducer makes no further attempt under this number: submits the request again, or ends it.
+    /// Called when the reducer makes no further attempt under the current number: submits the request again if a retry is
+    /// allowed, otherwise ends it.
     fn retry_or_conclude(self: Arc<Self>, refusal: Refusal) {
         let now = self.shared.clock.now();
         let retry = {
             let mut state = self.state.lock();
-            if state.abandoned || state.end.is_some() {
+            if state.cancelled || state.end.is_some() {
                 return;
             }
-            // An idempotent request that has begun or may have run gets another deadline at the scheduler.
-            let is_resumable_or_unconfirmed = state.begun && can_resume(&state, &self.terms)
+            // The scheduler gives up at its own deadline. A request whose response has begun or that may have run is
+            // submitted again, which gives it a new one.
+            let is_resumable_or_unconfirmed = state.begun && can_resume(&state, &self.route)
                 || !state.begun && state.may_have_run && state.failure.is_none();
-            let allowed = self.terms.idempotent && state.attempts < self.terms.max_attempts;
-            let in_time = now + MIN_TIME_LEFT < self.limit && !self.shared.is_exiting();
+            let allowed = self.route.idempotent && state.attempts < self.route.max_attempts;
+            let in_time = now + MIN_RETRY_TIME_LEFT < self.deadline && !self.shared.is_exiting();
             let retry = is_resumable_or_unconfirmed
                 && allowed
                 && in_time
@@ -491,8 +496,9 @@
         };
         if retry {
             let table = self.shared.routing();
-            let number = table
-                .and_then(|table| table.type_of(&self.terms.name, &self.service, self.priority));
+            let number = table.and_then(|table| {
+                table.project_type(&self.route.name, &self.service, self.priority)
+            });
             match number {
                 Some(number) => self.submit(number, now),
                 None => {
@@ -505,21 +511,21 @@
     }
 }
 
-/// The final state of a response that no worker completes.
-fn conclude(state: &mut State, refusal: Refusal) {
+/// Sets the final state of a response that no worker completes.
+fn conclude(state: &mut ExchangeState, refusal: Refusal) {
     if state.begun {
-        state.end = Some(End::Broken);
+        state.end = Some(BodyEnd::Broken);
         return;
     }
     if let Some((head, body)) = state.failure.take() {
         state.queued_bytes += body.len();
         state.queue.push_back(body);
-        (state.head, state.begun, state.end) = (Some(head), true, Some(End::Complete));
+        (state.head, state.begun, state.end) = (Some(head), true, Some(BodyEnd::Complete));
         return;
     }
     state.refusal = Some(match refusal {
         Refusal::NotRun(_) if state.may_have_run => Refusal::Unknown,
-        // No worker was sent its complete head, and none will be.
+        // No worker was sent the complete head, and none will be.
         Refusal::Unknown | Refusal::TimedOut if !state.may_have_run => {
             Refusal::NotRun(UNSENT_RETRY_AFTER)
         }
@@ -527,28 +533,29 @@
     });
 }
 
-fn can_resume(state: &State, terms: &RouteTerms) -> bool {
-    terms.resumable && state.last_event.is_some()
+fn can_resume(state: &ExchangeState, route: &RouteSettings) -> bool {
+    route.resumable && state.last_event.is_some()
 }
 
-fn wake(state: &mut State) {
-    if let Some(reader) = state.reader.take() {
-        reader.wake();
+fn wake(state: &mut ExchangeState) {
+    if let Some(reader_waker) = state.reader_waker.take() {
+        reader_waker.wake();
     }
 }
 
-/// Receives the reducer's final decision on a request.
-struct Settlement(Arc<Exchange>);
+/// Receives the reducer's final decision on a submitted request.
+struct DecisionReceiver(Arc<Exchange>);
 
-impl Responder for Settlement {
+impl Responder for DecisionReceiver {
     fn respond(self: Box<Self>, answer: Answer) {
         let exchange = self.0;
-        // The last attempt ends shortly before the client's deadline.
-        let over = exchange.shared.clock.now() + MIN_TIME_LEFT >= exchange.limit;
+        // The reducer lets the last attempt end shortly before the deadline.
+        let is_past_deadline =
+            exchange.shared.clock.now() + MIN_RETRY_TIME_LEFT >= exchange.deadline;
         match answer {
-            // The upstream side has forwarded the response already.
+            // The upstream side has already forwarded the response.
             Answer::Completed(_) => {}
-            Answer::Deferred(_) | Answer::Aborted if over => {
+            Answer::Deferred(_) | Answer::Aborted if is_past_deadline => {
                 exchange.retry_or_conclude(Refusal::TimedOut)
             }
             Answer::Deferred(retry_after) => {
--- a/crates/mintlb-dispatcher/src/lib.rs
+++ b/crates/mintlb-dispatcher/src/lib.rs
@@ -1,24 +1,25 @@
-//! The data plane of the serving tier: clients' requests and items of batch jobs, through one reducer, to workers.
+//! The data plane of the serving tier: forwards clients' requests and items of batch jobs to workers, through one reducer.
 //!
 //! ```text
-//!   clients ──> downstream ──Event──> reducer ──Act──> hands ──Order──> upstream ──> workers
-//!                   ^               (scheduler) └ permit                   │
-//!                   └─────────────────── exchange <────────────────────────┘
+//!   clients ──> downstream ──Event──> reducer ──Action──> executor ──AllocationRequest──> upstream ──> workers
+//!                   ^               (scheduler) └ permits                                    │
+//!                   └────────────────────────────── exchange <───────────────────────────────┘
 //! ```
 //!
-//! Reducer and scheduler are those of `mintlb serve`; a project type is a route and a service of the operator's
-//! configuration with a priority. Routes and workers are known from gossip records.
+//! Reducer and scheduler are the same as in `mintlb serve`. A project type stands for a route and a service of the
+//! operator's configuration with a priority. Routes and workers are received as gossip records.
 //!
-//! - Pure: [`routing`], [`tenants`], [`tuning`], [`prompts`], [`events`], [`wire`], [`load`].
+//! - Without I/O: [`routing`], [`tenants`], [`scheduler_settings`], [`prefix_affinity`], [`event_stream`],
+//!   [`response_parser`], [`load`], [`occupancy`].
 //! - State of one request: [`exchange`]. Shared state: [`shared`] with [`workers`], updated by [`cluster_state`].
-//! - Sockets: [`downstream`] with [`body`], [`readiness`], [`upstream`] with [`connection`], [`request`], [`answer`].
-//! - Admission by tenants' rate limits: [`admission`], [`quota_client`], counted by [`admission_statistics`]; to workers:
-//!   [`permits`]. Batch jobs: [`batch_executor`], [`batch`].
+//! - Sockets: [`downstream`] with [`body`], [`readiness`], [`upstream`] with [`connection`], [`request`],
+//!   [`response_reader`].
+//! - Admission by tenants' rate limits: [`admission`], [`quota_client`], counted by [`admission_statistics`]; admission to
+//!   workers: [`permits`]. Batch jobs: [`batch_executor`], [`batch`].
 //! - Event loop: [`dispatcher`], started by [`mod@run`].
 
 pub mod admission;
 pub mod admission_statistics;
-pub mod answer;
 pub mod batch;
 pub mod batch_executor;
 pub mod body;
@@ -27,24 +28,25 @@
 pub mod dispatcher;
 pub mod downstream;
 pub mod error;
-pub mod events;
+pub mod event_stream;
 pub mod exchange;
 pub mod load;
 mod log_bridge;
 pub mod occupancy;
 pub mod permits;
-pub mod prompts;
+pub mod prefix_affinity;
 pub mod quota_client;
 pub mod readiness;
 pub mod request;
+pub mod response_parser;
+pub mod response_reader;
 pub mod routing;
 pub mod run;
+pub mod scheduler_settings;
 pub mod shared;
 pub mod statistics;
 pub mod tenants;
-pub mod tuning;
 pub mod upstream;
-pub mod wire;
 pub mod workers;
 
 pub use error::DispatchError;
--- a/crates/mintlb-dispatcher/src/load.rs
+++ b/crates/mintlb-dispatcher/src/load.rs
@@ -1,26 +1,27 @@
-//! Estimate of a worker's occupied slots: its last load report, and what this dispatcher sent there since. Pure.
+//! Estimate of a worker's occupied slots: its last load report plus the requests that this dispatcher has sent since.
+//! Without I/O.
 //!
-//! Other dispatchers send there, too, so a report is valid for a short time only.
+//! Other dispatchers send requests to the same worker, so a report is only valid for a short time.
 
 /// How long a load report is valid, in seconds.
 const REPORT_VALIDITY: f64 = 0.5;
-/// The share of a worker's slots that batch items leave to live requests.
-const LIVE_SHARE: f64 = 0.25;
+/// Share of a worker's slots that batch items leave free for live requests.
+const LIVE_REQUEST_SHARE: f64 = 0.25;
 
-/// `Mintlb-Instance-Load`: requests that run and wait at a worker, and how many may run.
+/// A worker's load report, sent with its responses as `Mintlb-Instance-Load`.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Load {
-    /// Requests that run.
+pub struct InstanceLoad {
+    /// Number of running requests.
     pub running: f64,
-    /// Requests that wait.
+    /// Number of requests queued at the worker.
     pub waiting: f64,
-    /// Requests that may run at once.
+    /// Maximum number of concurrently running requests.
     pub slots: f64,
 }
 
-impl Load {
-    /// Reads `RUNNING,WAITING,SLOTS`.
-    pub fn read(header: &str) -> Option<Load> {
+impl InstanceLoad {
+    /// Parses `RUNNING,WAITING,SLOTS`; `None` if that is not three finite numbers of at least 0.
+    pub fn parse(header: &str) -> Option<InstanceLoad> {
         let values: Vec<f64> = header
             .split(',')
             .map_while(|value| value.trim().parse().ok())
@@ -31,61 +32,61 @@
         let is_valid = values
             .iter()
             .all(|value| value.is_finite() && *value >= 0.0);
-        is_valid.then_some(Load {
+        is_valid.then_some(InstanceLoad {
             running,
             waiting,
             slots,
         })
     }
 
-    /// Free slots.
-    pub fn free(&self) -> f64 {
+    /// Number of slots that no running or queued request occupies.
+    pub fn free_slots(&self) -> f64 {
         (self.slots - self.running - self.waiting).max(0.0)
     }
 }
 
-/// The estimate of a worker's load.
+/// Estimate of a worker's load.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct KnownLoad {
-    reported: Load,
+pub struct LoadEstimate {
+    reported: InstanceLoad,
     reported_at: f64,
-    sent_since: f64,
+    sent_since_report: f64,
 }
 
-impl KnownLoad {
+impl LoadEstimate {
     /// Records a worker's report received at `now` (seconds of the clock).
-    pub fn record(&mut self, load: Load, now: f64) {
-        *self = KnownLoad {
+    pub fn record(&mut self, load: InstanceLoad, now: f64) {
+        *self = LoadEstimate {
             reported: load,
             reported_at: now,
-            sent_since: 0.0,
+            sent_since_report: 0.0,
         };
     }
 
-    /// A request was sent there.
-    pub fn sent(&mut self) {
-        self.sent_since += 1.0;
+    /// Records that a request was sent to the worker.
+    pub fn record_sent(&mut self) {
+        self.sent_since_report += 1.0;
     }
 
     /// Whether a slot is free for a live request; true without a valid report.
     pub fn has_free_slot(&self, now: f64) -> bool {
-        !self.has_valid_report(now) || self.occupied() < self.reported.slots
+        !self.has_valid_report(now) || self.occupied_slots() < self.reported.slots
     }
 
-    /// Whether a slot is free for a batch item that leaves enough of them to live requests; `own` requests of this
-    /// dispatcher are there.
-    pub fn has_free_slot_for_item(&self, now: f64, own: f64) -> bool {
-        let limit = self.reported.slots * (1.0 - LIVE_SHARE);
+    /// Whether a batch item can run and still leave enough slots to live requests. Without a valid report,
+    /// `own_requests`, this dispatcher's requests in flight to the worker, count as occupied slots.
+    pub fn has_free_slot_for_item(&self, now: f64, own_requests: f64) -> bool {
+        let limit = self.reported.slots * (1.0 - LIVE_REQUEST_SHARE);
         let occupied = if self.has_valid_report(now) {
-            self.occupied()
+            self.occupied_slots()
         } else {
-            own
+            own_requests
         };
         self.reported.slots == 0.0 || occupied < limit
     }
 
-    fn occupied(&self) -> f64 {
-        self.reported.running + self.reported.waiting + self.sent_since
+    fn occupied_slots(&self) -> f64 {
+        self.reported.running + self.reported.waiting + self.sent_since_report
     }
 
     fn has_valid_report(&self, now: f64) -> bool {
--- a/crates/mintlb-dispatcher/src/log_bridge.rs
+++ b/crates/mintlb-dispatcher/src/log_bridge.rs
@@ -1,10 +1,10 @@
-//! Forwards the log of `mintlb-core` (slog) to the `log` facade.
+//! Forwards log records of `mintlb-core`, which uses `slog`, to the `log` facade.
 
 use slog::{Drain, Level, Logger, Never, OwnedKVList, Record, o};
 
-struct ToLog;
+struct LogDrain;
 
-impl Drain for ToLog {
+impl Drain for LogDrain {
     type Ok = ();
     type Err = Never;
 
@@ -18,7 +18,7 @@
     }
 }
 
-/// The logger for `mintlb-core`.
+/// Creates the logger for `mintlb-core`. Its records of level info and above become debug records.
 pub fn logger() -> Logger {
-    Logger::root(ToLog.fuse(), o!())
+    Logger::root(LogDrain.fuse(), o!())
 }
--- a/crates/mintlb-dispatcher/src/occupancy.rs
+++ b/crates/mintlb-dispatcher/src/occupancy.rs
@@ -1,23 +1,23 @@
-//! Estimate of how much of a service's slots is in use, over all its workers and all dispatchers. Pure.
+//! Estimate of the share of a service's slots that is in use, over all workers and all dispatchers. Without I/O.
 //!
-//! Each response carries its worker's load. A dispatcher has responses from few of the workers at a time, but these are
-//! a sample of the fleet, and other dispatchers' requests count in them.
+//! Each response carries its worker's load report. A dispatcher receives responses from few workers at a time, but these
+//! are a sample of all workers, and the reports include other dispatchers' requests.
 
-use crate::load::Load;
+use crate::load::InstanceLoad;
 use rustc_hash::FxHashMap;
 
 /// Time constant of the smoothing, in seconds.
 const SMOOTHING_TIME: f64 = 0.25;
-/// The highest occupancy that is believed of a worker: what it reports beyond that is no load, or tells nothing more.
+/// Upper bound of a sample. A higher report is implausible or carries no more information.
 const MAX_SAMPLE: f64 = 4.0;
-/// An estimate without a sample for this long is void, in seconds.
-const VALIDITY: f64 = 1.0;
+/// An estimate expires this many seconds after its last sample.
+const SAMPLE_VALIDITY: f64 = 1.0;
 
-/// The occupancy of each service.
+/// The occupancy of each service by name.
 #[derive(Debug, Default)]
 pub struct ServiceOccupancies(FxHashMap<String, Occupancy>);
 
-/// A weighted mean of samples, in which older samples count less.
+/// Exponentially decaying mean of samples.
 #[derive(Clone, Copy, Debug, Default)]
 struct Occupancy {
     sum: f64,
@@ -27,7 +27,7 @@
 
 impl ServiceOccupancies {
     /// Records a worker's load report at `now` (seconds of the clock).
-    pub fn record(&mut self, service: &str, load: Load, now: f64) {
+    pub fn record(&mut self, service: &str, load: InstanceLoad, now: f64) {
         if load.slots <= 0.0 {
             return;
         }
@@ -40,18 +40,19 @@
         }
     }
 
-    /// The share of the service's slots that requests run in or wait for: over 1 if more wait than slots are free.
+    /// The share of the service's slots that running and queued requests occupy at `now`; over 1 if more requests are queued
+    /// than slots are free. `None` without a recent report.
     pub fn get(&self, service: &str, now: f64) -> Option<f64> {
         let occupancy = self.0.get(service)?;
-        (now - occupancy.updated_at < VALIDITY).then(|| occupancy.sum / occupancy.weight)
+        (now - occupancy.updated_at < SAMPLE_VALIDITY).then(|| occupancy.sum / occupancy.weight)
     }
 }
 
 impl Occupancy {
     fn record(&mut self, sample: f64, now: f64) {
-        let keep = (-(now - self.updated_at).max(0.0) / SMOOTHING_TIME).exp();
-        self.sum = self.sum * keep + sample;
-        self.weight = self.weight * keep + 1.0;
+        let decay = (-(now - self.updated_at).max(0.0) / SMOOTHING_TIME).exp();
+        self.sum = self.sum * decay + sample;
+        self.weight = self.weight * decay + 1.0;
         self.updated_at = now;
     }
 }
--- a/crates/mintlb-dispatcher/src/quota_client.rs
+++ b/crates/mintlb-dispatcher/src/quota_client.rs
@@ -1,7 +1,7 @@
-//! The client of the owners of tenants' rate limits, see [`mintlb_quota`].
+//! Client of the processes that own the slices of tenants' rate limits, see [`mintlb_quota`].
 
 use crate::admission::{Admission, AdmissionFuture, RateLimiter};
-use crate::tenants::TenantTerms;
+use crate::tenants::TenantSettings;
 use arc_swap::ArcSwap;
 use bytes::Bytes;
 use futures_util::future::BoxFuture;
@@ -21,59 +21,59 @@
 use tokio::task::yield_now;
 use tokio::time::{Instant, sleep_until};
 
-/// The next owner is asked, too, once one has not responded for this long.
+/// If an owner has not responded for this long, the next one is called as well (hedged request).
 const HEDGE_DELAY: Duration = Duration::from_millis(20);
-/// Questions of one request that are open at the same time.
-const MAX_OPEN_QUESTIONS: usize = 3;
-/// An owner that was silent for [`HEDGE_DELAY`] when its request was decided is suspected of being down, and asked after
-/// all others for this long.
-const SUSPICION_TIME: Duration = Duration::from_millis(1000);
-/// The time-out of a question, beyond that of any request.
+/// Maximum number of pending calls for one request.
+const MAX_PENDING_CALLS: usize = 3;
+/// An owner whose call had been pending for [`HEDGE_DELAY`] when the request was decided, or that can't be reached, is
+/// suspected to be down. For this long it is only called after all others.
+const SUSPECT_DURATION: Duration = Duration::from_millis(1000);
+/// Timeout of a call, longer than the time limit of any request.
 const CALL_TIMEOUT: Duration = Duration::from_millis(2000);
-/// Turns of the runtime in which responses that have arrived by the deadline are still read.
-const TURNS_AFTER_DEADLINE: usize = 4;
-/// For at most this long after a rejection further requests of the tenant are rejected without a question.
-const MAX_REJECTION_MEMORY: Duration = Duration::from_millis(50);
-/// Tenants whose rejections are remembered at most.
-const MAX_REMEMBERED: usize = 4096;
-/// The longest time after which a client is told to come back.
+/// How often the task yields to the runtime after the deadline, to read responses that arrived before it.
+const POLLS_AFTER_DEADLINE: usize = 4;
+/// Maximum time after a rejection in which further requests of the tenant are rejected without a call.
+const MAX_REJECTION_CACHE_TTL: Duration = Duration::from_millis(50);
+/// Maximum number of tenants with a cached rejection.
+const MAX_CACHED_REJECTIONS: usize = 4096;
+/// Maximum `Retry-After` of a rejection.
 const MAX_RETRY_AFTER: Duration = Duration::from_millis(1500);
 
-/// Asks the owners of a tenant's slices for a token.
+/// Takes tokens from the owners of a tenant's slices.
 pub struct QuotaClient {
     transport: Arc<Transport>,
     division: Division,
     replicas: ArcSwap<ReplicaSet>,
     rng: Mutex<Rng>,
-    /// Until when an owner is suspected of being down.
+    /// Until when an owner is suspected to be down.
     suspects: Mutex<FxHashMap<SocketAddr, Instant>>,
-    /// The last rejection of a tenant.
-    rejected: Mutex<FxHashMap<String, RememberedRejection>>,
+    /// The cached rejection of each tenant.
+    rejected: Mutex<FxHashMap<String, CachedRejection>>,
 }
 
-/// A rejection that holds for further requests of its tenant.
+/// A rejection that applies to further requests of its tenant.
 #[derive(Clone, Copy)]
-struct RememberedRejection {
-    /// Until then they are rejected without a question.
+struct CachedRejection {
+    /// Requests before this time are rejected without a call.
     until: Instant,
-    /// When they may come back.
-    returns_at: Instant,
+    /// When a client may retry.
+    retry_at: Instant,
 }
 
-/// A question to an owner, and its response; none if it can't be reached.
-type Question = BoxFuture<'static, (SocketAddr, Option<AdmitResponse>)>;
+/// A call to an owner. Resolves to `None` if the owner can't be reached or its response can't be decoded.
+type OwnerCall = BoxFuture<'static, (SocketAddr, Option<AdmitResponse>)>;
 
-/// The questions of one request.
-struct Questions {
+/// The calls made for one request.
+struct OwnerCalls {
     inquiry: Inquiry<SocketAddr>,
-    open: FuturesUnordered<Question>,
-    /// When each owner whose response has not come was asked.
-    asked: FxHashMap<SocketAddr, Instant>,
-    last_asked: Instant,
+    pending: FuturesUnordered<OwnerCall>,
+    /// When each owner was called whose call is pending.
+    called_at: FxHashMap<SocketAddr, Instant>,
+    last_called_at: Instant,
 }
 
 impl QuotaClient {
-    /// Knows no owners before [`QuotaClient::apply_record`].
+    /// Creates a client that knows no owners before [`QuotaClient::apply_record`].
     pub fn new(transport: Arc<Transport>, division: Division, seed: u64) -> QuotaClient {
         QuotaClient {
             transport,
@@ -85,7 +85,7 @@
         }
     }
 
-    /// Applies the record of the replica set, whose members own the slices.
+    /// Applies the record of the replica set, whose members own the slices. Ignores other records.
     pub fn apply_record(&self, record: &Record) {
         if record.key != REPLICAS {
             return;
@@ -100,7 +100,7 @@
     }
 
     async fn decide(&self, tenant: &str, limit: RateLimit, time_limit: Duration) -> Admission {
-        if let Some(retry_after) = self.remembered_rejection(tenant) {
+        if let Some(retry_after) = self.cached_rejection(tenant) {
             return Admission::Rejected { retry_after };
         }
         if time_limit.is_zero() {
@@ -112,58 +112,58 @@
             limit,
         };
         let body: Bytes = minicbor::to_vec(&request).unwrap_or_default().into();
-        let mut questions = Questions::new(self.owners_in_order(tenant, &limit), &limit);
-        let is_admitted = self.ask(&mut questions, &body, deadline).await;
-        self.suspect_silent(&questions);
-        match (is_admitted, questions.inquiry.retry_after()) {
+        let mut calls = OwnerCalls::new(self.owners_in_order(tenant, &limit), &limit);
+        let is_admitted = self.call_owners(&mut calls, &body, deadline).await;
+        self.suspect_unresponsive(&calls);
+        match (is_admitted, calls.inquiry.retry_after()) {
             (true, _) => Admission::Admitted,
             (false, Some(retry_after)) => self.reject(tenant, retry_after),
             (false, None) => Admission::Unavailable,
         }
     }
 
-    /// Asks owners until one admits the request, all have responded, or the deadline has passed.
-    async fn ask(&self, questions: &mut Questions, body: &Bytes, deadline: Instant) -> bool {
-        let mut turns_left = TURNS_AFTER_DEADLINE;
+    /// Calls owners until one admits the request, all have responded, or the deadline has passed.
+    async fn call_owners(&self, calls: &mut OwnerCalls, body: &Bytes, deadline: Instant) -> bool {
+        let mut polls_left = POLLS_AFTER_DEADLINE;
         loop {
-            if questions.is_next_due() {
-                self.ask_next(questions, body);
+            if calls.is_next_due() {
+                self.call_next(calls, body);
             }
-            if questions.open.is_empty() {
+            if calls.pending.is_empty() {
                 return false;
             }
-            let timer = deadline.min(questions.next_due_at());
+            let timer = deadline.min(calls.next_due_at());
             tokio::select! {
                 biased;
-                Some((owner, response)) = questions.open.next() => {
-                    if self.on_response(questions, owner, response) {
+                Some((owner, response)) = calls.pending.next() => {
+                    if self.on_response(calls, owner, response) {
                         return true;
                     }
                 }
                 () = sleep_until(timer) => {}
             }
             if Instant::now() >= deadline {
-                // A process that had no processor time finds the responses and the deadline at once.
-                if turns_left == 0 {
+                // A process that got no CPU time sees the responses and the deadline at the same time.
+                if polls_left == 0 {
                     return false;
                 }
-                turns_left -= 1;
+                polls_left -= 1;
                 yield_now().await;
             }
         }
     }
 
-    fn ask_next(&self, questions: &mut Questions, body: &Bytes) {
+    fn call_next(&self, calls: &mut OwnerCalls, body: &Bytes) {
         let now = Instant::now();
-        questions.last_asked = now;
-        let Some(owner) = questions.inquiry.next_owner() else {
+        calls.last_called_at = now;
+        let Some(owner) = calls.inquiry.next_owner() else {
             return;
         };
-        questions.asked.insert(owner, now);
+        calls.called_at.insert(owner, now);
         let (transport, body) = (self.transport.clone(), body.clone());
-        questions.open.push(Box::pin(async move {
-            let called = transport.call(owner, Channel::Quota, body, CALL_TIMEOUT);
-            let response = called.await.ok();
+        calls.pending.push(Box::pin(async move {
+            let response = transport.call(owner, Channel::Quota, body, CALL_TIMEOUT);
+            let response = response.await.ok();
             (
                 owner,
                 response.and_then(|bytes| minicbor::decode(&bytes).ok()),
@@ -171,19 +171,19 @@
         }));
     }
 
-    /// Whether the response admits the request.
+    /// Handles a response; returns whether it admits the request.
     fn on_response(
         &self,
-        questions: &mut Questions,
+        calls: &mut OwnerCalls,
         owner: SocketAddr,
         response: Option<AdmitResponse>,
     ) -> bool {
-        questions.asked.remove(&owner);
+        calls.called_at.remove(&owner);
         match response {
             Some(AdmitResponse::Admitted) => return true,
             Some(AdmitResponse::Rejected { retry_after_ms }) => {
                 let retry_after = Duration::from_millis(retry_after_ms.into());
-                questions.inquiry.on_rejection(retry_after);
+                calls.inquiry.on_rejection(retry_after);
             }
             Some(AdmitResponse::NotOwner) => {}
             None => self.suspect(owner),
@@ -192,48 +192,48 @@
     }
 
     fn suspect(&self, owner: SocketAddr) {
-        let until = Instant::now() + SUSPICION_TIME;
+        let until = Instant::now() + SUSPECT_DURATION;
         self.suspects.lock().insert(owner, until);
     }
 
-    fn suspect_silent(&self, questions: &Questions) {
-        let silent = questions
-            .asked
+    fn suspect_unresponsive(&self, calls: &OwnerCalls) {
+        let unresponsive = calls
+            .called_at
             .iter()
-            .filter(|(_, asked_at)| asked_at.elapsed() >= HEDGE_DELAY);
-        silent.for_each(|(owner, _)| self.suspect(*owner));
+            .filter(|(_, called_at)| called_at.elapsed() >= HEDGE_DELAY);
+        unresponsive.for_each(|(owner, _)| self.suspect(*owner));
     }
 
     fn reject(&self, tenant: &str, retry_after: Duration) -> Admission {
         let retry_after = retry_after.min(MAX_RETRY_AFTER);
         let now = Instant::now();
         let mut rejected = self.rejected.lock();
-        if rejected.len() >= MAX_REMEMBERED {
+        if rejected.len() >= MAX_CACHED_REJECTIONS {
             rejected.retain(|_, rejection| rejection.until > now);
         }
-        if rejected.len() < MAX_REMEMBERED {
-            let rejection = RememberedRejection {
-                until: now + retry_after.min(MAX_REJECTION_MEMORY),
-                returns_at: now + retry_after,
+        if rejected.len() < MAX_CACHED_REJECTIONS {
+            let rejection = CachedRejection {
+                until: now + retry_after.min(MAX_REJECTION_CACHE_TTL),
+                retry_at: now + retry_after,
             };
             rejected.insert(tenant.to_string(), rejection);
         }
         Admission::Rejected { retry_after }
     }
 
-    /// When a request of a tenant may come back, if it is rejected without a question.
-    fn remembered_rejection(&self, tenant: &str) -> Option<Duration> {
+    /// The time until a client may retry, if a cached rejection applies to the tenant.
+    fn cached_rejection(&self, tenant: &str) -> Option<Duration> {
         let now = Instant::now();
         let mut rejected = self.rejected.lock();
         let rejection = *rejected.get(tenant)?;
         if rejection.until > now {
-            return Some(rejection.returns_at - now);
+            return Some(rejection.retry_at - now);
         }
         rejected.remove(tenant);
         None
     }
 
-    /// The owners of a tenant's slices from a random one on, the suspected ones last.
+    /// The owners of a tenant's slices, starting at a random one; those suspected to be down come last.
     fn owners_in_order(&self, tenant: &str, limit: &RateLimit) -> Vec<SocketAddr> {
         let set = self.replicas.load();
         let members: Vec<u64> = set.current.iter().map(|replica| replica.id.0).collect();
@@ -257,32 +257,37 @@
     }
 }
 
-impl Questions {
-    fn new(owners: Vec<SocketAddr>, limit: &RateLimit) -> Questions {
-        Questions {
+impl OwnerCalls {
+    fn new(owners: Vec<SocketAddr>, limit: &RateLimit) -> OwnerCalls {
+        OwnerCalls {
             inquiry: Inquiry::new(owners, limit),
-            open: FuturesUnordered::new(),
-            asked: FxHashMap::default(),
-            last_asked: Instant::now(),
+            pending: FuturesUnordered::new(),
+            called_at: FxHashMap::default(),
+            last_called_at: Instant::now(),
         }
     }
 
-    /// Whether the next owner is to be asked now: nobody is, or the last one keeps silent.
+    /// Whether to call the next owner now: no call is pending, or the last one has been pending for [`HEDGE_DELAY`].
     fn is_next_due(&self) -> bool {
-        self.open.is_empty()
-            || self.open.len() < MAX_OPEN_QUESTIONS && self.last_asked.elapsed() >= HEDGE_DELAY
+        self.pending.is_empty()
+            || self.pending.len() < MAX_PENDING_CALLS
+                && self.last_called_at.elapsed() >= HEDGE_DELAY
     }
 
     fn next_due_at(&self) -> Instant {
-        match self.open.len() < MAX_OPEN_QUESTIONS {
-            true => self.last_asked + HEDGE_DELAY,
-            false => self.last_asked + CALL_TIMEOUT,
+        match self.pending.len() < MAX_PENDING_CALLS {
+            true => self.last_called_at + HEDGE_DELAY,
+            false => self.last_called_at + CALL_TIMEOUT,
         }
     }
 }
 
 impl RateLimiter for QuotaClient {
-    fn admit<'a>(&'a self, tenant: &'a TenantTerms, time_limit: Duration) -> AdmissionFuture<'a> {
+    fn admit<'a>(
+        &'a self,
+        tenant: &'a TenantSettings,
+        time_limit: Duration,
+    ) -> AdmissionFuture<'a> {
         Box::pin(async move {
             match tenant.limit {
                 Some(limit) => self.decide(&tenant.name, limit, time_limit).await,
--- a/crates/mintlb-dispatcher/src/readiness.rs
+++ b/crates/mintlb-dispatcher/src/readiness.rs
@@ -1,4 +1,4 @@
-//! The readiness endpoint for the platform's load balancer.
+//! The HTTP endpoint by which the platform's load balancer checks whether the process is ready.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -6,7 +6,7 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::{sleep, timeout};
 
-/// Size limit of a request.
+/// Maximum size of a request.
 const MAX_REQUEST_BYTES: usize = 4 << 10;
 /// Idle timeout of a connection.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
@@ -17,20 +17,20 @@
 const NOT_READY: &[u8] = b"HTTP/1.1 503 Service Unavailable\r\ncontent-length: 0\r\n\r\n";
 const NOT_FOUND: &[u8] = b"HTTP/1.1 404 Not Found\r\ncontent-length: 0\r\n\r\n";
 
-/// Whether the process is ready for clients.
+/// Tells whether the process accepts clients' requests.
 pub type IsReady = Arc<dyn Fn() -> bool + Send + Sync>;
 
-/// Serves until it is dropped.
+/// Serves the endpoint until the future is dropped.
 pub async fn listen(listener: TcpListener, is_ready: IsReady) {
     loop {
         match listener.accept().await {
-            Ok((stream, _)) => drop(tokio::spawn(answer(stream, is_ready.clone()))),
+            Ok((stream, _)) => drop(tokio::spawn(serve_connection(stream, is_ready.clone()))),
             Err(_) => sleep(ACCEPT_BACKOFF).await,
         }
     }
 }
 
-async fn answer(mut stream: TcpStream, is_ready: IsReady) {
+async fn serve_connection(mut stream: TcpStream, is_ready: IsReady) {
     stream.set_nodelay(true).ok();
     let mut request = Vec::with_capacity(512);
     loop {
@@ -42,13 +42,13 @@
             }
             continue;
         };
-        let answer = match (request.starts_with(b"GET /v1/readiness "), is_ready()) {
+        let response = match (request.starts_with(b"GET /v1/readiness "), is_ready()) {
             (false, _) => NOT_FOUND,
             (true, true) => READY,
             (true, false) => NOT_READY,
         };
         request.drain(..end + 4);
-        if stream.write_all(answer).await.is_err() {
+        if stream.write_all(response).await.is_err() {
             return;
         }
     }
--- a/crates/mintlb-dispatcher/src/request.rs
+++ b/crates/mintlb-dispatcher/src/request.rs
@@ -1,4 +1,4 @@
-//! Encoding of a client's request for a worker: unchanged but for hop-by-hop headers and those that each attempt sets.
+//! Encodes a client's request for a worker: unchanged except for hop-by-hop headers and those that each attempt sets.
 
 use crate::exchange::Exchange;
 use axum::http::header::{
@@ -7,23 +7,23 @@
 use axum::http::{HeaderMap, HeaderValue, Method};
 use bytes::Bytes;
 
-/// Names the target worker; any other rejects the request.
+/// Request header: instance id of the target worker. Any other worker rejects the request.
 pub const TARGET_INSTANCE: &str = "mintlb-target-instance";
-/// How long the client waits, in ms.
+/// Request header: how long the client waits for the response, in ms.
 pub const DEADLINE: &str = "mintlb-deadline-ms";
-/// The request's id.
+/// Request and response header: the request id.
 pub const REQUEST_ID: &str = "mintlb-request-id";
-/// The last event that a client has.
+/// Request header: id of the last event that a client has.
 pub const LAST_EVENT_ID: &str = "last-event-id";
-/// A worker's signature of its response.
-pub const SIGNATURE: &str = "mintlb-response-signature";
-/// In a response: the request was not run.
+/// Response header: the worker's signature. A success without one is not forwarded.
+pub const RESPONSE_SIGNATURE: &str = "mintlb-response-signature";
+/// Response header: present if the worker has not run the request.
 pub const NOT_EXECUTED: &str = "mintlb-not-executed";
-/// A worker's load report.
-pub const LOAD: &str = "mintlb-instance-load";
+/// Response header: the worker's load report, see [`crate::load::InstanceLoad`].
+pub const INSTANCE_LOAD: &str = "mintlb-instance-load";
 
 /// Removes hop-by-hop headers (RFC 9110, section 7.6.1).
-pub fn strip_connection_headers(headers: &mut HeaderMap) {
+pub fn strip_hop_by_hop_headers(headers: &mut HeaderMap) {
     let named: Vec<HeaderName> = headers
         .get_all(CONNECTION)
         .iter()
@@ -34,7 +34,7 @@
     for name in named {
         headers.remove(name);
     }
-    for own in [
+    for name in [
         CONNECTION,
         CONTENT_LENGTH,
         TE,
@@ -43,30 +43,30 @@
         UPGRADE,
         EXPECT,
     ] {
-        headers.remove(own);
+        headers.remove(name);
     }
-    for own in ["keep-alive", "proxy-connection"] {
-        headers.remove(own);
+    for name in ["keep-alive", "proxy-connection"] {
+        headers.remove(name);
     }
 }
 
-/// Removes headers that each attempt sets.
-pub fn strip_own_headers(headers: &mut HeaderMap) {
-    for own in [TARGET_INSTANCE, DEADLINE, REQUEST_ID, LAST_EVENT_ID] {
-        headers.remove(own);
+/// Removes the headers that each attempt sets itself.
+pub fn strip_internal_headers(headers: &mut HeaderMap) {
+    for name in [TARGET_INSTANCE, DEADLINE, REQUEST_ID, LAST_EVENT_ID] {
+        headers.remove(name);
     }
 }
 
-/// The bytes of a request to one worker.
-pub struct RequestBytes {
-    /// All of it.
+/// An encoded request to one worker.
+pub struct EncodedRequest {
+    /// Head and body.
     pub bytes: Bytes,
-    /// The length of its head, the blank line included. Without its last byte no worker can begin the request.
+    /// Length of the head including the blank line. A worker can't start the request before the last byte of the head.
     pub head_length: usize,
 }
 
-/// The bytes of a request to this worker; `left` are the seconds that it has.
-pub fn bytes(exchange: &Exchange, instance_id: &str, left: f64) -> RequestBytes {
+/// Encodes a request for this worker; `time_left` is the time until its deadline in seconds.
+pub fn encode(exchange: &Exchange, instance_id: &str, time_left: f64) -> EncodedRequest {
     let request = &exchange.request;
     let headers = request
         .headers
@@ -79,21 +79,25 @@
     bytes.extend_from_slice(request.target.as_bytes());
     bytes.extend_from_slice(b" HTTP/1.1\r\n");
     for (name, value) in &request.headers {
-        put(&mut bytes, name.as_str(), value.as_bytes());
+        write_header(&mut bytes, name.as_str(), value.as_bytes());
     }
-    put(&mut bytes, REQUEST_ID, request.id.as_bytes());
-    put(&mut bytes, TARGET_INSTANCE, instance_id.as_bytes());
-    let left = (left * 1e3).max(1.0) as u64;
-    put(&mut bytes, DEADLINE, HeaderValue::from(left).as_bytes());
+    write_header(&mut bytes, REQUEST_ID, request.id.as_bytes());
+    write_header(&mut bytes, TARGET_INSTANCE, instance_id.as_bytes());
+    let time_left = (time_left * 1e3).max(1.0) as u64;
+    write_header(
+        &mut bytes,
+        DEADLINE,
+        HeaderValue::from(time_left).as_bytes(),
+    );
     if let Some(last) = exchange.last_event() {
-        put(
+        write_header(
             &mut bytes,
             LAST_EVENT_ID,
             HeaderValue::from(last).as_bytes(),
         );
     }
     if !exchange.body.is_empty() || !matches!(request.method, Method::GET | Method::HEAD) {
-        put(
+        write_header(
             &mut bytes,
             CONTENT_LENGTH.as_str(),
             HeaderValue::from(exchange.body.len()).as_bytes(),
@@ -102,13 +106,13 @@
     bytes.extend_from_slice(b"\r\n");
     let head_length = bytes.len();
     bytes.extend_from_slice(&exchange.body);
-    RequestBytes {
+    EncodedRequest {
         bytes: bytes.into(),
         head_length,
     }
 }
 
-fn put(bytes: &mut Vec<u8>, name: &str, value: &[u8]) {
+fn write_header(bytes: &mut Vec<u8>, name: &str, value: &[u8]) {
     bytes.extend_from_slice(name.as_bytes());
     bytes.extend_from_slice(b": ");
     bytes.extend_from_slice(value);
--- a/crates/mintlb-dispatcher/src/routing.rs
+++ b/crates/mintlb-dispatcher/src/routing.rs
@@ -1,8 +1,8 @@
-//! The routing table: maps host and path to a route, a service and a project type.
+//! The routing table: maps a request's host and path to a route, a service and a project type.
 //!
-//! A table is built from one configuration and swapped atomically, so that no request sees a mix of two.
+//! A table is built from one configuration and replaced atomically, so that no request sees a mix of two configurations.
 
-use crate::tenants::{Access, AuthenticationError, TenantTable, TenantTerms};
+use crate::tenants::{Access, AuthenticationError, TenantSettings, TenantTable};
 use axum::http::HeaderMap;
 use mintlb_common::configuration::{Configuration, Route, RouteType};
 use mintlb_core::project_types::NamedProjectType;
@@ -11,88 +11,89 @@
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-/// A route's terms as its requests keep them, also when a later configuration changes them.
+/// Settings of a route. A request keeps those that were in force when it was read, also when a later configuration
+/// changes them.
 #[derive(Clone, Debug, PartialEq)]
-pub struct RouteTerms {
+pub struct RouteSettings {
     /// The route's name.
     pub name: String,
-    /// Kind of the route: idempotence and form of its responses.
+    /// Determines whether requests are idempotent and whether their responses are streams.
     pub route_type: RouteType,
-    /// A stream may be resumed at another worker.
+    /// Whether a broken stream may be resumed at another worker, after the last event that the client has.
     pub resumable: bool,
-    /// A request may run more than once.
+    /// Whether a request may run more than once.
     pub idempotent: bool,
-    /// Limit of workers that a request may be sent to.
+    /// Maximum number of workers that one request may be sent to.
     pub max_attempts: u32,
-    /// Time limit of a request, in seconds.
+    /// Maximum duration of a request in seconds.
     pub timeout: f64,
-    /// Latency target within which a response has its full value, in seconds.
-    pub target: f64,
-    /// Target of the gap between two events of a response, in seconds.
-    pub gap: Option<f64>,
-    /// Requests declare the segments of their prompts.
+    /// Latency target in seconds; 0 if the route has none.
+    pub target_latency: f64,
+    /// Target for the time between two events of a stream, in seconds.
+    pub max_event_gap: Option<f64>,
+    /// Whether requests with a long prompt prefer a worker that is likely to have its prefix cached.
     pub session_affinity: bool,
-    /// Requests need no key of a tenant.
+    /// Whether requests are accepted without a tenant's key.
     pub public_access: bool,
-    /// The priority of requests whose tenant has none; 0 is the highest.
+    /// Priority of requests whose tenant sets none; 0 is the highest.
     pub priority: u32,
 }
 
-/// Where a request goes: its route's terms, the service drawn for it, and the project type of both.
+/// The routing decision for one request.
 #[derive(Clone, Debug)]
-pub struct Target {
-    /// The terms of its route.
-    pub terms: Arc<RouteTerms>,
-    /// The service's name.
+pub struct RouteTarget {
+    /// The settings of the route that matches it.
+    pub route: Arc<RouteSettings>,
+    /// Name of the service, chosen at random by the route's traffic split.
     pub service: Arc<str>,
-    /// The priority: its tenant's, or its route's.
+    /// The tenant's priority, or the route's if the tenant has none.
     pub priority: u32,
-    /// The number of the project type.
+    /// Number of the project type, by which the scheduler weighs the request.
     pub project_type: usize,
 }
 
 /// All routes of one configuration.
 #[derive(Debug)]
 pub struct RoutingTable {
-    /// The configuration that it was built from.
+    /// The configuration that the table was built from.
     pub configuration: Arc<Configuration>,
-    /// Its tenants, if requests have to name theirs.
+    /// The tenants; `None` if the configuration has no tenant list, so that no request needs a key.
     pub tenants: Option<TenantTable>,
     hosts: FxHashMap<String, Vec<RouteEntry>>,
-    /// Project types by route, service and priority.
-    numbers: FxHashMap<(String, String, u32), usize>,
-    services: FxHashMap<String, ServiceTerms>,
+    /// Numbers of project types by route, service and priority.
+    project_types: FxHashMap<(String, String, u32), usize>,
+    services: FxHashMap<String, WorkerLimits>,
 }
 
-/// Limits of a service's workers.
+/// Limits of each worker of a service.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct ServiceTerms {
-    /// Connections that a worker accepts from all callers together; 0 is no limit.
+pub struct WorkerLimits {
+    /// Maximum number of connections that a worker accepts from all callers together; 0 means no limit.
     pub max_connections: u32,
-    /// Tokens that fit into a worker's memory, if it generates tokens.
+    /// Capacity of a worker's KV cache in tokens; `None` if the service runs no language model.
     pub kv_cache_tokens: Option<u64>,
 }
 
 #[derive(Debug)]
 struct RouteEntry {
-    prefix: String,
+    path_prefix: String,
     index: usize,
-    terms: Arc<RouteTerms>,
-    shares: Vec<Share>,
+    settings: Arc<RouteSettings>,
+    shares: Vec<ServiceShare>,
 }
 
-/// A service's share of a route.
+/// A service's share of a route's traffic.
 #[derive(Debug)]
-struct Share {
-    /// Weights up to and with this one, over their sum.
-    up_to: f64,
+struct ServiceShare {
+    /// Sum of the weights up to and including this one, over the sum of all weights.
+    cumulative_weight: f64,
     service: Arc<str>,
-    /// Project types by priority.
+    /// Numbers of project types by priority.
     types: Vec<(u32, usize)>,
 }
 
-impl Share {
-    /// The project type of this priority, if a request may have it.
+impl ServiceShare {
+    /// The project type for this priority; `None` if no request of the route has it.
     fn project_type(&self, priority: u32) -> Option<usize> {
         let mut types = self.types.iter();
         let found = types.find(|(known, _)| *known == priority);
@@ -100,16 +101,17 @@
     }
 }
 
-/// The name of the project type of a route, a service and a priority, if that is not the route's own. It is unambiguous,
-/// as service and priority follow the last `@`.
-pub fn type_name(route: &Route, service: &str, priority: u32) -> String {
+/// The name of the project type of a route, a service and a priority: `ROUTE@SERVICE`, followed by the priority unless it
+/// is the route's own. The name is unambiguous, as service and priority follow the last `@`.
+pub fn project_type_name(route: &Route, service: &str, priority: u32) -> String {
     match priority == route.priority {
         true => format!("{}@{service}", route.name),
         false => format!("{}@{service} {priority}", route.name),
     }
 }
 
-/// The priorities that requests of a route may have: its own, and those of the tenants that need a key for it.
+/// The priorities that requests of a route may have: the route's own and, unless the route is public, those of the
+/// tenants.
 pub fn priorities(configuration: &Configuration, route: &Route) -> BTreeSet<u32> {
     let tenants = configuration.tenant_list.iter().flatten();
     let tenants = tenants.filter(|_| !route.public_access);
@@ -117,12 +119,12 @@
     priorities.chain([route.priority]).collect()
 }
 
-/// Time limit of a request whose route has no `timeout_ms`, in seconds.
+/// Maximum duration in seconds of a request whose route has no `timeout_ms`.
 const DEFAULT_TIMEOUT: f64 = 60.0;
 
-impl RouteTerms {
-    fn new(route: &Route) -> RouteTerms {
-        RouteTerms {
+impl RouteSettings {
+    fn new(route: &Route) -> RouteSettings {
+        RouteSettings {
             name: route.name.clone(),
             route_type: route.route_type,
             resumable: route.resumable || route.route_type == RouteType::Batch,
@@ -131,8 +133,8 @@
             timeout: route
                 .timeout_ms
                 .map_or(DEFAULT_TIMEOUT, |ms| ms as f64 / 1e3),
-            target: route.target_latency_ms as f64 / 1e3,
-            gap: route.max_event_gap_ms.map(|ms| ms / 1e3),
+            target_latency: route.target_latency_ms as f64 / 1e3,
+            max_event_gap: route.max_event_gap_ms.map(|ms| ms / 1e3),
             session_affinity: route.session_affinity,
             public_access: route.public_access,
             priority: route.priority,
@@ -141,20 +143,20 @@
 }
 
 impl RoutingTable {
-    /// Builds the table; `types` are the project types as the reducer numbers them.
+    /// Builds the table; `types` are the project types with the numbers that the reducer assigned.
     pub fn new(configuration: Arc<Configuration>, types: &[NamedProjectType]) -> RoutingTable {
         let by_name: FxHashMap<&str, usize> =
             types.iter().map(|t| (t.name.as_str(), t.number)).collect();
         let mut hosts: FxHashMap<String, Vec<RouteEntry>> = FxHashMap::default();
-        let mut numbers = FxHashMap::default();
+        let mut project_types = FxHashMap::default();
         for (index, route) in configuration.route_list.iter().enumerate() {
             let sum: f64 = route.targets().map(|(_, weight)| weight).sum();
             let priorities = priorities(&configuration, route);
-            let (mut so_far, mut shares) = (0.0, Vec::new());
+            let (mut weight_so_far, mut shares) = (0.0, Vec::new());
             for (service, weight) in route.targets().filter(|(_, weight)| *weight > 0.0) {
-                so_far += weight / sum;
+                weight_so_far += weight / sum;
                 let numbered = priorities.iter().filter_map(|priority| {
-                    let name = type_name(route, service, *priority);
+                    let name = project_type_name(route, service, *priority);
                     Some((*priority, *by_name.get(name.as_str())?))
                 });
                 let types: Vec<(u32, usize)> = numbered.collect();
@@ -163,19 +165,19 @@
                 }
                 for (priority, number) in &types {
                     let key = (route.name.clone(), service.to_string(), *priority);
-                    numbers.insert(key, *number);
+                    project_types.insert(key, *number);
                 }
-                shares.push(Share {
-                    up_to: so_far,
+                shares.push(ServiceShare {
+                    cumulative_weight: weight_so_far,
                     service: Arc::from(service),
                     types,
                 });
             }
-            let terms = Arc::new(RouteTerms::new(route));
+            let settings = Arc::new(RouteSettings::new(route));
             let entry = RouteEntry {
-                prefix: route.path_prefix.clone(),
+                path_prefix: route.path_prefix.clone(),
                 index,
-                terms,
+                settings,
                 shares,
             };
             hosts
@@ -184,13 +186,13 @@
                 .push(entry);
         }
         for entries in hosts.values_mut() {
-            entries.sort_by_key(|entry| std::cmp::Reverse(entry.prefix.len()));
+            entries.sort_by_key(|entry| std::cmp::Reverse(entry.path_prefix.len()));
         }
         let services = configuration.service_list.iter().map(|service| {
             let kv_cache_tokens = service.engine.as_ref().map(|engine| engine.kv_cache_tokens);
             (
                 service.name.clone(),
-                ServiceTerms {
+                WorkerLimits {
                     max_connections: service.max_connections,
                     kv_cache_tokens,
                 },
@@ -201,12 +203,12 @@
             tenants: TenantTable::new(&configuration),
             configuration,
             hosts,
-            numbers,
+            project_types,
         }
     }
 
-    /// Limits of this service's workers.
-    pub fn service(&self, name: &str) -> ServiceTerms {
+    /// Limits of each worker of this service; no limits if the service is unknown.
+    pub fn service(&self, name: &str) -> WorkerLimits {
         self.services.get(name).copied().unwrap_or_default()
     }
 
@@ -220,40 +222,42 @@
 
     fn entry(&self, host: &str, path: &str) -> Option<&RouteEntry> {
         let mut entries = self.entries(host).iter();
-        entries.find(|entry| path.starts_with(&entry.prefix))
+        entries.find(|entry| path.starts_with(&entry.path_prefix))
     }
 
-    /// The tenant of a request; `None` if it needs none.
+    /// The tenant of a request; `None` if there are no tenants, or for a request without a known key on a public route.
     ///
     /// # Errors
     ///
-    /// If it needs a key and has none, or not one that is known.
+    /// If the request needs a key and has none, or an unknown one.
     pub fn identify(
         &self,
         headers: &HeaderMap,
         access: Access,
-    ) -> Result<Option<&Arc<TenantTerms>>, AuthenticationError> {
+    ) -> Result<Option<&Arc<TenantSettings>>, AuthenticationError> {
         match &self.tenants {
             Some(tenants) => tenants.identify(headers, access),
             None => Ok(None),
         }
     }
 
-    /// Whether batch jobs of this host may have been submitted without a key.
+    /// Whether the host has a public batch route, so that its batch jobs may have been submitted without a key.
     pub fn has_public_batch_route(&self, host: &str) -> bool {
-        self.entries(host)
-            .iter()
-            .any(|entry| entry.terms.public_access && entry.terms.route_type == RouteType::Batch)
+        self.entries(host).iter().any(|entry| {
+            entry.settings.public_access && entry.settings.route_type == RouteType::Batch
+        })
     }
 
-    /// Index in the configuration's list, and terms, of the route of a request.
-    pub fn route(&self, host: &str, path: &str) -> Option<(usize, &Arc<RouteTerms>)> {
+    /// The route of a request, by the longest matching path prefix: its index in the configuration's `route_list`, and its
+    /// settings.
+    pub fn route(&self, host: &str, path: &str) -> Option<(usize, &Arc<RouteSettings>)> {
         self.entry(host, path)
-            .map(|entry| (entry.index, &entry.terms))
+            .map(|entry| (entry.index, &entry.settings))
     }
 
-    /// Where a request goes; `draw`, from 0 up to 1, picks one of the services that share the route. One that has no
-    /// worker gives its share to those that have. `priority` is its tenant's, if that has one.
+    /// The routing decision for a request. `draw`, a random number from 0 up to 1, selects one of the services that share
+    /// the route; if that has no worker, the first service with workers is taken. `priority` is the tenant's, if it has
+    /// one.
     pub fn target(
         &self,
         host: &str,
@@ -261,41 +265,45 @@
         priority: Option<u32>,
         draw: f64,
         has_workers: impl Fn(&str) -> bool,
-    ) -> Option<Target> {
+    ) -> Option<RouteTarget> {
         let entry = self.entry(host, path)?;
         let shares = &entry.shares;
         let drawn = shares
             .iter()
-            .find(|share| draw < share.up_to)
+            .find(|share| draw < share.cumulative_weight)
             .or(shares.last())?;
         let others = || shares.iter().find(|share| has_workers(&share.service));
-        let is_good = shares.len() == 1 || has_workers(&drawn.service);
-        let share = if is_good {
+        let is_usable = shares.len() == 1 || has_workers(&drawn.service);
+        let share = if is_usable {
             drawn
         } else {
             others().unwrap_or(drawn)
         };
-        // A tenant of an earlier configuration may have a priority that no tenant has now.
-        let own = entry.terms.priority;
-        let wanted = priority.unwrap_or(own);
-        let of = |priority| Some((priority, share.project_type(priority)?));
-        let (priority, project_type) = of(wanted).or_else(|| of(own))?;
-        Some(Target {
-            terms: entry.terms.clone(),
+        // The tenant may come from an earlier configuration and have a priority that no tenant of this one has.
+        let route_priority = entry.settings.priority;
+        let wanted = priority.unwrap_or(route_priority);
+        let with_priority = |priority| Some((priority, share.project_type(priority)?));
+        let (priority, project_type) =
+            with_priority(wanted).or_else(|| with_priority(route_priority))?;
+        Some(RouteTarget {
+            route: entry.settings.clone(),
             service: share.service.clone(),
             priority,
             project_type,
         })
     }
 
-    /// The project type of a route, a service and a priority: that of another priority if this one is gone, or of another
-    /// route to the service if the route is gone.
-    pub fn type_of(&self, route: &str, service: &str, priority: u32) -> Option<usize> {
+    /// The project type for the retry of a request. If the configuration no longer has this priority, another one of the
+    /// route is taken; if it no longer has the route, one of another route to the service.
+    pub fn project_type(&self, route: &str, service: &str, priority: u32) -> Option<usize> {
         let key = (route.to_string(), service.to_string(), priority);
-        if let Some(number) = self.numbers.get(&key) {
+        if let Some(number) = self.project_types.get(&key) {
             return Some(*number);
         }
-        let to_service = self.numbers.iter().filter(|((_, to, _), _)| to == service);
+        let to_service = self
+            .project_types
+            .iter()
+            .filter(|((_, to, _), _)| to == service);
         let is_of_route = |from: &str| from == route;
         to_service
             .max_by_key(|((from, _, priority), _)| (is_of_route(from), Reverse(*priority)))
--- a/crates/mintlb-dispatcher/src/run.rs
+++ b/crates/mintlb-dispatcher/src/run.rs
@@ -1,11 +1,11 @@
-//! The command `mintlb dispatch`: starts a dispatcher from its settings and joins it to the gossip.
+//! Implements `mintlb dispatch`: starts a dispatcher from its settings and joins the gossip.
 
 use crate::batch;
 use crate::cluster_state::{self, ClusterUpdate};
 use crate::dispatcher::{Dispatcher, DispatcherConfig};
 use crate::error::DispatchError;
 use crate::quota_client::QuotaClient;
-use crate::shared::Shared;
+use crate::shared::SharedState;
 use mintlb_common::incarnation::Incarnation;
 use mintlb_common::record::Record;
 use mintlb_common::settings::{InternalPort, NodeSettings};
@@ -19,16 +19,16 @@
 use tokio::net::{TcpListener, TcpSocket};
 use tokio::time::sleep;
 
-/// Length of the accept queue.
+/// Length of the queue of connections that were not accepted yet.
 const BACKLOG: u32 = 1024;
-/// Interval at which the number of dispatchers is estimated.
-const ESTIMATE: Duration = Duration::from_secs(2);
+/// How often the number of dispatchers is updated from the gossip's members.
+const DISPATCHER_COUNT_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Runs a dispatcher until SIGTERM.
+/// Runs a dispatcher until SIGTERM, and shuts it down gracefully.
 ///
 /// # Errors
 ///
-/// If an address is missing or can't be bound, or the runtime can't be set up.
+/// If a listen address is missing or can't be bound, or the async runtime can't be set up.
 pub fn run(settings: NodeSettings) -> Result<(), DispatchError> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
@@ -37,7 +37,7 @@
 }
 
 async fn serve(settings: NodeSettings) -> Result<(), DispatchError> {
-    // A dispatcher's settings are read at its start only.
+    // A dispatcher does not reload its settings.
     let mut signals = Signals::install()?;
     let addresses = &settings.listen_addresses;
     let frontend = listen(
@@ -68,7 +68,7 @@
         seeds: settings.seed_addresses(),
         member,
     });
-    let config = config(&settings, transport.incarnation());
+    let config = dispatcher_config(&settings, transport.incarnation());
     let dispatcher_id = config.seed;
     let mut dispatcher = Dispatcher::new(config);
     dispatcher.batch = Some(batch::start(
@@ -88,16 +88,16 @@
     gossip.subscribe(Arc::new(move |record: &Record| quota.apply_record(record)));
     let update_sender = dispatcher.update_sender.clone();
     gossip.subscribe(Arc::new(move |record: &Record| {
-        if let Some(known) = cluster_state::read(record) {
-            update_sender.send(known).ok();
+        if let Some(update) = cluster_state::decode(record) {
+            update_sender.send(update).ok();
         }
     }));
-    let (update_sender, joining) = (dispatcher.update_sender.clone(), gossip.clone());
+    let (update_sender, joining_gossip) = (dispatcher.update_sender.clone(), gossip.clone());
     tokio::spawn(async move {
-        joining.wait_until_joined().await;
+        joining_gossip.wait_until_joined().await;
         update_sender.send(ClusterUpdate::Joined).ok();
     });
-    tokio::spawn(estimate(gossip, dispatcher.shared.clone()));
+    tokio::spawn(update_dispatcher_count(gossip, dispatcher.shared.clone()));
     log::info!(
         "dispatch: {} serves on {:?}",
         settings.node_name,
@@ -111,8 +111,8 @@
     Ok(())
 }
 
-/// Updates the number of dispatchers that share the workers.
-async fn estimate(gossip: Arc<GossipService>, shared: Arc<Shared>) {
+/// Regularly updates the number of dispatchers that share the workers.
+async fn update_dispatcher_count(gossip: Arc<GossipService>, shared: Arc<SharedState>) {
     loop {
         let others = gossip
             .members()
@@ -120,11 +120,11 @@
             .filter(|member| member.role == Role::Dispatcher)
             .count();
         shared.set_dispatcher_count(others + 1);
-        sleep(ESTIMATE).await;
+        sleep(DISPATCHER_COUNT_INTERVAL).await;
     }
 }
 
-fn config(settings: &NodeSettings, incarnation: Incarnation) -> DispatcherConfig {
+fn dispatcher_config(settings: &NodeSettings, incarnation: Incarnation) -> DispatcherConfig {
     DispatcherConfig {
         zone: settings.zone.clone(),
         zones: settings.zones.keys().cloned().collect(),
--- a/crates/mintlb-dispatcher/src/shared.rs
+++ b/crates/mintlb-dispatcher/src/shared.rs
@@ -1,9 +1,9 @@
-//! State shared by the dispatcher's tasks: clock, worker table, routes in force, ids in progress.
+//! State shared by the dispatcher's tasks: clock, worker table, routing table, request ids in progress and counters.
 
 use crate::admission_statistics::AdmissionCounters;
-use crate::load::Load;
+use crate::load::InstanceLoad;
 use crate::occupancy::ServiceOccupancies;
-use crate::routing::{RoutingTable, Target};
+use crate::routing::{RouteTarget, RoutingTable};
 use crate::statistics::RequestCounters;
 use crate::workers::{WorkerEntry, WorkerTable};
 use arc_swap::ArcSwapOption;
@@ -19,30 +19,30 @@
 use tokio::sync::mpsc::UnboundedSender;
 
 /// State shared by the dispatcher's tasks.
-pub struct Shared {
-    /// The clock of all tasks.
+pub struct SharedState {
+    /// The clock that all times in seconds refer to.
     pub clock: Clock,
-    /// Generator of request numbers.
-    pub numbers: WorkUnitIds,
-    /// Channel to the reducer.
+    /// Generates the numbers under which the reducer knows requests.
+    pub work_unit_ids: WorkUnitIds,
+    /// Sends events to the reducer.
     pub event_sender: UnboundedSender<Event>,
     /// The workers known from gossip records.
     pub workers: WorkerTable,
     routing: ArcSwapOption<RoutingTable>,
     dispatcher_count: AtomicUsize,
-    ending: AtomicBool,
+    exiting: AtomicBool,
     rng: Mutex<Rng>,
     reserved_request_ids: Mutex<FxHashSet<HeaderValue>>,
     occupancies: Mutex<ServiceOccupancies>,
-    /// Counts of the requests of all routes.
+    /// Counts requests by route.
     pub counters: RequestCounters,
-    /// Counts of admissions.
+    /// Counts admissions by outcome.
     pub admissions: AdmissionCounters,
 }
 
 /// Reserves the id of a non-idempotent request while its client waits for the response.
 pub struct RequestIdReservation {
-    shared: Arc<Shared>,
+    shared: Arc<SharedState>,
     id: HeaderValue,
 }
 
@@ -52,18 +52,18 @@
     }
 }
 
-impl Shared {
-    /// Without routes or workers.
-    pub fn new(clock: Clock, event_sender: UnboundedSender<Event>, seed: u64) -> Shared {
-        let (numbers, workers, routing) = Default::default();
-        Shared {
+impl SharedState {
+    /// Creates the state of a dispatcher that knows no routes or workers.
+    pub fn new(clock: Clock, event_sender: UnboundedSender<Event>, seed: u64) -> SharedState {
+        let (work_unit_ids, workers, routing) = Default::default();
+        SharedState {
             clock,
-            numbers,
+            work_unit_ids,
             event_sender,
             workers,
             routing,
             dispatcher_count: AtomicUsize::new(1),
-            ending: AtomicBool::new(false),
+            exiting: AtomicBool::new(false),
             rng: Mutex::new(Rng::new(seed)),
             reserved_request_ids: Mutex::default(),
             occupancies: Mutex::default(),
@@ -72,7 +72,8 @@
         }
     }
 
-    /// Reserves the id of a non-idempotent request; `None` if one with this id is in progress here and would run twice.
+    /// Reserves the id of a non-idempotent request; `None` if a request with this id is in progress here, as it would run
+    /// twice.
     pub fn reserve_request_id(self: &Arc<Self>, id: &HeaderValue) -> Option<RequestIdReservation> {
         let is_new = self.reserved_request_ids.lock().insert(id.clone());
         is_new.then(|| RequestIdReservation {
@@ -81,56 +82,57 @@
         })
     }
 
-    /// The routes in force, once a configuration is known.
+    /// The routing table in force; `None` before the first configuration.
     pub fn routing(&self) -> Option<Arc<RoutingTable>> {
         self.routing.load_full()
     }
 
-    /// Puts a routing table in force.
+    /// Replaces the routing table.
     pub fn set_routing(&self, table: RoutingTable) {
         self.routing.store(Some(Arc::new(table)));
     }
 
-    /// Number of known dispatchers, this one included.
+    /// Number of known dispatchers, including this one. Initially 1.
     pub fn dispatcher_count(&self) -> usize {
         self.dispatcher_count.load(Relaxed)
     }
 
-    /// See [`Shared::dispatcher_count`].
+    /// Sets the number of known dispatchers, including this one.
     pub fn set_dispatcher_count(&self, count: usize) {
         self.dispatcher_count.store(count.max(1), Relaxed);
     }
 
-    /// Whether the process is about to exit: nothing is retried any more.
+    /// Whether the process is about to exit, so that no request is retried any more.
     pub fn is_exiting(&self) -> bool {
-        self.ending.load(Relaxed)
+        self.exiting.load(Relaxed)
     }
 
-    /// See [`Shared::is_exiting`].
-    pub fn end(&self) {
-        self.ending.store(true, Relaxed);
+    /// Stops all retries, because the process is about to exit.
+    pub fn set_exiting(&self) {
+        self.exiting.store(true, Relaxed);
     }
 
-    /// Records a worker's load report.
-    pub fn record_load(&self, worker: &WorkerEntry, load: Load) {
+    /// Records a worker's load report in the estimates of its own load and of its service's occupancy.
+    pub fn record_load(&self, worker: &WorkerEntry, load: InstanceLoad) {
         let now = self.clock.now();
         worker.record_load(load, now);
         self.occupancies.lock().record(&worker.service, load, now);
     }
 
-    /// The share of a service's slots that is in use, as far as recent responses tell.
+    /// The share of a service's slots that is in use; `None` without recent load reports.
     pub fn occupancy(&self, service: &str) -> Option<f64> {
         self.occupancies.lock().get(service, self.clock.now())
     }
 
-    /// The target of a request by these routes; draws the service by weight. `priority` is its tenant's, if that has one.
+    /// The routing decision for a request by this table. Chooses the service at random by weight. `priority` is the tenant's,
+    /// if it has one.
     pub fn target(
         &self,
         table: &RoutingTable,
         host: &str,
         path: &str,
         priority: Option<u32>,
-    ) -> Option<Target> {
+    ) -> Option<RouteTarget> {
         let draw = self.rng.lock().uniform();
         table.target(host, path, priority, draw, |service| {
             self.workers.serves(service)
--- a/crates/mintlb-dispatcher/src/statistics.rs
+++ b/crates/mintlb-dispatcher/src/statistics.rs
@@ -1,5 +1,5 @@
-//! Counts of a dispatcher's requests by route, logged regularly while there are any: where requests spend their latency
-//! target, and whether long prompts reach the workers that are likely to have them cached.
+//! Counts of a dispatcher's requests by route, which are logged regularly: where requests spend their latency target, and
+//! whether long prompts reach the workers that are likely to have them cached.
 
 use parking_lot::Mutex;
 use std::collections::BTreeMap;
@@ -10,18 +10,18 @@
 /// How often the counts are logged.
 pub const REPORT_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Why a request may not go to a worker now.
+/// Why a request may not be sent to a worker now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RefusalReason {
-    /// It was sent to as many workers as its route allows.
+    /// The request was sent to as many workers as its route allows.
     Attempts,
-    /// The worker is out of service, or its memory or connections are used up.
+    /// The worker is out of service, or has no memory or connection left.
     Capacity,
     /// The worker reported no free slot.
     Load,
-    /// It was at this worker before.
+    /// The request was sent to this worker before, and there are others.
     SecondAttempt,
-    /// Another worker is likely to have its prompt cached.
+    /// Another worker is likely to have the prompt cached.
     PreferredElsewhere,
 }
 
@@ -35,25 +35,25 @@
     ];
 }
 
-/// Where a request started that has a long prompt.
+/// Where a request with a long prompt started.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PromptPlacement {
-    /// At the worker that all dispatchers prefer for it.
+    /// At a worker that is preferred for the prompt.
     Preferred,
-    /// At another worker, which has to prefill it.
+    /// At another worker, which has to prefill the prompt.
     Elsewhere,
 }
 
-/// A request that has its first event, or its head if it is no stream.
+/// The start of a response: the first event of a stream, or the head of another response.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Start {
-    /// Seconds from its arrival until it was sent to the worker.
+pub struct RequestStart {
+    /// Seconds from the arrival of the request until it was sent to the worker.
     pub waited: f64,
-    /// Seconds from its arrival until now.
+    /// Seconds from the arrival of the request to the start of the response.
     pub latency: f64,
-    /// Its latency target in seconds; 0 is none.
-    pub target: f64,
-    /// Where its long prompt went, if it has one.
+    /// The route's latency target in seconds; 0 if it has none.
+    pub target_latency: f64,
+    /// Where the request started, if it has a long prompt.
     pub placement: Option<PromptPlacement>,
 }
 
@@ -67,36 +67,36 @@
 /// The counts of one route.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct RouteCounts {
-    /// Requests that started.
+    /// Requests whose response has started.
     pub started: u64,
-    /// The sum of the times that they waited here, in seconds.
+    /// Total time that they waited at the dispatcher, in seconds.
     pub waited: f64,
-    /// The longest of these, in seconds.
+    /// The longest time that one waited, in seconds.
     pub longest_wait: f64,
-    /// Started past their target, most of it spent waiting here.
+    /// Requests that started after their target and spent most of the time waiting at the dispatcher.
     pub late_waiting: u64,
-    /// Started past their target, most of it spent at the worker.
+    /// Requests that started after their target and spent most of the time at the worker.
     pub late_at_worker: u64,
-    /// Streams with a pause beyond their route's.
+    /// Streams with a longer time between two events than their route's target.
     pub late_by_pause: u64,
-    /// Long prompts that started at their preferred worker.
+    /// Requests with a long prompt that started at a preferred worker.
     pub preferred: u64,
-    /// Long prompts that started elsewhere.
+    /// Requests with a long prompt that started at another worker.
     pub elsewhere: u64,
 }
 
 impl RequestCounters {
-    /// Counts a refusal. A request that waits may be refused often.
+    /// Counts a refused permit. A waiting request may be refused many times.
     pub fn on_refusal(&self, reason: RefusalReason) {
         self.refusals[reason as usize].fetch_add(1, Relaxed);
     }
 
-    /// Counts a request that started.
-    pub fn on_start(&self, route: &str, start: Start) {
+    /// Counts a request whose response has started.
+    pub fn on_start(&self, route: &str, start: RequestStart) {
         self.count(route, |counts| counts.add(start));
     }
 
-    /// Counts a stream whose pause between two events was too long, once a stream.
+    /// Counts a stream in which the time between two events exceeded the target. To be called once per stream.
     pub fn on_late_pause(&self, route: &str) {
         self.count(route, |counts| counts.late_by_pause += 1);
     }
@@ -109,7 +109,7 @@
         }
     }
 
-    /// The log lines on what was counted since the last call.
+    /// Returns the log lines with the counts since the last call and resets them.
     pub fn take_lines(&self) -> Vec<String> {
         let routes = std::mem::take(&mut *self.routes.lock());
         let mut lines: Vec<String> = routes
@@ -130,11 +130,11 @@
 }
 
 impl RouteCounts {
-    fn add(&mut self, start: Start) {
+    fn add(&mut self, start: RequestStart) {
         self.started += 1;
         self.waited += start.waited;
         self.longest_wait = self.longest_wait.max(start.waited);
-        if start.target > 0.0 && start.latency > start.target {
+        if start.target_latency > 0.0 && start.latency > start.target_latency {
             match start.waited * 2.0 > start.latency {
                 true => self.late_waiting += 1,
                 false => self.late_at_worker += 1,
--- a/crates/mintlb-dispatcher/src/tenants.rs
+++ b/crates/mintlb-dispatcher/src/tenants.rs
@@ -1,6 +1,6 @@
-//! Tenants of the configuration in force: which one a request belongs to, by its key.
+//! Tenants of a configuration, and authentication of requests by a tenant's key.
 //!
-//! Keys are compared by digest only, and are not forwarded.
+//! Only digests of keys are compared, and keys are not forwarded to workers.
 
 use axum::http::header::AUTHORIZATION;
 use axum::http::{HeaderMap, HeaderValue};
@@ -9,29 +9,30 @@
 use rustc_hash::FxHashMap;
 use std::sync::Arc;
 
-/// Names the tenant of a request to its worker. What a client sends under this name is removed.
+/// Header that names a request's tenant to its worker. A header of this name from the client is removed.
 pub const TENANT: &str = "mintlb-tenant";
-/// The scheme of `Authorization`.
+/// Authentication scheme in the `Authorization` header.
 const SCHEME: &[u8] = b"bearer";
 
-/// A tenant as its requests keep it, also when a later configuration changes it.
+/// Settings of a tenant. A request keeps those that were in force when it was read, also when a later configuration
+/// changes them.
 #[derive(Clone, Debug, PartialEq)]
-pub struct TenantTerms {
-    /// Its name.
+pub struct TenantSettings {
+    /// The tenant's name.
     pub name: String,
-    /// The priority of its requests, in place of their route's.
+    /// Priority of the tenant's requests, which replaces that of their route.
     pub priority: Option<u32>,
-    /// Its limit over all dispatchers together, if it has one.
+    /// Rate limit over all dispatchers together; `None` if requests are not limited.
     pub limit: Option<RateLimit>,
 }
 
-/// Why a request is not accepted. The client gets the text with a 401.
+/// Why a request is not authenticated. The client gets the text with a 401.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum AuthenticationError {
-    /// It has no key.
+    /// The request has no key.
     #[error("M424 Authorization: a key is needed, as Bearer KEY")]
     Missing,
-    /// The header is given twice or has another form.
+    /// The header is not a single one of the form `Bearer KEY`.
     #[error("M425 Authorization: has to be given once, as Bearer KEY")]
     Malformed,
     /// No tenant has this key.
@@ -39,17 +40,17 @@
     Unknown,
 }
 
-/// Whether requests need a key.
+/// Whether requests of a route need a key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Access {
-    /// They do.
+    /// Requests need the key of a tenant.
     Protected,
-    /// Their route is public. A key that is known tells their tenant all the same.
+    /// Requests need no key. A request with a known key still belongs to the key's tenant.
     Public,
 }
 
 impl Access {
-    /// Of a route with this `public_access`.
+    /// The access of a route with this `public_access` setting.
     pub fn of(public_access: bool) -> Access {
         match public_access {
             true => Access::Public,
@@ -58,28 +59,28 @@
     }
 }
 
-/// The tenants of one configuration by the digests of their keys.
+/// The tenants of one configuration, by the digests of their keys and by name.
 #[derive(Debug)]
 pub struct TenantTable {
-    by_key: FxHashMap<ApiKeyDigest, Arc<TenantTerms>>,
-    by_name: FxHashMap<String, Arc<TenantTerms>>,
+    by_key: FxHashMap<ApiKeyDigest, Arc<TenantSettings>>,
+    by_name: FxHashMap<String, Arc<TenantSettings>>,
 }
 
 impl TenantTable {
-    /// The tenants of a configuration; `None` if it has no list of them, so that no key is needed.
+    /// Builds the table of a configuration; `None` if it has no tenant list, so that no request needs a key.
     pub fn new(configuration: &Configuration) -> Option<TenantTable> {
         let tenants = configuration.tenant_list.as_ref()?;
         let (mut by_key, mut by_name) = (FxHashMap::default(), FxHashMap::default());
         for tenant in tenants {
-            let terms = Arc::new(TenantTerms::new(tenant, configuration.config_version));
-            by_key.extend(tenant.api_keys.iter().map(|key| (*key, terms.clone())));
-            by_name.insert(tenant.name.clone(), terms);
+            let settings = Arc::new(TenantSettings::new(tenant, configuration.config_version));
+            by_key.extend(tenant.api_keys.iter().map(|key| (*key, settings.clone())));
+            by_name.insert(tenant.name.clone(), settings);
         }
         Some(TenantTable { by_key, by_name })
     }
 
     /// The tenant of this name.
-    pub fn named(&self, name: &str) -> Option<&Arc<TenantTerms>> {
+    pub fn get(&self, name: &str) -> Option<&Arc<TenantSettings>> {
         self.by_name.get(name)
     }
 
@@ -87,13 +88,13 @@
     ///
     /// # Errors
     ///
-    /// If the request needs a key and has none, or not one that is known.
+    /// If the request needs a key and has none, or an unknown one.
     pub fn identify(
         &self,
         headers: &HeaderMap,
         access: Access,
-    ) -> Result<Option<&Arc<TenantTerms>>, AuthenticationError> {
-        let known = key(headers).and_then(|key| {
+    ) -> Result<Option<&Arc<TenantSettings>>, AuthenticationError> {
+        let known = bearer_key(headers).and_then(|key| {
             let digest = ApiKeyDigest::of(key);
             self.by_key.get(&digest).ok_or(AuthenticationError::Unknown)
         });
@@ -104,14 +105,14 @@
     }
 }
 
-impl TenantTerms {
-    fn new(tenant: &Tenant, version: u64) -> TenantTerms {
+impl TenantSettings {
+    fn new(tenant: &Tenant, version: u64) -> TenantSettings {
         let limit = (tenant.rate_per_s > 0.0).then_some(RateLimit {
             version,
             rate: tenant.rate_per_s,
             burst: tenant.burst_limit,
         });
-        TenantTerms {
+        TenantSettings {
             name: tenant.name.clone(),
             priority: tenant.priority,
             limit,
@@ -119,8 +120,8 @@
     }
 }
 
-/// Replaces the client's credentials by the name of its tenant. Without tenants, in the configuration by which it was
-/// identified, it has no credentials: its headers stay as they are.
+/// Replaces the client's credentials by the name of its tenant. Leaves the headers as they are if the configuration by
+/// which the request was authenticated has no tenants, as the headers then are no credentials for the dispatcher.
 pub fn replace_credentials(headers: &mut HeaderMap, has_tenants: bool, tenant: Option<&str>) {
     if !has_tenants && tenant.is_none() {
         return;
@@ -132,8 +133,8 @@
     }
 }
 
-/// The key that a request carries.
-fn key(headers: &HeaderMap) -> Result<&[u8], AuthenticationError> {
+/// The key in a request's `Authorization` header.
+fn bearer_key(headers: &HeaderMap) -> Result<&[u8], AuthenticationError> {
     let mut values = headers.get_all(AUTHORIZATION).iter();
     let value = values.next().ok_or(AuthenticationError::Missing)?;
     if values.next().is_some() {
