--- a/crates/mintlb-dispatcher/src/upstream.rs
+++ b/crates/mintlb-dispatcher/src/upstream.rs
@@ -1,12 +1,12 @@
-//! Attempts at workers: one task per order of the scheduler, whose outcome is reported exactly once.
+//! Attempts to run requests at workers: one task per attempt, whose result is reported to the reducer exactly once.
 //!
-//! Attempts that certainly did not run are reported as such; all others may have run. A request counts as sent once the
-//! last byte of its head may have reached the worker, which may start, and respond, before it has read a long body.
+//! An attempt that certainly did not run is reported as such; any other may have run. A request counts as sent once the
+//! last byte of its head may have reached the worker, as that may start, and respond, before it has read a long body.
 
-use crate::answer::{ReadOutcome, ResponseReader};
 use crate::connection::Connection;
 use crate::exchange::Exchange;
-use crate::request::{self, RequestBytes};
+use crate::request::{self, EncodedRequest};
+use crate::response_reader::{ReadOutcome, ResponseReader};
 use crate::workers::WorkerEntry;
 use mintlb_core::reducer::Event;
 use mintlb_core::work::{AllocationRequest, AllocationResult, CancelHandle, Endpoint};
@@ -17,11 +17,11 @@
 use tokio::task::AbortHandle;
 use tokio::time::timeout_at;
 
-/// How long the last byte of the head of a non-idempotent request is delayed on an unproven connection: one that the
-/// worker resets or closes shows it within a round trip.
-const LIVENESS_CHECK: Duration = Duration::from_millis(3);
+/// How long the last byte of a non-idempotent request's head is held back on a connection that is new or was idle for a
+/// while. If the worker has closed the connection, its reset arrives within a round trip.
+const LIVENESS_CHECK_DURATION: Duration = Duration::from_millis(3);
 
-/// Starts attempts at one worker.
+/// Starts attempts at one worker for the reducer.
 pub struct WorkerUpstream(pub Arc<WorkerEntry>);
 
 impl Display for WorkerUpstream {
@@ -31,25 +31,30 @@
 }
 
 impl Endpoint for WorkerUpstream {
-    fn send(&self, order: AllocationRequest) -> Box<dyn CancelHandle> {
-        let Ok(exchange) = order.payload.protocol_data.clone().downcast::<Exchange>() else {
+    fn send(&self, allocation: AllocationRequest) -> Box<dyn CancelHandle> {
+        let Ok(exchange) = allocation
+            .payload
+            .protocol_data
+            .clone()
+            .downcast::<Exchange>()
+        else {
             return Box::new(());
         };
-        let send = Attempt {
+        let attempt = Attempt {
             worker: self.0.clone(),
             exchange,
-            order,
+            allocation,
         };
-        Box::new(SpawnedSend(tokio::spawn(send.run()).abort_handle()))
+        Box::new(AttemptHandle(tokio::spawn(attempt.run()).abort_handle()))
     }
 
     fn probe(&self, _worker: u64) {}
 }
 
-/// A started attempt. Closing its connection is the protocol's only way to cancel it.
-struct SpawnedSend(AbortHandle);
+/// Cancels a running attempt by closing its connection, the only way that the protocol has.
+struct AttemptHandle(AbortHandle);
 
-impl CancelHandle for SpawnedSend {
+impl CancelHandle for AttemptHandle {
     fn cancel(self: Box<Self>) {
         self.0.abort();
     }
@@ -59,21 +64,21 @@
 struct Attempt {
     worker: Arc<WorkerEntry>,
     exchange: Arc<Exchange>,
-    order: AllocationRequest,
+    allocation: AllocationRequest,
 }
 
 /// The result of an attempt, for the scheduler.
-pub struct WorkerEvent {
+pub struct AttemptResult {
     /// How the attempt ended.
     pub outcome: Outcome,
-    /// Free slots that the worker reported, if it did.
+    /// Number of free slots that the worker reported, if it did.
     pub free_slots: Option<f64>,
 }
 
-impl WorkerEvent {
-    /// Without a report of free slots.
-    pub fn with(outcome: Outcome) -> WorkerEvent {
-        WorkerEvent {
+impl AttemptResult {
+    /// A result without a report of free slots.
+    pub fn from_outcome(outcome: Outcome) -> AttemptResult {
+        AttemptResult {
             outcome,
             free_slots: None,
         }
@@ -83,105 +88,108 @@
 impl Attempt {
     async fn run(self) {
         let shared = self.exchange.shared().clone();
-        let occupied = self
+        let in_flight_guard = self
             .worker
-            .occupy(self.exchange.prompt.map_or(0, |prompt| prompt.tokens));
-        let end = shared.clock.instant(self.order.deadline);
-        let event = timeout_at(end, self.execute()).await;
-        let WorkerEvent {
+            .track_request(self.exchange.prompt.map_or(0, |prompt| prompt.tokens));
+        let end = shared.clock.instant(self.allocation.deadline);
+        let result = timeout_at(end, self.execute()).await;
+        let AttemptResult {
             outcome,
             free_slots,
-        } = event.unwrap_or_else(|_| WorkerEvent::with(Outcome::TimedOut));
-        drop(occupied);
+        } = result.unwrap_or_else(|_| AttemptResult::from_outcome(Outcome::TimedOut));
+        drop(in_flight_guard);
         log::debug!("upstream: {} {:?}", self.worker.instance_id, outcome);
-        let back = AllocationResult {
+        let allocation_result = AllocationResult {
             report: LoadReport { free_slots },
-            ..AllocationResult::from_outcome(self.order.allocation_id, outcome)
+            ..AllocationResult::from_outcome(self.allocation.allocation_id, outcome)
         };
-        shared.event_sender.send(Event::Finished(back)).ok();
-        // No further attempt is allowed, so the client's response is due.
+        shared
+            .event_sender
+            .send(Event::Finished(allocation_result))
+            .ok();
+        // No further attempt is allowed, so the client gets its response now.
         if outcome != Outcome::Completed && !self.exchange.may_be_sent() {
             shared
                 .event_sender
-                .send(Event::NoMoreAttempts(self.order.allocation_id.0))
+                .send(Event::NoMoreAttempts(self.allocation.allocation_id.0))
                 .ok();
         }
     }
 
-    async fn execute(&self) -> WorkerEvent {
-        // A response that has begun and can't be resumed must not begin again.
+    async fn execute(&self) -> AttemptResult {
+        // A response of which part was forwarded and that can't be resumed must not start again.
         if self.exchange.has_begun() && !self.exchange.can_resume() {
-            return WorkerEvent::with(Outcome::Moot);
+            return AttemptResult::from_outcome(Outcome::Moot);
         }
         let id = self.exchange.request.id.as_bytes();
         let connection = match self
             .worker
             .pool
-            .reuse(self.order.payload.non_idempotent, id)
+            .reuse(self.allocation.payload.non_idempotent, id)
         {
             Some(connection) => Ok(connection),
             None => tokio::select! {
                 connection = self.worker.pool.connect() => connection,
-                () = self.order.withdrawn.cancelled() => return WorkerEvent::with(Outcome::Full),
+                () = self.allocation.withdrawn.cancelled() => return AttemptResult::from_outcome(Outcome::Full),
             },
         };
         let Ok(mut connection) = connection else {
-            return WorkerEvent::with(Outcome::NoConnection);
+            return AttemptResult::from_outcome(Outcome::NoConnection);
         };
         let ran_before = self.exchange.may_have_run();
         if let Err(outcome) = self.send(&mut connection).await {
-            return WorkerEvent::with(outcome);
+            return AttemptResult::from_outcome(outcome);
         }
         let reader = ResponseReader {
             worker: &self.worker,
             exchange: &self.exchange,
-            attempt: self.order.allocation_id,
+            attempt: self.allocation.allocation_id,
         };
         let ReadOutcome {
-            event,
+            result,
             not_run,
             reuse,
         } = reader.read(&mut connection).await;
         if not_run {
-            self.exchange.not_run(ran_before);
+            self.exchange.record_not_run(ran_before);
         }
         if let Some(reuse) = reuse {
-            self.worker.pool.release(connection, reuse.idle);
+            self.worker.pool.release(connection, reuse.idle_timeout);
         }
-        event
+        result
     }
 
-    /// Sends the request. An error means that the worker lacks its complete head, so that it can't run.
+    /// Sends the request. After an error the worker does not have its complete head, so that it can't have run.
     async fn send(&self, connection: &mut Connection) -> Result<(), Outcome> {
-        let left = self.order.deadline - self.exchange.shared().clock.now();
-        let RequestBytes {
+        let time_left = self.allocation.deadline - self.exchange.shared().clock.now();
+        let EncodedRequest {
             mut bytes,
             head_length,
-        } = request::bytes(&self.exchange, &self.worker.instance_id, left);
+        } = request::encode(&self.exchange, &self.worker.instance_id, time_left);
         self.check_still_valid()?;
-        if self.order.payload.non_idempotent && !connection.was_active_just_now() {
-            let first = bytes.split_to(head_length - 1);
+        if self.allocation.payload.non_idempotent && !connection.was_recently_active() {
+            let incomplete_head = bytes.split_to(head_length - 1);
             connection
-                .write(&first)
+                .write(&incomplete_head)
                 .await
                 .map_err(|_| Outcome::NoConnection)?;
-            if !connection.stays_silent(LIVENESS_CHECK).await {
+            if !connection.stays_silent(LIVENESS_CHECK_DURATION).await {
                 return Err(Outcome::NoConnection);
             }
             self.check_still_valid()?;
         }
         let ran_before = self.exchange.may_have_run();
-        self.exchange.sent(self.worker.id);
+        self.exchange.record_sent(self.worker.id);
         let id = self.exchange.request.id.as_bytes();
         connection.send(id, bytes).map_err(|_| {
-            self.exchange.not_sent(ran_before);
+            self.exchange.undo_sent(ran_before);
             Outcome::NoConnection
         })
     }
 
-    /// An error if the attempt was cancelled or the worker is out of service.
+    /// Fails if the attempt was cancelled or the worker is out of service.
     fn check_still_valid(&self) -> Result<(), Outcome> {
-        let is_valid = !self.order.withdrawn.is_cancelled() && self.worker.in_service();
+        let is_valid = !self.allocation.withdrawn.is_cancelled() && self.worker.in_service();
         is_valid.then_some(()).ok_or(Outcome::Full)
     }
 }
--- a/crates/mintlb-dispatcher/src/workers.rs
+++ b/crates/mintlb-dispatcher/src/workers.rs
@@ -1,7 +1,8 @@
-//! The worker table: each worker with its connection pool, reported load, and this dispatcher's requests there.
+//! The worker table: each worker with its connection pool, its reported load, and this dispatcher's requests in flight to
+//! it.
 
 use crate::connection::Pool;
-use crate::load::{KnownLoad, Load};
+use crate::load::{InstanceLoad, LoadEstimate};
 use mintlb_common::record::{WorkerRecord, WorkerState};
 use mintlb_core::membership::{Member, worker_id};
 use mintlb_core::work::Endpoint;
@@ -14,123 +15,124 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// A worker that is unresponsive for so long is removed; its record has expired by then.
+/// A worker that has been unresponsive for this long is removed; its gossip record has expired by then.
 const UNRESPONSIVE_RETENTION: Duration = Duration::from_secs(60);
 
-/// One worker: an incarnation, which never changes its address or service.
+/// One incarnation of a worker. Its address and service never change.
 pub struct WorkerEntry {
-    /// Its number, the same at all dispatchers.
+    /// The worker's id, derived from its instance id and so the same at all dispatchers.
     pub id: u64,
-    /// Its instance id.
+    /// The instance id, which requests carry so that no other worker runs them.
     pub instance_id: String,
-    /// The service that it serves.
+    /// Name of the worker's service.
     pub service: String,
-    /// Its connections.
+    /// Connections to the worker.
     pub pool: Pool,
-    /// Its zone and service at the scheduler.
-    numbers: EndpointNumbers,
+    /// The scheduler's ids of its zone and service.
+    scheduler_ids: SchedulerIds,
     in_service: AtomicBool,
-    /// When its heartbeats stopped, if they have.
+    /// When its record first said that its heartbeats have stopped, if it does now.
     unresponsive_since: Mutex<Option<Instant>>,
     requests: AtomicUsize,
     tokens: AtomicU64,
-    load: Mutex<KnownLoad>,
+    load: Mutex<LoadEstimate>,
 }
 
 impl WorkerEntry {
-    fn endpoint(&self, listed: ListState) -> ListEntry {
+    fn list_entry(&self, list_state: ListState) -> ListEntry {
         ListEntry {
             id: self.id,
-            zone: self.numbers.zone,
+            zone: self.scheduler_ids.zone,
             cell: 0,
-            machine_kind: self.numbers.kind,
-            state: listed,
+            machine_kind: self.scheduler_ids.service,
+            state: list_state,
             started_at: 0.0,
             project_types: ProjectTypeSet::default(),
             pulls_work: false,
         }
     }
 
-    /// Whether it accepts new requests.
+    /// Whether the worker accepts new requests.
     pub fn in_service(&self) -> bool {
         self.in_service.load(Relaxed)
     }
 
-    /// Takes it out of service: it is not the incarnation that the records name.
+    /// Takes the worker out of service until its next record, because it responded that it is not the incarnation named in
+    /// the records. Closes its idle connections.
     pub fn take_out_of_service(&self) {
         self.in_service.store(false, Relaxed);
         self.pool.sweep(true);
     }
 
-    /// This dispatcher's requests there.
+    /// Number of this dispatcher's requests in flight to the worker.
     pub fn requests(&self) -> usize {
         self.requests.load(Relaxed)
     }
 
-    /// The KV cache demand of these, in tokens.
+    /// KV cache demand of these requests in tokens.
     pub fn tokens(&self) -> u64 {
         self.tokens.load(Relaxed)
     }
 
-    /// Records a load report of the worker.
-    pub fn record_load(&self, load: Load, now: f64) {
+    /// Records a load report that was received at `now` (seconds of the clock).
+    pub fn record_load(&self, load: InstanceLoad, now: f64) {
         self.load.lock().record(load, now);
     }
 
-    /// The estimate of its load.
-    pub fn load(&self) -> KnownLoad {
+    /// The current estimate of the worker's load.
+    pub fn load(&self) -> LoadEstimate {
         *self.load.lock()
     }
 
-    /// Counts a request there until it is dropped.
-    pub fn occupy(self: &Arc<Self>, tokens: u64) -> Occupied {
+    /// Counts a request with this KV cache demand as in flight to the worker until the guard is dropped.
+    pub fn track_request(self: &Arc<Self>, tokens: u64) -> InFlightGuard {
         self.requests.fetch_add(1, Relaxed);
         self.tokens.fetch_add(tokens, Relaxed);
-        self.load.lock().sent();
-        Occupied {
+        self.load.lock().record_sent();
+        InFlightGuard {
             worker: self.clone(),
             tokens,
         }
     }
 }
 
-/// A request that is at a worker.
-pub struct Occupied {
+/// Counts a request as in flight to a worker until dropped.
+pub struct InFlightGuard {
     worker: Arc<WorkerEntry>,
     tokens: u64,
 }
 
-impl Drop for Occupied {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
         self.worker.requests.fetch_sub(1, Relaxed);
         self.worker.tokens.fetch_sub(self.tokens, Relaxed);
     }
 }
 
-/// The workers by number.
+/// All known workers by id.
 #[derive(Default)]
 pub struct WorkerTable {
     entries: Mutex<FxHashMap<u64, Arc<WorkerEntry>>>,
-    /// Incremented whenever a worker is added, removed, or changes whether it accepts requests.
-    age: AtomicU64,
+    /// See [`WorkerTable::generation`].
+    generation: AtomicU64,
 }
 
-/// The scheduler's numbers of a worker's zone and service.
+/// The scheduler's ids of a worker's zone and service.
 #[derive(Clone, Copy, Debug)]
-pub struct EndpointNumbers {
-    /// Of the zone.
+pub struct SchedulerIds {
+    /// Id of the zone.
     pub zone: u16,
-    /// Of the service.
-    pub kind: u16,
+    /// Id of the service.
+    pub service: u16,
 }
 
 impl WorkerTable {
-    /// Incremented whenever a worker is added, removed, or changes whether it accepts requests.
-    pub fn age(&self) -> u64 {
-        self.age.load(Relaxed)
+    /// Generation of the table, incremented with each worker record that is applied.
+    pub fn generation(&self) -> u64 {
+        self.generation.load(Relaxed)
     }
 
-    /// The worker with this number.
+    /// The worker with this id.
     pub fn get(&self, id: u64) -> Option<Arc<WorkerEntry>> {
         self.entries.lock().get(&id).cloned()
     }
@@ -160,7 +162,7 @@
             .any(|e| e.id != worker.id && e.service == worker.service && e.in_service())
     }
 
-    /// Calls `call` with the numbers of all workers of a service that accept requests.
+    /// Calls `call` with the ids of all workers of a service that accept requests, while the table is locked.
     pub fn with_service<T>(
         &self,
         service: &str,
@@ -171,7 +173,7 @@
         call(&mut entries.values().filter(ready).map(|entry| entry.id))
     }
 
-    /// Closes idle connections that can't be reused.
+    /// Closes idle connections that can no longer be reused, and all of workers that are out of service.
     pub fn sweep(&self) {
         self.entries
             .lock()
@@ -179,14 +181,15 @@
             .for_each(|entry| entry.pool.sweep(!entry.in_service()));
     }
 
-    /// Applies a record and returns the change for the reducer; `None` for a record without a usable address.
+    /// Applies a worker record and returns the membership change for the reducer; `None` if the worker is unknown and the
+    /// record has no valid address.
     pub fn apply_record(
         &self,
         record: &WorkerRecord,
-        numbers: EndpointNumbers,
-        reach: impl FnOnce(Arc<WorkerEntry>) -> Arc<dyn Endpoint>,
+        scheduler_ids: SchedulerIds,
+        make_endpoint: impl FnOnce(Arc<WorkerEntry>) -> Arc<dyn Endpoint>,
     ) -> Option<Member> {
-        // A controller that did not know the worker publishes its end without an address.
+        // A controller that did not know the worker publishes its deregistration without an address.
         let address: Option<SocketAddr> = record.address.parse().ok();
         let id = worker_id(&record.instance_id);
         let is_deregistered = record.state == WorkerState::Deregistered;
@@ -199,7 +202,7 @@
                     instance_id: record.instance_id.clone(),
                     service: record.service.clone(),
                     pool: Pool::new(address?),
-                    numbers,
+                    scheduler_ids,
                     in_service: AtomicBool::new(false),
                     unresponsive_since: Mutex::default(),
                     requests: AtomicUsize::new(0),
@@ -223,43 +226,44 @@
             entries.remove(&id);
             entry.pool.sweep(true);
         }
-        self.age.fetch_add(1, Relaxed);
-        let listed = match record.state {
+        self.generation.fetch_add(1, Relaxed);
+        let list_state = match record.state {
             WorkerState::InService => ListState::Ready,
             WorkerState::Draining | WorkerState::Unresponsive => ListState::Draining,
             WorkerState::Deregistered => ListState::Gone,
         };
-        let (name, endpoint) = (record.instance_id.clone(), entry.endpoint(listed));
+        let (name, list_entry) = (record.instance_id.clone(), entry.list_entry(list_state));
         Some(Member {
             name,
-            entry: endpoint,
+            entry: list_entry,
             host: address.map(|address| address.ip()),
-            endpoint: Some(reach(entry)),
+            endpoint: Some(make_endpoint(entry)),
         })
     }
 
-    /// Removes workers that were unresponsive for long and have none of our requests; one that returns has to register
-    /// again. Returns the changes for the reducer.
+    /// Removes workers that have been unresponsive for `UNRESPONSIVE_RETENTION` and have no requests of this dispatcher
+    /// in flight. Such a worker has to register again. Returns the membership changes for the reducer.
     pub fn remove_unresponsive(&self) -> Vec<Member> {
         let mut entries = self.entries.lock();
-        let is_over = |entry: &WorkerEntry| {
+        let is_expired = |entry: &WorkerEntry| {
             let since = *entry.unresponsive_since.lock();
             entry.requests() == 0
                 && since.is_some_and(|since| since.elapsed() >= UNRESPONSIVE_RETENTION)
         };
-        let over: Vec<_> = entries
+        let expired: Vec<_> = entries
             .values()
-            .filter(|entry| is_over(entry))
+            .filter(|entry| is_expired(entry))
             .cloned()
             .collect();
-        over.iter()
+        expired
+            .iter()
             .for_each(|entry| drop(entries.remove(&entry.id)));
         let member = |entry: &Arc<WorkerEntry>| Member {
             name: entry.instance_id.clone(),
-            entry: entry.endpoint(ListState::Gone),
+            entry: entry.list_entry(ListState::Gone),
             host: None,
             endpoint: None,
         };
-        over.iter().map(member).collect()
+        expired.iter().map(member).collect()
     }
 }
--- a/crates/mintlb-dispatcher/tests/admission_log.rs
+++ b/crates/mintlb-dispatcher/tests/admission_log.rs
@@ -1,20 +1,20 @@
-//! The lines of the log while keys are checked. A test process of its own: the log is one for all of its tests.
+//! Log lines while keys are checked. In a test program of its own, as a process has only one logger.
 
-mod machine;
+mod harness;
 
+use harness::{CONFIGURATION, STEP_TIMEOUT, TestDispatcher, run_single_threaded};
 use log::{LevelFilter, Log, Metadata, Record};
-use machine::{CONFIGURATION, Machine, STEP, on_one_thread};
 use std::time::Duration;
 use tokio::sync::mpsc::{UnboundedSender, unbounded_channel};
 use tokio::time::{advance, pause, resume, timeout};
 
-/// The time after which a dispatcher reports its counts, and more.
+/// Longer than the interval at which a dispatcher logs its counts.
 const REPORT_TIME: Duration = Duration::from_millis(5100);
 
-/// Passes on each line that it is given.
-struct Lines(UnboundedSender<String>);
+/// A logger that sends each line to the test.
+struct LineSender(UnboundedSender<String>);
 
-impl Log for Lines {
+impl Log for LineSender {
     fn enabled(&self, _: &Metadata) -> bool {
         true
     }
@@ -27,26 +27,26 @@
 }
 
 #[test]
-fn admissions_are_one_line_of_the_log_and_no_line_has_a_key() {
+fn admissions_are_logged_in_one_line_and_no_log_line_contains_a_key() {
     let (sender, mut lines) = unbounded_channel();
-    log::set_boxed_logger(Box::new(Lines(sender))).unwrap();
+    log::set_boxed_logger(Box::new(LineSender(sender))).unwrap();
     log::set_max_level(LevelFilter::Trace);
-    on_one_thread(async move {
-        let machine = Machine::start().await;
+    run_single_threaded(async move {
+        let dispatcher = TestDispatcher::start().await;
         let tenants =
             r#""config_version":3,"tenant_list":[{"name":"north","api_keys":["secret-1"]}],"#;
         let configuration = CONFIGURATION.replacen(r#""config_version":3,"#, tenants, 1);
-        machine.configure(&configuration).await;
+        dispatcher.configure(&configuration).await;
         for (id, value) in [("a", "Bearer secret-2"), ("b", "Basic secret-1")] {
-            let mut client = machine.client().await;
+            let mut client = dispatcher.connect().await;
             let headers = format!("Authorization: {value}\r\n");
-            client.post("/p/1", id, &headers, "").await;
-            assert_eq!(client.get().await.status, 401);
+            client.send_request("/p/1", id, &headers, "").await;
+            assert_eq!(client.read_response().await.status, 401);
         }
-        // No worker is there: it is refused after a while, or stays until the end of the test.
-        let mut client = machine.client().await;
+        // There is no worker: this request is rejected after a while, or waits until the end of the test.
+        let mut client = dispatcher.connect().await;
         let headers = "Authorization: Bearer secret-1\r\n";
-        client.post("/p/1", "c", headers, "").await;
+        client.send_request("/p/1", "c", headers, "").await;
         pause();
         advance(REPORT_TIME).await;
         resume();
@@ -60,7 +60,9 @@
                 }
             }
         };
-        timeout(STEP, reported).await.expect("no line tells of it");
+        timeout(STEP_TIMEOUT, reported)
+            .await
+            .expect("the counts were not logged in time");
         while let Ok(line) = lines.try_recv() {
             seen.push(line);
         }
@@ -76,6 +78,6 @@
             ]
         );
         let with_key = seen.iter().find(|line| line.contains("secret"));
-        assert_eq!(with_key, None, "a line of the log has a key");
+        assert_eq!(with_key, None, "a log line contains a key");
     });
 }
--- a/crates/mintlb-dispatcher/tests/admission_statistics.rs
+++ b/crates/mintlb-dispatcher/tests/admission_statistics.rs
@@ -1,21 +1,21 @@
-//! The counts of admissions, and their line of the log.
+//! Counts of admissions, and their log line.
 
-mod machine;
+mod harness;
 
-use machine::{CONFIGURATION, Machine, Parts, Worker, on_one_thread};
+use harness::{CONFIGURATION, Overrides, TestDispatcher, Worker, run_single_threaded};
 use mintlb_common::record::WorkerState;
 use mintlb_dispatcher::admission::{Admission, AdmissionFuture, RateLimiter};
 use mintlb_dispatcher::admission_statistics::AdmissionCounters;
-use mintlb_dispatcher::tenants::{AuthenticationError, TenantTerms};
+use mintlb_dispatcher::tenants::{AuthenticationError, TenantSettings};
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Tenants that are counted by name.
+/// Maximum number of tenants that are counted by name.
 const MAX_TENANTS: u64 = 1024;
 const NO_WAIT: Duration = Duration::ZERO;
 
 #[test]
-fn the_log_line_names_every_count_and_the_tenant_most_over_its_limit() {
+fn log_line_contains_every_count_and_the_tenant_most_over_its_limit() {
     let counters = AdmissionCounters::default();
     for _ in 0..3 {
         counters.on_admitted(Duration::from_millis(1));
@@ -40,12 +40,12 @@
 }
 
 #[test]
-fn a_count_is_reported_once_and_none_is_nothing() {
+fn each_count_is_reported_once() {
     let counters = AdmissionCounters::default();
     assert!(counters.take().is_empty());
     counters.on_admitted(NO_WAIT);
     assert!(!counters.take().is_empty());
-    assert!(counters.take().is_empty(), "counted twice");
+    assert!(counters.take().is_empty(), "the counts were not reset");
     for error in [
         AuthenticationError::Missing,
         AuthenticationError::Malformed,
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn a_line_without_decisions_has_no_average_of_none() {
+fn average_without_decisions_is_zero() {
     let counters = AdmissionCounters::default();
     counters.on_unauthenticated(AuthenticationError::Missing);
     assert_eq!(
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn of_tenants_as_much_over_their_limit_the_line_names_the_same_each_time() {
+fn tie_for_the_most_rejected_tenant_is_broken_by_name() {
     for order in [["north", "south"], ["south", "north"]] {
         let counters = AdmissionCounters::default();
         order
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn names_of_tenants_do_not_grow_without_bound_and_no_rejection_is_lost() {
+fn number_of_tenant_names_is_bounded_and_no_rejection_is_lost() {
     let counters = AdmissionCounters::default();
     let sent = MAX_TENANTS + 100;
     for number in 0..sent {
@@ -99,15 +99,15 @@
     assert!(line.starts_with(&total), "{line}");
     assert!(
         line.ends_with("most over the limit: tenant-0, 2"),
-        "a known tenant is counted by name beyond the bound, too: {line}"
+        "a tenant that is counted by name already is counted further beyond the bound: {line}"
     );
 }
 
-/// Decides by the name of the tenant.
+/// A limiter that decides by the name of the tenant.
 struct NamedDecisions;
 
 impl RateLimiter for NamedDecisions {
-    fn admit<'a>(&'a self, tenant: &'a TenantTerms, _: Duration) -> AdmissionFuture<'a> {
+    fn admit<'a>(&'a self, tenant: &'a TenantSettings, _: Duration) -> AdmissionFuture<'a> {
         let admission = match tenant.name.as_str() {
             "north" => Admission::Admitted,
             "south" => Admission::Rejected {
@@ -120,20 +120,22 @@
 }
 
 #[test]
-fn requests_are_counted_by_the_cause_of_their_answer_and_no_key_is_in_the_counts() {
-    on_one_thread(async {
-        let machine = Machine::start_with(Parts {
+fn requests_are_counted_by_cause_of_rejection_without_keys_in_the_counts() {
+    run_single_threaded(async {
+        let dispatcher = TestDispatcher::start_with(Overrides {
             rate_limiter: Some(Arc::new(NamedDecisions)),
-            ..Parts::default()
+            ..Overrides::default()
         })
         .await;
         let tenants = r#""config_version":3,"tenant_list":[
  {"name":"north","api_keys":["secret-1"],"rate_per_s":1},{"name":"south","api_keys":["secret-2"],"rate_per_s":1},
  {"name":"east","api_keys":["secret-3"],"rate_per_s":1},{"name":"unlimited","api_keys":["secret-4"]}],"#;
         let configuration = CONFIGURATION.replacen(r#""config_version":3,"#, tenants, 1);
-        machine.configure(&configuration).await;
+        dispatcher.configure(&configuration).await;
         let mut worker = Worker::start("i-1", "s").await;
-        machine.set_worker(&worker, WorkerState::InService, 1).await;
+        dispatcher
+            .set_worker(&worker, WorkerState::InService, 1)
+            .await;
         let cases = [
             ("Bearer secret-1", 1, 200),
             ("Bearer secret-2", 2, 429),
@@ -144,25 +146,33 @@
         ];
         for (value, count, status) in cases {
             for number in 0..count {
-                let mut client = machine.client().await;
+                let mut client = dispatcher.connect().await;
                 let headers = format!("Authorization: {value}\r\n");
                 let id = format!("id{number}");
-                client.post("/p/1", &id, &headers, "").await;
+                client.send_request("/p/1", &id, &headers, "").await;
                 if status == 200 {
-                    worker.next_request().await.answer("ran").await;
+                    worker.next_request().await.respond("ran").await;
                 }
-                let got = client.get().await;
-                assert_eq!(got.status, status, "{value}");
-                assert!(!got.head.contains("secret"), "{value}: {}", got.head);
-                assert!(!got.text().contains("secret"), "{value}: {}", got.text());
+                let response = client.read_response().await;
+                assert_eq!(response.status, status, "{value}");
+                assert!(
+                    !response.head.contains("secret"),
+                    "{value}: {}",
+                    response.head
+                );
+                assert!(
+                    !response.text().contains("secret"),
+                    "{value}: {}",
+                    response.text()
+                );
             }
         }
         for _ in 0..6 {
-            let mut client = machine.client().await;
-            client.post("/p/1", "a", "", "").await;
-            assert_eq!(client.get().await.status, 401);
+            let mut client = dispatcher.connect().await;
+            client.send_request("/p/1", "a", "", "").await;
+            assert_eq!(client.read_response().await.status, 401);
         }
-        let counts = machine.shared.admissions.take();
+        let counts = dispatcher.shared.admissions.take();
         assert_eq!(
             (
                 counts.admitted,
@@ -177,7 +187,7 @@
             (6, 5, 4),
             "{counts}"
         );
-        let told = format!("{counts} {counts:?}");
-        assert!(!told.contains("secret"), "{told}");
+        let text = format!("{counts} {counts:?}");
+        assert!(!text.contains("secret"), "{text}");
     });
 }
--- a/crates/mintlb-dispatcher/tests/batch.rs
+++ b/crates/mintlb-dispatcher/tests/batch.rs
@@ -1,11 +1,11 @@
-//! Batch jobs at a dispatcher: submission, rejection, retry and resumption of items, order of the queue.
+//! Batch jobs at a dispatcher: parsing of submissions, retry and resumption of items, and the queue of leased items.
 
 use axum::http::StatusCode;
 use mintlb_batch::client::{CommittedResult, Item, ItemResult, LeasedItem, LeasedJob};
 use mintlb_batch::entry::{ItemState, JobTerms};
 use mintlb_batch::messages::ItemFailures;
 use mintlb_common::configuration::Configuration;
-use mintlb_dispatcher::batch::progress::{AttemptOutcome, Next, Progress};
+use mintlb_dispatcher::batch::progress::{AttemptOutcome, ItemProgress, NextStep};
 use mintlb_dispatcher::batch::queue::ItemQueue;
 use mintlb_dispatcher::batch::statistics::BatchCounters;
 use mintlb_dispatcher::batch::{page, submission};
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn a_submission_is_parsed_unchanged() {
+fn submission_is_parsed_unchanged() {
     let read = items(
         r#"[{"instance_id":"e5","path":"/p/3/91","headers":{"Mintlb-Model":"m"},"body":"q83vEg==","tokens":940}]"#,
     );
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn an_invalid_item_is_reported_by_position_and_field() {
+fn invalid_item_is_reported_by_position_and_field() {
     let wrong = [
         (
             r#"[{"instance_id":"a","path":"/p/1"},{"instance_id":"a","path":"/p/2"}]"#,
@@ -89,7 +89,7 @@
     );
 }
 
-/// Over the quota and unavailable have different causes; the log tells them apart.
+/// Submissions over the quota and those that no store could take are counted separately.
 #[test]
 fn submissions_are_counted_by_their_response() {
     let counters = BatchCounters::default();
@@ -102,12 +102,12 @@
     let text = "submissions 2 accepted, 1 over the quota, 3 rejected, 1 invalid, 1 unclear, the \
                 slowest 8 ms;";
     assert!(counts.to_string().starts_with(text), "{counts}");
-    assert!(counters.take().is_empty(), "they begin anew");
+    assert!(counters.take().is_empty(), "the counts were not reset");
 }
 
-/// Clients see these texts, so the type keeps the name that serde puts into them.
+/// Clients see these texts. serde puts the names of the types into them, so the types must keep their names.
 #[test]
-fn the_texts_of_unreadable_submissions_keep_the_name_lot() {
+fn error_texts_of_malformed_submissions_are_unchanged() {
     let configuration = Configuration::parse(CONFIGURATION.as_bytes()).unwrap();
     let text = |json: &str| {
         submission::parse(json.as_bytes(), &configuration.route_list[0])
@@ -133,7 +133,7 @@
 }
 
 #[test]
-fn a_page_lists_results_as_json() {
+fn page_lists_results_as_json() {
     let result = CommittedResult {
         instance_id: "e5".into(),
         state: ItemState::Completed,
@@ -154,96 +154,96 @@
 };
 
 #[test]
-fn a_broken_attempt_resumes_after_its_last_event() {
-    let mut progress = Progress::default();
-    progress.event(Some(1), b"one");
-    progress.event(Some(2), b"two");
+fn broken_attempt_resumes_after_its_last_event() {
+    let mut progress = ItemProgress::default();
+    progress.add_event(Some(1), b"one");
+    progress.add_event(Some(2), b"two");
     assert!(matches!(
-        progress.ended(&AttemptOutcome::Broken, &TERMS, 2_000),
-        Next::RunAgain(_)
+        progress.on_attempt_ended(&AttemptOutcome::Broken, &TERMS, 2_000),
+        NextStep::Retry(_)
     ));
     assert_eq!(progress.last_event(), Some(2));
-    progress.event(Some(2), b"two");
-    progress.event(Some(3), b"three");
-    let next = progress.ended(&AttemptOutcome::Completed, &TERMS, 3_000);
+    progress.add_event(Some(2), b"two");
+    progress.add_event(Some(3), b"three");
+    let next = progress.on_attempt_ended(&AttemptOutcome::Completed, &TERMS, 3_000);
     assert_eq!(
         next,
-        Next::Record(ItemResult::Completed("one\ntwo\nthree".into()))
+        NextStep::Record(ItemResult::Completed("one\ntwo\nthree".into()))
     );
 }
 
 #[test]
-fn only_failures_a_422_or_age_make_an_item_unrecoverable() {
-    let unrecoverable = Next::Record(ItemResult::Unrecoverable);
-    let mut progress = Progress::default();
+fn only_failures_422_or_expiry_make_an_item_unrecoverable() {
+    let unrecoverable = NextStep::Record(ItemResult::Unrecoverable);
+    let mut progress = ItemProgress::default();
     for _ in 0..20 {
         assert!(matches!(
-            progress.ended(&AttemptOutcome::NotRun, &TERMS, 2_000),
-            Next::RunAgain(_)
+            progress.on_attempt_ended(&AttemptOutcome::NotRun, &TERMS, 2_000),
+            NextStep::Retry(_)
         ));
         assert!(matches!(
-            progress.ended(&AttemptOutcome::Broken, &TERMS, 2_000),
-            Next::RunAgain(_)
+            progress.on_attempt_ended(&AttemptOutcome::Broken, &TERMS, 2_000),
+            NextStep::Retry(_)
         ));
     }
     assert!(matches!(
-        progress.ended(&AttemptOutcome::Failed, &TERMS, 2_000),
-        Next::RunAgain(_)
+        progress.on_attempt_ended(&AttemptOutcome::Failed, &TERMS, 2_000),
+        NextStep::Retry(_)
     ));
     assert!(matches!(
-        progress.ended(&AttemptOutcome::Failed, &TERMS, 2_000),
-        Next::RunAgain(_)
+        progress.on_attempt_ended(&AttemptOutcome::Failed, &TERMS, 2_000),
+        NextStep::Retry(_)
     ));
     assert_eq!(
-        progress.ended(&AttemptOutcome::Failed, &TERMS, 2_000),
+        progress.on_attempt_ended(&AttemptOutcome::Failed, &TERMS, 2_000),
         unrecoverable
     );
     assert_eq!(
-        Progress::default().ended(&AttemptOutcome::CannotBeDone, &TERMS, 2_000),
+        ItemProgress::default().on_attempt_ended(&AttemptOutcome::Unprocessable, &TERMS, 2_000),
         unrecoverable
     );
-    let almost = Progress::default().ended(&AttemptOutcome::NotRun, &TERMS, 45_999);
-    assert!(matches!(almost, Next::RunAgain(_)));
+    let almost = ItemProgress::default().on_attempt_ended(&AttemptOutcome::NotRun, &TERMS, 45_999);
+    assert!(matches!(almost, NextStep::Retry(_)));
     assert_eq!(
-        Progress::default().ended(&AttemptOutcome::NotRun, &TERMS, 46_000),
+        ItemProgress::default().on_attempt_ended(&AttemptOutcome::NotRun, &TERMS, 46_000),
         unrecoverable
     );
 }
 
-/// The job was accepted by a dispatcher whose clock was 2 s behind; its item runs at one that is over 2 s ahead.
+/// The clock of the dispatcher that accepted the job was 2 s behind; that of the one that runs the item is over 2 s ahead.
 #[test]
-fn two_clocks_that_are_off_give_no_item_up_early() {
-    let clocks_apart = 4_500;
-    let now = TERMS.sent_at_ms + TERMS.retention_ms - 1 + clocks_apart;
-    let next = Progress::default().ended(&AttemptOutcome::NotRun, &TERMS, now);
+fn clock_skew_within_tolerance_expires_no_item_early() {
+    let clock_skew_ms = 4_500;
+    let now = TERMS.sent_at_ms + TERMS.retention_ms - 1 + clock_skew_ms;
+    let next = ItemProgress::default().on_attempt_ended(&AttemptOutcome::NotRun, &TERMS, now);
     assert!(
-        matches!(next, Next::RunAgain(_)),
-        "given up {clocks_apart} ms before its time"
+        matches!(next, NextStep::Retry(_)),
+        "the item expired early with a clock skew of {clock_skew_ms} ms"
     );
 }
 
 #[test]
-fn a_briefly_missing_route_fails_no_item() {
-    let mut progress = Progress::default();
+fn briefly_missing_route_fails_no_item() {
+    let mut progress = ItemProgress::default();
     assert!(matches!(
-        progress.ended(&AttemptOutcome::NoRoute, &TERMS, 2_000),
-        Next::RunAgain(_)
+        progress.on_attempt_ended(&AttemptOutcome::NoRoute, &TERMS, 2_000),
+        NextStep::Retry(_)
     ));
     assert!(matches!(
-        progress.ended(&AttemptOutcome::NotRun, &TERMS, 7_000),
-        Next::RunAgain(_)
+        progress.on_attempt_ended(&AttemptOutcome::NotRun, &TERMS, 7_000),
+        NextStep::Retry(_)
     ));
     assert!(matches!(
-        progress.ended(&AttemptOutcome::NoRoute, &TERMS, 8_000),
-        Next::RunAgain(_)
+        progress.on_attempt_ended(&AttemptOutcome::NoRoute, &TERMS, 8_000),
+        NextStep::Retry(_)
     ));
     assert!(matches!(
-        progress.ended(&AttemptOutcome::NoRoute, &TERMS, 13_999),
-        Next::RunAgain(_)
+        progress.on_attempt_ended(&AttemptOutcome::NoRoute, &TERMS, 13_999),
+        NextStep::Retry(_)
     ));
     assert_eq!(
-        progress.ended(&AttemptOutcome::NoRoute, &TERMS, 14_000),
-        Next::Record(ItemResult::Unrecoverable)
+        progress.on_attempt_ended(&AttemptOutcome::NoRoute, &TERMS, 14_000),
+        NextStep::Record(ItemResult::Unrecoverable)
     );
 }
 
@@ -296,7 +296,7 @@
 }
 
 #[test]
-fn what_waits_beyond_the_limit_is_released_latest_due_first() {
+fn excess_queued_items_are_released_latest_due_first() {
     let mut queue = ItemQueue::default();
     for item in [
         leased("late", 0, 9_000),
@@ -321,14 +321,14 @@
     assert_eq!((queue.waiting(), queue.running()), (1, 1));
     assert!(queue.is_leased(running));
     let renewed: Vec<String> = queue.leased().into_iter().map(|job| job.job_id).collect();
-    assert_eq!(renewed, ["soon"], "released leases are not renewed");
-    // It may come back with a later lease.
+    assert_eq!(renewed, ["soon"], "released leases would be renewed");
+    // A released item may be leased again.
     queue.add(leased("late", 0, 9_000));
     assert_eq!(queue.waiting(), 2);
 }
 
 #[test]
-fn an_ended_job_is_neither_run_nor_renewed() {
+fn ended_job_is_neither_run_nor_renewed() {
     let mut queue = ItemQueue::default();
     (0..3).for_each(|index| queue.add(leased("ended", index, 0)));
     queue.add(leased("other", 0, 5_000));
@@ -343,7 +343,7 @@
 }
 
 #[test]
-fn a_lease_that_arrives_after_its_job_ended_queues_nothing() {
+fn lease_received_after_its_job_ended_is_ignored() {
     let mut queue = ItemQueue::default();
     let host = "a.example".to_string();
     assert!(
@@ -351,7 +351,7 @@
             .end_job((host.clone(), "ended".to_string()))
             .is_empty()
     );
-    // The store had granted it before the end; the answer comes after it.
+    // The store granted the lease before the end of the job; the response arrives after it.
     queue.add(leased("ended", 0, 0));
     queue.add(leased("other", 0, 0));
     let mut elsewhere = leased("ended", 0, 1);
@@ -362,10 +362,14 @@
     assert_eq!(
         next(&mut queue),
         Some(("b.example".to_string(), "ended".to_string())),
-        "another lot"
+        "a job of another host"
     );
     assert_eq!(next(&mut queue), None);
-    assert_eq!(queue.leased().len(), 2, "its lease is not renewed");
+    assert_eq!(
+        queue.leased().len(),
+        2,
+        "the lease of the ended job would be renewed"
+    );
 }
 
 #[test]
@@ -383,7 +387,7 @@
     assert_eq!(
         left,
         ["0"],
-        "the oldest are forgotten, the newest 4096 are not"
+        "only the newest 4096 ended jobs are remembered"
     );
 }
 
@@ -392,16 +396,16 @@
     let mut queue = ItemQueue::default();
     queue.add(leased("lot", 2, 0));
     let (number, _) = queue.start(1).unwrap();
-    let mut progress = Progress::default();
+    let mut progress = ItemProgress::default();
     assert!(matches!(
-        progress.ended(&AttemptOutcome::Failed, &TERMS, 2_000),
-        Next::RunAgain(_)
+        progress.on_attempt_ended(&AttemptOutcome::Failed, &TERMS, 2_000),
+        NextStep::Retry(_)
     ));
     assert!(matches!(
-        progress.ended(&AttemptOutcome::Failed, &TERMS, 2_000),
-        Next::RunAgain(_)
+        progress.on_attempt_ended(&AttemptOutcome::Failed, &TERMS, 2_000),
+        NextStep::Retry(_)
     ));
-    let report = queue.failed(number, progress.failures()).unwrap();
+    let report = queue.record_failures(number, progress.failures()).unwrap();
     let failures = ItemFailures {
         item: 2,
         attempts: 2,
@@ -410,25 +414,25 @@
     assert_eq!(
         queue.leased()[0].failures,
         [failures],
-        "and again with each renewal"
+        "each renewal reports the failures again"
     );
     queue.finish(number);
     assert!(queue.leased().is_empty());
-    // The next lease holder gets the count with the lease: the third failure is the last.
-    let mut next = Progress::after_failures(2);
+    // The next dispatcher gets the count with the lease, so that the third failure is the last.
+    let mut next = ItemProgress::after_failures(2);
     assert!(!next.has_exhausted_attempts(&TERMS));
     assert_eq!(
-        next.ended(&AttemptOutcome::Failed, &TERMS, 2_000),
-        Next::Record(ItemResult::Unrecoverable)
+        next.on_attempt_ended(&AttemptOutcome::Failed, &TERMS, 2_000),
+        NextStep::Record(ItemResult::Unrecoverable)
     );
-    // After the third, or a 422, whose record got lost, nobody runs it again.
-    assert!(Progress::after_failures(next.failures()).has_exhausted_attempts(&TERMS));
-    let mut never = Progress::default();
-    never.ended(&AttemptOutcome::CannotBeDone, &TERMS, 2_000);
-    assert!(Progress::after_failures(never.failures()).has_exhausted_attempts(&TERMS));
+    // After the third failure, or a 422, no dispatcher runs the item again, even if recording the result failed.
+    assert!(ItemProgress::after_failures(next.failures()).has_exhausted_attempts(&TERMS));
+    let mut unprocessable = ItemProgress::default();
+    unprocessable.on_attempt_ended(&AttemptOutcome::Unprocessable, &TERMS, 2_000);
+    assert!(ItemProgress::after_failures(unprocessable.failures()).has_exhausted_attempts(&TERMS));
 }
 
-/// Jobs and items, sorted.
+/// Ids and items of jobs, sorted.
 fn items_by_job(jobs: Vec<LeasedJob>) -> Vec<(String, Vec<u32>)> {
     let sorted = |mut job: LeasedJob| {
         job.items.sort_unstable();
@@ -440,7 +444,7 @@
 }
 
 #[test]
-fn at_a_shutdown_only_items_whose_result_is_recorded_are_kept() {
+fn shutdown_keeps_only_items_whose_result_is_being_recorded() {
     let mut queue = ItemQueue::default();
     for (job, index) in [("a", 0), ("a", 1), ("a", 2), ("b", 0)] {
         queue.add(leased(job, index, 0));
@@ -458,7 +462,7 @@
     assert_eq!(stopped, [running]);
     assert!(queue.is_leased(recorded) && !queue.is_leased(running));
     queue.finish(running);
-    assert!(queue.is_recording(), "the process has to wait");
+    assert!(queue.is_recording(), "the process must not exit yet");
     queue.finish(recorded);
     assert!(!queue.is_recording());
     assert_eq!((queue.waiting(), queue.running()), (0, 0));
--- a/crates/mintlb-dispatcher/tests/machine/mod.rs
+++ b/crates/mintlb-dispatcher/tests/harness/mod.rs
@@ -1,6 +1,6 @@
-//! A dispatcher on loopback, with workers that answer as a test says and clients that read bytes.
+//! Test harness: a dispatcher on loopback, workers whose responses a test determines, and raw HTTP clients.
 
-#![allow(dead_code, reason = "each test file uses a part of it")]
+#![allow(dead_code, reason = "each test file uses only part of the harness")]
 
 pub mod raw;
 
@@ -12,7 +12,7 @@
 use mintlb_dispatcher::batch_executor::{BatchCall, BatchExecutor, BatchHandler};
 use mintlb_dispatcher::cluster_state::ClusterUpdate;
 use mintlb_dispatcher::dispatcher::{Dispatcher, DispatcherConfig};
-use mintlb_dispatcher::shared::Shared;
+use mintlb_dispatcher::shared::SharedState;
 use std::future::Future;
 use std::net::SocketAddr;
 use std::pin::Pin;
@@ -25,11 +25,11 @@
 use tokio::sync::oneshot;
 use tokio::time::timeout;
 
-/// Any single step of a test is over by then.
-pub const STEP: Duration = Duration::from_secs(10);
+/// Timeout of a single step of a test.
+pub const STEP_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Runs a test on one thread, as the dispatcher does.
-pub fn on_one_thread(test: impl Future<Output = ()>) {
+/// Runs a test on a single-threaded runtime, as a dispatcher runs.
+pub fn run_single_threaded(test: impl Future<Output = ()>) {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
@@ -38,35 +38,35 @@
     local.block_on(&runtime, async {
         timeout(Duration::from_secs(60), test)
             .await
-            .expect("the test hangs")
+            .expect("the test did not finish within 60 s")
     });
 }
 
-/// A dispatcher that serves.
-pub struct Machine {
+/// A running dispatcher.
+pub struct TestDispatcher {
     pub frontend: SocketAddr,
     pub readiness: SocketAddr,
-    pub shared: Arc<Shared>,
+    pub shared: Arc<SharedState>,
     pub batch_executor: BatchExecutor,
     pub update_sender: UnboundedSender<ClusterUpdate>,
     pub stop: Option<oneshot::Sender<()>>,
     pub ended: oneshot::Receiver<()>,
 }
 
-/// What a test puts in place of a dispatcher's own parts.
+/// Components of a dispatcher that a test replaces.
 #[derive(Default)]
-pub struct Parts {
+pub struct Overrides {
     pub rate_limiter: Option<Arc<dyn RateLimiter>>,
     pub batch: Option<Arc<dyn BatchHandler>>,
 }
 
-impl Machine {
-    pub async fn start() -> Machine {
-        Machine::start_with(Parts::default()).await
+impl TestDispatcher {
+    pub async fn start() -> TestDispatcher {
+        TestDispatcher::start_with(Overrides::default()).await
     }
 
-    /// One with parts of the test.
-    pub async fn start_with(parts: Parts) -> Machine {
+    /// Starts a dispatcher with replaced components.
+    pub async fn start_with(overrides: Overrides) -> TestDispatcher {
         let config = DispatcherConfig {
             zone: "a".to_string(),
             zones: vec!["a".to_string(), "b".to_string()],
@@ -76,14 +76,14 @@
             seed: 1,
         };
         let mut dispatcher = Dispatcher::new(config);
-        if let Some(rate_limiter) = parts.rate_limiter {
+        if let Some(rate_limiter) = overrides.rate_limiter {
             dispatcher.rate_limiter = rate_limiter;
         }
-        dispatcher.batch = parts.batch;
-        let (frontend, readiness) = (listener().await, listener().await);
-        let (stop, stopped) = oneshot::channel();
-        let (end, ended) = oneshot::channel();
-        let machine = Machine {
+        dispatcher.batch = overrides.batch;
+        let (frontend, readiness) = (bind_loopback().await, bind_loopback().await);
+        let (stop, stop_requested) = oneshot::channel();
+        let (end_sender, ended) = oneshot::channel();
+        let test_dispatcher = TestDispatcher {
             frontend: frontend.local_addr().unwrap(),
             readiness: readiness.local_addr().unwrap(),
             shared: dispatcher.shared.clone(),
@@ -94,11 +94,13 @@
         };
         tokio::task::spawn_local(async move {
             dispatcher
-                .serve(frontend, readiness, async { stopped.await.unwrap_or(()) })
+                .serve(frontend, readiness, async {
+                    stop_requested.await.unwrap_or(())
+                })
                 .await;
-            end.send(()).ok();
+            end_sender.send(()).ok();
         });
-        machine
+        test_dispatcher
     }
 
     /// Publishes a configuration and waits until it is in force.
@@ -111,7 +113,7 @@
                 Arc::new(configuration),
             ))
             .unwrap();
-        self.until(|shared| {
+        self.wait_until(|shared| {
             shared
                 .routing()
                 .is_some_and(|t| t.configuration.config_version >= version)
@@ -120,64 +122,67 @@
     }
 
     /// Publishes the state of a worker and waits until it is applied.
-    pub async fn set_worker(&self, worker: &Worker, state: WorkerState, call: u64) {
-        self.apply_record(worker_record(worker, state, call)).await;
+    pub async fn set_worker(&self, worker: &Worker, state: WorkerState, call_sequence: u64) {
+        self.apply_record(worker_record(worker, state, call_sequence))
+            .await;
     }
 
     /// Publishes a worker record and waits until it is applied.
     pub async fn apply_record(&self, record: WorkerRecord) {
-        let age = self.shared.workers.age();
+        let generation = self.shared.workers.generation();
         self.update_sender
             .send(ClusterUpdate::Worker(record))
             .unwrap();
-        self.until(|shared| shared.workers.age() > age).await;
+        self.wait_until(|shared| shared.workers.generation() > generation)
+            .await;
     }
 
     /// Publishes a raw worker and waits until it is applied.
     pub async fn set_raw_worker(&self, worker: &raw::RawWorker) {
-        let age = self.shared.workers.age();
+        let generation = self.shared.workers.generation();
         self.update_sender
             .send(ClusterUpdate::Worker(worker.record.clone()))
             .unwrap();
-        self.until(|shared| shared.workers.age() > age).await;
+        self.wait_until(|shared| shared.workers.generation() > generation)
+            .await;
     }
 
-    async fn until(&self, condition: impl Fn(&Shared) -> bool) {
+    async fn wait_until(&self, condition: impl Fn(&SharedState) -> bool) {
         let reached = async {
             while !condition(&self.shared) {
                 tokio::task::yield_now().await;
             }
         };
-        timeout(STEP, reached)
+        timeout(STEP_TIMEOUT, reached)
             .await
-            .expect("the dispatcher does not hear");
+            .expect("the dispatcher did not apply the update in time");
     }
 
-    pub async fn client(&self) -> Client {
+    pub async fn connect(&self) -> Client {
         Client::connect(self.frontend).await
     }
 }
 
-/// Stands in for the batch modules: records each call and answers 200.
-pub struct RecordedCalls(UnboundedSender<BatchCall>);
+/// Test double of the batch handler: records each call and responds 200.
+pub struct RecordingBatchHandler(UnboundedSender<BatchCall>);
 
-impl RecordedCalls {
-    /// It, and the calls that it gets.
-    pub fn new() -> (Arc<RecordedCalls>, UnboundedReceiver<BatchCall>) {
+impl RecordingBatchHandler {
+    /// Creates the handler and the receiver of its calls.
+    pub fn new() -> (Arc<RecordingBatchHandler>, UnboundedReceiver<BatchCall>) {
         let (sender, calls) = unbounded_channel();
-        (Arc::new(RecordedCalls(sender)), calls)
+        (Arc::new(RecordingBatchHandler(sender)), calls)
     }
 }
 
-impl BatchHandler for RecordedCalls {
+impl BatchHandler for RecordingBatchHandler {
     fn handle(&self, call: BatchCall) -> Pin<Box<dyn Future<Output = Response> + Send>> {
         self.0.send(call).ok();
         Box::pin(async { Response::new(Body::from("handled")) })
     }
 }
 
-/// What the records say of a worker.
-pub fn worker_record(worker: &Worker, state: WorkerState, call: u64) -> WorkerRecord {
+/// The gossip record of a worker.
+pub fn worker_record(worker: &Worker, state: WorkerState, sequence: u64) -> WorkerRecord {
     WorkerRecord {
         instance_id: worker.instance_id.clone(),
         service: worker.service.clone(),
@@ -185,16 +190,16 @@
         zone: "a".to_string(),
         capacity_slots: 4,
         state,
-        call_sequence: call,
+        call_sequence: sequence,
         slow_start_until_ms: 0,
     }
 }
 
-pub async fn listener() -> TcpListener {
+pub async fn bind_loopback() -> TcpListener {
     TcpListener::bind("127.0.0.1:0").await.unwrap()
 }
 
-/// A stand-in worker: a test takes its requests one by one.
+/// A worker whose requests a test receives one by one and responds to.
 pub struct Worker {
     pub instance_id: String,
     pub service: String,
@@ -203,25 +208,25 @@
     connections: Arc<AtomicUsize>,
 }
 
-/// A complete request at a worker, and the connection to respond on.
+/// A complete request at a worker, and the connection on which to respond.
 pub struct ReceivedRequest {
     pub head: String,
     pub body: Vec<u8>,
-    pub on: Connection,
+    pub connection: Connection,
 }
 
-/// A worker's side of a connection.
+/// The worker's side of a connection.
 pub struct Connection {
     stream: TcpStream,
     read: Vec<u8>,
-    update_sender: UnboundedSender<ReceivedRequest>,
+    request_sender: UnboundedSender<ReceivedRequest>,
 }
 
 impl Worker {
     pub async fn start(instance_id: &str, service: &str) -> Worker {
-        let listener = listener().await;
+        let listener = bind_loopback().await;
         let address = listener.local_addr().unwrap();
-        let (update_sender, requests) = unbounded_channel();
+        let (request_sender, requests) = unbounded_channel();
         let connections: Arc<AtomicUsize> = Arc::default();
         let count = connections.clone();
         tokio::spawn(async move {
@@ -230,9 +235,9 @@
                 let connection = Connection {
                     stream,
                     read: Vec::new(),
-                    update_sender: update_sender.clone(),
+                    request_sender: request_sender.clone(),
                 };
-                tokio::spawn(connection.next());
+                tokio::spawn(connection.receive_next());
             }
         });
         Worker {
@@ -244,10 +249,10 @@
         }
     }
 
-    /// One that resets each connection as it comes up.
+    /// Starts a worker that resets each connection after accepting it.
     pub async fn resetting(instance_id: &str, service: &str) -> Worker {
         let mut worker = Worker::start(instance_id, service).await;
-        let listener = listener().await;
+        let listener = bind_loopback().await;
         worker.address = listener.local_addr().unwrap();
         let count = worker.connections.clone();
         tokio::spawn(async move {
@@ -259,16 +264,16 @@
         worker
     }
 
-    /// How many connections have come.
+    /// Number of accepted connections.
     pub fn connections(&self) -> usize {
         self.connections.load(Relaxed)
     }
 
-    /// The next complete request.
+    /// Waits for the next complete request.
     pub async fn next_request(&mut self) -> ReceivedRequest {
-        timeout(STEP, self.requests.recv())
+        timeout(STEP_TIMEOUT, self.requests.recv())
             .await
-            .expect("no request comes")
+            .expect("no request was received in time")
             .unwrap()
     }
 
@@ -277,27 +282,27 @@
         self.requests.recv().await.unwrap()
     }
 
-    /// Whether a request is there already.
+    /// Whether a request has been received.
     pub fn has_request(&mut self) -> bool {
         self.requests.try_recv().is_ok()
     }
 }
 
 impl Connection {
-    /// Waits for the next request on this connection.
-    pub async fn next(mut self) {
+    /// Receives the next request on this connection and passes it to the test.
+    pub async fn receive_next(mut self) {
         loop {
             if let Some((head, length, body_length)) = self.complete_head()
                 && self.read.len() >= length + body_length
             {
                 let body = self.read[length..length + body_length].to_vec();
                 self.read.drain(..length + body_length);
-                let update_sender = self.update_sender.clone();
-                update_sender
+                let request_sender = self.request_sender.clone();
+                request_sender
                     .send(ReceivedRequest {
                         head,
                         body,
-                        on: self,
+                        connection: self,
                     })
                     .ok();
                 return;
@@ -323,15 +328,15 @@
         self.stream.write_all(bytes.as_bytes()).await.unwrap();
     }
 
-    /// Waits until the other side has closed.
-    pub async fn closed(mut self) {
+    /// Waits until the dispatcher has closed the connection.
+    pub async fn wait_until_closed(mut self) {
         let ended = async { while matches!(self.stream.read(&mut [0; 64]).await, Ok(1..)) {} };
-        timeout(STEP, ended)
+        timeout(STEP_TIMEOUT, ended)
             .await
-            .expect("the connection stays open");
+            .expect("the connection was not closed in time");
     }
 
-    /// Cuts the connection with a reset.
+    /// Closes the connection with a reset.
     pub fn reset(self) {
         self.stream.set_zero_linger().unwrap();
     }
@@ -342,8 +347,8 @@
         header(&self.head, "mintlb-request-id").unwrap()
     }
 
-    /// The usual headers of an answer to it.
-    pub fn own(&self) -> String {
+    /// The usual headers of a response to it.
+    pub fn response_headers(&self) -> String {
         format!(
             "mintlb-request-id: {}\r\nmintlb-response-signature: s-{}\r\nkeep-alive: timeout=5\r\n",
             self.id(),
@@ -351,71 +356,71 @@
         )
     }
 
-    /// Answers with exactly these bytes, and takes the next request.
-    pub async fn answer_with(mut self, bytes: &str) {
-        self.on.write(bytes).await;
-        tokio::spawn(self.on.next());
+    /// Responds with exactly these bytes, and receives the next request.
+    pub async fn respond_raw(mut self, bytes: &str) {
+        self.connection.write(bytes).await;
+        tokio::spawn(self.connection.receive_next());
     }
 
-    /// Responds with a complete 200.
-    pub async fn answer(mut self, body: &str) {
+    /// Responds with a complete 200, and receives the next request.
+    pub async fn respond(mut self, body: &str) {
         let head = format!(
             "HTTP/1.1 200 OK\r\n{}content-length: {}\r\n\r\n",
-            self.own(),
+            self.response_headers(),
             body.len()
         );
-        self.on.write(&(head + body)).await;
-        tokio::spawn(self.on.next());
+        self.connection.write(&(head + body)).await;
+        tokio::spawn(self.connection.receive_next());
     }
 
-    /// Answers with these bytes after the usual headers, and takes the next request.
-    pub async fn answer_as(mut self, status: &str, rest: &str) {
-        let head = format!("HTTP/1.1 {status}\r\n{}{rest}", self.own());
-        self.on.write(&head).await;
-        tokio::spawn(self.on.next());
+    /// Responds with these bytes after the usual headers, and receives the next request.
+    pub async fn respond_with(mut self, status: &str, rest: &str) {
+        let head = format!("HTTP/1.1 {status}\r\n{}{rest}", self.response_headers());
+        self.connection.write(&head).await;
+        tokio::spawn(self.connection.receive_next());
     }
 
-    /// Says that it has not run.
-    pub async fn refuse(mut self) {
+    /// Responds that the request was not executed.
+    pub async fn reject_not_executed(mut self) {
         let head = format!(
             "HTTP/1.1 503 Full\r\nmintlb-request-id: {}\r\nmintlb-not-executed: 1\r\ncontent-length: 0\r\n\r\n",
             self.id()
         );
-        self.on.write(&head).await;
-        tokio::spawn(self.on.next());
+        self.connection.write(&head).await;
+        tokio::spawn(self.connection.receive_next());
     }
 
-    /// Begins a stream.
-    pub async fn begin_stream(&mut self) {
+    /// Sends the head of an event stream.
+    pub async fn start_stream(&mut self) {
         let head = format!(
             "HTTP/1.1 200 OK\r\n{}content-type: text/event-stream\r\ntransfer-encoding: chunked\r\n\r\n",
-            self.own()
+            self.response_headers()
         );
-        self.on.write(&head).await;
+        self.connection.write(&head).await;
     }
 
-    pub async fn event(&mut self, id: u64) {
-        self.chunk(&event(id)).await;
+    pub async fn send_event(&mut self, id: u64) {
+        self.send_chunk(&event(id)).await;
     }
 
-    pub async fn chunk(&mut self, data: &str) {
-        self.on
+    pub async fn send_chunk(&mut self, data: &str) {
+        self.connection
             .write(&format!("{:x}\r\n{data}\r\n", data.len()))
             .await;
     }
 
     pub async fn end_stream(mut self) {
-        self.on.write("0\r\n\r\n").await;
-        tokio::spawn(self.on.next());
+        self.connection.write("0\r\n\r\n").await;
+        tokio::spawn(self.connection.receive_next());
     }
 }
 
-/// An event of a stream.
+/// The text of an event in a stream.
 pub fn event(id: u64) -> String {
     format!("id: {id}\ndata: e{id}\n\n")
 }
 
-/// The value of a header.
+/// The value of a header in a head.
 pub fn header(head: &str, name: &str) -> Option<String> {
     head.lines().find_map(|line| {
         let (named, value) = line.split_once(':')?;
@@ -431,17 +436,17 @@
     read: Vec<u8>,
 }
 
-/// What a client got.
+/// A response as a client received it.
 #[derive(Debug)]
-pub struct Got {
+pub struct ReceivedResponse {
     pub status: u16,
     pub head: String,
     pub body: Vec<u8>,
-    /// It ended as its framing says.
+    /// Whether the body is complete by its framing.
     pub complete: bool,
 }
 
-impl Got {
+impl ReceivedResponse {
     pub fn text(&self) -> String {
         String::from_utf8(self.body.clone()).unwrap()
     }
@@ -459,8 +464,8 @@
         self.stream.write_all(bytes.as_bytes()).await.unwrap();
     }
 
-    /// Sends a request with these headers, each with its end.
-    pub async fn post(&mut self, path: &str, id: &str, headers: &str, body: &str) {
+    /// Sends a POST request; `headers` are complete lines with CRLF.
+    pub async fn send_request(&mut self, path: &str, id: &str, headers: &str, body: &str) {
         let head = format!(
             "POST {path} HTTP/1.1\r\nHost: shop.example\r\nMintlb-Request-Id: {id}\r\n\
              Mintlb-Deadline-Ms: 5000\r\n{headers}Content-Length: {}\r\n\r\n{body}",
@@ -469,8 +474,8 @@
         self.write(&head).await;
     }
 
-    /// The head of the next answer.
-    pub async fn head(&mut self) -> (u16, String) {
+    /// Reads the head of the next response: its status and text.
+    pub async fn read_head(&mut self) -> (u16, String) {
         loop {
             if let Some(end) = self.read.windows(4).position(|bytes| bytes == b"\r\n\r\n") {
                 let head: Vec<u8> = self.read.drain(..end + 4).collect();
@@ -478,49 +483,49 @@
                 return (head.split(' ').nth(1).unwrap().parse().unwrap(), head);
             }
             assert!(
-                self.more().await,
-                "closed before the head; so far {:?}",
+                self.read_more().await,
+                "the connection ended before the head was complete: {:?}",
                 self.read
             );
         }
     }
 
-    /// Reads until the body so far is this long, and gives it.
-    pub async fn chunks(&mut self, length: usize) -> String {
+    /// Reads a chunked body until this many bytes were received, and returns them.
+    pub async fn read_body_prefix(&mut self, length: usize) -> String {
         loop {
-            let (body, _, _) = unchunk(&self.read);
+            let (body, _, _) = decode_chunked(&self.read);
             if body.len() >= length {
                 return String::from_utf8(body).unwrap();
             }
             assert!(
-                self.more().await,
-                "closed too soon: {:?}",
+                self.read_more().await,
+                "the connection ended too early: {:?}",
                 String::from_utf8_lossy(&self.read)
             );
         }
     }
 
-    /// The rest of a chunked body, once its head was read.
-    pub async fn rest(&mut self) -> (String, bool) {
+    /// Reads a chunked body after its head; returns it and whether it is complete.
+    pub async fn read_rest(&mut self) -> (String, bool) {
         loop {
-            let (body, used, complete) = unchunk(&self.read);
+            let (body, used, complete) = decode_chunked(&self.read);
             if complete {
                 self.read.drain(..used);
             }
-            if complete || !self.more().await {
+            if complete || !self.read_more().await {
                 return (String::from_utf8(body).unwrap(), complete);
             }
         }
     }
 
-    /// The next answer, to its end or to the connection's.
-    pub async fn get(&mut self) -> Got {
-        let (status, head) = self.head().await;
+    /// Reads the next response, up to its end or the end of the connection.
+    pub async fn read_response(&mut self) -> ReceivedResponse {
+        let (status, head) = self.read_head().await;
         let length = header(&head, "content-length").map(|length| length.parse::<usize>().unwrap());
         if let Some(length) = length {
             while self.read.len() < length {
-                if !self.more().await {
-                    return Got {
+                if !self.read_more().await {
+                    return ReceivedResponse {
                         status,
                         head,
                         body: std::mem::take(&mut self.read),
@@ -528,7 +533,7 @@
                     };
                 }
             }
-            return Got {
+            return ReceivedResponse {
                 status,
                 head,
                 body: self.read.drain(..length).collect(),
@@ -540,8 +545,8 @@
             Some("chunked"),
             "{head}"
         );
-        let (body, complete) = self.rest().await;
-        Got {
+        let (body, complete) = self.read_rest().await;
+        ReceivedResponse {
             status,
             head,
             body: body.into_bytes(),
@@ -549,21 +554,21 @@
         }
     }
 
-    async fn more(&mut self) -> bool {
-        let read = timeout(STEP, self.stream.read_buf(&mut self.read))
+    async fn read_more(&mut self) -> bool {
+        let read = timeout(STEP_TIMEOUT, self.stream.read_buf(&mut self.read))
             .await
-            .expect("no bytes come");
+            .expect("no bytes were received in time");
         matches!(read, Ok(1..))
     }
 
     /// Whether the connection ends without another byte.
-    pub async fn ends(&mut self) -> bool {
-        self.read.is_empty() && !self.more().await
+    pub async fn is_closed(&mut self) -> bool {
+        self.read.is_empty() && !self.read_more().await
     }
 }
 
-/// The chunked body so far, how many bytes of it are used, and whether it is complete.
-fn unchunk(bytes: &[u8]) -> (Vec<u8>, usize, bool) {
+/// Decodes a chunked body: returns the data so far, the number of consumed bytes, and whether the body is complete.
+fn decode_chunked(bytes: &[u8]) -> (Vec<u8>, usize, bool) {
     let (mut body, mut at) = (Vec::new(), 0);
     loop {
         let Some(end) = bytes[at..].windows(2).position(|pair| pair == b"\r\n") else {
@@ -583,7 +588,7 @@
     }
 }
 
-/// Routes of all kinds to the services `s` and `t`.
+/// Routes of all types to the services `s` and `t`.
 pub const CONFIGURATION: &str = r#"{"config_version":3,"route_list":[
  {"name":"plain","host_name":"shop.example","path_prefix":"/p/","route_type":"idempotent","timeout_ms":5000,
   "target_latency_ms":300,"priority":0,"target_service":"s","max_attempts":2},
--- a/crates/mintlb-dispatcher/tests/machine/raw.rs
+++ b/crates/mintlb-dispatcher/tests/harness/raw.rs
@@ -1,20 +1,20 @@
 //! A worker whose connections a test handles byte by byte.
 
-use super::{STEP, header, listener};
+use super::{STEP_TIMEOUT, bind_loopback, header};
 use mintlb_common::record::{WorkerRecord, WorkerState};
 use std::net::SocketAddr;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::timeout;
 
-/// It accepts a connection when the test says so.
+/// Accepts a connection when the test calls for it.
 pub struct RawWorker {
     pub record: WorkerRecord,
     pub address: SocketAddr,
     listener: TcpListener,
 }
 
-/// One of its connections, with the bytes read and not taken.
+/// A connection to a raw worker, with the bytes that were read and not consumed.
 pub struct RawConnection {
     stream: TcpStream,
     pub read: Vec<u8>,
@@ -22,7 +22,7 @@
 
 impl RawWorker {
     pub async fn start(instance_id: &str, service: &str) -> RawWorker {
-        let listener = listener().await;
+        let listener = bind_loopback().await;
         let address = listener.local_addr().unwrap();
         let record = WorkerRecord {
             instance_id: instance_id.into(),
@@ -42,9 +42,9 @@
     }
 
     pub async fn accept(&self) -> RawConnection {
-        let accepted = timeout(STEP, self.listener.accept())
+        let accepted = timeout(STEP_TIMEOUT, self.listener.accept())
             .await
-            .expect("no connection comes");
+            .expect("no connection was opened in time");
         RawConnection {
             stream: accepted.unwrap().0,
             read: Vec::new(),
@@ -53,46 +53,49 @@
 }
 
 impl RawConnection {
-    /// Reads and consumes the next head; bytes behind it stay buffered.
-    pub async fn head(&mut self) -> String {
+    /// Reads and consumes the next head; bytes after it stay buffered.
+    pub async fn read_head(&mut self) -> String {
         loop {
             if let Some(end) = self.read.windows(4).position(|bytes| bytes == b"\r\n\r\n") {
                 return String::from_utf8(self.read.drain(..end + 4).collect()).unwrap();
             }
             assert!(
-                self.more().await,
-                "closed before a head: {:?}",
+                self.read_more().await,
+                "the connection ended before a head: {:?}",
                 String::from_utf8_lossy(&self.read)
             );
         }
     }
 
-    /// The next complete request.
-    pub async fn request(&mut self) -> (String, Vec<u8>) {
-        let head = self.head().await;
+    /// Reads the next complete request.
+    pub async fn read_request(&mut self) -> (String, Vec<u8>) {
+        let head = self.read_head().await;
         let length = header(&head, "content-length").map_or(0, |length| length.parse().unwrap());
         while self.read.len() < length {
-            assert!(self.more().await, "closed before its body");
+            assert!(
+                self.read_more().await,
+                "the connection ended before the body was complete"
+            );
         }
         let body = self.read.drain(..length).collect();
         (head, body)
     }
 
-    /// All that still comes until the other side closes.
-    pub async fn rest(mut self) -> Vec<u8> {
-        while self.more().await {}
+    /// Reads until the dispatcher closes the connection, and returns all unconsumed bytes.
+    pub async fn read_rest(mut self) -> Vec<u8> {
+        while self.read_more().await {}
         self.read
     }
 
-    /// Waits for some bytes.
-    pub async fn some(&mut self) {
-        assert!(self.more().await, "closed");
+    /// Waits until bytes were received.
+    pub async fn read_some(&mut self) {
+        assert!(self.read_more().await, "the connection ended");
     }
 
-    async fn more(&mut self) -> bool {
-        let read = timeout(STEP, self.stream.read_buf(&mut self.read))
+    async fn read_more(&mut self) -> bool {
+        let read = timeout(STEP_TIMEOUT, self.stream.read_buf(&mut self.read))
             .await
-            .expect("no bytes come");
+            .expect("no bytes were received in time");
         matches!(read, Ok(1..))
     }
 
@@ -100,32 +103,32 @@
         self.stream.write_all(bytes.as_bytes()).await.unwrap();
     }
 
-    /// A complete 200 to the request with this id.
-    pub async fn answer(&mut self, id: &str, body: &str) {
-        self.write(&ok(id, body)).await;
+    /// Responds with a complete 200 to the request with this id.
+    pub async fn respond(&mut self, id: &str, body: &str) {
+        self.write(&ok_response(id, body)).await;
     }
 
-    /// Cuts the connection with a reset.
+    /// Closes the connection with a reset.
     pub fn reset(self) {
         self.stream.set_zero_linger().unwrap();
     }
 }
 
-/// A complete 200 to the request with this id, its connection kept for 5 s.
-pub fn ok(id: &str, body: &str) -> String {
-    let own = format!(
+/// A complete 200 to the request with this id, which declares an idle timeout of 5 s.
+pub fn ok_response(id: &str, body: &str) -> String {
+    let headers = format!(
         "mintlb-request-id: {id}\r\nmintlb-response-signature: s-{id}\r\nkeep-alive: timeout=5\r\n"
     );
     format!(
-        "HTTP/1.1 200 OK\r\n{own}content-length: {}\r\n\r\n{body}",
+        "HTTP/1.1 200 OK\r\n{headers}content-length: {}\r\n\r\n{body}",
         body.len()
     )
 }
 
-/// Says that the request with this id has not run.
-pub fn not_run(id: &str) -> String {
-    let own = format!(
+/// A 503 which states that the request with this id was not executed.
+pub fn not_executed_response(id: &str) -> String {
+    let headers = format!(
         "mintlb-request-id: {id}\r\nmintlb-not-executed: full\r\nkeep-alive: timeout=5\r\n"
     );
-    format!("HTTP/1.1 503 Full\r\n{own}content-length: 0\r\n\r\n")
+    format!("HTTP/1.1 503 Full\r\n{headers}content-length: 0\r\n\r\n")
 }
--- a/crates/mintlb-dispatcher/tests/items.rs
+++ b/crates/mintlb-dispatcher/tests/items.rs
@@ -1,9 +1,9 @@
-//! Batch items executed by a dispatcher's batch executor.
+//! Execution of batch items by a dispatcher's batch executor.
 
-mod machine;
+mod harness;
 
 use axum::http::{HeaderMap, HeaderValue, StatusCode};
-use machine::{CONFIGURATION, Machine, Worker, event, header, on_one_thread};
+use harness::{CONFIGURATION, TestDispatcher, Worker, event, header, run_single_threaded};
 use mintlb_common::record::WorkerState;
 use mintlb_dispatcher::batch_executor::{ItemOutcome, ItemRequest, ItemStep};
 use std::time::Duration;
@@ -18,29 +18,31 @@
         headers,
         tenant: None,
         body: "the item".into(),
-        time: Duration::from_secs(20),
+        time_limit: Duration::from_secs(20),
         last_event_id,
     }
 }
 
-async fn with_worker() -> (Machine, Worker) {
-    let machine = Machine::start().await;
+async fn with_worker() -> (TestDispatcher, Worker) {
+    let dispatcher = TestDispatcher::start().await;
     let worker = Worker::start("i-1", "s").await;
-    machine.configure(CONFIGURATION).await;
-    machine.set_worker(&worker, WorkerState::InService, 1).await;
-    (machine, worker)
+    dispatcher.configure(CONFIGURATION).await;
+    dispatcher
+        .set_worker(&worker, WorkerState::InService, 1)
+        .await;
+    (dispatcher, worker)
 }
 
 #[test]
-fn an_item_runs_to_its_end() {
-    on_one_thread(async {
-        let (machine, mut worker) = with_worker().await;
+fn item_runs_to_completion() {
+    run_single_threaded(async {
+        let (dispatcher, mut worker) = with_worker().await;
         assert!(
-            machine
+            dispatcher
                 .batch_executor
                 .has_workers("shop.example", "/b/3/91c4")
         );
-        let mut run = machine.batch_executor.run(item("e5", None));
+        let mut run = dispatcher.batch_executor.execute(item("e5", None));
         let mut received = worker.next_request().await;
         assert!(received.head.starts_with("POST /b/3/91c4 HTTP/1.1\r\n"));
         assert_eq!(
@@ -52,10 +54,10 @@
             Some("shop.example")
         );
         assert_eq!(header(&received.head, "mintlb-model").as_deref(), Some("m"));
-        received.begin_stream().await;
-        received.event(1).await;
+        received.start_stream().await;
+        received.send_event(1).await;
         assert_eq!(run.next().await, ItemStep::Events(event(1).into()));
-        received.event(2).await;
+        received.send_event(2).await;
         received.end_stream().await;
         assert_eq!(run.next().await, ItemStep::Events(event(2).into()));
         assert_eq!(run.next().await, ItemStep::Ended(ItemOutcome::Completed));
@@ -64,28 +66,30 @@
 }
 
 #[test]
-fn an_item_goes_on_where_it_was() {
-    on_one_thread(async {
-        let (machine, mut one) = with_worker().await;
-        let mut two = Worker::start("i-2", "s").await;
-        let mut run = machine.batch_executor.run(item("e5", Some(7)));
-        let mut received = one.next_request().await;
+fn item_resumes_after_its_last_event() {
+    run_single_threaded(async {
+        let (dispatcher, mut first_worker) = with_worker().await;
+        let mut second_worker = Worker::start("i-2", "s").await;
+        let mut run = dispatcher.batch_executor.execute(item("e5", Some(7)));
+        let mut received = first_worker.next_request().await;
         assert_eq!(
             header(&received.head, "last-event-id").as_deref(),
             Some("7")
         );
-        machine.set_worker(&two, WorkerState::InService, 1).await;
-        received.begin_stream().await;
-        received.event(8).await;
+        dispatcher
+            .set_worker(&second_worker, WorkerState::InService, 1)
+            .await;
+        received.start_stream().await;
+        received.send_event(8).await;
         assert_eq!(run.next().await, ItemStep::Events(event(8).into()));
         drop(received);
-        let mut received = two.next_request().await;
+        let mut received = second_worker.next_request().await;
         assert_eq!(
             header(&received.head, "last-event-id").as_deref(),
             Some("8")
         );
-        received.begin_stream().await;
-        received.event(9).await;
+        received.start_stream().await;
+        received.send_event(9).await;
         received.end_stream().await;
         assert_eq!(run.next().await, ItemStep::Events(event(9).into()));
         assert_eq!(run.next().await, ItemStep::Ended(ItemOutcome::Completed));
@@ -94,37 +98,40 @@
 
 #[test]
 fn worker_failures_are_reported_by_status() {
-    on_one_thread(async {
-        let (machine, mut worker) = with_worker().await;
-        let mut run = machine.batch_executor.run(item("e5", None));
+    run_single_threaded(async {
+        let (dispatcher, mut worker) = with_worker().await;
+        let mut run = dispatcher.batch_executor.execute(item("e5", None));
         worker
             .next_request()
             .await
-            .answer_as("500 Oh", "content-length: 3\r\n\r\nwhy")
+            .respond_with("500 Oh", "content-length: 3\r\n\r\nwhy")
             .await;
         let failed = ItemOutcome::Failed(StatusCode::INTERNAL_SERVER_ERROR);
         assert_eq!(run.next().await, ItemStep::Ended(failed));
-        let mut run = machine.batch_executor.run(item("e5", None));
+        let mut run = dispatcher.batch_executor.execute(item("e5", None));
         worker
             .next_request()
             .await
-            .answer_as("422 Never", "content-length: 0\r\n\r\n")
+            .respond_with("422 Never", "content-length: 0\r\n\r\n")
             .await;
-        assert_eq!(run.next().await, ItemStep::Ended(ItemOutcome::CannotBeDone));
+        assert_eq!(
+            run.next().await,
+            ItemStep::Ended(ItemOutcome::Unprocessable)
+        );
         let mut unroutable = item("e5", None);
         unroutable.path = "/nowhere/1".to_string();
         assert_eq!(
-            machine.batch_executor.run(unroutable).next().await,
+            dispatcher.batch_executor.execute(unroutable).next().await,
             ItemStep::Ended(ItemOutcome::NoRoute)
         );
     });
 }
 
 #[test]
-fn a_failure_that_breaks_off_behind_its_head_counts() {
-    on_one_thread(async {
+fn error_response_with_truncated_body_is_reported_by_status() {
+    run_single_threaded(async {
         let failures = [
-            ("422 Never", ItemOutcome::CannotBeDone),
+            ("422 Never", ItemOutcome::Unprocessable),
             (
                 "500 Oh",
                 ItemOutcome::Failed(StatusCode::INTERNAL_SERVER_ERROR),
@@ -136,15 +143,15 @@
                 "transfer-encoding: chunked\r\n\r\n",
                 "\r\nwhy",
             ] {
-                let (machine, mut worker) = with_worker().await;
-                let mut run = machine.batch_executor.run(item("e5", None));
+                let (dispatcher, mut worker) = with_worker().await;
+                let mut run = dispatcher.batch_executor.execute(item("e5", None));
                 let mut received = worker.next_request().await;
-                let own = received.own();
+                let headers = received.response_headers();
                 received
-                    .on
-                    .write(&format!("HTTP/1.1 {status}\r\n{own}{rest}"))
+                    .connection
+                    .write(&format!("HTTP/1.1 {status}\r\n{headers}{rest}"))
                     .await;
-                received.on.reset();
+                received.connection.reset();
                 assert_eq!(
                     run.next().await,
                     ItemStep::Ended(outcome),
@@ -157,46 +164,54 @@
 }
 
 #[test]
-fn a_failure_after_partial_output_counts() {
-    on_one_thread(async {
-        let (machine, mut one) = with_worker().await;
-        let mut two = Worker::start("i-2", "s").await;
-        let mut run = machine.batch_executor.run(item("e5", None));
-        let mut received = one.next_request().await;
-        machine.set_worker(&two, WorkerState::InService, 1).await;
-        received.begin_stream().await;
-        received.event(1).await;
+fn error_response_after_partial_output_is_reported_by_status() {
+    run_single_threaded(async {
+        let (dispatcher, mut first_worker) = with_worker().await;
+        let mut second_worker = Worker::start("i-2", "s").await;
+        let mut run = dispatcher.batch_executor.execute(item("e5", None));
+        let mut received = first_worker.next_request().await;
+        dispatcher
+            .set_worker(&second_worker, WorkerState::InService, 1)
+            .await;
+        received.start_stream().await;
+        received.send_event(1).await;
         assert_eq!(run.next().await, ItemStep::Events(event(1).into()));
-        received.on.reset();
-        two.next_request()
+        received.connection.reset();
+        second_worker
+            .next_request()
             .await
-            .answer_as("422 Never", "content-length: 0\r\n\r\n")
+            .respond_with("422 Never", "content-length: 0\r\n\r\n")
             .await;
-        assert_eq!(run.next().await, ItemStep::Ended(ItemOutcome::CannotBeDone));
-        assert!(!one.has_request() && !two.has_request());
+        assert_eq!(
+            run.next().await,
+            ItemStep::Ended(ItemOutcome::Unprocessable)
+        );
+        assert!(!first_worker.has_request() && !second_worker.has_request());
     });
 }
 
 #[test]
-fn a_run_that_ends_in_the_middle_of_an_event_has_broken_off() {
-    on_one_thread(async {
-        let (machine, mut one) = with_worker().await;
-        let mut two = Worker::start("i-2", "s").await;
-        let mut run = machine.batch_executor.run(item("e5", None));
-        let mut received = one.next_request().await;
-        machine.set_worker(&two, WorkerState::InService, 1).await;
-        received.begin_stream().await;
-        received.event(1).await;
+fn stream_that_ends_within_an_event_is_resumed() {
+    run_single_threaded(async {
+        let (dispatcher, mut first_worker) = with_worker().await;
+        let mut second_worker = Worker::start("i-2", "s").await;
+        let mut run = dispatcher.batch_executor.execute(item("e5", None));
+        let mut received = first_worker.next_request().await;
+        dispatcher
+            .set_worker(&second_worker, WorkerState::InService, 1)
+            .await;
+        received.start_stream().await;
+        received.send_event(1).await;
         assert_eq!(run.next().await, ItemStep::Events(event(1).into()));
-        received.chunk("id: 2\ndata: e").await;
+        received.send_chunk("id: 2\ndata: e").await;
         received.end_stream().await;
-        let mut received = two.next_request().await;
+        let mut received = second_worker.next_request().await;
         assert_eq!(
             header(&received.head, "last-event-id").as_deref(),
             Some("1")
         );
-        received.begin_stream().await;
-        received.event(2).await;
+        received.start_stream().await;
+        received.send_event(2).await;
         received.end_stream().await;
         assert_eq!(run.next().await, ItemStep::Events(event(2).into()));
         assert_eq!(run.next().await, ItemStep::Ended(ItemOutcome::Completed));
@@ -204,12 +219,12 @@
 }
 
 #[test]
-fn a_cancelled_item_closes_its_worker_connection() {
-    on_one_thread(async {
-        let (machine, mut worker) = with_worker().await;
-        let run = machine.batch_executor.run(item("e5", None));
+fn cancelled_item_closes_its_worker_connection() {
+    run_single_threaded(async {
+        let (dispatcher, mut worker) = with_worker().await;
+        let run = dispatcher.batch_executor.execute(item("e5", None));
         let received = worker.next_request().await;
         drop(run);
-        received.on.closed().await;
+        received.connection.wait_until_closed().await;
     });
 }
--- a/crates/mintlb-dispatcher/tests/load.rs
+++ b/crates/mintlb-dispatcher/tests/load.rs
@@ -1,30 +1,36 @@
-//! Load reports of workers, and the slots they leave to live requests and batch items.
+//! Load reports of workers, and the free slots they leave for live requests and batch items.
 
-use mintlb_dispatcher::load::{KnownLoad, Load};
+use mintlb_dispatcher::load::{InstanceLoad, LoadEstimate};
 
 #[test]
-fn a_head_is_read_or_passed_over() {
+fn load_report_is_parsed_or_ignored() {
     assert_eq!(
-        Load::read("3,1,8"),
-        Some(Load {
+        InstanceLoad::parse("3,1,8"),
+        Some(InstanceLoad {
             running: 3.0,
             waiting: 1.0,
             slots: 8.0
         })
     );
-    assert_eq!(Load::read(" 3, 1 ,8 ").map(|load| load.free()), Some(4.0));
-    assert_eq!(Load::read("9,4,8").map(|load| load.free()), Some(0.0));
-    for bad in [
+    assert_eq!(
+        InstanceLoad::parse(" 3, 1 ,8 ").map(|load| load.free_slots()),
+        Some(4.0)
+    );
+    assert_eq!(
+        InstanceLoad::parse("9,4,8").map(|load| load.free_slots()),
+        Some(0.0)
+    );
+    for invalid in [
         "", "3,1", "3,1,8,2", "a,b,c", "-1,0,8", "inf,0,8", "NaN,0,8",
     ] {
-        assert_eq!(Load::read(bad), None, "{bad}");
+        assert_eq!(InstanceLoad::parse(invalid), None, "{invalid}");
     }
 }
 
-fn known(running: f64, waiting: f64) -> KnownLoad {
-    let mut load = KnownLoad::default();
+fn estimate(running: f64, waiting: f64) -> LoadEstimate {
+    let mut load = LoadEstimate::default();
     load.record(
-        Load {
+        InstanceLoad {
             running,
             waiting,
             slots: 8.0,
@@ -35,28 +41,28 @@
 }
 
 #[test]
-fn without_a_load_report_nothing_is_rejected() {
-    assert!(KnownLoad::default().has_free_slot(0.0));
-    assert!(KnownLoad::default().has_free_slot_for_item(0.0, 1000.0));
+fn nothing_is_rejected_without_a_load_report() {
+    assert!(LoadEstimate::default().has_free_slot(0.0));
+    assert!(LoadEstimate::default().has_free_slot_for_item(0.0, 1000.0));
 }
 
 #[test]
-fn live_requests_may_use_all_slots_and_items_leave_some() {
-    assert!(known(5.0, 0.0).has_free_slot_for_item(100.1, 0.0));
-    assert!(!known(6.0, 0.0).has_free_slot_for_item(100.1, 0.0));
-    assert!(known(7.0, 0.0).has_free_slot(100.1));
-    assert!(!known(7.0, 1.0).has_free_slot(100.1));
+fn live_requests_use_all_slots_and_items_leave_some() {
+    assert!(estimate(5.0, 0.0).has_free_slot_for_item(100.1, 0.0));
+    assert!(!estimate(6.0, 0.0).has_free_slot_for_item(100.1, 0.0));
+    assert!(estimate(7.0, 0.0).has_free_slot(100.1));
+    assert!(!estimate(7.0, 1.0).has_free_slot(100.1));
 }
 
 #[test]
-fn requests_sent_since_the_report_count() {
-    let mut load = known(6.0, 0.0);
-    load.sent();
+fn requests_sent_since_the_report_occupy_slots() {
+    let mut load = estimate(6.0, 0.0);
+    load.record_sent();
     assert!(load.has_free_slot(100.1));
-    load.sent();
+    load.record_sent();
     assert!(!load.has_free_slot(100.1));
     load.record(
-        Load {
+        InstanceLoad {
             running: 2.0,
             waiting: 0.0,
             slots: 8.0,
@@ -67,8 +73,8 @@
 }
 
 #[test]
-fn a_stale_report_blocks_no_live_request_and_items_use_the_own_count() {
-    let load = known(8.0, 3.0);
+fn stale_report_blocks_no_live_request_and_items_use_the_own_request_count() {
+    let load = estimate(8.0, 3.0);
     assert!(!load.has_free_slot(100.4));
     assert!(load.has_free_slot(100.6));
     assert!(load.has_free_slot_for_item(100.6, 5.0));
--- a/crates/mintlb-dispatcher/tests/quota_owners.rs
+++ b/crates/mintlb-dispatcher/tests/quota_owners.rs
@@ -1,11 +1,11 @@
-//! A dispatcher's questions to owners that are silent, or whose responses come while it has no processor time.
+//! Admission while an owner of the rate limit is unresponsive, or while the dispatcher gets no CPU time.
 
 use bytes::Bytes;
 use mintlb_common::record::{REPLICAS, Record};
 use mintlb_common::transport::{Channel, ResponseFuture, Service, Transport};
 use mintlb_dispatcher::admission::{Admission, RateLimiter};
 use mintlb_dispatcher::quota_client::QuotaClient;
-use mintlb_dispatcher::tenants::TenantTerms;
+use mintlb_dispatcher::tenants::TenantSettings;
 use mintlb_quota::messages::{AdmitResponse, RateLimit};
 use mintlb_quota::slices::Division;
 use mintlb_register::replica_set::{Replica, ReplicaId, ReplicaSet};
@@ -17,8 +17,9 @@
 /// A quarter of a latency target of 200 ms.
 const TIME_LIMIT: Duration = Duration::from_millis(50);
 
-struct Admits;
-impl Service for Admits {
+/// An owner that admits every request.
+struct AdmittingOwner;
+impl Service for AdmittingOwner {
     fn on_request(&self, _: SocketAddr, _: Bytes) -> ResponseFuture {
         Box::pin(async { minicbor::to_vec(AdmitResponse::Admitted).unwrap().into() })
     }
@@ -47,8 +48,8 @@
     }
 }
 
-fn tenant() -> TenantTerms {
-    TenantTerms {
+fn tenant() -> TenantSettings {
+    TenantSettings {
         name: "acme".into(),
         priority: None,
         limit: Some(RateLimit {
@@ -59,21 +60,21 @@
     }
 }
 
-/// Eight owners of nine are well; one has lost power.
+/// Eight of nine owners respond; the connection to one is accepted by the kernel, but gets no response.
 #[tokio::test]
-async fn one_owner_that_is_silent_does_not_refuse_a_request() {
+async fn one_unresponsive_owner_causes_no_rejection() {
     let any: SocketAddr = "127.0.0.1:0".parse().unwrap();
-    let silent = TcpListener::bind(any).await.unwrap();
-    let mut keep = Vec::new();
-    let mut replicas = vec![replica(1, silent.local_addr().unwrap())];
+    let unresponsive = TcpListener::bind(any).await.unwrap();
+    let mut transports = Vec::new();
+    let mut replicas = vec![replica(1, unresponsive.local_addr().unwrap())];
     for id in 2..10 {
         let transport = Transport::start(any).await.unwrap();
-        transport.register_service(Channel::Quota, Arc::new(Admits));
+        transport.register_service(Channel::Quota, Arc::new(AdmittingOwner));
         replicas.push(replica(id, transport.local_address()));
-        keep.push(transport);
+        transports.push(transport);
     }
     let record = record(replicas);
-    let (mut refused, mut all) = (0, 0);
+    let (mut rejected, mut all) = (0, 0);
     for seed in 0..60 {
         let client = QuotaClient::new(
             Transport::start(any).await.unwrap(),
@@ -86,20 +87,21 @@
             let started = std::time::Instant::now();
             let admission = client.admit(&tenant(), TIME_LIMIT).await;
             if admission != Admission::Admitted {
-                refused += 1;
+                rejected += 1;
                 println!("seed {seed}: {admission:?} after {:?}", started.elapsed());
             }
         }
     }
     assert_eq!(
-        refused, 0,
-        "of {all} requests; eight of nine owners answer at once"
+        rejected, 0,
+        "rejections of {all} requests, although eight of nine owners respond at once"
     );
 }
 
-/// The owner's answer is there, but the dispatcher gets no processor time for 110 ms.
+/// The owner's response has arrived, but the dispatcher gets no CPU time for 110 ms, so that it sees the response only after
+/// its time limit.
 #[test]
-fn an_answer_that_came_while_the_dispatcher_had_no_processor_counts() {
+fn response_received_while_the_dispatcher_had_no_cpu_time_counts() {
     let any: SocketAddr = "127.0.0.1:0".parse().unwrap();
     let (address_sender, addresses) = std::sync::mpsc::channel();
     std::thread::spawn(move || {
@@ -109,7 +111,7 @@
             .unwrap();
         runtime.block_on(async move {
             let transport = Transport::start(any).await.unwrap();
-            transport.register_service(Channel::Quota, Arc::new(Admits));
+            transport.register_service(Channel::Quota, Arc::new(AdmittingOwner));
             address_sender.send(transport.local_address()).unwrap();
             std::future::pending::<()>().await;
         })
@@ -126,26 +128,27 @@
             1,
         ));
         client.apply_record(&record(vec![replica(1, address)]));
-        // Opens the connection.
+        // Opens the connection to the owner.
         assert_eq!(
             client.admit(&tenant(), Duration::from_secs(1)).await,
             Admission::Admitted
         );
         let mut unavailable = 0;
         for _ in 0..6 {
-            let asking = client.clone();
-            let asked = tokio::spawn(async move { asking.admit(&tenant(), TIME_LIMIT).await });
-            // The question is sent.
+            let calling_client = client.clone();
+            let admission =
+                tokio::spawn(async move { calling_client.admit(&tenant(), TIME_LIMIT).await });
+            // Lets the client send its call.
             for _ in 0..20 {
                 tokio::task::yield_now().await;
             }
             std::thread::sleep(Duration::from_millis(110));
-            unavailable += usize::from(asked.await.unwrap() != Admission::Admitted);
+            unavailable += usize::from(admission.await.unwrap() != Admission::Admitted);
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
         assert_eq!(
             unavailable, 0,
-            "of 6 though the answer came within a millisecond"
+            "undecided of 6, although the response arrived within a millisecond"
         );
     });
 }
--- a/crates/mintlb-dispatcher/tests/requests.rs
+++ b/crates/mintlb-dispatcher/tests/requests.rs
@@ -1,27 +1,29 @@
-//! Requests through a dispatcher to stand-in workers on loopback, from both sides.
+//! Requests through a dispatcher to test workers on loopback, observed by the client and by the worker.
 
-mod machine;
+mod harness;
 
-use machine::{CONFIGURATION, Client, Machine, Worker, event, header, on_one_thread};
+use harness::{CONFIGURATION, Client, TestDispatcher, Worker, event, header, run_single_threaded};
 use mintlb_common::record::WorkerState;
 
-async fn with_worker() -> (Machine, Worker) {
-    let machine = Machine::start().await;
+async fn with_worker() -> (TestDispatcher, Worker) {
+    let dispatcher = TestDispatcher::start().await;
     let worker = Worker::start("i-1", "s").await;
-    machine.configure(CONFIGURATION).await;
-    machine.set_worker(&worker, WorkerState::InService, 1).await;
-    (machine, worker)
+    dispatcher.configure(CONFIGURATION).await;
+    dispatcher
+        .set_worker(&worker, WorkerState::InService, 1)
+        .await;
+    (dispatcher, worker)
 }
 
 #[test]
 fn requests_and_responses_are_forwarded_unchanged() {
-    on_one_thread(async {
-        let (machine, mut worker) = with_worker().await;
-        let mut client = machine.client().await;
+    run_single_threaded(async {
+        let (dispatcher, mut worker) = with_worker().await;
+        let mut client = dispatcher.connect().await;
         for index in 0..3 {
             let id = format!("id{index}");
             client
-                .post(
+                .send_request(
                     "/p/7?x=%20&y=1",
                     &id,
                     "X-Own: a\r\nConnection: x-hop\r\nX-Hop: b\r\n",
@@ -53,27 +55,27 @@
                 .parse()
                 .unwrap();
             assert!((1000..=5000).contains(&left), "{left}");
-            received.answer("the answer").await;
-            let got = client.get().await;
+            received.respond("the answer").await;
+            let response = client.read_response().await;
             assert_eq!(
-                (got.status, got.text().as_str(), got.complete),
+                (response.status, response.text().as_str(), response.complete),
                 (200, "the answer", true)
             );
             assert_eq!(
-                header(&got.head, "mintlb-response-signature"),
+                header(&response.head, "mintlb-response-signature"),
                 Some(format!("s-{id}"))
             );
-            assert_eq!(header(&got.head, "mintlb-request-id"), Some(id));
-            assert_eq!(header(&got.head, "connection"), None);
+            assert_eq!(header(&response.head, "mintlb-request-id"), Some(id));
+            assert_eq!(header(&response.head, "connection"), None);
         }
     });
 }
 
 #[test]
-fn chunked_bodies_are_taken() {
-    on_one_thread(async {
-        let (machine, mut worker) = with_worker().await;
-        let mut client = machine.client().await;
+fn chunked_request_bodies_are_accepted() {
+    run_single_threaded(async {
+        let (dispatcher, mut worker) = with_worker().await;
+        let mut client = dispatcher.connect().await;
         let head = "POST /o/1 HTTP/1.1\r\nHost: shop.example\r\nMintlb-Request-Id: a\r\n";
         client
             .write(&format!(
@@ -83,81 +85,93 @@
         let received = worker.next_request().await;
         assert_eq!(received.body, b"abcde");
         assert_eq!(header(&received.head, "transfer-encoding"), None);
-        received.answer("ok").await;
-        assert_eq!(client.get().await.status, 200);
+        received.respond("ok").await;
+        assert_eq!(client.read_response().await.status, 200);
     });
 }
 
 #[test]
 fn requests_without_a_route_are_rejected() {
-    on_one_thread(async {
-        let machine = Machine::start().await;
-        let mut client = machine.client().await;
-        client.post("/p/1", "a", "", "").await;
-        let got = client.get().await;
-        assert_eq!(got.status, 503, "without a configuration nothing is known");
-        assert!(header(&got.head, "retry-after").is_some());
-        machine.configure(CONFIGURATION).await;
-        client.post("/none/1", "b", "", "").await;
-        assert_eq!(client.get().await.status, 404);
+    run_single_threaded(async {
+        let dispatcher = TestDispatcher::start().await;
+        let mut client = dispatcher.connect().await;
+        client.send_request("/p/1", "a", "", "").await;
+        let response = client.read_response().await;
+        assert_eq!(
+            response.status, 503,
+            "no route is known without a configuration"
+        );
+        assert!(header(&response.head, "retry-after").is_some());
+        dispatcher.configure(CONFIGURATION).await;
+        client.send_request("/none/1", "b", "", "").await;
+        assert_eq!(client.read_response().await.status, 404);
         client
             .write("POST /p/1 HTTP/1.1\r\nHost: shop.example\r\nContent-Length: 0\r\n\r\n")
             .await;
-        assert_eq!(client.get().await.status, 400, "without an id");
+        assert_eq!(
+            client.read_response().await.status,
+            400,
+            "a request without an id"
+        );
     });
 }
 
 #[test]
-fn the_longest_prefix_picks_the_service() {
-    on_one_thread(async {
-        let (machine, mut worker) = with_worker().await;
+fn longest_prefix_determines_the_service() {
+    run_single_threaded(async {
+        let (dispatcher, mut worker) = with_worker().await;
         let mut deep = Worker::start("i-2", "t").await;
-        machine.set_worker(&deep, WorkerState::InService, 1).await;
-        let (mut one, mut two) = (machine.client().await, machine.client().await);
-        one.post("/p/deep/1", "a", "", "").await;
-        deep.next_request().await.answer("deep").await;
-        assert_eq!(one.get().await.text(), "deep");
-        two.post("/p/1", "b", "", "").await;
-        worker.next_request().await.answer("plain").await;
-        assert_eq!(two.get().await.text(), "plain");
+        dispatcher
+            .set_worker(&deep, WorkerState::InService, 1)
+            .await;
+        let (mut first_client, mut second_client) =
+            (dispatcher.connect().await, dispatcher.connect().await);
+        first_client.send_request("/p/deep/1", "a", "", "").await;
+        deep.next_request().await.respond("deep").await;
+        assert_eq!(first_client.read_response().await.text(), "deep");
+        second_client.send_request("/p/1", "b", "", "").await;
+        worker.next_request().await.respond("plain").await;
+        assert_eq!(second_client.read_response().await.text(), "plain");
     });
 }
 
 #[test]
-fn what_is_too_large_or_ambiguous_is_refused() {
-    on_one_thread(async {
-        let (machine, mut worker) = with_worker().await;
-        let mut client = machine.client().await;
-        client.post("/p/1", "a", "", &"x".repeat(5000)).await;
-        assert_eq!(client.get().await.status, 413);
-        let mut client = machine.client().await;
+fn oversized_or_ambiguous_requests_are_rejected() {
+    run_single_threaded(async {
+        let (dispatcher, mut worker) = with_worker().await;
+        let mut client = dispatcher.connect().await;
+        client
+            .send_request("/p/1", "a", "", &"x".repeat(5000))
+            .await;
+        assert_eq!(client.read_response().await.status, 413);
+        let mut client = dispatcher.connect().await;
         client
-            .post("/p/1", "b", &format!("X: {}\r\n", "y".repeat(40_000)), "")
+            .send_request("/p/1", "b", &format!("X: {}\r\n", "y".repeat(40_000)), "")
             .await;
-        assert_eq!(client.get().await.status, 431);
-        let mut client = machine.client().await;
+        assert_eq!(client.read_response().await.status, 431);
+        let mut client = dispatcher.connect().await;
         client
-            .post("/p/1", "c", "Transfer-Encoding: chunked\r\n", "0\r\n\r\n")
+            .send_request("/p/1", "c", "Transfer-Encoding: chunked\r\n", "0\r\n\r\n")
             .await;
-        assert_eq!(client.get().await.status, 400);
+        assert_eq!(client.read_response().await.status, 400);
         assert!(!worker.has_request());
     });
 }
 
 #[test]
-fn events_pass_as_they_come() {
-    on_one_thread(async {
-        let (machine, mut worker) = with_worker().await;
-        let mut client = machine.client().await;
-        client.post("/s/1", "a", "", "prompt").await;
+fn events_are_forwarded_as_they_arrive() {
+    run_single_threaded(async {
+        let (dispatcher, mut worker) = with_worker().await;
+        let mut client = dispatcher.connect().await;
+        client.send_request("/s/1", "a", "", "prompt").await;
         let mut received = worker.next_request().await;
-        received.begin_stream().await;
-        let mut so_far = String::new();
+        received.start_stream().await;
+        let mut forwarded = String::new();
         for id in 1..=5 {
-            received.event(id).await;
-            so_far += &event(id);
+            received.send_event(id).await;
+            forwarded += &event(id);
             if id == 1 {
-                let (status, head) = client.head().await;
+                let (status, head) = client.read_head().await;
                 assert_eq!(status, 200);
                 assert_eq!(
                     header(&head, "content-type").as_deref(),
@@ -168,259 +182,274 @@
                     Some("chunked")
                 );
             }
-            assert_eq!(client.chunks(so_far.len()).await, so_far);
+            assert_eq!(client.read_body_prefix(forwarded.len()).await, forwarded);
         }
         received.end_stream().await;
-        assert_eq!(client.rest().await, (so_far, true));
-        client.post("/p/1", "b", "", "").await;
-        worker.next_request().await.answer("next").await;
+        assert_eq!(client.read_rest().await, (forwarded, true));
+        client.send_request("/p/1", "b", "", "").await;
+        worker.next_request().await.respond("next").await;
     });
 }
 
 #[test]
-fn a_stream_that_breaks_does_not_look_complete() {
-    on_one_thread(async {
-        let (machine, mut worker) = with_worker().await;
-        let mut client = machine.client().await;
-        client.post("/s/1", "a", "", "prompt").await;
+fn broken_stream_does_not_look_complete() {
+    run_single_threaded(async {
+        let (dispatcher, mut worker) = with_worker().await;
+        let mut client = dispatcher.connect().await;
+        client.send_request("/s/1", "a", "", "prompt").await;
         let mut received = worker.next_request().await;
-        received.begin_stream().await;
-        received.event(1).await;
-        received.chunk("id: 2\nda").await;
+        received.start_stream().await;
+        received.send_event(1).await;
+        received.send_chunk("id: 2\nda").await;
         drop(received);
-        let got = client.get().await;
-        assert!(!got.complete);
-        assert_eq!(got.text(), event(1), "and no part of an event passes");
-        assert!(!worker.has_request(), "it may not run again");
+        let response = client.read_response().await;
+        assert!(!response.complete);
+        assert_eq!(
+            response.text(),
+            event(1),
+            "a part of an event was forwarded"
+        );
+        assert!(!worker.has_request(), "the request must not run again");
     });
 }
 
 #[test]
-fn a_stream_goes_on_at_another_worker() {
-    on_one_thread(async {
-        let (machine, mut one) = with_worker().await;
-        let mut two = Worker::start("i-2", "s").await;
-        let mut client = machine.client().await;
-        client.post("/r/1", "a", "", "prompt").await;
-        let mut received = one.next_request().await;
-        machine.set_worker(&two, WorkerState::InService, 1).await;
-        received.begin_stream().await;
-        received.event(1).await;
-        received.event(2).await;
-        client.head().await;
-        client.chunks(event(1).len() * 2).await;
-        received.on.reset();
-        let mut received = two.next_request().await;
+fn broken_stream_is_resumed_at_another_worker() {
+    run_single_threaded(async {
+        let (dispatcher, mut first_worker) = with_worker().await;
+        let mut second_worker = Worker::start("i-2", "s").await;
+        let mut client = dispatcher.connect().await;
+        client.send_request("/r/1", "a", "", "prompt").await;
+        let mut received = first_worker.next_request().await;
+        dispatcher
+            .set_worker(&second_worker, WorkerState::InService, 1)
+            .await;
+        received.start_stream().await;
+        received.send_event(1).await;
+        received.send_event(2).await;
+        client.read_head().await;
+        client.read_body_prefix(event(1).len() * 2).await;
+        received.connection.reset();
+        let mut received = second_worker.next_request().await;
         assert_eq!(
             header(&received.head, "last-event-id").as_deref(),
             Some("2")
         );
-        received.begin_stream().await;
-        // An event that the client has must not pass twice.
-        received.event(2).await;
-        received.event(3).await;
-        let so_far = event(1) + &event(2) + &event(3);
-        assert_eq!(client.chunks(so_far.len()).await, so_far);
+        received.start_stream().await;
+        // An event that the client already has must not be forwarded again.
+        received.send_event(2).await;
+        received.send_event(3).await;
+        let forwarded = event(1) + &event(2) + &event(3);
+        assert_eq!(client.read_body_prefix(forwarded.len()).await, forwarded);
         received.end_stream().await;
-        assert_eq!(client.rest().await, (so_far, true));
+        assert_eq!(client.read_rest().await, (forwarded, true));
     });
 }
 
 #[test]
-fn a_run_that_leaves_events_out_is_not_joined() {
-    on_one_thread(async {
-        let (machine, mut one) = with_worker().await;
-        let mut two = Worker::start("i-2", "s").await;
-        let mut client = machine.client().await;
-        client.post("/r/1", "a", "", "prompt").await;
-        let mut received = one.next_request().await;
-        machine.set_worker(&two, WorkerState::InService, 1).await;
-        received.begin_stream().await;
-        received.event(1).await;
+fn resumed_stream_with_missing_events_is_not_forwarded() {
+    run_single_threaded(async {
+        let (dispatcher, mut first_worker) = with_worker().await;
+        let mut second_worker = Worker::start("i-2", "s").await;
+        let mut client = dispatcher.connect().await;
+        client.send_request("/r/1", "a", "", "prompt").await;
+        let mut received = first_worker.next_request().await;
+        dispatcher
+            .set_worker(&second_worker, WorkerState::InService, 1)
+            .await;
+        received.start_stream().await;
+        received.send_event(1).await;
         drop(received);
-        let mut received = two.next_request().await;
-        received.begin_stream().await;
-        received.event(3).await;
+        let mut received = second_worker.next_request().await;
+        received.start_stream().await;
+        received.send_event(3).await;
         received.end_stream().await;
-        let got = client.get().await;
-        assert_eq!((got.text(), got.complete), (event(1), false));
+        let response = client.read_response().await;
+        assert_eq!((response.text(), response.complete), (event(1), false));
     });
 }
 
 #[test]
-fn what_may_run_again_is_sent_elsewhere_and_what_may_not_is_not() {
-    on_one_thread(async {
-        let (machine, mut one) = with_worker().await;
-        let mut two = Worker::start("i-2", "s").await;
-        let mut client = machine.client().await;
-        client.post("/p/1", "a", "", "").await;
-        let received = one.next_request().await;
-        machine.set_worker(&two, WorkerState::InService, 1).await;
+fn only_idempotent_requests_are_retried_after_a_broken_connection() {
+    run_single_threaded(async {
+        let (dispatcher, mut first_worker) = with_worker().await;
+        let mut second_worker = Worker::start("i-2", "s").await;
+        let mut client = dispatcher.connect().await;
+        client.send_request("/p/1", "a", "", "").await;
+        let received = first_worker.next_request().await;
+        dispatcher
+            .set_worker(&second_worker, WorkerState::InService, 1)
+            .await;
         drop(received);
-        two.next_request().await.answer("from two").await;
-        assert_eq!(client.get().await.text(), "from two");
-        client.post("/o/1", "b", "", "").await;
-        let received = tokio::select! { received = one.next_request() => received, received = two.next_request() => received };
+        second_worker.next_request().await.respond("from two").await;
+        assert_eq!(client.read_response().await.text(), "from two");
+        client.send_request("/o/1", "b", "", "").await;
+        let received = tokio::select! { received = first_worker.next_request() => received, received = second_worker.next_request() => received };
         drop(received);
-        assert_eq!(client.get().await.status, 502);
-        assert!(!one.has_request() && !two.has_request());
+        assert_eq!(client.read_response().await.status, 502);
+        assert!(!first_worker.has_request() && !second_worker.has_request());
     });
 }
 
 #[test]
-fn a_worker_that_has_not_run_it_is_passed_over() {
-    on_one_thread(async {
-        let (machine, mut one) = with_worker().await;
-        let mut two = Worker::start("i-2", "s").await;
-        let mut client = machine.client().await;
-        client.post("/o/1", "a", "", "").await;
-        let received = one.next_request().await;
-        machine.set_worker(&two, WorkerState::InService, 1).await;
-        received.refuse().await;
-        two.next_request().await.answer("ran").await;
-        assert_eq!(client.get().await.text(), "ran");
-        // Rejected everywhere, its client gets a 503: it has not run.
-        client.post("/o/2", "b", "", "").await;
+fn request_not_executed_by_a_worker_is_retried_elsewhere() {
+    run_single_threaded(async {
+        let (dispatcher, mut first_worker) = with_worker().await;
+        let mut second_worker = Worker::start("i-2", "s").await;
+        let mut client = dispatcher.connect().await;
+        client.send_request("/o/1", "a", "", "").await;
+        let received = first_worker.next_request().await;
+        dispatcher
+            .set_worker(&second_worker, WorkerState::InService, 1)
+            .await;
+        received.reject_not_executed().await;
+        second_worker.next_request().await.respond("ran").await;
+        assert_eq!(client.read_response().await.text(), "ran");
+        // If all workers reject the request, the client gets a 503, as it has not run.
+        client.send_request("/o/2", "b", "", "").await;
         for _ in 0..2 {
-            let received = tokio::select! { received = one.next_request() => received, received = two.next_request() => received };
-            received.refuse().await;
+            let received = tokio::select! { received = first_worker.next_request() => received, received = second_worker.next_request() => received };
+            received.reject_not_executed().await;
         }
-        let got = client.get().await;
-        assert_eq!(got.status, 503);
-        assert!(header(&got.head, "retry-after").is_some());
+        let response = client.read_response().await;
+        assert_eq!(response.status, 503);
+        assert!(header(&response.head, "retry-after").is_some());
     });
 }
 
 #[test]
-fn a_workers_own_failure_is_the_answer() {
-    on_one_thread(async {
-        let (machine, mut worker) = with_worker().await;
-        let mut client = machine.client().await;
-        client.post("/o/1", "a", "", "").await;
+fn error_response_of_a_worker_is_forwarded() {
+    run_single_threaded(async {
+        let (dispatcher, mut worker) = with_worker().await;
+        let mut client = dispatcher.connect().await;
+        client.send_request("/o/1", "a", "", "").await;
         worker
             .next_request()
             .await
-            .answer_as("500 Oh", "content-length: 3\r\n\r\nwhy")
+            .respond_with("500 Oh", "content-length: 3\r\n\r\nwhy")
             .await;
-        let got = client.get().await;
-        assert_eq!((got.status, got.text().as_str()), (500, "why"));
-        // A 503 that does not say that it has not run must not look as if it did.
-        client.post("/o/1", "b", "", "").await;
+        let response = client.read_response().await;
+        assert_eq!((response.status, response.text().as_str()), (500, "why"));
+        // A worker's 503 that does not state that the request has not run must not be forwarded as one.
+        client.send_request("/o/1", "b", "", "").await;
         worker
             .next_request()
             .await
-            .answer_as("503 Oh", "content-length: 0\r\n\r\n")
+            .respond_with("503 Oh", "content-length: 0\r\n\r\n")
             .await;
-        assert_eq!(client.get().await.status, 502);
+        assert_eq!(client.read_response().await.status, 502);
     });
 }
 
 #[test]
-fn an_answer_without_its_stamp_or_its_end_is_no_success() {
-    on_one_thread(async {
-        let (machine, mut worker) = with_worker().await;
-        let mut client = machine.client().await;
-        client.post("/o/1", "a", "", "").await;
+fn response_without_signature_or_truncated_is_no_success() {
+    run_single_threaded(async {
+        let (dispatcher, mut worker) = with_worker().await;
+        let mut client = dispatcher.connect().await;
+        client.send_request("/o/1", "a", "", "").await;
         let mut received = worker.next_request().await;
         received
-            .on
+            .connection
             .write("HTTP/1.1 200 OK\r\nmintlb-request-id: a\r\ncontent-length: 2\r\n\r\nok")
             .await;
-        assert_eq!(client.get().await.status, 502);
-        client.post("/o/1", "b", "", "").await;
+        assert_eq!(client.read_response().await.status, 502);
+        client.send_request("/o/1", "b", "", "").await;
         let mut received = worker.next_request().await;
-        let own = received.own();
+        let headers = received.response_headers();
         received
-            .on
+            .connection
             .write(&format!(
-                "HTTP/1.1 200 OK\r\n{own}content-length: 9\r\n\r\nok"
+                "HTTP/1.1 200 OK\r\n{headers}content-length: 9\r\n\r\nok"
             ))
             .await;
         drop(received);
-        assert_eq!(client.get().await.status, 502);
-        client.post("/o/1", "c", "", "").await;
+        assert_eq!(client.read_response().await.status, 502);
+        client.send_request("/o/1", "c", "", "").await;
         worker
             .next_request()
             .await
-            .on
+            .connection
             .write("nonsense\r\n\r\n")
             .await;
-        assert_eq!(client.get().await.status, 502);
+        assert_eq!(client.read_response().await.status, 502);
     });
 }
 
 #[test]
-fn a_surplus_answer_is_passed_over() {
-    on_one_thread(async {
-        let (machine, mut worker) = with_worker().await;
-        let mut client = machine.client().await;
-        client.post("/o/1", "a", "", "").await;
-        worker.next_request().await.answer("first").await;
-        assert_eq!(client.get().await.text(), "first");
-        client.post("/o/2", "b", "", "").await;
+fn surplus_response_is_skipped() {
+    run_single_threaded(async {
+        let (dispatcher, mut worker) = with_worker().await;
+        let mut client = dispatcher.connect().await;
+        client.send_request("/o/1", "a", "", "").await;
+        worker.next_request().await.respond("first").await;
+        assert_eq!(client.read_response().await.text(), "first");
+        client.send_request("/o/2", "b", "", "").await;
         let mut received = worker.next_request().await;
-        let late =
+        let late_response =
             "mintlb-request-id: a\r\nmintlb-response-signature: s\r\ncontent-length: 4\r\n\r\nlate";
         received
-            .on
-            .write(&format!("HTTP/1.1 200 OK\r\n{late}"))
+            .connection
+            .write(&format!("HTTP/1.1 200 OK\r\n{late_response}"))
             .await;
-        received.answer("second").await;
-        assert_eq!(client.get().await.text(), "second");
+        received.respond("second").await;
+        assert_eq!(client.read_response().await.text(), "second");
     });
 }
 
 #[test]
-fn a_misdirected_worker_gets_no_further_requests() {
-    on_one_thread(async {
-        let (machine, mut worker) = with_worker().await;
-        let mut client = machine.client().await;
-        client.post("/o/1", "a", "", "").await;
+fn misdirected_worker_gets_no_further_requests() {
+    run_single_threaded(async {
+        let (dispatcher, mut worker) = with_worker().await;
+        let mut client = dispatcher.connect().await;
+        client.send_request("/o/1", "a", "", "").await;
         let mut received = worker.next_request().await;
         received
-            .on
+            .connection
             .write("HTTP/1.1 421 No\r\nmintlb-request-id: a\r\ncontent-length: 0\r\n\r\n")
             .await;
-        let got = client.get().await;
-        assert_eq!(got.status, 503);
+        let response = client.read_response().await;
+        assert_eq!(response.status, 503);
         assert!(!worker.has_request());
     });
 }
 
 #[test]
-fn a_draining_worker_gets_no_new_requests() {
-    on_one_thread(async {
-        let (machine, mut worker) = with_worker().await;
-        let (mut one, mut two) = (machine.client().await, machine.client().await);
-        one.post("/o/1", "a", "", "").await;
+fn draining_worker_gets_no_new_requests() {
+    run_single_threaded(async {
+        let (dispatcher, mut worker) = with_worker().await;
+        let (mut first_client, mut second_client) =
+            (dispatcher.connect().await, dispatcher.connect().await);
+        first_client.send_request("/o/1", "a", "", "").await;
         let received = worker.next_request().await;
-        machine.set_worker(&worker, WorkerState::Draining, 2).await;
-        two.post("/o/2", "b", "", "").await;
-        assert_eq!(two.get().await.status, 503);
-        received.answer("finished").await;
+        dispatcher
+            .set_worker(&worker, WorkerState::Draining, 2)
+            .await;
+        second_client.send_request("/o/2", "b", "", "").await;
+        assert_eq!(second_client.read_response().await.status, 503);
+        received.respond("finished").await;
         assert_eq!(
-            one.get().await.text(),
+            first_client.read_response().await.text(),
             "finished",
-            "what was there before is finished"
+            "a request in flight is completed"
         );
     });
 }
 
 #[test]
-fn a_client_disconnect_cancels_its_request() {
-    on_one_thread(async {
-        let (machine, mut worker) = with_worker().await;
+fn client_disconnect_cancels_its_request() {
+    run_single_threaded(async {
+        let (dispatcher, mut worker) = with_worker().await;
         for path in ["/o/1", "/s/1"] {
-            let mut client: Client = machine.client().await;
-            client.post(path, "a", "", "").await;
+            let mut client: Client = dispatcher.connect().await;
+            client.send_request(path, "a", "", "").await;
             let mut received = worker.next_request().await;
             if path == "/s/1" {
-                received.begin_stream().await;
-                received.event(1).await;
-                client.head().await;
+                received.start_stream().await;
+                received.send_event(1).await;
+                client.read_head().await;
             }
             drop(client);
-            received.on.closed().await;
+            received.connection.wait_until_closed().await;
         }
     });
 }
--- a/crates/mintlb-dispatcher/tests/wire.rs
+++ b/crates/mintlb-dispatcher/tests/response_parser.rs
@@ -1,18 +1,18 @@
-//! Parsing of workers' responses for any chunking of the bytes, valid and invalid.
+//! Parsing of workers' responses, valid and invalid, for any chunking of the bytes.
 
 use arbtest::arbtest;
 use bytes::BytesMut;
-use mintlb_dispatcher::wire::{AnswerHead, BodyReader, Framing};
+use mintlb_dispatcher::response_parser::{BodyReader, Framing, ResponseHead};
 use std::time::Duration;
 
-fn head(text: &str) -> AnswerHead {
-    AnswerHead::take(&mut BytesMut::from(text))
+fn head(text: &str) -> ResponseHead {
+    ResponseHead::take(&mut BytesMut::from(text))
         .unwrap()
         .unwrap()
 }
 
 #[test]
-fn a_chunked_body_is_the_same_however_it_is_cut() {
+fn chunked_body_is_decoded_for_any_chunking_of_the_bytes() {
     arbtest(|u| {
         let (mut sent, mut wire) = (Vec::new(), Vec::new());
         for _ in 0..u.int_in_range(0..=6)? {
@@ -28,8 +28,8 @@
             sent.extend(data);
         }
         wire.extend(b"0\r\nTrailer: x\r\n\r\n");
-        let behind = u.int_in_range(0..=3)?;
-        wire.extend(vec![b'!'; behind]);
+        let surplus = u.int_in_range(0..=3)?;
+        wire.extend(vec![b'!'; surplus]);
         let (mut body, mut buffer, mut read) = (
             BodyReader::new(Framing::Chunked),
             BytesMut::new(),
@@ -47,15 +47,15 @@
         assert!(body.is_done());
         assert_eq!(
             (read, buffer.len()),
-            (sent, behind),
-            "what is behind the body is left alone"
+            (sent, surplus),
+            "bytes after the body were consumed"
         );
         Ok(())
     });
 }
 
 #[test]
-fn a_body_with_a_length_ends_there() {
+fn body_with_a_length_ends_after_it() {
     let mut buffer = BytesMut::from("abcdefHTTP/1.1");
     let mut body = BodyReader::new(Framing::Length(6));
     assert_eq!(body.take(&mut buffer).unwrap().unwrap(), "abcdef");
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn broken_chunks_are_known_as_such() {
+fn invalid_chunks_are_rejected() {
     for wire in [
         "x\r\n",
         "\r\n",
@@ -83,13 +83,13 @@
                 other => break other,
             }
         };
-        assert!(end.is_err(), "{wire:?} ends as {end:?}");
+        assert!(end.is_err(), "{wire:?} gave {end:?}");
         assert!(!body.is_done());
     }
 }
 
 #[test]
-fn heads_are_read() {
+fn valid_heads_are_parsed() {
     let read = head("HTTP/1.1 200 OK\r\nContent-Length: 5\r\nKeep-Alive: max=3, timeout=7\r\n\r\n");
     assert_eq!(read.framing, Framing::Length(5));
     assert!(read.keeps_alive);
@@ -108,17 +108,17 @@
     assert_eq!(
         head(interim).status,
         200,
-        "an interim head only says that another comes"
+        "an interim response was not skipped"
     );
     assert!(
-        AnswerHead::take(&mut BytesMut::from("HTTP/1.1 200 OK\r\nA: b\r\n"))
+        ResponseHead::take(&mut BytesMut::from("HTTP/1.1 200 OK\r\nA: b\r\n"))
             .unwrap()
             .is_none()
     );
 }
 
 #[test]
-fn bad_heads_are_known_as_such() {
+fn invalid_heads_are_rejected() {
     for text in [
         "nonsense\r\n\r\n",
         "HTTP/1.1 200 OK\r\nContent-Length: 5\r\nContent-Length: 6\r\n\r\n",
@@ -128,10 +128,10 @@
         "HTTP/1.1 101 Other\r\n\r\n",
     ] {
         assert!(
-            AnswerHead::take(&mut BytesMut::from(text)).is_err(),
+            ResponseHead::take(&mut BytesMut::from(text)).is_err(),
             "{text:?}"
         );
     }
     let long = format!("HTTP/1.1 200 OK\r\nA: {}", "b".repeat(40_000));
-    assert!(AnswerHead::take(&mut BytesMut::from(&long[..])).is_err());
+    assert!(ResponseHead::take(&mut BytesMut::from(&long[..])).is_err());
 }
--- a/crates/mintlb-dispatcher/tests/routing.rs
+++ b/crates/mintlb-dispatcher/tests/routing.rs
@@ -1,11 +1,11 @@
-//! Routes, weights, project types, and prefix-cache affinity of prompts.
+//! Routes, traffic splits, project types, and prefix-cache affinity of prompts.
 
 use arbtest::arbtest;
 use mintlb_common::configuration::Configuration;
 use mintlb_core::project_types::NamedProjectType;
-use mintlb_dispatcher::prompts::{Prompt, preferred};
+use mintlb_dispatcher::prefix_affinity::{Prompt, preferred_workers};
 use mintlb_dispatcher::routing::RoutingTable;
-use mintlb_dispatcher::tuning::{ServiceNumbers, project_types};
+use mintlb_dispatcher::scheduler_settings::{ServiceIds, project_types};
 use mintlb_scheduler::Idempotency;
 use std::sync::Arc;
 
@@ -21,7 +21,7 @@
 
 fn table() -> (RoutingTable, Vec<NamedProjectType>) {
     let configuration = Arc::new(Configuration::parse(CONFIGURATION.as_bytes()).unwrap());
-    let types = project_types(&configuration, &mut ServiceNumbers::default());
+    let types = project_types(&configuration, &mut ServiceIds::default());
     let named = types.into_iter().enumerate();
     let types: Vec<NamedProjectType> = named
         .map(|(number, (name, project_type))| NamedProjectType {
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn the_longest_prefix_of_the_host_wins() {
+fn longest_prefix_of_the_host_wins() {
     let (table, _) = table();
     let route = |host, path| table.route(host, path).map(|(_, terms)| terms.name.clone());
     assert_eq!(route("one.example", "/x/1").as_deref(), Some("a"));
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn shares_go_by_weight_and_none_to_a_weight_of_0() {
+fn services_are_chosen_by_weight_and_never_with_weight_0() {
     let (table, types) = table();
     let drawn = |draw| {
         table
@@ -66,7 +66,7 @@
     assert_eq!(
         (&*only_t(0.0).service, &*only_t(0.95).service),
         ("t", "t"),
-        "s has no worker"
+        "s has no worker, so t is chosen"
     );
     assert_eq!(
         &*table
@@ -86,17 +86,20 @@
     assert_eq!(name(drawn(0.0).project_type), "a@s");
     assert_eq!(name(drawn(0.95).project_type), "a@t");
     assert!(types.iter().all(|named| named.name != "a@u"));
-    assert_eq!(table.type_of("a", "t", 0).map(name).as_deref(), Some("a@t"));
-    let other = table.type_of("gone", "t", 0).map(name).unwrap();
+    assert_eq!(
+        table.project_type("a", "t", 0).map(name).as_deref(),
+        Some("a@t")
+    );
+    let other = table.project_type("gone", "t", 0).map(name).unwrap();
     assert!(
         other.ends_with("@t"),
-        "a stream whose route is gone goes on at its service, as {other}"
+        "the retry of a request whose route was removed has project type {other}"
     );
-    assert_eq!(table.type_of("gone", "gone", 0), None);
+    assert_eq!(table.project_type("gone", "gone", 0), None);
 }
 
 #[test]
-fn project_types_say_what_routes_say() {
+fn project_types_follow_their_routes_settings() {
     let (_, types) = table();
     let of = |name: &str| {
         &types
@@ -110,7 +113,7 @@
     assert_eq!(
         of("c@t").idempotency,
         Idempotency::Idempotent,
-        "a stream that may be resumed may run again"
+        "resumable streams are idempotent"
     );
     assert_eq!(
         (of("c@t").promised_turnaround, of("c@t").hard_limit),
@@ -118,34 +121,37 @@
     );
     assert!(
         of("a@s").credit > of("c@t").credit && of("c@t").credit > of("b@t").credit,
-        "rank 0 is highest"
+        "priority 0 has the highest weight"
     );
     assert_eq!(of("a@t").machine_kind, of("b@t").machine_kind);
     assert_ne!(of("a@s").machine_kind, of("a@t").machine_kind);
 }
 
 #[test]
-fn prompts_are_read() {
-    let prompt = Prompt::read(Some("5c:800,91:1410,e4:250"), Some("2460,80")).unwrap();
+fn prompt_declarations_are_parsed() {
+    let prompt = Prompt::parse(Some("5c:800,91:1410,e4:250"), Some("2460,80")).unwrap();
     assert_eq!((prompt.shared_tokens, prompt.tokens), (2210, 2540));
-    assert!(prompt.is_long());
-    let sibling = Prompt::read(Some("5c:800,91:1410,ff:9"), Some("2219,10")).unwrap();
-    assert_eq!(prompt.subject, sibling.subject, "the last part is its own");
-    let other = Prompt::read(Some("5c:800,92:1410,e4:250"), None).unwrap();
-    assert_ne!(prompt.subject, other.subject);
+    assert!(prompt.has_long_prefix());
+    let sibling = Prompt::parse(Some("5c:800,91:1410,ff:9"), Some("2219,10")).unwrap();
+    assert_eq!(
+        prompt.prefix_hash, sibling.prefix_hash,
+        "the last segment is not part of the shared prefix"
+    );
+    let other = Prompt::parse(Some("5c:800,92:1410,e4:250"), None).unwrap();
+    assert_ne!(prompt.prefix_hash, other.prefix_hash);
     assert_eq!(other.tokens, 2460);
-    assert_eq!(Prompt::read(None, None), None);
-    assert_eq!(Prompt::read(Some("x,y:z"), Some("?")), None);
+    assert_eq!(Prompt::parse(None, None), None);
+    assert_eq!(Prompt::parse(Some("x,y:z"), Some("?")), None);
 }
 
 #[test]
-fn a_worker_that_comes_or_goes_moves_only_what_it_gets_or_had() {
+fn removed_worker_changes_the_preference_of_its_own_prefixes_only() {
     arbtest(|u| {
         let workers: Vec<u64> = (0..u.int_in_range(1..=30)?).collect();
-        let (subject, lost) = (u.arbitrary()?, u.choose_index(workers.len())? as u64);
-        let before = preferred(subject, workers.iter().copied());
-        let after = preferred(
-            subject,
+        let (prefix_hash, lost) = (u.arbitrary()?, u.choose_index(workers.len())? as u64);
+        let before = preferred_workers(prefix_hash, workers.iter().copied());
+        let after = preferred_workers(
+            prefix_hash,
             workers.iter().copied().filter(|worker| *worker != lost),
         );
         if !before.contains(&Some(lost)) {
@@ -162,12 +168,12 @@
 }
 
 #[test]
-fn subjects_spread_over_the_workers() {
+fn prefixes_spread_over_the_workers() {
     let mut counts = [0; 18];
-    for subject in 0..1800_u64 {
-        let segments = format!("{subject:x}:13300,1:5");
-        let prompt = Prompt::read(Some(&segments), None).unwrap();
-        let best = preferred(prompt.subject, 0..18)[0].unwrap();
+    for prefix_hash in 0..1800_u64 {
+        let segments = format!("{prefix_hash:x}:13300,1:5");
+        let prompt = Prompt::parse(Some(&segments), None).unwrap();
+        let best = preferred_workers(prompt.prefix_hash, 0..18)[0].unwrap();
         counts[best as usize] += 1;
     }
     assert!(
--- a/crates/mintlb-dispatcher/tests/statistics.rs
+++ b/crates/mintlb-dispatcher/tests/statistics.rs
@@ -1,18 +1,20 @@
-//! The counts of requests by route, and their log lines.
+//! Counts of requests by route, and their log lines.
 
-use mintlb_dispatcher::statistics::{PromptPlacement, RefusalReason, RequestCounters, Start};
+use mintlb_dispatcher::statistics::{
+    PromptPlacement, RefusalReason, RequestCounters, RequestStart,
+};
 
-fn start(waited: f64, latency: f64) -> Start {
-    Start {
+fn start(waited: f64, latency: f64) -> RequestStart {
+    RequestStart {
         waited,
         latency,
-        target: 0.3,
+        target_latency: 0.3,
         placement: None,
     }
 }
 
 #[test]
-fn lateness_is_counted_by_where_the_target_was_spent() {
+fn late_requests_are_counted_by_where_the_time_was_spent() {
     let counters = RequestCounters::default();
     for (waited, latency) in [(0.01, 0.2), (0.25, 0.4), (0.1, 0.4), (0.01, 0.31)] {
         counters.on_start("taps", start(waited, latency));
@@ -25,14 +27,17 @@
              worker, 1 by a pause; long prompts: 0 at their preferred worker, 0 elsewhere"
         ]
     );
-    assert!(counters.take_lines().is_empty(), "counted once");
+    assert!(
+        counters.take_lines().is_empty(),
+        "the counts were not reset"
+    );
 }
 
 #[test]
-fn a_route_without_a_target_has_no_late_requests() {
+fn route_without_a_target_has_no_late_requests() {
     let counters = RequestCounters::default();
-    let start = Start {
-        target: 0.0,
+    let start = RequestStart {
+        target_latency: 0.0,
         ..start(1.0, 9.0)
     };
     counters.on_start("files", start);
@@ -51,7 +56,7 @@
         let placement = Some(placement);
         counters.on_start(
             "contracts",
-            Start {
+            RequestStart {
                 placement,
                 ..start(0.0, 0.1)
             },
--- a/crates/mintlb-dispatcher/tests/tenant_batch.rs
+++ b/crates/mintlb-dispatcher/tests/tenant_batch.rs
@@ -1,18 +1,19 @@
-//! Keys at calls on batch jobs, and the tenants of their items.
+//! Authentication of calls on batch jobs, and the tenants of their items.
 //!
-//! UNASKED is broken when an item runs under a tenant that did not submit its job.
+//! Guards against items running as a tenant that did not submit their job.
 
-mod machine;
+mod harness;
 
 use axum::http::{HeaderMap, HeaderName, HeaderValue};
-use machine::{
-    CONFIGURATION, Client, Got, Machine, Parts, RecordedCalls, Worker, header, on_one_thread,
+use harness::{
+    CONFIGURATION, Client, Overrides, ReceivedResponse, RecordingBatchHandler, TestDispatcher,
+    Worker, header, run_single_threaded,
 };
 use mintlb_batch::client::JobAccess;
 use mintlb_common::configuration::Configuration;
 use mintlb_common::record::WorkerState;
 use mintlb_dispatcher::batch::submission::parse;
-use mintlb_dispatcher::batch_executor::{BatchCall, ItemRequest, ItemRun};
+use mintlb_dispatcher::batch_executor::{BatchCall, ItemExecution, ItemRequest};
 use std::time::Duration;
 use tokio::sync::mpsc::UnboundedReceiver;
 
@@ -24,13 +25,13 @@
 const HOST: &str = "shop.example";
 /// A host that has a public batch route beside one that needs a key.
 const PUBLIC_HOST: &str = "open.example";
-/// Calls on a job.
+/// Calls on an existing job.
 const JOB_CALLS: [(&str, &str); 3] = [
     ("GET", "/v1/lots/job-1?start_after=0"),
     ("GET", "/v1/items/job-1?instance_id=e5"),
     ("DELETE", "/v1/lots/job-1"),
 ];
-/// Headers without a key that a tenant has.
+/// Headers without a known key.
 const WITHOUT_KNOWN_KEY: [(&str, &str); 5] = [
     ("no key", ""),
     ("unknown key", UNKNOWN_KEY),
@@ -45,7 +46,7 @@
     ),
 ];
 
-/// The configuration of all route types with public ones, and this field of the tenants.
+/// A configuration with routes of all types, public ones among them, and this `tenant_list` field.
 fn configuration_of(config_version: u64, tenants: &str) -> String {
     let version = format!(r#""config_version":{config_version},{tenants}"#);
     let routes = r#""route_list":[
@@ -67,31 +68,31 @@
     configuration_of(config_version, &tenants)
 }
 
-/// A dispatcher with a batch handler of the test.
-struct Tier {
-    machine: Machine,
+/// A dispatcher with the test's batch handler.
+struct Fixture {
+    dispatcher: TestDispatcher,
     calls: UnboundedReceiver<BatchCall>,
 }
 
-impl Tier {
-    async fn start(configuration: &str) -> Tier {
-        let (handler, calls) = RecordedCalls::new();
-        let machine = Machine::start_with(Parts {
+impl Fixture {
+    async fn start(configuration: &str) -> Fixture {
+        let (handler, calls) = RecordingBatchHandler::new();
+        let dispatcher = TestDispatcher::start_with(Overrides {
             batch: Some(handler),
-            ..Parts::default()
+            ..Overrides::default()
         })
         .await;
-        machine.configure(configuration).await;
-        Tier { machine, calls }
+        dispatcher.configure(configuration).await;
+        Fixture { dispatcher, calls }
     }
 
     /// Makes a call on a connection of its own.
-    async fn call(&self, call: (&str, &str), host: &str, headers: &str) -> Got {
-        let mut client = self.machine.client().await;
+    async fn call(&self, call: (&str, &str), host: &str, headers: &str) -> ReceivedResponse {
+        let mut client = self.dispatcher.connect().await;
         call_on(&mut client, call, host, headers).await
     }
 
-    /// A call that must be refused for its key.
+    /// Makes a call that must be rejected because of its key.
     async fn expect_unauthorized(
         &mut self,
         case: &str,
@@ -99,27 +100,27 @@
         host: &str,
         headers: &str,
     ) {
-        let got = self.call(call, host, headers).await;
-        assert_eq!(got.status, 401, "{case}, {call:?}: {}", got.head);
-        let scheme = header(&got.head, "www-authenticate");
+        let response = self.call(call, host, headers).await;
+        assert_eq!(response.status, 401, "{case}, {call:?}: {}", response.head);
+        let scheme = header(&response.head, "www-authenticate");
         assert_eq!(scheme.as_deref(), Some("Bearer"), "{case}, {call:?}");
         assert!(
             self.calls.try_recv().is_err(),
-            "{case}, {call:?}: it reached the handler"
+            "{case}, {call:?}: the call reached the handler"
         );
     }
 
-    /// The access with which a call reached the handler.
-    fn handled_access(&mut self, got: &Got, case: &str) -> JobAccess {
-        assert_eq!(got.status, 200, "{case}: {}", got.head);
+    /// The access with which the last call reached the handler.
+    fn handled_access(&mut self, response: &ReceivedResponse, case: &str) -> JobAccess {
+        assert_eq!(response.status, 200, "{case}: {}", response.head);
         let call = self.calls.try_recv();
         call.unwrap_or_else(|_| panic!("{case}: no call reached the handler"))
             .access
     }
 
     async fn access(&mut self, call: (&str, &str), host: &str, headers: &str) -> JobAccess {
-        let got = self.call(call, host, headers).await;
-        self.handled_access(&got, &format!("{call:?} at {host}"))
+        let response = self.call(call, host, headers).await;
+        self.handled_access(&response, &format!("{call:?} at {host}"))
     }
 }
 
@@ -128,12 +129,12 @@
     (method, path): (&str, &str),
     host: &str,
     headers: &str,
-) -> Got {
+) -> ReceivedResponse {
     let call = format!(
         "{method} {path} HTTP/1.1\r\nHost: {host}\r\nMintlb-Request-Id: job-1\r\n{headers}Content-Length: 0\r\n\r\n"
     );
     client.write(&call).await;
-    client.get().await
+    client.read_response().await
 }
 
 fn of_tenant(name: &str) -> JobAccess {
@@ -141,67 +142,70 @@
 }
 
 #[test]
-fn a_submission_without_a_known_key_gets_401_and_reaches_no_handler() {
-    on_one_thread(async {
-        let mut tier = Tier::start(&configuration(3, &[NORTH, SOUTH])).await;
+fn submission_without_a_known_key_gets_401_and_reaches_no_handler() {
+    run_single_threaded(async {
+        let mut fixture = Fixture::start(&configuration(3, &[NORTH, SOUTH])).await;
         for (case, headers) in WITHOUT_KNOWN_KEY {
-            tier.expect_unauthorized(case, ("POST", "/b/1"), HOST, headers)
+            fixture
+                .expect_unauthorized(case, ("POST", "/b/1"), HOST, headers)
                 .await;
         }
     });
 }
 
 #[test]
-fn a_call_on_a_job_without_a_known_key_gets_401_and_reaches_no_handler() {
-    on_one_thread(async {
-        // The host has a public route, which is no batch route.
-        let mut tier = Tier::start(&configuration(3, &[NORTH, SOUTH])).await;
+fn call_on_a_job_without_a_known_key_gets_401_and_reaches_no_handler() {
+    run_single_threaded(async {
+        // The host has a public route, but that is not a batch route.
+        let mut fixture = Fixture::start(&configuration(3, &[NORTH, SOUTH])).await;
         for (case, headers) in WITHOUT_KNOWN_KEY {
             for call in JOB_CALLS {
-                tier.expect_unauthorized(case, call, HOST, headers).await;
+                fixture.expect_unauthorized(case, call, HOST, headers).await;
             }
         }
     });
 }
 
 #[test]
-fn an_empty_tenant_list_opens_no_batch_job() {
-    on_one_thread(async {
-        let mut tier = Tier::start(&configuration(3, &[])).await;
+fn empty_tenant_list_gives_no_access_to_batch_jobs() {
+    run_single_threaded(async {
+        let mut fixture = Fixture::start(&configuration(3, &[])).await;
         for call in JOB_CALLS.into_iter().chain([("POST", "/b/1")]) {
-            tier.expect_unauthorized("no key", call, HOST, "").await;
-            tier.expect_unauthorized("a key", call, HOST, NORTH_KEY)
+            fixture.expect_unauthorized("no key", call, HOST, "").await;
+            fixture
+                .expect_unauthorized("a key", call, HOST, NORTH_KEY)
                 .await;
         }
     });
 }
 
 #[test]
-fn a_call_without_a_key_at_a_host_with_a_public_batch_route_is_about_jobs_without_a_tenant() {
-    on_one_thread(async {
-        let mut tier = Tier::start(&configuration(3, &[NORTH, SOUTH])).await;
+fn call_without_a_key_at_a_host_with_a_public_batch_route_may_access_jobs_without_a_tenant() {
+    run_single_threaded(async {
+        let mut fixture = Fixture::start(&configuration(3, &[NORTH, SOUTH])).await;
         for call in JOB_CALLS.into_iter().chain([("POST", "/b/1")]) {
-            let access = tier.access(call, PUBLIC_HOST, "").await;
+            let access = fixture.access(call, PUBLIC_HOST, "").await;
             assert_eq!(access, JobAccess::OfTenant(None), "{call:?}");
         }
     });
 }
 
 #[test]
-fn a_public_batch_route_does_not_open_submissions_on_another_route_of_its_host() {
-    on_one_thread(async {
-        let mut tier = Tier::start(&configuration(3, &[NORTH, SOUTH])).await;
+fn public_batch_route_does_not_allow_submissions_on_another_route_of_its_host() {
+    run_single_threaded(async {
+        let mut fixture = Fixture::start(&configuration(3, &[NORTH, SOUTH])).await;
         for (case, headers) in WITHOUT_KNOWN_KEY {
-            tier.expect_unauthorized(case, ("POST", "/c/1"), PUBLIC_HOST, headers)
+            fixture
+                .expect_unauthorized(case, ("POST", "/c/1"), PUBLIC_HOST, headers)
                 .await;
         }
     });
 }
 
 #[test]
-fn a_call_with_a_key_is_about_jobs_of_its_tenant() {
-    on_one_thread(async {
-        let mut tier = Tier::start(&configuration(3, &[NORTH, SOUTH])).await;
+fn call_with_a_key_may_access_jobs_of_its_tenant() {
+    run_single_threaded(async {
+        let mut fixture = Fixture::start(&configuration(3, &[NORTH, SOUTH])).await;
         for host in [HOST, PUBLIC_HOST] {
             for call in JOB_CALLS.into_iter().chain([("POST", "/b/1")]) {
                 for (key, tenant) in [
@@ -210,7 +214,7 @@
                     ("south-key-1", "south"),
                 ] {
                     let headers = format!("Authorization: Bearer {key}\r\nMintlb-Tenant: east\r\n");
-                    let access = tier.access(call, host, &headers).await;
+                    let access = fixture.access(call, host, &headers).await;
                     assert_eq!(access, of_tenant(tenant), "{call:?} at {host}, {key}");
                 }
             }
@@ -219,12 +223,12 @@
 }
 
 #[test]
-fn without_a_tenant_list_calls_are_about_all_jobs_whatever_their_headers() {
-    on_one_thread(async {
-        let mut tier = Tier::start(&configuration_of(3, "")).await;
+fn without_a_tenant_list_calls_may_access_all_jobs() {
+    run_single_threaded(async {
+        let mut fixture = Fixture::start(&configuration_of(3, "")).await;
         for call in JOB_CALLS.into_iter().chain([("POST", "/b/1")]) {
             for headers in ["", NORTH_KEY, UNKNOWN_KEY, "Mintlb-Tenant: north\r\n"] {
-                let access = tier.access(call, HOST, headers).await;
+                let access = fixture.access(call, HOST, headers).await;
                 assert_eq!(access, JobAccess::Unrestricted, "{call:?}, {headers}");
             }
         }
@@ -232,46 +236,59 @@
 }
 
 #[test]
-fn a_key_that_moved_names_its_new_tenant_on_a_kept_connection() {
-    on_one_thread(async {
-        let mut tier = Tier::start(&configuration(3, &[NORTH, SOUTH])).await;
+fn key_moved_to_another_tenant_takes_effect_on_an_open_connection() {
+    run_single_threaded(async {
+        let mut fixture = Fixture::start(&configuration(3, &[NORTH, SOUTH])).await;
         let headers = "Authorization: Bearer north-key-2\r\n";
         for call in JOB_CALLS.into_iter().chain([("POST", "/b/1")]) {
-            let mut client = tier.machine.client().await;
-            let got = call_on(&mut client, call, HOST, headers).await;
-            assert_eq!(tier.handled_access(&got, "before"), of_tenant("north"));
+            let mut client = fixture.dispatcher.connect().await;
+            let response = call_on(&mut client, call, HOST, headers).await;
+            assert_eq!(
+                fixture.handled_access(&response, "before"),
+                of_tenant("north")
+            );
         }
-        let mut kept = tier.machine.client().await;
+        let mut kept = fixture.dispatcher.connect().await;
         call_on(&mut kept, JOB_CALLS[0], HOST, headers).await;
-        tier.calls.recv().await;
+        fixture.calls.recv().await;
         let north = NORTH.replace(r#","north-key-2""#, "");
         let south = SOUTH.replace(r#""south-key-1""#, r#""south-key-1","north-key-2""#);
-        tier.machine
+        fixture
+            .dispatcher
             .configure(&configuration(4, &[&north, &south]))
             .await;
         for call in JOB_CALLS.into_iter().chain([("POST", "/b/1")]) {
-            let got = call_on(&mut kept, call, HOST, headers).await;
-            let access = tier.handled_access(&got, "after");
+            let response = call_on(&mut kept, call, HOST, headers).await;
+            let access = fixture.handled_access(&response, "after");
             assert_eq!(access, of_tenant("south"), "{call:?}");
         }
     });
 }
 
 #[test]
-fn a_key_that_was_dropped_ends_on_a_kept_connection() {
-    on_one_thread(async {
-        let mut tier = Tier::start(&configuration(3, &[NORTH, SOUTH])).await;
-        let mut client = tier.machine.client().await;
-        let got = call_on(&mut client, JOB_CALLS[0], HOST, NORTH_KEY).await;
-        assert_eq!(tier.handled_access(&got, "before"), of_tenant("north"));
-        tier.machine.configure(&configuration(4, &[SOUTH])).await;
-        let got = call_on(&mut client, JOB_CALLS[2], HOST, NORTH_KEY).await;
-        assert_eq!(got.status, 401, "{}", got.head);
-        assert!(tier.calls.try_recv().is_err(), "it reached the handler");
+fn removed_key_is_rejected_on_an_open_connection() {
+    run_single_threaded(async {
+        let mut fixture = Fixture::start(&configuration(3, &[NORTH, SOUTH])).await;
+        let mut client = fixture.dispatcher.connect().await;
+        let response = call_on(&mut client, JOB_CALLS[0], HOST, NORTH_KEY).await;
+        assert_eq!(
+            fixture.handled_access(&response, "before"),
+            of_tenant("north")
+        );
+        fixture
+            .dispatcher
+            .configure(&configuration(4, &[SOUTH]))
+            .await;
+        let response = call_on(&mut client, JOB_CALLS[2], HOST, NORTH_KEY).await;
+        assert_eq!(response.status, 401, "{}", response.head);
+        assert!(
+            fixture.calls.try_recv().is_err(),
+            "the call reached the handler"
+        );
     });
 }
 
-/// An item as its job's JSON gives it, with credentials of its own, of a job of this tenant.
+/// An item of a job of this tenant, parsed from JSON whose headers contain other credentials.
 fn item(id: &'static str, host: &str, tenant: Option<&str>) -> ItemRequest {
     let configuration = Configuration::parse(configuration_of(1, "").as_bytes()).unwrap();
     let routes = &configuration.route_list;
@@ -293,15 +310,15 @@
         headers,
         tenant: tenant.map(str::to_string),
         body: item.body,
-        time: Duration::from_secs(20),
+        time_limit: Duration::from_secs(20),
         last_event_id: None,
     }
 }
 
-/// Asserts that a worker gets an item under this tenant, and none of its own credentials.
-async fn expect_item_of(machine: &Machine, worker: &mut Worker, item: ItemRequest) {
+/// Asserts that a worker gets an item with the tenant of its job, and without the credentials in the item's headers.
+async fn expect_item_of(dispatcher: &TestDispatcher, worker: &mut Worker, item: ItemRequest) {
     let tenant = item.tenant.clone();
-    let _run: ItemRun = machine.batch_executor.run(item);
+    let _run: ItemExecution = dispatcher.batch_executor.execute(item);
     let received = worker.next_request().await;
     let head = &received.head;
     let values = |name: &str| -> Vec<&str> {
@@ -313,56 +330,67 @@
     assert_eq!(values("mintlb-tenant"), expected, "{head}");
     assert!(values("authorization").is_empty(), "{head}");
     assert!(!head.contains("item-key"), "{head}");
-    assert_eq!(values("mintlb-model"), ["m"], "other headers stay:\n{head}");
+    assert_eq!(
+        values("mintlb-model"),
+        ["m"],
+        "other headers have to stay:\n{head}"
+    );
 }
 
-async fn with_worker_of(configuration: &str) -> (Machine, Worker) {
-    let machine = Machine::start().await;
-    machine.configure(configuration).await;
+async fn with_worker_of(configuration: &str) -> (TestDispatcher, Worker) {
+    let dispatcher = TestDispatcher::start().await;
+    dispatcher.configure(configuration).await;
     let worker = Worker::start("i-1", "s").await;
-    machine.set_worker(&worker, WorkerState::InService, 1).await;
-    (machine, worker)
+    dispatcher
+        .set_worker(&worker, WorkerState::InService, 1)
+        .await;
+    (dispatcher, worker)
 }
 
 #[test]
-fn an_item_runs_under_the_tenant_of_its_job_and_not_under_one_that_its_headers_name() {
-    on_one_thread(async {
-        let (machine, mut worker) = with_worker_of(&configuration(3, &[NORTH, SOUTH])).await;
-        expect_item_of(&machine, &mut worker, item("e5", HOST, Some("north"))).await;
+fn item_runs_as_the_tenant_of_its_job_not_as_one_named_in_its_headers() {
+    run_single_threaded(async {
+        let (dispatcher, mut worker) = with_worker_of(&configuration(3, &[NORTH, SOUTH])).await;
+        expect_item_of(&dispatcher, &mut worker, item("e5", HOST, Some("north"))).await;
     });
 }
 
 #[test]
-fn an_item_of_a_job_without_a_tenant_names_none_while_there_are_tenants() {
-    on_one_thread(async {
-        let (machine, mut worker) = with_worker_of(&configuration(3, &[NORTH, SOUTH])).await;
+fn item_of_a_job_without_a_tenant_names_no_tenant() {
+    run_single_threaded(async {
+        let (dispatcher, mut worker) = with_worker_of(&configuration(3, &[NORTH, SOUTH])).await;
         for host in [HOST, PUBLIC_HOST] {
-            expect_item_of(&machine, &mut worker, item("e5", host, None)).await;
+            expect_item_of(&dispatcher, &mut worker, item("e5", host, None)).await;
         }
     });
 }
 
 #[test]
-fn an_item_of_a_tenant_that_the_configuration_dropped_runs_under_its_name() {
-    on_one_thread(async {
-        let (machine, mut worker) = with_worker_of(&configuration(3, &[NORTH, SOUTH])).await;
-        machine.configure(&configuration(4, &[SOUTH])).await;
-        expect_item_of(&machine, &mut worker, item("e5", HOST, Some("north"))).await;
-        machine.configure(&configuration_of(5, "")).await;
-        expect_item_of(&machine, &mut worker, item("e6", HOST, Some("north"))).await;
+fn item_of_a_removed_tenant_still_names_it() {
+    run_single_threaded(async {
+        let (dispatcher, mut worker) = with_worker_of(&configuration(3, &[NORTH, SOUTH])).await;
+        dispatcher.configure(&configuration(4, &[SOUTH])).await;
+        expect_item_of(&dispatcher, &mut worker, item("e5", HOST, Some("north"))).await;
+        dispatcher.configure(&configuration_of(5, "")).await;
+        expect_item_of(&dispatcher, &mut worker, item("e6", HOST, Some("north"))).await;
     });
 }
 
 #[test]
-fn a_retried_item_runs_under_the_tenant_of_its_job() {
-    on_one_thread(async {
-        let (machine, mut one) = with_worker_of(&configuration(3, &[NORTH, SOUTH])).await;
-        let _run = machine.batch_executor.run(item("e5", HOST, Some("north")));
-        let received = one.next_request().await;
-        let mut two = Worker::start("i-2", "s").await;
-        machine.set_worker(&two, WorkerState::InService, 1).await;
-        received.refuse().await;
-        let received = two.next_request().await;
+fn retried_item_runs_as_the_tenant_of_its_job() {
+    run_single_threaded(async {
+        let (dispatcher, mut first_worker) =
+            with_worker_of(&configuration(3, &[NORTH, SOUTH])).await;
+        let _run = dispatcher
+            .batch_executor
+            .execute(item("e5", HOST, Some("north")));
+        let received = first_worker.next_request().await;
+        let mut second_worker = Worker::start("i-2", "s").await;
+        dispatcher
+            .set_worker(&second_worker, WorkerState::InService, 1)
+            .await;
+        received.reject_not_executed().await;
+        let received = second_worker.next_request().await;
         let named = header(&received.head, "mintlb-tenant");
         assert_eq!(named.as_deref(), Some("north"), "{}", received.head);
         assert!(!received.head.contains("item-key"), "{}", received.head);
--- a/crates/mintlb-dispatcher/tests/tenant_changes.rs
+++ b/crates/mintlb-dispatcher/tests/tenant_changes.rs
@@ -1,28 +1,28 @@
-//! Places where the configuration of tenants changes under a request.
+//! Changes of the tenants' configuration while a request is in progress.
 
-mod machine;
+mod harness;
 
-use machine::{CONFIGURATION, Machine, Parts, Worker, header, on_one_thread};
+use harness::{CONFIGURATION, Overrides, TestDispatcher, Worker, header, run_single_threaded};
 use mintlb_common::configuration::Configuration;
 use mintlb_common::record::WorkerState;
 use mintlb_core::project_types::ProjectTypes;
 use mintlb_dispatcher::admission::{Admission, AdmissionFuture, RateLimiter};
 use mintlb_dispatcher::routing::RoutingTable;
-use mintlb_dispatcher::tenants::TenantTerms;
-use mintlb_dispatcher::tuning::{ServiceNumbers, project_types};
+use mintlb_dispatcher::scheduler_settings::{ServiceIds, project_types};
+use mintlb_dispatcher::tenants::TenantSettings;
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::sync::Notify;
 
-/// Admits a request once it is released.
+/// A limiter that admits a request once the test releases it.
 #[derive(Default)]
-struct Held {
+struct HoldingLimiter {
     asked: Notify,
     released: Notify,
 }
 
-impl RateLimiter for Held {
-    fn admit<'a>(&'a self, _: &'a TenantTerms, _: Duration) -> AdmissionFuture<'a> {
+impl RateLimiter for HoldingLimiter {
+    fn admit<'a>(&'a self, _: &'a TenantSettings, _: Duration) -> AdmissionFuture<'a> {
         Box::pin(async {
             self.asked.notify_one();
             self.released.notified().await;
@@ -41,26 +41,28 @@
     CONFIGURATION.replacen(r#""config_version":3,"#, &field, 1)
 }
 
-/// UNASKED: the worker would get the key.
+/// The worker would otherwise get the client's key.
 #[test]
-fn a_key_is_not_forwarded_though_the_tenants_go_while_its_request_waits() {
-    on_one_thread(async {
-        let held = Arc::new(Held::default());
-        let parts = Parts {
-            rate_limiter: Some(held.clone()),
-            ..Parts::default()
+fn key_is_not_forwarded_if_tenants_are_removed_during_admission() {
+    run_single_threaded(async {
+        let limiter = Arc::new(HoldingLimiter::default());
+        let overrides = Overrides {
+            rate_limiter: Some(limiter.clone()),
+            ..Overrides::default()
         };
-        let machine = Machine::start_with(parts).await;
+        let dispatcher = TestDispatcher::start_with(overrides).await;
         let mut worker = Worker::start("i-1", "s").await;
         let tenants = r#"[{"name":"north","api_keys":["north-key"],"rate_per_s":9}]"#;
-        machine.configure(&with_tenants(3, tenants)).await;
-        machine.set_worker(&worker, WorkerState::InService, 1).await;
-        let mut client = machine.client().await;
+        dispatcher.configure(&with_tenants(3, tenants)).await;
+        dispatcher
+            .set_worker(&worker, WorkerState::InService, 1)
+            .await;
+        let mut client = dispatcher.connect().await;
         let key = "Authorization: Bearer north-key\r\n";
-        client.post("/p/1", "id-1", key, "x").await;
-        held.asked.notified().await;
-        machine.configure(&without_tenants(4)).await;
-        held.released.notify_one();
+        client.send_request("/p/1", "id-1", key, "x").await;
+        limiter.asked.notified().await;
+        dispatcher.configure(&without_tenants(4)).await;
+        limiter.released.notify_one();
         let received = worker.next_request().await;
         let tenant = header(&received.head, "mintlb-tenant");
         assert_eq!(tenant.as_deref(), Some("north"), "{}", received.head);
@@ -68,7 +70,7 @@
     });
 }
 
-/// Ten routes and a batch route of priority 2, and tenants of these priorities.
+/// A table of ten routes and a batch route, all of priority 2, with a tenant for each of these priorities.
 fn table(priorities: &[u32]) -> (RoutingTable, ProjectTypes) {
     let route = |name: String, kind: &str| {
         format!(
@@ -90,7 +92,7 @@
         routes.join(",")
     );
     let configuration = Configuration::parse(json.as_bytes()).unwrap();
-    let types = project_types(&configuration, &mut ServiceNumbers::default());
+    let types = project_types(&configuration, &mut ServiceIds::default());
     let types = ProjectTypes::new(types);
     let table = RoutingTable::new(Arc::new(configuration), types.active());
     (table, types)
@@ -102,17 +104,17 @@
 }
 
 #[test]
-fn a_retry_keeps_its_route_when_its_priority_is_gone() {
+fn retry_keeps_its_route_if_its_priority_was_removed() {
     let (table, types) = table(&[0, 1]);
     for route in (0..10).map(|number| format!("r{number}")) {
-        let number = table.type_of(&route, "s", 5).unwrap();
+        let number = table.project_type(&route, "s", 5).unwrap();
         let found = name(&types, number);
         assert!(found.starts_with(&format!("{route}@")), "{found}");
     }
 }
 
 #[test]
-fn an_item_without_a_tenant_has_the_priority_of_its_route() {
+fn item_without_a_tenant_has_the_priority_of_its_route() {
     let (table, types) = table(&[0, 1]);
     let host = "lots.example";
     let target = table.target(host, "/x", None, 0.0, |_| true).unwrap();
@@ -121,7 +123,7 @@
 }
 
 #[test]
-fn a_request_of_a_priority_that_is_gone_has_that_of_its_route() {
+fn request_with_a_removed_priority_has_that_of_its_route() {
     let (table, types) = table(&[0, 1]);
     let host = "r3.example";
     let target = table.target(host, "/x", Some(7), 0.0, |_| true).unwrap();
--- a/crates/mintlb-dispatcher/tests/tenant_credentials.rs
+++ b/crates/mintlb-dispatcher/tests/tenant_credentials.rs
@@ -1,12 +1,11 @@
-//! Keys of tenants at a dispatcher: what a worker may see of them. A worker gets the name of the key's tenant in
-//! `Mintlb-Tenant`, and never the key.
+//! What workers see of clients' credentials: the name of the key's tenant in `Mintlb-Tenant`, and never the key.
 
-mod machine;
+mod harness;
 
-use machine::{Machine, Worker, event, header, on_one_thread};
+use harness::{TestDispatcher, Worker, event, header, run_single_threaded};
 use mintlb_common::record::WorkerState;
 
-/// Two tenants, the first of which holds two keys; `open` is a public route.
+/// Two tenants, of which the first has two keys; `open` is a public route.
 const WITH_TENANTS: &str = r#"{"config_version":3,"route_list":[
  {"name":"plain","host_name":"shop.example","path_prefix":"/p/","route_type":"idempotent","timeout_ms":5000,
   "target_latency_ms":3000,"priority":0,"target_service":"s","max_attempts":2},
@@ -27,20 +26,22 @@
  ],"service_list":[{"name":"s","max_connections":100}],
  "limits":{"max_header_bytes":16384,"max_body_bytes":4096,"header_timeout_ms":3000,"idle_timeout_ms":15000}}"#;
 
-async fn with_worker_of(configuration: &str) -> (Machine, Worker) {
-    let machine = Machine::start().await;
-    machine.configure(configuration).await;
-    let worker = another_worker(&machine, "i-1").await;
-    (machine, worker)
+async fn with_worker_of(configuration: &str) -> (TestDispatcher, Worker) {
+    let dispatcher = TestDispatcher::start().await;
+    dispatcher.configure(configuration).await;
+    let worker = another_worker(&dispatcher, "i-1").await;
+    (dispatcher, worker)
 }
 
-async fn another_worker(machine: &Machine, instance_id: &str) -> Worker {
+async fn another_worker(dispatcher: &TestDispatcher, instance_id: &str) -> Worker {
     let worker = Worker::start(instance_id, "s").await;
-    machine.set_worker(&worker, WorkerState::InService, 1).await;
+    dispatcher
+        .set_worker(&worker, WorkerState::InService, 1)
+        .await;
     worker
 }
 
-/// Every value of a header, in the order of the head.
+/// All values of a header, in the order of the head.
 fn header_values(head: &str, name: &str) -> Vec<String> {
     head.lines()
         .filter_map(|line| line.split_once(':'))
@@ -49,7 +50,7 @@
         .collect()
 }
 
-/// Asserts that a request at a worker names this tenant, once, and carries this key nowhere in its head.
+/// Asserts that the head of a request at a worker names this tenant once and does not contain this key.
 fn assert_names_tenant_without_key(head: &str, tenant: &str, key: &str) {
     assert!(
         !head.contains(key),
@@ -58,38 +59,38 @@
     assert_eq!(
         header_values(head, "authorization"),
         Vec::<String>::new(),
-        "a worker gets no Authorization:\n{head}"
+        "Authorization reached the worker:\n{head}"
     );
     assert_eq!(
         header_values(head, "mintlb-tenant"),
         [tenant],
-        "a worker gets the name of the key's tenant, once:\n{head}"
+        "the head does not name the key's tenant exactly once:\n{head}"
     );
 }
 
 #[test]
-fn the_key_is_not_forwarded_and_the_tenant_is_named() {
-    on_one_thread(async {
-        let (machine, mut worker) = with_worker_of(WITH_TENANTS).await;
-        let mut client = machine.client().await;
+fn key_is_not_forwarded_and_the_tenant_is_named() {
+    run_single_threaded(async {
+        let (dispatcher, mut worker) = with_worker_of(WITH_TENANTS).await;
+        let mut client = dispatcher.connect().await;
         client
-            .post("/p/1", "a", "Authorization: Bearer first-key\r\n", "")
+            .send_request("/p/1", "a", "Authorization: Bearer first-key\r\n", "")
             .await;
         let received = worker.next_request().await;
         assert_names_tenant_without_key(&received.head, "first-tenant", "first-key");
-        received.answer("ran").await;
-        assert_eq!(client.get().await.text(), "ran");
+        received.respond("ran").await;
+        assert_eq!(client.read_response().await.text(), "ran");
     });
 }
 
 #[test]
-fn a_tenant_named_by_the_client_is_replaced() {
-    on_one_thread(async {
-        let (machine, mut worker) = with_worker_of(WITH_TENANTS).await;
-        let mut client = machine.client().await;
+fn tenant_named_by_the_client_is_replaced() {
+    run_single_threaded(async {
+        let (dispatcher, mut worker) = with_worker_of(WITH_TENANTS).await;
+        let mut client = dispatcher.connect().await;
         let headers = "Mintlb-Tenant: second-tenant\r\nAuthorization: Bearer first-key\r\n\
                        mintlb-tenant: second-tenant\r\n";
-        client.post("/p/1", "a", headers, "").await;
+        client.send_request("/p/1", "a", headers, "").await;
         let received = worker.next_request().await;
         assert_eq!(
             header_values(&received.head, "mintlb-tenant"),
@@ -101,22 +102,22 @@
 }
 
 #[test]
-fn a_client_cannot_remove_the_tenant_as_a_connection_header() {
-    on_one_thread(async {
-        let (machine, mut worker) = with_worker_of(WITH_TENANTS).await;
-        let mut client = machine.client().await;
+fn client_cannot_remove_the_tenant_as_a_connection_header() {
+    run_single_threaded(async {
+        let (dispatcher, mut worker) = with_worker_of(WITH_TENANTS).await;
+        let mut client = dispatcher.connect().await;
         let headers = "Authorization: Bearer first-key\r\nConnection: mintlb-tenant\r\n";
-        client.post("/p/1", "a", headers, "").await;
+        client.send_request("/p/1", "a", headers, "").await;
         let received = worker.next_request().await;
         assert_names_tenant_without_key(&received.head, "first-tenant", "first-key");
     });
 }
 
 #[test]
-fn each_request_of_a_connection_names_the_tenant_of_its_own_key() {
-    on_one_thread(async {
-        let (machine, mut worker) = with_worker_of(WITH_TENANTS).await;
-        let mut client = machine.client().await;
+fn each_request_on_a_connection_names_the_tenant_of_its_own_key() {
+    run_single_threaded(async {
+        let (dispatcher, mut worker) = with_worker_of(WITH_TENANTS).await;
+        let mut client = dispatcher.connect().await;
         let (mut expected, mut named) = (Vec::new(), Vec::new());
         for (id, key, tenant) in [
             ("a", "first-key", "first-tenant"),
@@ -124,12 +125,12 @@
             ("c", "first-spare-key", "first-tenant"),
         ] {
             let headers = format!("Authorization: Bearer {key}\r\n");
-            client.post("/p/1", id, &headers, "").await;
+            client.send_request("/p/1", id, &headers, "").await;
             let received = worker.next_request().await;
             expected.push(vec![tenant.to_string()]);
             named.push(header_values(&received.head, "mintlb-tenant"));
-            received.answer("ran").await;
-            client.get().await;
+            received.respond("ran").await;
+            client.read_response().await;
         }
         assert_eq!(
             named, expected,
@@ -139,57 +140,57 @@
 }
 
 #[test]
-fn a_retry_at_a_second_worker_names_the_tenant_without_the_key() {
-    on_one_thread(async {
-        let (machine, mut one) = with_worker_of(WITH_TENANTS).await;
-        let mut client = machine.client().await;
+fn retry_at_a_second_worker_names_the_tenant_without_the_key() {
+    run_single_threaded(async {
+        let (dispatcher, mut first_worker) = with_worker_of(WITH_TENANTS).await;
+        let mut client = dispatcher.connect().await;
         let headers = "Authorization: Bearer first-key\r\nMintlb-Tenant: second-tenant\r\n";
-        client.post("/p/1", "a", headers, "").await;
-        let received = one.next_request().await;
-        let mut two = another_worker(&machine, "i-2").await;
+        client.send_request("/p/1", "a", headers, "").await;
+        let received = first_worker.next_request().await;
+        let mut second_worker = another_worker(&dispatcher, "i-2").await;
         drop(received);
-        let received = two.next_request().await;
+        let received = second_worker.next_request().await;
         assert_eq!(received.id(), "a");
         assert_names_tenant_without_key(&received.head, "first-tenant", "first-key");
-        received.answer("from two").await;
-        assert_eq!(client.get().await.text(), "from two");
+        received.respond("from two").await;
+        assert_eq!(client.read_response().await.text(), "from two");
     });
 }
 
 #[test]
-fn a_stream_continued_at_another_worker_names_the_tenant_without_the_key() {
-    on_one_thread(async {
-        let (machine, mut one) = with_worker_of(WITH_TENANTS).await;
-        let mut client = machine.client().await;
+fn stream_resumed_at_another_worker_names_the_tenant_without_the_key() {
+    run_single_threaded(async {
+        let (dispatcher, mut first_worker) = with_worker_of(WITH_TENANTS).await;
+        let mut client = dispatcher.connect().await;
         let headers = "Authorization: Bearer first-key\r\nMintlb-Tenant: second-tenant\r\n";
-        client.post("/r/1", "a", headers, "prompt").await;
-        let mut received = one.next_request().await;
-        let mut two = another_worker(&machine, "i-2").await;
-        received.begin_stream().await;
-        received.event(1).await;
-        client.head().await;
-        client.chunks(event(1).len()).await;
-        received.on.reset();
-        let mut received = two.next_request().await;
+        client.send_request("/r/1", "a", headers, "prompt").await;
+        let mut received = first_worker.next_request().await;
+        let mut second_worker = another_worker(&dispatcher, "i-2").await;
+        received.start_stream().await;
+        received.send_event(1).await;
+        client.read_head().await;
+        client.read_body_prefix(event(1).len()).await;
+        received.connection.reset();
+        let mut received = second_worker.next_request().await;
         assert_eq!(
             header(&received.head, "last-event-id").as_deref(),
             Some("1")
         );
         assert_names_tenant_without_key(&received.head, "first-tenant", "first-key");
-        received.begin_stream().await;
-        received.event(2).await;
+        received.start_stream().await;
+        received.send_event(2).await;
         received.end_stream().await;
-        assert_eq!(client.rest().await, (event(1) + &event(2), true));
+        assert_eq!(client.read_rest().await, (event(1) + &event(2), true));
     });
 }
 
 #[test]
-fn a_stream_that_its_client_resumes_names_the_tenant_without_the_key() {
-    on_one_thread(async {
-        let (machine, mut worker) = with_worker_of(WITH_TENANTS).await;
-        let mut client = machine.client().await;
+fn stream_resumed_by_its_client_names_the_tenant_without_the_key() {
+    run_single_threaded(async {
+        let (dispatcher, mut worker) = with_worker_of(WITH_TENANTS).await;
+        let mut client = dispatcher.connect().await;
         let headers = "Authorization: Bearer first-key\r\nLast-Event-Id: 4\r\n";
-        client.post("/r/1", "a", headers, "prompt").await;
+        client.send_request("/r/1", "a", headers, "prompt").await;
         let received = worker.next_request().await;
         assert_eq!(
             header(&received.head, "last-event-id").as_deref(),
@@ -200,12 +201,12 @@
 }
 
 #[test]
-fn a_key_on_a_public_route_is_not_forwarded() {
-    on_one_thread(async {
-        let (machine, mut worker) = with_worker_of(WITH_TENANTS).await;
-        let mut client = machine.client().await;
+fn key_on_a_public_route_is_not_forwarded() {
+    run_single_threaded(async {
+        let (dispatcher, mut worker) = with_worker_of(WITH_TENANTS).await;
+        let mut client = dispatcher.connect().await;
         client
-            .post("/open/1", "a", "Authorization: Bearer first-key\r\n", "")
+            .send_request("/open/1", "a", "Authorization: Bearer first-key\r\n", "")
             .await;
         let received = worker.next_request().await;
         assert!(
@@ -213,18 +214,18 @@
             "the client's key reached the worker:\n{}",
             received.head
         );
-        received.answer("ran").await;
-        assert_eq!(client.get().await.text(), "ran");
+        received.respond("ran").await;
+        assert_eq!(client.read_response().await.text(), "ran");
     });
 }
 
 #[test]
-fn a_tenant_named_by_the_client_on_a_public_route_is_removed() {
-    on_one_thread(async {
-        let (machine, mut worker) = with_worker_of(WITH_TENANTS).await;
-        let mut client = machine.client().await;
+fn tenant_named_by_the_client_on_a_public_route_is_removed() {
+    run_single_threaded(async {
+        let (dispatcher, mut worker) = with_worker_of(WITH_TENANTS).await;
+        let mut client = dispatcher.connect().await;
         client
-            .post("/open/1", "a", "Mintlb-Tenant: second-tenant\r\n", "")
+            .send_request("/open/1", "a", "Mintlb-Tenant: second-tenant\r\n", "")
             .await;
         let received = worker.next_request().await;
         assert_eq!(
@@ -233,34 +234,34 @@
             "without a key there is no tenant to name:\n{}",
             received.head
         );
-        received.answer("ran").await;
-        assert_eq!(client.get().await.text(), "ran");
+        received.respond("ran").await;
+        assert_eq!(client.read_response().await.text(), "ran");
     });
 }
 
 #[test]
-fn a_request_without_a_key_on_a_public_route_is_run() {
-    on_one_thread(async {
-        let (machine, mut worker) = with_worker_of(WITH_TENANTS).await;
-        let mut client = machine.client().await;
-        client.post("/open/1", "a", "", "").await;
+fn request_without_a_key_on_a_public_route_is_run() {
+    run_single_threaded(async {
+        let (dispatcher, mut worker) = with_worker_of(WITH_TENANTS).await;
+        let mut client = dispatcher.connect().await;
+        client.send_request("/open/1", "a", "", "").await;
         let received = worker.next_request().await;
         assert_eq!(
             header_values(&received.head, "mintlb-tenant"),
             Vec::<String>::new()
         );
-        received.answer("ran").await;
-        assert_eq!(client.get().await.text(), "ran");
+        received.respond("ran").await;
+        assert_eq!(client.read_response().await.text(), "ran");
     });
 }
 
 #[test]
-fn a_configuration_without_tenants_forwards_headers_unchanged() {
-    on_one_thread(async {
-        let (machine, mut worker) = with_worker_of(WITHOUT_TENANTS).await;
-        let mut client = machine.client().await;
+fn configuration_without_tenants_forwards_headers_unchanged() {
+    run_single_threaded(async {
+        let (dispatcher, mut worker) = with_worker_of(WITHOUT_TENANTS).await;
+        let mut client = dispatcher.connect().await;
         let headers = "Authorization: Bearer first-key\r\nMintlb-Tenant: second-tenant\r\n";
-        client.post("/p/1", "a", headers, "").await;
+        client.send_request("/p/1", "a", headers, "").await;
         let received = worker.next_request().await;
         assert_eq!(
             header_values(&received.head, "authorization"),
@@ -270,7 +271,7 @@
             header_values(&received.head, "mintlb-tenant"),
             ["second-tenant"]
         );
-        received.answer("ran").await;
-        assert_eq!(client.get().await.text(), "ran");
+        received.respond("ran").await;
+        assert_eq!(client.read_response().await.text(), "ran");
     });
 }
--- a/crates/mintlb-dispatcher/tests/tenant_priority.rs
+++ b/crates/mintlb-dispatcher/tests/tenant_priority.rs
@@ -1,16 +1,16 @@
-//! Priorities of tenants: the project types that their requests get, by which the scheduler weighs them.
+//! Priorities of tenants: the project types of their requests, which determine the weight at the scheduler.
 
 use arbtest::arbtest;
 use mintlb_common::configuration::Configuration;
 use mintlb_core::project_types::NamedProjectType;
-use mintlb_dispatcher::routing::{RoutingTable, Target};
-use mintlb_dispatcher::tuning::{ServiceNumbers, project_types};
+use mintlb_dispatcher::routing::{RouteTarget, RoutingTable};
+use mintlb_dispatcher::scheduler_settings::{ServiceIds, project_types};
 use std::collections::HashSet;
 use std::sync::Arc;
 
-/// Ratio of the weights of two adjacent ranks.
-const RANK_WEIGHT: f64 = 4.0;
-/// The weight of batch items, relative to a request of the same rank.
+/// Ratio of the weights of two adjacent priorities.
+const PRIORITY_WEIGHT_RATIO: f64 = 4.0;
+/// Weight of a batch item, relative to a live request of the same priority.
 const BATCH_WEIGHT: f64 = 1.0 / 16.0;
 
 const ROUTES: &str = r#""route_list":[
@@ -25,19 +25,20 @@
  {"name":"free","host_name":"one.example","path_prefix":"/free/","route_type":"streaming","resumable":true,
   "timeout_ms":2000,"target_latency_ms":100,"priority":3,"target_service":"s","max_attempts":2,"public_access":true}
  ],"service_list":[{"name":"s"}]"#;
-/// Two of the highest priority, two of another, one without.
+/// Two tenants of the highest priority, two of another, one without.
 const TENANTS: &str = r#""tenant_list":[{"name":"high","api_keys":["k1"],"priority":0},
  {"name":"high-too","api_keys":["k2"],"priority":0},{"name":"low","api_keys":["k3"],"priority":5},
  {"name":"low-too","api_keys":["k4"],"priority":5},{"name":"none","api_keys":["k5"]}],"#;
 
-struct Built {
+/// A routing table and its project types.
+struct TableWithTypes {
     table: RoutingTable,
     types: Vec<NamedProjectType>,
 }
 
-fn build(json: &str) -> Built {
+fn build(json: &str) -> TableWithTypes {
     let configuration = Arc::new(Configuration::parse(json.as_bytes()).unwrap());
-    let types = project_types(&configuration, &mut ServiceNumbers::default());
+    let types = project_types(&configuration, &mut ServiceIds::default());
     let named = types.into_iter().enumerate();
     let types: Vec<NamedProjectType> = named
         .map(|(number, (name, project_type))| NamedProjectType {
@@ -47,21 +48,21 @@
         })
         .collect();
     let table = RoutingTable::new(configuration, &types);
-    Built { table, types }
+    TableWithTypes { table, types }
 }
 
-fn with_tenants() -> Built {
+fn with_tenants() -> TableWithTypes {
     build(&format!(r#"{{"config_version":1,{TENANTS}{ROUTES}}}"#))
 }
 
-impl Built {
-    fn target(&self, path: &str, priority: Option<u32>) -> Target {
+impl TableWithTypes {
+    fn target(&self, path: &str, priority: Option<u32>) -> RouteTarget {
         self.table
             .target("one.example", path, priority, 0.0, |_| true)
             .unwrap()
     }
 
-    fn type_of(&self, target: &Target) -> &NamedProjectType {
+    fn project_type(&self, target: &RouteTarget) -> &NamedProjectType {
         let number = target.project_type;
         let mut types = self.types.iter();
         types.find(|named| named.number == number).unwrap()
@@ -69,19 +70,19 @@
 
     /// The weight of a request of a tenant with this priority.
     fn weight(&self, path: &str, priority: Option<u32>) -> f64 {
-        self.type_of(&self.target(path, priority))
+        self.project_type(&self.target(path, priority))
             .project_type
             .credit
     }
 }
 
-/// How much more a request of one rank weighs than one of another.
-fn ratio(rank: i32, other: i32) -> f64 {
-    RANK_WEIGHT.powi(other - rank)
+/// Weight of a request with the first priority, relative to one with the other.
+fn ratio(priority: i32, other: i32) -> f64 {
+    PRIORITY_WEIGHT_RATIO.powi(other - priority)
 }
 
 #[test]
-fn a_tenants_priority_takes_the_place_of_its_routes() {
+fn tenants_priority_replaces_its_routes() {
     let built = with_tenants();
     for priority in [0, 5] {
         let weights = ["/a/1", "/b/1"].map(|path| built.weight(path, Some(priority)));
@@ -96,14 +97,14 @@
 }
 
 #[test]
-fn a_tenant_without_a_priority_has_its_routes() {
+fn tenant_without_a_priority_has_its_routes() {
     let built = with_tenants();
     let (a, b) = (built.weight("/a/1", None), built.weight("/b/1", None));
     assert_eq!(b / a, ratio(0, 2));
     assert_eq!(
         built.weight("/b/1", Some(0)),
         b,
-        "the route's own rank is 0"
+        "the route's own priority is 0"
     );
     assert_eq!(built.weight("/a/1", Some(0)) / a, ratio(0, 2));
     assert_eq!(a / built.weight("/a/1", Some(5)), ratio(2, 5));
@@ -112,12 +113,12 @@
 }
 
 #[test]
-fn a_tenants_priority_changes_nothing_but_the_weight() {
+fn tenants_priority_only_changes_the_weight() {
     let built = with_tenants();
     for path in ["/a/1", "/b/1", "/lots/1"] {
         let types = [None, Some(0), Some(5)].map(|priority| {
             let target = built.target(path, priority);
-            let mut project_type = built.type_of(&target).project_type.clone();
+            let mut project_type = built.project_type(&target).project_type.clone();
             project_type.credit = 0.0;
             format!("{project_type:?}")
         });
@@ -127,7 +128,7 @@
 }
 
 #[test]
-fn a_public_route_has_its_own_priority_only() {
+fn public_route_has_only_its_own_priority() {
     let built = with_tenants();
     let numbers = [None, Some(0), Some(3), Some(5)]
         .map(|priority| built.target("/open/1", priority).project_type);
@@ -143,24 +144,24 @@
 }
 
 #[test]
-fn a_stream_that_goes_on_has_the_project_type_that_it_began_with() {
+fn resumed_stream_keeps_its_project_type() {
     let built = with_tenants();
     for (route, path) in [("a", "/a/1"), ("b", "/b/1"), ("lots", "/lots/1")] {
         for priority in [None, Some(0), Some(5)] {
             let target = built.target(path, priority);
-            let again = built.table.type_of(route, "s", target.priority);
+            let again = built.table.project_type(route, "s", target.priority);
             assert_eq!(again, Some(target.project_type), "{route}, {priority:?}");
         }
     }
 }
 
 #[test]
-fn a_public_stream_of_a_tenant_with_a_priority_goes_on_with_the_project_type_of_its_route() {
+fn resumed_public_stream_of_a_tenant_with_a_priority_has_its_routes_project_type() {
     let built = with_tenants();
     for (route, path) in [("open", "/open/1"), ("free", "/free/1")] {
         for priority in [None, Some(0), Some(5)] {
             let target = built.target(path, priority);
-            let again = built.table.type_of(route, "s", target.priority);
+            let again = built.table.project_type(route, "s", target.priority);
             let name = |number: usize| built.types[number].name.as_str();
             assert_eq!(
                 again.map(name),
@@ -172,15 +173,15 @@
 }
 
 #[test]
-fn an_item_whose_tenant_was_dropped_has_its_routes_priority_not_the_highest() {
-    // No tenant is left that has the route's own priority, 2.
+fn item_of_a_removed_tenant_has_its_routes_priority() {
+    // No tenant has the route's own priority, 2.
     let tenants = r#""tenant_list":[{"name":"high","api_keys":["k1"],"priority":0},
  {"name":"low","api_keys":["k3"],"priority":5}],"#;
     let built = build(&format!(r#"{{"config_version":1,{tenants}{ROUTES}}}"#));
     let (own, highest) = (built.weight("/a/1", None), built.weight("/a/1", Some(0)));
     assert!(
         own <= highest * ratio(2, 0),
-        "without a tenant it weighs {own}, and a request of the highest priority {highest}"
+        "its weight without a tenant is {own}, and that of the highest priority {highest}"
     );
 }
 
@@ -194,7 +195,8 @@
 #[test]
 fn tenants_of_one_priority_share_a_project_type() {
     let built = with_tenants();
-    // Those of the route and of two tenants; `b` has that of `high` itself, `open` its own only.
+    // The priorities of the route and of two tenants; that of `b` is the same as that of `high`, and `open` has only its
+    // own.
     let count = |route: &str| {
         let names = built.types.iter().map(|named| named.name.as_str());
         names.filter(|name| name.starts_with(route)).count()
@@ -206,7 +208,7 @@
 }
 
 #[test]
-fn there_are_no_more_project_types_than_routes_times_distinct_priorities() {
+fn number_of_project_types_is_at_most_routes_times_distinct_priorities() {
     arbtest(|u| {
         let route_count = u.int_in_range(1..=5)?;
         let (mut routes, mut tenants, mut priorities) = (Vec::new(), Vec::new(), HashSet::new());
@@ -225,7 +227,9 @@
                 false => Some(u.int_in_range(0..=9)?),
             };
             priorities.extend(priority);
-            let field = priority.map_or(String::new(), |rank| format!(r#","priority":{rank}"#));
+            let field = priority.map_or(String::new(), |priority| {
+                format!(r#","priority":{priority}"#)
+            });
             tenants.push(format!(
                 r#"{{"name":"t{index}","api_keys":["k{index}"]{field}}}"#
             ));
@@ -236,7 +240,11 @@
             routes.join(",")
         ));
         let names: HashSet<&str> = built.types.iter().map(|named| &*named.name).collect();
-        assert_eq!(names.len(), built.types.len(), "a name is there twice");
+        assert_eq!(
+            names.len(),
+            built.types.len(),
+            "a project type exists twice"
+        );
         assert!(built.types.len() >= route_count);
         assert!(
             built.types.len() <= route_count * priorities.len(),
