--- a/crates/mintlb-beanstalkd/src/front.rs
+++ b/crates/mintlb-beanstalkd/src/front.rs
@@ -10,8 +10,8 @@
 use mintlb_core::reducer::Event;
 use mintlb_core::subsystem::Subsystem;
 use mintlb_core::work::{
-    AllocationId, AllocationRequest, AllocationResult, Answer, CancelHandle, Endpoint, Payload,
-    Responder, Submission,
+    Answer, AttemptId, AttemptRequest, AttemptResult, CancelHandle, Endpoint, Payload, Responder,
+    Submission,
 };
 use mintlb_scheduler::{Idempotency, Outcome, ProjectType, ProjectTypeSet};
 use parking_lot::Mutex;
@@ -500,8 +500,8 @@
 }
 
 impl Endpoint for GroupReach {
-    fn send(&self, order: AllocationRequest) -> Box<dyn CancelHandle> {
-        let alloc = order.allocation_id;
+    fn send(&self, order: AttemptRequest) -> Box<dyn CancelHandle> {
+        let attempt = order.attempt_id;
         // What the attempt costs is paid now, as a waiting reserve is answered at once. Unpaid, it never ran.
         if order
             .reservation
@@ -510,8 +510,8 @@
         {
             self.front
                 .tell
-                .send(Event::Finished(AllocationResult::from_outcome(
-                    alloc,
+                .send(Event::Finished(AttemptResult::from_outcome(
+                    attempt,
                     Outcome::Moot,
                 )))
                 .ok();
@@ -521,7 +521,7 @@
             .with(|hub, _| hub.order(self.machine, self.runs, self.generation, order));
         Box::new(AttemptRecall {
             front: self.front.clone(),
-            alloc,
+            attempt,
         })
     }
 
@@ -532,11 +532,11 @@
 /// Recalls an attempt that was sent.
 struct AttemptRecall {
     front: Arc<Front>,
-    alloc: AllocationId,
+    attempt: AttemptId,
 }
 
 impl CancelHandle for AttemptRecall {
     fn cancel(self: Box<Self>) {
-        self.front.with(|hub, now| hub.recall(now, self.alloc));
+        self.front.with(|hub, now| hub.recall(now, self.attempt));
     }
 }
--- a/crates/mintlb-beanstalkd/src/hub/attempts.rs
+++ b/crates/mintlb-beanstalkd/src/hub/attempts.rs
@@ -5,7 +5,7 @@
 use crate::job::State;
 use crate::session::{Leased, PendingDelivery};
 use mintlb_core::reducer::Event;
-use mintlb_core::work::{AllocationId, AllocationRequest, AllocationResult};
+use mintlb_core::work::{AttemptId, AttemptRequest, AttemptResult};
 use mintlb_scheduler::{Outcome, ProjectTypeSet};
 use std::net::IpAddr;
 
@@ -25,17 +25,17 @@
         machine: IpAddr,
         runs: ProjectTypeSet,
         generation: u64,
-        order: AllocationRequest,
+        order: AttemptRequest,
     ) {
         let waiting = self.take_waiting(machine, runs, generation);
         let session = waiting.and_then(|id| Some((id, self.sessions.get_mut(&id)?)));
         let Some((id, session)) = session else {
-            return self.tell(Event::Finished(AllocationResult::from_outcome(
-                order.allocation_id,
+            return self.tell(Event::Finished(AttemptResult::from_outcome(
+                order.attempt_id,
                 Outcome::Full,
             )));
         };
-        let (attempt, attempt_until) = (order.allocation_id, order.deadline);
+        let (attempt, attempt_until) = (order.attempt_id, order.deadline);
         let wait = session.wait.take();
         let reserve_until = wait.and_then(|wait| wait.until);
         session.pending = Some(PendingDelivery {
@@ -80,7 +80,7 @@
     }
 
     /// Recalls an attempt: the core asks for no outcome of it any more.
-    pub fn recall(&mut self, now: f64, attempt: AllocationId) {
+    pub fn recall(&mut self, now: f64, attempt: AttemptId) {
         let Some(Attempt::AtSession(id)) = self.attempts.remove(&attempt) else {
             return;
         };
@@ -104,15 +104,15 @@
     }
 
     /// Tells the core the outcome of an attempt.
-    pub(super) fn return_attempt(&mut self, attempt: AllocationId, outcome: Outcome) {
+    pub(super) fn return_attempt(&mut self, attempt: AttemptId, outcome: Outcome) {
         self.attempts.remove(&attempt);
-        self.tell(Event::Finished(AllocationResult::from_outcome(
+        self.tell(Event::Finished(AttemptResult::from_outcome(
             attempt, outcome,
         )));
     }
 
     /// The delay of a release is over, or a kick has ended it: the attempt goes back to the core.
-    pub(super) fn release_delay_over(&mut self, attempt: AllocationId) {
+    pub(super) fn release_delay_over(&mut self, attempt: AttemptId) {
         let Some(Attempt::ReleaseDelayed(outcome)) = self.attempts.get(&attempt) else {
             return;
         };
@@ -129,7 +129,7 @@
 
     /// The time of an attempt is over; if it is still pending it goes back, and the session's reserve waits
     /// on.
-    pub(super) fn delivery_timed_out(&mut self, now: f64, id: u64, attempt: AllocationId) {
+    pub(super) fn delivery_timed_out(&mut self, now: f64, id: u64, attempt: AttemptId) {
         let session = self.sessions.get_mut(&id);
         let Some(pending) = session.and_then(|session| session.take_pending(attempt)) else {
             return;
--- a/crates/mintlb-beanstalkd/src/hub/kick.rs
+++ b/crates/mintlb-beanstalkd/src/hub/kick.rs
@@ -4,7 +4,7 @@
 use super::attempts::Attempt;
 use super::reply::{NOT_FOUND, Reply, line};
 use crate::job::{Job, State, TubeJobs};
-use mintlb_core::work::AllocationId;
+use mintlb_core::work::AttemptId;
 
 /// The most jobs that one `kick` looks at.
 const MAX_KICKED: usize = 10_000;
@@ -62,8 +62,8 @@
     }
 
     /// A job's attempt that was released with a delay.
-    fn delayed_attempt(&self, job: u64) -> Option<AllocationId> {
-        let is_delayed = |(attempt, place): &(&AllocationId, &Attempt)| {
+    fn delayed_attempt(&self, job: u64) -> Option<AttemptId> {
+        let is_delayed = |(attempt, place): &(&AttemptId, &Attempt)| {
             attempt.0 == job && matches!(place, Attempt::ReleaseDelayed(_))
         };
         self.attempts
--- a/crates/mintlb-beanstalkd/src/hub/leases.rs
+++ b/crates/mintlb-beanstalkd/src/hub/leases.rs
@@ -8,7 +8,7 @@
 use crate::job::{Job, State};
 use crate::session::{InFlight, Lease, Leased};
 use bytes::Bytes;
-use mintlb_core::work::AllocationRequest;
+use mintlb_core::work::AttemptRequest;
 use mintlb_scheduler::Outcome;
 
 /// The protocol's least urgent priority.
@@ -26,11 +26,11 @@
 
 impl Hub {
     /// Gives a session an attempt as a lease.
-    pub(super) fn lease_attempt(&mut self, now: f64, session: u64, order: AllocationRequest) {
-        let job = order.allocation_id.0;
+    pub(super) fn lease_attempt(&mut self, now: f64, session: u64, order: AttemptRequest) {
+        let job = order.attempt_id.0;
         if self.jobs.get(job).is_none() {
             let Some(record) = self.foreign_job(now, &order) else {
-                return self.return_attempt(order.allocation_id, Outcome::Full);
+                return self.return_attempt(order.attempt_id, Outcome::Full);
             };
             self.jobs.add(job, record);
         }
@@ -50,7 +50,7 @@
             order.deadline.min(ttr_over)
         };
         let (leased, latest, body) = (
-            Leased::Attempt(order.allocation_id),
+            Leased::Attempt(order.attempt_id),
             order.deadline,
             order.payload.body,
         );
@@ -67,7 +67,7 @@
     }
 
     /// A record of a job whose request came through another protocol.
-    fn foreign_job(&self, now: f64, order: &AllocationRequest) -> Option<Job> {
+    fn foreign_job(&self, now: f64, order: &AttemptRequest) -> Option<Job> {
         let route = self
             .plan
             .routes
--- a/crates/mintlb-beanstalkd/src/hub/mod.rs
+++ b/crates/mintlb-beanstalkd/src/hub/mod.rs
@@ -43,7 +43,7 @@
 use bytes::Bytes;
 use mintlb_core::capacity::{Capacity, CapacityPermit};
 use mintlb_core::reducer::Event;
-use mintlb_core::work::{AllocationId, WorkUnitIds};
+use mintlb_core::work::{AttemptId, WorkUnitIds};
 use rustc_hash::FxHashMap;
 use std::collections::{BTreeSet, HashMap};
 use std::sync::Arc;
@@ -87,7 +87,7 @@
     jobs: Jobs,
     machines: Machines,
     /// Attempts that the core has ordered and that have no outcome yet.
-    attempts: FxHashMap<AllocationId, Attempt>,
+    attempts: FxHashMap<AttemptId, Attempt>,
     /// Waiting reserves by watched notice tube: sequence number and session.
     notice_waiters: HashMap<Tube, BTreeSet<(u64, u64)>>,
     /// Paused tubes: when the pause ends, and its length in seconds.
--- a/crates/mintlb-beanstalkd/src/hub/sessions.rs
+++ b/crates/mintlb-beanstalkd/src/hub/sessions.rs
@@ -29,7 +29,7 @@
             self.leave_group(now, session.machine, runs);
         }
         if let Some(pending) = session.pending {
-            self.return_attempt(pending.order.allocation_id, Outcome::NoConnection);
+            self.return_attempt(pending.order.attempt_id, Outcome::NoConnection);
         }
         for (job, lease) in session.leases {
             let outcome = if lease.written {
@@ -122,7 +122,7 @@
         if self.machines.accepts_work(machine) {
             self.lease_attempt(now, id, order);
         } else {
-            self.return_attempt(order.allocation_id, Outcome::Full);
+            self.return_attempt(order.attempt_id, Outcome::Full);
             self.wait(now, id, reserve_until);
         }
     }
--- a/crates/mintlb-beanstalkd/src/hub/timers.rs
+++ b/crates/mintlb-beanstalkd/src/hub/timers.rs
@@ -1,6 +1,6 @@
 //! The queue of timers.
 
-use mintlb_core::work::AllocationId;
+use mintlb_core::work::AttemptId;
 use std::collections::BTreeMap;
 
 /// What is due when a timer expires.
@@ -12,9 +12,9 @@
     /// The delay of a job is over.
     DelayOver { job: u64 },
     /// The delay of a release is over: its attempt goes back to the core.
-    ReleaseDelayOver { attempt: AllocationId },
+    ReleaseDelayOver { attempt: AttemptId },
     /// An attempt's time is over before anything of it was sent, since its session takes no output.
-    DeliveryTimeout { session: u64, attempt: AllocationId },
+    DeliveryTimeout { session: u64, attempt: AttemptId },
     /// Groups of workers without a connection may be forgotten.
     ForgetGroups,
 }
--- a/crates/mintlb-beanstalkd/src/lib.rs
+++ b/crates/mintlb-beanstalkd/src/lib.rs
@@ -4,7 +4,7 @@
 //! [`hub::Hub`] is the protocol's state machine and does no I/O; [`front::Front`] owns the sockets.
 //!
 //! In this crate a request is a *job*, and an attempt to run it that a worker holds is a *lease*; the
-//! protocol says "reservation". The core's types call a request a work unit and an attempt an allocation.
+//! protocol says "reservation". The core's types call a request a work unit.
 
 pub mod codec;
 pub mod front;
--- a/crates/mintlb-beanstalkd/src/session.rs
+++ b/crates/mintlb-beanstalkd/src/session.rs
@@ -1,7 +1,7 @@
 //! The protocol's state of one connection: its tubes, its waiting reserve, its leases and its output.
 
 use crate::codec::Tube;
-use mintlb_core::work::{AllocationId, AllocationRequest};
+use mintlb_core::work::{AttemptId, AttemptRequest};
 use mintlb_scheduler::ProjectTypeSet;
 use rustc_hash::FxHashMap;
 use std::net::IpAddr;
@@ -46,7 +46,7 @@
 
 /// An attempt that was assigned to a session's reserve and is sent once the output before it is written.
 pub struct PendingDelivery {
-    pub order: AllocationRequest,
+    pub order: AttemptRequest,
     /// When the reserve would have timed out, in case the session must wait on.
     pub reserve_until: Option<f64>,
 }
@@ -79,7 +79,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Leased {
     /// An attempt to run a job's request.
-    Attempt(AllocationId),
+    Attempt(AttemptId),
     /// A job that reports how another one finished.
     Notice,
 }
@@ -147,8 +147,8 @@
     }
 
     /// Takes the pending delivery if it is this attempt's.
-    pub fn take_pending(&mut self, attempt: AllocationId) -> Option<PendingDelivery> {
+    pub fn take_pending(&mut self, attempt: AttemptId) -> Option<PendingDelivery> {
         self.pending
-            .take_if(|pending| pending.order.allocation_id == attempt)
+            .take_if(|pending| pending.order.attempt_id == attempt)
     }
 }
--- a/crates/mintlb-bench-adapter/src/instances.rs
+++ b/crates/mintlb-bench-adapter/src/instances.rs
@@ -5,8 +5,8 @@
 use mintlb_scheduler::decide::Scheduler;
 use mintlb_scheduler::settings::FlatSettings;
 use mintlb_scheduler::{
-    Allocation, Host, ListEntry, ListState, ListUpdate, LoadReport, Outcome, ProjectTypeSet,
-    WorkUnit, Worker,
+    Attempt, Host, ListEntry, ListState, ListUpdate, LoadReport, Outcome, ProjectTypeSet, WorkUnit,
+    Worker,
 };
 use std::any::Any;
 use std::collections::{BTreeMap, HashMap};
@@ -37,8 +37,8 @@
     reply: &'a mut Reply,
 }
 
-fn id_of(alloc: &Allocation) -> Option<[u8; 8]> {
-    alloc.work_unit.upgrade().map(|wu| wu.id.to_be_bytes())
+fn id_of(attempt: &Attempt) -> Option<[u8; 8]> {
+    attempt.work_unit.upgrade().map(|wu| wu.id.to_be_bytes())
 }
 
 fn ms(seconds: f64) -> [u8; 8] {
@@ -46,17 +46,17 @@
 }
 
 impl Host for ReplyHost<'_> {
-    fn allocate(&mut self, alloc: &Allocation) {
-        let worker = alloc.worker.entry.id.to_be_bytes();
-        if let Some(id) = id_of(alloc) {
+    fn send_attempt(&mut self, attempt: &Attempt) {
+        let worker = attempt.worker.entry.id.to_be_bytes();
+        if let Some(id) = id_of(attempt) {
             self.reply
                 .push_action(16, self.number, &[&id, &ms(0.0), &worker[2..]]);
         }
     }
-    fn cancel(&mut self, alloc: &Allocation) {
-        if let Some(id) = id_of(alloc) {
+    fn cancel(&mut self, attempt: &Attempt) {
+        if let Some(id) = id_of(attempt) {
             self.reply
-                .push_action(19, self.number, &[&id, &alloc.number.to_be_bytes()]);
+                .push_action(19, self.number, &[&id, &attempt.number.to_be_bytes()]);
         }
     }
     fn defer(&mut self, wu: &WorkUnit, retry_after: f64) {
@@ -157,17 +157,17 @@
                 self.scheduler.on_arrival(host, now, &wu);
                 self.remove_if_settled(&wu);
             }
-            // A message from a worker; 1 reports the start of an allocation.
+            // A message from a worker; 1 reports the start of an attempt.
             17 => {
-                let alloc = self
+                let attempt = self
                     .work_units
                     .get(&event.u64(3))
-                    .and_then(|wu| wu.allocation(event.u16(18)));
-                if let Some(alloc) = alloc.filter(|_| event.u8(17) == 1) {
-                    self.scheduler.on_start(host, now, &alloc);
+                    .and_then(|wu| wu.attempt(event.u16(18)));
+                if let Some(attempt) = attempt.filter(|_| event.u8(17) == 1) {
+                    self.scheduler.on_start(host, now, &attempt);
                 }
             }
-            // An allocation has ended.
+            // An attempt has ended.
             23 => {
                 let outcome = match event.u16(19) {
                     200 => Outcome::Completed,
@@ -184,10 +184,10 @@
                 let Some(wu) = self.work_units.get(&event.u64(3)).cloned() else {
                     return Ok(());
                 };
-                if let Some(alloc) = wu.allocation(event.u16(11)) {
-                    alloc.worker.record_report(now, report);
+                if let Some(attempt) = wu.attempt(event.u16(11)) {
+                    attempt.worker.record_report(now, report);
                     self.scheduler
-                        .on_outcome(host, now, &alloc, outcome, event.u8(29) != 0);
+                        .on_outcome(host, now, &attempt, outcome, event.u8(29) != 0);
                 }
                 self.remove_if_settled(&wu);
             }
--- a/crates/mintlb-core/src/budget.rs
+++ b/crates/mintlb-core/src/budget.rs
@@ -1,13 +1,13 @@
-//! Budgets shared by several schedulers: checked before an allocation is decided, and charged as its last byte is
+//! Budgets shared by several schedulers: checked before an attempt is decided, and charged as its last byte is
 //! written.
 
 use std::fmt::Debug;
 use std::sync::Arc;
 
-/// The kind of charge that an allocation causes.
+/// The kind of charge that an attempt causes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Expense {
-    /// The allocation is not the first of its work unit.
+    /// The attempt is not the first of its work unit.
     pub is_retry: bool,
 }
 
@@ -19,9 +19,9 @@
     fn reserve(&self, expense: Expense) -> Option<Arc<dyn Reservation>>;
 }
 
-/// A charge reserved for one allocation. Dropped without a commit, it is released.
+/// A charge reserved for one attempt. Dropped without a commit, it is released.
 pub trait Reservation: Debug + Send + Sync {
-    /// Charges the budget. Called right before the write that completes the allocation, as a reservation may have
+    /// Charges the budget. Called right before the write that completes the attempt, as a reservation may have
     /// expired by then; on `false` the byte must not be written.
     fn commit(&self) -> bool;
     /// Takes back a commit: the operating system did not accept the byte.
--- a/crates/mintlb-core/src/executor.rs
+++ b/crates/mintlb-core/src/executor.rs
@@ -4,7 +4,7 @@
 use crate::metrics::{AnswerCounts, Metrics};
 use crate::project_types::NamedProjectType;
 use crate::reducer::Action;
-use crate::work::{AllocationId, AllocationResult, Answer, CancelHandle};
+use crate::work::{Answer, AttemptId, AttemptResult, CancelHandle};
 use rustc_hash::FxHashMap;
 use slog::{Logger, debug, info};
 use std::sync::Arc;
@@ -22,21 +22,21 @@
     pub list_watcher: W,
     clock: Clock,
     log: Logger,
-    /// Cancels the allocations in flight.
-    in_flight: FxHashMap<AllocationId, Box<dyn CancelHandle>>,
+    /// Cancels the attempts in flight.
+    in_flight: FxHashMap<AttemptId, Box<dyn CancelHandle>>,
     /// When the next [`crate::reducer::Event::TimerFired`] is due, if the scheduler has asked for one.
     pub wake_at: Option<Instant>,
     metrics: Arc<Metrics>,
     /// The answer counters, indexed by project type number.
     counts_by_number: Vec<Arc<AnswerCounts>>,
-    /// Allocations cancelled since the counts were last logged.
+    /// Attempts cancelled since the counts were last logged.
     cancelled: u64,
     /// The totals when the counts were last logged.
     logged_totals: [u64; 4],
 }
 
 impl<W: ListWatcher> ActionExecutor<W> {
-    /// Without project types and without any allocation in flight.
+    /// Without project types and without any attempt in flight.
     pub fn new(
         list_watcher: W,
         clock: Clock,
@@ -69,16 +69,16 @@
         }
     }
 
-    /// Logs the result of an allocation, which can't be cancelled any more.
-    pub fn record_result(&mut self, result: &AllocationResult) {
-        if self.in_flight.remove(&result.allocation_id).is_some() {
-            let (work_unit, number) = result.allocation_id;
+    /// Logs the result of an attempt, which can't be cancelled any more.
+    pub fn record_result(&mut self, result: &AttemptResult) {
+        if self.in_flight.remove(&result.attempt_id).is_some() {
+            let (work_unit, number) = result.attempt_id;
             debug!(self.log, "allocation back"; "outcome" => ?result.outcome, "n" => number, "wu" => work_unit);
         }
     }
 
-    /// Logs that a worker has started an allocation.
-    pub fn log_started(&self, (work_unit, number): AllocationId) {
+    /// Logs that a worker has started an attempt.
+    pub fn log_started(&self, (work_unit, number): AttemptId) {
         debug!(self.log, "allocation started"; "n" => number, "wu" => work_unit);
     }
 
@@ -103,15 +103,15 @@
     pub fn execute(&mut self, action: Action) {
         match action {
             Action::Send { endpoint, request } => {
-                let allocation_id = request.allocation_id;
+                let attempt_id = request.attempt_id;
                 debug!(self.log, "allocation sent"; "worker" => %endpoint, "project type" => request.project_type,
-                    "n" => allocation_id.1, "wu" => allocation_id.0);
-                self.in_flight.insert(allocation_id, endpoint.send(request));
+                    "n" => attempt_id.1, "wu" => attempt_id.0);
+                self.in_flight.insert(attempt_id, endpoint.send(request));
             }
-            Action::Cancel(allocation_id) => {
+            Action::Cancel(attempt_id) => {
                 self.cancelled += 1;
-                debug!(self.log, "allocation called off"; "n" => allocation_id.1, "wu" => allocation_id.0);
-                if let Some(cancel_handle) = self.in_flight.remove(&allocation_id) {
+                debug!(self.log, "allocation called off"; "n" => attempt_id.1, "wu" => attempt_id.0);
+                if let Some(cancel_handle) = self.in_flight.remove(&attempt_id) {
                     cancel_handle.cancel();
                 }
             }
--- a/crates/mintlb-core/src/lib.rs
+++ b/crates/mintlb-core/src/lib.rs
@@ -1,13 +1,13 @@
 //! The protocol-independent core of a mintlb scheduler.
 //!
 //! ```text
-//!   frontends ──Submission──> reducer ──Action──> executor ──AllocationRequest──> backends
+//!   frontends ──Submission──> reducer ──Action──> executor ──AttemptRequest──> backends
 //!                             (decide)
 //! ```
 //!
 //! A frontend turns each client request into a [`work::Submission`] and waits for its single [`work::Answer`]. A
-//! backend implements [`work::Endpoint`]: it takes a [`work::AllocationRequest`] and reports a
-//! [`work::AllocationResult`]. Between them, only [`reducer::Reducer`] changes state, on one thread;
+//! backend implements [`work::Endpoint`]: it takes a [`work::AttemptRequest`] and reports a
+//! [`work::AttemptResult`]. Between them, only [`reducer::Reducer`] changes state, on one thread;
 //! [`executor::ActionExecutor`] carries out the actions that it returns.
 
 pub mod budget;
--- a/crates/mintlb-core/src/metrics.rs
+++ b/crates/mintlb-core/src/metrics.rs
@@ -24,8 +24,8 @@
 pub struct Metrics {
     /// Keyed by name, so that the counts of a project type go on if it is removed and added again.
     counts_by_type: Mutex<Vec<(String, Arc<AnswerCounts>)>>,
-    /// Allocations whose last byte the operating system accepted for sending to a worker.
-    sent_allocations: Arc<AtomicU64>,
+    /// Attempts whose last byte the operating system accepted for sending to a worker.
+    sent_attempts: Arc<AtomicU64>,
     /// Configurations put in force while serving.
     pub configs_applied: AtomicU64,
     /// Configurations rejected while serving.
@@ -75,12 +75,12 @@
         counts
     }
 
-    /// The counter of completely written allocations, for the code that writes them.
-    pub fn sent_allocations(&self) -> Arc<AtomicU64> {
-        self.sent_allocations.clone()
+    /// The counter of completely written attempts, for the code that writes them.
+    pub fn sent_attempts(&self) -> Arc<AtomicU64> {
+        self.sent_attempts.clone()
     }
 
-    /// Completed, deferred and aborted work units over all project types, then allocations sent, since the start.
+    /// Completed, deferred and aborted work units over all project types, then attempts sent, since the start.
     pub fn totals(&self) -> [u64; 4] {
         let counts = self
             .counts_by_type()
@@ -93,7 +93,7 @@
             counts[0],
             counts[1],
             counts[2],
-            self.sent_allocations.load(Relaxed),
+            self.sent_attempts.load(Relaxed),
         ]
     }
 
@@ -120,7 +120,7 @@
                 line(&format!("transactions.{name}.{counter_name}"), value);
             }
         }
-        line("sends", self.sent_allocations.load(Relaxed));
+        line("sends", self.sent_attempts.load(Relaxed));
         line("current", gauges.open_work_units as u64);
         line("cluster_size", gauges.listed_workers as u64);
         line("cluster_unhealthy", gauges.avoided_workers as u64);
--- a/crates/mintlb-core/src/reducer.rs
+++ b/crates/mintlb-core/src/reducer.rs
@@ -9,13 +9,12 @@
 use crate::metrics::Gauges;
 use crate::project_types::{NamedProjectType, ProjectTypes};
 use crate::work::{
-    AllocationId, AllocationRequest, AllocationResult, Answer, Endpoint, Payload, Responder,
-    Submission,
+    Answer, AttemptId, AttemptRequest, AttemptResult, Endpoint, Payload, Responder, Submission,
 };
 use mintlb_scheduler::decide::Scheduler;
 use mintlb_scheduler::settings::ReloadableSettings;
 use mintlb_scheduler::{
-    Allocation, Host, ListUpdate, LoadReport, Outcome, ProjectType, WorkUnit, Worker,
+    Attempt, Host, ListUpdate, LoadReport, Outcome, ProjectType, WorkUnit, Worker,
 };
 use rustc_hash::{FxHashMap, FxHashSet};
 use std::cell::Cell;
@@ -33,10 +32,10 @@
     ClientLeft(u64),
     /// No further attempt is possible for this work unit: its answer is due now.
     NoMoreAttempts(u64),
-    /// A worker has started an allocation.
-    Started(AllocationId),
-    /// An allocation has ended.
-    Finished(AllocationResult),
+    /// A worker has started an attempt.
+    Started(AttemptId),
+    /// An attempt has ended.
+    Finished(AttemptResult),
     /// A worker has reported its load.
     LoadReported(u64, LoadReport),
     /// A worker that fetches its work has asked for more.
@@ -44,7 +43,7 @@
         worker: u64,
         /// Work units that it asks for.
         requested: u64,
-        /// Allocation requests that it had received by then.
+        /// Attempt requests that it had received by then.
         requests_seen: u64,
     },
     /// A source has reported workers; from the list service, with the version of the list.
@@ -61,13 +60,13 @@
 
 /// An effect to be carried out by the executor.
 pub enum Action {
-    /// Sends an allocation to a worker.
+    /// Sends an attempt to a worker.
     Send {
         endpoint: Arc<dyn Endpoint>,
-        request: AllocationRequest,
+        request: AttemptRequest,
     },
-    /// Cancels an allocation in flight.
-    Cancel(AllocationId),
+    /// Cancels an attempt in flight.
+    Cancel(AttemptId),
     /// Gives the client its final answer.
     Answer {
         work_unit: u64,
@@ -102,17 +101,17 @@
 pub struct Reducer {
     scheduler: Scheduler,
     project_types: ProjectTypes,
-    /// Limit on the allocations in flight.
+    /// Limit on the attempts in flight.
     max_in_flight: usize,
-    /// Seconds before the client's limit at which an allocation times out.
+    /// Seconds before the client's limit at which an attempt times out.
     send_margin: f64,
     held: FxHashMap<u64, HeldWorkUnit>,
     /// The client request ids of work units that are held, or listed in `recent_request_ids`.
     request_ids: HashSet<Box<[u8]>>,
     /// The client request ids of work units that are over, with the time at which the client would have given up.
     recent_request_ids: VecDeque<(f64, Box<[u8]>)>,
-    /// The allocations in flight, with the tokens that stop the writing of what is not written yet.
-    in_flight: FxHashMap<AllocationId, CancellationToken>,
+    /// The attempts in flight, with the tokens that stop the writing of what is not written yet.
+    in_flight: FxHashMap<AttemptId, CancellationToken>,
     membership: Membership,
     list_version: Option<u64>,
     /// Budgets shared by several schedulers, if configured.
@@ -129,7 +128,7 @@
     send_margin: f64,
     list_version: Option<u64>,
     held: &'a mut FxHashMap<u64, HeldWorkUnit>,
-    in_flight: &'a mut FxHashMap<AllocationId, CancellationToken>,
+    in_flight: &'a mut FxHashMap<AttemptId, CancellationToken>,
     membership: &'a Membership,
     budgets: Option<&'a dyn SharedBudgets>,
     has_budget: Cell<Option<bool>>,
@@ -137,8 +136,8 @@
     /// The earliest time at which a refused work unit may be permitted.
     recheck_at: Cell<f64>,
     actions: Vec<Action>,
-    /// Results of allocations that are known without a response from the worker.
-    immediate_results: Vec<AllocationResult>,
+    /// Results of attempts that are known without a response from the worker.
+    immediate_results: Vec<AttemptResult>,
     /// Work units that may have ended during this call.
     possibly_ended: Vec<u64>,
 }
@@ -188,15 +187,15 @@
         let (policy, held) = self.policy.zip(self.held.get(&work_unit.id))?;
         policy.preferred_worker(&held.payload)
     }
-    fn allocate(&mut self, allocation: &Allocation) {
-        let Some(work_unit) = allocation.work_unit.upgrade() else {
+    fn send_attempt(&mut self, attempt: &Attempt) {
+        let Some(work_unit) = attempt.work_unit.upgrade() else {
             return;
         };
-        let id = (work_unit.id, allocation.number);
+        let id = (work_unit.id, attempt.number);
         let is_unsendable = self.in_flight.len() >= self.max_in_flight;
         let withdrawn = CancellationToken::new();
         self.in_flight.insert(id, withdrawn.clone());
-        let is_retry = allocation.number > 0;
+        let is_retry = attempt.number > 0;
         let reservation = self
             .budgets
             .filter(|_| is_retry)
@@ -205,20 +204,20 @@
         // The budget may have expired since it was checked.
         let is_unsendable = is_unsendable || reservation.as_ref().is_some_and(Option::is_none);
         match (
-            self.membership.endpoint(allocation.worker.entry.id),
+            self.membership.endpoint(attempt.worker.entry.id),
             self.held.get(&work_unit.id),
         ) {
             // Without a free connection slot or budget it is not sent, and its outcome is known at once.
             (Some(_), Some(_)) if is_unsendable => self
                 .immediate_results
-                .push(AllocationResult::from_outcome(id, Outcome::Moot)),
+                .push(AttemptResult::from_outcome(id, Outcome::Moot)),
             (Some(endpoint), Some(held)) => {
                 let (project_type, customer) = (work_unit.project_type, work_unit.customer);
                 let (payload, deadline) =
                     (held.payload.clone(), work_unit.deadline - self.send_margin);
                 let reservation = reservation.flatten();
-                let request = AllocationRequest {
-                    allocation_id: id,
+                let request = AttemptRequest {
+                    attempt_id: id,
                     project_type,
                     customer,
                     payload,
@@ -233,17 +232,17 @@
             }
             _ => self
                 .immediate_results
-                .push(AllocationResult::from_outcome(id, Outcome::NoConnection)),
+                .push(AttemptResult::from_outcome(id, Outcome::NoConnection)),
         }
     }
-    fn cancel(&mut self, allocation: &Allocation) {
-        let Some(work_unit) = allocation.work_unit.upgrade() else {
+    fn cancel(&mut self, attempt: &Attempt) {
+        let Some(work_unit) = attempt.work_unit.upgrade() else {
             return;
         };
-        let id = (work_unit.id, allocation.number);
+        let id = (work_unit.id, attempt.number);
         self.actions.push(Action::Cancel(id));
         self.immediate_results
-            .push(AllocationResult::from_outcome(id, Outcome::Recalled));
+            .push(AttemptResult::from_outcome(id, Outcome::Recalled));
     }
     fn defer(&mut self, work_unit: &WorkUnit, come_back: f64) {
         self.answer(work_unit.id, Answer::Deferred(come_back));
@@ -312,7 +311,7 @@
         at.is_finite().then_some(at)
     }
 
-    /// Limits allocations by these shared budgets as well.
+    /// Limits attempts by these shared budgets as well.
     pub fn set_shared_budgets(&mut self, budgets: Arc<dyn SharedBudgets>) {
         self.budgets = Some(budgets);
     }
@@ -455,21 +454,20 @@
                 })
             }
             Event::Started((id, number)) => {
-                let allocation = self
+                let attempt = self
                     .held
                     .get(&id)
-                    .and_then(|held| held.work_unit.allocation(number));
-                let Some(allocation) =
-                    allocation.filter(|_| self.in_flight.contains_key(&(id, number)))
+                    .and_then(|held| held.work_unit.attempt(number));
+                let Some(attempt) = attempt.filter(|_| self.in_flight.contains_key(&(id, number)))
                 else {
                     return Vec::new();
                 };
                 self.with_collector(now, |scheduler, collector| {
-                    scheduler.on_start(collector, now, &allocation)
+                    scheduler.on_start(collector, now, &attempt)
                 })
             }
             Event::Finished(result) => self.with_collector(now, |scheduler, collector| {
-                finish_allocation(scheduler, collector, result)
+                finish_attempt(scheduler, collector, result)
             }),
             Event::LoadReported(worker, report) => {
                 if let Some(worker) = self.scheduler.worker(worker).cloned() {
@@ -526,11 +524,11 @@
     /// (rules 3 and 4): a connection may be established long after the list has reported that.
     fn withdraw_unwritten(&self) {
         for ((id, number), withdrawn) in &self.in_flight {
-            let allocation = self
+            let attempt = self
                 .held
                 .get(id)
-                .and_then(|held| held.work_unit.allocation(*number));
-            if allocation.is_some_and(|allocation| !allocation.worker.accepts_new_work()) {
+                .and_then(|held| held.work_unit.attempt(*number));
+            if attempt.is_some_and(|attempt| !attempt.worker.accepts_new_work()) {
                 withdrawn.cancel();
             }
         }
@@ -588,7 +586,7 @@
         };
         call(&mut self.scheduler, &mut collector);
         while let Some(result) = collector.immediate_results.pop() {
-            finish_allocation(&mut self.scheduler, &mut collector, result);
+            finish_attempt(&mut self.scheduler, &mut collector, result);
         }
         let ActionCollector {
             actions,
@@ -601,10 +599,10 @@
             if let Entry::Occupied(held) = self.held.entry(id)
                 && held.get().work_unit.ended()
             {
-                // Even where allocations must not be cancelled, requests that are not fully written must not be sent.
-                let allocations =
-                    (0..).map_while(|n| held.get().work_unit.allocation(n).map(|_| (id, n)));
-                allocations
+                // Even where attempts must not be cancelled, requests that are not fully written must not be sent.
+                let attempts =
+                    (0..).map_while(|n| held.get().work_unit.attempt(n).map(|_| (id, n)));
+                attempts
                     .filter_map(|id| self.in_flight.get(&id))
                     .for_each(CancellationToken::cancel);
                 if !held.get().work_unit.is_settled() {
@@ -623,24 +621,24 @@
     }
 }
 
-/// Applies the result of an allocation. Only the first result counts.
-fn finish_allocation(
+/// Applies the result of an attempt. Only the first result counts.
+fn finish_attempt(
     scheduler: &mut Scheduler,
     collector: &mut ActionCollector,
-    result: AllocationResult,
+    result: AttemptResult,
 ) {
     let now = collector.now;
-    if collector.in_flight.remove(&result.allocation_id).is_none() {
+    if collector.in_flight.remove(&result.attempt_id).is_none() {
         return;
     }
     let Some(work_unit) = collector
         .held
-        .get(&result.allocation_id.0)
+        .get(&result.attempt_id.0)
         .map(|held| held.work_unit.clone())
     else {
         return;
     };
-    let Some(allocation) = work_unit.allocation(result.allocation_id.1) else {
+    let Some(attempt) = work_unit.attempt(result.attempt_id.1) else {
         return;
     };
     collector.possibly_ended.push(work_unit.id);
@@ -648,6 +646,6 @@
     if completed {
         collector.answer(work_unit.id, Answer::Completed(result.result));
     }
-    allocation.worker.record_report(now, result.report);
-    scheduler.on_outcome(collector, now, &allocation, result.outcome, completed);
+    attempt.worker.record_report(now, result.report);
+    scheduler.on_outcome(collector, now, &attempt, result.outcome, completed);
 }
--- a/crates/mintlb-core/src/work.rs
+++ b/crates/mintlb-core/src/work.rs
@@ -10,8 +10,8 @@
 use tokio::sync::oneshot;
 use tokio_util::sync::CancellationToken;
 
-/// The work unit's id at this scheduler, and the allocation's number within the work unit.
-pub type AllocationId = (u64, u16);
+/// The work unit's id at this scheduler, and the attempt's number within the work unit.
+pub type AttemptId = (u64, u16);
 
 /// Assigns the ids of work units, in one sequence for all frontends.
 #[derive(Clone, Default)]
@@ -76,14 +76,14 @@
     Duplicate,
 }
 
-/// An allocation to be sent to a worker.
+/// An attempt to be sent to a worker.
 #[derive(Clone, Debug)]
-pub struct AllocationRequest {
-    pub allocation_id: AllocationId,
+pub struct AttemptRequest {
+    pub attempt_id: AttemptId,
     pub project_type: usize,
     pub customer: Option<usize>,
     pub payload: Payload,
-    /// When the allocation times out, in Unix time in seconds.
+    /// When the attempt times out, in Unix time in seconds.
     pub deadline: f64,
     /// The charge to be committed as its last byte is written, if a shared budget limits it.
     pub reservation: Option<Arc<dyn Reservation>>,
@@ -92,20 +92,20 @@
     pub withdrawn: CancellationToken,
 }
 
-/// The result of an allocation.
+/// The result of an attempt.
 #[derive(Debug)]
-pub struct AllocationResult {
-    pub allocation_id: AllocationId,
+pub struct AttemptResult {
+    pub attempt_id: AttemptId,
     pub outcome: Outcome,
     pub report: LoadReport,
     pub result: Bytes,
 }
 
-impl AllocationResult {
+impl AttemptResult {
     /// A result without a load report or a body.
-    pub fn from_outcome(allocation_id: AllocationId, outcome: Outcome) -> AllocationResult {
-        AllocationResult {
-            allocation_id,
+    pub fn from_outcome(attempt_id: AttemptId, outcome: Outcome) -> AttemptResult {
+        AttemptResult {
+            attempt_id,
             outcome,
             report: LoadReport::default(),
             result: Bytes::new(),
@@ -115,18 +115,18 @@
 
 /// One worker, reached through the backend that speaks its protocol. The `Display` text is for the log.
 pub trait Endpoint: Display + Send + Sync {
-    /// Sends an allocation. Its outcome is reported once, later, also if it can't be sent.
-    fn send(&self, request: AllocationRequest) -> Box<dyn CancelHandle>;
+    /// Sends an attempt. Its outcome is reported once, later, also if it can't be sent.
+    fn send(&self, request: AttemptRequest) -> Box<dyn CancelHandle>;
     /// Requests a load report, if the protocol has load reports.
     fn probe(&self, worker: u64);
 }
 
-/// Cancels an allocation in flight; nothing more is reported of it.
+/// Cancels an attempt in flight; nothing more is reported of it.
 pub trait CancelHandle: Send {
     fn cancel(self: Box<Self>);
 }
 
-/// For an allocation whose outcome has already been reported, so that there is nothing to cancel.
+/// For an attempt whose outcome has already been reported, so that there is nothing to cancel.
 impl CancelHandle for () {
     fn cancel(self: Box<Self>) {}
 }
--- a/crates/mintlb-dispatcher/src/lib.rs
+++ b/crates/mintlb-dispatcher/src/lib.rs
@@ -1,7 +1,7 @@
 //! The data plane of the serving tier: forwards clients' requests and items of batch jobs to workers, through one reducer.
 //!
 //! ```text
-//!   clients ──> downstream ──Event──> reducer ──Action──> executor ──AllocationRequest──> upstream ──> workers
+//!   clients ──> downstream ──Event──> reducer ──Action──> executor ──AttemptRequest──> upstream ──> workers
 //!                   ^               (scheduler) └ permits                                    │
 //!                   └────────────────────────────── exchange <───────────────────────────────┘
 //! ```
--- a/crates/mintlb-dispatcher/src/response_reader.rs
+++ b/crates/mintlb-dispatcher/src/response_reader.rs
@@ -8,14 +8,14 @@
     INSTANCE_LOAD, NOT_EXECUTED, REQUEST_ID, RESPONSE_SIGNATURE, strip_hop_by_hop_headers,
 };
 use crate::response_parser::{BodyReader, Framing, ResponseHead};
-use crate::upstream::AttemptResult;
+use crate::upstream::WorkerResult;
 use crate::workers::WorkerEntry;
 use axum::http::header::{CONTENT_LENGTH, CONTENT_TYPE};
 use axum::http::{HeaderMap, Method, StatusCode};
 use bytes::BytesMut;
 use mintlb_common::configuration::RouteType;
 use mintlb_core::reducer::Event;
-use mintlb_core::work::AllocationId;
+use mintlb_core::work::AttemptId;
 use mintlb_scheduler::Outcome;
 use std::future::poll_fn;
 use std::pin::Pin;
@@ -43,7 +43,7 @@
     /// The request.
     pub exchange: &'a Arc<Exchange>,
     /// The attempt's number at the reducer.
-    pub attempt: AllocationId,
+    pub attempt: AttemptId,
 }
 
 /// Permits a connection to carry another request.
@@ -55,7 +55,7 @@
 /// The result of reading a response.
 pub struct ReadOutcome {
     /// The attempt's result for the scheduler.
-    pub result: AttemptResult,
+    pub result: WorkerResult,
     /// Whether the worker stated that it has not run the request.
     pub not_run: bool,
     /// Present if the connection may be reused.
@@ -65,7 +65,7 @@
 impl From<Outcome> for ReadOutcome {
     fn from(outcome: Outcome) -> ReadOutcome {
         ReadOutcome {
-            result: AttemptResult::from_outcome(outcome),
+            result: WorkerResult::from_outcome(outcome),
             not_run: false,
             reuse: None,
         }
@@ -243,7 +243,7 @@
             let reuse =
                 (is_complete && !is_misdirected).then_some(ConnectionReuse { idle_timeout: None });
             return Ok(ReadOutcome {
-                result: AttemptResult::from_outcome(Outcome::Full),
+                result: WorkerResult::from_outcome(Outcome::Full),
                 not_run: true,
                 reuse,
             });
@@ -305,7 +305,7 @@
         self.exchange.fail_item(client_head(head));
         let reuse = is_complete.then_some(ConnectionReuse { idle_timeout: None });
         ReadOutcome {
-            result: AttemptResult::from_outcome(Outcome::Completed),
+            result: WorkerResult::from_outcome(Outcome::Completed),
             not_run: false,
             reuse,
         }
@@ -441,7 +441,7 @@
             }
         }
         let error_outcome = ReadOutcome {
-            result: AttemptResult::from_outcome(Outcome::Error),
+            result: WorkerResult::from_outcome(Outcome::Error),
             ..completed(connection)
         };
         if self.exchange.has_begun() {
@@ -490,7 +490,7 @@
         .is_empty()
         .then_some(ConnectionReuse { idle_timeout: None });
     ReadOutcome {
-        result: AttemptResult::from_outcome(Outcome::Completed),
+        result: WorkerResult::from_outcome(Outcome::Completed),
         not_run: false,
         reuse,
     }
--- a/crates/mintlb-dispatcher/src/scheduler_settings.rs
+++ b/crates/mintlb-dispatcher/src/scheduler_settings.rs
@@ -115,7 +115,7 @@
     RetryPolicy {
         parallel_attempts: false,
         may_cancel: true,
-        max_allocations: MAX_ATTEMPTS,
+        max_attempts: MAX_ATTEMPTS,
     }
 }
 
--- a/crates/mintlb-dispatcher/src/upstream.rs
+++ b/crates/mintlb-dispatcher/src/upstream.rs
@@ -9,7 +9,7 @@
 use crate::response_reader::{ReadOutcome, ResponseReader};
 use crate::workers::WorkerEntry;
 use mintlb_core::reducer::Event;
-use mintlb_core::work::{AllocationRequest, AllocationResult, CancelHandle, Endpoint};
+use mintlb_core::work::{AttemptRequest, AttemptResult, CancelHandle, Endpoint};
 use mintlb_scheduler::{LoadReport, Outcome};
 use std::fmt::{Display, Formatter};
 use std::sync::Arc;
@@ -31,8 +31,8 @@
 }
 
 impl Endpoint for WorkerUpstream {
-    fn send(&self, allocation: AllocationRequest) -> Box<dyn CancelHandle> {
-        let Ok(exchange) = allocation
+    fn send(&self, attempt_request: AttemptRequest) -> Box<dyn CancelHandle> {
+        let Ok(exchange) = attempt_request
             .payload
             .protocol_data
             .clone()
@@ -43,7 +43,7 @@
         let attempt = Attempt {
             worker: self.0.clone(),
             exchange,
-            allocation,
+            attempt_request,
         };
         Box::new(AttemptHandle(tokio::spawn(attempt.run()).abort_handle()))
     }
@@ -64,21 +64,21 @@
 struct Attempt {
     worker: Arc<WorkerEntry>,
     exchange: Arc<Exchange>,
-    allocation: AllocationRequest,
+    attempt_request: AttemptRequest,
 }
 
 /// The result of an attempt, for the scheduler.
-pub struct AttemptResult {
+pub struct WorkerResult {
     /// How the attempt ended.
     pub outcome: Outcome,
     /// Number of free slots that the worker reported, if it did.
     pub free_slots: Option<f64>,
 }
 
-impl AttemptResult {
+impl WorkerResult {
     /// A result without a report of free slots.
-    pub fn from_outcome(outcome: Outcome) -> AttemptResult {
-        AttemptResult {
+    pub fn from_outcome(outcome: Outcome) -> WorkerResult {
+        WorkerResult {
             outcome,
             free_slots: None,
         }
@@ -91,59 +91,59 @@
         let in_flight_guard = self
             .worker
             .track_request(self.exchange.prompt.map_or(0, |prompt| prompt.tokens));
-        let end = shared.clock.instant(self.allocation.deadline);
+        let end = shared.clock.instant(self.attempt_request.deadline);
         let result = timeout_at(end, self.execute()).await;
-        let AttemptResult {
+        let WorkerResult {
             outcome,
             free_slots,
-        } = result.unwrap_or_else(|_| AttemptResult::from_outcome(Outcome::TimedOut));
+        } = result.unwrap_or_else(|_| WorkerResult::from_outcome(Outcome::TimedOut));
         drop(in_flight_guard);
         log::debug!("upstream: {} {:?}", self.worker.instance_id, outcome);
-        let allocation_result = AllocationResult {
+        let attempt_result = AttemptResult {
             report: LoadReport { free_slots },
-            ..AllocationResult::from_outcome(self.allocation.allocation_id, outcome)
+            ..AttemptResult::from_outcome(self.attempt_request.attempt_id, outcome)
         };
         shared
             .event_sender
-            .send(Event::Finished(allocation_result))
+            .send(Event::Finished(attempt_result))
             .ok();
         // No further attempt is allowed, so the client gets its response now.
         if outcome != Outcome::Completed && !self.exchange.may_be_sent() {
             shared
                 .event_sender
-                .send(Event::NoMoreAttempts(self.allocation.allocation_id.0))
+                .send(Event::NoMoreAttempts(self.attempt_request.attempt_id.0))
                 .ok();
         }
     }
 
-    async fn execute(&self) -> AttemptResult {
+    async fn execute(&self) -> WorkerResult {
         // A response of which part was forwarded and that can't be resumed must not start again.
         if self.exchange.has_begun() && !self.exchange.can_resume() {
-            return AttemptResult::from_outcome(Outcome::Moot);
+            return WorkerResult::from_outcome(Outcome::Moot);
         }
         let id = self.exchange.request.id.as_bytes();
         let connection = match self
             .worker
             .pool
-            .reuse(self.allocation.payload.non_idempotent, id)
+            .reuse(self.attempt_request.payload.non_idempotent, id)
         {
             Some(connection) => Ok(connection),
             None => tokio::select! {
                 connection = self.worker.pool.connect() => connection,
-                () = self.allocation.withdrawn.cancelled() => return AttemptResult::from_outcome(Outcome::Full),
+                () = self.attempt_request.withdrawn.cancelled() => return WorkerResult::from_outcome(Outcome::Full),
             },
         };
         let Ok(mut connection) = connection else {
-            return AttemptResult::from_outcome(Outcome::NoConnection);
+            return WorkerResult::from_outcome(Outcome::NoConnection);
         };
         let ran_before = self.exchange.may_have_run();
         if let Err(outcome) = self.send(&mut connection).await {
-            return AttemptResult::from_outcome(outcome);
+            return WorkerResult::from_outcome(outcome);
         }
         let reader = ResponseReader {
             worker: &self.worker,
             exchange: &self.exchange,
-            attempt: self.allocation.allocation_id,
+            attempt: self.attempt_request.attempt_id,
         };
         let ReadOutcome {
             result,
@@ -161,13 +161,13 @@
 
     /// Sends the request. After an error the worker does not have its complete head, so that it can't have run.
     async fn send(&self, connection: &mut Connection) -> Result<(), Outcome> {
-        let time_left = self.allocation.deadline - self.exchange.shared().clock.now();
+        let time_left = self.attempt_request.deadline - self.exchange.shared().clock.now();
         let EncodedRequest {
             mut bytes,
             head_length,
         } = request::encode(&self.exchange, &self.worker.instance_id, time_left);
         self.check_still_valid()?;
-        if self.allocation.payload.non_idempotent && !connection.was_recently_active() {
+        if self.attempt_request.payload.non_idempotent && !connection.was_recently_active() {
             let incomplete_head = bytes.split_to(head_length - 1);
             connection
                 .write(&incomplete_head)
@@ -189,7 +189,7 @@
 
     /// Fails if the attempt was cancelled or the worker is out of service.
     fn check_still_valid(&self) -> Result<(), Outcome> {
-        let is_valid = !self.allocation.withdrawn.is_cancelled() && self.worker.in_service();
+        let is_valid = !self.attempt_request.withdrawn.is_cancelled() && self.worker.in_service();
         is_valid.then_some(()).ok_or(Outcome::Full)
     }
 }
--- a/crates/mintlb-http/src/worker.rs
+++ b/crates/mintlb-http/src/worker.rs
@@ -1,10 +1,10 @@
-//! The client for workers: each call sends one allocation and reports its outcome once.
+//! The client for workers: each call sends one attempt and reports its outcome once.
 //!
-//! An allocation may be retried freely only if it provably never ran (rule 2). The error kinds of a library don't prove
-//! that, so each connection counts the bytes that the operating system accepted: an allocation whose last byte was
+//! An attempt may be retried freely only if it provably never ran (rule 2). The error kinds of a library don't prove
+//! that, so each connection counts the bytes that the operating system accepted: an attempt whose last byte was
 //! never written never ran.
 //!
-//! A reused connection may be dead or closing, and a request written to it may have run. So every allocation dials,
+//! A reused connection may be dead or closing, and a request written to it may have run. So every attempt dials,
 //! unless connecting to that worker has proved slow, and reused connections have proved reliable.
 
 use crate::dial::{BudgetExhausted, Dialer, NoDescriptor, WriteGate, WriteProgress};
@@ -23,7 +23,7 @@
 use hyper_util::rt::{TokioExecutor, TokioTimer};
 use mintlb_core::clock::Clock;
 use mintlb_core::reducer::Event;
-use mintlb_core::work::{AllocationRequest, AllocationResult, CancelHandle, Endpoint};
+use mintlb_core::work::{AttemptRequest, AttemptResult, CancelHandle, Endpoint};
 use mintlb_scheduler::{LoadReport, Outcome};
 use parking_lot::Mutex;
 use serde::Deserialize;
@@ -44,7 +44,7 @@
 use tokio::task::AbortHandle;
 use tokio::time::{Instant, timeout, timeout_at};
 
-/// Sends allocations and load probes to workers. Clones share their connections.
+/// Sends attempts and load probes to workers. Clones share their connections.
 #[derive(Clone)]
 pub struct WorkerClient {
     /// Dials for every request.
@@ -55,7 +55,7 @@
     fastest_start: Arc<Mutex<HashMap<SocketAddr, Duration>>>,
     /// Connections are reused where that time is longer than this.
     reuse_threshold: Duration,
-    /// A reused connection has broken during an allocation: none is reused any more.
+    /// A reused connection has broken during an attempt: none is reused any more.
     reuse_disabled: Arc<AtomicBool>,
     /// Delay of the last byte of a non-idempotent request.
     last_byte_delay: Duration,
@@ -84,16 +84,16 @@
 }
 
 impl RequestTemplate {
-    fn head(&self, allocation: &AllocationRequest) -> Option<Parts> {
-        let id = format!("{}-{}", self.scheduler_name, allocation.allocation_id.0);
+    fn head(&self, attempt: &AttemptRequest) -> Option<Parts> {
+        let id = format!("{}-{}", self.scheduler_name, attempt.attempt_id.0);
         let request = Request::post(format!(
             "/{}",
-            self.project_types.get(allocation.project_type)?
+            self.project_types.get(attempt.project_type)?
         ));
         let request = request
             .header("request-id", &id)
             .header("idempotency-key", &id);
-        let customer = allocation
+        let customer = attempt
             .customer
             .and_then(|customer| self.customers.get(customer));
         let request = match customer {
@@ -117,10 +117,11 @@
 }
 
 impl Endpoint for HttpEndpoint {
-    fn send(&self, allocation: AllocationRequest) -> Box<dyn CancelHandle> {
+    fn send(&self, attempt: AttemptRequest) -> Box<dyn CancelHandle> {
         let (client, address) = (self.client.clone(), self.address);
-        Box::new(SpawnedAllocation(
-            tokio::spawn(async move { client.allocate(&allocation, address).await }).abort_handle(),
+        Box::new(SpawnedAttempt(
+            tokio::spawn(async move { client.send_attempt(&attempt, address).await })
+                .abort_handle(),
         ))
     }
     fn probe(&self, worker: u64) {
@@ -129,10 +130,10 @@
     }
 }
 
-/// An allocation in flight. Closing its connection is the protocol's only way to cancel it.
-struct SpawnedAllocation(AbortHandle);
+/// An attempt in flight. Closing its connection is the protocol's only way to cancel it.
+struct SpawnedAttempt(AbortHandle);
 
-impl CancelHandle for SpawnedAllocation {
+impl CancelHandle for SpawnedAttempt {
     fn cancel(self: Box<Self>) {
         self.0.abort();
     }
@@ -152,25 +153,25 @@
 }
 
 impl WorkerClient {
-    /// `report_fields` are the names of the fields in load reports; `sent_allocations` counts completely written
-    /// allocations.
+    /// `report_fields` are the names of the fields in load reports; `sent_attempts` counts completely written
+    /// attempts.
     pub fn new(
         limits: &HttpLimits,
         clock: Clock,
         event_sender: UnboundedSender<Event>,
         report_fields: &[&str],
         template: RequestTemplate,
-        sent_allocations: Arc<AtomicU64>,
+        sent_attempts: Arc<AtomicU64>,
         log: Logger,
     ) -> WorkerClient {
         let dialer = Dialer::new(
             limits.max_worker_connections,
             limits.dial_timeout,
-            sent_allocations,
+            sent_attempts,
         );
         let client = |max_idle| {
             Client::builder(TokioExecutor::new())
-                // hyper must never retry by itself: that would be a second allocation (rule 2).
+                // hyper must never retry by itself: that would be a second attempt (rule 2).
                 .retry_canceled_requests(false)
                 // A worker closes idle connections; a request that crosses the close may have run.
                 .pool_idle_timeout(limits.idle_timeout)
@@ -209,13 +210,13 @@
         }
     }
 
-    /// Sends an allocation and reports its result. Dropping the future closes the connection.
-    pub async fn allocate(&self, allocation: &AllocationRequest, address: SocketAddr) {
-        let deadline = self.clock.instant(allocation.deadline);
-        let run = timeout_at(deadline, self.run(allocation, address)).await;
+    /// Sends an attempt and reports its result. Dropping the future closes the connection.
+    pub async fn send_attempt(&self, attempt: &AttemptRequest, address: SocketAddr) {
+        let deadline = self.clock.instant(attempt.deadline);
+        let run = timeout_at(deadline, self.run(attempt, address)).await;
         let (result, rest) = run.unwrap_or_else(|_| {
             (
-                AllocationResult::from_outcome(allocation.allocation_id, Outcome::TimedOut),
+                AttemptResult::from_outcome(attempt.attempt_id, Outcome::TimedOut),
                 None,
             )
         });
@@ -231,19 +232,19 @@
     /// Returns the result, and the rest of the response that is still to be read.
     async fn run(
         &self,
-        allocation: &AllocationRequest,
+        attempt: &AttemptRequest,
         address: SocketAddr,
-    ) -> (AllocationResult, Option<LineReader>) {
-        let mut result = AllocationResult::from_outcome(allocation.allocation_id, Outcome::Moot);
-        let remaining = allocation.deadline - self.clock.now();
-        let last_byte_delay = if allocation.payload.non_idempotent {
+    ) -> (AttemptResult, Option<LineReader>) {
+        let mut result = AttemptResult::from_outcome(attempt.attempt_id, Outcome::Moot);
+        let remaining = attempt.deadline - self.clock.now();
+        let last_byte_delay = if attempt.payload.non_idempotent {
             self.last_byte_delay
         } else {
             Duration::ZERO
         };
-        let head = match allocation.payload.protocol_data.downcast_ref::<Parts>() {
+        let head = match attempt.payload.protocol_data.downcast_ref::<Parts>() {
             Some(head) => Some(Cow::Borrowed(head)),
-            None => self.template.head(allocation).map(Cow::Owned),
+            None => self.template.head(attempt).map(Cow::Owned),
         };
         let Some(head) = head else {
             return (result, None);
@@ -251,22 +252,22 @@
         let Ok(request) = forwarded_request(
             address,
             &head,
-            &allocation.payload.body,
+            &attempt.payload.body,
             remaining,
             last_byte_delay,
         ) else {
             return (result, None);
         };
         let gate = WriteGate {
-            reservation: allocation.reservation.clone(),
-            withdrawn: allocation.withdrawn.clone(),
+            reservation: attempt.reservation.clone(),
+            withdrawn: attempt.withdrawn.clone(),
         };
         let response = match self
-            .send(address, request, gate, allocation.payload.non_idempotent)
+            .send(address, request, gate, attempt.payload.non_idempotent)
             .await
         {
             Ok(response) => response,
-            Err(outcome) => return (AllocationResult { outcome, ..result }, None),
+            Err(outcome) => return (AttemptResult { outcome, ..result }, None),
         };
         if let Some(load) = response.headers().get("server-load") {
             result.report = self.report(load.as_bytes());
@@ -274,14 +275,14 @@
         let refusal_outcome = refusal(response.status(), response.headers());
         let mut lines = LineReader::new(response.into_body(), self.max_worker_line_bytes);
         if let Some(outcome) = refusal_outcome {
-            return (AllocationResult { outcome, ..result }, Some(lines));
+            return (AttemptResult { outcome, ..result }, Some(lines));
         }
         let request_id = head
             .headers
             .get("request-id")
             .map(HeaderValue::as_bytes)
             .unwrap_or_default();
-        // Without a final state, or with an invalid line or another request's line, the allocation may have run.
+        // Without a final state, or with an invalid line or another request's line, the attempt may have run.
         while let Ok(Some(line)) = lines.next().await {
             if line.iter().all(u8::is_ascii_whitespace) {
                 continue;
@@ -295,7 +296,7 @@
             result.outcome = match &*response_line.state {
                 "started" => {
                     self.event_sender
-                        .send(Event::Started(allocation.allocation_id))
+                        .send(Event::Started(attempt.attempt_id))
                         .ok();
                     continue;
                 }
@@ -315,7 +316,7 @@
             return (result, Some(lines));
         }
         (
-            AllocationResult {
+            AttemptResult {
                 outcome: Outcome::Dropped,
                 ..result
             },
@@ -507,7 +508,7 @@
     (line + headers) as u64 + request.body().remaining()
 }
 
-/// The outcome of a response without a stream. Only a `not-started` header proves that the allocation did not run.
+/// The outcome of a response without a stream. Only a `not-started` header proves that the attempt did not run.
 fn refusal(status: StatusCode, headers: &HeaderMap) -> Option<Outcome> {
     let not_started = headers
         .get("not-started")
--- a/crates/mintlb-http/tests/outcomes.rs
+++ b/crates/mintlb-http/tests/outcomes.rs
@@ -1,11 +1,11 @@
-//! Allocations sent to a fake worker on the loopback interface: the outcome of each response and failure.
+//! Attempts sent to a fake worker on the loopback interface: the outcome of each response and failure.
 
 mod support;
 
 use mintlb_core::budget::Reservation;
 use mintlb_core::clock::Clock;
 use mintlb_core::reducer::Event;
-use mintlb_core::work::{AllocationRequest, AllocationResult, Payload};
+use mintlb_core::work::{AttemptRequest, AttemptResult, Payload};
 use mintlb_http::limits::HttpLimits;
 use mintlb_http::list_service::{ListClient, ListDecoder};
 use mintlb_http::worker::{RequestTemplate, WorkerClient};
@@ -22,7 +22,7 @@
 use tokio::time::timeout;
 use tokio_util::sync::CancellationToken;
 
-fn allocation_request(n: u16, body: usize, deadline: f64) -> AllocationRequest {
+fn attempt_request(n: u16, body: usize, deadline: f64) -> AttemptRequest {
     let head = axum::http::Request::post("/charge/7?x=1")
         .header("request-id", "a1")
         .body(())
@@ -33,8 +33,8 @@
         non_idempotent: true,
         protocol_data,
     };
-    AllocationRequest {
-        allocation_id: (1, n),
+    AttemptRequest {
+        attempt_id: (1, n),
         project_type: 0,
         customer: None,
         payload,
@@ -97,15 +97,15 @@
     (address, worker_log)
 }
 
-/// Sends allocations one after another. Returns the events as texts: the outcomes, and the starts before them.
-async fn send_allocations(
+/// Sends attempts one after another. Returns the events as texts: the outcomes, and the starts before them.
+async fn send_attempts(
     address: SocketAddr,
     limits: &HttpLimits,
     body: usize,
     times: u16,
     timeout_s: f64,
 ) -> Vec<String> {
-    send_allocations_as(
+    send_attempts_as(
         &vec![true; times as usize],
         address,
         limits,
@@ -115,8 +115,8 @@
     .await
 }
 
-/// The same for allocations of which each is non-idempotent or not.
-async fn send_allocations_as(
+/// The same for attempts of which each is non-idempotent or not.
+async fn send_attempts_as(
     non_idempotent: &[bool],
     address: SocketAddr,
     limits: &HttpLimits,
@@ -135,23 +135,23 @@
         discarding_logger(),
     );
     for (n, non_idempotent) in non_idempotent.iter().enumerate() {
-        let mut request = allocation_request(n as u16, body, clock.now() + timeout_s);
+        let mut request = attempt_request(n as u16, body, clock.now() + timeout_s);
         request.payload.non_idempotent = *non_idempotent;
-        client.allocate(&request, address).await;
+        client.send_attempt(&request, address).await;
     }
     drop(client);
     let mut outcomes = Vec::new();
     while let Some(event) = events.recv().await {
         outcomes.push(match event {
             Event::Started(_) => "started".into(),
-            Event::Finished(AllocationResult {
+            Event::Finished(AttemptResult {
                 outcome: Outcome::Completed,
                 result,
                 ..
             }) => {
                 format!("done {}", String::from_utf8_lossy(&result))
             }
-            Event::Finished(AllocationResult {
+            Event::Finished(AttemptResult {
                 outcome, report, ..
             }) => match report.free_slots {
                 Some(slots) => format!("{outcome:?} with {slots} free"),
@@ -265,7 +265,7 @@
     ];
     for (case, response, outcome) in cases {
         let (address, worker_log) = start_worker(response);
-        let outcomes = send_allocations(address, &limits(), 10, 1, 0.4)
+        let outcomes = send_attempts(address, &limits(), 10, 1, 0.4)
             .await
             .join(", ");
         assert_eq!(outcomes, outcome, "{case}");
@@ -320,7 +320,7 @@
             reuse_threshold,
             ..limits()
         };
-        let outcomes = send_allocations_as(&[false; 5], address, &limits, 10, 1.0).await;
+        let outcomes = send_attempts_as(&[false; 5], address, &limits, 10, 1.0).await;
         assert_eq!(
             outcomes,
             ["done yes", "done yes", "Dropped", "done yes", "done yes"],
@@ -372,7 +372,7 @@
             ..limits()
         };
         assert_eq!(
-            send_allocations_as(&non_idempotent, address, &limits, 10, 1.0).await,
+            send_attempts_as(&non_idempotent, address, &limits, 10, 1.0).await,
             outcomes,
             "{case}"
         );
@@ -412,9 +412,9 @@
             discarding_logger(),
         );
         for n in 0..2 {
-            let mut request = allocation_request(n, 0, Clock::start().now() + 1.0);
+            let mut request = attempt_request(n, 0, Clock::start().now() + 1.0);
             request.payload.non_idempotent = false;
-            client.allocate(&request, address).await;
+            client.send_attempt(&request, address).await;
             tokio::time::sleep(Duration::from_millis(100)).await;
         }
         let worker_log: Vec<String> = worker_log.try_iter().collect();
@@ -492,7 +492,7 @@
     for (case, address, body, limits, outcome) in cases {
         let started_at = Instant::now();
         assert_eq!(
-            send_allocations(address, &limits, body, 1, 5.0).await,
+            send_attempts(address, &limits, body, 1, 5.0).await,
             [outcome],
             "{case}"
         );
@@ -560,9 +560,9 @@
             Arc::default(),
             discarding_logger(),
         );
-        let request = allocation_request(0, 2, clock.now() + 20.0);
+        let request = attempt_request(0, 2, clock.now() + 20.0);
         let withdrawn = request.withdrawn.clone();
-        let task = tokio::spawn(async move { client.allocate(&request, address).await });
+        let task = tokio::spawn(async move { client.send_attempt(&request, address).await });
         // Waits until the request is under way: its head has arrived, or it is waiting to be sent.
         let mut stream = None;
         if !dials {
@@ -639,7 +639,7 @@
 }
 
 #[tokio::test]
-async fn cancelling_an_allocation_closes_its_connection() {
+async fn cancelling_an_attempt_closes_its_connection() {
     for (case, response) in [
         ("before a response", "|"),
         ("after the response head", "HTTP/1.1 200 OK\r\n\r\n|"),
@@ -658,7 +658,7 @@
         );
         let task = tokio::spawn(async move {
             client
-                .allocate(&allocation_request(0, 0, clock.now() + 9.0), address)
+                .send_attempt(&attempt_request(0, 0, clock.now() + 9.0), address)
                 .await;
         });
         // Polls, as a blocking wait would stop the client on the same thread.
@@ -917,7 +917,7 @@
 async fn requests_are_forwarded_unchanged() {
     let (address, worker_log) = start_worker(stream(&[DONE]) + "+");
     assert_eq!(
-        send_allocations(address, &limits(), 5, 2, 1.0).await,
+        send_attempts(address, &limits(), 5, 2, 1.0).await,
         ["done yes", "done yes"]
     );
     let request = worker_log.recv().unwrap();
@@ -985,11 +985,11 @@
                 discarding_logger(),
             );
             let reservation = Arc::new(CountingReservation(can_commit, AtomicI32::new(0)));
-            let request = AllocationRequest {
+            let request = AttemptRequest {
                 reservation: Some(reservation.clone()),
-                ..allocation_request(0, body, clock.now() + 2.0)
+                ..attempt_request(0, body, clock.now() + 2.0)
             };
-            client.allocate(&request, address).await;
+            client.send_attempt(&request, address).await;
             drop(client);
             let mut outcome = None;
             while let Some(event) = events.recv().await {
--- a/crates/mintlb-rate-limit/benches/spend.rs
+++ b/crates/mintlb-rate-limit/benches/spend.rs
@@ -1,4 +1,4 @@
-//! The cost of checking the budgets before an allocation, and of reserving and spending their tokens:
+//! The cost of checking the budgets before an attempt, and of reserving and spending their tokens:
 //! `cargo bench -p mintlb-rate-limit`.
 
 use criterion::{Criterion, criterion_group, criterion_main};
--- a/crates/mintlb-rate-limit/src/config.rs
+++ b/crates/mintlb-rate-limit/src/config.rs
@@ -49,7 +49,7 @@
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "kebab-case")]
 pub enum BudgetScope {
-    /// Allocations after the first one of a work unit: retries and duplicates.
+    /// Attempts after the first one of a work unit: retries and duplicates.
     Again,
 }
 
--- a/crates/mintlb-rate-limit/src/fleet.rs
+++ b/crates/mintlb-rate-limit/src/fleet.rs
@@ -211,7 +211,7 @@
         let now = now();
         let before = self.budgets();
         let new = budgets(&self.0.config, &config.fleet.budgets, &before);
-        // Nothing may be spent of a budget that was removed, also by allocations that hold on to it.
+        // Nothing may be spent of a budget that was removed, also by attempts that hold on to it.
         before.iter().for_each(|old| {
             if new.iter().all(|new| new.key != old.key) {
                 old.bucket.lock().set_share(now, Share::NONE);
@@ -439,7 +439,7 @@
     }
 }
 
-/// The tokens that are reserved for one allocation: their budgets, and whether each was spent.
+/// The tokens that are reserved for one attempt: their budgets, and whether each was spent.
 struct TokenReservation(Mutex<Vec<(Arc<Budget>, bool)>>);
 
 impl Reservation for TokenReservation {
--- a/crates/mintlb-rate-limit/src/token_bucket.rs
+++ b/crates/mintlb-rate-limit/src/token_bucket.rs
@@ -13,7 +13,7 @@
     tokens: f64,
     /// The time up to which tokens have accrued.
     updated_at: f64,
-    /// Tokens set aside for allocations that are decided on but not yet written.
+    /// Tokens set aside for attempts that are decided on but not yet written.
     reserved: u32,
     /// The largest relative error of this process's clock.
     drift: f64,
--- a/crates/mintlb-scheduler/benches/decisions.rs
+++ b/crates/mintlb-scheduler/benches/decisions.rs
@@ -6,22 +6,25 @@
 use mintlb_scheduler::decide::{FairShares, Fleet, ListPolling, Queues, RetryPolicy, Scheduler};
 use mintlb_scheduler::util::Rng;
 use mintlb_scheduler::{
-    Allocation, Costs, Host, Idempotency, ListEntry, ListState, ListUpdate, Outcome, ProjectType,
+    Attempt, Costs, Host, Idempotency, ListEntry, ListState, ListUpdate, Outcome, ProjectType,
     ProjectTypeSet, SlowStart,
 };
 use mintlb_scheduler::{WorkUnit, Worker};
 use std::hint::black_box;
 use std::rc::Rc;
 
-/// Records the allocation that was sent last.
+/// Records the attempt that was sent last.
 #[derive(Default)]
 struct LastSent(Option<(u64, u16)>);
 
 impl Host for LastSent {
-    fn allocate(&mut self, alloc: &Allocation) {
-        self.0 = alloc.work_unit.upgrade().map(|wu| (wu.id, alloc.number));
+    fn send_attempt(&mut self, attempt: &Attempt) {
+        self.0 = attempt
+            .work_unit
+            .upgrade()
+            .map(|wu| (wu.id, attempt.number));
     }
-    fn cancel(&mut self, _: &Allocation) {}
+    fn cancel(&mut self, _: &Attempt) {}
     fn defer(&mut self, _: &WorkUnit, _: f64) {}
     fn abort(&mut self, _: &WorkUnit) {}
     fn probe(&mut self, _: &Worker) {}
@@ -79,7 +82,7 @@
         let retry_policy = RetryPolicy {
             parallel_attempts: true,
             may_cancel: true,
-            max_allocations: 3,
+            max_attempts: 3,
         };
         let stages = (
             FairShares::new(&[]),
@@ -100,13 +103,13 @@
             .on_list_update(&mut bench.host, bench.now, ListUpdate::Full(&entries));
         // All work runs until each worker has some, so that none is sent a second work unit.
         let out: Vec<_> = (0..workers).filter_map(|_| bench.send()).collect();
-        for (wu, alloc) in out {
-            bench.done(&wu, &alloc);
+        for (wu, attempt) in out {
+            bench.done(&wu, &attempt);
         }
         bench
     }
 
-    fn send(&mut self) -> Option<(Rc<WorkUnit>, Rc<Allocation>)> {
+    fn send(&mut self) -> Option<(Rc<WorkUnit>, Rc<Attempt>)> {
         self.next += 1;
         self.now += 1e-5;
         let wu = WorkUnit::new(
@@ -119,15 +122,15 @@
         );
         self.host.0 = None;
         self.scheduler.on_arrival(&mut self.host, self.now, &wu);
-        let alloc = self.host.0.and_then(|(_, number)| wu.allocation(number))?;
-        self.scheduler.on_start(&mut self.host, self.now, &alloc);
-        Some((wu, alloc))
+        let attempt = self.host.0.and_then(|(_, number)| wu.attempt(number))?;
+        self.scheduler.on_start(&mut self.host, self.now, &attempt);
+        Some((wu, attempt))
     }
 
-    fn done(&mut self, wu: &Rc<WorkUnit>, alloc: &Rc<Allocation>) {
+    fn done(&mut self, wu: &Rc<WorkUnit>, attempt: &Rc<Attempt>) {
         self.now += 1e-5;
         self.scheduler
-            .on_outcome(&mut self.host, self.now, alloc, Outcome::Completed, true);
+            .on_outcome(&mut self.host, self.now, attempt, Outcome::Completed, true);
         self.scheduler.on_timer(&mut self.host, self.now);
         black_box(wu);
     }
@@ -142,8 +145,8 @@
             BenchmarkId::new("arrival, start and outcome", workers),
             |b| {
                 b.iter(|| {
-                    if let Some((wu, alloc)) = bench.send() {
-                        bench.done(&wu, &alloc);
+                    if let Some((wu, attempt)) = bench.send() {
+                        bench.done(&wu, &attempt);
                     }
                 });
             },
--- a/crates/mintlb-scheduler/src/decide.rs
+++ b/crates/mintlb-scheduler/src/decide.rs
@@ -16,7 +16,7 @@
 use crate::util::{DecayingMean, Rng, StartDelays, TIMER_TOLERANCE_S, TimerQueue, median};
 use crate::worker_index::WorkerIndex;
 use crate::{
-    Allocation, Costs, DedupScope, Host, Idempotency, ListEntry, ListState, ListUpdate, Queue,
+    Attempt, Costs, DedupScope, Host, Idempotency, ListEntry, ListState, ListUpdate, Queue,
     SlowStart,
 };
 use crate::{LoadReport, Outcome, OutlierStatus, ProjectType, WorkUnit, Worker};
@@ -24,9 +24,9 @@
 use std::rc::{Rc, Weak};
 
 enum Timer {
-    Deadline(Weak<WorkUnit>),       // The client of the work unit gives up.
-    QueueTimeout(Weak<WorkUnit>),   // The work unit can no longer complete in time from the queue.
-    StartOverdue(Weak<Allocation>), // The allocation should have started.
+    Deadline(Weak<WorkUnit>),     // The client of the work unit gives up.
+    QueueTimeout(Weak<WorkUnit>), // The work unit can no longer complete in time from the queue.
+    StartOverdue(Weak<Attempt>),  // The attempt should have started.
     RequestList,
     SendPeerMessage,
     Redispatch, // Periodic, for headroom that appears without an event: trials of suspects, cold budgets, peer messages.
@@ -136,14 +136,14 @@
 pub struct RetryPolicy {
     /// Whether a work unit may be in flight at several workers at once.
     pub parallel_attempts: bool,
-    /// Whether allocations in flight may be cancelled.
+    /// Whether attempts in flight may be cancelled.
     pub may_cancel: bool,
-    /// Limit of the allocations of one work unit.
-    pub max_allocations: usize,
+    /// Limit of the attempts of one work unit.
+    pub max_attempts: usize,
 }
 
 impl RetryPolicy {
-    /// Whether an allocation may have run, given its outcome if there is one. A cancelled one may have.
+    /// Whether an attempt may have run, given its outcome if there is one. A cancelled one may have.
     fn may_have_run(outcome: Option<Outcome>) -> bool {
         !matches!(
             outcome,
@@ -153,18 +153,19 @@
 
     /// Whether this work unit may be sent to this worker now.
     fn permits(&self, now: f64, idempotency: Idempotency, wu: &WorkUnit, worker: &Worker) -> bool {
-        let allocs = wu.allocations.borrow();
-        let is_open = |a: &&Rc<Allocation>| a.outcome.get().is_none();
-        let is_there = allocs
+        let attempts = wu.attempts.borrow();
+        let is_open = |a: &&Rc<Attempt>| a.outcome.get().is_none();
+        let is_there = attempts
             .iter()
             .filter(is_open)
             .any(|a| std::ptr::eq(&*a.worker, worker));
         let exhausted =
-            wu.ended.get() || allocs.len() >= self.max_allocations.min(wu.max_allocations.get());
-        if exhausted || is_there || !self.parallel_attempts && allocs.iter().any(|a| is_open(&a)) {
+            wu.ended.get() || attempts.len() >= self.max_attempts.min(wu.max_attempts.get());
+        if exhausted || is_there || !self.parallel_attempts && attempts.iter().any(|a| is_open(&a))
+        {
             return false;
         }
-        let Some(first) = allocs
+        let Some(first) = attempts
             .iter()
             .find(|a| RetryPolicy::may_have_run(a.outcome.get()))
         else {
@@ -199,17 +200,17 @@
                 ..
             } => true,
             _ => !wu
-                .allocations
+                .attempts
                 .borrow()
                 .iter()
                 .any(|a| RetryPolicy::may_have_run(a.outcome.get())),
         }
     }
 
-    /// Cancels all allocations in flight except `kept`, if cancelling is permitted.
-    fn cancel_others(&self, host: &mut dyn Host, wu: &WorkUnit, kept: Option<&Rc<Allocation>>) {
-        let allocs = wu.allocations.borrow();
-        let open = allocs
+    /// Cancels all attempts in flight except `kept`, if cancelling is permitted.
+    fn cancel_others(&self, host: &mut dyn Host, wu: &WorkUnit, kept: Option<&Rc<Attempt>>) {
+        let attempts = wu.attempts.borrow();
+        let open = attempts
             .iter()
             .filter(|a| self.may_cancel && a.outcome.get().is_none());
         open.filter(|a| kept.is_none_or(|k| !Rc::ptr_eq(a, k)))
@@ -222,7 +223,7 @@
 pub struct Fleet {
     slow_start: SlowStart,
     zone: u16,
-    reports_starts: bool, // Workers report when an allocation starts.
+    reports_starts: bool, // Workers report when an attempt starts.
     zone_factor: f64,     // Factor of the headroom of workers in other zones.
     peers: Peers,
     shares_load: bool, // Schedulers tell each other how many slots they hold at each worker.
@@ -232,16 +233,16 @@
     max_slots: f64, // The most slots observed at any worker: running for this scheduler at once, or reported as free.
     /// Start delays by zone, as a scheduler seldom uses the same worker of a large fleet.
     zones: BTreeMap<u16, StartDelays>,
-    unstarted: Vec<Rc<Allocation>>, // Allocations of this scheduler that have not started, at all workers.
-    start_window: f64,              // Limit of the number of unstarted allocations.
-    failure_rate: DecayingMean,     // Share of failures among all outcomes.
-    trial_intervals: Vec<f64>,      // By project type: seconds between two trials of a suspect.
-    last_lost: Vec<f64>, // By project type: send time of the allocation that was last marked as lost.
+    unstarted: Vec<Rc<Attempt>>, // Attempts of this scheduler that have not started, at all workers.
+    start_window: f64,           // Limit of the number of unstarted attempts.
+    failure_rate: DecayingMean,  // Share of failures among all outcomes.
+    trial_intervals: Vec<f64>,   // By project type: seconds between two trials of a suspect.
+    last_lost: Vec<f64>, // By project type: send time of the attempt that was last marked as lost.
 }
 
 /// A start is late after twice the zone's shortest start delay plus this share of the shortest promised turnaround.
 const LATE_START_SHARE: f64 = 0.2;
-/// Divisor of the headroom in another zone: 1 + this x the cost of a cross-zone allocation in points.
+/// Divisor of the headroom in another zone: 1 + this x the cost of a cross-zone attempt in points.
 const CROSS_ZONE_PENALTY: f64 = 32.0;
 /// Messages sent by all schedulers together within the shortest promised turnaround.
 const MESSAGES_PER_TURNAROUND: f64 = 128.0;
@@ -431,12 +432,12 @@
             * COLD_BUDGET_SHARE
     }
 
-    /// Whether the number of unstarted allocations allows another. Many schedulers that each leave work
+    /// Whether the number of unstarted attempts allows another. Many schedulers that each leave work
     /// waiting at full workers would build long queues; the window does for the fleet what `concurrency_limit` does
-    /// for a worker. Allocations unstarted for too long do not count, so that they do not stop all other work.
+    /// for a worker. Attempts unstarted for too long do not count, so that they do not stop all other work.
     fn has_window(&self, now: f64, queues: &Queues) -> bool {
         let max_delay = |wu: Rc<WorkUnit>| queues.max_delay(wu.project_type);
-        let is_waiting = |a: &&Rc<Allocation>| {
+        let is_waiting = |a: &&Rc<Attempt>| {
             a.work_unit
                 .upgrade()
                 .is_some_and(|wu| now - a.sent_at < max_delay(wu))
@@ -456,10 +457,10 @@
             .clamp(1.0, MAX_START_WINDOW);
     }
 
-    fn record_send(&mut self, now: f64, alloc: &Rc<Allocation>, wu: &WorkUnit, usual: f64) {
-        let w = &alloc.worker;
-        wu.allocations.borrow_mut().push(alloc.clone());
-        self.unstarted.push(alloc.clone());
+    fn record_send(&mut self, now: f64, attempt: &Rc<Attempt>, wu: &WorkUnit, usual: f64) {
+        let w = &attempt.worker;
+        wu.attempts.borrow_mut().push(attempt.clone());
+        self.unstarted.push(attempt.clone());
         self.workers.track(w);
         w.health.borrow_mut()[wu.project_type].next_trial =
             now + self.trial_intervals[wu.project_type];
@@ -475,18 +476,18 @@
 
     /// Marks non-idempotent work as lost that has not started in time: the worker, or the connection to it, may swallow
     /// work. It must not keep other work from that worker for as long as its client waits.
-    fn mark_lost(&mut self, host: &mut dyn Host, now: f64, alloc: &Allocation, wu: &WorkUnit) {
-        alloc.mark_lost(wu.slots);
-        self.peers.record_change(&alloc.worker, self.shares_load);
-        self.last_lost[wu.project_type] = alloc.sent_at;
-        self.unstarted.retain(|a| !std::ptr::eq(&**a, alloc));
-        self.update_health(host, now, &alloc.worker, wu.project_type, 1.0);
+    fn mark_lost(&mut self, host: &mut dyn Host, now: f64, attempt: &Attempt, wu: &WorkUnit) {
+        attempt.mark_lost(wu.slots);
+        self.peers.record_change(&attempt.worker, self.shares_load);
+        self.last_lost[wu.project_type] = attempt.sent_at;
+        self.unstarted.retain(|a| !std::ptr::eq(&**a, attempt));
+        self.update_health(host, now, &attempt.worker, wu.project_type, 1.0);
     }
 
-    fn record_start(&mut self, now: f64, alloc: &Allocation, slots: f64) {
-        alloc.start(now, slots);
-        let w = &alloc.worker;
-        let delay = now - alloc.sent_at;
+    fn record_start(&mut self, now: f64, attempt: &Attempt, slots: f64) {
+        attempt.start(now, slots);
+        let w = &attempt.worker;
+        let delay = now - attempt.sent_at;
         w.record_start_delay(now, delay);
         if delay > self.late_after(w) {
             w.halve_concurrency_limit();
@@ -495,7 +496,7 @@
             .entry(w.entry.zone)
             .or_insert(StartDelays::new(delay))
             .add(now, delay, 1.0 - FLEET_GAIN);
-        self.unstarted.retain(|a| !std::ptr::eq(&**a, alloc));
+        self.unstarted.retain(|a| !std::ptr::eq(&**a, attempt));
         if w.open_requests.get().is_none() {
             self.record_slots(w, w.slots_running.get());
         }
@@ -512,18 +513,18 @@
         self.start_window = MAX_START_WINDOW;
     }
 
-    /// Releases the slots of an allocation, and updates the concurrency limit and the failure rate of its worker.
+    /// Releases the slots of an attempt, and updates the concurrency limit and the failure rate of its worker.
     fn record_outcome(
         &mut self,
         host: &mut dyn Host,
         now: f64,
-        alloc: &Allocation,
+        attempt: &Attempt,
         wu: &WorkUnit,
         outcome: Outcome,
     ) {
-        let w = &alloc.worker;
-        alloc.release(wu.slots);
-        self.peers.record_change(&alloc.worker, self.shares_load);
+        let w = &attempt.worker;
+        attempt.release(wu.slots);
+        self.peers.record_change(&attempt.worker, self.shares_load);
         if let (
             LoadReport {
                 free_slots: Some(free),
@@ -534,12 +535,12 @@
             self.reports_slots = true;
             self.record_slots(w, (free * REPORTED_SLOTS_SHARE).round());
         }
-        self.unstarted.retain(|a| !std::ptr::eq(&**a, alloc));
+        self.unstarted.retain(|a| !std::ptr::eq(&**a, attempt));
         let failed = match outcome {
             Outcome::Completed => 0.0,
             Outcome::Error | Outcome::NoConnection | Outcome::Dropped => 1.0,
             // A time-out without a start indicates a silent worker; one of a long run indicates nothing.
-            Outcome::TimedOut if alloc.started_at.get().is_none() && !alloc.lost.get() => 1.0,
+            Outcome::TimedOut if attempt.started_at.get().is_none() && !attempt.lost.get() => 1.0,
             Outcome::Full => return w.halve_concurrency_limit(),
             Outcome::TimedOut | Outcome::Recalled | Outcome::Moot => return,
         };
@@ -706,7 +707,7 @@
 
     pub fn on_arrival(&mut self, host: &mut dyn Host, now: f64, wu: &Rc<WorkUnit>) {
         self.shares.charge(wu);
-        wu.max_allocations.set(self.retry.max_allocations);
+        wu.max_attempts.set(self.retry.max_attempts);
         // An untracked worker is only drawn at random, so that work that prefers it would hardly reach it.
         if let Some(preferred) = host.preferred_worker(wu) {
             self.fleet.workers.track_by_id(preferred);
@@ -721,74 +722,74 @@
         self.dispatch_and_arm(host, now);
     }
 
-    /// An allocation has started at its worker. Of parallel allocations the first to start is kept.
-    pub fn on_start(&mut self, host: &mut dyn Host, now: f64, alloc: &Rc<Allocation>) {
+    /// An attempt has started at its worker. Of parallel attempts the first to start is kept.
+    pub fn on_start(&mut self, host: &mut dyn Host, now: f64, attempt: &Rc<Attempt>) {
         // A repeated notice, or one after the outcome, says nothing of what was sent since.
-        let is_new = alloc.outcome.get().is_none() && alloc.started_at.get().is_none();
-        if let Some(wu) = alloc.work_unit.upgrade().filter(|_| is_new) {
-            alloc.worker.health.borrow_mut()[wu.project_type].last_start = now;
-            self.fleet.record_start(now, alloc, wu.slots);
-            let is_late = now - alloc.sent_at > self.queues.max_delay(wu.project_type);
+        let is_new = attempt.outcome.get().is_none() && attempt.started_at.get().is_none();
+        if let Some(wu) = attempt.work_unit.upgrade().filter(|_| is_new) {
+            attempt.worker.health.borrow_mut()[wu.project_type].last_start = now;
+            self.fleet.record_start(now, attempt, wu.slots);
+            let is_late = now - attempt.sent_at > self.queues.max_delay(wu.project_type);
             self.fleet.adjust_window(
                 is_late,
                 1.0 - self.queues.types[wu.project_type].late_credit,
             );
             self.queues.queue_of(&wu).remove(&wu);
-            let allocs = wu.allocations.borrow();
+            let attempts = wu.attempts.borrow();
             // Another that runs is kept instead: two that start in one batch of events must not cancel each other.
             let is_running =
-                |a: &&Rc<Allocation>| a.outcome.get().is_none() && a.started_at.get().is_some();
-            let first = allocs
+                |a: &&Rc<Attempt>| a.outcome.get().is_none() && a.started_at.get().is_some();
+            let first = attempts
                 .iter()
                 .filter(is_running)
-                .find(|a| !Rc::ptr_eq(a, alloc))
-                .unwrap_or(alloc);
+                .find(|a| !Rc::ptr_eq(a, attempt))
+                .unwrap_or(attempt);
             self.retry.cancel_others(host, &wu, Some(first));
         }
         self.dispatch_and_arm(host, now);
     }
 
-    /// An allocation has ended; `ended` if its work unit has its final answer with that.
+    /// An attempt has ended; `ended` if its work unit has its final answer with that.
     pub fn on_outcome(
         &mut self,
         host: &mut dyn Host,
         now: f64,
-        alloc: &Rc<Allocation>,
+        attempt: &Rc<Attempt>,
         outcome: Outcome,
         ended: bool,
     ) {
-        let Some(wu) = alloc
+        let Some(wu) = attempt
             .work_unit
             .upgrade()
-            .filter(|_| alloc.outcome.get().is_none())
+            .filter(|_| attempt.outcome.get().is_none())
         else {
             return;
         };
-        alloc.outcome.set(Some(outcome));
-        self.fleet.record_outcome(host, now, alloc, &wu, outcome);
+        attempt.outcome.set(Some(outcome));
+        self.fleet.record_outcome(host, now, attempt, &wu, outcome);
         if outcome == Outcome::Completed {
-            let run_time = alloc.run_time(now);
+            let run_time = attempt.run_time(now);
             let usual = &mut self.queues.run_times[wu.project_type];
             *usual += (run_time - *usual) * FLEET_GAIN;
-            alloc.worker.run_times.borrow_mut()[wu.project_type]
+            attempt.worker.run_times.borrow_mut()[wu.project_type]
                 .add(run_time, 1.0 - 1.0 / RUN_TIME_MEMORY);
-            alloc
+            attempt
                 .worker
                 .slowness
                 .borrow_mut()
                 .add(run_time / *usual, 1.0 - FLEET_GAIN);
-            alloc.worker.slowness_at.set(now);
+            attempt.worker.slowness_at.set(now);
         }
         if ended {
             self.close(host, &wu);
-        } else if !wu.ended.get() && !wu.has_open_allocation() {
+        } else if !wu.ended.get() && !wu.has_open_attempt() {
             self.queues.queue_of(&wu).remove(&wu);
             self.requeue(host, now, &wu, outcome);
         }
         self.dispatch_and_arm(host, now);
     }
 
-    /// Puts a work unit whose allocation has ended without completing it at the front of its queue, or gives up.
+    /// Puts a work unit whose attempt has ended without completing it at the front of its queue, or gives up.
     fn requeue(&mut self, host: &mut dyn Host, now: f64, wu: &Rc<WorkUnit>, outcome: Outcome) {
         let idempotency = self.queues.types[wu.project_type].idempotency;
         let is_over = outcome == Outcome::Moot || now >= self.queues.give_up_at(wu);
@@ -820,7 +821,7 @@
         self.close(host, wu);
     }
 
-    /// Ends a work unit: it leaves its queue, and its allocations in flight are cancelled.
+    /// Ends a work unit: it leaves its queue, and its attempts in flight are cancelled.
     fn close(&mut self, host: &mut dyn Host, wu: &Rc<WorkUnit>) {
         self.queues.queue_of(wu).remove(wu);
         if !wu.ended.replace(true) {
@@ -857,7 +858,7 @@
                     .upgrade()
                     .iter()
                     .for_each(|wu| self.on_queue_timeout(host, now, wu)),
-                Timer::StartOverdue(alloc) => self.on_start_overdue(host, now, alloc),
+                Timer::StartOverdue(attempt) => self.on_start_overdue(host, now, attempt),
                 Timer::RequestList => {
                     self.polling.last_request = Some(now);
                     host.request_worker_list();
@@ -884,13 +885,13 @@
             &self.queues.types[wu.project_type],
             self.queues.max_delay(wu.project_type),
         );
-        if wu.queued.get() && !wu.has_open_allocation() {
+        if wu.queued.get() && !wu.has_open_attempt() {
             return self.give_up(host, now, wu);
         }
         let may_withdraw =
             self.retry.may_cancel && self.fleet.reports_starts && t.late_credit == 0.0;
         let is_running = wu
-            .allocations
+            .attempts
             .borrow()
             .iter()
             .any(|a| a.outcome.get().is_none() && a.started_at.get().is_some());
@@ -907,19 +908,19 @@
         self.queues.queue_of(wu).remove(wu);
     }
 
-    /// An allocation has not started in time: its worker is full with others' work, or silent. Non-idempotent work is
-    /// marked as lost there; other work is queued for a second allocation if there is time left to run it.
-    fn on_start_overdue(&mut self, host: &mut dyn Host, now: f64, alloc: Weak<Allocation>) {
-        let overdue = alloc
+    /// An attempt has not started in time: its worker is full with others' work, or silent. Non-idempotent work is
+    /// marked as lost there; other work is queued for a second attempt if there is time left to run it.
+    fn on_start_overdue(&mut self, host: &mut dyn Host, now: f64, attempt: Weak<Attempt>) {
+        let overdue = attempt
             .upgrade()
             .filter(|a| a.started_at.get().is_none() && a.outcome.get().is_none());
-        let Some((alloc, wu)) = overdue.and_then(|a| Some((a.clone(), a.work_unit.upgrade()?)))
+        let Some((attempt, wu)) = overdue.and_then(|a| Some((a.clone(), a.work_unit.upgrade()?)))
         else {
             return;
         };
         let (i, may_queue) = (wu.project_type, !wu.ended.get() && !wu.queued.get());
         if self.queues.types[i].idempotency == Idempotency::NonIdempotent {
-            self.fleet.mark_lost(host, now, &alloc, &wu);
+            self.fleet.mark_lost(host, now, &attempt, &wu);
         } else if may_queue
             && !self.fleet.reports_slots
             && now + self.queues.run_times[i] < wu.deadline
@@ -997,10 +998,10 @@
         };
         self.queues.queue_of(&wu).remove(&wu);
         let i = wu.project_type;
-        let alloc = Allocation::new(&wu, w, now);
+        let attempt = Attempt::new(&wu, w, now);
         self.fleet
-            .record_send(now, &alloc, &wu, self.queues.run_times[i]);
-        host.allocate(&alloc);
+            .record_send(now, &attempt, &wu, self.queues.run_times[i]);
+        host.send_attempt(&attempt);
         // Work that may be repeated is sent elsewhere when its start is late, so only non-idempotent work can block a
         // worker for good.
         if self.retry.parallel_attempts && self.retry.may_cancel && self.fleet.reports_starts {
@@ -1010,14 +1011,16 @@
             } else {
                 self.fleet.late_after(w)
             };
-            self.timers
-                .add(now + max_delay, Timer::StartOverdue(Rc::downgrade(&alloc)));
+            self.timers.add(
+                now + max_delay,
+                Timer::StartOverdue(Rc::downgrade(&attempt)),
+            );
         }
         true
     }
 
     /// The work unit for this worker from the queue with the highest pressure that has one which may run there. With
-    /// `proven`, types that are unproven there are left out: non-idempotent ones of which an allocation was lost
+    /// `proven`, types that are unproven there are left out: non-idempotent ones of which an attempt was lost
     /// recently, and none has started there since. Without it, only these are considered. Trials of a suspect are in
     /// both rounds.
     fn pick(&self, host: &dyn Host, now: f64, w: &Worker, proven: bool) -> Option<Rc<WorkUnit>> {
--- a/crates/mintlb-scheduler/src/lib.rs
+++ b/crates/mintlb-scheduler/src/lib.rs
@@ -4,7 +4,7 @@
 //! creates [`WorkUnit`]s, reports events to [`decide::Scheduler`] and carries out what the scheduler asks for through
 //! [`Host`]. All times and durations are in seconds; the host assigns the `id` fields.
 //!
-//! Each send of a work unit to a worker is an [`Allocation`].
+//! Each send of a work unit to a worker is an [`Attempt`].
 
 pub mod decide;
 pub mod peer_message;
@@ -67,7 +67,7 @@
     pub project_type: ProjectType,
 }
 
-/// How an allocation ended. The variants' names appear in log lines (`outcome` of `allocation back`).
+/// How an attempt ended. The variants' names appear in log lines (`outcome` of `allocation back`).
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Outcome {
     Completed,
@@ -208,7 +208,7 @@
 /// Costs beside wasted work, in points (the unit of [`ProjectType::credit`]).
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Costs {
-    /// Cost of each allocation to another zone.
+    /// Cost of each attempt to another zone.
     pub cross_zone: f64,
     /// Cost of one full peer message for each work unit; `None` if schedulers may not exchange messages.
     pub peer_message: Option<f64>,
@@ -263,11 +263,11 @@
 pub struct Worker {
     pub entry: ListEntry,
     pub(crate) state: Cell<ListState>,
-    /// Allocations of this scheduler without an outcome.
+    /// Attempts of this scheduler without an outcome.
     pub(crate) in_flight: Cell<usize>,
     /// Those of them that are not known to have started.
     pub(crate) unstarted: Cell<usize>,
-    /// Slots of the allocations in flight.
+    /// Slots of the attempts in flight.
     pub(crate) slots_in_flight: Cell<f64>,
     /// Slots of those that have started.
     pub(crate) slots_running: Cell<f64>,
@@ -352,22 +352,22 @@
     pub arrived_at: f64,
     /// When its client gives up.
     pub deadline: f64,
-    /// Limit of its allocations, as configured when it arrived.
-    pub(crate) max_allocations: Cell<usize>,
+    /// Limit of its attempts, as configured when it arrived.
+    pub(crate) max_attempts: Cell<usize>,
     /// It arrived when its customer had used up its share.
     pub(crate) over_share: Cell<bool>,
     /// It has its final answer, or its client is gone.
     pub(crate) ended: Cell<bool>,
     pub(crate) queued: Cell<bool>,
-    pub(crate) allocations: RefCell<Vec<Rc<Allocation>>>,
+    pub(crate) attempts: RefCell<Vec<Rc<Attempt>>>,
 }
 
 /// One send of a work unit to a worker.
 #[derive(Debug)]
-pub struct Allocation {
+pub struct Attempt {
     pub work_unit: Weak<WorkUnit>,
     pub worker: Rc<Worker>,
-    /// Index among the allocations of its work unit.
+    /// Index among the attempts of its work unit.
     pub number: u16,
     pub sent_at: f64,
     pub(crate) started_at: Cell<Option<f64>>,
@@ -396,26 +396,26 @@
             },
             arrived_at,
             deadline: arrived_at + time_budget,
-            max_allocations: Cell::new(usize::MAX),
+            max_attempts: Cell::new(usize::MAX),
             over_share: Cell::new(false),
             ended: Cell::new(false),
             queued: Cell::new(false),
-            allocations: RefCell::default(),
+            attempts: RefCell::default(),
         })
     }
 
-    pub fn allocation(&self, number: u16) -> Option<Rc<Allocation>> {
-        self.allocations.borrow().get(number as usize).cloned()
+    pub fn attempt(&self, number: u16) -> Option<Rc<Attempt>> {
+        self.attempts.borrow().get(number as usize).cloned()
     }
 
-    /// Whether an allocation was sent before.
+    /// Whether an attempt was sent before.
     pub fn is_retry(&self) -> bool {
-        !self.allocations.borrow().is_empty()
+        !self.attempts.borrow().is_empty()
     }
 
-    /// Whether an allocation of it is in flight.
-    pub(crate) fn has_open_allocation(&self) -> bool {
-        self.allocations
+    /// Whether an attempt of it is in flight.
+    pub(crate) fn has_open_attempt(&self) -> bool {
+        self.attempts
             .borrow()
             .iter()
             .any(|a| a.outcome.get().is_none())
@@ -426,13 +426,13 @@
         self.ended.get()
     }
 
-    /// Whether it has ended with no allocation in flight, so that the host may drop it.
+    /// Whether it has ended with no attempt in flight, so that the host may drop it.
     pub fn is_settled(&self) -> bool {
-        self.ended.get() && !self.has_open_allocation()
+        self.ended.get() && !self.has_open_attempt()
     }
 }
 
-impl Allocation {
+impl Attempt {
     /// Records that it has started at its worker, possibly after it was marked as lost.
     pub(crate) fn start(&self, now: f64, slots: f64) {
         self.started_at.set(Some(now));
@@ -460,11 +460,11 @@
         now - self.started_at.get().unwrap_or(self.sent_at)
     }
 
-    pub(crate) fn new(wu: &Rc<WorkUnit>, worker: &Rc<Worker>, sent_at: f64) -> Rc<Allocation> {
-        Rc::new(Allocation {
+    pub(crate) fn new(wu: &Rc<WorkUnit>, worker: &Rc<Worker>, sent_at: f64) -> Rc<Attempt> {
+        Rc::new(Attempt {
             work_unit: Rc::downgrade(wu),
             worker: worker.clone(),
-            number: wu.allocations.borrow().len() as u16,
+            number: wu.attempts.borrow().len() as u16,
             sent_at,
             started_at: Cell::new(None),
             lost: Cell::new(false),
@@ -545,7 +545,7 @@
         self.cold_budget.set((budget - slots * work, at));
     }
 
-    /// Counts an allocation again that was marked as lost and has started after all.
+    /// Counts an attempt again that was marked as lost and has started after all.
     pub(crate) fn restore_lost(&self, slots: f64) {
         self.in_flight.set(self.in_flight.get() + 1);
         self.unstarted.set(self.unstarted.get() + 1);
@@ -579,7 +579,7 @@
         self.slots_in_flight.get().ceil().clamp(0.0, 255.0) as u8
     }
 
-    /// Records how long an allocation took to start there.
+    /// Records how long an attempt took to start there.
     pub(crate) fn record_start_delay(&self, now: f64, delay: f64) {
         let (old, _) = self.start_delay.get();
         self.start_delay.set((old + (delay - old) / 2.0, now));
@@ -638,7 +638,7 @@
         }
     }
 
-    /// Slots of this scheduler's allocations in flight there.
+    /// Slots of this scheduler's attempts in flight there.
     pub fn slots_in_flight(&self) -> f64 {
         self.slots_in_flight.get()
     }
@@ -646,7 +646,7 @@
 
 /// The program that embeds a scheduler: carries out its decisions and answers its questions.
 pub trait Host {
-    /// Whether limits outside the scheduler allow this allocation now.
+    /// Whether limits outside the scheduler allow this attempt now.
     fn permits(&self, _wu: &WorkUnit, _worker: &Worker) -> bool {
         true
     }
@@ -654,10 +654,10 @@
     fn preferred_worker(&self, _wu: &WorkUnit) -> Option<u64> {
         None
     }
-    /// Sends an allocation to its worker.
-    fn allocate(&mut self, alloc: &Allocation);
-    /// Cancels an allocation in flight; its outcome is reported all the same.
-    fn cancel(&mut self, alloc: &Allocation);
+    /// Sends an attempt to its worker.
+    fn send_attempt(&mut self, attempt: &Attempt);
+    /// Cancels an attempt in flight; its outcome is reported all the same.
+    fn cancel(&mut self, attempt: &Attempt);
     /// Gives the final answer that the work unit was turned away and that a repeat is harmless, best after
     /// `retry_after` seconds.
     fn defer(&mut self, wu: &WorkUnit, retry_after: f64);
--- a/crates/mintlb-scheduler/src/peers.rs
+++ b/crates/mintlb-scheduler/src/peers.rs
@@ -16,7 +16,7 @@
     changed_workers: Vec<Rc<Worker>>,
     /// Of each other scheduler's last message: when it was sent by its clock, and when it arrived by ours.
     last_messages: BTreeMap<usize, (f64, f64)>,
-    /// Longest time that an allocation may take, in seconds. A slot is held for longer only if other work has started
+    /// Longest time that an attempt may take, in seconds. A slot is held for longer only if other work has started
     /// since, which is reported. So an older report is from a scheduler that is gone or has restarted, or a later
     /// message was lost.
     pub max_work_duration: f64,
--- a/crates/mintlb-scheduler/src/settings.rs
+++ b/crates/mintlb-scheduler/src/settings.rs
@@ -13,7 +13,7 @@
 /// reached, whichever request failed. Half of it may pass between two requests; the rest is for the request itself.
 pub const MAX_LIST_DELAY_S: f64 = 6.0;
 
-/// Cost of a cross-zone allocation in points, if `prices.cross_zone` is not set: the price where the scheduler was
+/// Cost of a cross-zone attempt in points, if `prices.cross_zone` is not set: the price where the scheduler was
 /// first tried.
 const DEFAULT_CROSS_ZONE_COST: f64 = 0.021;
 
@@ -134,8 +134,8 @@
 
     /// The settings that may change while a scheduler runs.
     pub fn reloadable(&self) -> Result<ReloadableSettings, String> {
-        let max_allocations = self.get("permissions.most_allocations")?;
-        if max_allocations == 0 {
+        let max_attempts = self.get("permissions.most_allocations")?;
+        if max_attempts == 0 {
             return Err(
                 "the setting permissions.most_allocations=0 allows no work to be sent".to_string(),
             );
@@ -144,7 +144,7 @@
             retry_policy: RetryPolicy {
                 parallel_attempts: self.get("permissions.parallel_tries")?,
                 may_cancel: self.get("permissions.may_cancel")?,
-                max_allocations,
+                max_attempts,
             },
             excess_credit: self.get_or("excess_credit", 1.0)?,
             max_retry_after: match self.get("permissions.retry_after")? {
@@ -219,7 +219,7 @@
             .collect()
     }
 
-    /// The costs; without the settings a default for cross-zone allocations applies, and schedulers exchange no
+    /// The costs; without the settings a default for cross-zone attempts applies, and schedulers exchange no
     /// messages.
     fn costs(&self) -> Result<Costs, String> {
         let non_negative_or = |path: &str, default: f64| {
--- a/crates/mintlb-scheduler/tests/decisions.rs
+++ b/crates/mintlb-scheduler/tests/decisions.rs
@@ -64,7 +64,7 @@
                 "send 1>1, defer 1",
             ),
             (
-                "limit of three allocations",
+                "limit of three attempts",
                 "list 1; call 1 0; end 1.0 full; end 1.1 full; end 1.2 full",
                 "send 1>1, send 1>1, send 1>1, defer 1",
             ),
@@ -158,7 +158,7 @@
         true,
         &[
             (
-                "late start: second allocation",
+                "late start: second attempt",
                 "list 1 2; call 1 0; at 0.05; wake",
                 "send 1>1, send 1>2",
             ),
@@ -173,7 +173,7 @@
                 "send 1>1, send 1>2, cancel 1.0",
             ),
             (
-                "deduplicated: second allocation only in its cell",
+                "deduplicated: second attempt only in its cell",
                 "list 1 11; call 1 1; at 0.05; wake",
                 "send 1>1",
             ),
@@ -188,7 +188,7 @@
                 "send 1>1",
             ),
             (
-                "non-idempotent: no second allocation",
+                "non-idempotent: no second attempt",
                 "list 1 2; call 1 2; at 0.05; wake",
                 "send 1>1",
             ),
@@ -213,7 +213,7 @@
                 "send 1>1, send 2>101, send 3>101, send 4>1",
             ),
             (
-                "no second allocation after the turnaround",
+                "no second attempt after the turnaround",
                 "list 1; call 1 1; at 0.1; wake; at 0.2; wake; change 2",
                 "send 1>1",
             ),
@@ -611,7 +611,7 @@
 }
 
 #[test]
-fn no_second_allocation_where_workers_report_free_slots() {
+fn no_second_attempt_where_workers_report_free_slots() {
     for (report, second) in [
         ("", "send 1>2"),
         ("report 1 0; call 8 0; start 8.0; end 8.0 ok;", ""),
@@ -635,7 +635,7 @@
     // Work is assumed to run for 0.2 s, and its start may be 0.2 s late.
     for (script, then) in [
         ("call 1 0; start 1.0; at 0.3; call 2 0", "send 2>1"),
-        // An allocation that still runs says nothing of the worker: the work may take long anywhere.
+        // An attempt that still runs says nothing of the worker: the work may take long anywhere.
         ("call 1 0; start 1.0; at 2; call 2 0", "send 2>1"),
         // A slow worker is avoided until that was a while ago.
         (
@@ -917,13 +917,13 @@
     let to = w.run(failed.trim_end_matches(';')).replace("send 1>", "");
     w.run(&format!("list {to}"));
     assert_eq!(w.run("call 20 0"), "");
-    // What a worker that is gone has reported does not prevent second allocations.
+    // What a worker that is gone has reported does not prevent second attempts.
     let mut w = scripted(true, false);
     w.run("list 1; call 1 0; report 1 9; start 1.0; end 1.0 ok; list 2; call 20 0; change 3");
     let second = w.run("at 0.1; wake");
     assert!(
         second.contains("send 20>3"),
-        "no second allocation, although these workers do not report free slots: {second}"
+        "no second attempt, although these workers do not report free slots: {second}"
     );
 }
 
@@ -963,7 +963,7 @@
             i % 3,
             1 << (i % 4)
         )));
-        if let Some(alloc) = w.work_units.get(&id).and_then(|wu| wu.allocation(0)) {
+        if let Some(attempt) = w.work_units.get(&id).and_then(|wu| wu.attempt(0)) {
             let free_slots = [f64::NAN, -3.0, f64::INFINITY, 0.0][(i % 4) as usize];
             let outcome = [
                 Outcome::Error,
@@ -974,23 +974,23 @@
             let report = LoadReport {
                 free_slots: Some(free_slots),
             };
-            w.scheduler.on_start(&mut w.host, w.now, &alloc);
+            w.scheduler.on_start(&mut w.host, w.now, &attempt);
             let ended = outcome == Outcome::Completed;
             w.scheduler
-                .on_outcome(&mut w.host, w.now, &alloc, outcome, ended);
+                .on_outcome(&mut w.host, w.now, &attempt, outcome, ended);
             w.scheduler
-                .on_outcome(&mut w.host, w.now, &alloc, outcome, ended);
-            w.scheduler.on_start(&mut w.host, w.now, &alloc);
-            alloc.worker.record_report(w.now, report);
+                .on_outcome(&mut w.host, w.now, &attempt, outcome, ended);
+            w.scheduler.on_start(&mut w.host, w.now, &attempt);
+            attempt.worker.record_report(w.now, report);
         }
     }
     w.now += 10.0;
     actions.push(w.run("wake"));
     for wu in w.work_units.clone().values() {
         for n in 0..3 {
-            if let Some(alloc) = wu.allocation(n) {
+            if let Some(attempt) = wu.attempt(n) {
                 w.scheduler
-                    .on_outcome(&mut w.host, w.now, &alloc, Outcome::Recalled, true);
+                    .on_outcome(&mut w.host, w.now, &attempt, Outcome::Recalled, true);
             }
         }
         w.scheduler.on_client_gone(&mut w.host, w.now, wu);
--- a/crates/mintlb-scheduler/tests/many_schedulers.rs
+++ b/crates/mintlb-scheduler/tests/many_schedulers.rs
@@ -6,7 +6,7 @@
 use mintlb_scheduler::peer_message::PeerMessage;
 use mintlb_scheduler::util::{Rng, median};
 use mintlb_scheduler::{
-    Allocation, Costs, Host, Idempotency, ListEntry, ListState, ListUpdate, Outcome, ProjectType,
+    Attempt, Costs, Host, Idempotency, ListEntry, ListState, ListUpdate, Outcome, ProjectType,
     ProjectTypeSet, SlowStart, WorkUnit, Worker,
 };
 use std::collections::{BTreeMap, VecDeque};
@@ -25,7 +25,7 @@
 
 #[derive(Default)]
 struct Requested {
-    sent: Vec<Rc<Allocation>>,
+    sent: Vec<Rc<Attempt>>,
     cancelled: Vec<(u64, u16)>,
     deferred: Vec<u64>,
     aborted: Vec<u64>,
@@ -34,11 +34,11 @@
 }
 
 impl Host for Requested {
-    fn allocate(&mut self, a: &Allocation) {
+    fn send_attempt(&mut self, a: &Attempt) {
         self.sent
-            .extend(a.work_unit.upgrade().and_then(|wu| wu.allocation(a.number)));
+            .extend(a.work_unit.upgrade().and_then(|wu| wu.attempt(a.number)));
     }
-    fn cancel(&mut self, a: &Allocation) {
+    fn cancel(&mut self, a: &Attempt) {
         self.cancelled
             .push((a.work_unit.upgrade().unwrap().id, a.number));
     }
@@ -71,13 +71,13 @@
     SchedulersReplaced,
     /// Seven in ten schedulers are killed, and restart with the cached list.
     SchedulersKilled,
-    /// A connection of this scheduler for this allocation was not accepted.
+    /// A connection of this scheduler for this attempt was not accepted.
     ConnectFailed(usize, u64, u16),
 }
 
 struct Job {
     from: usize,
-    alloc: Rc<Allocation>,
+    attempt: Rc<Attempt>,
     wu: Rc<WorkUnit>,
     running: bool,
 }
@@ -108,7 +108,7 @@
     }
 }
 
-/// Numbers of work units and allocations by what became of them.
+/// Numbers of work units and attempts by what became of them.
 #[derive(Debug, Default)]
 struct Totals {
     arrived: usize,
@@ -192,7 +192,7 @@
     let retry_policy = RetryPolicy {
         parallel_attempts: true,
         may_cancel: true,
-        max_allocations: 3,
+        max_attempts: 3,
     };
     let stages = (
         FairShares::new(&[]),
@@ -325,7 +325,7 @@
         for (number, job) in dead.collect::<Vec<_>>() {
             let simulated = self
                 .simulated_workers
-                .get_mut(&job.alloc.worker.entry.id)
+                .get_mut(&job.attempt.worker.entry.id)
                 .unwrap();
             simulated.queue.retain(|queued| *queued != number);
             simulated.running -= usize::from(job.running);
@@ -374,7 +374,7 @@
                         .iter()
                         .for_each(|w| self.simulated_workers.get_mut(w).unwrap().silent = true);
                     self.jobs
-                        .retain(|_, job| !workers.contains(&job.alloc.worker.entry.id));
+                        .retain(|_, job| !workers.contains(&job.attempt.worker.entry.id));
                 }
                 Event::SchedulersReplaced => self.replace_schedulers(),
                 Event::SchedulersKilled => self.kill_schedulers(),
@@ -408,10 +408,10 @@
         let Some(wu) = self.open_work.get(&id).map(|work| work.1.clone()) else {
             return;
         };
-        let alloc = wu.allocation(number).unwrap();
+        let attempt = wu.attempt(number).unwrap();
         let done = outcome == Outcome::Completed;
         self.call(from, |s, host, now| {
-            s.on_outcome(host, now, &alloc, outcome, done)
+            s.on_outcome(host, now, &attempt, outcome, done)
         });
     }
 
@@ -421,11 +421,11 @@
         if let Some(after) = requested.timer {
             self.schedule(after, Event::Timer(from));
         }
-        for alloc in requested.sent {
-            self.send(from, alloc);
+        for attempt in requested.sent {
+            self.send(from, attempt);
         }
         for (id, number) in requested.cancelled {
-            let is_cancelled = |job: &Job| job.wu.id == id && job.alloc.number == number;
+            let is_cancelled = |job: &Job| job.wu.id == id && job.attempt.number == number;
             if let Some(job) = self
                 .jobs
                 .iter()
@@ -440,10 +440,10 @@
         self.totals.aborted += requested.aborted.len();
     }
 
-    fn send(&mut self, from: usize, alloc: Rc<Allocation>) {
-        let wu = alloc.work_unit.upgrade().unwrap();
+    fn send(&mut self, from: usize, attempt: Rc<Attempt>) {
+        let wu = attempt.work_unit.upgrade().unwrap();
         let run = self.open_work[&wu.id].2;
-        let (worker, number) = (alloc.worker.entry.id, alloc.number);
+        let (worker, number) = (attempt.worker.entry.id, attempt.number);
         let simulated = self.simulated_workers.get_mut(&worker).unwrap();
         self.totals.sent += 1;
         if simulated.silent {
@@ -456,7 +456,7 @@
             self.sequence,
             Job {
                 from,
-                alloc,
+                attempt,
                 wu,
                 running: false,
             },
@@ -476,21 +476,21 @@
             simulated.running += 1;
             let job = self.jobs.get_mut(&number).unwrap();
             job.running = true;
-            let (from, alloc) = (job.from, job.alloc.clone());
+            let (from, attempt) = (job.from, job.attempt.clone());
             let fails = self.rng.uniform() < simulated.errors;
             let run = self.open_work[&job.wu.id].2 / simulated.speed(self.now);
             self.schedule(
                 if fails { 0.01 } else { run },
                 Event::JobEnd(if fails { number | FAILURE_FLAG } else { number }),
             );
-            self.call(from, |s, host, now| s.on_start(host, now, &alloc));
+            self.call(from, |s, host, now| s.on_start(host, now, &attempt));
         }
     }
 
     /// The job leaves its worker.
     fn remove_job(&mut self, number: u64) -> Option<Job> {
         let job = self.jobs.remove(&number)?;
-        let worker = job.alloc.worker.entry.id;
+        let worker = job.attempt.worker.entry.id;
         let simulated = self.simulated_workers.get_mut(&worker).unwrap();
         simulated.queue.retain(|queued| *queued != number);
         simulated.running -= usize::from(job.running);
@@ -501,21 +501,21 @@
     fn end_job(&mut self, number: u64) {
         let (fails, number) = (number & FAILURE_FLAG > 0, number & !FAILURE_FLAG);
         let Some(Job {
-            from, wu, alloc, ..
+            from, wu, attempt, ..
         }) = self.remove_job(number)
         else {
             return;
         };
         if fails {
             self.totals.errors += 1;
-            return self.report_outcome(from, wu.id, alloc.number, Outcome::Error);
+            return self.report_outcome(from, wu.id, attempt.number, Outcome::Error);
         }
         let run = self.open_work[&wu.id].2;
         match self.now <= wu.arrived_at + TURNAROUND_S + 2.0 * run {
             true => self.totals.in_time += 1,
             false => self.totals.late += 1,
         }
-        self.report_outcome(from, wu.id, alloc.number, Outcome::Completed);
+        self.report_outcome(from, wu.id, attempt.number, Outcome::Completed);
     }
 
     /// The most work that a cold worker was sent within the overload window, as a multiple of what it can run in that
@@ -688,9 +688,9 @@
         );
         scheduler.on_arrival(&mut host, now, &wu);
         work_units.push(wu);
-        for alloc in std::mem::take(&mut host.sent) {
-            *sent.entry(alloc.worker.entry.id).or_insert(0) += 1;
-            scheduler.on_start(&mut host, now, &alloc);
+        for attempt in std::mem::take(&mut host.sent) {
+            *sent.entry(attempt.worker.entry.id).or_insert(0) += 1;
+            scheduler.on_start(&mut host, now, &attempt);
         }
     }
     assert_eq!(
--- a/crates/mintlb-scheduler/tests/preferred_worker.rs
+++ b/crates/mintlb-scheduler/tests/preferred_worker.rs
@@ -3,7 +3,7 @@
 use mintlb_scheduler::decide::{FairShares, Fleet, ListPolling, Queues, RetryPolicy, Scheduler};
 use mintlb_scheduler::util::Rng;
 use mintlb_scheduler::{
-    Allocation, Costs, Host, Idempotency, ListEntry, ListState, ListUpdate, ProjectType,
+    Attempt, Costs, Host, Idempotency, ListEntry, ListState, ListUpdate, ProjectType,
     ProjectTypeSet, SlowStart, WorkUnit, Worker,
 };
 
@@ -22,10 +22,10 @@
     fn preferred_worker(&self, _: &WorkUnit) -> Option<u64> {
         self.preferred
     }
-    fn allocate(&mut self, alloc: &Allocation) {
-        self.sent_to.push(alloc.worker.entry.id);
+    fn send_attempt(&mut self, attempt: &Attempt) {
+        self.sent_to.push(attempt.worker.entry.id);
     }
-    fn cancel(&mut self, _: &Allocation) {}
+    fn cancel(&mut self, _: &Attempt) {}
     fn defer(&mut self, _: &WorkUnit, _: f64) {}
     fn abort(&mut self, _: &WorkUnit) {}
     fn probe(&mut self, _: &Worker) {}
@@ -53,7 +53,7 @@
     let retry_policy = RetryPolicy {
         parallel_attempts: false,
         may_cancel: true,
-        max_allocations: 8,
+        max_attempts: 8,
     };
     let stages = (
         FairShares::new(&[]),
--- a/crates/mintlb-scheduler/tests/scripted/mod.rs
+++ b/crates/mintlb-scheduler/tests/scripted/mod.rs
@@ -4,7 +4,7 @@
 use mintlb_scheduler::peer_message::PeerMessage;
 use mintlb_scheduler::util::Rng;
 use mintlb_scheduler::{
-    Allocation, Costs, DedupScope, Host, Idempotency, ListEntry, ListState, ListUpdate, Outcome,
+    Attempt, Costs, DedupScope, Host, Idempotency, ListEntry, ListState, ListUpdate, Outcome,
     ProjectType, ProjectTypeUpdate, SlowStart,
 };
 use mintlb_scheduler::{LoadReport, ProjectTypeSet, WorkUnit, Worker};
@@ -22,14 +22,14 @@
 }
 
 impl Host for RecordingHost {
-    fn allocate(&mut self, a: &Allocation) {
+    fn send_attempt(&mut self, a: &Attempt) {
         self.actions.push(format!(
             "send {}>{}",
             a.work_unit.upgrade().unwrap().id,
             a.worker.entry.id
         ));
     }
-    fn cancel(&mut self, a: &Allocation) {
+    fn cancel(&mut self, a: &Attempt) {
         self.actions.push(format!(
             "cancel {}.{}",
             a.work_unit.upgrade().unwrap().id,
@@ -138,7 +138,7 @@
     let retry_policy = RetryPolicy {
         parallel_attempts,
         may_cancel: true,
-        max_allocations: 3,
+        max_attempts: 3,
     };
     let stages = (
         FairShares::new(&[1e6, 1e-6]),
@@ -182,7 +182,7 @@
     ///
     /// Steps: `on` (the scheduler starts), `at T` (seconds after the begin), `list W..` and `change W..` (full and
     /// partial list: `1` ready, `1d` draining, `1g` gone, `1n` restarted), `list-failed`, `call ID TYPE [CUSTOMER
-    /// [SLOTS]]` (a work unit arrives), `start ID.N` and `end ID.N OUTCOME [ended]` (of its allocation N),
+    /// [SLOTS]]` (a work unit arrives), `start ID.N` and `end ID.N OUTCOME [ended]` (of its attempt N),
     /// `client-gone ID`, `wake` (the timer fires), `report WORKER FREE_SLOTS`, `peer SCHEDULER AGE WORKER SLOTS ..` (a
     /// message), `no-peers` (settings without messages). Workers 1 to 9 share a cell; those from 100 on are in another
     /// zone than the scheduler. Ties are broken at random, from a fixed seed.
@@ -194,10 +194,10 @@
         std::mem::take(&mut self.host.actions).join(", ")
     }
 
-    fn alloc(&self, name: &str) -> Rc<Allocation> {
+    fn attempt(&self, name: &str) -> Rc<Attempt> {
         let (id, n) = name.split_once('.').unwrap();
         self.work_units[&id.parse().unwrap()]
-            .allocation(n.parse().unwrap())
+            .attempt(n.parse().unwrap())
             .unwrap()
     }
 
@@ -246,11 +246,11 @@
                 s.on_arrival(host, now, &wu);
             }
             "start" => {
-                let alloc = self.alloc(args[0]);
-                self.scheduler.on_start(&mut self.host, now, &alloc);
+                let attempt = self.attempt(args[0]);
+                self.scheduler.on_start(&mut self.host, now, &attempt);
             }
             "end" => {
-                let alloc = self.alloc(args[0]);
+                let attempt = self.attempt(args[0]);
                 let outcome = match args[1] {
                     "ok" => Outcome::Completed,
                     "error" => Outcome::Error,
@@ -264,7 +264,7 @@
                 };
                 let ended = args.get(2).is_some() || outcome == Outcome::Completed;
                 self.scheduler
-                    .on_outcome(&mut self.host, now, &alloc, outcome, ended);
+                    .on_outcome(&mut self.host, now, &attempt, outcome, ended);
             }
             "client-gone" => s.on_client_gone(host, now, &self.work_units[&(arg(0, 0.0) as u64)]),
             "report" => {
@@ -299,7 +299,7 @@
                 let retry_policy = RetryPolicy {
                     parallel_attempts: false,
                     may_cancel: true,
-                    max_allocations: 3,
+                    max_attempts: 3,
                 };
                 s.reconfigure(
                     &types,
--- a/crates/mintlb/src/count.rs
+++ b/crates/mintlb/src/count.rs
@@ -9,7 +9,7 @@
 
 #[derive(Debug, Default)]
 struct Second {
-    /// Work units sent for the first time, and further allocations of theirs.
+    /// Work units sent for the first time, and further attempts of theirs.
     first: usize,
     again: usize,
     to_new: usize,
@@ -34,7 +34,7 @@
 /// One scheduler's log, as far as it is read.
 #[derive(Default)]
 struct Log {
-    /// When each allocation that is out was sent, and whether it has started.
+    /// When each attempt that is out was sent, and whether it has started.
     out: HashMap<Id, (f64, bool)>,
     /// Workers named lately, by address.
     named: VecDeque<(f64, String)>,
@@ -57,10 +57,10 @@
     ))
 }
 
-/// A work unit's number at its scheduler, and the allocation's among its own.
+/// A work unit's number at its scheduler, and the attempt's among its own.
 type Id = (String, String);
 
-fn alloc(text: &str) -> Option<Id> {
+fn attempt(text: &str) -> Option<Id> {
     Some((
         field(text, "wu")?.to_string(),
         field(text, "n")?.to_string(),
@@ -123,7 +123,7 @@
                 log.named.push_back((now, address.trim_end().to_string()));
             }
         } else if text.starts_with("allocation sent") {
-            let Some(id) = alloc(text) else { return };
+            let Some(id) = attempt(text) else { return };
             while log
                 .named
                 .pop_front_if(|(since, _)| *since + NEW < now)
@@ -141,7 +141,7 @@
             second.waiting += 1;
             log.out.insert(id, (now, false));
         } else if text.starts_with("allocation started") {
-            let Some((sent, started)) = alloc(text).and_then(|id| log.out.get_mut(&id)) else {
+            let Some((sent, started)) = attempt(text).and_then(|id| log.out.get_mut(&id)) else {
                 return;
             };
             if !std::mem::replace(started, true) {
@@ -152,7 +152,7 @@
                 second.running += 1;
             }
         } else if text.starts_with("allocation ") {
-            if let Some((_, started)) = alloc(text).and_then(|id| log.out.remove(&id)) {
+            if let Some((_, started)) = attempt(text).and_then(|id| log.out.remove(&id)) {
                 self.leaves(now, started);
                 let outcome = field(text, "outcome").unwrap_or("called off").to_string();
                 *self.at(now).outcomes.entry(outcome).or_default() += 1;
@@ -163,7 +163,7 @@
         }
     }
 
-    /// Whether any allocation was seen: without `--verbose` a log has none.
+    /// Whether any attempt was seen: without `--verbose` a log has none.
     pub fn is_empty(&self) -> bool {
         self.seconds
             .values()
--- a/crates/mintlb/src/grants.rs
+++ b/crates/mintlb/src/grants.rs
@@ -18,9 +18,9 @@
     /// Work units held, and bytes of their bodies.
     pub open: usize,
     pub bodies: usize,
-    /// Allocations out.
+    /// Attempts out.
     pub out: usize,
-    /// An allocation ends this many seconds before its client gives up, so that the answer is in time.
+    /// An attempt ends this many seconds before its client gives up, so that the answer is in time.
     pub margin: f64,
     /// The operators' door.
     pub door: ServerLimits,
--- a/crates/mintlb/src/serve.rs
+++ b/crates/mintlb/src/serve.rs
@@ -99,7 +99,7 @@
 fn step(hands: &mut ActionExecutor<ListWatch>, reducer: &mut Reducer, now: f64, event: Event) {
     match &event {
         Event::Finished(back) => hands.record_result(back),
-        Event::Started(alloc) => hands.log_started(*alloc),
+        Event::Started(attempt) => hands.log_started(*attempt),
         Event::ClientLeft(wu) => hands.log_client_left(*wu),
         _ => {}
     }
@@ -204,7 +204,7 @@
         tell.clone(),
         &fields,
         worded,
-        figures.sent_allocations(),
+        figures.sent_attempts(),
         log.clone(),
     );
     let own = |path| text.list(path).into_iter().map(str::to_string).collect();
@@ -237,7 +237,7 @@
         tell: &tell,
         numbers: &numbers,
         room: &room,
-        sends: figures.sent_allocations(),
+        sends: figures.sent_attempts(),
         project_types: &project_types,
         told: told_first.as_ref().map(|(_, told)| told),
         log: &log,
--- a/crates/mintlb/tests/crossings.rs
+++ b/crates/mintlb/tests/crossings.rs
@@ -355,7 +355,7 @@
     }
 }
 
-/// A client has gone before there is room for its work: no allocation of it begins, however it left, and also where
+/// A client has gone before there is room for its work: no attempt of it begins, however it left, and also where
 /// hundreds leave in one moment.
 #[test]
 fn who_has_gone_is_sent_nowhere() {
--- a/crates/mintlb/tests/operators.rs
+++ b/crates/mintlb/tests/operators.rs
@@ -472,7 +472,7 @@
     )
     .chain(["0", "-1", "1.5", "\"three\"", "null"].map(|most| {
         (
-            format!("{most} allocations"),
+            format!("{most} attempts"),
             with.replace(
                 "\"most_allocations\": 3",
                 &format!("\"most_allocations\": {most}"),
--- a/crates/mintlb/tests/program.rs
+++ b/crates/mintlb/tests/program.rs
@@ -195,7 +195,7 @@
 }
 
 #[test]
-fn a_client_that_leaves_takes_its_allocation_along() {
+fn a_client_that_leaves_takes_its_attempt_along() {
     let program = start("", &[]);
     let mut stream = program.connect();
     stream
--- a/crates/mintlb/tests/protocol.rs
+++ b/crates/mintlb/tests/protocol.rs
@@ -513,7 +513,7 @@
     assert_eq!(world.heard("p"), "JOB_TOO_BIG NOT_FOUND");
 }
 
-/// Whatever a release storm does, a work unit has its bounded number of allocations and its one end.
+/// Whatever a release storm does, a work unit has its bounded number of attempts and its one end.
 #[test]
 fn a_release_storm_ends() {
     let mut world = World::new("cold = false", &[], 1000);
@@ -528,7 +528,7 @@
     }
     assert!(
         (1..=3).contains(&given),
-        "{given} times, and three allocations are the settings' most"
+        "{given} times, and three attempts are the settings' most"
     );
     assert_eq!(world.answers[&1].len(), 1);
     assert_eq!(world.held(), 0);
--- a/crates/mintlb/tests/reducer.rs
+++ b/crates/mintlb/tests/reducer.rs
@@ -8,7 +8,7 @@
 use mintlb_core::membership::worker_id;
 use mintlb_core::project_types::ProjectTypes;
 use mintlb_core::reducer::{Action, Event, Reducer};
-use mintlb_core::work::{AllocationRequest, AllocationResult, Answer, Payload, Submission};
+use mintlb_core::work::{Answer, AttemptRequest, AttemptResult, Payload, Submission};
 use mintlb_http::list_service::{ListDecoder, ListMessage};
 use mintlb_http::worker::{RequestTemplate, WorkerClient};
 use mintlb_scheduler::settings::ReloadableSettings;
@@ -22,7 +22,7 @@
     reading: ListDecoder,
     now: f64,
     clients: Vec<Receiver<Answer>>,
-    orders: Vec<AllocationRequest>,
+    orders: Vec<AttemptRequest>,
     types: Vec<(String, ProjectType)>,
     terms: ReloadableSettings,
 }
@@ -90,7 +90,7 @@
 impl Bench {
     fn step(&mut self, step: &str) -> String {
         let words: Vec<&str> = step.split_whitespace().collect();
-        let alloc = |name: &str| {
+        let attempt = |name: &str| {
             let (id, n) = name.split_once('.').unwrap();
             (id.parse().unwrap(), n.parse().unwrap())
         };
@@ -132,9 +132,9 @@
                     responder: Box::new(answer),
                 })
             }
-            // The project types, each with its effect, and before them how many allocations work may have.
+            // The project types, each with its effect, and before them how many attempts work may have.
             "retune" => {
-                self.terms.retry_policy.max_allocations = words[1].parse().unwrap();
+                self.terms.retry_policy.max_attempts = words[1].parse().unwrap();
                 let types: Vec<_> = words[2..].iter().map(|word| self.named(word)).collect();
                 return match self.reducer.reconfigure(&types, &self.terms) {
                     Ok(()) => String::new(),
@@ -142,7 +142,7 @@
                 };
             }
             "left" => Event::ClientLeft(words[1].parse().unwrap()),
-            "start" => Event::Started(alloc(words[1])),
+            "start" => Event::Started(attempt(words[1])),
             "back" => {
                 let outcome = match words[2] {
                     "done" => Outcome::Completed,
@@ -153,9 +153,9 @@
                     other => panic!("no outcome {other}"),
                 };
                 let result = Bytes::from_static(b"r");
-                Event::Finished(AllocationResult {
+                Event::Finished(AttemptResult {
                     result,
-                    ..AllocationResult::from_outcome(alloc(words[1]), outcome)
+                    ..AttemptResult::from_outcome(attempt(words[1]), outcome)
                 })
             }
             "list" => Event::MembershipChanged(
@@ -216,7 +216,7 @@
                     endpoint: to,
                     request: order,
                 } => {
-                    let (id, n) = order.allocation_id;
+                    let (id, n) = order.attempt_id;
                     said.push(format!(
                         "send {id}.{n} {}",
                         to.to_string().split(':').next_back().unwrap()
@@ -555,7 +555,7 @@
             .iter()
             .filter(|order| order.withdrawn.is_cancelled());
         let said: Vec<String> = orders
-            .map(|order| format!("{}.{}", order.allocation_id.0, order.allocation_id.1))
+            .map(|order| format!("{}.{}", order.attempt_id.0, order.attempt_id.1))
             .collect();
         assert_eq!(said.join(" "), taken_back, "{shown}");
     }
@@ -588,7 +588,7 @@
 /// Work keeps the terms that it came with, whether it waits or is out, and new work has the new ones.
 #[test]
 fn each_effect_becomes_each_other() {
-    // What becomes of work whose one allocation may have run: it goes again, or is aborted.
+    // What becomes of work whose one attempt may have run: it goes again, or is aborted.
     let effects = [
         ("rerunnable", "send 1.1", "-"),
         ("receipted", "send 1.1", "-"),
@@ -639,7 +639,7 @@
 fn terms_change_for_what_comes_then() {
     let cases = [
         (
-            "fewer allocations, also for what is here",
+            "fewer attempts, also for what is here",
             "retune 1 w=rerunnable; call 1 w; back 1.0 dropped",
             "answer",
             "deferred",
--- a/crates/mintlb/tests/world/mod.rs
+++ b/crates/mintlb/tests/world/mod.rs
@@ -13,8 +13,8 @@
 use mintlb_core::project_types::ProjectTypes;
 use mintlb_core::reducer::{Action, Event, Reducer};
 use mintlb_core::work::{
-    AllocationId, AllocationRequest, Answer, CancelHandle, Endpoint, Payload, Responder,
-    Submission, WorkUnitIds,
+    Answer, AttemptId, AttemptRequest, CancelHandle, Endpoint, Payload, Responder, Submission,
+    WorkUnitIds,
 };
 use mintlb_scheduler::{ListState, ProjectTypeSet};
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
@@ -24,8 +24,8 @@
 
 /// What the core says, on its way to the hub.
 enum Word {
-    Order(IpAddr, ProjectTypeSet, u64, AllocationRequest),
-    Recall(AllocationId),
+    Order(IpAddr, ProjectTypeSet, u64, AttemptRequest),
+    Recall(AttemptId),
     Answer(u64, Answer),
 }
 
@@ -40,8 +40,8 @@
 }
 
 impl Endpoint for Way {
-    fn send(&self, order: AllocationRequest) -> Box<dyn CancelHandle> {
-        let out = Box::new(Out(order.allocation_id, self.3.clone()));
+    fn send(&self, order: AttemptRequest) -> Box<dyn CancelHandle> {
+        let out = Box::new(Out(order.attempt_id, self.3.clone()));
         self.3
             .lock()
             .unwrap()
@@ -51,7 +51,7 @@
     fn probe(&self, _: u64) {}
 }
 
-struct Out(AllocationId, Words);
+struct Out(AttemptId, Words);
 
 impl CancelHandle for Out {
     fn cancel(self: Box<Self>) {
@@ -85,7 +85,7 @@
 pub struct World {
     hub: Hub,
     reducer: Reducer,
-    out: HashMap<AllocationId, Box<dyn CancelHandle>>,
+    out: HashMap<AttemptId, Box<dyn CancelHandle>>,
     words: Words,
     pub now: f64,
     wake: f64,
@@ -162,17 +162,17 @@
 
     fn reduce(&mut self, event: Event) {
         if let Event::Finished(back) = &event {
-            self.out.remove(&back.allocation_id);
+            self.out.remove(&back.attempt_id);
         }
         for act in self.reducer.reduce(self.now, event) {
             match act {
                 Action::Send {
                     endpoint: to,
                     request: order,
-                } => drop(self.out.insert(order.allocation_id, to.send(order))),
-                Action::Cancel(alloc) => self
+                } => drop(self.out.insert(order.attempt_id, to.send(order))),
+                Action::Cancel(attempt) => self
                     .out
-                    .remove(&alloc)
+                    .remove(&attempt)
                     .into_iter()
                     .for_each(|out| out.cancel()),
                 Action::Answer {
@@ -239,7 +239,7 @@
                     Word::Order(machine, runs, generation, order) => {
                         self.hub.order(machine, runs, generation, order)
                     }
-                    Word::Recall(alloc) => self.hub.recall(self.now, alloc),
+                    Word::Recall(attempt) => self.hub.recall(self.now, attempt),
                     Word::Answer(id, answer) => {
                         self.answers.entry(id).or_default().push(answer.clone());
                         self.hub.ended(self.now, id, answer);
