--- a/crates/mintlb/src/cli.rs
+++ b/crates/mintlb/src/cli.rs
@@ -1,11 +1,11 @@
-//! The command line.
+//! The command line of `mintlb`.
 
-use crate::count::Counts;
+use crate::configuration::Configuration;
+use crate::inherited_socket;
 use crate::log;
-use crate::operator::Operator;
-use crate::passed;
-use crate::placement::Placement;
-use crate::serve::{Plan, Told, serve};
+use crate::log_stats::LogStats;
+use crate::operator_config::OperatorConfig;
+use crate::serve::{ControlMessage, StartupPlan, serve};
 use argh::FromArgs;
 use mintlb_admin::command::FAILURE;
 use mintlb_common::settings::NodeSettings;
@@ -16,10 +16,10 @@
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::sync::mpsc::{UnboundedReceiver, unbounded_channel};
 
-/// How long a door may take for a call before it is held for dead.
-const PATIENCE: Duration = Duration::from_secs(3);
+/// The time-out of each step of a command to an admin socket: connecting, reading and writing.
+const ADMIN_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Dispatches work units to workers, by the max-pressure rule.
+/// Dispatches requests to workers, by the max-pressure rule.
 #[derive(FromArgs)]
 struct Mintlb {
     #[argh(subcommand)]
@@ -37,22 +37,22 @@
     Version(Version),
 }
 
-/// Serves until SIGTERM; SIGHUP has it read its configuration again.
+/// Runs a scheduler until SIGTERM. SIGHUP reloads the configuration.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "serve")]
 struct Serve {
-    /// the configuration; by default what ROUTER_CONFIG names
+    /// the configuration file; by default the one that ROUTER_CONFIG names
     #[argh(option)]
     config: Option<String>,
-    /// the operator's own file; without it only what the configuration names is served
+    /// the operator's configuration file; without it all optional subsystems are off
     #[argh(option)]
     operator: Option<String>,
-    /// log each single failure, too
+    /// log each request and each single failure, too
     #[argh(switch)]
     verbose: bool,
 }
 
-/// Serves as a dispatcher of the serving tier until SIGTERM; the settings are in the file that MINTLB_BOOT names.
+/// Runs a dispatcher of the serving tier until SIGTERM, with the settings file that MINTLB_BOOT names.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "dispatch")]
 struct Dispatch {
@@ -61,35 +61,35 @@
     verbose: bool,
 }
 
-/// Reads a configuration and says what would be served, or what is wrong with it.
+/// Validates a configuration and prints the resulting limits, or the first error in it.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "check")]
 struct Check {
-    /// the configuration; by default what ROUTER_CONFIG names
+    /// the configuration file; by default the one that ROUTER_CONFIG names
     #[argh(option)]
     config: Option<String>,
-    /// the operator's own file
+    /// the operator's configuration file
     #[argh(option)]
     operator: Option<String>,
 }
 
-/// Counts over many schedulers' logs, by second; they must have been written with --verbose.
+/// Prints per-second statistics over the logs of several schedulers, which must have run with --verbose.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "count")]
 struct Count {
-    /// what `serve` wrote to standard error, a file a scheduler
+    /// the standard error output of `mintlb serve`, one file for each scheduler
     #[argh(positional)]
     logs: Vec<String>,
 }
 
-/// Calls a scheduler's operators' door and prints the answer: HEALTH, DUMP, LEAVE or JOIN.
+/// Sends a command to a scheduler's admin socket and prints the reply: HEALTH, DUMP, LEAVE or JOIN.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "call")]
 struct Call {
-    /// the call
+    /// the command
     #[argh(positional)]
     call: String,
-    /// the door's address; by default what ROUTER_OPS names
+    /// the admin socket's address; by default the one that ROUTER_OPS names
     #[argh(option)]
     ops: Option<String>,
 }
@@ -99,60 +99,67 @@
 #[argh(subcommand, name = "version")]
 struct Version {}
 
-fn path(given: Option<String>) -> Result<String, String> {
-    let path = given.or_else(|| std::env::var("ROUTER_CONFIG").ok());
+fn config_path(option: Option<String>) -> Result<String, String> {
+    let path = option.or_else(|| std::env::var("ROUTER_CONFIG").ok());
     path.ok_or_else(|| "no configuration: give --config FILE or set ROUTER_CONFIG".to_string())
 }
 
-/// From the configuration and the operator's file, at these paths, with the socket that was passed on.
-fn plan(path: &str, operator: Option<&str>, passed: Option<TcpListener>) -> Result<Plan, String> {
-    let read = operator
-        .map(Operator::read)
+/// Reads and validates the configuration and the operator's file at these paths.
+fn load(
+    path: &str,
+    operator_path: Option<&str>,
+    inherited: Option<TcpListener>,
+) -> Result<StartupPlan, String> {
+    let operator = operator_path
+        .map(OperatorConfig::read)
         .transpose()?
         .unwrap_or_default();
-    let both = operator.map_or_else(
+    let both_paths = operator_path.map_or_else(
         || path.to_string(),
-        |operator| format!("{path} with {operator}"),
+        |operator_path| format!("{path} with {operator_path}"),
     );
-    let mut placement = Placement::read(path)?;
-    // The environment is each process's own, while two of them may share one file.
+    let mut configuration = Configuration::read(path)?;
+    // Sibling processes may share one configuration file, but each needs an admin address of its own.
     if let Ok(ops) = std::env::var("ROUTER_OPS") {
-        placement.ops = Some(
+        configuration.ops = Some(
             ops.trim()
                 .parse()
                 .map_err(|e| format!("ROUTER_OPS: {ops:?}: {e}"))?,
         );
     }
-    placement.passed = passed;
-    Plan::new(placement, read).map_err(|e| format!("{both}: {e}"))
+    configuration.inherited_socket = inherited;
+    StartupPlan::new(configuration, operator).map_err(|e| format!("{both_paths}: {e}"))
 }
 
-/// Turns signals into words to the scheduler. A SIGHUP that is not caught would end the program, and a bad
-/// configuration must not: the one that holds stays.
-fn follow_signals(
+/// Starts a task that turns signals into control messages. SIGHUP is handled even if the new configuration is invalid:
+/// unhandled it would end the program, while the current configuration is to stay in use.
+fn handle_signals(
     path: String,
-    operator: Option<String>,
-) -> Result<UnboundedReceiver<Told>, String> {
-    let on = |kind| signal(kind).map_err(|e| format!("no signals: {e}"));
-    let (mut stop, mut interrupt) = (on(SignalKind::terminate())?, on(SignalKind::interrupt())?);
-    let mut changed = on(SignalKind::hangup())?;
-    let (tell, told) = unbounded_channel();
+    operator_path: Option<String>,
+) -> Result<UnboundedReceiver<ControlMessage>, String> {
+    let stream = |kind| signal(kind).map_err(|e| format!("can't handle signals: {e}"));
+    let (mut terminate, mut interrupt) = (
+        stream(SignalKind::terminate())?,
+        stream(SignalKind::interrupt())?,
+    );
+    let mut hangup = stream(SignalKind::hangup())?;
+    let (sender, receiver) = unbounded_channel();
     tokio::spawn(async move {
         loop {
-            let word = tokio::select! {
-                _ = stop.recv() => Told::Stop,
-                _ = interrupt.recv() => Told::Stop,
-                _ = changed.recv() => match plan(&path, operator.as_deref(), None) {
-                    Ok(plan) => Told::Changed(Box::new(plan.into())),
-                    Err(why) => Told::Bad(why),
+            let message = tokio::select! {
+                _ = terminate.recv() => ControlMessage::Stop,
+                _ = interrupt.recv() => ControlMessage::Stop,
+                _ = hangup.recv() => match load(&path, operator_path.as_deref(), None) {
+                    Ok(plan) => ControlMessage::Reload(Box::new(plan.into())),
+                    Err(why) => ControlMessage::InvalidConfiguration(why),
                 },
             };
-            if tell.send(word).is_err() {
+            if sender.send(message).is_err() {
                 return;
             }
         }
     });
-    Ok(told)
+    Ok(receiver)
 }
 
 fn run(verb: Verb) -> Result<(), String> {
@@ -162,64 +169,66 @@
             operator,
             verbose,
         }) => {
-            let path = path(config)?;
-            let passed = std::env::var(passed::VARIABLE).ok();
-            let passed = passed.map(|value| passed::listener(&value)).transpose()?;
-            let plan = plan(&path, operator.as_deref(), passed)?;
-            let (log, last_lines) = log::to_stderr(plan.grants.log_lines, verbose);
-            let wait = plan.grants.http.dial_timeout;
+            let path = config_path(config)?;
+            let inherited = std::env::var(inherited_socket::ENV_VAR).ok();
+            let inherited = inherited
+                .map(|value| inherited_socket::listener(&value))
+                .transpose()?;
+            let plan = load(&path, operator.as_deref(), inherited)?;
+            let (log, log_guard) = log::to_stderr(plan.resource_limits.log_buffer_lines, verbose);
+            let flush_timeout = plan.resource_limits.http.dial_timeout;
             let runtime = tokio::runtime::Builder::new_current_thread()
                 .enable_all()
                 .build();
             let served = runtime
-                .map_err(|e| format!("no runtime: {e}"))?
+                .map_err(|e| format!("can't start the async runtime: {e}"))?
                 .block_on(async {
-                    let told = follow_signals(path, operator)?;
-                    serve(plan, log, told).await
+                    let control = handle_signals(path, operator)?;
+                    serve(plan, log, control).await
                 });
-            log::finish(last_lines, wait);
+            log::flush(log_guard, flush_timeout);
             served
         }
-        Verb::Dispatch(Dispatch { verbose }) => dispatch(verbose),
+        Verb::Dispatch(Dispatch { verbose }) => run_dispatcher(verbose),
         Verb::Check(Check { config, operator }) => {
-            let plan = plan(&path(config)?, operator.as_deref(), None)?;
-            let Placement {
+            let plan = load(&config_path(config)?, operator.as_deref(), None)?;
+            let Configuration {
                 name,
                 listen,
                 discovery,
-                known,
+                known_workers,
                 ..
-            } = &plan.placement;
-            let workers = known.as_ref().map_or(0, |k| k.workers.len());
+            } = &plan.configuration;
+            let workers = known_workers.as_ref().map_or(0, |k| k.workers.len());
             let types: Vec<&str> = plan.types.iter().map(|(name, _)| name.as_str()).collect();
             let types = types.join(", ");
             print(format_args!(
-                "{name} would listen on {listen} and ask {discovery} for the list\n\
+                "{name} would listen on {listen} and watch the list service at {discovery}\n\
                  project types: {types}\nworkers known: {workers}\n{:#?}\n",
-                plan.grants
+                plan.resource_limits
             ))?;
-            print(format_args!("{}", plan.plans))
+            print(format_args!("{}", plan.subsystems))
         }
         Verb::Count(Count { logs }) => {
-            let mut counts = Counts::default();
+            let mut stats = LogStats::default();
             for path in &logs {
                 let bytes =
                     std::fs::read(path).map_err(|e| format!("{path} cannot be read: {e}"))?;
-                counts.read(String::from_utf8_lossy(&bytes).lines());
+                stats.read(String::from_utf8_lossy(&bytes).lines());
             }
-            if counts.is_empty() {
+            if stats.is_empty() {
                 return Err(
-                    "no allocation in these logs: serve writes them with --verbose".to_string(),
+                    "no allocations in these logs: serve logs them only with --verbose".to_string(),
                 );
             }
-            print(format_args!("{counts}"))
+            print(format_args!("{stats}"))
         }
         Verb::Call(Call { call, ops }) => {
             let ops = ops.or_else(|| std::env::var("ROUTER_OPS").ok());
-            let ops = ops.ok_or("no door: give --ops ADDRESS or set ROUTER_OPS")?;
-            let answer = ask(&ops, &call).map_err(|e| format!("{ops}: {e}"))?;
-            print(format_args!("{answer}"))?;
-            match answer.starts_with(FAILURE) {
+            let ops = ops.ok_or("no admin socket: give --ops ADDRESS or set ROUTER_OPS")?;
+            let reply = send_command(&ops, &call).map_err(|e| format!("{ops}: {e}"))?;
+            print(format_args!("{reply}"))?;
+            match reply.starts_with(FAILURE) {
                 true => Err(format!("{ops}: {call} failed")),
                 false => Ok(()),
             }
@@ -228,36 +237,37 @@
     }
 }
 
-/// A dispatcher of the serving tier.
-fn dispatch(verbose: bool) -> Result<(), String> {
+fn run_dispatcher(verbose: bool) -> Result<(), String> {
     let settings = NodeSettings::from_environment().map_err(|e| e.to_string())?;
     let level = if verbose { "debug" } else { "info" };
-    let _log = mintlb_common::logging::start(level).map_err(|e| format!("no log: {e}"))?;
+    let _log =
+        mintlb_common::logging::start(level).map_err(|e| format!("can't start logging: {e}"))?;
     mintlb_dispatcher::run(settings).map_err(|e| e.to_string())
 }
 
-/// What a door answers within the time that it has for that.
-fn ask(at: &str, call: &str) -> std::io::Result<String> {
-    let at = at
+/// Sends a command to the admin socket at `address` and returns the reply.
+fn send_command(address: &str, command: &str) -> std::io::Result<String> {
+    let address = address
         .parse()
         .map_err(|e| std::io::Error::new(ErrorKind::InvalidInput, e))?;
-    let mut door = TcpStream::connect_timeout(&at, PATIENCE)?;
-    door.set_read_timeout(Some(PATIENCE))?;
-    door.set_write_timeout(Some(PATIENCE))?;
-    door.write_all(format!("{call}\n").as_bytes())?;
-    let mut answer = String::new();
-    door.read_to_string(&mut answer)?;
-    Ok(answer)
+    let mut stream = TcpStream::connect_timeout(&address, ADMIN_TIMEOUT)?;
+    stream.set_read_timeout(Some(ADMIN_TIMEOUT))?;
+    stream.set_write_timeout(Some(ADMIN_TIMEOUT))?;
+    stream.write_all(format!("{command}\n").as_bytes())?;
+    let mut reply = String::new();
+    stream.read_to_string(&mut reply)?;
+    Ok(reply)
 }
 
-/// A reader that has seen enough is no fault.
+/// Prints to standard output. A closed pipe is no error, as the reader may stop early.
 fn print(text: std::fmt::Arguments) -> Result<(), String> {
     match std::io::stdout().write_fmt(text) {
-        Err(e) if e.kind() != ErrorKind::BrokenPipe => Err(format!("nothing can be printed: {e}")),
+        Err(e) if e.kind() != ErrorKind::BrokenPipe => Err(format!("can't write to stdout: {e}")),
         _ => Ok(()),
     }
 }
 
+/// Parses the arguments of the command line and runs the command. An error is printed to standard error.
 pub fn main() -> ExitCode {
     let Mintlb { verb } = argh::from_env();
     match run(verb) {
--- a/crates/mintlb/src/log.rs
+++ b/crates/mintlb/src/log.rs
@@ -1,35 +1,38 @@
-//! The log: one line each to standard error, through a buffer that a slow sink can fill but not stop.
+//! Logging to standard error, one line for each message, through a bounded buffer: a slow reader makes the buffer
+//! drop lines, but never blocks the program.
 
 use slog::{Drain, Level, LevelFilter, Logger, o};
 use slog_async::{Async, AsyncGuard, OverflowStrategy};
 use std::sync::mpsc;
 use std::time::Duration;
 
-/// A log, and what writes out its last lines. Each single failure is a debug line.
-pub fn to_stderr(lines: usize, debug: bool) -> (Logger, AsyncGuard) {
+/// Returns a logger that buffers up to `buffer_lines` lines, and the guard that writes out the buffered lines when it
+/// is dropped. With `debug`, single requests and failures are logged, too.
+pub fn to_stderr(buffer_lines: usize, debug: bool) -> (Logger, AsyncGuard) {
     let decorator = slog_term::PlainDecorator::new(std::io::stderr());
-    // A sink that is gone is no reason to fall over: what cannot be written is dropped.
+    // Write errors are ignored: a closed standard error must not end the program.
     let drain = slog_term::FullFormat::new(decorator)
         .use_utc_timestamp()
         .build()
         .ignore_res();
-    let waiting = Async::new(drain)
-        .chan_size(lines)
+    let buffered = Async::new(drain)
+        .chan_size(buffer_lines)
         .overflow_strategy(OverflowStrategy::DropAndReport);
-    let (drain, guard) = waiting.build_with_guard();
-    let least = if debug { Level::Debug } else { Level::Info };
+    let (drain, guard) = buffered.build_with_guard();
+    let min_level = if debug { Level::Debug } else { Level::Info };
     (
-        Logger::root(LevelFilter::new(drain, least).ignore_res(), o!()),
+        Logger::root(LevelFilter::new(drain, min_level).ignore_res(), o!()),
         guard,
     )
 }
 
-/// Waits for the last lines, but not for long: a sink that takes nothing must not keep the program.
-pub fn finish(guard: AsyncGuard, wait: Duration) {
-    let (written, told) = mpsc::channel();
+/// Writes out the buffered lines, waiting for `timeout` at most, so that a blocked standard error does not keep the
+/// program from ending.
+pub fn flush(guard: AsyncGuard, timeout: Duration) {
+    let (flushed, flushed_receiver) = mpsc::channel();
     std::thread::spawn(move || {
         drop(guard);
-        written.send(()).ok();
+        flushed.send(()).ok();
     });
-    told.recv_timeout(wait).ok();
+    flushed_receiver.recv_timeout(timeout).ok();
 }
--- a/crates/mintlb/src/main.rs
+++ b/crates/mintlb/src/main.rs
@@ -1,4 +1,4 @@
-//! The program `mintlb`: all it does stands in the library.
+//! The program `mintlb`. The implementation is in the library crate of the same package.
 
 use std::process::ExitCode;
 
--- a/crates/mintlb/src/serve.rs
+++ b/crates/mintlb/src/serve.rs
@@ -1,12 +1,12 @@
-//! Start-up, the one loop round the reducer, and the end.
+//! The scheduler's start, event loop and graceful shutdown.
 
-use crate::change::Change;
-use crate::grants::Grants;
-use crate::join::{Plans, Shared, join};
-use crate::kin::Kin;
-use crate::operator::Operator;
-use crate::placement::Placement;
-use crate::record::Record;
+use crate::configuration::Configuration;
+use crate::membership_snapshot::SnapshotFile;
+use crate::operator_config::OperatorConfig;
+use crate::reload::Reload;
+use crate::resource_limits::ResourceLimits;
+use crate::siblings::Siblings;
+use crate::subsystems::{Context, SubsystemPlans, start};
 use mintlb_admin::command::{Command, Reply};
 use mintlb_admin::server::AdminServer;
 use mintlb_core::capacity::Capacity;
@@ -34,387 +34,426 @@
 use tokio::task::AbortHandle;
 use tokio::time::{Instant, interval, sleep_until};
 
-/// All that a start needs, read and found good.
-pub struct Plan {
-    pub placement: Placement,
-    pub operator: Operator,
-    pub text: FlatSettings,
-    pub grants: Grants,
+/// Everything needed to start a scheduler, read from the configuration files and validated.
+pub struct StartupPlan {
+    pub configuration: Configuration,
+    pub operator: OperatorConfig,
+    /// The settings by path.
+    pub settings: FlatSettings,
+    pub resource_limits: ResourceLimits,
     pub scheduler: Scheduler,
     pub terms: ReloadableSettings,
-    /// The project types by name, and the customers' names, in the order of their numbers.
+    /// The project types by name, in the order of their numbers.
     pub types: Vec<(String, ProjectType)>,
+    /// The customers' names, in the order of their numbers.
     pub customers: Vec<String>,
-    /// What of the operator's file is to be joined.
-    pub plans: Plans,
+    pub subsystems: SubsystemPlans,
 }
 
-impl Plan {
-    pub fn new(placement: Placement, operator: Operator) -> Result<Plan, String> {
-        let text = placement.text();
-        let scheduler = text.scheduler(placement.seed()?)?;
-        let sessions = operator
+impl StartupPlan {
+    pub fn new(
+        configuration: Configuration,
+        operator: OperatorConfig,
+    ) -> Result<StartupPlan, String> {
+        let settings = configuration.scheduler_settings();
+        let scheduler = settings.scheduler(configuration.seed()?)?;
+        let beanstalkd_connections = operator
             .beanstalkd
             .as_ref()
             .map_or(0, |table| table.connections);
-        let machine = placement.limits.within_system();
-        let grants = Grants::new(&machine, &text, sessions, placement.passed.is_some())?;
-        let (types, terms) = (text.named_types()?, text.reloadable()?);
-        let customers = (0..text.customer_count()?).map(|i| text.get(&format!("tenants.{i}.name")));
+        let machine = configuration.limits.capped_by_system();
+        let resource_limits = ResourceLimits::new(
+            &machine,
+            &settings,
+            beanstalkd_connections,
+            configuration.inherited_socket.is_some(),
+        )?;
+        let (types, terms) = (settings.named_types()?, settings.reloadable()?);
+        let customers =
+            (0..settings.customer_count()?).map(|i| settings.get(&format!("tenants.{i}.name")));
         let (names, project_types): (Vec<String>, Vec<ProjectType>) = types.iter().cloned().unzip();
         let customers: Vec<String> = customers.collect::<Result<_, _>>()?;
-        let plans = Plans::new(
+        let subsystems = SubsystemPlans::new(
             &operator,
-            &placement.name,
+            &configuration.name,
             &names,
             &project_types,
             &customers,
         )?;
-        Ok(Plan {
-            placement,
+        Ok(StartupPlan {
+            configuration,
             operator,
-            grants,
+            resource_limits,
             scheduler,
             terms,
             types,
             customers,
-            plans,
-            text,
+            subsystems,
+            settings,
         })
     }
 }
 
-/// What a scheduler is told from outside while it serves.
-pub enum Told {
-    /// A new configuration and operator's file, read and found good. Of them the list service's address, the project
-    /// types and their terms hold from now on.
-    Changed(Box<Change>),
-    /// A new configuration that can't be read, or is not good, and why.
-    Bad(String),
-    /// Answer what is held and what still comes, and end.
+/// A message from outside to a running scheduler.
+pub enum ControlMessage {
+    /// A new configuration and operator's file, read and validated. Of them, the list service's address, the project
+    /// types and their terms, and the fleet's budgets are applied.
+    Reload(Box<Reload>),
+    /// A new configuration that can't be read or is invalid, and the reason. The current one stays in use.
+    InvalidConfiguration(String),
+    /// Start the graceful shutdown: answer all open requests and those that still arrive, then end.
     Stop,
 }
 
-/// One event, and what follows from it.
-fn step(hands: &mut ActionExecutor<ListWatch>, reducer: &mut Reducer, now: f64, event: Event) {
+/// Handles one event and carries out the actions that follow from it.
+fn handle_event(
+    executor: &mut ActionExecutor<ListWatch>,
+    reducer: &mut Reducer,
+    now: f64,
+    event: Event,
+) {
     match &event {
-        Event::Finished(back) => hands.record_result(back),
-        Event::Started(attempt) => hands.log_started(*attempt),
-        Event::ClientLeft(wu) => hands.log_client_left(*wu),
+        Event::Finished(result) => executor.record_result(result),
+        Event::Started(attempt) => executor.log_started(*attempt),
+        Event::ClientLeft(wu) => executor.log_client_left(*wu),
         _ => {}
     }
     reducer
         .reduce(now, event)
         .into_iter()
-        .for_each(|act| hands.execute(act));
+        .for_each(|action| executor.execute(action));
 }
 
-/// What an operator's call is answered, and what follows from it.
-fn operate(
-    call: Command,
-    standing: &Mutex<Lifecycle>,
+/// Executes an operator's command, and returns the reply.
+fn execute_command(
+    command: Command,
+    lifecycle: &Mutex<Lifecycle>,
     now: f64,
-    page: impl FnOnce() -> String,
+    metrics_page: impl FnOnce() -> String,
 ) -> Reply {
-    let mut standing = standing.lock();
-    let word = match call {
-        Command::Dump => return Reply::Metrics(page()),
+    let mut lifecycle = lifecycle.lock();
+    let event = match command {
+        Command::Dump => return Reply::Metrics(metrics_page()),
         Command::Health => None,
         Command::Leave => Some(LifecycleEvent::Leave),
         Command::Join => Some(LifecycleEvent::Join),
     };
-    let heard = word.map_or(Ok(()), |word| standing.apply(now, word));
-    let shown = standing.state_name().to_string();
-    match heard {
+    let result = event.map_or(Ok(()), |event| lifecycle.apply(now, event));
+    let state = lifecycle.state_name().to_string();
+    match result {
         Err(why) => Reply::Failure(why.to_string()),
-        Ok(()) if call == Command::Health && !standing.is_ready() => Reply::Failure(shown),
-        Ok(()) => Reply::Success(shown),
+        Ok(()) if command == Command::Health && !lifecycle.is_ready() => Reply::Failure(state),
+        Ok(()) => Reply::Success(state),
     }
 }
 
-/// The figures of all parts.
-fn page(figures: &Metrics, subsystems: &[Box<dyn Subsystem>], now: Gauges) -> String {
+/// The metrics of the core and of all subsystems, one line each.
+fn metrics_page(metrics: &Metrics, subsystems: &[Box<dyn Subsystem>], now: Gauges) -> String {
     subsystems
         .iter()
-        .fold(figures.render(now), |page, part| page + &part.metrics())
+        .fold(metrics.render(now), |page, source| page + &source.metrics())
 }
 
-/// Serves until it is told to stop, and then until all that was taken is answered.
+/// Runs a scheduler until [`ControlMessage::Stop`] and the graceful shutdown after it. Fails if a socket can't be
+/// opened or a setting is invalid.
 pub async fn serve(
-    plan: Plan,
+    plan: StartupPlan,
     log: Logger,
-    mut told: UnboundedReceiver<Told>,
+    mut control: UnboundedReceiver<ControlMessage>,
 ) -> Result<(), String> {
-    let Plan {
-        mut placement,
+    let StartupPlan {
+        mut configuration,
         operator,
-        text,
-        mut grants,
+        settings,
+        mut resource_limits,
         scheduler,
         types,
         customers,
-        plans,
+        subsystems,
         ..
     } = plan;
-    let listen = placement.listen;
-    // A socket that is passed on is one that others of this name may listen on, too.
-    let folder = std::env::var_os("TMPDIR")
-        .filter(|_| placement.passed.is_some())
+    let listen = configuration.listen;
+    // Only an inherited socket can be shared with sibling processes.
+    let dir = std::env::var_os("TMPDIR")
+        .filter(|_| configuration.inherited_socket.is_some())
         .map(PathBuf::from);
-    let mut kin = folder
+    let mut siblings = dir
         .as_ref()
-        .map(|folder| Kin::new(folder, &placement.name));
-    let listener = match placement.passed.take() {
-        Some(passed) => TcpListener::from_std(passed),
+        .map(|dir| Siblings::new(dir, &configuration.name));
+    let listener = match configuration.inherited_socket.take() {
+        Some(inherited) => TcpListener::from_std(inherited),
         None => TcpListener::bind(listen).await,
     };
     let listener = listener.map_err(|e| format!("listen: {listen}: {e}"))?;
-    // Port 0 is any free one, so the log tells which.
+    // The configured port may be 0, which binds any free one. The log tells the actual address.
     let listen = listener
         .local_addr()
         .map_err(|e| format!("listen: {listen}: {e}"))?;
     let mut listener = Some(listener);
     let clock = Clock::start();
-    let (tell, mut events) = unbounded_channel();
-    let (numbers, room) = (
+    let (event_sender, mut events) = unbounded_channel();
+    let (work_unit_ids, capacity) = (
         WorkUnitIds::default(),
-        Capacity::new(grants.open, grants.bodies),
+        Capacity::new(resource_limits.open_requests, resource_limits.body_bytes),
     );
-    let (figures, standing) = (
+    let (metrics, lifecycle) = (
         Arc::new(Metrics::default()),
-        Arc::new(Mutex::new(Lifecycle::new(grants.notice))),
+        Arc::new(Mutex::new(Lifecycle::new(resource_limits.close_delays))),
     );
-    let (ask, mut asked) = unbounded_channel();
-    if let Some(at) = placement.ops {
-        let no = |e| format!("ops: {at}: {e}");
-        let door = TcpListener::bind(at).await.map_err(no)?;
-        let at = door.local_addr().map_err(no)?;
-        tokio::spawn(AdminServer::new(grants.door, ask.clone(), log.clone()).listen(door));
-        info!(log, "operators can call"; "ops" => %at);
+    let (command_sender, mut commands) = unbounded_channel();
+    if let Some(ops) = configuration.ops {
+        let error = |e| format!("ops: {ops}: {e}");
+        let admin = TcpListener::bind(ops).await.map_err(error)?;
+        let ops = admin.local_addr().map_err(error)?;
+        tokio::spawn(
+            AdminServer::new(resource_limits.admin, command_sender.clone(), log.clone())
+                .listen(admin),
+        );
+        info!(log, "admin socket is listening"; "ops" => %ops);
     }
-    let worded = RequestTemplate {
-        scheduler_name: placement.name.clone(),
+    let request_template = RequestTemplate {
+        scheduler_name: configuration.name.clone(),
         project_types: types.iter().map(|(name, _)| name.clone()).collect(),
         customers: customers.clone(),
     };
-    let fields = text.list("stats.fields");
-    let workers = WorkerClient::new(
-        &grants.http,
+    let fields = settings.list("stats.fields");
+    let worker_client = WorkerClient::new(
+        &resource_limits.http,
         clock,
-        tell.clone(),
+        event_sender.clone(),
         &fields,
-        worded,
-        figures.sent_attempts(),
+        request_template,
+        metrics.sent_attempts(),
         log.clone(),
     );
-    let own = |path| text.list(path).into_iter().map(str::to_string).collect();
-    let only = plans
+    let names = |key| settings.list(key).into_iter().map(str::to_string).collect();
+    let beanstalkd_only = subsystems
         .beanstalkd
         .as_ref()
         .map_or(ProjectTypeSet::EMPTY, |plan| plan.only);
-    let runs = ProjectTypeSet::default().difference(only);
-    let reading = ListDecoder {
-        zones: own("zones"),
-        kinds: own("machine_types"),
+    let runs = ProjectTypeSet::default().difference(beanstalkd_only);
+    let list_decoder = ListDecoder {
+        zones: names("zones"),
+        kinds: names("machine_types"),
         runs,
-        worker_client: workers,
+        worker_client,
     };
-    let mut record = folder
+    let mut snapshot = dir
         .as_ref()
-        .map(|folder| Record::new(folder, &placement.name, placement.discovery));
-    let known = placement.known.take();
-    let known = record
+        .map(|dir| SnapshotFile::new(dir, &configuration.name, configuration.discovery));
+    let known = configuration.known_workers.take();
+    let known = snapshot
         .as_ref()
-        .map_or(known.clone(), |record| record.newer(known));
-    let told_first = known
+        .map_or(known.clone(), |snapshot| snapshot.newer(known));
+    let initial_members = known
         .as_ref()
-        .map(|known| (known.version, reading.membership_update(known)));
-    let project_types = text.project_types()?;
-    let shared = Shared {
-        name: &placement.name,
-        seed: placement.seed()?,
+        .map(|listing| (listing.version, list_decoder.membership_update(listing)));
+    let project_types = settings.project_types()?;
+    let context = Context {
+        name: &configuration.name,
+        seed: configuration.seed()?,
         clock,
-        tell: &tell,
-        numbers: &numbers,
-        room: &room,
-        sends: figures.sent_attempts(),
+        events: &event_sender,
+        work_unit_ids: &work_unit_ids,
+        capacity: &capacity,
+        sends: metrics.sent_attempts(),
         project_types: &project_types,
-        told: told_first.as_ref().map(|(_, told)| told),
+        initial_members: initial_members.as_ref().map(|(_, update)| update),
         log: &log,
     };
-    let joined = join(plans, &grants, &shared).await?;
-    let (subsystems, purse) = (joined.subsystems.clone(), joined.purse.clone());
-    if let Some((record, known)) = record.as_mut().zip(known.as_ref()) {
-        record.hear(known).ok();
+    let started = start(subsystems, &resource_limits, &context).await?;
+    let (subsystems, shared_budgets) = (started.all.clone(), started.shared_budgets.clone());
+    if let Some((snapshot, known)) = snapshot.as_mut().zip(known.as_ref()) {
+        snapshot.update(known).ok();
     }
-    let (record, besides) = (
-        record.map(|record| Arc::new(Mutex::new(record))),
+    let (snapshot, listeners) = (
+        snapshot.map(|snapshot| Arc::new(Mutex::new(snapshot))),
         subsystems.clone(),
     );
-    let kept = record.clone();
-    let unwritten = log.clone();
-    let besides: ListObserver = Arc::new(move |listing, told| {
-        besides
+    let current_snapshot = snapshot.clone();
+    let snapshot_log = log.clone();
+    let list_observer: ListObserver = Arc::new(move |listing, update| {
+        listeners
             .iter()
-            .for_each(|part| part.on_membership_update(told));
-        if let Some(Err(e)) = record.as_ref().map(|record| record.lock().hear(listing)) {
-            warn!(unwritten, "the list can't be left for the next process"; "why" => %e);
+            .for_each(|subsystem| subsystem.on_membership_update(update));
+        if let Some(Err(e)) = snapshot
+            .as_ref()
+            .map(|snapshot| snapshot.lock().update(listing))
+        {
+            warn!(snapshot_log, "the membership snapshot could not be written"; "why" => %e);
         }
     });
-    let list = ListClient::new(&grants.http, placement.discovery);
-    let watch = ListWatch::new(list, reading, tell.clone(), besides, log.clone());
-    let mut hands = ActionExecutor::new(watch, clock, log.clone(), figures.clone());
-    let shared = (numbers, room, clock, standing.clone());
-    let limits = grants.http.clone();
-    let front = Frontend::new(customers, limits, shared, tell, log.clone());
+    let list_client = ListClient::new(&resource_limits.http, configuration.discovery);
+    let list_watch = ListWatch::new(
+        list_client,
+        list_decoder,
+        event_sender.clone(),
+        list_observer,
+        log.clone(),
+    );
+    let mut executor = ActionExecutor::new(list_watch, clock, log.clone(), metrics.clone());
+    let shared = (work_unit_ids, capacity, clock, lifecycle.clone());
+    let limits = resource_limits.http.clone();
+    let frontend = Frontend::new(customers, limits, shared, event_sender, log.clone());
     let mut reducer = Reducer::new(
         scheduler,
         ProjectTypes::new(types),
-        grants.out,
-        grants.margin,
+        resource_limits.attempts_in_flight,
+        resource_limits.answer_margin_s,
     );
-    purse
+    shared_budgets
         .into_iter()
-        .for_each(|purse| reducer.set_shared_budgets(purse));
-    hands.set_project_types(reducer.project_types());
-    front.set_project_types(reducer.project_types(), &figures);
+        .for_each(|shared_budgets| reducer.set_shared_budgets(shared_budgets));
+    executor.set_project_types(reducer.project_types());
+    frontend.set_project_types(reducer.project_types(), &metrics);
 
-    // Who takes over first hears what has changed: what the old one was told, it was told, too.
-    let takes_over = kin.as_ref().is_some_and(|kin| kin.others() > 0);
+    // A process that takes over waits for the list before it accepts clients: workers whose drain was announced to its
+    // sibling must get nothing new from this process either.
+    let takes_over = siblings
+        .as_ref()
+        .is_some_and(|siblings| siblings.count() > 0);
     reducer
-        .start(clock.now(), told_first, takes_over)
+        .start(clock.now(), initial_members, takes_over)
         .into_iter()
-        .for_each(|act| hands.execute(act));
-    let turned_down = |why: String| {
-        figures.configs_rejected.fetch_add(1, Relaxed);
-        warn!(log, "the new configuration is not taken, the old one holds"; "why" => why);
+        .for_each(|action| executor.execute(action));
+    let reject_reload = |why: String| {
+        metrics.configs_rejected.fetch_add(1, Relaxed);
+        warn!(log, "new configuration rejected, keeping the current one"; "why" => why);
     };
-    let mut ready_by = takes_over.then(|| Instant::now() + grants.first_list);
-    let mut listening: Option<AbortHandle> = None;
-    let mut tally = interval(grants.tally);
+    let mut list_deadline =
+        takes_over.then(|| Instant::now() + resource_limits.initial_list_timeout);
+    let mut accept_task: Option<AbortHandle> = None;
+    let mut counts_timer = interval(resource_limits.counts_interval);
     loop {
-        if listener.is_some() && ready_by.is_none_or(|by| Instant::now() >= by) {
-            listening = listener
+        if listener.is_some() && list_deadline.is_none_or(|deadline| Instant::now() >= deadline) {
+            accept_task = listener
                 .take()
-                .map(|l| tokio::spawn(front.clone().listen(l)).abort_handle());
-            standing
+                .map(|l| tokio::spawn(frontend.clone().listen(l)).abort_handle());
+            lifecycle
                 .lock()
                 .apply(clock.now(), LifecycleEvent::Ready)
                 .ok();
-            if let Some(Err(e)) = kin.as_mut().map(Kin::enter) {
-                warn!(log, "another process of this name will not see this one"; "why" => %e);
+            if let Some(Err(e)) = siblings.as_mut().map(Siblings::register) {
+                warn!(log, "sibling processes can't detect this one"; "why" => %e);
             }
-            info!(log, "serving"; "name" => &placement.name, "listen" => %listen);
+            info!(log, "serving"; "name" => &configuration.name, "listen" => %listen);
         }
-        let stands = *standing.lock();
-        // While it turns clients away, it looks often whether they have gone.
-        let look = Instant::now() + grants.late_arrivals / 32;
-        let looks = stands.draining_since().is_some() || listener.is_some();
+        let state = *lifecycle.lock();
+        // While it sends clients away, it checks frequently whether they have gone.
+        let next_check = Instant::now() + resource_limits.late_arrivals / 32;
+        let checks = state.draining_since().is_some() || listener.is_some();
         let event = tokio::select! {
             event = events.recv() => event,
-            () = sleep_until(hands.wake_at.unwrap_or(look)), if hands.wake_at.is_some() => {
-                hands.wake_at = None;
+            () = sleep_until(executor.wake_at.unwrap_or(next_check)), if executor.wake_at.is_some() => {
+                executor.wake_at = None;
                 Some(Event::TimerFired)
             }
-            _ = tally.tick() => {
-                hands.log_counts(reducer.held_count());
-                front.log_counts();
-                subsystems.iter().for_each(|part| part.log_counts());
+            _ = counts_timer.tick() => {
+                executor.log_counts(reducer.held_count());
+                frontend.log_counts();
+                subsystems.iter().for_each(|subsystem| subsystem.log_counts());
                 None
             }
-            Some(word) = told.recv() => match word {
-                Told::Changed(new) => {
-                    // What was read before goes by the project types of then.
+            Some(message) = control.recv() => match message {
+                ControlMessage::Reload(new) => {
+                    // Events read before the reload refer to the former project types.
                     while let Ok(event) = events.try_recv() {
-                        step(&mut hands, &mut reducer, clock.now(), event);
+                        handle_event(&mut executor, &mut reducer, clock.now(), event);
                     }
-                    let fault = new.fault(&placement, &operator, reducer.project_types());
-                    match fault.map_or_else(|| reducer.reconfigure(&new.types, &new.terms), Err) {
+                    let rejection = new.rejection(&configuration, &operator, reducer.project_types());
+                    match rejection.map_or_else(|| reducer.reconfigure(&new.types, &new.terms), Err) {
                         Err(why) => {
-                            turned_down(why);
+                            reject_reload(why);
                             None
                         }
                         Ok(()) => {
-                            figures.configs_applied.fetch_add(1, Relaxed);
-                            joined.change(&new.plans);
-                            hands.set_project_types(reducer.project_types());
-                            front.set_project_types(reducer.project_types(), &figures);
-                            grants.last_answer = new.last_answer;
+                            metrics.configs_applied.fetch_add(1, Relaxed);
+                            started.reload(&new.subsystems);
+                            executor.set_project_types(reducer.project_types());
+                            frontend.set_project_types(reducer.project_types(), &metrics);
+                            resource_limits.shutdown_deadline = new.shutdown_deadline;
                             let types: Vec<&str> = new.types.iter().map(|(name, _)| name.as_str()).collect();
-                            info!(log, "the new configuration holds"; "project types" => types.join(", "));
-                            let waits = new.waits(&placement, &operator).join(", ");
-                            if !waits.is_empty() {
-                                warn!(log, "part of the new configuration waits for the next start"; "fields" => waits);
+                            info!(log, "new configuration applied"; "project types" => types.join(", "));
+                            let pending = new.pending_restart(&configuration, &operator).join(", ");
+                            if !pending.is_empty() {
+                                warn!(log, "some changes of the new configuration take effect at the next restart";
+                                    "fields" => pending);
                             }
-                            placement.take(new.placement).then(|| {
-                                let at = placement.discovery;
-                                info!(log, "the list is followed at another address"; "discovery" => %at);
-                                kept.iter().for_each(|record| record.lock().moved(at));
-                                hands.list_watcher.replace_client(ListClient::new(&grants.http, at));
+                            configuration.apply(new.configuration).then(|| {
+                                let discovery = configuration.discovery;
+                                info!(log, "the list service's address has changed"; "discovery" => %discovery);
+                                current_snapshot.iter().for_each(|snapshot| snapshot.lock().set_discovery(discovery));
+                                executor.list_watcher.replace_client(ListClient::new(&resource_limits.http, discovery));
                                 Event::ListMoved
                             })
                         }
                     }
                 }
-                Told::Bad(why) => {
-                    turned_down(why);
+                ControlMessage::InvalidConfiguration(why) => {
+                    reject_reload(why);
                     None
                 }
-                Told::Stop => {
-                    info!(log, "told to stop: answering what is held and what still comes"; "held" => reducer.held_count());
-                    let succeeded = kin.as_ref().is_some_and(|kin| kin.others() > 0);
-                    standing.lock().apply(clock.now(), LifecycleEvent::Stop { has_successor: succeeded }).ok();
-                    if succeeded {
-                        // Whoever connects from now on is the successor's; who is here already is served here.
-                        info!(log, "another process of this name takes the clients");
-                        listening.iter().for_each(AbortHandle::abort);
+                ControlMessage::Stop => {
+                    info!(log, "graceful shutdown: answering open requests and those that still arrive";
+                        "held" => reducer.held_count());
+                    let has_successor = siblings.as_ref().is_some_and(|siblings| siblings.count() > 0);
+                    lifecycle.lock().apply(clock.now(), LifecycleEvent::Stop { has_successor }).ok();
+                    if has_successor {
+                        // New connections go to the successor; existing ones are still served here.
+                        info!(log, "a sibling process accepts new connections from now on");
+                        accept_task.iter().for_each(AbortHandle::abort);
                     }
-                    subsystems.iter().for_each(|part| part.begin_shutdown());
-                    // The others must not count on this one from now on.
-                    kin.iter_mut().for_each(Kin::leave);
+                    subsystems.iter().for_each(|subsystem| subsystem.begin_shutdown());
+                    // Siblings that stop later must not count on this process as their successor.
+                    siblings.iter_mut().for_each(Siblings::unregister);
                     None
                 }
             },
-            Some((call, answer)) = asked.recv() => {
-                let reply = operate(call, &standing, clock.now(), || page(&figures, &subsystems, reducer.gauges()));
-                if matches!(call, Command::Leave | Command::Join) {
-                    let leaving = standing.lock().is_leaving();
-                    subsystems.iter().for_each(|part| part.set_leaving(leaving));
-                    info!(log, "an operator's call"; "answer" => ?reply, "call" => ?call);
+            Some((command, reply_sender)) = commands.recv() => {
+                let reply = execute_command(command, &lifecycle, clock.now(), || metrics_page(&metrics, &subsystems, reducer.gauges()));
+                if matches!(command, Command::Leave | Command::Join) {
+                    let leaving = lifecycle.lock().is_leaving();
+                    subsystems.iter().for_each(|subsystem| subsystem.set_leaving(leaving));
+                    info!(log, "operator command executed"; "answer" => ?reply, "call" => ?command);
                 }
-                answer.send(reply).ok();
+                reply_sender.send(reply).ok();
                 None
             }
-            () = sleep_until(look), if looks => None,
+            () = sleep_until(next_check), if checks => None,
         };
         if matches!(&event, Some(Event::MembershipChanged(Some(_), _))) {
-            ready_by = None;
+            list_deadline = None;
         }
-        let stands = *standing.lock();
-        let since = clamped_duration(stands.stopping_since().map_or(0.0, |at| clock.now() - at));
-        let stopped = stands.stopping_since().is_some();
-        let last = stopped && since >= grants.last_answer;
+        let state = *lifecycle.lock();
+        let stopping_for =
+            clamped_duration(state.stopping_since().map_or(0.0, |at| clock.now() - at));
+        let stopping = state.stopping_since().is_some();
+        let deadline_passed = stopping && stopping_for >= resource_limits.shutdown_deadline;
         for event in event
             .into_iter()
-            .chain(last.then_some(Event::DrainDeadline))
+            .chain(deadline_passed.then_some(Event::DrainDeadline))
         {
-            step(&mut hands, &mut reducer, clock.now(), event);
+            handle_event(&mut executor, &mut reducer, clock.now(), event);
         }
-        if stands.closes_idle_connections(clock.now()) {
-            // Again and again: those that came late and say nothing are closed, too.
-            front.close_idle();
+        if state.closes_idle_connections(clock.now()) {
+            // Repeated, to close connections that were opened since and are idle.
+            frontend.close_idle();
         }
-        if stopped && since >= grants.late_arrivals && reducer.held_count() == 0 {
-            // What was said must have gone out, and ends be told; but who takes nothing can't keep the program.
-            let overdue = since >= grants.last_answer + grants.late_arrivals / 4;
-            let quiet = || subsystems.iter().all(|part| part.is_flushed());
-            if !(overdue || front.connections() == 0 && quiet()) {
+        if stopping && stopping_for >= resource_limits.late_arrivals && reducer.held_count() == 0 {
+            // Buffered replies must be written and ends of jobs reported, but peers that read nothing must not keep the
+            // program from ending.
+            let overdue = stopping_for
+                >= resource_limits.shutdown_deadline + resource_limits.late_arrivals / 4;
+            let quiet = || subsystems.iter().all(|subsystem| subsystem.is_flushed());
+            if !(overdue || frontend.connections() == 0 && quiet()) {
                 continue;
             }
-            hands.log_counts(reducer.held_count());
-            front.log_counts();
-            subsystems.iter().for_each(|part| part.finish_shutdown());
-            info!(log, "stopped"; "connected" => front.connections());
+            executor.log_counts(reducer.held_count());
+            frontend.log_counts();
+            subsystems
+                .iter()
+                .for_each(|subsystem| subsystem.finish_shutdown());
+            info!(log, "stopped"; "connected" => frontend.connections());
             return Ok(());
         }
     }
--- a/crates/mintlb/tests/harness/mod.rs
+++ b/crates/mintlb/tests/harness/mod.rs
@@ -1,4 +1,4 @@
-//! The program, started as in service, and stand-ins for clients, workers and the list service.
+//! Starts the real program and provides simulated clients, workers and list services for it.
 #![allow(dead_code, reason = "each of the tests that share it uses a part")]
 
 use std::io::{BufRead, BufReader, Read, Write};
@@ -9,51 +9,55 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-pub const BASE: &str = include_str!("../../../../examples/config.json");
-pub const PAUSE: Duration = Duration::from_millis(100);
+pub const BASE_CONFIG: &str = include_str!("../../../../examples/config.json");
+/// The unit of the tests' waits.
+pub const TICK: Duration = Duration::from_millis(100);
 
-/// A listener whose connections are each served by a thread; what that returns is told.
-pub fn stand_in(
+/// Listens on a free port and serves each connection on a thread. Returns the address, and a receiver of what `serve`
+/// returned for each connection.
+pub fn spawn_server(
     serve: impl Fn(&mut TcpStream) -> String + Clone + Send + 'static,
 ) -> (SocketAddr, Receiver<String>) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let (at, (tell, told)) = (listener.local_addr().unwrap(), channel());
+    let (address, (sender, receiver)) = (listener.local_addr().unwrap(), channel());
     std::thread::spawn(move || {
         for stream in listener.incoming() {
-            let (mut stream, tell, serve) = (stream.unwrap(), tell.clone(), serve.clone());
-            std::thread::spawn(move || tell.send(serve(&mut stream)).ok());
+            let (mut stream, sender, serve) = (stream.unwrap(), sender.clone(), serve.clone());
+            std::thread::spawn(move || sender.send(serve(&mut stream)).ok());
         }
     });
-    (at, told)
+    (address, receiver)
 }
 
-/// Answers each work unit: at once, after a while (`slow` in its path) or never (`hold`).
-pub fn work(stream: &mut TcpStream) -> String {
-    work_as("yes", stream)
+/// A worker that completes each work unit with the result `yes`: at once, after four ticks if the request contains
+/// `slow`, or never if it contains `hold`.
+pub fn worker(stream: &mut TcpStream) -> String {
+    worker_returning("yes", stream)
 }
 
-pub fn work_as(result: &str, stream: &mut TcpStream) -> String {
-    work_by(stream, |request, _| {
+pub fn worker_returning(result: &str, stream: &mut TcpStream) -> String {
+    worker_replying(stream, |request, _| {
         if request.contains("slow") {
-            std::thread::sleep(4 * PAUSE);
+            std::thread::sleep(4 * TICK);
         }
         (!request.contains("hold")).then(|| ("done", result.to_string()))
     })
 }
 
-/// Answers each request, by its text and its id, with a state and a result, or never.
-pub fn work_by(
+/// A worker that answers each request with the state and result that `reply` returns for its text and id, or not at
+/// all.
+pub fn worker_replying(
     stream: &mut TcpStream,
     reply: impl Fn(&str, &str) -> Option<(&'static str, String)>,
 ) -> String {
-    let (mut request, mut piece) = (String::new(), [0; 4096]);
+    let (mut request, mut buffer) = (String::new(), [0; 4096]);
     loop {
-        let n = stream.read(&mut piece).unwrap_or(0);
+        let n = stream.read(&mut buffer).unwrap_or(0);
         if n == 0 {
             return "closed".into();
         }
-        request += &String::from_utf8_lossy(&piece[..n]).to_lowercase();
-        // Each body ends like this, and its last byte may come later.
+        request += &String::from_utf8_lossy(&buffer[..n]).to_lowercase();
+        // All requests of these tests end like this. The last byte may arrive later.
         if !request.ends_with("\r\n\r\nhi") {
             continue;
         }
@@ -65,7 +69,7 @@
         if let Some((state, result)) = reply(&request, id) {
             stream
                 .write_all(
-                    (STREAM.to_string()
+                    (STREAM_HEAD.to_string()
                         + &chunk(&format!(
                             r#"{{"id":"{id}","state":"{state}","result":"{result}"}}"#
                         ))
@@ -78,14 +82,14 @@
     }
 }
 
-pub const STREAM: &str = "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n";
+pub const STREAM_HEAD: &str = "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n";
 
-/// A line as a chunk of its own.
+/// A line as one HTTP chunk.
 pub fn chunk(line: &str) -> String {
     format!("{:x}\r\n{line}\n\r\n", line.len() + 1)
 }
 
-/// A whole list of these workers, each with its address and state.
+/// A full list message with these workers, each with its id, address and state.
 pub fn listing(version: u64, workers: &[(&str, SocketAddr, &str)]) -> String {
     let worker = |(id, at, state): &(&str, SocketAddr, &str)| {
         format!(r#"{{"id":"{id}","addr":"{at}","zone":"north","kind":"small","state":"{state}"}}"#)
@@ -97,86 +101,86 @@
     )
 }
 
-/// A list service that says what is in the slot, the whole of it or, to who watches, as it stands there and again when
-/// that changes; while it is empty it refuses.
-pub fn list_by(slot: Arc<Mutex<String>>) -> String {
-    let watch = move |stream: &mut TcpStream| {
-        let (mut request, mut piece) = (String::new(), [0; 4096]);
+/// A list service that serves the message in `slot`: as a full list to a plain request; to a watch as it is, and again
+/// whenever it changes. While the slot is empty, watches are closed.
+pub fn list_service(slot: Arc<Mutex<String>>) -> String {
+    let serve = move |stream: &mut TcpStream| {
+        let (mut request, mut buffer) = (String::new(), [0; 4096]);
         while !request.contains("\r\n\r\n") {
-            match stream.read(&mut piece) {
-                Ok(n) if n > 0 => request += &String::from_utf8_lossy(&piece[..n]),
+            match stream.read(&mut buffer) {
+                Ok(n) if n > 0 => request += &String::from_utf8_lossy(&buffer[..n]),
                 _ => return "broken".into(),
             }
         }
         if !request.contains("watch=1") {
-            let whole = slot
+            let full = slot
                 .lock()
                 .unwrap()
                 .replace("\"full\":false", "\"full\":true");
             let head = format!(
                 "HTTP/1.1 200 OK\r\ncontent-length: {}\r\nconnection: close\r\n\r\n",
-                whole.len()
+                full.len()
             );
-            stream.write_all((head + &whole).as_bytes()).ok();
-            return "told".into();
+            stream.write_all((head + &full).as_bytes()).ok();
+            return "answered".into();
         }
-        let (mut last, mut said) = (String::new(), stream.write_all(STREAM.as_bytes()));
-        while said.is_ok() {
-            let now = slot.lock().unwrap().clone();
-            if now.is_empty() {
+        let (mut last, mut written) = (String::new(), stream.write_all(STREAM_HEAD.as_bytes()));
+        while written.is_ok() {
+            let text = slot.lock().unwrap().clone();
+            if text.is_empty() {
                 break;
             }
-            if now != last {
-                // Where it is no whole list, nothing has changed.
-                let servers = now
+            if text != last {
+                // A message that is not a full list is sent without workers: nothing has changed for the watcher.
+                let servers = text
                     .find("\"servers\"")
-                    .filter(|_| now.contains("\"full\":false"));
-                let said_now =
-                    servers.map_or(now.clone(), |at| format!("{}\"servers\":[]}}", &now[..at]));
-                said = stream.write_all(chunk(&said_now).as_bytes());
-                last = now;
+                    .filter(|_| text.contains("\"full\":false"));
+                let message =
+                    servers.map_or(text.clone(), |i| format!("{}\"servers\":[]}}", &text[..i]));
+                written = stream.write_all(chunk(&message).as_bytes());
+                last = text;
             }
-            std::thread::sleep(PAUSE / 20);
+            std::thread::sleep(TICK / 20);
         }
         "ended".into()
     };
-    stand_in(watch).0.to_string()
+    spawn_server(serve).0.to_string()
 }
 
-/// One that says this line, and then nothing.
-pub fn list_of(line: String) -> String {
-    list_by(Arc::new(Mutex::new(line)))
+/// A list service that always serves this message.
+pub fn static_list_service(message: String) -> String {
+    list_service(Arc::new(Mutex::new(message)))
 }
 
-/// A change of the configuration: the list is asked for within a twentieth of a second.
-pub const SOON: (&str, &str) = ("10000.0, \"cold_from\"", "400.0, \"cold_from\"");
+/// A change of the configuration: the list service is called within a twentieth of a second.
+pub const FREQUENT_LIST_CALLS: (&str, &str) = ("10000.0, \"cold_from\"", "400.0, \"cold_from\"");
 
-/// What the program complains of, when it is started so that it must fail.
-pub fn complaint(arguments: &[&str], variables: &[(&str, &str)]) -> String {
+/// Runs the program with arguments or environment variables that must make it fail, and returns its standard error.
+pub fn stderr_of_failure(arguments: &[&str], variables: &[(&str, &str)]) -> String {
     let mut command = Command::new(env!("CARGO_BIN_EXE_mintlb"));
-    let run = command
+    let output = command
         .args(arguments)
         .envs(variables.iter().copied())
         .output()
         .unwrap();
-    let said = String::from_utf8(run.stderr).unwrap();
+    let stderr = String::from_utf8(output.stderr).unwrap();
     assert!(
-        !run.status.success() && !said.contains("panic"),
-        "{arguments:?}, {variables:?}: {said}"
+        !output.status.success() && !stderr.contains("panic"),
+        "{arguments:?}, {variables:?}: {stderr}"
     );
-    said
+    stderr
 }
 
+/// A running program. It is killed on drop.
 pub struct Program {
     pub child: Child,
     pub log: BufReader<ChildStderr>,
-    pub at: SocketAddr,
-    /// Where beanstalkd is spoken.
-    pub jobs: Option<SocketAddr>,
-    /// Where operators call.
-    pub ops: Option<SocketAddr>,
-    pub workers: Receiver<String>,
-    pub path: std::path::PathBuf,
+    pub address: SocketAddr,
+    pub beanstalkd_address: Option<SocketAddr>,
+    pub admin_address: Option<SocketAddr>,
+    /// Receives a text for each connection to the worker that has ended.
+    pub worker_connections: Receiver<String>,
+    pub config_path: std::path::PathBuf,
 }
 
 impl Drop for Program {
@@ -186,37 +190,43 @@
     }
 }
 
-/// Writes the configuration, with changes, into a file of its own.
-pub fn written(changes: &[(&str, &str)]) -> std::path::PathBuf {
-    static WRITTEN: AtomicU32 = AtomicU32::new(0);
-    let text = changes.iter().fold(BASE.to_string(), |text, (old, new)| {
-        assert!(text.contains(old), "nothing to change: {old}");
-        text.replace(old, new)
-    });
-    let number = WRITTEN.fetch_add(1, Relaxed);
+/// Writes the example configuration, with changes (old text, new text), to a new file.
+pub fn write_config(changes: &[(&str, &str)]) -> std::path::PathBuf {
+    static FILES: AtomicU32 = AtomicU32::new(0);
+    let text = changes
+        .iter()
+        .fold(BASE_CONFIG.to_string(), |text, (old, new)| {
+            assert!(text.contains(old), "text to change not found: {old}");
+            text.replace(old, new)
+        });
+    let number = FILES.fetch_add(1, Relaxed);
     let path = std::path::Path::new(env!("CARGO_TARGET_TMPDIR"))
         .join(format!("{}-{number}.json", std::process::id()));
     std::fs::write(&path, text).unwrap();
     path
 }
 
-/// Starts the program under the shell, after `limits`, with one worker.
-pub fn start(limits: &str, changes: &[(&str, &str)]) -> Program {
-    start_with(limits, changes, None)
+/// Starts the program with one worker and these configuration changes, from a shell that first runs `shell_prefix`.
+pub fn start(shell_prefix: &str, changes: &[(&str, &str)]) -> Program {
+    start_with_operator(shell_prefix, changes, None)
 }
 
-/// And with this operator's file.
-pub fn start_with(limits: &str, changes: &[(&str, &str)], operator: Option<&str>) -> Program {
-    let (worker, workers) = stand_in(work);
-    let mut program = start_at(worker, limits, changes, operator);
-    program.workers = workers;
+/// Like [`start`], with the text of the operator's file.
+pub fn start_with_operator(
+    shell_prefix: &str,
+    changes: &[(&str, &str)],
+    operator: Option<&str>,
+) -> Program {
+    let (worker, worker_connections) = spawn_server(worker);
+    let mut program = start_with_worker(worker, shell_prefix, changes, operator);
+    program.worker_connections = worker_connections;
     program
 }
 
-/// With a worker that is there already.
-pub fn start_at(
+/// Like [`start_with_operator`], with a worker that runs already.
+pub fn start_with_worker(
     worker: SocketAddr,
-    limits: &str,
+    shell_prefix: &str,
     changes: &[(&str, &str)],
     operator: Option<&str>,
 ) -> Program {
@@ -224,134 +234,142 @@
     let known = format!("\"known\":{known},\"limits\"");
     let mut all = vec![("127.0.0.1:7070", "127.0.0.1:0"), ("\"limits\"", &known)];
     all.extend(changes);
-    let path = written(&all);
+    let config_path = write_config(&all);
     let operator = operator.map(|text| {
-        let path = path.with_extension("toml");
+        let path = config_path.with_extension("toml");
         std::fs::write(&path, text).unwrap();
         format!("--operator {}", path.display())
     });
     let operator = operator.unwrap_or_default();
     let command = format!(
-        "{limits} exec {} serve --verbose --config {} {operator}",
+        "{shell_prefix} exec {} serve --verbose --config {} {operator}",
         env!("CARGO_BIN_EXE_mintlb"),
-        path.display()
+        config_path.display()
     );
     let mut child = Command::new("sh")
         .args(["-c", &command])
         .stderr(Stdio::piped())
         .spawn()
         .unwrap();
-    // A port that was free a moment ago may be another test's by now, so the program takes one and tells it.
+    // The program binds port 0 and logs its addresses: a free port chosen here could be taken by another test
+    // meanwhile.
     let mut log = BufReader::new(child.stderr.take().unwrap());
-    let (mut line, mut jobs, mut ops) = (String::new(), None, None);
-    let told = |line: &str, what: &str| -> SocketAddr {
-        let at = line
-            .split(what)
+    let (mut line, mut beanstalkd_address, mut admin_address) = (String::new(), None, None);
+    let logged_address = |line: &str, key: &str| -> SocketAddr {
+        let address = line
+            .split(key)
             .nth(1)
             .and_then(|l| l.split([',', '\n']).next());
-        at.unwrap().parse().unwrap()
+        address.unwrap().parse().unwrap()
     };
     while !line.contains("serving") {
         line.clear();
-        assert!(log.read_line(&mut line).unwrap() > 0, "it does not listen");
-        if line.contains("beanstalkd is spoken") {
-            jobs = Some(told(&line, "listen: "));
+        assert!(
+            log.read_line(&mut line).unwrap() > 0,
+            "the program ended before it listened"
+        );
+        if line.contains("beanstalkd is listening") {
+            beanstalkd_address = Some(logged_address(&line, "listen: "));
         }
-        if line.contains("operators can call") {
-            ops = Some(told(&line, "ops: "));
+        if line.contains("admin socket is listening") {
+            admin_address = Some(logged_address(&line, "ops: "));
         }
     }
     Program {
-        at: told(&line, "listen: "),
+        address: logged_address(&line, "listen: "),
         child,
         log,
-        jobs,
-        ops,
-        workers: channel().1,
-        path,
+        beanstalkd_address,
+        admin_address,
+        worker_connections: channel().1,
+        config_path,
     }
 }
 
-/// A listener whose queue of connections is full: whoever dials it comes up only once these have been dropped and
-/// accepted.
-pub fn late() -> (TcpListener, Vec<TcpStream>) {
+/// A listener whose backlog is full, and the connections that fill it. Further connections are established only after
+/// these connections have been dropped and accepted.
+pub fn full_backlog() -> (TcpListener, Vec<TcpStream>) {
     let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
     socket
         .bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into())
         .unwrap();
     socket.listen(0).unwrap();
     let listener = TcpListener::from(socket);
-    let (at, mut queued) = (listener.local_addr().unwrap(), Vec::new());
-    while let Ok(stream) = TcpStream::connect_timeout(&at, PAUSE / 2) {
+    let (address, mut queued) = (listener.local_addr().unwrap(), Vec::new());
+    while let Ok(stream) = TcpStream::connect_timeout(&address, TICK / 2) {
         queued.push(stream);
     }
     (listener, queued)
 }
 
-/// What comes on any connection of such a listener, once it lets them come up, in so long.
-pub fn came_late((listener, queued): (TcpListener, Vec<TcpStream>), within: Duration) -> String {
+/// Frees the backlog, and returns the first bytes that are received on any connection within the time.
+pub fn received_late(
+    (listener, queued): (TcpListener, Vec<TcpStream>),
+    within: Duration,
+) -> String {
     drop(queued);
     listener.set_nonblocking(true).unwrap();
-    let (until, mut came) = (Instant::now() + within, Vec::new());
-    while Instant::now() < until && came.is_empty() {
+    let (deadline, mut received) = (Instant::now() + within, Vec::new());
+    while Instant::now() < deadline && received.is_empty() {
         match listener.accept() {
             Ok((mut stream, _)) => {
                 stream.set_nonblocking(false).unwrap();
-                stream.set_read_timeout(Some(PAUSE)).unwrap();
-                let mut piece = [0; 4096];
-                came.extend(stream.read(&mut piece).map_or(&[][..], |n| &piece[..n]));
+                stream.set_read_timeout(Some(TICK)).unwrap();
+                let mut buffer = [0; 4096];
+                received.extend(stream.read(&mut buffer).map_or(&[][..], |n| &buffer[..n]));
             }
-            Err(_) => std::thread::sleep(PAUSE / 10),
+            Err(_) => std::thread::sleep(TICK / 10),
         }
     }
-    String::from_utf8_lossy(&came).into()
+    String::from_utf8_lossy(&received).into()
 }
 
-/// All that comes back until the connection is closed or an answer of known length is whole.
-pub fn answer(stream: &mut TcpStream) -> String {
+/// Reads a response with a content length, or else everything until the connection is closed or silent for 5 s.
+pub fn read_response(stream: &mut TcpStream) -> String {
     stream
         .set_read_timeout(Some(Duration::from_secs(5)))
         .unwrap();
-    let (mut got, mut piece) = (String::new(), [0; 4096]);
+    let (mut response, mut buffer) = (String::new(), [0; 4096]);
     loop {
-        if let Some((head, body)) = got.split_once("\r\n\r\n") {
+        if let Some((head, body)) = response.split_once("\r\n\r\n") {
             let length = head
                 .to_lowercase()
                 .split("content-length: ")
                 .nth(1)
                 .map(|l| l.lines().next().unwrap().parse());
             if length.is_some_and(|l| l == Ok(body.len())) {
-                return got;
+                return response;
             }
         }
-        match stream.read(&mut piece) {
-            Ok(0) | Err(_) => return got,
-            Ok(n) => got.push_str(&String::from_utf8_lossy(&piece[..n])),
+        match stream.read(&mut buffer) {
+            Ok(0) | Err(_) => return response,
+            Ok(n) => response.push_str(&String::from_utf8_lossy(&buffer[..n])),
         }
     }
 }
 
-/// A request with an id of its own.
-pub fn post(path: &str, more: &str) -> String {
-    static ID: AtomicU32 = AtomicU32::new(1000);
-    post_as(ID.fetch_add(1, Relaxed), path, more)
+/// A request with a unique id and these further header lines.
+pub fn post(path: &str, headers: &str) -> String {
+    static NEXT_ID: AtomicU32 = AtomicU32::new(1000);
+    post_with_id(NEXT_ID.fetch_add(1, Relaxed), path, headers)
 }
 
-pub fn post_as(id: u32, path: &str, more: &str) -> String {
+pub fn post_with_id(id: u32, path: &str, headers: &str) -> String {
     format!(
-        "POST {path} HTTP/1.1\r\nhost: x\r\nrequest-id: {id}\r\ncontent-length: 2\r\n{more}\r\nhi"
+        "POST {path} HTTP/1.1\r\nhost: x\r\nrequest-id: {id}\r\ncontent-length: 2\r\n{headers}\r\nhi"
     )
 }
 
 impl Program {
     pub fn connect(&self) -> TcpStream {
-        TcpStream::connect(self.at).unwrap()
+        TcpStream::connect(self.address).unwrap()
     }
 
-    pub fn ask(&self, request: &str) -> String {
+    /// Sends a request on a new connection, and returns the response.
+    pub fn request(&self, request: &str) -> String {
         let mut stream = self.connect();
         stream.write_all(request.as_bytes()).ok();
-        answer(&mut stream)
+        read_response(&mut stream)
     }
 
     pub fn signal(&self, name: &str) {
@@ -368,40 +386,43 @@
         self.signal("-TERM");
     }
 
-    /// Replaces the configuration as an operator would, and says so.
-    pub fn replace(&self, old: &str, new: &str) {
-        let text = std::fs::read_to_string(&self.path).unwrap();
-        assert!(text.contains(old), "nothing to replace: {old}");
-        let fresh = self.path.with_extension("new");
-        std::fs::write(&fresh, text.replace(old, new)).unwrap();
-        std::fs::rename(&fresh, &self.path).unwrap();
+    /// Replaces a text in the configuration file as an operator would, and reloads it.
+    pub fn reload(&self, old: &str, new: &str) {
+        let text = std::fs::read_to_string(&self.config_path).unwrap();
+        assert!(text.contains(old), "text to replace not found: {old}");
+        let temporary = self.config_path.with_extension("new");
+        std::fs::write(&temporary, text.replace(old, new)).unwrap();
+        std::fs::rename(&temporary, &self.config_path).unwrap();
         self.signal("-HUP");
     }
 
-    /// Reads its log up to a line that has these words, whatever else is in it; the line.
-    pub fn logged(&mut self, words: &str) -> String {
+    /// Reads the log up to the next line that contains `text`, and returns this line.
+    pub fn wait_for_log(&mut self, text: &str) -> String {
         let mut line = String::new();
         loop {
             line.clear();
             assert!(
                 self.log.read_line(&mut line).unwrap() > 0,
-                "it ended before it logged: {words}"
+                "the program ended before it logged: {text}"
             );
-            if line.contains(words) {
+            if line.contains(text) {
                 return line;
             }
         }
     }
 
-    /// Waits for its end: whether it was a clean one, and how long it took.
-    pub fn end(&mut self) -> (bool, Duration) {
+    /// Waits for the program's end. Returns whether it succeeded, and how long the end took.
+    pub fn wait_for_exit(&mut self) -> (bool, Duration) {
         let began = Instant::now();
         loop {
             if let Some(status) = self.child.try_wait().unwrap() {
                 return (status.success(), began.elapsed());
             }
-            assert!(began.elapsed() < Duration::from_secs(5), "it does not end");
-            std::thread::sleep(PAUSE / 10);
+            assert!(
+                began.elapsed() < Duration::from_secs(5),
+                "the program does not end"
+            );
+            std::thread::sleep(TICK / 10);
         }
     }
 }
--- a/crates/mintlb/tests/jobs.rs
+++ b/crates/mintlb/tests/jobs.rs
@@ -1,10 +1,13 @@
-//! beanstalkd's producers and workers on loopback, against the program as it is started in service. A stand-in
-//! worker's machine is the loopback address that it calls from.
+//! beanstalkd's protocol on loopback against the running program. The machine of a simulated worker is the loopback
+//! address that it connects from.
 
 mod harness;
-mod world;
+mod virtual_time;
 
-use harness::{PAUSE, Program, SOON, answer, list_by, listing, post, start_with};
+use harness::{
+    FREQUENT_LIST_CALLS, Program, TICK, list_service, listing, post, read_response,
+    start_with_operator,
+};
 use mintlb_scheduler::util::Rng;
 use std::collections::BTreeMap;
 use std::io::{BufRead, BufReader, Read, Write};
@@ -12,12 +15,12 @@
 use std::sync::mpsc::channel;
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
-use world::table;
+use virtual_time::operator_file;
 
-const WAIT: Duration = Duration::from_secs(5);
+const TIMEOUT: Duration = Duration::from_secs(5);
 
-/// A connection that calls from a machine, as the standard library can't: by a socket that is bound first.
-fn call(at: SocketAddr, machine: u8) -> TcpStream {
+/// Connects from the machine `127.0.0.N`. The standard library can't bind a socket before it connects, but tokio can.
+fn connect_from(address: SocketAddr, machine: u8) -> TcpStream {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
@@ -27,14 +30,15 @@
         socket
             .bind((Ipv4Addr::new(127, 0, 0, machine), 0).into())
             .unwrap();
-        socket.connect(at).await.unwrap()
+        socket.connect(address).await.unwrap()
     });
     let stream = stream.into_std().unwrap();
     stream.set_nonblocking(false).unwrap();
-    stream.set_read_timeout(Some(WAIT)).unwrap();
+    stream.set_read_timeout(Some(TIMEOUT)).unwrap();
     stream
 }
 
+/// A connection of a producer or a worker.
 struct Peer {
     reader: BufReader<TcpStream>,
 }
@@ -42,16 +46,16 @@
 impl Peer {
     fn new(program: &Program, machine: u8) -> Peer {
         Peer {
-            reader: BufReader::new(call(program.jobs.unwrap(), machine)),
+            reader: BufReader::new(connect_from(program.beanstalkd_address.unwrap(), machine)),
         }
     }
 
-    /// That watches these tubes.
-    fn worker(program: &Program, machine: u8, tubes: &[&str]) -> Peer {
+    /// A connection that watches these tubes.
+    fn watching(program: &Program, machine: u8, tubes: &[&str]) -> Peer {
         let mut peer = Peer::new(program, machine);
         for (n, tube) in tubes.iter().enumerate() {
             assert_eq!(
-                peer.ask(&format!("watch {tube}")),
+                peer.request(&format!("watch {tube}")),
                 format!("WATCHING {}", n + 2)
             );
         }
@@ -62,19 +66,19 @@
         self.reader.get_mut().write_all(text.as_bytes()).unwrap();
     }
 
-    /// The next reply, with the body behind it if it has one; nothing if the connection has ended.
-    fn next(&mut self) -> String {
+    /// Reads the next reply, with its body if it has one. Empty if the connection has ended.
+    fn read_reply(&mut self) -> String {
         let mut line = String::new();
         self.reader
             .read_line(&mut line)
             .unwrap_or_else(|e| panic!("no reply: {e}"));
         let line = line.trim_end().to_string();
         let words: Vec<&str> = line.split(' ').collect();
-        let bodied = ["RESERVED", "FOUND", "OK"].contains(&words[0]);
+        let has_body = ["RESERVED", "FOUND", "OK"].contains(&words[0]);
         if let Some(length) = words
             .last()
             .and_then(|w| w.parse::<usize>().ok())
-            .filter(|_| bodied)
+            .filter(|_| has_body)
         {
             let mut body = vec![0; length + 2];
             self.reader.read_exact(&mut body).unwrap();
@@ -83,133 +87,150 @@
         line
     }
 
-    fn ask(&mut self, command: &str) -> String {
+    /// Sends a command and reads the reply.
+    fn request(&mut self, command: &str) -> String {
         self.send(&format!("{command}\r\n"));
-        self.next()
+        self.read_reply()
     }
 
+    /// Puts a job into the tube, and returns its id.
     fn put(&mut self, tube: &str, ttr: u32, body: &str) -> u64 {
-        assert_eq!(self.ask(&format!("use {tube}")), format!("USING {tube}"));
+        assert_eq!(
+            self.request(&format!("use {tube}")),
+            format!("USING {tube}")
+        );
         loop {
-            let said = self.ask(&format!("put 0 0 {ttr} {}\r\n{body}", body.len()));
-            if let Some(id) = said.strip_prefix("INSERTED ") {
+            let reply = self.request(&format!("put 0 0 {ttr} {}\r\n{body}", body.len()));
+            if let Some(id) = reply.strip_prefix("INSERTED ") {
                 return id.parse().unwrap();
             }
-            // More than may be held at once: it comes back, as a producer would.
-            assert_eq!(said, "OUT_OF_MEMORY");
-            std::thread::sleep(PAUSE / 20);
+            // The limit on open requests is reached. It tries again, as a producer would.
+            assert_eq!(reply, "OUT_OF_MEMORY");
+            std::thread::sleep(TICK / 20);
         }
     }
 
-    /// The state of a job once it has ended.
-    fn end(&mut self, id: u64) -> String {
+    /// Waits for a job's end, and returns it: `completed`, `deferred` or `aborted`.
+    fn wait_for_end(&mut self, id: u64) -> String {
         let began = Instant::now();
         loop {
-            let said = self.ask(&format!("stats-job {id}"));
-            if let Some(end) = said.split("end: ").nth(1) {
+            let stats = self.request(&format!("stats-job {id}"));
+            if let Some(end) = stats.split("end: ").nth(1) {
                 return end.lines().next().unwrap().to_string();
             }
-            assert!(began.elapsed() < WAIT, "no end: {said}");
-            std::thread::sleep(PAUSE / 10);
+            assert!(began.elapsed() < TIMEOUT, "the job has not ended: {stats}");
+            std::thread::sleep(TICK / 10);
         }
     }
 }
 
-fn started() -> Program {
-    start_with("", &[], Some(&table("cold = false")))
+fn start() -> Program {
+    start_with_operator("", &[], Some(&operator_file("cold = false")))
 }
 
-/// Exclusive work whose worker is silent, closes, or deletes late.
+/// A non-idempotent job whose worker is silent, disconnects, or deletes it late.
 #[test]
-fn a_worker_that_fails_with_a_charge_is_read_safely() {
-    let program = started();
+fn a_failing_worker_of_a_non_idempotent_job() {
+    let program = start();
     let mut producer = Peer::new(&program, 1);
     let mut reserve = |machine| {
-        let mut worker = Peer::worker(&program, machine, &["charge"]);
+        let mut worker = Peer::watching(&program, machine, &["charge"]);
         worker.send("reserve\r\n");
         let id = producer.put("charge", 1, "fee");
-        assert_eq!(worker.next(), format!("RESERVED {id} 3 fee"));
+        assert_eq!(worker.read_reply(), format!("RESERVED {id} 3 fee"));
         (worker, id, Instant::now())
     };
     let cases = [reserve(2), reserve(3), reserve(4)];
     let [
-        (mut late, first, began),
-        (silent, second, _),
-        (closes, third, _),
+        (mut late, late_id, began),
+        (silent, silent_id, _),
+        (disconnecting, disconnecting_id, _),
     ] = cases;
-    drop(closes);
-    assert_eq!(producer.end(third), "aborted", "it may have run");
-    assert!(began.elapsed() < WAIT / 2, "known at once");
+    drop(disconnecting);
+    assert_eq!(
+        producer.wait_for_end(disconnecting_id),
+        "aborted",
+        "it may have run"
+    );
+    assert!(began.elapsed() < TIMEOUT / 2, "reported at once");
     std::thread::sleep(Duration::from_millis(1500).saturating_sub(began.elapsed()));
     assert_eq!(
-        late.ask(&format!("delete {first}")),
+        late.request(&format!("delete {late_id}")),
         "DELETED",
-        "past its time-to-run, still its own"
+        "after its time-to-run the worker still holds the job"
+    );
+    assert_eq!(producer.wait_for_end(late_id), "completed");
+    assert_eq!(
+        producer.wait_for_end(silent_id),
+        "aborted",
+        "at its hard limit"
     );
-    assert_eq!(producer.end(first), "completed");
-    assert_eq!(producer.end(second), "aborted", "at its hard limit");
     assert!(
         began.elapsed() < Duration::from_millis(3500),
-        "which is 3 s"
+        "the hard limit is 3 s"
     );
     let mut silent = silent;
     assert_eq!(
-        silent.ask(&format!("delete {second}")),
+        silent.request(&format!("delete {silent_id}")),
         "NOT_FOUND",
         "too late"
     );
-    assert_eq!(producer.end(second), "aborted", "and changes nothing");
+    assert_eq!(
+        producer.wait_for_end(silent_id),
+        "aborted",
+        "the late delete changes nothing"
+    );
 }
 
 #[test]
-fn a_silent_workers_rerunnable_job_goes_on_after_its_time_to_run() {
-    // Its patience must outlast the silence, or it is given up first.
+fn an_idempotent_job_is_retried_after_its_time_to_run() {
+    // The promised turnaround must be longer than the time-to-run, or the job is deferred first.
     let changes = [(
         "\"promised_turnaround\": 400.0, \"hard_limit\": 3000.0, \"late_credit\": 0.0},\n      {\"name\": \"create\"",
         "\"promised_turnaround\": 2500.0, \"hard_limit\": 3000.0, \"late_credit\": 0.0},\n      {\"name\": \"create\"",
     )];
-    let program = start_with("", &changes, Some(&table("cold = false")));
+    let program = start_with_operator("", &changes, Some(&operator_file("cold = false")));
     let mut producer = Peer::new(&program, 1);
-    let mut silent = Peer::worker(&program, 2, &["lookup"]);
+    let mut silent = Peer::watching(&program, 2, &["lookup"]);
     silent.send("reserve\r\n");
     let id = producer.put("lookup", 1, "x");
-    assert!(silent.next().starts_with("RESERVED"));
-    let (mut next, began) = (Peer::worker(&program, 3, &["lookup"]), Instant::now());
-    assert_eq!(next.ask("reserve"), format!("RESERVED {id} 1 x"));
+    assert!(silent.read_reply().starts_with("RESERVED"));
+    let (mut next, began) = (Peer::watching(&program, 3, &["lookup"]), Instant::now());
+    assert_eq!(next.request("reserve"), format!("RESERVED {id} 1 x"));
     let after = began.elapsed();
     assert!(
         after > Duration::from_millis(900) && after < Duration::from_millis(1300),
         "{after:?}"
     );
-    // Two answer for the same job: it is the second's now.
-    assert_eq!(silent.ask(&format!("delete {id}")), "NOT_FOUND");
-    assert_eq!(next.ask(&format!("delete {id}")), "DELETED");
-    assert_eq!(producer.end(id), "completed");
+    // Both workers delete the job, but the lease belongs to the second one.
+    assert_eq!(silent.request(&format!("delete {id}")), "NOT_FOUND");
+    assert_eq!(next.request(&format!("delete {id}")), "DELETED");
+    assert_eq!(producer.wait_for_end(id), "completed");
 }
 
-/// In the line, in the body and before the last end of line it is not taken; after it, it is.
+/// A producer that disconnects within the command line, the body or the last line end has put no job; after it, it has.
 #[test]
-fn a_put_is_taken_once_it_has_come_whole() {
-    let program = started();
-    let whole = "use charge\r\nput 0 0 9 5\r\nhello\r\n";
-    let mut worker = Peer::worker(&program, 2, &["charge"]);
+fn only_a_complete_put_is_accepted() {
+    let program = start();
+    let complete = "use charge\r\nput 0 0 9 5\r\nhello\r\n";
+    let mut worker = Peer::watching(&program, 2, &["charge"]);
     let mut other = Peer::new(&program, 1);
-    for cut in [14, 24, 28, whole.len() - 2, whole.len() - 1] {
+    for sent in [14, 24, 28, complete.len() - 2, complete.len() - 1] {
         let mut producer = Peer::new(&program, 1);
-        producer.send(&whole[..cut]);
-        assert_eq!(producer.next(), "USING charge");
+        producer.send(&complete[..sent]);
+        assert_eq!(producer.read_reply(), "USING charge");
         drop(producer);
         assert_eq!(
-            worker.ask("reserve-with-timeout 0"),
+            worker.request("reserve-with-timeout 0"),
             "TIMED_OUT",
-            "cut at {cut}"
+            "disconnected after {sent} bytes"
         );
     }
     let mut producer = Peer::new(&program, 1);
-    producer.send(whole);
+    producer.send(complete);
     drop(producer);
-    let said = worker.ask("reserve-with-timeout 5");
-    let id: u64 = said
+    let reply = worker.request("reserve-with-timeout 5");
+    let id: u64 = reply
         .strip_prefix("RESERVED ")
         .unwrap()
         .split(' ')
@@ -217,64 +238,65 @@
         .unwrap()
         .parse()
         .unwrap();
-    assert_eq!(worker.ask(&format!("delete {id}")), "DELETED");
+    assert_eq!(worker.request(&format!("delete {id}")), "DELETED");
     assert_eq!(
-        other.end(id),
+        other.wait_for_end(id),
         "completed",
-        "its end can be read by whoever knows its number"
+        "any connection can query the end by the job id"
     );
 }
 
-/// All in one packet, byte by byte, and by the hundred.
+/// Commands in one packet, byte by byte, in pieces of seven bytes, and hundreds of them at once.
 #[test]
-fn commands_come_in_any_pieces() {
-    let program = started();
+fn commands_arrive_in_any_pieces() {
+    let program = start();
     let script = "use lookup\r\nput 0 0 9 2\r\nhi\r\nwatch lookup\r\nreserve\r\nlist-tube-used\r\n";
-    for pieces in [script.len(), 1, 7] {
+    for piece_bytes in [script.len(), 1, 7] {
         let mut peer = Peer::new(&program, 2);
-        for piece in script.as_bytes().chunks(pieces) {
+        for piece in script.as_bytes().chunks(piece_bytes) {
             peer.reader.get_mut().write_all(piece).unwrap();
             peer.reader.get_mut().flush().unwrap();
         }
-        let said: Vec<String> = (0..5).map(|_| peer.next()).collect();
-        let id = said[1].strip_prefix("INSERTED ").unwrap().to_string();
+        let replies: Vec<String> = (0..5).map(|_| peer.read_reply()).collect();
+        let id = replies[1].strip_prefix("INSERTED ").unwrap().to_string();
         assert_eq!(
-            said[3..],
+            replies[3..],
             [format!("RESERVED {id} 2 hi"), "USING lookup".into()]
         );
-        assert_eq!(peer.ask(&format!("delete {id}")), "DELETED");
+        assert_eq!(peer.request(&format!("delete {id}")), "DELETED");
     }
     let mut peer = Peer::new(&program, 2);
     peer.send(&"use charge\r\nput 0 9 9 2\r\nhi\r\n".repeat(300));
     let inserted = (0..600)
-        .filter(|_| peer.next().starts_with("INSERTED"))
+        .filter(|_| peer.read_reply().starts_with("INSERTED"))
         .count();
     assert_eq!(inserted, 300);
     peer.send("quit\r\n");
-    assert_eq!(peer.next(), "", "closed");
+    assert_eq!(peer.read_reply(), "", "the connection is closed");
 }
 
-/// Who never reads is not read from either, and holds up nobody.
+/// No more commands are read from a producer that does not read its replies, and other connections are not delayed.
 #[test]
-fn a_producer_that_never_reads_holds_up_nobody() {
-    let program = started();
-    let mut deaf = Peer::new(&program, 1);
-    deaf.reader
+fn a_producer_that_never_reads_delays_nobody() {
+    let program = start();
+    let mut stuck = Peer::new(&program, 1);
+    stuck
+        .reader
         .get_mut()
-        .set_write_timeout(Some(PAUSE))
+        .set_write_timeout(Some(TICK))
         .unwrap();
     let stats = "stats\r\n".repeat(1000);
-    let mut written = 0;
-    while deaf.reader.get_mut().write_all(stats.as_bytes()).is_ok() {
-        written += stats.len();
-        assert!(written < 64 << 20, "its commands are taken without end");
+    let mut written_bytes = 0;
+    while stuck.reader.get_mut().write_all(stats.as_bytes()).is_ok() {
+        written_bytes += stats.len();
+        assert!(written_bytes < 64 << 20, "commands are read without limit");
     }
     let mut producer = Peer::new(&program, 1);
-    let mut worker = Peer::worker(&program, 2, &["charge"]);
+    let mut worker = Peer::watching(&program, 2, &["charge"]);
     worker.send("reserve\r\n");
     let id = producer.put("charge", 9, "x");
-    assert!(worker.next().starts_with("RESERVED"));
-    assert_eq!(worker.ask(&format!("delete {id}")), "DELETED");
+    assert!(worker.read_reply().starts_with("RESERVED"));
+    assert_eq!(worker.request(&format!("delete {id}")), "DELETED");
     let status = std::fs::read_to_string(format!("/proc/{}/status", program.child.id())).unwrap();
     let kb = status
         .split("VmRSS:")
@@ -286,20 +308,21 @@
     assert!(kb.parse::<u64>().unwrap() < 64 << 10, "{kb} KB");
 }
 
-/// Work of HTTP's clients for beanstalkd's workers, and the reverse, as the operator's file has it.
+/// As configured in the operator's file, beanstalkd workers execute requests of HTTP clients, and HTTP workers execute
+/// beanstalkd jobs.
 #[test]
-fn work_crosses_between_the_protocols() {
-    let crossed = table("cold = false").replace(
+fn requests_cross_between_the_protocols() {
+    let operator = operator_file("cold = false").replace(
         "project_type = \"lookup\"",
         "project_type = \"lookup\"\nworkers = \"http\"",
     );
-    let program = start_with("", &[], Some(&crossed));
-    let mut worker = Peer::worker(&program, 2, &["charge"]);
+    let program = start_with_operator("", &[], Some(&operator));
+    let mut worker = Peer::watching(&program, 2, &["charge"]);
     worker.send("reserve\r\n");
     let mut client = program.connect();
     client.write_all(post("/charge/7", "").as_bytes()).unwrap();
-    let said = worker.next();
-    let id: u64 = said
+    let reply = worker.read_reply();
+    let id: u64 = reply
         .strip_prefix("RESERVED ")
         .unwrap()
         .split(' ')
@@ -307,15 +330,15 @@
         .unwrap()
         .parse()
         .unwrap();
-    assert!(said.ends_with(" 2 hi"), "{said}");
-    assert_eq!(worker.ask(&format!("delete {id}")), "DELETED");
-    assert!(answer(&mut client).starts_with("HTTP/1.1 200"));
-    // Its client leaves, so it is called off.
+    assert!(reply.ends_with(" 2 hi"), "{reply}");
+    assert_eq!(worker.request(&format!("delete {id}")), "DELETED");
+    assert!(read_response(&mut client).starts_with("HTTP/1.1 200"));
+    // The client leaves, which cancels the request.
     worker.send("reserve\r\n");
     let mut client = program.connect();
     client.write_all(post("/charge/8", "").as_bytes()).unwrap();
-    let said = worker.next();
-    let id: u64 = said
+    let reply = worker.read_reply();
+    let id: u64 = reply
         .strip_prefix("RESERVED ")
         .unwrap()
         .split(' ')
@@ -324,135 +347,154 @@
         .parse()
         .unwrap();
     drop(client);
-    std::thread::sleep(PAUSE);
-    assert_eq!(worker.ask(&format!("delete {id}")), "NOT_FOUND");
+    std::thread::sleep(TICK);
+    assert_eq!(worker.request(&format!("delete {id}")), "NOT_FOUND");
 
     let mut producer = Peer::new(&program, 1);
-    let mut ends = Peer::worker(&program, 1, &["ends"]);
-    // As the stand-in worker wants it: its requests end like this.
+    let mut notices = Peer::watching(&program, 1, &["ends"]);
+    // The simulated HTTP worker expects this body.
     let id = producer.put("lookup", 9, "hi");
-    assert_eq!(producer.end(id), "completed");
+    assert_eq!(producer.wait_for_end(id), "completed");
     assert!(
-        ends.ask("reserve")
+        notices
+            .request("reserve")
             .ends_with(&format!("{id} completed\nyes")),
         "with the worker's result"
     );
 }
 
-/// The list's word on a machine holds for its connections: none of what is put after the drain was heard goes there.
+/// After the list reports a machine as draining, its connections get no jobs, until the list reports it as serving
+/// again.
 #[test]
-fn a_drain_on_the_list_reaches_the_machines_connections() {
+fn a_machine_that_the_list_drains_gets_no_jobs() {
     let machine = "127.0.0.2:1".parse().unwrap();
     let (slot, mut version) = (
         Arc::new(Mutex::new(listing(1, &[("m-2", machine, "SERVING")]))),
         1,
     );
-    let mut say = |state| {
+    let mut set_state = |state| {
         version += 1;
         *slot.lock().unwrap() = listing(version, &[("m-2", machine, state)]);
     };
-    let changes = [("127.0.0.1:8500", &*list_by(slot.clone())), SOON];
-    let program = start_with("", &changes, Some(&table("listed = true")));
-    std::thread::sleep(2 * PAUSE);
+    let changes = [
+        ("127.0.0.1:8500", &*list_service(slot.clone())),
+        FREQUENT_LIST_CALLS,
+    ];
+    let program = start_with_operator("", &changes, Some(&operator_file("listed = true")));
+    std::thread::sleep(2 * TICK);
     let mut producer = Peer::new(&program, 1);
     let mut workers: Vec<Peer> = (0..20)
-        .map(|_| Peer::worker(&program, 2, &["charge"]))
+        .map(|_| Peer::watching(&program, 2, &["charge"]))
         .collect();
     workers
         .iter_mut()
         .for_each(|worker| worker.send("reserve\r\n"));
-    let first = producer.put("charge", 9, "x");
-    std::thread::sleep(PAUSE);
-    say("DRAINING");
-    std::thread::sleep(PAUSE);
+    let before_drain = producer.put("charge", 9, "x");
+    std::thread::sleep(TICK);
+    set_state("DRAINING");
+    std::thread::sleep(TICK);
     let ids: Vec<u64> = (0..20).map(|_| producer.put("charge", 9, "y")).collect();
     assert!(
-        ids.iter().all(|id| producer.end(*id) == "deferred"),
-        "they never ran"
+        ids.iter()
+            .all(|id| producer.wait_for_end(*id) == "deferred"),
+        "a job that was never started is deferred"
     );
-    say("SERVING");
-    std::thread::sleep(PAUSE);
-    let last = producer.put("charge", 9, "z");
-    let mut seen = Vec::new();
+    set_state("SERVING");
+    std::thread::sleep(TICK);
+    let after_drain = producer.put("charge", 9, "z");
+    let mut reserved = Vec::new();
     for worker in &mut workers {
         worker
             .reader
             .get_mut()
-            .set_read_timeout(Some(PAUSE / 10))
+            .set_read_timeout(Some(TICK / 10))
             .unwrap();
         let mut line = String::new();
         if worker.reader.read_line(&mut line).is_ok() {
-            seen.push(line.split(' ').nth(1).unwrap().parse::<u64>().unwrap());
+            reserved.push(line.split(' ').nth(1).unwrap().parse::<u64>().unwrap());
         }
     }
-    seen.sort_unstable();
-    assert_eq!(seen, [first, last], "before the drain, and after it");
+    reserved.sort_unstable();
+    assert_eq!(
+        reserved,
+        [before_drain, after_drain],
+        "only the jobs before and after the drain are reserved"
+    );
 }
 
-/// All that was taken is ended, and those who wait for ends are told.
+/// A graceful shutdown ends all accepted jobs, and reports the ends.
 #[test]
-fn told_to_stop_it_ends_every_job() {
-    let mut program = started();
+fn a_graceful_shutdown_ends_every_job() {
+    let mut program = start();
     let mut producer = Peer::new(&program, 1);
-    let mut ends = Peer::worker(&program, 1, &["ends"]);
-    let mut worker = Peer::worker(&program, 2, &["charge"]);
+    let mut notices = Peer::watching(&program, 1, &["ends"]);
+    let mut worker = Peer::watching(&program, 2, &["charge"]);
     worker.send("reserve\r\n");
-    let out = producer.put("charge", 9, "x");
-    assert!(worker.next().starts_with("RESERVED"));
-    let mut slow = Peer::worker(&program, 2, &["lookup"]);
+    let reserved = producer.put("charge", 9, "x");
+    assert!(worker.read_reply().starts_with("RESERVED"));
+    let mut slow = Peer::watching(&program, 2, &["lookup"]);
     slow.send("reserve\r\n");
     let done = producer.put("lookup", 9, "x");
-    assert!(slow.next().starts_with("RESERVED"));
-    assert!(producer.ask("put 0 60 9 1\r\nx").starts_with("INSERTED"));
+    assert!(slow.read_reply().starts_with("RESERVED"));
+    assert!(
+        producer
+            .request("put 0 60 9 1\r\nx")
+            .starts_with("INSERTED")
+    );
     let began = Instant::now();
     program.terminate();
-    std::thread::sleep(PAUSE);
-    assert_eq!(producer.ask("put 0 0 9 1\r\nx"), "DRAINING");
-    assert_eq!(slow.ask(&format!("delete {done}")), "DELETED");
-    let mut told = Vec::new();
+    std::thread::sleep(TICK);
+    assert_eq!(producer.request("put 0 0 9 1\r\nx"), "DRAINING");
+    assert_eq!(slow.request(&format!("delete {done}")), "DELETED");
+    let mut ends = Vec::new();
     for _ in 0..3 {
-        let said = ends.ask("reserve");
-        let body = said.split(' ').skip(3).collect::<Vec<_>>().join(" ");
-        told.push(body);
+        let reply = notices.request("reserve");
+        let body = reply.split(' ').skip(3).collect::<Vec<_>>().join(" ");
+        ends.push(body);
     }
     assert_eq!(
-        told[0],
+        ends[0],
         format!("{} deferred 0.000", done + 1),
-        "it was still to come"
+        "it was still delayed"
     );
-    assert_eq!(told[1], format!("{done} completed"));
+    assert_eq!(ends[1], format!("{done} completed"));
     assert_eq!(
-        told[2],
-        format!("{out} aborted"),
-        "at its hard limit, or the last call"
+        ends[2],
+        format!("{reserved} aborted"),
+        "at its hard limit, or at the end of the shutdown"
     );
     assert!(
         began.elapsed() < Duration::from_millis(3700),
         "SIGKILL comes after 3.7 s"
     );
-    assert!(program.end().0);
+    assert!(program.wait_for_exit().0);
 }
 
-/// Thousands of jobs over workers on loopback that fail in all ways, counted from what they saw.
+/// Thousands of jobs for workers on loopback that fail in various ways; the ends are checked against what the workers
+/// reserved.
 #[test]
-fn no_job_is_lost_or_doubled_on_loopback() {
+fn no_job_is_lost_or_executed_twice() {
     const JOBS: usize = 3000;
-    let program = started();
-    let (tell, told) = channel();
+    let program = start();
+    let (sender, reservations) = channel();
     for n in 0..24_u64 {
-        let (tell, at, machine) = (tell.clone(), program.jobs.unwrap(), 2 + (n % 6) as u8);
+        let (sender, address, machine) = (
+            sender.clone(),
+            program.beanstalkd_address.unwrap(),
+            2 + (n % 6) as u8,
+        );
         std::thread::spawn(move || {
             let mut chance = Rng::new(n + 1);
             let mut pick = move |most: usize| (chance.uniform() * most as f64) as usize;
-            let fresh = || {
+            let connect = || {
                 let mut peer = Peer {
-                    reader: BufReader::new(call(at, machine)),
+                    reader: BufReader::new(connect_from(address, machine)),
                 };
                 peer.send("watch lookup\r\nwatch create\r\nwatch charge\r\n");
-                (0..3).for_each(|_| drop(peer.next()));
+                (0..3).for_each(|_| drop(peer.read_reply()));
                 peer
             };
-            let mut peer = fresh();
+            let mut peer = connect();
             loop {
                 peer.send("reserve-with-timeout 2\r\n");
                 let mut line = String::new();
@@ -467,18 +509,18 @@
                 };
                 let (id, mut body) = (id.to_string(), String::new());
                 peer.reader.read_line(&mut body).unwrap();
-                tell.send((id.parse::<u64>().unwrap(), machine)).ok();
+                sender.send((id.parse::<u64>().unwrap(), machine)).ok();
                 match pick(180) {
-                    0 | 1 => peer = fresh(),
-                    2 => drop(peer.ask(&format!("release {id} 0 0"))),
-                    3 => drop(peer.ask(&format!("bury {id} 0"))),
-                    // Silent for longer than its time-to-run, and late then.
+                    0 | 1 => peer = connect(),
+                    2 => drop(peer.request(&format!("release {id} 0 0"))),
+                    3 => drop(peer.request(&format!("bury {id} 0"))),
+                    // Silent for longer than the time-to-run, and then a late delete.
                     4 => {
                         std::thread::sleep(Duration::from_millis(1200));
-                        peer.ask(&format!("delete {id}"));
+                        peer.request(&format!("delete {id}"));
                     }
                     _ => {
-                        peer.ask(&format!("delete {id}"));
+                        peer.request(&format!("delete {id}"));
                     }
                 }
             }
@@ -486,82 +528,87 @@
     }
     let mut producer = Peer::new(&program, 1);
     let tubes = ["lookup", "create", "charge"];
-    let mut taken = BTreeMap::new();
+    let mut accepted = BTreeMap::new();
     for n in 0..JOBS {
-        taken.insert(producer.put(tubes[n % 3], 1, "job"), n % 3);
+        accepted.insert(producer.put(tubes[n % 3], 1, "job"), n % 3);
     }
     let mut ends: BTreeMap<u64, usize> = BTreeMap::new();
-    let mut words: BTreeMap<String, usize> = BTreeMap::new();
-    let mut reader = Peer::worker(&program, 1, &["ends"]);
+    let mut outcomes: BTreeMap<String, usize> = BTreeMap::new();
+    let mut notices = Peer::watching(&program, 1, &["ends"]);
     while ends.len() < JOBS {
-        let said = reader.ask("reserve-with-timeout 5");
-        let body = said.split(' ').skip(3).collect::<Vec<_>>();
+        let reply = notices.request("reserve-with-timeout 5");
+        let body = reply.split(' ').skip(3).collect::<Vec<_>>();
         assert!(
             body.len() >= 2,
-            "{} of {JOBS} have ended: {said}",
+            "{} of {JOBS} have ended: {reply}",
             ends.len()
         );
         *ends.entry(body[0].parse().unwrap()).or_default() += 1;
-        *words.entry(body[1].to_string()).or_default() += 1;
-        reader.ask(&format!("delete {}", said.split(' ').nth(1).unwrap()));
+        *outcomes.entry(body[1].to_string()).or_default() += 1;
+        notices.request(&format!("delete {}", reply.split(' ').nth(1).unwrap()));
     }
     assert_eq!(
-        reader.ask("reserve-with-timeout 0"),
+        notices.request("reserve-with-timeout 0"),
         "TIMED_OUT",
-        "no end is told twice"
+        "no end is reported twice"
     );
-    let mut given: BTreeMap<u64, Vec<u8>> = BTreeMap::new();
-    told.try_iter()
-        .for_each(|(id, machine)| given.entry(id).or_default().push(machine));
-    for (id, kind) in &taken {
+    let mut machines_by_job: BTreeMap<u64, Vec<u8>> = BTreeMap::new();
+    reservations
+        .try_iter()
+        .for_each(|(id, machine)| machines_by_job.entry(id).or_default().push(machine));
+    for (id, kind) in &accepted {
         assert_eq!(ends.get(id), Some(&1), "job {id}");
-        let machines = given.get(id).cloned().unwrap_or_default();
-        let doubled = match kind {
+        let machines = machines_by_job.get(id).cloned().unwrap_or_default();
+        let executed_twice = match kind {
             0 => false,
             1 => machines.iter().any(|m| *m != machines[0]),
             _ => machines.len() > 1,
         };
-        assert!(!doubled, "job {id} of {} ran at {machines:?}", tubes[*kind]);
+        assert!(
+            !executed_twice,
+            "job {id} of {} ran at {machines:?}",
+            tubes[*kind]
+        );
     }
     assert!(
-        words["completed"] > JOBS / 2 && words["aborted"] > 10,
-        "{words:?}"
+        outcomes["completed"] > JOBS / 2 && outcomes["aborted"] > 10,
+        "{outcomes:?}"
     );
 }
 
-/// Many connections wait for next to nothing, and the last of them gets work as the first does.
+/// A connection beyond the limit is refused with an error. All connections within it get jobs.
 #[test]
-fn connections_beyond_their_number_are_told_so() {
-    let program = start_with(
+fn connections_beyond_the_limit_are_refused() {
+    let program = start_with_operator(
         "",
         &[],
-        Some(&table("cold = false").replace("connections = 256", "connections = 20")),
+        Some(&operator_file("cold = false").replace("connections = 256", "connections = 20")),
     );
     let mut workers: Vec<Peer> = (0..20)
-        .map(|_| Peer::worker(&program, 2, &["charge"]))
+        .map(|_| Peer::watching(&program, 2, &["charge"]))
         .collect();
-    let mut late = Peer::new(&program, 1);
-    assert_eq!(late.next(), "OUT_OF_MEMORY");
+    let mut beyond = Peer::new(&program, 1);
+    assert_eq!(beyond.read_reply(), "OUT_OF_MEMORY");
     workers.pop();
-    std::thread::sleep(PAUSE);
+    std::thread::sleep(TICK);
     let mut producer = Peer::new(&program, 1);
     workers
         .iter_mut()
         .for_each(|worker| worker.send("reserve\r\n"));
     let ids: Vec<u64> = (0..19).map(|_| producer.put("charge", 9, "x")).collect();
-    let mut got: Vec<u64> = workers
+    let mut reserved: Vec<u64> = workers
         .iter_mut()
-        .map(|w| w.next().split(' ').nth(1).unwrap().parse().unwrap())
+        .map(|w| w.read_reply().split(' ').nth(1).unwrap().parse().unwrap())
         .collect();
-    got.sort_unstable();
-    assert_eq!(got, ids, "each that waits gets one");
+    reserved.sort_unstable();
+    assert_eq!(reserved, ids, "each waiting worker gets one job");
 }
 
-/// The second opinion on the protocol: a client from the registry.
+/// A third-party beanstalkd client, as an independent check of the protocol.
 #[test]
-fn a_client_that_is_not_ours_is_served() {
-    let program = started();
-    let at = program.jobs.unwrap();
+fn a_third_party_client_is_served() {
+    let program = start();
+    let at = program.beanstalkd_address.unwrap();
     let connect = || {
         beanstalkc::Beanstalkc::new()
             .host("127.0.0.1")
@@ -576,7 +623,7 @@
         .unwrap();
     worker.watch("lookup").unwrap();
     assert_eq!(worker.watching().unwrap(), ["default", "lookup"]);
-    let mut job = worker.reserve_with_timeout(WAIT).unwrap();
+    let mut job = worker.reserve_with_timeout(TIMEOUT).unwrap();
     assert_eq!((job.id(), job.body()), (id, &b"hello"[..]));
     assert_eq!(producer.stats_job(id).unwrap()["state"], "reserved");
     job.touch().unwrap();
@@ -604,35 +651,40 @@
     );
 }
 
-/// SIGHUP: a changed operator's file is checked, waits for the next start, and that is said.
+/// At SIGHUP a changed operator's file is validated, and the log says that the changes take effect at the next restart.
 #[test]
-fn a_new_operators_file_waits_for_the_next_start() {
-    let mut program = started();
-    let path = program.path.with_extension("toml");
-    for text in [table("cold = true"), table("cold = maybe")] {
+fn a_changed_operators_file_takes_effect_at_a_restart() {
+    let mut program = start();
+    let path = program.config_path.with_extension("toml");
+    for text in [operator_file("cold = true"), operator_file("cold = maybe")] {
         std::fs::write(&path, text).unwrap();
         program.signal("-HUP");
-        std::thread::sleep(PAUSE);
+        std::thread::sleep(TICK);
     }
     let mut producer = Peer::new(&program, 1);
-    assert_eq!(producer.ask("use lookup"), "USING lookup", "it serves on");
+    assert_eq!(
+        producer.request("use lookup"),
+        "USING lookup",
+        "it still serves"
+    );
     program.terminate();
-    assert!(program.end().0);
+    assert!(program.wait_for_exit().0);
     let mut log = String::new();
     program.log.read_to_string(&mut log).unwrap();
     assert!(
-        log.contains("waits for the next start, fields: the operator's file"),
+        log.contains("take effect at the next restart, fields: the operator's file"),
         "{log}"
     );
     assert!(
-        log.contains("not taken, the old one holds") && log.contains("line 4"),
+        log.contains("new configuration rejected, keeping the current one")
+            && log.contains("line 4"),
         "{log}"
     );
 }
 
 #[test]
-fn a_bad_operators_file_is_named() {
-    let good = table("");
+fn an_invalid_field_of_the_operators_file_is_named() {
+    let valid = operator_file("");
     let cases = [
         (
             "connections = 256",
@@ -711,15 +763,18 @@
         ),
         ("[beanstalkd]", "[beanstalkd", "line 1: "),
     ];
-    for (n, (old, new, named)) in cases.iter().enumerate() {
-        assert!(good.contains(old), "nothing to change: {old}");
-        let (config, file) = (
-            harness::written(&[]),
-            harness::written(&[]).with_extension("toml"),
+    for (n, (old, new, expected)) in cases.iter().enumerate() {
+        assert!(valid.contains(old), "text to change not found: {old}");
+        let (config, operator) = (
+            harness::write_config(&[]),
+            harness::write_config(&[]).with_extension("toml"),
+        );
+        std::fs::write(&operator, valid.replacen(old, new, 1)).unwrap();
+        let [config, operator] = [config, operator].map(|path| path.display().to_string());
+        let stderr = harness::stderr_of_failure(
+            &["check", "--config", &config, "--operator", &operator],
+            &[],
         );
-        std::fs::write(&file, good.replacen(old, new, 1)).unwrap();
-        let [config, file] = [config, file].map(|path| path.display().to_string());
-        let said = harness::complaint(&["check", "--config", &config, "--operator", &file], &[]);
-        assert!(said.contains(named), "case {n}, {new}: {said}");
+        assert!(stderr.contains(expected), "case {n}, {new}: {stderr}");
     }
 }
--- a/crates/mintlb/tests/operators.rs
+++ b/crates/mintlb/tests/operators.rs
@@ -1,10 +1,13 @@
-//! The program as operators run it day to day: their door, its figures, leaving and coming back, new settings, and a
-//! new version under load; against stand-ins for clients, workers and the list service.
+//! The program in operation, with simulated clients, workers and list services: the admin socket and its metrics,
+//! draining, reloads, and replacing the process by a new version under load.
 
 mod harness;
 
-use harness::{PAUSE, Program, SOON, answer, complaint, list_by, list_of, listing, post, post_as};
-use harness::{stand_in, start, start_at, work, work_as, work_by};
+use harness::{
+    FREQUENT_LIST_CALLS, Program, TICK, list_service, listing, post, post_with_id, read_response,
+    static_list_service, stderr_of_failure,
+};
+use harness::{spawn_server, start, start_with_worker, worker, worker_replying, worker_returning};
 use std::collections::HashMap;
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -14,28 +17,30 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-const OPS: (&str, &str) = ("\"seed\"", "\"ops\": \"127.0.0.1:0\", \"seed\"");
+/// A change of the configuration: an admin socket on any free port.
+const ADMIN_SOCKET: (&str, &str) = ("\"seed\"", "\"ops\": \"127.0.0.1:0\", \"seed\"");
 const HEALTHZ: &str = "GET /healthz HTTP/1.1\r\nhost: x\r\n\r\n";
 
-fn call(program: &Program, line: &str) -> String {
-    let mut stream = TcpStream::connect(program.ops.unwrap()).unwrap();
+/// Sends a command to the admin socket, and returns the reply.
+fn send_command(program: &Program, line: &str) -> String {
+    let mut stream = TcpStream::connect(program.admin_address.unwrap()).unwrap();
     stream.write_all(line.as_bytes()).unwrap();
     stream.write_all(b"\n").unwrap();
     stream
         .set_read_timeout(Some(Duration::from_secs(5)))
         .unwrap();
-    let mut got = String::new();
-    stream.read_to_string(&mut got).unwrap();
-    got
+    let mut reply = String::new();
+    stream.read_to_string(&mut reply).unwrap();
+    reply
 }
 
-fn figures(program: &Program) -> HashMap<String, u64> {
-    let page = call(program, "DUMP");
+fn metrics(program: &Program) -> HashMap<String, u64> {
+    let page = send_command(program, "DUMP");
     let lines = page
         .strip_suffix("EOT\n")
         .unwrap_or_else(|| panic!("{page}"))
         .lines();
-    let figure = |line: &str| {
+    let metric = |line: &str| {
         let (name, value) = line
             .strip_prefix("edge_router.")
             .unwrap()
@@ -43,13 +48,13 @@
             .unwrap();
         (name.to_string(), value.parse().unwrap())
     };
-    lines.map(figure).collect()
+    lines.map(metric).collect()
 }
 
 #[test]
-fn clients_are_sent_away_and_come_again() {
-    let program = start("", &[OPS]);
-    for (line, says, health, healthz) in [
+fn clients_are_drained_and_admitted_again() {
+    let program = start("", &[ADMIN_SOCKET]);
+    for (line, reply_start, health_start, healthz_status) in [
         ("HEALTH", "SUCCESS ready", "SUCCESS ready", "200"),
         ("JOIN", "SUCCESS ready", "SUCCESS ready", "200"),
         ("LEAVE", "SUCCESS leaving", "FAILURE leaving", "503"),
@@ -62,150 +67,158 @@
         ),
         ("JOIN", "SUCCESS ready", "SUCCESS ready", "200"),
     ] {
-        let got = call(&program, line);
-        assert!(got.starts_with(says), "{line}: {got}");
-        assert!(call(&program, "HEALTH").starts_with(health), "after {line}");
-        let got = program.ask(HEALTHZ);
+        let reply = send_command(&program, line);
+        assert!(reply.starts_with(reply_start), "{line}: {reply}");
         assert!(
-            got.starts_with(&format!("HTTP/1.1 {healthz}")),
-            "after {line}: {got}"
+            send_command(&program, "HEALTH").starts_with(health_start),
+            "after {line}"
+        );
+        let response = program.request(HEALTHZ);
+        assert!(
+            response.starts_with(&format!("HTTP/1.1 {healthz_status}")),
+            "after {line}: {response}"
         );
     }
-    assert!(program.ask(&post("/charge/1", "")).ends_with("yes"));
+    assert!(program.request(&post("/charge/1", "")).ends_with("yes"));
 }
 
-/// What clients of each kind see after LEAVE: none loses anything, and none stays.
+/// After LEAVE every client, whatever it is doing, gets its responses, and all connections close.
 #[test]
-fn every_client_leaves_and_loses_nothing() {
-    let program = start("", &[OPS]);
-    let whole = post("/charge/1", "");
-    let (first, rest) = whole.split_at(20);
-    let keeps = |shown: &str, got: &str, keeps: bool| {
+fn draining_closes_all_connections_without_loss() {
+    let program = start("", &[ADMIN_SOCKET]);
+    let request = post("/charge/1", "");
+    let (first, rest) = request.split_at(20);
+    let check = |case: &str, response: &str, stays_open: bool| {
         assert!(
-            got.contains("200 OK") && got.ends_with("yes"),
-            "{shown}: {got}"
+            response.contains("200 OK") && response.ends_with("yes"),
+            "{case}: {response}"
+        );
+        assert_eq!(
+            response.contains("connection: close"),
+            !stays_open,
+            "{case}: {response}"
         );
-        assert_eq!(got.contains("connection: close"), !keeps, "{shown}: {got}");
     };
-    let connect = |work: Option<&str>| {
+    let connect = |first_path: Option<&str>| {
         let mut stream = program.connect();
-        if let Some(path) = work {
+        if let Some(path) = first_path {
             stream.write_all(post(path, "").as_bytes()).unwrap();
-            keeps("before", &answer(&mut stream), true);
+            check("before LEAVE", &read_response(&mut stream), true);
         }
         stream
     };
-    let (mut idle, mut next, mut halfway, mut fresh) = (
+    let (mut idle, mut active, mut half_sent, mut silent) = (
         connect(Some("/charge/1")),
         connect(Some("/charge/2")),
         connect(Some("/charge/3")),
         connect(None),
     );
-    let mut long = connect(None);
-    long.write_all(post("/charge/slow", "").as_bytes()).unwrap();
-    std::thread::sleep(PAUSE);
-    let left = Instant::now();
-    assert!(call(&program, "LEAVE").starts_with("SUCCESS"));
-    next.write_all(post("/charge/4", "").as_bytes()).unwrap();
-    keeps(
-        "at once, as the front may not have noticed",
-        &answer(&mut next),
+    let mut busy = connect(None);
+    busy.write_all(post("/charge/slow", "").as_bytes()).unwrap();
+    std::thread::sleep(TICK);
+    let left_at = Instant::now();
+    assert!(send_command(&program, "LEAVE").starts_with("SUCCESS"));
+    active.write_all(post("/charge/4", "").as_bytes()).unwrap();
+    check(
+        "at once after LEAVE, as the load balancer may not have noticed",
+        &read_response(&mut active),
         true,
     );
-    keeps("long-running", &answer(&mut long), true);
-    std::thread::sleep(Duration::from_millis(600).saturating_sub(left.elapsed()));
-    halfway.write_all(first.as_bytes()).unwrap();
-    std::thread::sleep(2 * PAUSE);
-    halfway.write_all(rest.as_bytes()).unwrap();
-    keeps(
-        "half written as connections close",
-        &answer(&mut halfway),
+    check("in progress at LEAVE", &read_response(&mut busy), true);
+    std::thread::sleep(Duration::from_millis(600).saturating_sub(left_at.elapsed()));
+    half_sent.write_all(first.as_bytes()).unwrap();
+    std::thread::sleep(2 * TICK);
+    half_sent.write_all(rest.as_bytes()).unwrap();
+    check(
+        "half sent as connections close",
+        &read_response(&mut half_sent),
         false,
     );
-    keeps(
-        "who comes all the same",
-        &program.ask(&post("/charge/5", "")),
+    check(
+        "new connection while draining",
+        &program.request(&post("/charge/5", "")),
         false,
     );
-    for (shown, stream) in [
+    for (case, stream) in [
         ("idle", &mut idle),
-        ("again idle", &mut next),
-        ("without a word", &mut fresh),
+        ("idle after a request", &mut active),
+        ("no request yet", &mut silent),
     ] {
         stream
             .set_read_timeout(Some(Duration::from_secs(5)))
             .unwrap();
         let closed = stream.read(&mut [0; 1]);
-        assert!(matches!(closed, Ok(0)), "{shown}: {closed:?}");
+        assert!(matches!(closed, Ok(0)), "{case}: {closed:?}");
         assert!(
-            left.elapsed() < Duration::from_secs(2),
-            "{shown}: {:?}",
-            left.elapsed()
+            left_at.elapsed() < Duration::from_secs(2),
+            "{case}: {:?}",
+            left_at.elapsed()
         );
     }
-    assert!(call(&program, "JOIN").starts_with("SUCCESS"));
+    assert!(send_command(&program, "JOIN").starts_with("SUCCESS"));
     let mut stream = program.connect();
     for path in ["/charge/6", "/charge/7"] {
         stream.write_all(post(path, "").as_bytes()).unwrap();
-        keeps("joined again", &answer(&mut stream), true);
+        check("after JOIN", &read_response(&mut stream), true);
     }
 }
 
-/// The time of a word is its own, not that of what was read before it: after a quiet while nobody is cut off at once.
+/// The period before idle connections close begins with LEAVE or the stop, not with the last event before it: after
+/// a quiet time no connection is closed at once.
 #[test]
-fn a_word_after_a_quiet_while_counts_from_then() {
+fn draining_after_a_quiet_time_closes_nothing_at_once() {
     for stops in [true, false] {
-        let mut program = start("", &[OPS]);
+        let mut program = start("", &[ADMIN_SOCKET]);
         let mut idle = program.connect();
         idle.write_all(post("/charge/1", "").as_bytes()).unwrap();
-        assert!(answer(&mut idle).ends_with("yes"));
-        std::thread::sleep(25 * PAUSE);
+        assert!(read_response(&mut idle).ends_with("yes"));
+        std::thread::sleep(25 * TICK);
         match stops {
             true => program.terminate(),
-            false => assert!(call(&program, "LEAVE").starts_with("SUCCESS")),
+            false => assert!(send_command(&program, "LEAVE").starts_with("SUCCESS")),
         }
-        std::thread::sleep(3 * PAUSE);
+        std::thread::sleep(3 * TICK);
         idle.write_all(post("/charge/2", "").as_bytes()).unwrap();
-        let got = answer(&mut idle);
+        let response = read_response(&mut idle);
         assert!(
-            got.ends_with("yes") && !got.contains("connection: close"),
-            "stops: {stops}: {got}"
+            response.ends_with("yes") && !response.contains("connection: close"),
+            "stops: {stops}: {response}"
         );
         program.terminate();
-        assert!(program.end().0);
+        assert!(program.wait_for_exit().0);
     }
 }
 
 #[test]
-fn a_leave_and_a_stop_cross() {
-    let mut program = start("", &[OPS]);
-    assert!(call(&program, "LEAVE").starts_with("SUCCESS"));
+fn draining_and_shutdown_overlap() {
+    let mut program = start("", &[ADMIN_SOCKET]);
+    assert!(send_command(&program, "LEAVE").starts_with("SUCCESS"));
     program.terminate();
-    std::thread::sleep(PAUSE);
-    assert!(call(&program, "JOIN").starts_with("FAILURE it is stopping"));
-    assert!(call(&program, "HEALTH").starts_with("FAILURE stopping"));
+    std::thread::sleep(TICK);
+    assert!(send_command(&program, "JOIN").starts_with("FAILURE it is stopping"));
+    assert!(send_command(&program, "HEALTH").starts_with("FAILURE stopping"));
     assert!(
-        program.ask(&post("/charge/1", "")).ends_with("yes"),
-        "late arrivals are served"
+        program.request(&post("/charge/1", "")).ends_with("yes"),
+        "late requests are served"
     );
-    assert!(program.end().0);
+    assert!(program.wait_for_exit().0);
 }
 
-/// Every kind of end, and each figure beside what clients and the worker saw.
+/// For every kind of outcome, each metric equals what the clients and the worker counted.
 #[test]
-fn figures_are_what_the_stand_ins_saw() {
-    static TAKEN: AtomicU32 = AtomicU32::new(0);
-    let (worker, _) = stand_in(|stream| {
-        work_by(stream, |request, _| {
-            TAKEN.fetch_add(1, Relaxed);
+fn metrics_match_the_peers_counts() {
+    static RECEIVED: AtomicU32 = AtomicU32::new(0);
+    let (worker, _) = spawn_server(|stream| {
+        worker_replying(stream, |request, _| {
+            RECEIVED.fetch_add(1, Relaxed);
             let state = ["done", "failed", "returned", "lost"]
                 .into_iter()
                 .find(|s| request.contains(s));
             state.map(|state| (state, "yes".to_string()))
         })
     });
-    let program = start_at(worker, "", &[OPS], None);
-    let mut seen: HashMap<String, u64> = HashMap::new();
+    let program = start_with_worker(worker, "", &[ADMIN_SOCKET], None);
+    let mut expected: HashMap<String, u64> = HashMap::new();
     let paths = [
         "/lookup/done",
         "/charge/done",
@@ -216,22 +229,22 @@
     ];
     for round in 0..5 {
         for path in paths {
-            let got = program.ask(&post(path, "request-timeout: 150m\r\n"));
-            let figure = match got.split(' ').nth(1).unwrap() {
+            let response = program.request(&post(path, "request-timeout: 150m\r\n"));
+            let outcome = match response.split(' ').nth(1).unwrap() {
                 "200" => "answered",
                 "429" | "503" => "deferred",
                 _ => "errored",
             };
             let name = path.split('/').nth(1).unwrap();
-            *seen
-                .entry(format!("transactions.{name}.{figure}"))
+            *expected
+                .entry(format!("transactions.{name}.{outcome}"))
                 .or_default() += 1;
         }
-        // What is no work of ours counts nowhere.
-        program.ask(&post("/nothing", ""));
-        program.ask(&post("/create", ""));
-        program.ask(HEALTHZ);
-        let open: Vec<TcpStream> = (0..3)
+        // Requests of no project type, invalid requests and health checks are not counted.
+        program.request(&post("/nothing", ""));
+        program.request(&post("/create", ""));
+        program.request(HEALTHZ);
+        let abandoned: Vec<TcpStream> = (0..3)
             .map(|_| {
                 let mut stream = program.connect();
                 stream
@@ -240,100 +253,111 @@
                 stream
             })
             .collect();
-        std::thread::sleep(PAUSE);
-        let now = figures(&program);
+        std::thread::sleep(TICK);
+        let actual = metrics(&program);
         assert!(
-            now["current"] > 0 && now["current"] <= 3,
-            "round {round}: {now:?}"
+            actual["current"] > 0 && actual["current"] <= 3,
+            "round {round}: {actual:?}"
         );
-        drop(open);
-        std::thread::sleep(PAUSE);
-        let now = figures(&program);
+        drop(abandoned);
+        std::thread::sleep(TICK);
+        let actual = metrics(&program);
         assert_eq!(
-            now["current"], 0,
-            "round {round}: who has gone is not waited for"
+            actual["current"], 0,
+            "round {round}: requests of clients that have left still count as open"
         );
         assert_eq!(
-            now["sends"],
-            u64::from(TAKEN.load(Relaxed)),
+            actual["sends"],
+            u64::from(RECEIVED.load(Relaxed)),
             "round {round}"
         );
-        assert_eq!(now["cluster_size"], 1, "round {round}");
-        assert!(now["cluster_unhealthy"] <= 1, "round {round}");
-        for (name, count) in &seen {
-            assert_eq!(now[name], *count, "round {round}: {name} of {now:?}");
+        assert_eq!(actual["cluster_size"], 1, "round {round}");
+        assert!(actual["cluster_unhealthy"] <= 1, "round {round}");
+        for (name, count) in &expected {
+            assert_eq!(actual[name], *count, "round {round}: {name} of {actual:?}");
         }
-        let answers: u64 = now
+        let answers: u64 = actual
             .iter()
             .filter(|(n, _)| n.starts_with("transactions."))
             .map(|(_, v)| v)
             .sum();
         assert_eq!(
             answers,
-            seen.values().sum::<u64>(),
-            "round {round}: nothing else is counted"
+            expected.values().sum::<u64>(),
+            "round {round}: something else is counted"
         );
     }
     assert!(
-        seen.keys().any(|k| k.ends_with("deferred")) && seen.keys().any(|k| k.ends_with("errored")),
-        "{seen:?}"
+        expected.keys().any(|k| k.ends_with("deferred"))
+            && expected.keys().any(|k| k.ends_with("errored")),
+        "{expected:?}"
     );
 }
 
-/// Neither idle clients nor half-written requests by the hundred, nor callers that say nothing, keep an operator waiting.
+/// Hundreds of idle clients, incomplete requests and silent connections to the admin socket do not delay an operator's
+/// command.
 #[test]
-fn the_door_is_open_when_all_places_are_taken() {
-    let program = start("", &[OPS, ("\"sockets\": 1024", "\"sockets\": 128")]);
-    let crowd = |at: SocketAddr, says: &'static str| {
+fn the_admin_socket_answers_when_all_connections_are_taken() {
+    let program = start(
+        "",
+        &[ADMIN_SOCKET, ("\"sockets\": 1024", "\"sockets\": 128")],
+    );
+    let connect_many = |address: SocketAddr, sent: &'static str| {
         (0..200).map(move |_| {
-            let mut stream = TcpStream::connect(at).unwrap();
-            stream.write_all(says.as_bytes()).ok();
+            let mut stream = TcpStream::connect(address).unwrap();
+            stream.write_all(sent.as_bytes()).ok();
             stream
         })
     };
-    let mut all: Vec<TcpStream> = crowd(program.at, "")
-        .chain(crowd(program.at, "POST /charge HTTP/1.1\r\n"))
+    let mut all: Vec<TcpStream> = connect_many(program.address, "")
+        .chain(connect_many(program.address, "POST /charge HTTP/1.1\r\n"))
         .collect();
     for line in ["HEALTH", "DUMP", "LEAVE", "JOIN"] {
         let began = Instant::now();
-        let got = call(&program, line);
+        let reply = send_command(&program, line);
         assert!(
-            got.starts_with("SUCCESS") || got.ends_with("EOT\n"),
-            "{line}: {got}"
+            reply.starts_with("SUCCESS") || reply.ends_with("EOT\n"),
+            "{line}: {reply}"
         );
         assert!(
             began.elapsed() < Duration::from_secs(1),
             "{line}: {:?}",
             began.elapsed()
         );
-        all.extend(crowd(program.ops.unwrap(), ["", "HEAL"][all.len() % 2]).take(12));
+        all.extend(
+            connect_many(program.admin_address.unwrap(), ["", "HEAL"][all.len() % 2]).take(12),
+        );
     }
-    let files = std::fs::read_dir(format!("/proc/{}/fd", program.child.id()))
+    let descriptors = std::fs::read_dir(format!("/proc/{}/fd", program.child.id()))
         .unwrap()
         .count();
-    assert!(files <= 128, "{files} descriptors");
-    assert!(program.ask(&post("/charge/1", "")).ends_with("yes"));
+    assert!(descriptors <= 128, "{descriptors} descriptors");
+    assert!(program.request(&post("/charge/1", "")).ends_with("yes"));
 }
 
-/// A worker that fails is counted among those avoided, and a list's size is what the list says.
+/// `cluster_size` is the number of workers on the list, and `cluster_unhealthy` counts a worker that refuses
+/// connections.
 #[test]
-fn the_cluster_is_as_the_list_and_the_decisions_have_it() {
-    let gone = TcpListener::bind("127.0.0.1:0")
+fn the_cluster_metrics_count_listed_and_failing_workers() {
+    let refusing = TcpListener::bind("127.0.0.1:0")
         .unwrap()
         .local_addr()
         .unwrap();
-    let (alive, _) = stand_in(work);
+    let (working, _) = spawn_server(worker);
     let workers = [
-        ("s-1", alive, "SERVING"),
-        ("s-2", alive, "SERVING"),
-        ("s-3", gone, "SERVING"),
+        ("s-1", working, "SERVING"),
+        ("s-2", working, "SERVING"),
+        ("s-3", refusing, "SERVING"),
     ];
-    let list = list_of(listing(9, &workers));
-    let program = start("", &[OPS, ("127.0.0.1:8500", &list), SOON]);
-    std::thread::sleep(5 * PAUSE);
-    let mut avoided = 0;
+    let list = static_list_service(listing(9, &workers));
+    let program = start(
+        "",
+        &[ADMIN_SOCKET, ("127.0.0.1:8500", &list), FREQUENT_LIST_CALLS],
+    );
+    std::thread::sleep(5 * TICK);
+    let mut unhealthy = 0;
     for _ in 0..4 {
-        // As many at once as all three have room for.
+        // Enough parallel requests that each of the three workers gets some.
         let connections = (0..12).map(|_| {
             let mut stream = program.connect();
             stream
@@ -342,35 +366,44 @@
             stream
         });
         let connections: Vec<TcpStream> = connections.collect();
-        std::thread::sleep(PAUSE);
-        avoided = avoided.max(figures(&program)["cluster_unhealthy"]);
+        std::thread::sleep(TICK);
+        unhealthy = unhealthy.max(metrics(&program)["cluster_unhealthy"]);
         drop(connections);
     }
-    let now = figures(&program);
-    assert_eq!((now["cluster_size"], avoided), (3, 1), "{now:?}");
+    let current = metrics(&program);
+    assert_eq!((current["cluster_size"], unhealthy), (3, 1), "{current:?}");
 }
 
-/// A list of 1,100 workers, before as many schedulers, is heard whole; and costs by what it is, not by what there could be.
+/// A list of 1,100 workers, with as many schedulers, is read completely; memory grows with the list's actual size,
+/// not with the largest possible one.
 #[test]
-fn a_list_of_many_workers_is_heard_whole() {
-    let (alive, _) = stand_in(work);
-    let memory = |workers: u64| {
+fn a_list_of_many_workers_is_read_completely() {
+    let (working, _) = spawn_server(worker);
+    let peak_kb = |workers: u64| {
         let line = |i| {
             format!(
-                r#"{{"id":"s-{i}","addr":"{alive}","zone":"north","kind":"small","cell":{},"state":"SERVING"}}"#,
+                r#"{{"id":"s-{i}","addr":"{working}","zone":"north","kind":"small","cell":{},"state":"SERVING"}}"#,
                 i << 16
             )
         };
         let lines: Vec<String> = (0..workers).map(line).collect();
-        let list = list_of(format!(
+        let list = static_list_service(format!(
             r#"{{"version":9,"full":true,"servers":[{}]}}"#,
             lines.join(",")
         ));
-        let many = ("\"balancers\": 1", "\"balancers\": 1100");
-        let mut program = start("", &[OPS, ("127.0.0.1:8500", &list), many, SOON]);
-        program.logged(&format!("s-{}", workers - 1));
-        assert_eq!(figures(&program)["cluster_size"], workers);
-        assert!(program.ask(&post("/charge/1", "")).ends_with("yes"));
+        let schedulers = ("\"balancers\": 1", "\"balancers\": 1100");
+        let mut program = start(
+            "",
+            &[
+                ADMIN_SOCKET,
+                ("127.0.0.1:8500", &list),
+                schedulers,
+                FREQUENT_LIST_CALLS,
+            ],
+        );
+        program.wait_for_log(&format!("s-{}", workers - 1));
+        assert_eq!(metrics(&program)["cluster_size"], workers);
+        assert!(program.request(&post("/charge/1", "")).ends_with("yes"));
         let status =
             std::fs::read_to_string(format!("/proc/{}/status", program.child.id())).unwrap();
         let peak = status
@@ -379,90 +412,107 @@
             .unwrap();
         peak.trim().trim_end_matches(" kB").parse::<u64>().unwrap()
     };
-    let (few, many) = (memory(11), memory(1100));
+    let (few, many) = (peak_kb(11), peak_kb(1100));
     assert!(
         many < few + 16 * 1024,
-        "{few} kB with eleven, {many} kB with 1,100"
+        "{few} kB with 11 workers, {many} kB with 1,100"
     );
 }
 
-/// A class added is served under its own rules, one dropped as one that doesn't exist; what is broken changes nothing.
+/// Reloads that add and remove a project type are applied; invalid files change nothing.
 #[test]
-fn settings_change_while_it_serves() {
-    let program = start("", &[OPS]);
-    let whole = std::fs::read_to_string(&program.path).unwrap();
+fn settings_change_while_serving() {
+    let program = start("", &[ADMIN_SOCKET]);
+    let original = std::fs::read_to_string(&program.config_path).unwrap();
     let charge = r#"{"name": "charge", "credit": 10.0, "effect": "non_idempotent""#;
     let added = format!(
         r#"{{"name": "refund", "credit": 10.0, "effect": "idempotency_key", "group": "cell", "window": 9.0, "promised_turnaround": 400.0, "hard_limit": 3000.0, "late_credit": 0.0}}, {charge}"#
     );
-    let lists = (
+    let class_lists = (
         "\"class_kind\": [-1, -1, -1], \"class_stretch\": [2.0, 1.75, 2.5]",
         "\"class_kind\": [-1, -1, -1, -1], \"class_stretch\": [2.0, 1.75, 2.5, 2.5]",
     );
-    let with = whole.replace(charge, &added).replace(lists.0, lists.1);
+    let with_refund = original
+        .replace(charge, &added)
+        .replace(class_lists.0, class_lists.1);
     let key = "idempotency-key: 5\r\n";
-    let mut held = program.connect();
-    held.write_all(post("/charge/slow", "").as_bytes()).unwrap();
-    std::thread::sleep(PAUSE);
+    let mut open = program.connect();
+    open.write_all(post("/charge/slow", "").as_bytes()).unwrap();
+    std::thread::sleep(TICK);
     let (mut loaded, mut invalid) = (0, 0);
-    let mut change = |shown: &str, text: &str, good: bool| {
-        std::fs::write(program.path.with_extension("new"), text).unwrap();
-        std::fs::rename(program.path.with_extension("new"), &program.path).unwrap();
+    let mut reload = |case: &str, text: &str, valid: bool| {
+        std::fs::write(program.config_path.with_extension("new"), text).unwrap();
+        std::fs::rename(
+            program.config_path.with_extension("new"),
+            &program.config_path,
+        )
+        .unwrap();
         program.signal("-HUP");
-        std::thread::sleep(PAUSE);
-        *(if good { &mut loaded } else { &mut invalid }) += 1;
-        let now = figures(&program);
+        std::thread::sleep(TICK);
+        *(if valid { &mut loaded } else { &mut invalid }) += 1;
+        let current = metrics(&program);
         assert_eq!(
-            (now["conf_loaded"], now["conf_invalid"]),
+            (current["conf_loaded"], current["conf_invalid"]),
             (loaded, invalid),
-            "{shown}"
+            "{case}"
         );
     };
-    let status = |path: &str, more: &str| {
+    let status = |path: &str, headers: &str| {
         program
-            .ask(&post(path, more))
+            .request(&post(path, headers))
             .split(' ')
             .nth(1)
             .unwrap()
             .to_string()
     };
-    assert_eq!(status("/refund", key), "404", "not there yet");
-    change("added", &with, true);
+    assert_eq!(status("/refund", key), "404", "before it is added");
+    reload("added", &with_refund, true);
     assert_eq!(
         (
             status("/refund", key).as_str(),
             status("/refund", "").as_str()
         ),
         ("200", "400"),
-        "added, receipted"
-    );
-    assert_eq!(
-        status("/charge", ""),
-        "200",
-        "though its place in the order has changed"
+        "added, with and without its idempotency key"
     );
-    let cut = |part: usize| whole[..whole.len() * part / 16].to_string();
-    let broken: Vec<(String, String)> = [
+    assert_eq!(status("/charge", ""), "200", "its position has changed");
+    let truncated = |part: usize| original[..original.len() * part / 16].to_string();
+    let invalid_files: Vec<(String, String)> = [
         ("empty", String::new()),
-        ("no JSON", "hello".to_string()),
+        ("not JSON", "hello".to_string()),
         ("a list", "[]".to_string()),
-        ("more than one", format!("{with} {with}")),
-        ("without settings", with.replace("\"settings\"", "\"sett\"")),
-        ("without limits", with.replace("\"limits\"", "\"limit\"")),
-        ("without the door", with.replace("\"ops\"", "\"opts\"")),
-        ("without cores", with.replace("\"cores\": 1.0, ", "")),
-        ("without a zone", with.replace("    \"zone\": 0,\n", "")),
-        ("a name twice", with.replace("\"refund\"", "\"charge\"")),
-        ("a name that is empty", with.replace("\"refund\"", "\"\"")),
+        ("two objects", format!("{with_refund} {with_refund}")),
+        (
+            "without settings",
+            with_refund.replace("\"settings\"", "\"sett\""),
+        ),
+        (
+            "without limits",
+            with_refund.replace("\"limits\"", "\"limit\""),
+        ),
+        (
+            "without the admin address",
+            with_refund.replace("\"ops\"", "\"opts\""),
+        ),
+        ("without cores", with_refund.replace("\"cores\": 1.0, ", "")),
+        (
+            "without a zone",
+            with_refund.replace("    \"zone\": 0,\n", ""),
+        ),
+        (
+            "a repeated name",
+            with_refund.replace("\"refund\"", "\"charge\""),
+        ),
+        ("an empty name", with_refund.replace("\"refund\"", "\"\"")),
     ]
-    .map(|(shown, text)| (shown.to_string(), text))
+    .map(|(case, text)| (case.to_string(), text))
     .into_iter()
-    .chain((1..16).map(|part| (format!("cut at {part} of 16"), cut(part))))
+    .chain((1..16).map(|part| (format!("truncated at {part} of 16"), truncated(part))))
     .chain(
         ["0", "-1", "-5.5", "1e999", "\"soon\"", "null", "[]"].map(|limit| {
             (
                 format!("a hard limit of {limit}"),
-                with.replacen(
+                with_refund.replacen(
                     "\"hard_limit\": 3000.0",
                     &format!("\"hard_limit\": {limit}"),
                     1,
@@ -473,7 +523,7 @@
     .chain(["0", "-1", "1.5", "\"three\"", "null"].map(|most| {
         (
             format!("{most} attempts"),
-            with.replace(
+            with_refund.replace(
                 "\"most_allocations\": 3",
                 &format!("\"most_allocations\": {most}"),
             ),
@@ -483,11 +533,11 @@
         ["-1", "-0.02", "1e999", "\"dear\"", "null"]
             .into_iter()
             .flat_map(|price| {
-                ["cross_zone", "peer"].map(|of| {
-                    let table = format!("\"prices\": {{\"{of}\": {price}}}, \"quantum\"");
+                ["cross_zone", "peer"].map(|key| {
+                    let table = format!("\"prices\": {{\"{key}\": {price}}}, \"quantum\"");
                     (
-                        format!("a price {of} of {price}"),
-                        with.replace("\"quantum\"", &table),
+                        format!("a price {key} of {price}"),
+                        with_refund.replace("\"quantum\"", &table),
                     )
                 })
             }),
@@ -495,99 +545,116 @@
     .chain(["1", "\"often\"", "null"].map(|peers| {
         let permitted = format!("\"peers\": {peers}, \"retry_after\"");
         (
-            format!("messages {peers}"),
-            with.replace("\"retry_after\"", &permitted),
+            format!("peer messages {peers}"),
+            with_refund.replace("\"retry_after\"", &permitted),
         )
     }))
     .collect();
-    for (shown, text) in &broken {
-        assert_ne!(*text, with, "{shown}: nothing is broken");
-        change(shown, text, false);
-        assert_eq!(status("/refund", key), "200", "{shown}: the old one holds");
+    for (case, text) in &invalid_files {
+        assert_ne!(*text, with_refund, "{case}: the text is unchanged");
+        reload(case, text, false);
+        assert_eq!(
+            status("/refund", key),
+            "200",
+            "{case}: the current configuration stays"
+        );
     }
-    change("dropped", &whole, true);
+    reload("removed", &original, true);
     assert_eq!(
         (
             status("/refund", key).as_str(),
             status("/charge", "").as_str()
         ),
         ("404", "200"),
-        "dropped"
+        "removed"
     );
     assert!(
-        answer(&mut held).ends_with("yes"),
-        "what was held is answered"
+        read_response(&mut open).ends_with("yes"),
+        "the open request is answered"
     );
-    // Good and bad in turn, faster than they can all be read: what holds in the end is the last good one.
+    // Valid and invalid files in turn, faster than all can be read: in the end the last valid one is in use.
     for n in 0..100 {
         std::fs::write(
-            program.path.with_extension("new"),
+            program.config_path.with_extension("new"),
             if n % 2 == 0 {
-                with.clone()
+                with_refund.clone()
             } else {
-                cut(n % 16)
+                truncated(n % 16)
             },
         )
         .unwrap();
-        std::fs::rename(program.path.with_extension("new"), &program.path).unwrap();
+        std::fs::rename(
+            program.config_path.with_extension("new"),
+            &program.config_path,
+        )
+        .unwrap();
         program.signal("-HUP");
     }
-    std::fs::write(&program.path, &with).unwrap();
+    std::fs::write(&program.config_path, &with_refund).unwrap();
     program.signal("-HUP");
-    std::thread::sleep(2 * PAUSE);
-    assert_eq!(status("/refund", key), "200", "after a hundred files");
+    std::thread::sleep(2 * TICK);
+    assert_eq!(status("/refund", key), "200", "after a hundred reloads");
 }
 
-/// A move to another deployment, whose list has versions of its own, and back. From the first moment work goes to the
-/// workers of the new list only; what an old one has is answered by it; the prices are taken without a new start.
+/// The list service's address changes to another deployment, whose list versions are unrelated, and back. From the
+/// start new requests go only to workers of the new list, an open request is answered by its old worker, and
+/// changed prices are applied without a restart.
 #[test]
-fn the_first_seconds_after_a_move() {
-    let [(old, _), (new, _)] = ["old", "new"].map(|name| stand_in(move |s| work_as(name, s)));
-    let here = [("s-1", old, "SERVING"), ("s-2", old, "SERVING")];
-    // Who watches this one is told that nothing has changed: only who asks for the whole list learns of its worker.
-    let part = |text: String| text.replace("\"full\":true", "\"full\":false");
+fn a_changed_list_service_is_used_at_once() {
+    let [(old, _), (new, _)] =
+        ["old", "new"].map(|name| spawn_server(move |s| worker_returning(name, s)));
+    let old_workers = [("s-1", old, "SERVING"), ("s-2", old, "SERVING")];
+    // A watch of the new list reports no change: only a call for the full list returns its worker.
+    let unchanged = |text: String| text.replace("\"full\":true", "\"full\":false");
     let (before, after) = (
-        list_of(listing(500, &here)),
-        list_of(part(listing(7, &[("t-1", new, "SERVING")]))),
+        static_list_service(listing(500, &old_workers)),
+        static_list_service(unchanged(listing(7, &[("t-1", new, "SERVING")]))),
     );
-    let program = start("", &[OPS, ("127.0.0.1:8500", &before), SOON]);
-    std::thread::sleep(5 * PAUSE);
-    assert!(program.ask(&post("/lookup/1", "")).ends_with("old"));
-    let mut held = program.connect();
-    held.write_all(post("/charge/slow", "").as_bytes()).unwrap();
-    std::thread::sleep(PAUSE / 2);
-    let (mut from, mut loaded) = (&before, 0);
-    for (to, price, by, size) in [(&after, "0.1", "new", 1), (&before, "0.02", "old", 2)] {
-        let text = std::fs::read_to_string(&program.path).unwrap();
+    let program = start(
+        "",
+        &[
+            ADMIN_SOCKET,
+            ("127.0.0.1:8500", &before),
+            FREQUENT_LIST_CALLS,
+        ],
+    );
+    std::thread::sleep(5 * TICK);
+    assert!(program.request(&post("/lookup/1", "")).ends_with("old"));
+    let mut open = program.connect();
+    open.write_all(post("/charge/slow", "").as_bytes()).unwrap();
+    std::thread::sleep(TICK / 2);
+    let (mut from, mut reloads) = (&before, 0);
+    for (to, price, expected, size) in [(&after, "0.1", "new", 1), (&before, "0.02", "old", 2)] {
+        let text = std::fs::read_to_string(&program.config_path).unwrap();
         let prices = format!("\"prices\": {{\"cross_zone\": {price}}},\n    \"quantum\"");
         let text = text
             .replace("\"prices\": {\"cross_zone\": 0.1},\n    ", "")
             .replace("\"quantum\"", &prices);
-        std::fs::write(&program.path, text).unwrap();
-        program.replace(from, to);
-        std::thread::sleep(PAUSE / 2);
-        let answers: Vec<String> = (0..40)
-            .map(|n| program.ask(&post(&format!("/lookup/{n}"), "")))
+        std::fs::write(&program.config_path, text).unwrap();
+        program.reload(from, to);
+        std::thread::sleep(TICK / 2);
+        let responses: Vec<String> = (0..40)
+            .map(|n| program.request(&post(&format!("/lookup/{n}"), "")))
             .collect();
-        let strayed = answers
+        let misrouted = responses
             .iter()
-            .filter(|a| !(a.starts_with("HTTP/1.1 200") && a.ends_with(by)))
+            .filter(|a| !(a.starts_with("HTTP/1.1 200") && a.ends_with(expected)))
             .count();
-        assert_eq!(strayed, 0, "{by}: {answers:?}");
-        loaded += 1;
-        let now = figures(&program);
+        assert_eq!(misrouted, 0, "{expected}: {responses:?}");
+        reloads += 1;
+        let current = metrics(&program);
         assert_eq!(
-            (now["cluster_size"], now["conf_loaded"]),
-            (size, loaded),
-            "{by}"
+            (current["cluster_size"], current["conf_loaded"]),
+            (size, reloads),
+            "{expected}"
         );
         from = to;
     }
     assert!(
-        answer(&mut held).ends_with("old"),
-        "what an old worker has is answered"
+        read_response(&mut open).ends_with("old"),
+        "the open request is answered by its old worker"
     );
-    let deferred: u64 = figures(&program)
+    let deferred: u64 = metrics(&program)
         .iter()
         .filter(|(f, _)| f.ends_with(".deferred"))
         .map(|(_, n)| n)
@@ -596,49 +663,49 @@
 }
 
 #[test]
-fn a_wrong_door_or_socket_is_named() {
-    let taken = TcpListener::bind("127.0.0.1:0").unwrap();
-    let at = taken.local_addr().unwrap().to_string();
-    let no_socket = std::fs::File::open("/dev/null").unwrap();
-    let (silent, file) = (TcpStream::connect(&at).unwrap(), no_socket.as_raw_fd());
-    let connected = silent.as_raw_fd();
+fn an_invalid_admin_address_or_socket_is_named() {
+    let listener = TcpListener::bind("127.0.0.1:0").unwrap();
+    let in_use = listener.local_addr().unwrap().to_string();
+    let null = std::fs::File::open("/dev/null").unwrap();
+    let (stream, file) = (TcpStream::connect(&in_use).unwrap(), null.as_raw_fd());
+    let connected = stream.as_raw_fd();
     for fd in [file, connected] {
         inherit(fd);
     }
     let (file, connected) = (file.to_string(), connected.to_string());
     let cases = [
-        ("ROUTER_OPS", at.as_str(), "ops: 127.0.0.1"),
+        ("ROUTER_OPS", in_use.as_str(), "ops: 127.0.0.1"),
         ("ROUTER_OPS", "here", "ROUTER_OPS: \"here\""),
         (
             "ROUTER_PASSED_SOCKET",
             "five",
-            "ROUTER_PASSED_SOCKET: \"five\" is no descriptor's number",
+            "ROUTER_PASSED_SOCKET: \"five\" is not a descriptor number",
         ),
         ("ROUTER_PASSED_SOCKET", "-1", "ROUTER_PASSED_SOCKET: \"-1\""),
         ("ROUTER_PASSED_SOCKET", "1", "ROUTER_PASSED_SOCKET: \"1\""),
         (
             "ROUTER_PASSED_SOCKET",
             "999",
-            "ROUTER_PASSED_SOCKET: \"999\" is no listening socket",
+            "ROUTER_PASSED_SOCKET: \"999\" is not a listening socket",
         ),
-        ("ROUTER_PASSED_SOCKET", &file, "is no listening socket"),
+        ("ROUTER_PASSED_SOCKET", &file, "is not a listening socket"),
         (
             "ROUTER_PASSED_SOCKET",
             &connected,
-            "is a socket that does not listen",
+            "is a socket that is not listening",
         ),
     ];
-    for (variable, value, named) in cases {
-        let path = harness::written(&[("127.0.0.1:7070", "127.0.0.1:0")]);
-        let said = complaint(
+    for (variable, value, expected) in cases {
+        let path = harness::write_config(&[("127.0.0.1:7070", "127.0.0.1:0")]);
+        let stderr = stderr_of_failure(
             &["serve", "--config", path.to_str().unwrap()],
             &[(variable, value)],
         );
-        assert!(said.contains(named), "{value}: {said}");
+        assert!(stderr.contains(expected), "{value}: {stderr}");
     }
 }
 
-/// Has the descriptor passed on to programs that are started.
+/// Makes child processes inherit the descriptor.
 fn inherit(fd: i32) {
     nix::fcntl::fcntl(
         unsafe { std::os::fd::BorrowedFd::borrow_raw(fd) },
@@ -647,159 +714,174 @@
     .unwrap();
 }
 
-/// What a client without a pause, or with one, meets on its connections: `(when, what)` for each fault.
-fn demand(
-    at: SocketAddr,
+/// A client that sends requests with a pause after each until `stop` is set. Returns the time and a description of each
+/// failed request.
+fn run_client(
+    address: SocketAddr,
     pause: Duration,
     ids: Arc<AtomicU32>,
-    over: Arc<AtomicBool>,
+    stop: Arc<AtomicBool>,
 ) -> Vec<(Instant, String)> {
-    let (mut connection, mut faults): (Option<TcpStream>, Vec<_>) = (None, Vec::new());
-    while !over.load(Relaxed) {
+    let (mut connection, mut failures): (Option<TcpStream>, Vec<_>) = (None, Vec::new());
+    while !stop.load(Relaxed) {
         let id = ids.fetch_add(1, Relaxed);
         let mut stream = connection
             .take()
-            .unwrap_or_else(|| TcpStream::connect(at).unwrap());
-        let sent = stream.write_all(post_as(id, "/charge/1", "").as_bytes());
-        let got = answer(&mut stream);
-        if !(got.starts_with("HTTP/1.1 200") && got.ends_with("yes")) {
-            faults.push((Instant::now(), format!("{id}: {got:?}, {sent:?}")));
+            .unwrap_or_else(|| TcpStream::connect(address).unwrap());
+        let sent = stream.write_all(post_with_id(id, "/charge/1", "").as_bytes());
+        let response = read_response(&mut stream);
+        if !(response.starts_with("HTTP/1.1 200") && response.ends_with("yes")) {
+            failures.push((Instant::now(), format!("{id}: {response:?}, {sent:?}")));
         }
         std::thread::sleep(pause);
-        // One that was closed while it was idle is dialled anew, as clients do.
+        // A connection that was closed while idle is replaced, as usual clients do.
         stream.set_nonblocking(true).unwrap();
         let open = matches!(stream.peek(&mut [0]), Err(e) if e.kind() == ErrorKind::WouldBlock);
         stream.set_nonblocking(false).unwrap();
-        connection =
-            (open && got.ends_with("yes") && !got.contains("connection: close")).then_some(stream);
+        connection = (open && response.ends_with("yes") && !response.contains("connection: close"))
+            .then_some(stream);
     }
-    faults
+    failures
 }
 
-/// What a worker was sent: the request's id, whom, and when.
-type Ran = (String, &'static str, Instant);
+/// A request received by a worker: its id, the worker, and the time.
+type Received = (String, &'static str, Instant);
 
-/// The real program, again and again in its own place on one socket, under load, while a worker drains, the list goes
-/// out of reach, and one new version dies: nothing is lost, doubled, reset, refused, left unread or sent after the drain.
+/// Processes replace each other on one inherited socket under load, while a worker starts to drain, the list service
+/// becomes unreachable, and one successor is killed: no request is lost, executed twice, reset, refused, or sent to the
+/// draining worker.
 #[test]
 fn a_new_version_takes_over_under_load() {
-    let ran: Arc<Mutex<Vec<Ran>>> = Arc::default();
+    let received: Arc<Mutex<Vec<Received>>> = Arc::default();
     let worker = |name: &'static str| {
-        let ran = ran.clone();
+        let received = received.clone();
         let serve = move |stream: &mut TcpStream| {
-            work_by(stream, |_, id| {
-                ran.lock()
+            worker_replying(stream, |_, id| {
+                received
+                    .lock()
                     .unwrap()
                     .push((id.to_string(), name, Instant::now()));
-                std::thread::sleep(PAUSE / 5);
+                std::thread::sleep(TICK / 5);
                 Some(("done", "yes".to_string()))
             })
         };
-        stand_in(serve).0
+        spawn_server(serve).0
     };
     let (one, two) = (worker("s-1"), worker("s-2"));
-    let both = |version, state| listing(version, &[("s-1", one, "SERVING"), ("s-2", two, state)]);
-    let slot = Arc::new(Mutex::new(both(9, "SERVING")));
-    let list = list_by(slot.clone());
+    let list_message =
+        |version, state| listing(version, &[("s-1", one, "SERVING"), ("s-2", two, state)]);
+    let slot = Arc::new(Mutex::new(list_message(9, "SERVING")));
+    let discovery = list_service(slot.clone());
     let socket = TcpListener::bind("127.0.0.1:0").unwrap();
-    let at = socket.local_addr().unwrap();
+    let address = socket.local_addr().unwrap();
     inherit(socket.as_raw_fd());
-    let folder =
+    let directory =
         Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("takes-over-{}", std::process::id()));
-    std::fs::create_dir_all(&folder).unwrap();
-    let passed = format!(
+    std::fs::create_dir_all(&directory).unwrap();
+    let shell_prefix = format!(
         "export ROUTER_PASSED_SOCKET={} TMPDIR={};",
         socket.as_raw_fd(),
-        folder.display()
+        directory.display()
+    );
+    // The initially known list of each process is older than the drain.
+    let known = (
+        listing(1, &[("s-1", one, "SERVING")]),
+        list_message(1, "SERVING"),
     );
-    // What each was told of the workers before its start is older than the drain.
-    let known = (listing(1, &[("s-1", one, "SERVING")]), both(1, "SERVING"));
-    let changes = [OPS, ("127.0.0.1:8500", &list), SOON, (&*known.0, &*known.1)];
-    let start = || start_at(one, &passed, &changes, None);
+    let changes = [
+        ADMIN_SOCKET,
+        ("127.0.0.1:8500", &discovery),
+        FREQUENT_LIST_CALLS,
+        (&*known.0, &*known.1),
+    ];
+    let start = || start_with_worker(one, &shell_prefix, &changes, None);
     let mut serving = start();
 
-    let (over, ids) = (
+    let (stop, ids) = (
         Arc::new(AtomicBool::new(false)),
         Arc::new(AtomicU32::new(50_000)),
     );
-    // Some ask without a pause, some seldom enough to be idle when connections close.
+    // Some clients send without a pause, some so rarely that they are idle when connections close.
     let clients = (0..8).map(|n: u32| {
-        let (ids, over) = (ids.clone(), over.clone());
-        std::thread::spawn(move || demand(at, PAUSE * n / 2, ids, over))
+        let (ids, stop) = (ids.clone(), stop.clone());
+        std::thread::spawn(move || run_client(address, TICK * n / 2, ids, stop))
     });
     let clients: Vec<_> = clients.collect();
-    std::thread::sleep(3 * PAUSE);
-    let mut stopping: Option<Program> = None;
+    std::thread::sleep(3 * TICK);
+    let mut ending: Option<Program> = None;
     for swap in 0..4 {
-        // The second starts while the first is still ending, so that there are three for a while.
-        let next = start();
+        // A process may still be ending when the next but one starts, so that three run for a while.
+        let successor = start();
         assert!(
-            call(&next, "HEALTH").starts_with("SUCCESS"),
-            "swap {swap}: it says so once it serves"
+            send_command(&successor, "HEALTH").starts_with("SUCCESS"),
+            "swap {swap}: the new process is ready once it serves"
         );
         assert!(
-            call(&serving, "HEALTH").starts_with("SUCCESS"),
-            "swap {swap}: and so does the old one"
+            send_command(&serving, "HEALTH").starts_with("SUCCESS"),
+            "swap {swap}: the old process is still ready"
         );
         serving.terminate();
-        if let Some(mut old) = stopping.replace(serving) {
-            assert!(old.end().0, "swap {swap}");
+        if let Some(mut former) = ending.replace(serving) {
+            assert!(former.wait_for_exit().0, "swap {swap}");
         }
-        serving = next;
+        serving = successor;
         if swap == 1 {
-            *slot.lock().unwrap() = both(10, "DRAINING");
-            std::thread::sleep(4 * PAUSE);
+            *slot.lock().unwrap() = list_message(10, "DRAINING");
+            std::thread::sleep(4 * TICK);
             slot.lock().unwrap().clear();
         }
     }
-    assert!(stopping.unwrap().end().0);
-    // The new one dies: the old one goes on, and told to stop then, it has no successor.
-    let mut next = start();
-    let killed = Instant::now();
-    next.child.kill().unwrap();
-    next.child.wait().unwrap();
-    std::thread::sleep(5 * PAUSE);
-    over.store(true, Relaxed);
-    let faults: Vec<_> = clients
+    assert!(ending.unwrap().wait_for_exit().0);
+    // The successor is killed: the current process goes on, and stops later without a successor.
+    let mut killed = start();
+    let killed_at = Instant::now();
+    killed.child.kill().unwrap();
+    killed.child.wait().unwrap();
+    std::thread::sleep(5 * TICK);
+    stop.store(true, Relaxed);
+    let failures: Vec<_> = clients
         .into_iter()
         .flat_map(|client| client.join().unwrap())
         .collect();
-    let ran = std::mem::take(&mut *ran.lock().unwrap());
-    let asked = ids.load(Relaxed) - 50_000;
+    let received = std::mem::take(&mut *received.lock().unwrap());
+    let requests = ids.load(Relaxed) - 50_000;
     let mut times: HashMap<&str, u32> = HashMap::new();
-    ran.iter()
+    received
+        .iter()
         .for_each(|(id, _, _)| *times.entry(id).or_default() += 1);
-    let doubled: Vec<_> = times.iter().filter(|(_, times)| **times != 1).collect();
-    // Of the one that was killed each of the clients may have lost what it waited for, and no more than that.
-    let (before, at_once): (Vec<_>, Vec<_>) = faults.iter().partition(|(when, _)| *when < killed);
+    let repeated: Vec<_> = times.iter().filter(|(_, times)| **times != 1).collect();
+    // Each client may lose the one request that the killed process held, but nothing else.
+    let (before, after): (Vec<_>, Vec<_>) =
+        failures.iter().partition(|(when, _)| *when < killed_at);
     assert!(
-        asked > 80 && before.is_empty() && doubled.is_empty(),
-        "of {asked}: {before:?}; {doubled:?}"
+        requests > 80 && before.is_empty() && repeated.is_empty(),
+        "of {requests}: {before:?}; {repeated:?}"
     );
     assert!(
-        at_once.iter().all(|(when, _)| *when - killed < 3 * PAUSE),
-        "{at_once:?}"
+        after.iter().all(|(when, _)| *when - killed_at < 3 * TICK),
+        "{after:?}"
     );
-    let last = |name| {
-        ran.iter()
+    let last_received = |name| {
+        received
+            .iter()
             .filter(|(_, at, _)| *at == name)
             .map(|(_, _, when)| *when)
             .max()
             .unwrap()
     };
-    let spared = last("s-1") - last("s-2");
+    let difference = last_received("s-1") - last_received("s-2");
     assert!(
-        spared > 20 * PAUSE,
-        "the draining worker was last sent work {spared:?} before the other"
+        difference > 20 * TICK,
+        "the draining worker got its last request {difference:?} before the other"
     );
     serving.terminate();
-    std::thread::sleep(PAUSE);
-    let mut late = TcpStream::connect(at).unwrap();
-    late.write_all(post("/charge/1", "").as_bytes()).unwrap();
+    std::thread::sleep(TICK);
+    let mut stream = TcpStream::connect(address).unwrap();
+    stream.write_all(post("/charge/1", "").as_bytes()).unwrap();
     assert!(
-        answer(&mut late).ends_with("yes"),
-        "without a successor late arrivals are still served"
+        read_response(&mut stream).ends_with("yes"),
+        "without a successor late requests are still served"
     );
-    assert!(serving.end().0);
-    std::fs::remove_dir_all(&folder).ok();
+    assert!(serving.wait_for_exit().0);
+    std::fs::remove_dir_all(&directory).ok();
 }
