--- a/crates/mintlb/tests/program.rs
+++ b/crates/mintlb/tests/program.rs
@@ -1,13 +1,15 @@
-//! The program as it is started in service, against stand-ins for clients, workers and the list service.
+//! The program as it runs in production, with simulated clients, workers and list services: requests, time limits,
+//! shutdown, reloads and invalid configurations.
 
 mod harness;
 
 use harness::{
-    BASE, PAUSE, SOON, STREAM, answer, chunk, complaint, list_of, listing, post, post_as,
+    BASE_CONFIG, FREQUENT_LIST_CALLS, STREAM_HEAD, TICK, chunk, listing, post, post_with_id,
+    read_response, static_list_service, stderr_of_failure,
 };
-use harness::{stand_in, start, work, work_as, written};
-use mintlb::grants::{Grants, SESSION};
-use mintlb::placement::{Machine, Placement};
+use harness::{spawn_server, start, worker, worker_returning, write_config};
+use mintlb::configuration::{Configuration, MachineLimits};
+use mintlb::resource_limits::{BEANSTALKD_BUFFER_BYTES, ResourceLimits};
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::process::Command;
@@ -16,52 +18,60 @@
 use std::time::{Duration, Instant};
 
 #[test]
-fn each_request_gets_its_answer() {
+fn each_request_gets_its_response() {
     let program = start("", &[]);
     let large = format!(
         "POST /charge HTTP/1.1\r\nhost: x\r\nrequest-id: 1\r\ncontent-length: 70000\r\n\r\n{}",
         "x".repeat(70_000)
     );
     let cases = [
-        ("work is done", post("/charge/7", ""), "200 OK"),
+        ("completed", post("/charge/7", ""), "200 OK"),
         (
-            "it is there",
+            "health check",
             "GET /healthz HTTP/1.1\r\nhost: x\r\n\r\n".into(),
             "200 OK",
         ),
-        ("of no type", post("/surprise", ""), "404"),
+        ("no project type", post("/surprise", ""), "404"),
         (
-            "by another method",
+            "another method",
             "GET /charge HTTP/1.1\r\nhost: x\r\nrequest-id: 1\r\n\r\n".into(),
             "405",
         ),
         (
-            "without an id",
+            "no id",
             post("/charge", "").replace("request-id", "other"),
             "400",
         ),
-        ("receipted, without its key", post("/create", ""), "400"),
         (
-            "receipted",
+            "deduplicated, no idempotency key",
+            post("/create", ""),
+            "400",
+        ),
+        (
+            "deduplicated",
             post("/create", "idempotency-key: 5\r\n"),
             "200 OK",
         ),
         (
-            "a time that is none",
+            "an invalid time-out",
             post("/charge", "request-timeout: soon\r\n"),
             "400",
         ),
         ("a body too large", large, "413"),
-        ("no HTTP", "hello\r\n\r\n".into(), "400"),
+        ("not HTTP", "hello\r\n\r\n".into(), "400"),
         (
             "an empty id",
-            post_as(7, "/charge", "").replace(": 7\r\n", ": \r\n"),
+            post_with_id(7, "/charge", "").replace(": 7\r\n", ": \r\n"),
             "400",
         ),
         ("two ids", post("/charge", "request-id: 8\r\n"), "400"),
-        ("a path that is no text", post("/charge/\u{e9}", ""), "400"),
         (
-            "a length that is none",
+            "a path that is not ASCII",
+            post("/charge/\u{e9}", ""),
+            "400",
+        ),
+        (
+            "an invalid length",
             post("/charge", "").replace("length: 2", "length: -2"),
             "400",
         ),
@@ -70,10 +80,14 @@
             post("/charge", "").replace("length: 2", "length: 9999999999"),
             "413",
         ),
-        ("more than was said", post("/charge", "") + "more", "400"),
-        // Its body is another request to who goes by the other length.
         (
-            "two lengths at odds",
+            "a longer body than announced",
+            post("/charge", "") + "more",
+            "400",
+        ),
+        // An intermediary that goes by the other length would see a second request in the body.
+        (
+            "contradictory lengths",
             format!(
                 "POST /charge HTTP/1.1\r\nhost: x\r\nrequest-id: 5\r\ncontent-length: 90\r\n\
                  transfer-encoding: chunked\r\n\r\n0\r\n\r\n{}",
@@ -82,372 +96,396 @@
             "400",
         ),
         (
-            "a head without end",
+            "an endless head",
             format!("POST /charge HTTP/1.1\r\nx: {}", "y".repeat(99_000)),
             "431",
         ),
         (
-            "exclusive, never answered",
+            "non-idempotent, worker never answers",
             post("/charge/hold", "request-timeout: 300m\r\n"),
             "502",
         ),
         (
-            "rerunnable, never answered",
+            "idempotent, worker never answers",
             post("/lookup/hold", "request-timeout: 300000u\r\n"),
             "50",
         ),
-        ("and work is still done", post("/charge/8", ""), "200 OK"),
+        ("completed after all these", post("/charge/8", ""), "200 OK"),
     ];
-    for (shown, request, status) in cases {
+    for (case, request, status) in cases {
         let began = Instant::now();
-        let got = program.ask(&request);
+        let response = program.request(&request);
         assert!(
-            got.starts_with(&format!("HTTP/1.1 {status}")),
-            "{shown}: {got}"
+            response.starts_with(&format!("HTTP/1.1 {status}")),
+            "{case}: {response}"
         );
         assert!(
-            status != "200 OK" || got.ends_with("yes") || request.contains("healthz"),
-            "{shown}: {got}"
+            status != "200 OK" || response.ends_with("yes") || request.contains("healthz"),
+            "{case}: {response}"
         );
-        assert!(began.elapsed() < 8 * PAUSE, "{shown}: too late");
+        assert!(began.elapsed() < 8 * TICK, "{case}: too late");
         assert!(
-            !status.starts_with('4') || got.contains("connection: close"),
-            "{shown}: {got}"
+            !status.starts_with('4') || response.contains("connection: close"),
+            "{case}: {response}"
         );
     }
 }
 
-/// An error that is followed by a reset, as bytes are left unread, may never reach its client.
+/// If the server closes a connection with unread bytes, the system sends a reset, and the error response may never
+/// reach the client.
 #[test]
-fn an_error_reaches_a_client_that_still_sends() {
+fn an_error_response_reaches_a_client_that_still_sends() {
     let program = start("", &[]);
     let mut stream = program.connect();
     let head = post("/charge", "").replace("length: 2", "length: 60000000");
     stream.write_all(head.as_bytes()).unwrap();
-    let piece = vec![b'x'; 1 << 20];
+    let megabyte = vec![b'x'; 1 << 20];
     (0..60).for_each(|n| {
         stream
-            .write_all(&piece)
+            .write_all(&megabyte)
             .unwrap_or_else(|e| panic!("after {n} MB: {e}"))
     });
-    assert!(answer(&mut stream).starts_with("HTTP/1.1 413"));
+    assert!(read_response(&mut stream).starts_with("HTTP/1.1 413"));
 }
 
-/// Neither an id that is open nor one that was a moment ago reaches a worker twice; the first is untouched.
+/// A request with the id of an open request, or of one answered a moment ago, is refused, and the first request is not
+/// affected.
 #[test]
-fn an_id_that_is_open_is_refused_and_the_first_kept() {
+fn a_repeated_id_is_refused() {
     let program = start("", &[]);
     let mut first = program.connect();
     first
-        .write_all(post_as(7, "/charge/slow", "").as_bytes())
+        .write_all(post_with_id(7, "/charge/slow", "").as_bytes())
         .unwrap();
-    std::thread::sleep(PAUSE);
-    let again = post_as(7, "/create", "idempotency-key: 5\r\n");
-    assert!(program.ask(&again).starts_with("HTTP/1.1 409"));
-    assert!(answer(&mut first).ends_with("yes"));
+    std::thread::sleep(TICK);
+    let repeated = post_with_id(7, "/create", "idempotency-key: 5\r\n");
+    assert!(program.request(&repeated).starts_with("HTTP/1.1 409"));
+    assert!(read_response(&mut first).ends_with("yes"));
     assert!(
-        program.ask(&again).starts_with("HTTP/1.1 409"),
-        "its client may still be there"
+        program.request(&repeated).starts_with("HTTP/1.1 409"),
+        "its client may still be waiting"
     );
 }
 
-/// Who says nothing, or a little now and then, or the half of it, is closed or told in 3 s from connecting.
+/// A client that sends no complete request (nothing, single bytes, or half a request) gets an error response or a close
+/// within 3 s of connecting.
 #[test]
-fn who_sends_no_whole_request_is_closed_in_time() {
+fn an_incomplete_request_times_out() {
     let program = start("", &[]);
-    let whole = post("/charge/1", "");
-    let half = whole.len() / 2;
+    let request = post("/charge/1", "");
+    let half = request.len() / 2;
     let cases = [
         ("silent", 0, 0),
         ("trickling", 1, 1),
         ("half a head", half, 0),
-        ("no body", whole.len() - 1, 0),
+        ("no body", request.len() - 1, 0),
     ];
-    let waiting = cases.map(|(shown, at_once, later)| {
-        let (mut stream, whole) = (program.connect(), whole.clone());
+    let clients = cases.map(|(case, sent_first, sent_per_tick)| {
+        let (mut stream, request) = (program.connect(), request.clone());
         std::thread::spawn(move || {
             let began = Instant::now();
-            stream.set_read_timeout(Some(PAUSE)).unwrap();
-            stream.write_all(&whole.as_bytes()[..at_once]).unwrap();
-            let mut sent = at_once;
-            let closed = loop {
+            stream.set_read_timeout(Some(TICK)).unwrap();
+            stream.write_all(&request.as_bytes()[..sent_first]).unwrap();
+            let mut sent = sent_first;
+            let outcome = loop {
                 match stream.read(&mut [0; 64]) {
-                    Ok(n) => break if n > 0 { "told" } else { "closed" },
+                    Ok(n) => break if n > 0 { "response" } else { "closed" },
                     Err(e) if e.kind() != ErrorKind::WouldBlock => break "reset",
                     Err(_) if began.elapsed() > Duration::from_secs(4) => break "nothing",
                     Err(_) => stream
-                        .write_all(&whole.as_bytes()[sent..sent + later])
+                        .write_all(&request.as_bytes()[sent..sent + sent_per_tick])
                         .unwrap_or_default(),
                 }
-                sent += later;
+                sent += sent_per_tick;
             };
-            (shown, closed, began.elapsed())
+            (case, outcome, began.elapsed())
         })
     });
-    for waiting in waiting {
-        let (shown, closed, after) = waiting.join().unwrap();
+    for client in clients {
+        let (case, outcome, after) = client.join().unwrap();
         assert!(
-            closed != "nothing" && after < Duration::from_secs(3),
-            "{shown}: {closed} after {after:?}"
+            outcome != "nothing" && after < Duration::from_secs(3),
+            "{case}: {outcome} after {after:?}"
+        );
+        assert_eq!(
+            outcome == "response",
+            case == "no body",
+            "{case}: {outcome}"
         );
-        assert_eq!(closed == "told", shown == "no body", "{shown}: {closed}");
     }
 }
 
 #[test]
-fn a_client_that_leaves_takes_its_attempt_along() {
+fn a_client_that_leaves_ends_its_attempt() {
     let program = start("", &[]);
     let mut stream = program.connect();
     stream
         .write_all(post("/charge/hold", "").as_bytes())
         .unwrap();
     assert!(
-        program.workers.recv_timeout(2 * PAUSE).is_err(),
-        "it is out"
+        program.worker_connections.recv_timeout(2 * TICK).is_err(),
+        "the allocation should still be in flight"
     );
     drop(stream);
-    assert_eq!(program.workers.recv_timeout(20 * PAUSE).unwrap(), "closed");
+    assert_eq!(
+        program.worker_connections.recv_timeout(20 * TICK).unwrap(),
+        "closed"
+    );
 }
 
 #[test]
-fn told_to_stop_it_answers_what_it_has_and_what_still_comes() {
+fn a_graceful_shutdown_answers_open_and_late_requests() {
     let mut program = start("", &[]);
     let mut idle = program.connect();
     idle.write_all(post("/charge/1", "").as_bytes()).unwrap();
-    assert!(answer(&mut idle).ends_with("yes"));
+    assert!(read_response(&mut idle).ends_with("yes"));
     let mut busy = program.connect();
     busy.write_all(post("/charge/slow", "").as_bytes()).unwrap();
-    std::thread::sleep(PAUSE);
+    std::thread::sleep(TICK);
     program.terminate();
-    std::thread::sleep(2 * PAUSE);
-    let away = program.ask("GET /healthz HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n");
+    std::thread::sleep(2 * TICK);
+    let response = program.request("GET /healthz HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n");
     assert!(
-        away.starts_with("HTTP/1.1 503"),
-        "nobody new should come: {away}"
+        response.starts_with("HTTP/1.1 503"),
+        "the health check must fail: {response}"
     );
     assert!(
-        program.ask(&post("/charge/2", "")).ends_with("yes"),
-        "but who does is served"
+        program.request(&post("/charge/2", "")).ends_with("yes"),
+        "a late request is still served"
     );
-    assert!(answer(&mut busy).ends_with("yes"));
-    // Where all restart in turn, the next may not be up yet: who is connected is served on, nothing held or not.
-    std::thread::sleep(11 * PAUSE);
+    assert!(read_response(&mut busy).ends_with("yes"));
+    // In a rolling restart the next process may not be up yet, so idle connections are still served.
+    std::thread::sleep(11 * TICK);
     idle.write_all(post("/charge/3", "").as_bytes()).unwrap();
     assert!(
-        answer(&mut idle).ends_with("yes"),
+        read_response(&mut idle).ends_with("yes"),
         "an idle connection stays open for a while"
     );
     let mut last = program.connect();
     last.write_all(post("/charge/slow", "").as_bytes()).unwrap();
-    assert_eq!(answer(&mut idle), "", "and is closed then");
-    let last = answer(&mut last);
+    assert_eq!(
+        read_response(&mut idle),
+        "",
+        "the idle connection is closed then"
+    );
+    let last = read_response(&mut last);
     assert!(
         last.ends_with("yes") && last.contains("connection: close"),
         "{last}"
     );
-    let (clean, took) = program.end();
+    let (clean, took) = program.wait_for_exit();
     assert!(clean && took < Duration::from_secs(1), "{took:?}");
 }
 
-/// Work that outlasts the stop is aborted while there is still time to say so.
+/// A request that would outlast the shutdown is aborted while there is still time to answer it.
 #[test]
-fn the_end_leaves_nobody_without_an_answer() {
+fn no_request_is_left_unanswered_at_the_end() {
     let mut program = start(
         "",
         &[("3000.0, \"late_credit\"", "60000.0, \"late_credit\"")],
     );
     let mut busy = program.connect();
     busy.write_all(post("/charge/hold", "").as_bytes()).unwrap();
-    std::thread::sleep(PAUSE);
+    std::thread::sleep(TICK);
     let began = Instant::now();
     program.terminate();
-    assert!(answer(&mut busy).starts_with("HTTP/1.1 502"));
+    assert!(read_response(&mut busy).starts_with("HTTP/1.1 502"));
     assert!(
         began.elapsed() < Duration::from_millis(3700),
         "SIGKILL comes after 3.7 s"
     );
-    assert!(program.end().0);
+    assert!(program.wait_for_exit().0);
 }
 
 #[test]
-fn idle_clients_never_keep_others_out() {
-    let few = ("\"sockets\": 1024", "\"sockets\": 64");
-    for (shown, limits, changes) in [
-        ("by count", "", &[few][..]),
-        ("without descriptors", "ulimit -n 40;", &[]),
+fn idle_clients_do_not_block_others() {
+    let few_sockets = ("\"sockets\": 1024", "\"sockets\": 64");
+    for (case, shell_prefix, changes) in [
+        ("connection limit", "", &[few_sockets][..]),
+        ("descriptor limit", "ulimit -n 40;", &[]),
     ] {
-        let program = start(limits, changes);
-        let mut usual = program.connect();
-        usual.write_all(post("/charge/22", "").as_bytes()).unwrap();
-        assert!(answer(&mut usual).ends_with("yes"), "{shown}");
+        let program = start(shell_prefix, changes);
+        let mut active = program.connect();
+        active.write_all(post("/charge/22", "").as_bytes()).unwrap();
+        assert!(read_response(&mut active).ends_with("yes"), "{case}");
         let idle: Vec<TcpStream> = (0..80).map(|_| program.connect()).collect();
-        std::thread::sleep(PAUSE);
+        std::thread::sleep(TICK);
         assert!(
-            program.ask(&post("/charge/1", "")).ends_with("yes"),
-            "{shown}"
+            program.request(&post("/charge/1", "")).ends_with("yes"),
+            "{case}"
         );
-        usual.write_all(post("/charge/333", "").as_bytes()).unwrap();
+        active
+            .write_all(post("/charge/333", "").as_bytes())
+            .unwrap();
         assert!(
-            answer(&mut usual).ends_with("yes"),
-            "{shown}: who has brought work keeps its place"
+            read_response(&mut active).ends_with("yes"),
+            "{case}: a client that has sent requests keeps its connection"
         );
         drop(idle);
         assert!(
-            program.ask(&post("/charge/4444", "")).ends_with("yes"),
-            "{shown}: later"
+            program.request(&post("/charge/4444", "")).ends_with("yes"),
+            "{case}: after the idle clients have gone"
         );
     }
 }
 
-/// Who says half and then nothing goes before one whose request comes slowly, though that one came first.
+/// When connections run out, a client that stops in the middle of a request is closed before one that sends slowly but
+/// steadily, even if the slow one connected earlier.
 #[test]
-fn a_slow_client_is_not_cut_off_for_a_rude_one() {
+fn a_slow_client_outlasts_stalled_ones() {
     let program = start("", &[("\"sockets\": 1024", "\"sockets\": 64")]);
-    let whole = post("/charge/1", "");
+    let request = post("/charge/1", "");
     let mut slow = program.connect();
     for piece in [0..10, 10..20] {
-        slow.write_all(&whole.as_bytes()[piece]).unwrap();
-        std::thread::sleep(PAUSE);
+        slow.write_all(&request.as_bytes()[piece]).unwrap();
+        std::thread::sleep(TICK);
     }
-    let rude = (0..80).map(|_| {
+    let stalled = (0..80).map(|_| {
         let mut stream = program.connect();
-        stream.write_all(&whole.as_bytes()[..20]).ok();
+        stream.write_all(&request.as_bytes()[..20]).ok();
         stream
     });
-    let rude: Vec<TcpStream> = rude.collect();
-    for piece in whole.as_bytes()[20..].chunks(20) {
-        std::thread::sleep(4 * PAUSE);
+    let stalled: Vec<TcpStream> = stalled.collect();
+    for piece in request.as_bytes()[20..].chunks(20) {
+        std::thread::sleep(4 * TICK);
         slow.write_all(piece)
-            .unwrap_or_else(|e| panic!("it was cut off: {e}"));
+            .unwrap_or_else(|e| panic!("the slow client was cut off: {e}"));
     }
-    assert!(answer(&mut slow).ends_with("yes"));
-    drop(rude);
+    assert!(read_response(&mut slow).ends_with("yes"));
+    drop(stalled);
 }
 
-/// A request that comes in pieces, over longer than is promised, is as good as any other once it is whole.
+/// The promised turnaround counts from the last byte of a request, even if the request took longer than that to arrive.
 #[test]
-fn time_counts_from_the_last_byte() {
+fn the_deadline_counts_from_the_last_byte() {
     let program = start("", &[]);
-    let whole = post("/lookup/slow", "");
+    let request = post("/lookup/slow", "");
     let mut stream = program.connect();
-    let (head, last) = whole.as_bytes().split_at(whole.len() - 1);
-    stream.write_all(head).unwrap();
-    std::thread::sleep(23 * PAUSE);
-    stream.write_all(last).unwrap();
-    let got = answer(&mut stream);
-    assert!(got.ends_with("yes"), "{got}");
+    let (most, last_byte) = request.as_bytes().split_at(request.len() - 1);
+    stream.write_all(most).unwrap();
+    std::thread::sleep(23 * TICK);
+    stream.write_all(last_byte).unwrap();
+    let response = read_response(&mut stream);
+    assert!(response.ends_with("yes"), "{response}");
 }
 
-/// Whatever a client asks for, none waits past the hard limit.
+/// A longer time-out in the request does not extend the project type's hard limit.
 #[test]
-fn no_client_stretches_a_wait() {
+fn a_request_timeout_does_not_exceed_the_hard_limit() {
     let program = start("", &[("\"hard_limit\": 3000.0", "\"hard_limit\": 400.0")]);
     let began = Instant::now();
     assert!(
         program
-            .ask(&post("/charge/hold", "request-timeout: 60000m\r\n"))
+            .request(&post("/charge/hold", "request-timeout: 60000m\r\n"))
             .starts_with("HTTP/1.1 502")
     );
-    assert!(began.elapsed() < 20 * PAUSE, "the hard limit is 0.4 s");
+    assert!(began.elapsed() < 20 * TICK, "the hard limit is 0.4 s");
 }
 
-/// Nobody reads the log here: its pipe is full after some hundred lines, and
-/// the buffer before it after some thousand.
+/// Nobody reads the log in this test: the pipe is full after some hundred lines, and the log buffer after some
+/// thousand.
 #[test]
-fn a_log_that_takes_nothing_stops_nothing() {
+fn a_blocked_log_does_not_block_the_program() {
     let mut program = start("", &[]);
     for _ in 0..6000 {
-        let got = program.ask(&post("/nothing", ""));
-        assert!(got.contains("404"), "{got}");
+        let response = program.request(&post("/nothing", ""));
+        assert!(response.contains("404"), "{response}");
     }
-    assert!(program.ask(&post("/charge/1", "")).ends_with("yes"));
+    assert!(program.request(&post("/charge/1", "")).ends_with("yes"));
     program.terminate();
-    assert!(program.end().0);
+    assert!(program.wait_for_exit().0);
 }
 
-/// Watches are answered in turn: a refusal, a line that is no JSON, and then the list.
-fn list(stream: &mut TcpStream) -> String {
-    static ASKED: AtomicU32 = AtomicU32::new(0);
-    static WORKER: LazyLock<SocketAddr> = LazyLock::new(|| stand_in(work).0);
-    let called = stream.read(&mut [0; 4096]).is_ok_and(|n| n > 0);
-    let line = listing(5, &[("s-2", *WORKER, "SERVING")]);
-    let answer = match ASKED.fetch_add(called.into(), Relaxed) {
+/// A list service that refuses the first watch, sends invalid JSON to the second, and the list to further ones.
+fn failing_list_service(stream: &mut TcpStream) -> String {
+    static CALLS: AtomicU32 = AtomicU32::new(0);
+    static WORKER: LazyLock<SocketAddr> = LazyLock::new(|| spawn_server(worker).0);
+    let is_call = stream.read(&mut [0; 4096]).is_ok_and(|n| n > 0);
+    let message = listing(5, &[("s-2", *WORKER, "SERVING")]);
+    let response = match CALLS.fetch_add(is_call.into(), Relaxed) {
         0 => "HTTP/1.1 503 Busy\r\ncontent-length: 0\r\n\r\n".to_string(),
-        1 => format!("{STREAM}{}", chunk("no list")),
-        _ => format!("{STREAM}{}{}", chunk(""), chunk(&line)),
+        1 => format!("{STREAM_HEAD}{}", chunk("no list")),
+        _ => format!("{STREAM_HEAD}{}{}", chunk(""), chunk(&message)),
     };
-    stream.write_all(answer.as_bytes()).ok();
+    stream.write_all(response.as_bytes()).ok();
     stream.read_exact(&mut [0; 1]).ok();
     "ended".into()
 }
 
 #[test]
-fn the_list_is_followed_through_its_failures() {
-    let (discovery, told) = stand_in(list);
-    let program = start("", &[("127.0.0.1:8500", &discovery.to_string()), SOON]);
-    told.recv_timeout(Duration::from_secs(2)).unwrap();
-    told.recv_timeout(Duration::from_secs(2)).unwrap();
-    std::thread::sleep(4 * PAUSE);
-    // The worker known at first is not in the list, so it is gone; the one listed does the work.
-    assert!(program.ask(&post("/charge/1", "")).ends_with("yes"));
+fn the_list_is_watched_again_after_failures() {
+    let (discovery, calls) = spawn_server(failing_list_service);
+    let program = start(
+        "",
+        &[
+            ("127.0.0.1:8500", &discovery.to_string()),
+            FREQUENT_LIST_CALLS,
+        ],
+    );
+    calls.recv_timeout(Duration::from_secs(2)).unwrap();
+    calls.recv_timeout(Duration::from_secs(2)).unwrap();
+    std::thread::sleep(4 * TICK);
+    // The initially known worker is not in the list and must not be used any more.
+    assert!(program.request(&post("/charge/1", "")).ends_with("yes"));
     assert!(
-        program.workers.try_recv().is_err(),
-        "the worker that is gone was not connected to"
+        program.worker_connections.try_recv().is_err(),
+        "the unlisted worker must not be connected to"
     );
 }
 
-/// SIGHUP, more than once and just before the end: the list moves, a bad file is passed over, work lives on.
+/// Reloads by SIGHUP: the list service's address changes, an invalid file is rejected, open requests survive, and a
+/// reload just before the end does no harm.
 #[test]
-fn a_new_configuration_is_taken_while_it_serves() {
-    // A list of one worker each, whose results are its name.
-    let list = |name| {
-        let (worker, _) = stand_in(move |stream| work_as(name, stream));
-        list_of(listing(9, &[(name, worker, "SERVING")]))
+fn a_new_configuration_is_applied_while_serving() {
+    // A list service with one worker, which returns its own name as the result.
+    let list_of_one = |name| {
+        let (worker, _) = spawn_server(move |stream| worker_returning(name, stream));
+        static_list_service(listing(9, &[(name, worker, "SERVING")]))
     };
-    let (one, two) = (list("s-8"), list("s-9"));
-    let mut program = start("", &[("127.0.0.1:8500", &one), SOON]);
-    std::thread::sleep(3 * PAUSE);
-    let mut held = program.connect();
-    held.write_all(post("/charge/slow", "").as_bytes()).unwrap();
-    std::thread::sleep(PAUSE);
-    for (shown, from, to, worker) in [
-        ("moved", &*one, &*two, "s-9"),
-        ("a bad file", "\"fall\": 3000.0, ", "", "s-9"),
+    let (one, two) = (list_of_one("s-8"), list_of_one("s-9"));
+    let mut program = start("", &[("127.0.0.1:8500", &one), FREQUENT_LIST_CALLS]);
+    std::thread::sleep(3 * TICK);
+    let mut open = program.connect();
+    open.write_all(post("/charge/slow", "").as_bytes()).unwrap();
+    std::thread::sleep(TICK);
+    for (case, from, to, worker) in [
+        ("address changed", &*one, &*two, "s-9"),
+        ("invalid file", "\"fall\": 3000.0, ", "", "s-9"),
         (
-            "mended",
+            "repaired file",
             "\"fall_multiple\"",
             "\"fall\": 3000.0, \"fall_multiple\"",
             "s-9",
         ),
-        ("moved back", &*two, &*one, "s-8"),
-        ("and again", &*one, &*two, "s-9"),
+        ("address changed back", &*two, &*one, "s-8"),
+        ("address changed again", &*one, &*two, "s-9"),
     ] {
-        program.replace(from, to);
-        std::thread::sleep(2 * PAUSE);
-        let got = program.ask(&post("/charge/1", ""));
-        assert!(got.ends_with(worker), "{shown}: {got}");
+        program.reload(from, to);
+        std::thread::sleep(2 * TICK);
+        let response = program.request(&post("/charge/1", ""));
+        assert!(response.ends_with(worker), "{case}: {response}");
     }
     assert!(
-        answer(&mut held).ends_with("s-8"),
-        "what was held is answered"
+        read_response(&mut open).ends_with("s-8"),
+        "the open request is answered"
     );
-    program.replace(&two, &one);
+    program.reload(&two, &one);
     program.terminate();
     assert!(
-        program.ask(&post("/charge/1", "")).contains("200 OK"),
-        "late arrivals, too"
+        program.request(&post("/charge/1", "")).contains("200 OK"),
+        "a late request is answered, too"
     );
-    assert!(program.end().0, "a clean end");
+    assert!(program.wait_for_exit().0, "the exit status is an error");
     let mut log = String::new();
     program.log.read_to_string(&mut log).unwrap();
     assert!(
-        log.contains("not taken") && log.contains("rules.fall is missing"),
+        log.contains("new configuration rejected") && log.contains("rules.fall is missing"),
         "{log}"
     );
 }
 
 #[test]
-fn a_bad_configuration_is_named() {
+fn an_invalid_field_is_named() {
     let cases = [
         (
             "\"seed\": \"8c1f30d27a5be964\"",
@@ -502,34 +540,35 @@
             "permissions.peers",
         ),
     ];
-    for (old, new, named) in cases {
+    for (old, new, expected) in cases {
         for verb in ["serve", "check"] {
-            let path = written(&[(old, new)]);
-            let said = complaint(&[verb, "--config", path.to_str().unwrap()], &[]);
-            assert!(said.contains(named), "{new}: {said}");
+            let path = write_config(&[(old, new)]);
+            let stderr = stderr_of_failure(&[verb, "--config", path.to_str().unwrap()], &[]);
+            assert!(stderr.contains(expected), "{new}: {stderr}");
         }
     }
-    // A good one is read out, also to a reader that has seen enough.
+    // A valid configuration is printed; a reader that closes the pipe early causes no error.
     let command = format!(
         "{} check --config {}",
         env!("CARGO_BIN_EXE_mintlb"),
-        written(&[]).display()
+        write_config(&[]).display()
     );
     for reader in ["cat", "true"] {
-        let piped = format!("({command}; echo code $? >&2) | {reader}");
-        let run = Command::new("sh").args(["-c", &piped]).output().unwrap();
+        let pipeline = format!("({command}; echo code $? >&2) | {reader}");
+        let output = Command::new("sh").args(["-c", &pipeline]).output().unwrap();
         assert_eq!(
-            String::from_utf8(run.stderr).unwrap(),
+            String::from_utf8(output.stderr).unwrap(),
             "code 0\n",
             "{reader}"
         );
     }
 }
 
-/// Left out, crossing costs what it always did; and whatever is permitted, nobody tells anything on sockets.
+/// Without a price for crossing zones the default holds. Messages between schedulers have no price, even where they are
+/// permitted, as this program sends none.
 #[test]
-fn prices_left_out_are_as_before() {
-    for (old, new, crossing) in [
+fn missing_prices_have_defaults() {
+    for (old, new, expected_crossing) in [
         ("", "", 0.021),
         (
             "\"quantum\"",
@@ -543,22 +582,24 @@
         ),
         ("\"retry_after\"", "\"peers\": true, \"retry_after\"", 0.021),
     ] {
-        let text = Placement::parse(&BASE.replacen(old, new, 1))
+        let settings = Configuration::parse(&BASE_CONFIG.replacen(old, new, 1))
             .unwrap()
-            .text();
-        let costs = text.reloadable().unwrap().costs;
+            .scheduler_settings();
+        let costs = settings.reloadable().unwrap().costs;
         assert_eq!(
             (costs.cross_zone, costs.peer_message),
-            (crossing, None),
+            (expected_crossing, None),
             "{new}"
         );
     }
 }
 
-/// All that may be held at once fits the machine, whatever its size.
+/// The limits together never exceed the machine's memory and descriptors, whatever its size.
 #[test]
 fn limits_fit_the_machine() {
-    let text = Placement::parse(BASE).unwrap().text();
+    let settings = Configuration::parse(BASE_CONFIG)
+        .unwrap()
+        .scheduler_settings();
     let sizes = [
         (192, 1024),
         (8, 32),
@@ -568,41 +609,56 @@
         (usize::MAX, usize::MAX),
     ];
     for (memory_mb, sockets) in sizes {
-        // Without beanstalkd, with some of its connections, and with the most that are let in.
-        for sessions in [0, 1, usize::MAX] {
-            let machine = Machine { memory_mb, sockets };
-            let asked = Grants::new(&machine, &text, sessions, false);
-            let most = asked
+        // Without beanstalkd connections, with one, and with the most that are allowed.
+        for connections in [0, 1, usize::MAX] {
+            let host = MachineLimits { memory_mb, sockets };
+            let result = ResourceLimits::new(&host, &settings, connections, false);
+            let max_connections = result
                 .as_ref()
                 .err()
                 .and_then(|why| why.split("here, ").nth(1)?.split(' ').next()?.parse().ok());
-            let g = most
-                .map_or(asked, |most| Grants::new(&machine, &text, most, false))
+            let limits = max_connections
+                .map_or(result, |n| ResourceLimits::new(&host, &settings, n, false))
                 .unwrap();
-            let h = &g.http;
-            let bytes = h.max_client_connections * 2 * h.max_head_bytes
-                + h.max_worker_connections * h.max_head_bytes
-                + (g.out - g.sessions) * h.max_worker_line_bytes
-                + g.bodies;
-            let bytes = bytes + g.sessions * SESSION;
-            assert!(bytes >> 20 <= memory_mb / 8 * 7, "{memory_mb} MB: {g:?}");
+            let http = &limits.http;
+            let bytes = http.max_client_connections * 2 * http.max_head_bytes
+                + http.max_worker_connections * http.max_head_bytes
+                + (limits.attempts_in_flight - limits.beanstalkd_connections)
+                    * http.max_worker_line_bytes
+                + limits.body_bytes;
+            let bytes = bytes + limits.beanstalkd_connections * BEANSTALKD_BUFFER_BYTES;
+            assert!(
+                bytes >> 20 <= memory_mb / 8 * 7,
+                "{memory_mb} MB: {limits:?}"
+            );
+            assert!(
+                http.max_client_connections
+                    + limits.beanstalkd_connections
+                    + http.max_worker_connections
+                    <= sockets / 8 * 7,
+                "{sockets} descriptors: {limits:?}"
+            );
+            // The program's own 16 descriptors are listed in resource_limits.rs.
             assert!(
-                h.max_client_connections + g.sessions + h.max_worker_connections <= sockets / 8 * 7,
-                "{sockets} descriptors: {g:?}"
+                http.max_client_connections
+                    + limits.beanstalkd_connections
+                    + http.max_worker_connections
+                    + 16
+                    <= sockets,
+                "{sockets} descriptors: {limits:?}"
             );
-            // The program's own, listed in grants.rs.
             assert!(
-                h.max_client_connections + g.sessions + h.max_worker_connections + 16 <= sockets,
-                "{sockets} descriptors: {g:?}"
+                limits.open_requests < http.max_client_connections + limits.beanstalkd_connections
+                    && limits.open_requests > 0
+                    && limits.attempts_in_flight > 0
+                    && http.max_client_connections > 0,
+                "{limits:?}"
             );
             assert!(
-                g.open < h.max_client_connections + g.sessions
-                    && g.open > 0
-                    && g.out > 0
-                    && h.max_client_connections > 0,
-                "{g:?}"
+                limits.attempts_in_flight - limits.beanstalkd_connections
+                    < http.max_worker_connections,
+                "{limits:?}"
             );
-            assert!(g.out - g.sessions < h.max_worker_connections, "{g:?}");
         }
     }
 }
--- a/crates/mintlb/tests/reducer.rs
+++ b/crates/mintlb/tests/reducer.rs
@@ -1,9 +1,9 @@
-//! The reducer by itself: what was read goes in as words, what is to be done comes out as words.
+//! The reducer alone: events go in and actions come out, both written as words.
 
 use bytes::Bytes;
-use mintlb::operator::Operator;
-use mintlb::placement::Placement;
-use mintlb::serve::Plan;
+use mintlb::configuration::Configuration;
+use mintlb::operator_config::OperatorConfig;
+use mintlb::serve::StartupPlan;
 use mintlb_core::clock::Clock;
 use mintlb_core::membership::worker_id;
 use mintlb_core::project_types::ProjectTypes;
@@ -17,59 +17,67 @@
 use tokio::sync::mpsc::unbounded_channel;
 use tokio::sync::oneshot::{Receiver, channel};
 
-struct Bench {
+/// A reducer under test, with what it has produced.
+struct TestReducer {
     reducer: Reducer,
-    reading: ListDecoder,
+    decoder: ListDecoder,
     now: f64,
+    /// Receivers of the answers, in the order of the requests.
     clients: Vec<Receiver<Answer>>,
-    orders: Vec<AttemptRequest>,
+    requests: Vec<AttemptRequest>,
     types: Vec<(String, ProjectType)>,
     terms: ReloadableSettings,
 }
 
-fn bench(most_out: usize) -> Bench {
-    bench_of(most_out, include_str!("../../../examples/config.json"))
+fn reducer_with(max_in_flight: usize) -> TestReducer {
+    reducer_from(max_in_flight, include_str!("../../../examples/config.json"))
 }
 
-fn bench_of(most_out: usize, config: &str) -> Bench {
-    let plan = Plan::new(Placement::parse(config).unwrap(), Operator::default()).unwrap();
-    let quiet = slog::Logger::root(slog::Discard, slog::o!());
-    let (tell, _) = unbounded_channel();
-    let workers = WorkerClient::new(
-        &plan.grants.http,
+fn reducer_from(max_in_flight: usize, config: &str) -> TestReducer {
+    let plan = StartupPlan::new(
+        Configuration::parse(config).unwrap(),
+        OperatorConfig::default(),
+    )
+    .unwrap();
+    let no_log = slog::Logger::root(slog::Discard, slog::o!());
+    let (events, _) = unbounded_channel();
+    let worker_client = WorkerClient::new(
+        &plan.resource_limits.http,
         Clock::start(),
-        tell,
+        events,
         &[],
         RequestTemplate::default(),
         Arc::default(),
-        quiet,
+        no_log,
     );
     let (zones, kinds) = (vec!["north".into(), "south".into()], vec!["small".into()]);
-    let reading = ListDecoder {
+    let decoder = ListDecoder {
         zones,
         kinds,
         runs: ProjectTypeSet::default(),
-        worker_client: workers,
+        worker_client,
     };
     let types = plan.types.clone();
     let reducer = Reducer::new(
         plan.scheduler,
         ProjectTypes::new(plan.types),
-        most_out,
+        max_in_flight,
         0.002,
     );
-    let (now, clients, orders, terms) = (1e9, Vec::new(), Vec::new(), plan.terms);
-    Bench {
+    let (now, clients, requests, terms) = (1e9, Vec::new(), Vec::new(), plan.terms);
+    TestReducer {
         reducer,
-        reading,
+        decoder,
         now,
         clients,
-        orders,
+        requests,
         types,
         terms,
     }
 }
 
+/// A list message with a worker for each state. `NOWHERE` is a worker without a valid address, and `FRESH` one that
+/// has just started; both are serving.
 fn listing(full: bool, version: u64, states: &[&str]) -> ListMessage {
     let servers = states.iter().enumerate().map(|(i, state)| {
         let addr = if *state == "NOWHERE" { "nowhere:1".into() } else { format!("127.0.0.1:{}", 7001 + i) };
@@ -87,31 +95,32 @@
     serde_json::from_str(&json).unwrap()
 }
 
-impl Bench {
+impl TestReducer {
+    /// Runs one step, and returns the actions that follow from it.
     fn step(&mut self, step: &str) -> String {
         let words: Vec<&str> = step.split_whitespace().collect();
-        let attempt = |name: &str| {
+        let attempt_id = |name: &str| {
             let (id, n) = name.split_once('.').unwrap();
             (id.parse().unwrap(), n.parse().unwrap())
         };
         let event = match words[0] {
-            "began" => {
-                let acts = self.reducer.start(self.now, None, false);
-                return self.say(acts);
+            "begin" => {
+                let actions = self.reducer.start(self.now, None, false);
+                return self.describe(actions);
             }
             "known" => {
-                let told = self
-                    .reading
+                let update = self
+                    .decoder
                     .membership_update(&listing(true, 7, &words[1..]));
-                let acts = self.reducer.start(self.now, Some((7, told)), false);
-                return self.say(acts);
+                let actions = self.reducer.start(self.now, Some((7, update)), false);
+                return self.describe(actions);
             }
-            "in" => {
+            "wait" => {
                 self.now += words[1].parse::<f64>().unwrap();
                 Event::TimerFired
             }
-            "call" => {
-                // The client's id, where it is not the work unit's number.
+            "request" => {
+                // The client's id if given, or else the request's number.
                 let id = *words.get(3).unwrap_or(&words[1]);
                 let payload = Payload {
                     body: Bytes::new(),
@@ -132,62 +141,65 @@
                     responder: Box::new(answer),
                 })
             }
-            // The project types, each with its effect, and before them how many attempts work may have.
-            "retune" => {
+            // The most attempts of a request, and then the project types with their idempotency.
+            "reconfigure" => {
                 self.terms.retry_policy.max_attempts = words[1].parse().unwrap();
-                let types: Vec<_> = words[2..].iter().map(|word| self.named(word)).collect();
+                let types: Vec<_> = words[2..]
+                    .iter()
+                    .map(|word| self.project_type(word))
+                    .collect();
                 return match self.reducer.reconfigure(&types, &self.terms) {
                     Ok(()) => String::new(),
                     Err(why) => why,
                 };
             }
-            "left" => Event::ClientLeft(words[1].parse().unwrap()),
-            "start" => Event::Started(attempt(words[1])),
-            "back" => {
+            "leave" => Event::ClientLeft(words[1].parse().unwrap()),
+            "start" => Event::Started(attempt_id(words[1])),
+            "finish" => {
                 let outcome = match words[2] {
                     "done" => Outcome::Completed,
                     "full" => Outcome::Full,
                     "dropped" => Outcome::Dropped,
-                    "late" => Outcome::TimedOut,
-                    "down" => Outcome::NoConnection,
+                    "timed-out" => Outcome::TimedOut,
+                    "no-connection" => Outcome::NoConnection,
                     other => panic!("no outcome {other}"),
                 };
                 let result = Bytes::from_static(b"r");
                 Event::Finished(AttemptResult {
                     result,
-                    ..AttemptResult::from_outcome(attempt(words[1]), outcome)
+                    ..AttemptResult::from_outcome(attempt_id(words[1]), outcome)
                 })
             }
             "list" => Event::MembershipChanged(
                 Some(8),
-                self.reading
+                self.decoder
                     .membership_update(&listing(true, 8, &words[1..])),
             ),
             "change" => Event::MembershipChanged(
                 Some(9),
-                self.reading
+                self.decoder
                     .membership_update(&listing(false, 9, &words[1..])),
             ),
-            "lost" => Event::ListFailed,
-            "moved" => Event::ListMoved,
-            "last" => Event::DrainDeadline,
+            "list-failed" => Event::ListFailed,
+            "list-moved" => Event::ListMoved,
+            "drain-deadline" => Event::DrainDeadline,
             other => panic!("no step {other}"),
         };
-        let acts = self.reducer.reduce(self.now, event);
-        self.say(acts)
+        let actions = self.reducer.reduce(self.now, event);
+        self.describe(actions)
     }
 
-    /// `NAME=EFFECT`: a project type that is otherwise as the lookup of the example.
-    fn named(&self, word: &str) -> (String, ProjectType) {
+    /// Parses `NAME=IDEMPOTENCY`. The project type's other terms are those of `lookup` in the example configuration.
+    fn project_type(&self, word: &str) -> (String, ProjectType) {
         let (name, idempotency) = word.split_once('=').unwrap();
         let idempotency = match idempotency {
-            "rerunnable" => Idempotency::Idempotent,
-            "receipted" => Idempotency::Deduplicated {
+            "idempotent" => Idempotency::Idempotent,
+            "deduplicated" => Idempotency::Deduplicated {
                 scope: DedupScope::Cell,
                 window: 15.0,
             },
-            "exclusive" => Idempotency::NonIdempotent,
-            other => panic!("no effect {other}"),
+            "non-idempotent" => Idempotency::NonIdempotent,
+            other => panic!("no idempotency {other}"),
         };
         (
             name.to_string(),
@@ -207,43 +219,38 @@
             .number
     }
 
-    /// Timers and log lines are left out.
-    fn say(&mut self, acts: Vec<Action>) -> String {
-        let mut said = Vec::new();
-        for act in acts {
-            match act {
-                Action::Send {
-                    endpoint: to,
-                    request: order,
-                } => {
-                    let (id, n) = order.attempt_id;
-                    said.push(format!(
+    /// Describes the actions. Probes, timers and log lines are omitted.
+    fn describe(&mut self, actions: Vec<Action>) -> String {
+        let mut lines = Vec::new();
+        for action in actions {
+            match action {
+                Action::Send { endpoint, request } => {
+                    let (id, n) = request.attempt_id;
+                    lines.push(format!(
                         "send {id}.{n} {}",
-                        to.to_string().split(':').next_back().unwrap()
+                        endpoint.to_string().split(':').next_back().unwrap()
                     ));
-                    self.orders.push(order);
+                    self.requests.push(request);
                 }
-                Action::Cancel((id, n)) => said.push(format!("close {id}.{n}")),
+                Action::Cancel((id, n)) => lines.push(format!("close {id}.{n}")),
                 Action::Answer {
-                    responder: to,
-                    answer,
-                    ..
+                    responder, answer, ..
                 } => {
-                    to.respond(answer);
-                    said.push("answer".into());
+                    responder.respond(answer);
+                    lines.push("answer".into());
                 }
                 Action::Watch { after } => {
-                    said.push(after.map_or("watch all".into(), |after| format!("watch {after}")))
+                    lines.push(after.map_or("watch all".into(), |after| format!("watch {after}")))
                 }
                 Action::Probe { .. } | Action::WakeIn(_) | Action::Log(_) => {}
             }
         }
-        said.join(", ")
+        lines.join(", ")
     }
 
-    /// What each client has, in the order of the calls.
+    /// The answer of each client, in the order of the requests; `-` where there is none.
     fn answers(&mut self) -> String {
-        let said = self
+        let answers = self
             .clients
             .iter_mut()
             .map(|client| match client.try_recv() {
@@ -253,471 +260,484 @@
                 Ok(Answer::Duplicate) => "repeated".into(),
                 Err(_) => "-".into(),
             });
-        said.collect::<Vec<_>>().join(" ")
+        answers.collect::<Vec<_>>().join(" ")
     }
 }
 
-/// Project types: 0 rerunnable, 1 receipted, 2 exclusive. Each row: what it shows, the steps, what the last
-/// of them asks for, the clients' answers, the work units still held.
+/// Project types: 0 idempotent, 1 deduplicated, 2 non-idempotent. Each case: its name, the steps, the actions of
+/// the last step, the clients' answers, and the number of open requests.
 #[test]
-fn what_is_read_becomes_what_is_done() {
+fn events_lead_to_actions() {
     let cases = [
         (
-            "work is sent",
-            "known SERVING; call 1 0",
+            "a request is sent",
+            "known SERVING; request 1 0",
             "send 1.0 7001",
             "-",
             1,
         ),
         (
             "the result goes to the client",
-            "known SERVING; call 1 2; back 1.0 done",
+            "known SERVING; request 1 2; finish 1.0 done",
             "answer",
             "r",
             0,
         ),
         (
-            "an outcome counts once",
-            "known SERVING; call 1 2; back 1.0 done; back 1.0 dropped",
+            "only the first outcome counts",
+            "known SERVING; request 1 2; finish 1.0 done; finish 1.0 dropped",
             "",
             "r",
             0,
         ),
         (
-            "exclusive work that may have run is aborted",
-            "known SERVING; call 1 2; back 1.0 dropped",
+            "a non-idempotent request that may have run is aborted",
+            "known SERVING; request 1 2; finish 1.0 dropped",
             "answer",
             "aborted",
             0,
         ),
         (
-            "what never ran is sent again",
-            "known SERVING; call 1 2; back 1.0 down",
+            "an attempt that never ran is retried",
+            "known SERVING; request 1 2; finish 1.0 no-connection",
             "send 1.1 7001",
             "-",
             1,
         ),
         (
-            "and deferred when that has been enough",
-            "known SERVING; call 1 2; back 1.0 full; back 1.1 full; back 1.2 full",
+            "a request is deferred after the most attempts",
+            "known SERVING; request 1 2; finish 1.0 full; finish 1.1 full; finish 1.2 full",
             "answer",
             "deferred",
             0,
         ),
         (
-            "who has left gets nothing",
-            "known SERVING; call 1 2; left 1",
+            "the attempt of a client that has left is recalled",
+            "known SERVING; request 1 2; leave 1",
             "close 1.0",
             "-",
             0,
         ),
         (
-            "also if the result comes after all",
-            "known SERVING; call 1 2; left 1; back 1.0 done",
+            "a result for a client that has left is ignored",
+            "known SERVING; request 1 2; leave 1; finish 1.0 done",
             "",
             "-",
             0,
         ),
         (
-            "the first to start is kept",
-            "known SERVING SERVING; call 1 0; in 0.3; start 1.1",
+            "of parallel attempts the first to start is kept",
+            "known SERVING SERVING; request 1 0; wait 0.3; start 1.1",
             "close 1.0",
             "-",
             1,
         ),
         (
-            "what is closed has had its outcome",
-            "known SERVING SERVING; call 1 0; in 0.3; start 1.1; back 1.0 done",
+            "the outcome of a recalled attempt is ignored",
+            "known SERVING SERVING; request 1 0; wait 0.3; start 1.1; finish 1.0 done",
             "",
             "-",
             1,
         ),
         (
-            "no start is believed of what is closed",
-            "known SERVING; call 1 2; left 1; start 1.0",
+            "the start of a recalled attempt is ignored",
+            "known SERVING; request 1 2; leave 1; start 1.0",
             "",
             "-",
             0,
         ),
         (
-            "an answer is due at the limit",
-            "known SERVING; call 1 2; in 3",
+            "a request is answered at its hard limit",
+            "known SERVING; request 1 2; wait 3",
             "answer, close 1.0, watch 7",
             "aborted",
             0,
         ),
         (
-            "waiting work is deferred in time",
-            "known DRAINING; call 1 2; in 0.5",
+            "a waiting request is deferred at its promised turnaround",
+            "known DRAINING; request 1 2; wait 0.5",
             "answer, watch 7",
             "deferred",
             0,
         ),
         (
-            "a draining worker gets nothing new",
-            "known SERVING; list DRAINING; call 1 0",
+            "a draining worker gets no new request",
+            "known SERVING; list DRAINING; request 1 0",
             "",
             "-",
             1,
         ),
         (
-            "a deleted worker gets nothing new",
-            "known SERVING; change DELETED; call 1 0",
+            "a deleted worker gets no new request",
+            "known SERVING; change DELETED; request 1 0",
             "",
             "-",
             1,
         ),
         (
-            "a state we don't know is no invitation",
-            "known RESTING; call 1 0",
+            "a worker in an unknown state gets no request",
+            "known RESTING; request 1 0",
             "",
             "-",
             1,
         ),
         (
-            "a new list is followed",
-            "known DRAINING; call 1 0; list SERVING",
+            "a request that waits is sent to a newly listed worker",
+            "known DRAINING; request 1 0; list SERVING",
             "send 1.0 7001",
             "-",
             1,
         ),
         (
-            "the list is watched from where it was",
-            "known SERVING; in 10",
+            "the list is watched from the known version on",
+            "known SERVING; wait 10",
             "watch 7",
             "",
             0,
         ),
         (
-            "and again after a failure",
-            "known SERVING; in 10; list SERVING; lost; in 10",
+            "the list is watched again after a failure",
+            "known SERVING; wait 10; list SERVING; list-failed; wait 10",
             "watch 8",
             "",
             0,
         ),
         (
-            "work for a worker without an address never left",
-            "known NOWHERE; call 1 2",
+            "a request is never sent to a worker without an address",
+            "known NOWHERE; request 1 2",
             "answer",
             "deferred",
             0,
         ),
         (
-            "with nothing to spare work is deferred at once",
-            "known SERVING SERVING SERVING; call 1 2; call 2 2; call 3 2",
+            "beyond the most attempts in flight a request is deferred at once",
+            "known SERVING SERVING SERVING; request 1 2; request 2 2; request 3 2",
             "answer",
             "- - deferred",
             2,
         ),
         (
-            "an id that is open is refused, the first kept",
-            "known SERVING; call 1 2; call 2 2 1; back 1.0 done; call 3 0 1",
+            "the id of an open request is refused, and of an answered one",
+            "known SERVING; request 1 2; request 2 2 1; finish 1.0 done; request 3 0 1",
             "answer",
             "r repeated repeated",
             0,
         ),
         (
-            "also if its client has left",
-            "known SERVING; call 1 2; left 1; call 2 2 1",
+            "the id of an open request is refused, also if its client has left",
+            "known SERVING; request 1 2; leave 1; request 2 2 1",
             "answer",
             "- repeated",
             0,
         ),
         (
-            "until its client would have given up",
-            "known SERVING; call 1 2; back 1.0 done; in 3; call 2 2 1",
+            "an id can be used again after the hard limit",
+            "known SERVING; request 1 2; finish 1.0 done; wait 3; request 2 2 1",
             "send 2.0 7001",
             "r -",
             1,
         ),
         (
-            "the last call answers all that is held",
-            "known SERVING; call 1 2; call 2 2; last",
+            "at the drain deadline all open requests are answered",
+            "known SERVING; request 1 2; request 2 2; drain-deadline",
             "answer, close 1.0, answer",
             "aborted deferred",
             0,
         ),
         (
-            "also what is out, if a repeat is harmless",
-            "known SERVING; call 1 0; last",
+            "at the drain deadline an idempotent request in flight is deferred",
+            "known SERVING; request 1 0; drain-deadline",
             "answer, close 1.0",
             "deferred",
             0,
         ),
     ];
-    for (shown, script, acts, answers, held) in cases {
-        let mut bench = bench(2);
+    for (case, script, actions, answers, open_requests) in cases {
+        let mut test = reducer_with(2);
         let last = script
             .split(';')
-            .map(|step| bench.step(step))
+            .map(|step| test.step(step))
             .last()
             .unwrap();
         let mut last: Vec<&str> = last.split(", ").collect();
-        let mut acts: Vec<&str> = acts.split(", ").collect();
+        let mut actions: Vec<&str> = actions.split(", ").collect();
         last.sort_unstable();
-        acts.sort_unstable();
-        assert_eq!(last, acts, "{shown}");
-        assert_eq!(bench.answers(), answers, "{shown}");
-        assert_eq!(bench.reducer.held_count(), held, "{shown}");
+        actions.sort_unstable();
+        assert_eq!(last, actions, "{case}");
+        assert_eq!(test.answers(), answers, "{case}");
+        assert_eq!(test.reducer.held_count(), open_requests, "{case}");
     }
 }
 
-/// An order may be written long after it was given: what has happened since takes it back, as far as it is not written.
+/// The bytes of an order may be written long after the decision. If the worker or the request has changed since,
+/// the order is cancelled, unless it is already written.
 #[test]
-fn an_order_is_taken_back() {
-    for (shown, cancel, script, taken_back) in [
-        ("out", true, "known SERVING; call 1 2", ""),
+fn an_outdated_order_is_cancelled() {
+    for (case, may_cancel, script, expected) in [
+        ("nothing changes", true, "known SERVING; request 1 2", ""),
         (
             "its worker drains",
             true,
-            "known SERVING; call 1 2; change DRAINING",
+            "known SERVING; request 1 2; change DRAINING",
             "1.0",
         ),
         (
             "its worker is gone",
             true,
-            "known SERVING; call 1 2; change DELETED",
+            "known SERVING; request 1 2; change DELETED",
             "1.0",
         ),
         (
-            "the whole list leaves it out",
+            "its worker is missing from the full list",
             true,
-            "known SERVING; call 1 2; list",
+            "known SERVING; request 1 2; list",
             "1.0",
         ),
         (
-            "it drains no more",
+            "its worker drains and then serves again",
             true,
-            "known SERVING; call 1 2; change DRAINING; change SERVING",
+            "known SERVING; request 1 2; change DRAINING; change SERVING",
             "1.0",
         ),
         (
-            "it has started anew",
+            "its worker has restarted",
             true,
-            "known SERVING; call 1 2; change FRESH",
+            "known SERVING; request 1 2; change FRESH",
             "1.0",
         ),
         (
-            "another one came",
+            "another worker is listed",
             true,
-            "known SERVING; call 1 2; change SERVING FRESH",
+            "known SERVING; request 1 2; change SERVING FRESH",
             "",
         ),
         (
             "the list failed",
             true,
-            "known SERVING; call 1 2; lost; moved",
+            "known SERVING; request 1 2; list-failed; list-moved",
             "",
         ),
         (
-            "given after it",
+            "the worker drained before the order",
             true,
-            "known DRAINING; call 1 2; list SERVING",
+            "known DRAINING; request 1 2; list SERVING",
             "",
         ),
         (
             "its client has left",
             false,
-            "known SERVING; call 1 2; left 1",
+            "known SERVING; request 1 2; leave 1",
             "1.0",
         ),
         (
-            "its client has given up",
+            "its hard limit has passed",
             false,
-            "known SERVING; call 1 2; in 3",
+            "known SERVING; request 1 2; wait 3",
             "1.0",
         ),
         (
-            "another's client has left",
+            "the client of one of two requests has left",
             false,
-            "known SERVING SERVING; call 1 2; call 2 2; left 1",
+            "known SERVING SERVING; request 1 2; request 2 2; leave 1",
             "1.0",
         ),
         (
-            "the last call",
+            "the drain deadline",
             false,
-            "known SERVING; call 1 2; last",
+            "known SERVING; request 1 2; drain-deadline",
             "1.0",
         ),
         (
-            "it waits again",
+            "the attempt failed and the request waits again",
             false,
-            "known SERVING; call 1 0; back 1.0 down",
+            "known SERVING; request 1 0; finish 1.0 no-connection",
             "",
         ),
     ] {
         let config = include_str!("../../../examples/config.json");
-        let config = config.replace("\"may_cancel\": true", &format!("\"may_cancel\": {cancel}"));
-        let mut bench = bench_of(8, &config);
-        script.split(';').for_each(|step| drop(bench.step(step)));
-        let orders = bench
-            .orders
+        let config = config.replace(
+            "\"may_cancel\": true",
+            &format!("\"may_cancel\": {may_cancel}"),
+        );
+        let mut test = reducer_from(8, &config);
+        script.split(';').for_each(|step| drop(test.step(step)));
+        let requests = test
+            .requests
             .iter()
-            .filter(|order| order.withdrawn.is_cancelled());
-        let said: Vec<String> = orders
-            .map(|order| format!("{}.{}", order.attempt_id.0, order.attempt_id.1))
+            .filter(|request| request.withdrawn.is_cancelled());
+        let cancelled: Vec<String> = requests
+            .map(|request| format!("{}.{}", request.attempt_id.0, request.attempt_id.1))
             .collect();
-        assert_eq!(said.join(" "), taken_back, "{shown}");
+        assert_eq!(cancelled.join(" "), expected, "{case}");
     }
 }
 
-/// Without a version of a list that was had from where it is asked, all of it is asked for.
+/// A watch starts from the last version received from this list service, or, if there is none, from the full list.
 #[test]
-fn a_list_is_asked_for_from_the_version_that_was_had_there() {
-    let failed = |bench: &mut Bench| {
-        bench.step("lost");
-        bench.step("in 20")
+fn a_watch_starts_from_the_version_of_the_same_list_service() {
+    let fail_and_wait = |test: &mut TestReducer| {
+        test.step("list-failed");
+        test.step("wait 20")
     };
-    for (script, asked) in [
+    for (script, expected) in [
         (&["known SERVING"][..], "watch 7"),
         (&["known SERVING", "change DRAINING"], "watch 9"),
-        (&["began"], "watch all"),
-        (&["began", "list SERVING"], "watch 8"),
-        (&["known SERVING", "moved"], "watch all"),
-        (&["known SERVING", "moved", "list SERVING"], "watch 8"),
+        (&["begin"], "watch all"),
+        (&["begin", "list SERVING"], "watch 8"),
+        (&["known SERVING", "list-moved"], "watch all"),
+        (&["known SERVING", "list-moved", "list SERVING"], "watch 8"),
     ] {
-        let mut bench = bench(64);
-        script.iter().for_each(|step| drop(bench.step(step)));
-        assert!(failed(&mut bench).contains(asked), "{script:?}");
+        let mut test = reducer_with(64);
+        script.iter().for_each(|step| drop(test.step(step)));
+        assert!(fail_and_wait(&mut test).contains(expected), "{script:?}");
     }
-    let mut bench = bench(64);
-    bench.step("known SERVING");
-    assert_eq!(bench.step("moved"), "watch all", "at once");
+    let mut test = reducer_with(64);
+    test.step("known SERVING");
+    assert_eq!(test.step("list-moved"), "watch all", "at once");
 }
 
-/// Work keeps the terms that it came with, whether it waits or is out, and new work has the new ones.
+/// When the idempotency of a project type changes, requests that wait or are in flight keep the one they arrived
+/// with, and new requests have the new one.
 #[test]
-fn each_effect_becomes_each_other() {
-    // What becomes of work whose one attempt may have run: it goes again, or is aborted.
-    let effects = [
-        ("rerunnable", "send 1.1", "-"),
-        ("receipted", "send 1.1", "-"),
-        ("exclusive", "answer", "aborted"),
+fn open_requests_keep_their_idempotency() {
+    // What follows if the only attempt of a request may have run: it is retried, or the request is aborted.
+    let kinds = [
+        ("idempotent", "send 1.1", "-"),
+        ("deduplicated", "send 1.1", "-"),
+        ("non-idempotent", "answer", "aborted"),
     ];
-    for (old, does, answers) in effects {
-        for (new, does_then, answers_then) in effects {
-            let shown = format!("{old} becomes {new}");
-            let play = |script: &str, acts: &str, answers: &str| {
-                let mut bench = bench(8);
+    for (old, old_actions, old_answers) in kinds {
+        for (new, new_actions, new_answers) in kinds {
+            let case = format!("{old} becomes {new}");
+            let run_script = |script: &str, actions: &str, answers: &str| {
+                let mut test = reducer_with(8);
                 let last = script
                     .split(';')
-                    .map(|step| bench.step(step))
+                    .map(|step| test.step(step))
                     .last()
                     .unwrap();
-                assert!(last.starts_with(acts), "{shown}: {script}: {last}");
-                assert_eq!(bench.answers(), answers, "{shown}: {script}");
+                assert!(last.starts_with(actions), "{case}: {script}: {last}");
+                assert_eq!(test.answers(), answers, "{case}: {script}");
             };
-            let (was, is) = (format!("retune 3 w={old}"), format!("retune 3 w={new}"));
-            play(
-                &format!("known SERVING; {was}; call 1 w; {is}; back 1.0 dropped"),
-                does,
-                answers,
+            let (set_old, set_new) = (
+                format!("reconfigure 3 w={old}"),
+                format!("reconfigure 3 w={new}"),
+            );
+            run_script(
+                &format!("known SERVING; {set_old}; request 1 w; {set_new}; finish 1.0 dropped"),
+                old_actions,
+                old_answers,
             );
-            play(
-                &format!("known SERVING; {was}; {is}; call 1 w; back 1.0 dropped"),
-                does_then,
-                answers_then,
+            run_script(
+                &format!("known SERVING; {set_old}; {set_new}; request 1 w; finish 1.0 dropped"),
+                new_actions,
+                new_answers,
             );
-            // It waited while the terms changed, and was sent under its own.
-            let waits =
-                format!("known DRAINING; {was}; call 1 w; {is}; list SERVING; back 1.0 dropped");
-            play(&waits, does, answers);
-            play(
-                &format!("known SERVING; {was}; call 1 w; {is}; back 1.0 done"),
+            // It waits while the idempotency changes.
+            let waiting = format!(
+                "known DRAINING; {set_old}; request 1 w; {set_new}; list SERVING; finish 1.0 dropped"
+            );
+            run_script(&waiting, old_actions, old_answers);
+            run_script(
+                &format!("known SERVING; {set_old}; request 1 w; {set_new}; finish 1.0 done"),
                 "answer",
                 "r",
             );
-            // Dropped, and back under its name: held work knows neither.
-            let back =
-                format!("known SERVING; {was}; call 1 w; retune 3 v={new}; {is}; back 1.0 dropped");
-            play(&back, does, answers);
+            // The project type is removed, and added again under its name.
+            let added_again = format!(
+                "known SERVING; {set_old}; request 1 w; reconfigure 3 v={new}; {set_new}; finish 1.0 dropped"
+            );
+            run_script(&added_again, old_actions, old_answers);
         }
     }
 }
 
 #[test]
-fn terms_change_for_what_comes_then() {
+fn changed_terms() {
     let cases = [
         (
-            "fewer attempts, also for what is here",
-            "retune 1 w=rerunnable; call 1 w; back 1.0 dropped",
+            "fewer attempts, set before the request",
+            "reconfigure 1 w=idempotent; request 1 w; finish 1.0 dropped",
             "answer",
             "deferred",
         ),
         (
-            "more, but not for what was here",
-            "retune 1 w=rerunnable; call 1 w; retune 3 w=rerunnable; back 1.0 dropped",
+            "more attempts, set after the request",
+            "reconfigure 1 w=idempotent; request 1 w; reconfigure 3 w=idempotent; finish 1.0 dropped",
             "answer",
             "deferred",
         ),
         (
-            "more, for what comes",
-            "retune 1 w=rerunnable; retune 3 w=rerunnable; call 1 w; back 1.0 dropped",
+            "more attempts, set before the request",
+            "reconfigure 1 w=idempotent; reconfigure 3 w=idempotent; request 1 w; finish 1.0 dropped",
             "send 1.1",
             "-",
         ),
         (
-            "another order moves no one",
-            "retune 3 v=rerunnable w=exclusive; call 1 w; retune 3 w=exclusive v=rerunnable; call 2 v; back 1.0 dropped",
+            "another order of the project types",
+            "reconfigure 3 v=idempotent w=non-idempotent; request 1 w; reconfigure 3 w=non-idempotent v=idempotent; request 2 v; finish 1.0 dropped",
             "answer",
             "aborted -",
         ),
     ];
-    for (shown, script, acts, answers) in cases {
-        let mut bench = bench(8);
-        bench.step("known SERVING SERVING");
+    for (case, script, actions, answers) in cases {
+        let mut test = reducer_with(8);
+        test.step("known SERVING SERVING");
         let last = script
             .split(';')
-            .map(|step| bench.step(step))
+            .map(|step| test.step(step))
             .last()
             .unwrap();
-        assert!(last.starts_with(acts), "{shown}: {last}");
-        assert_eq!(bench.answers(), answers, "{shown}");
+        assert!(last.starts_with(actions), "{case}: {last}");
+        assert_eq!(test.answers(), answers, "{case}");
     }
 }
 
-/// As many files as one likes, with work held from each: what is there is served, and what is too much changes nothing.
+/// A thousand reloads, with an open request from each: a reload that would need too many project type numbers is
+/// rejected, and the numbers are free again when the requests are answered.
 #[test]
-fn changes_without_end() {
-    let mut bench = bench(1000);
-    bench.step("known DRAINING");
+fn many_reloads() {
+    let mut test = reducer_with(1000);
+    test.step("known DRAINING");
     for n in 0..1000 {
-        let effect = ["rerunnable", "exclusive"][n % 2];
+        let idempotency = ["idempotent", "non-idempotent"][n % 2];
         assert_eq!(
-            bench.step(&format!("retune 3 w={effect} v{n}=exclusive")),
+            test.step(&format!(
+                "reconfigure 3 w={idempotency} v{n}=non-idempotent"
+            )),
             "",
-            "nothing is held"
+            "rejected without open requests"
         );
     }
-    let number = bench.number("w");
-    let refused = (0..1000).map(|n| {
-        bench.step(&format!("call {} w", n + 1));
-        bench.step(&format!(
-            "retune 3 w={}",
-            ["exclusive", "rerunnable"][n % 2]
+    let number = test.number("w");
+    let rejected = (0..1000).map(|n| {
+        test.step(&format!("request {} w", n + 1));
+        test.step(&format!(
+            "reconfigure 3 w={}",
+            ["non-idempotent", "idempotent"][n % 2]
         ))
     });
-    let refused = refused.filter(|why| !why.is_empty()).count();
+    let rejected = rejected.filter(|why| !why.is_empty()).count();
     assert!(
-        refused > 0 && number < 8,
-        "{refused} refused, number {number}"
+        rejected > 0 && number < 8,
+        "{rejected} rejected, number {number}"
     );
-    let held = bench.number("w");
-    assert!(held < 256, "{held}");
-    bench.step("in 10");
-    assert_eq!(bench.reducer.held_count(), 0);
+    let highest = test.number("w");
+    assert!(highest < 256, "{highest}");
+    test.step("wait 10");
+    assert_eq!(test.reducer.held_count(), 0);
     assert_eq!(
-        bench.step("retune 3 w=receipted u=exclusive"),
+        test.step("reconfigure 3 w=deduplicated u=non-idempotent"),
         "",
-        "all is over"
+        "rejected after all requests were answered"
     );
-    bench.step("list SERVING");
-    assert!(bench.step("call 2000 u").starts_with("send 2000.0"));
+    test.step("list SERVING");
+    assert!(test.step("request 2000 u").starts_with("send 2000.0"));
 }
 
 #[test]
-fn a_worker_has_one_number_everywhere() {
-    // The schedulers' shared order of the workers hangs on it, so it must not change between versions.
+fn worker_ids_are_stable() {
+    // All schedulers sort the workers by these ids, so they must not change between versions.
     assert_eq!(worker_id("s-5be2a07c"), 0x23f1fdc2d06c);
     assert_ne!(worker_id("s-5be2a07c"), worker_id("s-5be2a07d"));
 }
