--- a/crates/mintlb-scheduler/src/decide.rs
+++ b/crates/mintlb-scheduler/src/decide.rs
@@ -5,8 +5,8 @@
 //!
 //! A work unit is charged to its customer's share ([`FairShares`]), waits in one of the [`Queues`], and is sent to a
 //! worker of the [`Fleet`] with headroom, as far as the [`RetryPolicy`] permits. `dispatch` applies the max-pressure
-//! rule: the workers with headroom are served in order of their speed, each from the queue with the highest pressure,
-//! which is weight x service rate x length.
+//! rule: the workers with headroom are served in order of their rank, which is headroom per second of start delay and
+//! run time, each from the queue with the highest pressure, which is weight x service rate x length.
 //!
 //! Short names in this file: `w` is a worker, `wu` a work unit and `t` a project type.
 
@@ -24,16 +24,17 @@
 use std::rc::{Rc, Weak};
 
 enum Timer {
-    Deadline(Weak<WorkUnit>),     // The client of the work unit gives up.
-    QueueTimeout(Weak<WorkUnit>), // The work unit can no longer complete in time from the queue.
-    StartOverdue(Weak<Attempt>),  // The attempt should have started.
+    Deadline(Weak<WorkUnit>),     // The client of the work unit stops waiting.
+    QueueTimeout(Weak<WorkUnit>), // The scheduler gives up the work unit if it is still queued.
+    StartOverdue(Weak<Attempt>),  // The attempt should have started by now.
     RequestList,
     SendPeerMessage,
     Redispatch, // Periodic, for headroom that appears without an event: trials of suspects, cold budgets, peer messages.
 }
 
 /// Customers' shares: work beyond its customer's share waits in a queue of lower weight (`excess_credit`). A share is
-/// the customer's fraction of all quotas, and applies to this scheduler's own work, as that of others is not known.
+/// the customer's fraction of the sum of all quotas (work units per second), and applies to this scheduler's own work,
+/// as that of others is not known: each arrival of a customer's work adds `fraction` tokens to every customer.
 pub struct FairShares {
     fractions: Vec<f64>,
     tokens: Vec<f64>, // Token bucket of each customer: work units that it may still send within its share.
@@ -73,8 +74,10 @@
     run_times: Vec<f64>, // Smoothed run time of each project type over all workers, in seconds.
 }
 
-const MAX_SCANNED: usize = 8; // Work units examined in a queue, so that one which may not run does not block it.
-/// Until a run time is known, this share of the hard limit or the promised turnaround is assumed, whichever is longer.
+/// Work units of a queue that are checked against a worker, of those that the host permits there now. There are several
+/// so that one which may not run there does not block the queue.
+const MAX_CANDIDATES: usize = 8;
+/// Until a run time is known, the longer of the promised turnaround and this share of the hard limit is assumed.
 const INITIAL_RUN_TIME_SHARE: f64 = 1.0 / 16.0;
 
 impl Queues {
@@ -113,16 +116,17 @@
         }
     }
 
-    /// When a queued work unit is given up: its promised turnaround is over, or the time left is what it takes to run.
+    /// When the scheduler gives up a queued work unit: its promised turnaround is over, or only its run time is left.
     /// If work waited longer, new work would wait behind it, and under overload all of it would be late.
-    fn give_up_at(&self, wu: &WorkUnit) -> f64 {
+    fn queue_timeout_at(&self, wu: &WorkUnit) -> f64 {
         let t = &self.types[wu.project_type];
         let run_time = self.run_times[wu.project_type].min(t.hard_limit / 4.0);
         (wu.arrived_at + t.promised_turnaround).min(wu.deadline - run_time)
     }
 
     /// How long the start of a work unit may be delayed. A turnaround that is stretched by the run time leaves more
-    /// time, and so does credit that is earned late; `INITIAL_RUN_TIME_SHARE` only bounds the divisor here.
+    /// time; the run itself takes one multiple of that. The less credit a late answer loses, the longer the start may
+    /// be delayed; `INITIAL_RUN_TIME_SHARE` only bounds the divisor here, so that the time is at most 16 times as long.
     fn max_delay(&self, project_type: usize) -> f64 {
         let t = &self.types[project_type];
         let in_time = t.promised_turnaround
@@ -131,7 +135,7 @@
     }
 }
 
-/// Rule 2: which work units may be sent again, and to which workers.
+/// Which work units may be sent again, and to which workers: one that may have run, only as its idempotency allows.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RetryPolicy {
     /// Whether a work unit may be in flight at several workers at once.
@@ -231,43 +235,37 @@
     min_turnaround: f64, // Shortest promised turnaround, in seconds.
     workers: WorkerIndex,
     max_slots: f64, // The most slots observed at any worker: running for this scheduler at once, or reported as free.
-    /// Start delays by zone, as a scheduler seldom uses the same worker of a large fleet.
-    zones: BTreeMap<u16, StartDelays>,
+    zones: BTreeMap<u16, StartDelays>, // By zone, as a scheduler seldom uses the same worker of a large fleet.
     unstarted: Vec<Rc<Attempt>>, // Attempts of this scheduler that have not started, at all workers.
-    start_window: f64,           // Limit of the number of unstarted attempts.
+    max_unstarted: f64,          // Limit of the number of unstarted attempts.
     failure_rate: DecayingMean,  // Share of failures among all outcomes.
     trial_intervals: Vec<f64>,   // By project type: seconds between two trials of a suspect.
     last_lost: Vec<f64>, // By project type: send time of the attempt that was last marked as lost.
 }
 
-/// A start is late after twice the zone's shortest start delay plus this share of the shortest promised turnaround.
-const LATE_START_SHARE: f64 = 0.2;
-/// Divisor of the headroom in another zone: 1 + this x the cost of a cross-zone attempt in points.
-const CROSS_ZONE_PENALTY: f64 = 32.0;
+/// A start is overdue after twice the zone's shortest start delay plus this share of the shortest promised turnaround.
+const OVERDUE_START_SHARE: f64 = 0.2;
+const CROSS_ZONE_PENALTY: f64 = 32.0; // Headroom in another zone is divided by 1 + this x `Costs::cross_zone`.
 /// Messages sent by all schedulers together within the shortest promised turnaround.
 const MESSAGES_PER_TURNAROUND: f64 = 128.0;
-/// Schedulers exchange no messages if these would cost this many points or more for each work unit.
-const MAX_MESSAGE_COST: f64 = 1.0 / 64.0;
+const MAX_MESSAGE_COST: f64 = 1.0 / 64.0; // No messages are exchanged that cost this many points or more per work unit.
 const REPORTED_SLOTS_SHARE: f64 = 0.9; // Share of the most free slots reported that counts, as reports are noisy.
-/// Weight, in work units, of the prior (the fleet's usual value) in a worker's run times.
-const PRIOR_WEIGHT: f64 = 4.0;
-/// Memory of a worker's run times in work units, and of a zone's start delays in mean run times.
+const PRIOR_WEIGHT: f64 = 4.0; // Weight, in work units, of the prior (the fleet's usual value) in a worker's run times.
+/// Memory, in two units: of a worker's run times in work units, and of a zone's start delays in mean run times.
 const RUN_TIME_MEMORY: f64 = 16.0;
-/// Beyond this number of schedulers their list requests are spread over more time.
-const LIST_SPREAD_SCHEDULERS: f64 = 16.0;
+const LIST_SPREAD_SCHEDULERS: f64 = 16.0; // Beyond this number, list requests are spread over more time.
 const FLEET_GAIN: f64 = 1.0 / 32.0; // Weight of one work unit in means over many workers.
 const FAILURE_GAIN: f64 = 0.25; // Weight of one outcome in a worker's failure rate.
 /// A worker becomes a suspect if its failure rate exceeds the fleet's median by more than this plus the mean rate.
 const SUSPECT_MARGIN: f64 = 0.2;
-/// Seconds between two trials of a suspect, in multiples of the shortest promised turnaround.
-const TRIAL_TURNAROUNDS: f64 = 12.0;
+const TRIAL_TURNAROUNDS: f64 = 12.0; // Interval of trials of a suspect, in shortest promised turnarounds.
 const MIN_SLOTS: f64 = 2.0; // Slots that each worker is assumed to have at least.
 /// Range of the shortest promised turnaround in seconds; timer intervals are derived from it.
 const TURNAROUND_BOUNDS_S: [f64; 2] = [0.01, 10.0];
-/// Share of the rate allowed by rule 4 that is used, as run times and random choices are uneven.
+/// Share that is used of what a worker may get before it has warmed up, as run times and random choices are uneven.
 const COLD_BUDGET_SHARE: f64 = 1.0 / 3.0;
 const RANK_JITTER: f64 = 0.5; // Random variation of a worker's rank when all schedulers know the same load.
-const MAX_START_WINDOW: f64 = 8.0; // Upper bound of `start_window`.
+const MAX_UNSTARTED: f64 = 8.0; // Upper bound of `max_unstarted`.
 
 impl Fleet {
     pub fn new(
@@ -277,15 +275,15 @@
         costs: Costs,
         types: &[ProjectType],
     ) -> Fleet {
-        let (max_slots, start_window, last_lost) =
-            (MIN_SLOTS, MAX_START_WINDOW, vec![f64::MIN; types.len()]);
+        let (max_slots, max_unstarted, last_lost) =
+            (MIN_SLOTS, MAX_UNSTARTED, vec![f64::MIN; types.len()]);
         let mut fleet = Fleet {
             slow_start,
             zone,
             reports_starts,
             last_lost,
             max_slots,
-            start_window,
+            max_unstarted,
             ..Fleet::default()
         };
         fleet.set_costs(costs);
@@ -329,7 +327,8 @@
     }
 
     /// Applies one entry of the worker list. A worker with a new start time is a new process: what was known of the old
-    /// one no longer holds, nor do the slots held there. `debt` spreads the schedulers' first sends to a cold worker.
+    /// one no longer holds, nor do the slots held there. `debt`, in slots x seconds of run time, is the initial debt of
+    /// its budget: it spreads the schedulers' first sends to a cold worker.
     fn update(&mut self, now: f64, entry: &ListEntry, types: usize, debt: f64, inherited: bool) {
         if let Some(w) = self.workers.get(entry.id).cloned() {
             let same = entry.state == ListState::Ready && w.entry.started_at == entry.started_at;
@@ -343,8 +342,8 @@
                 .workers
                 .mean_concurrency_limit()
                 .with_prior(self.max_slots, f64::MIN_POSITIVE);
-            // What the previous process may have saved up and sent is unknown, so it counts as sent.
-            let spent = if inherited {
+            // The scheduler process that this one replaces may have sent its whole budget, so that counts as sent.
+            let inherited_debt = if inherited {
                 self.cold_rate(now, entry) * self.slow_start.overload_window
             } else {
                 0.0
@@ -353,18 +352,18 @@
                 entry.clone(),
                 concurrency_limit,
                 types,
-                (-debt - spent, now),
+                (-debt - inherited_debt, now),
             )));
         }
     }
 
     /// Expected seconds from send to start at a worker. The last known delay of the worker decays to the mean of its
     /// zone, and that to zero; otherwise one long delay would keep work away for good.
-    fn expected_delay(&self, now: f64, w: &Worker, mean_run: f64) -> f64 {
+    fn expected_delay(&self, now: f64, w: &Worker, mean_run_time: f64) -> f64 {
         if self.shares_load {
-            let excess =
-                (self.slots_held(w, mean_run) + 1.0 - self.max_slots).max(0.0) / self.max_slots;
-            return excess * mean_run * w.slowness.borrow().with_prior(1.0, PRIOR_WEIGHT);
+            let excess = (self.slots_held(w, mean_run_time) + 1.0 - self.max_slots).max(0.0)
+                / self.max_slots;
+            return excess * mean_run_time * w.slowness.borrow().with_prior(1.0, PRIOR_WEIGHT);
         }
         let decay = |duration: f64, since: f64| 1.0 / (1.0 + (now - since) / duration);
         // The delays of other workers do not apply to a cold worker, as its budget keeps its queue short.
@@ -372,11 +371,11 @@
             .zones
             .get(&w.entry.zone)
             .filter(|_| !self.slow_start.is_cold(now, &w.entry));
-        let usual = zone.map_or(0.0, |z| {
-            z.mean.with_prior(0.0, 0.0) * decay(RUN_TIME_MEMORY * mean_run, z.updated_at)
+        let zone_delay = zone.map_or(0.0, |z| {
+            z.mean.with_prior(0.0, 0.0) * decay(RUN_TIME_MEMORY * mean_run_time, z.updated_at)
         });
         let (delay, at) = w.start_delay.get();
-        usual + (delay - usual) * decay(mean_run, at)
+        zone_delay + (delay - zone_delay) * decay(mean_run_time, at)
     }
 
     /// Seconds between two messages of this scheduler to the others.
@@ -385,13 +384,13 @@
     }
 
     /// Slots held at a worker by this scheduler and, as far as reported and not ended since, by the others.
-    fn slots_held(&self, w: &Worker, mean_run: f64) -> f64 {
+    fn slots_held(&self, w: &Worker, mean_run_time: f64) -> f64 {
         w.slots_in_flight.get()
-            + w.peer_slots_total.get() / (1.0 + self.message_interval() / mean_run)
+            + w.peer_slots_total.get() / (1.0 + self.message_interval() / mean_run_time)
     }
 
     /// Further slots that this scheduler may use at a worker now; zero or less is none.
-    fn headroom(&self, now: f64, w: &Worker, mean_run: f64) -> f64 {
+    fn headroom(&self, now: f64, w: &Worker, mean_run_time: f64) -> f64 {
         // Unstarted work of this scheduler shows that the worker's slots are taken, by others or permanently.
         let has_unstarted = self.reports_starts && w.unstarted.get() > 0;
         let is_spent = self.slow_start.is_cold(now, &w.entry) && self.cold_budget(now, w) <= 0.0;
@@ -407,15 +406,16 @@
         } else {
             w.concurrency_limit.get()
         };
-        match self.slots_held(w, mean_run) {
+        match self.slots_held(w, mean_run_time) {
             0.0 => limit.max(1.0),
             slots => (limit - slots).round(),
         }
     }
 
-    /// Rule 4: what this scheduler may still send a cold worker, in slots x usual run time. A token bucket that is
-    /// refilled at `COLD_BUDGET_SHARE` of what the rule allows for the worker's least capacity now. Each send spends
-    /// it, also one that the worker turns away.
+    /// What this scheduler may still send a cold worker, in slots x seconds of run time: until it has warmed up, a
+    /// worker gets only a limited share of its work. A token bucket that is refilled at `COLD_BUDGET_SHARE` of what is
+    /// allowed for the worker's least capacity now. Each send spends slots x the usual run time of its project type,
+    /// also one that the worker turns away.
     fn cold_budget(&self, now: f64, w: &Worker) -> f64 {
         let (left, at) = w.cold_budget.get();
         let rate = self.cold_rate(now, &w.entry);
@@ -432,10 +432,10 @@
             * COLD_BUDGET_SHARE
     }
 
-    /// Whether the number of unstarted attempts allows another. Many schedulers that each leave work
-    /// waiting at full workers would build long queues; the window does for the fleet what `concurrency_limit` does
-    /// for a worker. Attempts unstarted for too long do not count, so that they do not stop all other work.
-    fn has_window(&self, now: f64, queues: &Queues) -> bool {
+    /// Whether the number of unstarted attempts allows another. Many schedulers that each leave work waiting at full
+    /// workers would build long queues; `max_unstarted` does for the fleet what `concurrency_limit` does for a worker.
+    /// Attempts unstarted for longer than `max_delay` do not count, so that they do not stop all other work.
+    fn may_add_unstarted(&self, now: f64, queues: &Queues) -> bool {
         let max_delay = |wu: Rc<WorkUnit>| queues.max_delay(wu.project_type);
         let is_waiting = |a: &&Rc<Attempt>| {
             a.work_unit
@@ -443,39 +443,40 @@
                 .is_some_and(|wu| now - a.sent_at < max_delay(wu))
         };
         let waiting = self.unstarted.iter().filter(is_waiting).count() as f64;
-        !self.reports_starts || waiting < self.start_window
+        !self.reports_starts || waiting < self.max_unstarted
     }
 
-    /// Shrinks the window by up to a quarter on a late start; grows it by a quarter on one in time if half is used.
-    fn adjust_window(&mut self, late: bool, cost: f64) {
-        let growth = if self.unstarted.len() as f64 + 1.0 > self.start_window / 2.0 {
+    /// Shrinks `max_unstarted` by up to a quarter if a start came after `max_delay`; else grows it by a quarter if half
+    /// of it is used.
+    fn adjust_max_unstarted(&mut self, late: bool, cost: f64) {
+        let growth = if self.unstarted.len() as f64 + 1.0 > self.max_unstarted / 2.0 {
             1.25
         } else {
             1.0
         };
-        self.start_window = (self.start_window * if late { 1.0 - cost / 4.0 } else { growth })
-            .clamp(1.0, MAX_START_WINDOW);
+        self.max_unstarted = (self.max_unstarted * if late { 1.0 - cost / 4.0 } else { growth })
+            .clamp(1.0, MAX_UNSTARTED);
     }
 
-    fn record_send(&mut self, now: f64, attempt: &Rc<Attempt>, wu: &WorkUnit, usual: f64) {
+    fn record_send(&mut self, now: f64, attempt: &Rc<Attempt>, wu: &WorkUnit, run_time: f64) {
         let w = &attempt.worker;
         wu.attempts.borrow_mut().push(attempt.clone());
         self.unstarted.push(attempt.clone());
         self.workers.track(w);
         w.health.borrow_mut()[wu.project_type].next_trial =
             now + self.trial_intervals[wu.project_type];
-        w.record_send(wu.slots, usual);
+        w.record_send(wu.slots, run_time);
         self.peers.record_change(w, self.shares_load);
     }
 
-    /// Start delay in seconds beyond which the worker's slots were taken when the work was sent.
-    fn late_after(&self, w: &Worker) -> f64 {
+    /// Start delay in seconds beyond which the worker's slots are assumed to have been taken when the work was sent.
+    fn overdue_after(&self, w: &Worker) -> f64 {
         self.zones.get(&w.entry.zone).map_or(0.0, |z| z.min * 2.0)
-            + LATE_START_SHARE * self.min_turnaround
+            + OVERDUE_START_SHARE * self.min_turnaround
     }
 
-    /// Marks non-idempotent work as lost that has not started in time: the worker, or the connection to it, may swallow
-    /// work. It must not keep other work from that worker for as long as its client waits.
+    /// Marks non-idempotent work as lost that has not started in time: the worker, or the connection to it, may lose
+    /// work without an error. Lost work must not keep other work from that worker for as long as its client waits.
     fn mark_lost(&mut self, host: &mut dyn Host, now: f64, attempt: &Attempt, wu: &WorkUnit) {
         attempt.mark_lost(wu.slots);
         self.peers.record_change(&attempt.worker, self.shares_load);
@@ -489,7 +490,7 @@
         let w = &attempt.worker;
         let delay = now - attempt.sent_at;
         w.record_start_delay(now, delay);
-        if delay > self.late_after(w) {
+        if delay > self.overdue_after(w) {
             w.halve_concurrency_limit();
         }
         self.zones
@@ -510,7 +511,7 @@
     /// Discards what was learned of workers when all are gone. The failure rate stays, as it depends on the work.
     fn forget(&mut self) {
         self.zones.clear();
-        self.start_window = MAX_START_WINDOW;
+        self.max_unstarted = MAX_UNSTARTED;
     }
 
     /// Releases the slots of an attempt, and updates the concurrency limit and the failure rate of its worker.
@@ -583,14 +584,17 @@
 }
 
 /// Requests for the worker list: one after the start, and the next when one has failed. Delays are random, and grow
-/// with the number of failures.
+/// with the number of failures. After a success nothing is requested: changes arrive as further calls of
+/// [`Scheduler::on_list_update`], until one reports a failure.
 #[derive(Default)]
 pub struct ListPolling {
-    /// Whether the list has to be requested; otherwise the host delivers it by itself.
+    /// Whether the scheduler has to request the list; otherwise the host delivers it without a request.
     pub on_request: bool,
     /// The next request follows the previous one within this many seconds, however that ends.
     pub max_interval: f64,
-    /// Consecutive failures. It is -1 after a list from the service, so that one failure after that is retried soon.
+    /// Consecutive failures, counted from -1 after a list from the service and from 0 if there was none yet. At -1 the
+    /// retry follows within a sixth of `max_interval`. A failure at 1 is logged: the third after a list, else the
+    /// second.
     pub failures: i32,
     /// Time of the last request; `None` while the next one is scheduled.
     pub last_request: Option<f64>,
@@ -610,12 +614,13 @@
 }
 
 impl Scheduler {
+    /// A scheduler made of these parts.
     pub fn new(
         rng: Rng,
-        stages: (FairShares, Queues, RetryPolicy, Fleet),
+        parts: (FairShares, Queues, RetryPolicy, Fleet),
         polling: ListPolling,
     ) -> Scheduler {
-        let ((shares, queues, retry, fleet), timers) = (stages, TimerQueue::default());
+        let ((shares, queues, retry, fleet), timers) = (parts, TimerQueue::default());
         Scheduler {
             rng,
             timers,
@@ -662,6 +667,7 @@
         );
     }
 
+    /// The worker list has changed, or a request for it has failed.
     pub fn on_list_update(&mut self, host: &mut dyn Host, now: f64, update: ListUpdate) {
         let Some((entries, is_full)) = update.entries() else {
             (self.polling.failures == 1)
@@ -682,7 +688,7 @@
             self.fleet.forget();
         }
         for entry in gone.iter().chain(entries) {
-            let debt = self.rng.uniform() * self.queues.mean_run();
+            let debt = self.rng.uniform() * self.queues.mean_run_time();
             self.fleet.update(
                 now,
                 entry,
@@ -705,10 +711,12 @@
         self.dispatch_and_arm(host, now);
     }
 
+    /// A work unit has arrived; it is queued, and sent at once if a worker has headroom for it.
     pub fn on_arrival(&mut self, host: &mut dyn Host, now: f64, wu: &Rc<WorkUnit>) {
         self.shares.charge(wu);
         wu.max_attempts.set(self.retry.max_attempts);
-        // An untracked worker is only drawn at random, so that work that prefers it would hardly reach it.
+        // Untracked workers become candidates by a random draw only. The one that the host names is tracked, so that it
+        // is always a candidate; whether the work may go elsewhere is for `Host::permits` to say.
         if let Some(preferred) = host.preferred_worker(wu) {
             self.fleet.workers.track_by_id(preferred);
         }
@@ -716,7 +724,7 @@
         self.timers
             .add(wu.deadline, Timer::Deadline(Rc::downgrade(wu)));
         self.timers.add(
-            self.queues.give_up_at(wu),
+            self.queues.queue_timeout_at(wu),
             Timer::QueueTimeout(Rc::downgrade(wu)),
         );
         self.dispatch_and_arm(host, now);
@@ -729,14 +737,15 @@
         if let Some(wu) = attempt.work_unit.upgrade().filter(|_| is_new) {
             attempt.worker.health.borrow_mut()[wu.project_type].last_start = now;
             self.fleet.record_start(now, attempt, wu.slots);
-            let is_late = now - attempt.sent_at > self.queues.max_delay(wu.project_type);
-            self.fleet.adjust_window(
-                is_late,
+            let is_too_late = now - attempt.sent_at > self.queues.max_delay(wu.project_type);
+            self.fleet.adjust_max_unstarted(
+                is_too_late,
                 1.0 - self.queues.types[wu.project_type].late_credit,
             );
             self.queues.queue_of(&wu).remove(&wu);
             let attempts = wu.attempts.borrow();
-            // Another that runs is kept instead: two that start in one batch of events must not cancel each other.
+            // If another already runs, keep that one: else, of two starts reported together, each would cancel the
+            // other.
             let is_running =
                 |a: &&Rc<Attempt>| a.outcome.get().is_none() && a.started_at.get().is_some();
             let first = attempts
@@ -769,15 +778,15 @@
         self.fleet.record_outcome(host, now, attempt, &wu, outcome);
         if outcome == Outcome::Completed {
             let run_time = attempt.run_time(now);
-            let usual = &mut self.queues.run_times[wu.project_type];
-            *usual += (run_time - *usual) * FLEET_GAIN;
+            let usual_run_time = &mut self.queues.run_times[wu.project_type];
+            *usual_run_time += (run_time - *usual_run_time) * FLEET_GAIN;
             attempt.worker.run_times.borrow_mut()[wu.project_type]
                 .add(run_time, 1.0 - 1.0 / RUN_TIME_MEMORY);
             attempt
                 .worker
                 .slowness
                 .borrow_mut()
-                .add(run_time / *usual, 1.0 - FLEET_GAIN);
+                .add(run_time / *usual_run_time, 1.0 - FLEET_GAIN);
             attempt.worker.slowness_at.set(now);
         }
         if ended {
@@ -789,10 +798,10 @@
         self.dispatch_and_arm(host, now);
     }
 
-    /// Puts a work unit whose attempt has ended without completing it at the front of its queue, or gives up.
+    /// Puts a work unit whose attempt has ended without completing it at the front of its queue, or gives it up.
     fn requeue(&mut self, host: &mut dyn Host, now: f64, wu: &Rc<WorkUnit>, outcome: Outcome) {
         let idempotency = self.queues.types[wu.project_type].idempotency;
-        let is_over = outcome == Outcome::Moot || now >= self.queues.give_up_at(wu);
+        let is_over = outcome == Outcome::Moot || now >= self.queues.queue_timeout_at(wu);
         if is_over
             || !self
                 .fleet
@@ -806,7 +815,8 @@
         }
     }
 
-    /// Gives the final answer for a work unit now: deferred if a repeat is harmless, else aborted.
+    /// The scheduler gives up a work unit: it gives the final answer now, deferred if a repeat is harmless and the
+    /// deadline has not passed, else aborted.
     pub fn give_up(&mut self, host: &mut dyn Host, now: f64, wu: &Rc<WorkUnit>) {
         if self
             .retry
@@ -829,7 +839,7 @@
         }
     }
 
-    /// A message from another scheduler. Queued work is dispatched again soon, but not for each message.
+    /// A message from another scheduler. It dispatches nothing; queued work waits for `Timer::Redispatch` or an event.
     pub fn on_peer_message(&mut self, now: f64, from: usize, bytes: &[u8]) {
         let is_expected =
             self.fleet.shares_load && (from as f64) < self.fleet.slow_start.scheduler_count;
@@ -877,9 +887,9 @@
         self.dispatch_and_arm(host, now);
     }
 
-    /// Gives up a work unit that is still queued. One that was sent but has not started while it could earn its credit
-    /// is cancelled, if a repeat is harmless: left in the workers' queues by hundreds of schedulers, such work would
-    /// make all work behind it late, too.
+    /// Gives up a work unit that waits in its queue with no attempt in flight. One that was sent but has not started
+    /// while it could earn its credit is cancelled, if a repeat is harmless: left in the workers' queues by hundreds of
+    /// schedulers, such work would make all work behind it late, too.
     fn on_queue_timeout(&mut self, host: &mut dyn Host, now: f64, wu: &Rc<WorkUnit>) {
         let (t, max_delay) = (
             &self.queues.types[wu.project_type],
@@ -897,19 +907,23 @@
             .any(|a| a.outcome.get().is_none() && a.started_at.get().is_some());
         if may_withdraw && !is_running && !wu.ended.get() {
             if now < wu.arrived_at + max_delay - TIMER_TOLERANCE_S {
+                // It was sent and may still start in time: look again when that time is over.
                 self.timers.add(
                     wu.arrived_at + max_delay,
                     Timer::QueueTimeout(Rc::downgrade(wu)),
                 );
             } else if self.retry.is_deferrable(t.idempotency, wu) {
+                // It was sent and has not started in time: giving it up cancels its attempts.
                 return self.give_up(host, now, wu);
             }
         }
+        // If it is queued for another attempt while one is in flight, it waits for that no longer.
         self.queues.queue_of(wu).remove(wu);
     }
 
-    /// An attempt has not started in time: its worker is full with others' work, or silent. Non-idempotent work is
-    /// marked as lost there; other work is queued for a second attempt if there is time left to run it.
+    /// An attempt has not started in time: its worker is full with work of other schedulers, or silent.
+    /// Non-idempotent work is marked as lost there. Other work is queued for a second attempt if there is time left
+    /// to run it, unless some worker has reported its free slots.
     fn on_start_overdue(&mut self, host: &mut dyn Host, now: f64, attempt: Weak<Attempt>) {
         let overdue = attempt
             .upgrade()
@@ -953,16 +967,18 @@
     }
 
     /// The max-pressure rule. Workers with headroom are served in order of headroom / (time to start and run there);
-    /// each gets one work unit at a time, from the queue with the highest pressure that has one which may run there.
+    /// each gets at most one work unit per call, from the queue with the highest pressure that has one which may run
+    /// there. The next event or `Timer::Redispatch` fills headroom that remains.
     fn dispatch(&mut self, host: &mut dyn Host, now: f64) {
-        let mean_run = self.queues.mean_run();
+        let mean_run_time = self.queues.mean_run_time();
         let workers = self.fleet.workers.candidates(&mut self.rng, |w| {
-            self.fleet.headroom(now, w, mean_run) > 0.0
+            self.fleet.headroom(now, w, mean_run_time) > 0.0
         });
-        // The start window does not apply to cold workers: the schedulers' budgets bound the queue of each.
-        let (mut ready, mut is_open) = (Vec::new(), self.fleet.has_window(now, &self.queues));
+        // `max_unstarted` does not apply to cold workers: the schedulers' budgets bound the queue of each.
+        let (mut ready, mut may_add) =
+            (Vec::new(), self.fleet.may_add_unstarted(now, &self.queues));
         for (i, w) in workers.iter().enumerate() {
-            let mut headroom = self.fleet.headroom(now, w, mean_run);
+            let mut headroom = self.fleet.headroom(now, w, mean_run_time);
             if self.fleet.shares_load {
                 // All schedulers know the same load: without jitter one worker would get the work of all.
                 headroom =
@@ -973,27 +989,28 @@
             } else {
                 self.fleet.zone_factor
             };
-            if headroom > 0.0 && (is_open || self.fleet.slow_start.is_cold(now, &w.entry)) {
-                let run_time = w.slowness.borrow().with_prior(1.0, PRIOR_WEIGHT) * mean_run;
-                let speed = headroom / (self.fleet.expected_delay(now, w, mean_run) + run_time);
-                ready.push((speed.to_bits(), self.rng.uniform().to_bits(), i));
+            if headroom > 0.0 && (may_add || self.fleet.slow_start.is_cold(now, &w.entry)) {
+                let run_time = w.slowness.borrow().with_prior(1.0, PRIOR_WEIGHT) * mean_run_time;
+                // The bit patterns of non-negative floats sort like the floats.
+                let rank = headroom / (self.fleet.expected_delay(now, w, mean_run_time) + run_time);
+                ready.push((rank.to_bits(), self.rng.uniform().to_bits(), i));
             }
         }
         ready.sort_unstable_by(|a, b| b.cmp(a));
-        for proven in [true, false] {
+        for is_first in [true, false] {
             ready.retain(|&(_, _, i)| {
                 let may_send = self.queues.has_work()
-                    && (is_open || self.fleet.slow_start.is_cold(now, &workers[i].entry));
-                let is_sent = may_send && self.offer(host, now, &workers[i], proven);
-                is_open &= !is_sent || self.fleet.has_window(now, &self.queues);
+                    && (may_add || self.fleet.slow_start.is_cold(now, &workers[i].entry));
+                let is_sent = may_send && self.offer(host, now, &workers[i], is_first);
+                may_add &= !is_sent || self.fleet.may_add_unstarted(now, &self.queues);
                 !is_sent
             });
         }
     }
 
     /// Sends a work unit to this worker if one may run there; returns whether it did.
-    fn offer(&mut self, host: &mut dyn Host, now: f64, w: &Rc<Worker>, proven: bool) -> bool {
-        let Some(wu) = self.pick(host, now, w, proven) else {
+    fn offer(&mut self, host: &mut dyn Host, now: f64, w: &Rc<Worker>, is_first: bool) -> bool {
+        let Some(wu) = self.pick(host, now, w, is_first) else {
             return false;
         };
         self.queues.queue_of(&wu).remove(&wu);
@@ -1002,39 +1019,38 @@
         self.fleet
             .record_send(now, &attempt, &wu, self.queues.run_times[i]);
         host.send_attempt(&attempt);
-        // Work that may be repeated is sent elsewhere when its start is late, so only non-idempotent work can block a
-        // worker for good.
+        // Work that may be repeated is sent elsewhere when its start is overdue, so only non-idempotent work can block
+        // a worker for good.
         if self.retry.parallel_attempts && self.retry.may_cancel && self.fleet.reports_starts {
             let non_idempotent = self.queues.types[i].idempotency == Idempotency::NonIdempotent;
-            let max_delay = if non_idempotent {
+            let due_in = if non_idempotent {
                 self.queues.max_delay(i)
             } else {
-                self.fleet.late_after(w)
+                self.fleet.overdue_after(w)
             };
-            self.timers.add(
-                now + max_delay,
-                Timer::StartOverdue(Rc::downgrade(&attempt)),
-            );
+            self.timers
+                .add(now + due_in, Timer::StartOverdue(Rc::downgrade(&attempt)));
         }
         true
     }
 
-    /// The work unit for this worker from the queue with the highest pressure that has one which may run there. With
-    /// `proven`, types that are unproven there are left out: non-idempotent ones of which an attempt was lost
-    /// recently, and none has started there since. Without it, only these are considered. Trials of a suspect are in
-    /// both rounds.
-    fn pick(&self, host: &dyn Host, now: f64, w: &Worker, proven: bool) -> Option<Rc<WorkUnit>> {
-        let mean_run = self.queues.mean_run();
-        let free_slots = if w.open_requests.get().is_some() {
+    /// The work unit for this worker from the queue with the highest pressure that has one which may run there. First
+    /// round: all project types except those in doubt at this worker; second round: only those. In doubt is a
+    /// non-idempotent type of which an attempt was recently marked as lost, at any worker, if none of the type has
+    /// started at this worker since that one was sent. Trials of a suspect are in both rounds.
+    fn pick(&self, host: &dyn Host, now: f64, w: &Worker, is_first: bool) -> Option<Rc<WorkUnit>> {
+        let mean_run_time = self.queues.mean_run_time();
+        let headroom = if w.open_requests.get().is_some() {
             f64::MAX
         } else {
-            self.fleet.headroom(now, w, mean_run).max(1.0)
+            self.fleet.headroom(now, w, mean_run_time).max(1.0)
         };
+        // A worker that holds nothing may get a work unit of any number of slots, also of more than its limit.
         let fits =
-            |wu: &WorkUnit| self.fleet.slots_held(w, mean_run) == 0.0 || wu.slots <= free_slots;
+            |wu: &WorkUnit| self.fleet.slots_held(w, mean_run_time) == 0.0 || wu.slots <= headroom;
         let permits = |wu: &WorkUnit| host.permits(wu, w);
         let health = w.health.borrow();
-        let delay = self.fleet.expected_delay(now, w, mean_run);
+        let delay = self.fleet.expected_delay(now, w, mean_run_time);
         let mut best: Option<(f64, &Rc<WorkUnit>)> = None;
         for (i, queue) in self
             .queues
@@ -1045,20 +1061,20 @@
         {
             let t = &self.queues.types[i / 2];
             // The service rate is the inverse of the smoothed run time, with the fleet's mean as prior.
-            let usual =
+            let usual_run_time =
                 self.queues.run_times[i / 2] * w.slowness.borrow().with_prior(1.0, PRIOR_WEIGHT);
             let run_time = w.run_times.borrow()[i / 2]
-                .with_prior(usual, PRIOR_WEIGHT)
+                .with_prior(usual_run_time, PRIOR_WEIGHT)
                 .max(f64::MIN_POSITIVE);
             let pressure = self.queues.weight(i) * queue.len() as f64 / run_time;
             let is_unfit = !w.entry.project_types.contains(i / 2)
                 || t.machine_kind.is_some_and(|k| k != w.entry.machine_kind);
             // No work goes where the expected start delay or the worker's slowness, which decays, would make it late.
-            let fleet_run = self.queues.run_times[i / 2];
-            let tolerance =
-                t.promised_turnaround + (t.turnaround_stretch - 1.0).max(0.0) * fleet_run / 2.0;
-            let decay = 1.0 + (now - w.slowness_at.get()) / mean_run;
-            let is_too_slow = delay + ((run_time - fleet_run) / decay).max(0.0) > tolerance;
+            let fleet_run_time = self.queues.run_times[i / 2];
+            let tolerance = t.promised_turnaround
+                + (t.turnaround_stretch - 1.0).max(0.0) * fleet_run_time / 2.0;
+            let decay = 1.0 + (now - w.slowness_at.get()) / mean_run_time;
+            let is_too_slow = delay + ((run_time - fleet_run_time) / decay).max(0.0) > tolerance;
             let OutlierStatus {
                 suspect,
                 next_trial,
@@ -1066,21 +1082,21 @@
                 ..
             } = health[i / 2];
             let non_idempotent = t.idempotency == Idempotency::NonIdempotent;
-            // Non-idempotent work avoids workers where other types fail; after a loss it prefers proven workers.
+            // Non-idempotent work avoids workers where other types fail, and after a loss those where it is in doubt.
             let is_served = |j: usize| j != i / 2 && self.queues.served[j];
             let is_avoided =
                 non_idempotent && (0..).zip(&*health).any(|(j, s)| s.suspect && is_served(j));
             let lost_at = self.fleet.last_lost[i / 2];
-            let is_unproven = non_idempotent
+            let is_in_doubt = non_idempotent
                 && last_start < lost_at
                 && now < lost_at + self.fleet.trial_intervals[i / 2];
             let is_excluded = is_unfit || is_too_slow || is_avoided || suspect && now < next_trial;
-            let is_in_turn = suspect || proven != is_unproven;
+            let is_in_turn = suspect || is_first != is_in_doubt;
             if is_in_turn && !is_excluded && best.is_none_or(|b| pressure > b.0) {
                 let is_runnable =
                     |wu: &&Rc<WorkUnit>| fits(wu) && self.retry.permits(now, t.idempotency, wu, w);
                 best = queue
-                    .first_permitted(MAX_SCANNED, permits)
+                    .first_permitted(MAX_CANDIDATES, permits)
                     .find(is_runnable)
                     .map(|wu| (pressure, wu))
                     .or(best);
--- a/crates/mintlb-scheduler/src/decide/reconfigure.rs
+++ b/crates/mintlb-scheduler/src/decide/reconfigure.rs
@@ -1,4 +1,5 @@
-//! Changes of the project types while the scheduler runs, access to their queues, and figures of the fleet.
+//! Changes of the settings and project types while the scheduler runs. Also small accessors of the queues (`has_work`,
+//! `queue_of`, `mean_run_time`) and of the fleet (`worker`, `worker_counts`).
 
 use super::{Fleet, Queues, RetryPolicy, Scheduler};
 use crate::{Costs, OutlierStatus, ProjectTypeUpdate, Queue, WorkUnit, Worker};
@@ -14,7 +15,7 @@
     }
 
     /// Mean run time over the project types in service, in seconds.
-    pub(super) fn mean_run(&self) -> f64 {
+    pub(super) fn mean_run_time(&self) -> f64 {
         let served = || {
             self.run_times
                 .iter()
@@ -68,6 +69,7 @@
 }
 
 impl Scheduler {
+    /// The listed worker with this id.
     pub fn worker(&self, id: u64) -> Option<&Rc<Worker>> {
         self.fleet.workers.get(id)
     }
@@ -83,13 +85,13 @@
     }
 
     /// Changes the settings. New work units are of these project types from now on; those that arrived before keep
-    /// theirs.
-    /// `credit` holds `excess_credit` and the longest `Retry-After` in seconds.
+    /// theirs. `excess_credit_and_retry_after` holds the factor of the credit of work beyond its customer's share, and
+    /// the longest `Retry-After` in seconds.
     pub fn reconfigure(
         &mut self,
         types: &[ProjectTypeUpdate],
         retry: RetryPolicy,
-        credit: (f64, f64),
+        excess_credit_and_retry_after: (f64, f64),
         costs: Costs,
     ) {
         self.queues.served.fill(false);
@@ -99,7 +101,7 @@
         }
         self.fleet
             .set_intervals(&self.queues.types, &self.queues.served);
-        (self.queues.excess_credit, self.queues.max_retry_after) = credit;
+        (self.queues.excess_credit, self.queues.max_retry_after) = excess_credit_and_retry_after;
         self.fleet.set_costs(costs);
         self.retry = retry;
     }
--- a/crates/mintlb-scheduler/src/lib.rs
+++ b/crates/mintlb-scheduler/src/lib.rs
@@ -2,7 +2,8 @@
 //!
 //! The program that embeds the scheduler (the dispatcher, `mintlb serve` or the bench adapter) is its host. The host
 //! creates [`WorkUnit`]s, reports events to [`decide::Scheduler`] and carries out what the scheduler asks for through
-//! [`Host`]. All times and durations are in seconds; the host assigns the `id` fields.
+//! [`Host`]. All times and durations are in seconds, times by the clock from which the host takes `now` (in mintlb-core
+//! the Unix time). The host assigns the `id` fields.
 //!
 //! Each send of a work unit to a worker is an [`Attempt`].
 
@@ -49,7 +50,8 @@
     pub late_credit: f64,
     /// Latency target: seconds from arrival to completion.
     pub promised_turnaround: f64,
-    /// The promised turnaround is longer by this multiple of the work unit's own run time.
+    /// The promised turnaround is longer by this multiple of the work unit's own run time. The run itself takes one
+    /// multiple; only the rest is time to wait.
     pub turnaround_stretch: f64,
     /// Longest time that a client may wait, in seconds.
     pub hard_limit: f64,
@@ -67,7 +69,8 @@
     pub project_type: ProjectType,
 }
 
-/// How an attempt ended. The variants' names appear in log lines (`outcome` of `allocation back`).
+/// How an attempt ended. The host logs the variants' names (`outcome` of `allocation back`), and `mintlb count`
+/// reads them there.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Outcome {
     Completed,
@@ -75,14 +78,15 @@
     Error,
     /// The worker turned it away, or the host withdrew it before it was sent completely: it did not run.
     Full,
+    /// The worker did not answer in time: it may have run.
     TimedOut,
     /// No connection to the worker was established: it did not run.
     NoConnection,
     /// The connection was lost after the request was sent: it may have run.
     Dropped,
-    /// Cancelled by the scheduler: it may have run.
+    /// Cancelled by the scheduler through [`Host::cancel`]: it may have run.
     Recalled,
-    /// The host could not send it and a retry is pointless: it did not run.
+    /// The host could not send it and a retry is pointless, so the scheduler gives up its work unit: it did not run.
     Moot,
 }
 
@@ -158,11 +162,13 @@
 #[derive(Clone, Debug)]
 pub struct ListEntry {
     pub id: u64,
+    /// Where it runs; an attempt to a zone other than that of the scheduler costs [`Costs::cross_zone`].
     pub zone: u16,
+    /// Subdivision of its zone; only [`DedupScope::Cell`] depends on it.
     pub cell: u64,
     pub machine_kind: u16,
     pub state: ListState,
-    /// When the process last started; 0 if that was long ago.
+    /// When the process last started, by the clock of `now`; 0 if that was long ago: such a worker is never cold.
     pub started_at: f64,
     pub project_types: ProjectTypeSet,
     /// The worker pulls its work: it has headroom for exactly as much as it asks for.
@@ -177,8 +183,8 @@
     }
 }
 
-/// Slow start of workers that started recently ("cold" workers), rule 4: how much work all schedulers together may send
-/// one.
+/// Slow start: a worker that has just started (a "cold" worker) gets only a limited share of its work until it has
+/// warmed up. This is how much all schedulers together may send one.
 #[derive(Clone, Copy, Default)]
 pub struct SlowStart {
     /// Share of its full capacity that a worker has at its start.
@@ -189,7 +195,8 @@
     pub overload_multiple: f64,
     /// Seconds over which the work sent to a worker is summed.
     pub overload_window: f64,
-    /// Number of schedulers that share the allowance.
+    /// Number of schedulers that share the allowance. It also sets the interval of messages between schedulers and the
+    /// spread of list requests.
     pub scheduler_count: f64,
 }
 
@@ -208,9 +215,10 @@
 /// Costs beside wasted work, in points (the unit of [`ProjectType::credit`]).
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Costs {
-    /// Cost of each attempt to another zone.
+    /// Points charged for each attempt to another zone.
     pub cross_zone: f64,
-    /// Cost of one full peer message for each work unit; `None` if schedulers may not exchange messages.
+    /// Points charged per work unit if one full peer message is sent for each; `None` if schedulers may not exchange
+    /// messages.
     pub peer_message: Option<f64>,
 }
 
@@ -220,9 +228,9 @@
     Changes(&'a [ListEntry]),
     /// The full list: a worker that is not in it is gone.
     Full(&'a [ListEntry]),
-    /// The full list as the previous process last had it; it may be out of date.
+    /// The last full list known before this scheduler process started; it may be out of date.
     Cached(&'a [ListEntry]),
-    /// Like `Cached`, but the previous process still sends work.
+    /// Like `Cached`, but the scheduler process that this one replaces still sends work.
     Inherited(&'a [ListEntry]),
     /// Changed entries of workers that the list service does not name.
     SelfRegistered(&'a [ListEntry]),
@@ -279,8 +287,9 @@
     pub(crate) slowness: RefCell<DecayingMean>,
     /// Smoothed time from send to start, and when it was last updated.
     pub(crate) start_delay: Cell<(f64, f64)>,
-    /// By project type.
+    /// Outlier status by project type.
     pub(crate) health: RefCell<Vec<OutlierStatus>>,
+    /// When `slowness` was last updated.
     pub(crate) slowness_at: Cell<f64>,
     /// The worker is ranked individually: this scheduler has sent it something, or another reported slots there.
     pub(crate) tracked: Cell<bool>,
@@ -296,6 +305,7 @@
     pub(crate) cold_budget: Cell<(f64, f64)>,
     /// The last load report, and when it arrived; 0 if none has.
     pub(crate) report: Cell<(LoadReport, f64)>,
+    /// Slots sent there since the last load report. It is updated, but nothing reads it.
     pub(crate) slots_sent_since_report: Cell<f64>,
     /// For a worker that pulls its work: work units that it has requested beyond those sent to it.
     pub(crate) open_requests: Cell<Option<i64>>,
@@ -330,7 +340,7 @@
         self.0.len()
     }
 
-    /// The first `limit` work units that `permits` accepts; those that have to wait do not hide the others.
+    /// The first `limit` work units that `permits` accepts; those that it refuses do not count.
     pub(crate) fn first_permitted(
         &self,
         limit: usize,
@@ -350,7 +360,7 @@
     /// Slots that it takes up at a worker, at least 1.
     pub slots: f64,
     pub arrived_at: f64,
-    /// When its client gives up.
+    /// When its client stops waiting for the answer.
     pub deadline: f64,
     /// Limit of its attempts, as configured when it arrived.
     pub(crate) max_attempts: Cell<usize>,
@@ -377,6 +387,7 @@
 }
 
 impl WorkUnit {
+    /// A work unit that has just arrived; `time_budget` is the number of seconds from its arrival to its deadline.
     pub fn new(
         id: u64,
         project_type: usize,
@@ -532,7 +543,7 @@
         )
     }
 
-    pub(crate) fn record_send(&self, slots: f64, work: f64) {
+    pub(crate) fn record_send(&self, slots: f64, run_time: f64) {
         self.in_flight.set(self.in_flight.get() + 1);
         self.unstarted.set(self.unstarted.get() + 1);
         self.slots_in_flight.set(self.slots_in_flight.get() + slots);
@@ -542,7 +553,7 @@
             .set(self.open_requests.get().map(|requests| requests - 1));
         self.sent_count.set(self.sent_count.get() + 1);
         let (budget, at) = self.cold_budget.get();
-        self.cold_budget.set((budget - slots * work, at));
+        self.cold_budget.set((budget - slots * run_time, at));
     }
 
     /// Counts an attempt again that was marked as lost and has started after all.
@@ -603,7 +614,8 @@
             .set((self.concurrency_limit.get() / 2.0).max(1.0));
     }
 
-    /// Records a load report. One whose number of free slots is negative or not finite is ignored.
+    /// Records a load report. One whose number of free slots is negative or not finite is ignored. It dispatches
+    /// nothing: the number is used at the worker's next outcome.
     pub fn record_report(&self, now: f64, report: LoadReport) {
         if report.free_slots.is_some_and(|f| f.is_finite() && f >= 0.0) {
             self.report.set((report, now));
@@ -611,11 +623,12 @@
         }
     }
 
-    /// Records that a worker that pulls its work waits for `waiting` work units, and has received `orders` of those
-    /// ever sent to it. The rest are still on their way and count against `waiting`.
-    pub fn record_pull(&self, waiting: u64, orders: u64) {
+    /// Records that a worker that pulls its work waits for `waiting` work units. `received` is how many of all work
+    /// units ever sent to it have arrived there; the others are on their way and count against `waiting`. This
+    /// dispatches nothing: the host calls [`decide::Scheduler::on_timer`] afterwards.
+    pub fn record_pull(&self, waiting: u64, received: u64) {
         self.open_requests.set(Some(
-            waiting as i64 + orders as i64 - self.sent_count.get() as i64,
+            waiting as i64 + received as i64 - self.sent_count.get() as i64,
         ));
     }
 
@@ -627,12 +640,12 @@
     pub(crate) fn release_slots(&self, slots: f64, had_started: bool) {
         self.in_flight.set(self.in_flight.get() - 1);
         // Rounding errors of fractional slots must not leave an idle worker with a remainder.
-        let left = if self.in_flight.get() == 0 { 0.0 } else { 1.0 };
+        let remainder_factor = if self.in_flight.get() == 0 { 0.0 } else { 1.0 };
         self.slots_in_flight
-            .set((self.slots_in_flight.get() - slots) * left);
+            .set((self.slots_in_flight.get() - slots) * remainder_factor);
         if had_started {
             self.slots_running
-                .set((self.slots_running.get() - slots) * left);
+                .set((self.slots_running.get() - slots) * remainder_factor);
         } else {
             self.unstarted.set(self.unstarted.get() - 1);
         }
@@ -650,7 +663,9 @@
     fn permits(&self, _wu: &WorkUnit, _worker: &Worker) -> bool {
         true
     }
-    /// Id of the worker that would serve the work unit best, if the host knows one.
+    /// Id of the worker that would serve the work unit best, if the host knows one; asked when the work unit arrives.
+    /// The scheduler only makes this worker a candidate at each dispatch from then on. A host that keeps work for it
+    /// refuses other workers in `permits`.
     fn preferred_worker(&self, _wu: &WorkUnit) -> Option<u64> {
         None
     }
@@ -663,7 +678,7 @@
     fn defer(&mut self, wu: &WorkUnit, retry_after: f64);
     /// Gives the final answer that leaves open whether the work unit has run.
     fn abort(&mut self, wu: &WorkUnit);
-    /// Requests a load report from a worker.
+    /// Requests a load report from a worker. The scheduler itself never calls it.
     fn probe(&mut self, worker: &Worker);
     /// Requests the worker list from the list service.
     fn request_worker_list(&mut self);
--- a/crates/mintlb-scheduler/src/peers.rs
+++ b/crates/mintlb-scheduler/src/peers.rs
@@ -16,9 +16,9 @@
     changed_workers: Vec<Rc<Worker>>,
     /// Of each other scheduler's last message: when it was sent by its clock, and when it arrived by ours.
     last_messages: BTreeMap<usize, (f64, f64)>,
-    /// Longest time that an attempt may take, in seconds. A slot is held for longer only if other work has started
-    /// since, which is reported. So an older report is from a scheduler that is gone or has restarted, or a later
-    /// message was lost.
+    /// Longest time that an attempt may take, in seconds. By then all work behind a report has ended, and a
+    /// scheduler reports each change; so if a report is older, its sender is gone or has restarted, or a later message
+    /// was lost.
     pub max_work_duration: f64,
     /// When expired reports were last searched for.
     last_expiry: f64,
@@ -80,7 +80,8 @@
         }
     }
 
-    /// Enables or disables the exchange; when it is disabled, all reports are discarded.
+    /// When the exchange is disabled, discards all reports. When it is enabled, does nothing: the caller applies and
+    /// records what is exchanged from then on.
     pub fn set_enabled(&mut self, is_enabled: bool, workers: &WorkerIndex) {
         if is_enabled {
             return;
--- a/crates/mintlb-scheduler/src/settings.rs
+++ b/crates/mintlb-scheduler/src/settings.rs
@@ -1,7 +1,23 @@
 //! Settings of a scheduler: values by path, parsed into the scheduler's parts.
 //!
 //! The bench adapter gets them as lines `path=value`, `mintlb serve` as nested JSON that is flattened to the same
-//! paths.
+//! paths. The paths are names of the settings file and do not change; some differ from the fields that they set.
+//! Durations are in milliseconds, costs in points. `N` is the index of a project type or customer.
+//!
+//! - `project_types.N.effect`: [`ProjectType::idempotency`]; with `idempotency_key`, `group` is the scope in which
+//!   workers drop a repeat, and `window` for how long.
+//! - `family_info.class_kind` and `family_info.class_stretch`: lists of [`ProjectType::machine_kind`] and
+//!   [`ProjectType::turnaround_stretch`], one item for each project type.
+//! - `family_info.tells_start`: workers report when an attempt starts.
+//! - `permissions.parallel_tries` and `permissions.most_allocations`: [`RetryPolicy::parallel_attempts`] and
+//!   [`RetryPolicy::max_attempts`].
+//! - `permissions.retry_after`: clients respect `Retry-After`, up to `permissions.max_retry_after`.
+//! - `permissions.peers`: schedulers may exchange messages; `prices.peer` is [`Costs::peer_message`].
+//! - `rules.cold_from`, `rules.warm_after`, `rules.fall_multiple`, `rules.fall`, `balancers`: the fields of
+//!   [`SlowStart`], in this order; the first is a share of the capacity, the third a multiple.
+//! - `rules.ask_within`: [`ListPolling::max_interval`], bounded by half of [`MAX_LIST_DELAY_S`].
+//! - `discovery`: `on_request` if the scheduler has to request the worker list.
+//! - `tenants.N.quota_per_s`: quota of a customer, in work units per second.
 
 use crate::decide::{FairShares, Fleet, ListPolling, Queues, RetryPolicy, Scheduler};
 use crate::util::Rng;
@@ -10,11 +26,11 @@
 use std::str::FromStr;
 
 /// A change in the worker list has to take effect within this many seconds after the list service knows it and can be
-/// reached, whichever request failed. Half of it may pass between two requests; the rest is for the request itself.
+/// reached, even if requests failed before. Up to half of it may pass between two requests; the rest is for the request
+/// itself.
 pub const MAX_LIST_DELAY_S: f64 = 6.0;
 
-/// Cost of a cross-zone attempt in points, if `prices.cross_zone` is not set: the price where the scheduler was
-/// first tried.
+/// Cost of a cross-zone attempt in points, if `prices.cross_zone` is not set.
 const DEFAULT_CROSS_ZONE_COST: f64 = 0.021;
 
 /// Settings that may change while a scheduler runs, beside the project types.
--- a/crates/mintlb-scheduler/tests/decisions.rs
+++ b/crates/mintlb-scheduler/tests/decisions.rs
@@ -328,7 +328,7 @@
 }
 
 #[test]
-fn dispatch_follows_pressure_and_room() {
+fn dispatch_follows_pressure_and_headroom() {
     check(
         false,
         &[
@@ -471,7 +471,7 @@
 }
 
 #[test]
-fn slots_held_by_other_schedulers_take_room() {
+fn slots_held_by_other_schedulers_reduce_headroom() {
     // Two slots, four schedulers. Each script ends with the arrival of a work unit; `then` is where it goes.
     let cheap = Some(0.01);
     for (peer_message, script, then) in [
--- a/crates/mintlb-scheduler/tests/many_schedulers.rs
+++ b/crates/mintlb-scheduler/tests/many_schedulers.rs
@@ -1,6 +1,6 @@
-//! Many schedulers in front of one fleet, simulated in virtual time from fixed seeds. They share nothing, so that
-//! decisions which are harmless for one may be harmful when all take them. Workers start jobs in order, as many at
-//! once as they have slots.
+//! Many schedulers in front of one fleet, simulated in virtual time from fixed seeds. They share nothing (except in
+//! tests with peer messages), so that decisions which are harmless for one may be harmful when all take them. Workers
+//! start jobs in order, as many at once as they have slots.
 
 use mintlb_scheduler::decide::{FairShares, Fleet, ListPolling, Queues, RetryPolicy, Scheduler};
 use mintlb_scheduler::peer_message::PeerMessage;
@@ -129,7 +129,6 @@
     /// How many of them, counted from the end, get new work.
     active_schedulers: usize,
     /// The scheduler, the work unit, and its run time at full speed in seconds.
-    /// The scheduler, the work unit, and its run time at full speed in seconds.
     open_work: BTreeMap<u64, (usize, Rc<WorkUnit>, f64)>,
     simulated_workers: BTreeMap<u64, SimulatedWorker>,
     jobs: BTreeMap<u64, Job>,
@@ -544,8 +543,8 @@
 }
 
 /// The most that a cold worker was sent within the overload window, as a share of the allowance N + 2 x sqrt(N) + 2:
-/// by the number of work units, and by their run time. N is the number of work units of mean run time that rule 4
-/// allows.
+/// by the number of work units, and by their run time. N is the number of work units of mean run time that slow
+/// start allows.
 fn share_of_allowance(simulation: &Simulation, worker: u64) -> (f64, f64) {
     let simulated = &simulation.simulated_workers[&worker];
     let cold_sends = simulated
@@ -572,7 +571,7 @@
 const FAILURE_FLAG: u64 = 1 << 62;
 
 #[test]
-fn cold_workers_are_used_as_far_as_rule_4_allows() {
+fn cold_workers_are_used_as_far_as_slow_start_allows() {
     // Six in ten workers restart at once. The rest can run 48 seconds of work per second, and 60 arrive.
     let workers: Vec<u64> = (1..=30).chain(101..=130).collect();
     let restarted: Vec<u64> = workers.iter().copied().filter(|w| w % 5 < 3).collect();
@@ -642,10 +641,11 @@
     }
 }
 
-/// Rule 4 holds for any number of schedulers: all workers are cold, more work arrives than can be run, and one second
-/// later seven in ten schedulers are killed and restart with nothing but the list.
+/// A worker that has just started gets only a limited share of its work, from any number of schedulers: all workers are
+/// cold, more work arrives than can be run, and one second later seven in ten schedulers are killed and restart with
+/// nothing but the list.
 #[test]
-fn cold_workers_get_no_more_than_rule_4_allows() {
+fn cold_workers_get_no_more_than_slow_start_allows() {
     for schedulers in [1, 20, 30, 300, 350, 1100] {
         let workers: Vec<u64> = (1..=10).chain(101..=110).collect();
         let mut simulation =
