--- a/crates/mintlb-beanstalkd/src/codec.rs
+++ b/crates/mintlb-beanstalkd/src/codec.rs
@@ -1,21 +1,20 @@
-//! The protocol's grammar: a reader that turns bytes into commands, in whatever pieces the bytes come.
+//! Incremental parser for beanstalkd commands; accepts input split at any byte.
 
 use bytes::{Buf, Bytes, BytesMut};
 use std::str::FromStr;
 use std::sync::Arc;
 
-/// The name of a tube.
+/// A tube name; shared, since jobs, sessions and indexes all hold it.
 pub type Tube = Arc<str>;
 
-/// The longest command line, in bytes, with its end.
-pub const LINE: usize = 224;
-/// The longest name of a tube, in bytes.
-const MAX_TUBE_NAME: usize = 200;
+/// Maximum length of a command line including CR LF; the limit is the protocol's.
+pub const MAX_LINE_BYTES: usize = 224;
+const MAX_TUBE_NAME_BYTES: usize = 200;
 
-/// A command with its arguments. Numbers alone are ids of jobs, or seconds.
+/// A command with its arguments. A lone `u64` is a job id, a lone `u32` a time in seconds unless stated otherwise.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Command {
-    /// The command's line, and the job's body.
+    /// The arguments and the job's body.
     Put(Put, Bytes),
     Use(Tube),
     Watch(Tube),
@@ -38,7 +37,7 @@
     PeekReady,
     PeekDelayed,
     PeekBuried,
-    /// Kicks as many jobs at the most.
+    /// The maximum number of jobs to kick.
     Kick(u32),
     KickJob(u64),
     Stats,
@@ -47,13 +46,13 @@
     ListTubes,
     ListTubeUsed,
     ListTubesWatched,
-    /// Pauses a tube for some seconds.
+    /// The tube, and the length of the pause in seconds.
     PauseTube(Tube, u32),
     Quit,
 }
 
 impl Command {
-    /// The command's name in the protocol.
+    /// The command's name as spelled in the protocol.
     pub fn name(&self) -> &'static str {
         match self {
             Command::Put(..) => "put",
@@ -85,7 +84,7 @@
     }
 }
 
-/// The line of a put. Delay and time-to-run (`ttr`) are whole seconds; `bytes` is the length of the body.
+/// Arguments of a put. Delay and time-to-run (`ttr`) are in seconds; `bytes` is the length of the body.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Put {
     pub priority: u32,
@@ -94,246 +93,247 @@
     pub bytes: usize,
 }
 
-/// Why the bytes are not a command, or not one that can be taken.
+/// Why input was rejected: it is not a valid command, or the job cannot be accepted.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Fault {
-    /// A put without a readable length: the job's bytes can't be told from commands, so the session must end.
-    Unframed,
-    /// A line that is too long, or arguments that do not fit the command.
+pub enum ProtocolError {
+    /// A put without a valid body length. The body cannot be told from the next command, so the session must end.
+    UnknownBodyLength,
+    /// The line is too long, or the arguments do not match the command.
     BadFormat,
-    /// No command has this name.
+    /// There is no command of this name.
     UnknownCommand,
-    /// The body of a job is larger than the limit.
+    /// The job's body exceeds the size limit.
     JobTooBig,
-    /// The body of a job does not end with CR LF.
+    /// The job's body is not followed by CR LF.
     ExpectedCrlf,
-    /// The caller refused the job before its body came.
+    /// The caller refused the job before its body arrived.
     OutOfMemory,
 }
 
-/// What the reader has found.
+/// An item of the input.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Item {
-    /// The body of a job follows, with this many bytes. The caller may refuse it now.
-    Coming(usize),
-    /// A whole command.
+    /// The line of a put; a body of this many bytes follows. The caller may refuse the job now. The length is 0 for a
+    /// body that is too large, which is skipped.
+    PutHeader(usize),
+    /// A complete command.
     Command(Command),
-    /// What came instead of a command.
-    Fault(Fault),
+    /// Rejected input.
+    ProtocolError(ProtocolError),
 }
 
-/// What the next byte of the stream belongs to.
+/// What the next input byte belongs to.
 #[derive(Debug, Default)]
-enum Position {
+enum ReaderState {
     #[default]
     Line,
-    /// A line that is too long and is skipped up to its end.
+    /// An overlong line, skipped up to its end.
     LongLine,
     /// A job's body.
     Body(Put),
-    /// A body that is skipped: how many bytes are left of it, and the fault to report then.
-    Skip(u64, Fault),
+    /// A skipped body: the bytes left of it, and the error to report at its end.
+    Skip(u64, ProtocolError),
 }
 
-/// Reads the commands of one connection.
+/// Parses the input of one connection.
 #[derive(Debug)]
-pub struct Reader {
-    position: Position,
+pub struct CommandReader {
+    state: ReaderState,
     max_job_bytes: usize,
 }
 
-impl Reader {
-    /// A reader at the begin of a connection that takes job bodies up to `max_job_bytes`.
-    pub fn new(max_job_bytes: usize) -> Reader {
-        Reader {
-            position: Position::Line,
+impl CommandReader {
+    /// Larger job bodies than `max_job_bytes` are skipped and reported as [`ProtocolError::JobTooBig`].
+    pub fn new(max_job_bytes: usize) -> CommandReader {
+        CommandReader {
+            state: ReaderState::Line,
             max_job_bytes,
         }
     }
 
-    /// It is within a line that is too long, or a job's body.
-    pub fn is_within(&self) -> bool {
-        !matches!(self.position, Position::Line)
+    /// Whether the next byte belongs to a job's body or to an overlong line.
+    pub fn is_mid_item(&self) -> bool {
+        !matches!(self.state, ReaderState::Line)
     }
 
-    /// The most bytes that must have come before the next item can be read.
-    pub fn wants(&self) -> usize {
-        match self.position {
-            Position::Body(put) => put.bytes + 2,
-            _ => LINE,
+    /// The maximum number of buffered bytes needed to parse the next item.
+    pub fn max_bytes_needed(&self) -> usize {
+        match self.state {
+            ReaderState::Body(put) => put.bytes + 2,
+            _ => MAX_LINE_BYTES,
         }
     }
 
-    /// Refuses the job whose body follows: the body is skipped, and the fault reported after it.
-    pub fn refuse(&mut self, fault: Fault) {
-        if let Position::Body(put) = self.position {
-            self.position = Position::Skip(put.bytes as u64 + 2, fault);
+    /// Refuses the job whose body follows: skips the body, then reports the error.
+    pub fn refuse(&mut self, error: ProtocolError) {
+        if let ReaderState::Body(put) = self.state {
+            self.state = ReaderState::Skip(put.bytes as u64 + 2, error);
         }
     }
 
-    /// Takes the next item from the front of the bytes, if they hold a whole one.
+    /// Removes the next item from the front of `bytes`; `None` if more input is needed.
     pub fn next(&mut self, bytes: &mut BytesMut) -> Option<Item> {
         loop {
-            match &mut self.position {
-                Position::Line => {
-                    let end = bytes.iter().take(LINE).position(|&b| b == b'\n');
+            match &mut self.state {
+                ReaderState::Line => {
+                    let end = bytes.iter().take(MAX_LINE_BYTES).position(|&b| b == b'\n');
                     let Some(end) = end else {
-                        if bytes.len() < LINE {
+                        if bytes.len() < MAX_LINE_BYTES {
                             return None;
                         }
-                        self.position = Position::LongLine;
+                        self.state = ReaderState::LongLine;
                         continue;
                     };
                     let line = bytes.split_to(end + 1);
-                    // A line ends with both bytes; neither may occur in it alone.
+                    // A line ends with CR LF; a bare LF is an error.
                     let Some(line) = line.strip_suffix(b"\r\n") else {
-                        return Some(Item::Fault(Fault::BadFormat));
+                        return Some(Item::ProtocolError(ProtocolError::BadFormat));
                     };
-                    return Some(self.line(line));
+                    return Some(self.parse_line(line));
                 }
-                Position::LongLine => {
+                ReaderState::LongLine => {
                     let Some(end) = bytes.iter().position(|&b| b == b'\n') else {
                         bytes.clear();
                         return None;
                     };
                     bytes.advance(end + 1);
-                    self.position = Position::Line;
-                    return Some(Item::Fault(Fault::BadFormat));
+                    self.state = ReaderState::Line;
+                    return Some(Item::ProtocolError(ProtocolError::BadFormat));
                 }
-                Position::Skip(left, fault) => {
-                    let part = (*left).min(bytes.len() as u64);
-                    bytes.advance(part as usize);
-                    *left -= part;
-                    if *left > 0 {
+                ReaderState::Skip(remaining, error) => {
+                    let skipped = (*remaining).min(bytes.len() as u64);
+                    bytes.advance(skipped as usize);
+                    *remaining -= skipped;
+                    if *remaining > 0 {
                         return None;
                     }
-                    let fault = *fault;
-                    self.position = Position::Line;
-                    return Some(Item::Fault(fault));
+                    let error = *error;
+                    self.state = ReaderState::Line;
+                    return Some(Item::ProtocolError(error));
                 }
-                Position::Body(put) => {
+                ReaderState::Body(put) => {
                     let put = *put;
                     if bytes.len() < put.bytes + 2 {
                         return None;
                     }
-                    // A copy, since a slice would keep the connection's whole read buffer allocated.
+                    // Copied, because a slice would keep the connection's whole read buffer allocated.
                     let body = Bytes::copy_from_slice(&bytes[..put.bytes]);
                     bytes.advance(put.bytes);
-                    let whole = bytes.starts_with(b"\r\n");
+                    let is_terminated = bytes.starts_with(b"\r\n");
                     bytes.advance(2);
-                    self.position = Position::Line;
-                    return Some(match whole {
+                    self.state = ReaderState::Line;
+                    return Some(match is_terminated {
                         true => Item::Command(Command::Put(put, body)),
-                        false => Item::Fault(Fault::ExpectedCrlf),
+                        false => Item::ProtocolError(ProtocolError::ExpectedCrlf),
                     });
                 }
             }
         }
     }
 
-    /// Reads a command line without its end.
-    fn line(&mut self, line: &[u8]) -> Item {
-        let words: Vec<&str> = match std::str::from_utf8(line) {
+    /// Parses a command line without CR LF.
+    fn parse_line(&mut self, line: &[u8]) -> Item {
+        let args: Vec<&str> = match std::str::from_utf8(line) {
             Ok(text) => text.split(' ').collect(),
-            Err(_) => return Item::Fault(Fault::BadFormat),
+            Err(_) => return Item::ProtocolError(ProtocolError::BadFormat),
         };
-        if words[0] == "put" {
-            // Without its length, nobody knows where the job's bytes end and the next command begins.
-            let Some((put, bytes)) = put(&words[1..]) else {
-                return Item::Fault(Fault::Unframed);
+        if args[0] == "put" {
+            // Without the body's length the start of the next command is unknown.
+            let Some((put, bytes)) = parse_put(&args[1..]) else {
+                return Item::ProtocolError(ProtocolError::UnknownBodyLength);
             };
             if bytes > self.max_job_bytes as u64 {
-                self.position = Position::Skip(bytes.saturating_add(2), Fault::JobTooBig);
-                return Item::Coming(0);
+                self.state = ReaderState::Skip(bytes.saturating_add(2), ProtocolError::JobTooBig);
+                return Item::PutHeader(0);
             }
             let put = Put {
                 bytes: bytes as usize,
                 ..put
             };
-            self.position = Position::Body(put);
-            return Item::Coming(put.bytes);
+            self.state = ReaderState::Body(put);
+            return Item::PutHeader(put.bytes);
         }
-        match command(words[0], &words[1..]) {
+        match parse_command(args[0], &args[1..]) {
             Ok(command) => Item::Command(command),
-            Err(fault) => Item::Fault(fault),
+            Err(error) => Item::ProtocolError(error),
         }
     }
 }
 
-/// The arguments of a put, and the length of the body, which may exceed all bounds.
-fn put(words: &[&str]) -> Option<(Put, u64)> {
-    let [priority, delay, ttr, bytes] = words else {
+/// Parses the arguments of a put. The body's length is returned separately, as it may exceed every limit.
+fn parse_put(args: &[&str]) -> Option<(Put, u64)> {
+    let [priority, delay, ttr, bytes] = args else {
         return None;
     };
     let put = Put {
-        priority: number(priority)?,
-        delay: number(delay)?,
-        ttr: number(ttr)?,
+        priority: parse_number(priority)?,
+        delay: parse_number(delay)?,
+        ttr: parse_number(ttr)?,
         bytes: 0,
     };
-    Some((put, number(bytes)?))
+    Some((put, parse_number(bytes)?))
 }
 
-/// A number in decimal digits, without a sign.
-fn number<T: FromStr>(word: &str) -> Option<T> {
+/// Parses decimal digits; a sign is not allowed.
+fn parse_number<T: FromStr>(word: &str) -> Option<T> {
     let digits = !word.is_empty() && word.bytes().all(|b| b.is_ascii_digit());
     word.parse().ok().filter(|_| digits)
 }
 
-/// A name of a tube, if it follows the protocol's rules.
-fn tube(word: &str) -> Option<Tube> {
-    let fits = |b: u8| b.is_ascii_alphanumeric() || b"-+/;.$_()".contains(&b);
-    let good = (1..=MAX_TUBE_NAME).contains(&word.len())
+/// Validates a tube name by the protocol's rules.
+fn parse_tube(word: &str) -> Option<Tube> {
+    let is_allowed = |b: u8| b.is_ascii_alphanumeric() || b"-+/;.$_()".contains(&b);
+    let is_valid = (1..=MAX_TUBE_NAME_BYTES).contains(&word.len())
         && !word.starts_with('-')
-        && word.bytes().all(fits);
-    good.then(|| word.into())
+        && word.bytes().all(is_allowed);
+    is_valid.then(|| word.into())
 }
 
-/// A command by its name and arguments.
-fn command(name: &str, words: &[&str]) -> Result<Command, Fault> {
-    let bad = Fault::BadFormat;
-    let id = |word: &str| number(word).ok_or(bad);
-    let small = |word: &str| number(word).ok_or(bad);
-    let named = |word: &str| tube(word).ok_or(bad);
-    Ok(match (name, words) {
-        ("use", [name]) => Command::Use(named(name)?),
-        ("watch", [name]) => Command::Watch(named(name)?),
-        ("ignore", [name]) => Command::Ignore(named(name)?),
+/// Parses any command but put, whose body needs separate handling.
+fn parse_command(name: &str, args: &[&str]) -> Result<Command, ProtocolError> {
+    let bad_format = ProtocolError::BadFormat;
+    let id = |word: &str| parse_number(word).ok_or(bad_format);
+    let parse_u32 = |word: &str| parse_number(word).ok_or(bad_format);
+    let tube_name = |word: &str| parse_tube(word).ok_or(bad_format);
+    Ok(match (name, args) {
+        ("use", [name]) => Command::Use(tube_name(name)?),
+        ("watch", [name]) => Command::Watch(tube_name(name)?),
+        ("ignore", [name]) => Command::Ignore(tube_name(name)?),
         ("reserve", []) => Command::Reserve,
-        ("reserve-with-timeout", [seconds]) => Command::ReserveWithTimeout(small(seconds)?),
+        ("reserve-with-timeout", [seconds]) => Command::ReserveWithTimeout(parse_u32(seconds)?),
         ("reserve-job", [job]) => Command::ReserveJob(id(job)?),
         ("delete", [job]) => Command::Delete(id(job)?),
         ("release", [job, priority, delay]) => Command::Release {
             id: id(job)?,
-            priority: small(priority)?,
-            delay: small(delay)?,
+            priority: parse_u32(priority)?,
+            delay: parse_u32(delay)?,
         },
         ("bury", [job, priority]) => Command::Bury {
             id: id(job)?,
-            priority: small(priority)?,
+            priority: parse_u32(priority)?,
         },
         ("touch", [job]) => Command::Touch(id(job)?),
         ("peek", [job]) => Command::Peek(id(job)?),
         ("peek-ready", []) => Command::PeekReady,
         ("peek-delayed", []) => Command::PeekDelayed,
         ("peek-buried", []) => Command::PeekBuried,
-        ("kick", [bound]) => Command::Kick(small(bound)?),
+        ("kick", [bound]) => Command::Kick(parse_u32(bound)?),
         ("kick-job", [job]) => Command::KickJob(id(job)?),
         ("stats", []) => Command::Stats,
         ("stats-job", [job]) => Command::StatsJob(id(job)?),
-        ("stats-tube", [name]) => Command::StatsTube(named(name)?),
+        ("stats-tube", [name]) => Command::StatsTube(tube_name(name)?),
         ("list-tubes", []) => Command::ListTubes,
         ("list-tube-used", []) => Command::ListTubeUsed,
         ("list-tubes-watched", []) => Command::ListTubesWatched,
-        ("pause-tube", [name, delay]) => Command::PauseTube(named(name)?, small(delay)?),
+        ("pause-tube", [name, delay]) => Command::PauseTube(tube_name(name)?, parse_u32(delay)?),
         ("quit", []) => Command::Quit,
-        (name, _) if KNOWN.contains(&name) => return Err(bad),
-        _ => return Err(Fault::UnknownCommand),
+        (name, _) if COMMAND_NAMES.contains(&name) => return Err(bad_format),
+        _ => return Err(ProtocolError::UnknownCommand),
     })
 }
 
-/// All names of commands but put: with other arguments they are badly formed, not unknown.
-const KNOWN: [&str; 24] = [
+/// All command names but put. With wrong arguments these give `BAD_FORMAT`, not `UNKNOWN_COMMAND`.
+const COMMAND_NAMES: [&str; 24] = [
     "use",
     "watch",
     "ignore",
@@ -360,15 +360,15 @@
     "quit",
 ];
 
-impl Fault {
-    /// The reply that reports the fault.
+impl ProtocolError {
+    /// The protocol's reply for this error.
     pub fn reply(self) -> &'static [u8] {
         match self {
-            Fault::Unframed | Fault::BadFormat => b"BAD_FORMAT\r\n",
-            Fault::UnknownCommand => b"UNKNOWN_COMMAND\r\n",
-            Fault::JobTooBig => b"JOB_TOO_BIG\r\n",
-            Fault::ExpectedCrlf => b"EXPECTED_CRLF\r\n",
-            Fault::OutOfMemory => b"OUT_OF_MEMORY\r\n",
+            ProtocolError::UnknownBodyLength | ProtocolError::BadFormat => b"BAD_FORMAT\r\n",
+            ProtocolError::UnknownCommand => b"UNKNOWN_COMMAND\r\n",
+            ProtocolError::JobTooBig => b"JOB_TOO_BIG\r\n",
+            ProtocolError::ExpectedCrlf => b"EXPECTED_CRLF\r\n",
+            ProtocolError::OutOfMemory => b"OUT_OF_MEMORY\r\n",
         }
     }
 }
--- a/crates/mintlb-beanstalkd/src/hub/commands.rs
+++ b/crates/mintlb-beanstalkd/src/hub/commands.rs
@@ -7,31 +7,30 @@
 use mintlb_core::capacity::CapacityPermit;
 
 impl Hub {
-    /// Runs a session's command. A put comes with the capacity that was reserved for its body, if there was
-    /// any.
+    /// Runs a session's command. `body_permit` is the capacity reserved for a put's body, if any was available.
     pub fn command(
         &mut self,
         now: f64,
         session: u64,
         command: Command,
-        body_room: Option<CapacityPermit>,
+        body_permit: Option<CapacityPermit>,
     ) {
         if !self.sessions.contains_key(&session) {
             return;
         }
         *self.totals.commands.entry(command.name()).or_default() += 1;
-        if let Some(reply) = self.execute(now, session, command, body_room) {
-            self.say(session, &reply);
+        if let Some(reply) = self.execute(now, session, command, body_permit) {
+            self.queue_output(session, &reply);
         }
     }
 
-    /// Runs a command; the reply, unless it comes later or not at all.
+    /// Runs a command. Returns `None` if the reply is sent later or the command has none.
     fn execute(
         &mut self,
         now: f64,
         session: u64,
         command: Command,
-        body_room: Option<CapacityPermit>,
+        body_permit: Option<CapacityPermit>,
     ) -> Option<Reply> {
         Some(match command {
             Command::Reserve => return self.reserve(now, session, None),
@@ -40,10 +39,10 @@
             }
             Command::ReserveJob(job) => return self.reserve_job(now, session, job),
             Command::Quit => {
-                self.end(session);
+                self.close_when_flushed(session);
                 return None;
             }
-            Command::Put(put, body) => self.put(now, session, put, body, body_room),
+            Command::Put(put, body) => self.put(now, session, put, body, body_permit),
             Command::Use(tube) => self.use_tube(session, tube),
             Command::Watch(tube) => self.watch(session, tube),
             Command::Ignore(tube) => self.ignore(session, &tube),
--- a/crates/mintlb-beanstalkd/src/hub/finish.rs
+++ b/crates/mintlb-beanstalkd/src/hub/finish.rs
@@ -1,4 +1,4 @@
-//! Final answers: how a job has finished, and how long its record is kept.
+//! Final answers to jobs, retention of finished jobs, and shutdown.
 
 use super::Hub;
 use crate::codec::Tube;
@@ -7,12 +7,12 @@
 use mintlb_core::work::Answer;
 
 impl Hub {
-    /// Takes the core's final answer to a job's request.
-    pub fn ended(&mut self, now: f64, id: u64, answer: Answer) {
+    /// Handles the core's final answer to a job's request.
+    pub fn request_answered(&mut self, now: f64, id: u64, answer: Answer) {
         if answer == Answer::Duplicate {
             return self.restart_refused(now, id);
         }
-        let status = FinalStatus::of(&answer);
+        let status = FinalStatus::from_answer(&answer);
         let Some(tube) = self.record_final_status(now, id, status) else {
             return;
         };
@@ -22,28 +22,28 @@
         }
     }
 
-    /// The core refuses the new request of a job that was kicked before the first one was done with: the job
-    /// stays buried, as it was.
+    /// Handles the core's refusal of a kicked job's new request, because its first request has not completely
+    /// ended. The job is buried again.
     fn restart_refused(&mut self, now: f64, id: u64) {
-        self.totals.taken -= 1;
+        self.totals.accepted -= 1;
         let expires_at = now + self.plan.table.keep_ends;
         let sequence = self.next_number();
         if let Some(job) = self.jobs.get_mut(id) {
             (job.final_status, job.expires_at) =
                 (Some(FinalStatus::Deferred(0.0)), Some(expires_at));
-            self.jobs.set(id, State::Buried(sequence));
+            self.jobs.set_state(id, State::Buried(sequence));
             self.retain(id, expires_at);
         }
     }
 
-    /// Records a job's final status; returns its tube. None if the job has a final status already, or if its
-    /// request is another protocol's.
+    /// Records a job's final status; returns its tube. `None` if the job already has a final status or its request came
+    /// through another protocol.
     fn record_final_status(&mut self, now: f64, id: u64, status: FinalStatus) -> Option<Tube> {
         let expires_at = now + self.plan.table.keep_ends;
         let job = self
             .jobs
             .get_mut(id)
-            .filter(|job| !job.is_foreign && job.final_status.is_none())?;
+            .filter(|job| !job.is_from_other_protocol && job.final_status.is_none())?;
         (job.final_status, job.expires_at) = (Some(status), Some(expires_at));
         let tube = job.tube.clone();
         let is_idempotent = self
@@ -51,37 +51,36 @@
             .route(&tube)
             .is_some_and(|route| route.is_idempotent());
         if matches!(job.state, State::Buried(_)) {
-            // Only an idempotent job can be kicked later and needs its capacity then.
+            // Only an idempotent job can be kicked later, so only that one keeps its capacity.
             if !is_idempotent {
                 job.capacity = None;
             }
         } else {
             (job.capacity, job.body) = (None, Bytes::new());
-            self.jobs.set(id, State::Finished(status));
+            self.jobs.set_state(id, State::Finished(status));
         }
         self.totals.count_finished(status);
         Some(tube)
     }
 
-    /// Keeps a finished job or a notice until a time. The oldest of such go at once where there are too many.
+    /// Keeps a finished job or a notice until a time. If there are too many, the oldest are discarded at once.
     pub(super) fn retain(&mut self, id: u64, until: f64) {
         for old in self.jobs.expire_at(id, until, self.plan.table.ends) {
             self.discard(f64::MAX, old);
         }
     }
 
-    /// Discards a job that has expired by a time.
+    /// Discards a job if it has expired by `now`.
     pub(super) fn discard(&mut self, now: f64, id: u64) {
-        // One that was kicked has no expiry time any more, or a new one if it has finished again.
+        // A job kicked since has no expiry time, or a later one if it finished again.
         let is_expired = |job: &Job| job.expires_at.is_some_and(|at| at <= now);
         if self.jobs.get(id).is_some_and(is_expired) {
             self.jobs.remove(id);
         }
     }
 
-    /// Stops taking jobs as the program ends. Jobs that are delayed and that the core does not know finish as
-    /// deferred.
-    pub fn stop(&mut self, now: f64) {
+    /// Refuses new jobs from now on. Delayed jobs that were not submitted to the core finish as deferred.
+    pub fn begin_shutdown(&mut self, now: f64) {
         self.stopping = true;
         let delayed = self.jobs.tubes().filter_map(|tube| self.jobs.tube(tube));
         let delayed: Vec<u64> = delayed
@@ -93,7 +92,7 @@
                 .get(id)
                 .is_some_and(|job| !job.is_notice && job.counts.releases == 0)
             {
-                self.ended(now, id, Answer::Deferred(0.0));
+                self.request_answered(now, id, Answer::Deferred(0.0));
             }
         }
     }
--- a/crates/mintlb-beanstalkd/src/hub/groups.rs
+++ b/crates/mintlb-beanstalkd/src/hub/groups.rs
@@ -1,46 +1,48 @@
-//! Groups of workers, and what the core is told of them.
+//! Worker groups, and their announcement to the core.
 
 use super::timers::Timer;
-use super::{Deed, Hub};
-use crate::machines::Place;
+use super::{Effect, Hub};
+use crate::machines::MachineInfo;
 use mintlb_core::reducer::Event;
 use mintlb_scheduler::ProjectTypeSet;
 use std::net::IpAddr;
 
 impl Hub {
-    /// Applies what the list service says of machines. With `full`, machines that it does not name have left
-    /// it.
-    pub fn hear(&mut self, full: bool, told: impl Iterator<Item = (IpAddr, Place)>) {
-        for change in self.machines.apply_list(full, told) {
-            let (machine, runs) = (change.machine, change.runs);
-            self.deeds.push(Deed::Member(change));
-            self.announce_waiting(machine, runs);
+    /// Applies a report of the list service. If `full`, machines missing from it have left the list.
+    pub fn apply_membership(
+        &mut self,
+        full: bool,
+        reported: impl Iterator<Item = (IpAddr, MachineInfo)>,
+    ) {
+        for change in self.machines.apply_list(full, reported) {
+            let (machine, type_set) = (change.machine, change.type_set);
+            self.effects.push(Effect::MemberChanged(change));
+            self.announce_waiting(machine, type_set);
         }
     }
 
-    /// The number of groups that are known.
-    pub fn groups(&self) -> usize {
+    /// Number of known worker groups.
+    pub fn group_count(&self) -> usize {
         self.machines.len()
     }
 
-    /// Moves a session into the group that fits the tubes it watches now, if there are tubes of jobs among
-    /// them.
+    /// Moves a session to the group for the tubes that it watches now; to none if it watches no tube with jobs.
     pub(super) fn choose_group(&mut self, now: f64, id: u64) {
         let Some(session) = self.sessions.get_mut(&id) else {
             return;
         };
-        let runs = self.plan.runs_of(&session.watched);
-        let joins = (!runs.is_empty()).then_some(runs);
-        let leaves = std::mem::replace(&mut session.runs, joins);
+        let type_set = self.plan.project_types_of(&session.watched);
+        let joins = (!type_set.is_empty()).then_some(type_set);
+        let leaves = std::mem::replace(&mut session.type_set, joins);
         let machine = session.machine;
         if leaves == joins {
             return;
         }
-        if let Some(runs) = leaves {
-            self.leave_group(now, machine, runs);
+        if let Some(type_set) = leaves {
+            self.leave_group(now, machine, type_set);
         }
-        let change = joins.and_then(|runs| self.machines.join(now, machine, runs));
-        self.deeds.extend(change.map(Deed::Member));
+        let change = joins.and_then(|type_set| self.machines.join(now, machine, type_set));
+        self.effects.extend(change.map(Effect::MemberChanged));
     }
 
     /// Adds a session's waiting reserve to its group.
@@ -48,39 +50,43 @@
         let Some(session) = self.sessions.get(&id) else {
             return;
         };
-        let (machine, Some(runs)) = (session.machine, session.runs) else {
+        let (machine, Some(type_set)) = (session.machine, session.type_set) else {
             return;
         };
-        if let Some(group) = self.machines.group(machine, runs) {
+        if let Some(group) = self.machines.group(machine, type_set) {
             group.waiting.insert(sequence, id);
-            self.announce_waiting(machine, runs);
+            self.announce_waiting(machine, type_set);
         }
     }
 
-    /// Counts a connection out of its group. A group without any is forgotten after a while.
-    pub(super) fn leave_group(&mut self, now: f64, machine: IpAddr, runs: ProjectTypeSet) {
-        if self.machines.leave(now, machine, runs) {
-            self.set_timer(now + self.plan.table.keep_ends, Timer::ForgetGroups);
+    /// Removes a connection from its group. A group without connections is removed after the retention period.
+    pub(super) fn leave_group(&mut self, now: f64, machine: IpAddr, type_set: ProjectTypeSet) {
+        if self.machines.leave(now, machine, type_set) {
+            self.set_timer(now + self.plan.table.keep_ends, Timer::RemoveIdleGroups);
         }
     }
 
-    /// Tells the core for how many jobs a group waits, and how many orders it had got by then: of orders sent
-    /// since, each will take one.
-    pub(super) fn announce_waiting(&mut self, machine: IpAddr, runs: ProjectTypeSet) {
-        if let Some(group) = self.machines.group(machine, runs) {
-            let (worker, waiting, orders) =
-                (group.worker, group.waiting.len() as u64, group.orders);
-            self.tell(Event::WorkerPolled {
+    /// Announces to the core how many reserves wait in a group, and how many attempts it had received by then. Each
+    /// attempt that the core has sent since will take one of these reserves.
+    pub(super) fn announce_waiting(&mut self, machine: IpAddr, type_set: ProjectTypeSet) {
+        if let Some(group) = self.machines.group(machine, type_set) {
+            let (worker, waiting, requests_received) = (
+                group.worker,
+                group.waiting.len() as u64,
+                group.requests_received,
+            );
+            self.emit(Event::WorkerPolled {
                 worker,
                 requested: waiting,
-                requests_seen: orders,
+                requests_seen: requests_received,
             });
         }
     }
 
-    /// Forgets groups that have had no connection for long enough.
-    pub(super) fn forget_groups(&mut self, now: f64) {
-        let gone = self.machines.forget_empty(now, self.plan.table.keep_ends);
-        self.deeds.extend(gone.into_iter().map(Deed::Member));
+    /// Removes groups that have had no connection for the retention period.
+    pub(super) fn remove_idle_groups(&mut self, now: f64) {
+        let gone = self.machines.remove_idle(now, self.plan.table.keep_ends);
+        self.effects
+            .extend(gone.into_iter().map(Effect::MemberChanged));
     }
 }
--- a/crates/mintlb-beanstalkd/src/hub/kick.rs
+++ b/crates/mintlb-beanstalkd/src/hub/kick.rs
@@ -1,16 +1,16 @@
-//! The kick commands: buried and delayed jobs become ready.
+//! The kick commands, which make buried and delayed jobs ready.
 
 use super::Hub;
-use super::attempts::Attempt;
+use super::attempts::AttemptState;
 use super::reply::{NOT_FOUND, Reply, line};
 use crate::job::{Job, State, TubeJobs};
 use mintlb_core::work::AttemptId;
 
-/// The most jobs that one `kick` looks at.
-const MAX_KICKED: usize = 10_000;
+/// Maximum number of jobs that one `kick` considers, which bounds the time it takes.
+const MAX_KICK_CANDIDATES: usize = 10_000;
 
 impl Hub {
-    /// `kick`: up to `bound` jobs of the tube that the session uses.
+    /// `kick`: kicks up to `bound` jobs of the tube that the session uses.
     pub(super) fn kick(&mut self, now: f64, id: u64, bound: usize) -> Reply {
         let used = self
             .sessions
@@ -28,7 +28,7 @@
         line(format!("KICKED {kicked}"))
     }
 
-    /// `kick-job`: one job by its id.
+    /// `kick-job`: kicks one job by its id.
     pub(super) fn kick_job(&mut self, now: f64, id: u64) -> &'static [u8] {
         if self.try_kick(now, id) {
             b"KICKED\r\n"
@@ -37,14 +37,14 @@
         }
     }
 
-    /// Kicks a job if it is buried or delayed and may run.
+    /// Kicks a job if it is buried or delayed and may run; returns whether it was kicked.
     fn try_kick(&mut self, now: f64, id: u64) -> bool {
         let Some(job) = self.jobs.get(id) else {
             return false;
         };
         match job.state {
             State::Buried(_) | State::Delayed { .. } if job.is_notice => self.notice_ready(now, id),
-            // The core still waits for the outcome of the attempt that was released.
+            // The core still waits for the outcome of the released attempt.
             State::Delayed { .. } if job.counts.releases > 0 => {
                 let Some(attempt) = self.delayed_attempt(id) else {
                     return false;
@@ -61,10 +61,10 @@
         true
     }
 
-    /// A job's attempt that was released with a delay.
+    /// The job's attempt that was released with a delay, if any.
     fn delayed_attempt(&self, job: u64) -> Option<AttemptId> {
-        let is_delayed = |(attempt, place): &(&AttemptId, &Attempt)| {
-            attempt.0 == job && matches!(place, Attempt::ReleaseDelayed(_))
+        let is_delayed = |(attempt, state): &(&AttemptId, &AttemptState)| {
+            attempt.0 == job && matches!(state, AttemptState::ReleaseDelayed(_))
         };
         self.attempts
             .iter()
@@ -72,8 +72,8 @@
             .map(|(attempt, _)| *attempt)
     }
 
-    /// A buried job may run again if it is idempotent, since attempts may have run before, and only once the
-    /// core has answered its first request.
+    /// Whether a buried job may run again: it must be idempotent, since earlier attempts may have run, and the
+    /// core must have answered its first request.
     fn may_restart(&self, job: &Job) -> bool {
         let is_idempotent = self
             .plan
@@ -82,27 +82,30 @@
         is_idempotent && !self.stopping && job.final_status.is_some() && job.capacity.is_some()
     }
 
-    /// Makes a new request of a buried job, under the same id.
+    /// Submits a buried job as a new request with the same id.
     fn restart(&mut self, now: f64, id: u64) {
         if let Some(job) = self.jobs.get_mut(id) {
             (job.final_status, job.expires_at) = (None, None);
         }
-        self.totals.taken += 1;
+        self.totals.accepted += 1;
         self.submit(now, id);
     }
 }
 
-/// The jobs that a kick tries: buried ones, and the delayed ones only if none is buried, as the protocol has
-/// it.
+/// The jobs that a kick considers: buried jobs, or delayed jobs if there are no buried ones, as the protocol defines.
 fn kick_candidates(tube: &TubeJobs, bound: usize) -> Vec<u64> {
     if tube.buried.is_empty() {
         tube.delayed
             .keys()
-            .take(bound.min(MAX_KICKED))
+            .take(bound.min(MAX_KICK_CANDIDATES))
             .map(|(_, id)| *id)
             .collect()
     } else {
-        // Some of these may not run again, so the bound holds for those that are kicked.
-        tube.buried.values().take(MAX_KICKED).copied().collect()
+        // Some of these may not run again, so the caller applies the bound to the jobs actually kicked.
+        tube.buried
+            .values()
+            .take(MAX_KICK_CANDIDATES)
+            .copied()
+            .collect()
     }
 }
--- a/crates/mintlb-beanstalkd/src/hub/mod.rs
+++ b/crates/mintlb-beanstalkd/src/hub/mod.rs
@@ -1,16 +1,16 @@
-//! The protocol's state machine: it holds sessions, jobs and leases, and does no I/O.
+//! State machine of the protocol: holds sessions, jobs and leases, and performs no I/O.
 //!
-//! Its inputs are client commands, messages of the scheduler's core, and the time. Its outputs are bytes for
-//! sessions and [`Deed`]s. The core alone decides which worker gets which job: a waiting reserve is announced
-//! to it as room for one job, an attempt that it orders goes to a session that waits, and what the worker
-//! does with the job is reported as the attempt's outcome.
+//! Inputs are client commands, messages from the scheduler's core, and the time. Outputs are bytes for sessions and
+//! [`Effect`]s. The core alone decides which worker gets which job: each waiting reserve is announced to the core as
+//! capacity for one job, an attempt from the core is delivered to a waiting session, and what the worker does with
+//! the job is reported as the attempt's outcome.
 //!
-//! - Connections: `sessions` (input and output), `commands` (dispatch), `tubes` (use, watch, ignore, pause),
+//! - Connections: `sessions` (lifecycle and output), `commands` (dispatch), `tubes` (use, watch, ignore, pause),
 //!   `reply`.
 //! - Producers: `producer` (put), `peek`, `kick`, `stats`.
 //! - Workers: `reserve`, `leases` (start and end of a lease), `worker` (delete, release, bury, touch),
 //!   `groups`.
-//! - Core: `attempts` (orders and recalls), `finish` (final answers), `notices` (jobs that report them).
+//! - Core: `attempts` (delivery and cancellation), `finish` (final answers), `notices` (jobs that report them).
 //! - Time: `timers`, `wake`.
 
 mod attempts;
@@ -36,10 +36,10 @@
 
 use crate::codec::Tube;
 use crate::job::Jobs;
-use crate::machines::{Change, Machines};
+use crate::machines::{GroupChange, Machines};
 use crate::session::Session;
 use crate::table::Plan;
-use attempts::Attempt;
+use attempts::AttemptState;
 use bytes::Bytes;
 use mintlb_core::capacity::{Capacity, CapacityPermit};
 use mintlb_core::reducer::Event;
@@ -50,67 +50,66 @@
 use std::sync::atomic::AtomicU64;
 use timers::{Timer, Timers};
 
-/// An effect that the caller is to carry out.
-pub enum Deed {
-    /// A job is ready: hand it to the core as a request.
-    Arrive {
-        /// The job's id, which is the request's, too.
+/// An effect for the caller to apply.
+pub enum Effect {
+    /// A job is ready: submit it to the core as a request.
+    Submit {
+        /// Id of both the job and the request.
         id: u64,
         project_type: usize,
         customer: Option<usize>,
-        /// When it became ready, in seconds of the clock.
+        /// When the job became ready, in seconds of the clock.
         arrived: f64,
-        /// Seconds from then to its hard limit.
+        /// Seconds from `arrived` to the hard limit.
         time_budget: f64,
         body: Bytes,
     },
-    /// Tell the core that a group of workers has come, changed or gone.
-    Member(Change),
-    /// Tell the core of an event.
-    Tell(Event),
-    /// Wake a session's task: there is output for it, or it is to be closed.
-    Wake(u64),
+    /// Announce to the core that a worker group was added, changed or removed.
+    MemberChanged(GroupChange),
+    /// Send an event to the core.
+    CoreEvent(Event),
+    /// Wake a session's task: it has output, or is to be closed.
+    WakeSession(u64),
 }
 
-/// The state machine.
+/// State of the beanstalkd server. Times are in seconds of the clock.
 pub struct Hub {
     plan: Plan,
-    /// The scheduler's name, which `stats` shows as the server's id.
+    /// The scheduler's name; `stats` reports it as the server's id.
     name: String,
     started_at: f64,
     max_job_bytes: usize,
-    /// Source of job ids, shared with the other protocols.
+    /// Generator of job ids, shared with the other protocols.
     job_ids: WorkUnitIds,
-    /// The capacity for requests and their bodies, shared with the other protocols.
+    /// Capacity for requests and their bodies, shared with the other protocols.
     capacity: Capacity,
     sessions: FxHashMap<u64, Session>,
     jobs: Jobs,
     machines: Machines,
-    /// Attempts that the core has ordered and that have no outcome yet.
-    attempts: FxHashMap<AttemptId, Attempt>,
-    /// Waiting reserves by watched notice tube: sequence number and session.
+    /// Attempts delivered by the core that have no outcome yet.
+    attempts: FxHashMap<AttemptId, AttemptState>,
+    /// Waiting reserves by watched notice tube, as sequence number and session.
     notice_waiters: HashMap<Tube, BTreeSet<(u64, u64)>>,
-    /// Paused tubes: when the pause ends, and its length in seconds.
+    /// Paused tubes, with the end and the length of the pause.
     pauses: HashMap<Tube, (f64, f64)>,
     timers: Timers,
-    /// The last number given to a session, a waiting reserve, a buried job or a timer.
+    /// The last number assigned to a session, a waiting reserve, a buried job or a timer.
     last_number: u64,
-    /// The tube that each session uses and watches at first.
+    /// The tube that new sessions use and watch.
     default_tube: Tube,
-    /// The program ends, so no job is taken any more.
+    /// Whether the program is shutting down and accepts no more jobs.
     stopping: bool,
-    /// Producers are to go elsewhere, for now.
+    /// Whether puts are refused for now, so that producers go to another process.
     pub leaving: bool,
-    /// Counts the attempts of which all bytes were written to a worker.
+    /// Number of attempts fully written to a worker.
     pub sends: Arc<AtomicU64>,
     /// Counters since the start.
     pub totals: Totals,
-    deeds: Vec<Deed>,
+    effects: Vec<Effect>,
 }
 
 impl Hub {
-    /// Starts without sessions and jobs, at `now` in seconds of the clock. `max_job_bytes` limits a job's
-    /// body.
+    /// `now` is in seconds of the clock; `max_job_bytes` limits a job's body.
     pub fn new(
         plan: Plan,
         name: String,
@@ -140,46 +139,45 @@
             leaving: false,
             sends: Arc::default(),
             totals: Totals::default(),
-            deeds: Vec::new(),
+            effects: Vec::new(),
         }
     }
 
-    /// Takes the effects since the last call. The caller hands in an empty vector, whose memory is used
-    /// again.
-    pub fn deeds(&mut self, empty: Vec<Deed>) -> Vec<Deed> {
-        std::mem::replace(&mut self.deeds, empty)
+    /// Returns the effects since the last call. `empty` is an empty vector whose memory is reused.
+    pub fn take_effects(&mut self, empty: Vec<Effect>) -> Vec<Effect> {
+        std::mem::replace(&mut self.effects, empty)
     }
 
-    /// The largest body of a job, in bytes.
-    pub fn most_bytes(&self) -> usize {
+    /// Maximum size of a job's body, in bytes.
+    pub fn max_body_bytes(&self) -> usize {
         self.max_job_bytes
     }
 
-    /// Reserves capacity for a job's body, if there is any left.
-    pub fn body_room(&self, bytes: usize) -> Option<CapacityPermit> {
+    /// Reserves capacity for a job's body; `None` if there is not enough.
+    pub fn reserve_body(&self, bytes: usize) -> Option<CapacityPermit> {
         self.capacity.reserve_body(bytes)
     }
 
-    /// A number that is larger than all before it.
+    /// Returns a number larger than all earlier ones.
     fn next_number(&mut self) -> u64 {
         self.last_number += 1;
         self.last_number
     }
 
-    /// Sets a timer for a time in seconds of the clock; returns its number.
+    /// Sets a timer for a time in seconds of the clock; returns its id.
     fn set_timer(&mut self, at: f64, timer: Timer) -> u64 {
         let number = self.next_number();
         self.timers.set(at, number, timer);
         number
     }
 
-    /// Tells the core of an event.
-    fn tell(&mut self, event: Event) {
-        self.deeds.push(Deed::Tell(event));
+    /// Queues an event for the core.
+    fn emit(&mut self, event: Event) {
+        self.effects.push(Effect::CoreEvent(event));
     }
 
-    /// Has a session's task woken.
+    /// Queues a wake-up of a session's task.
     fn wake_session(&mut self, session: u64) {
-        self.deeds.push(Deed::Wake(session));
+        self.effects.push(Effect::WakeSession(session));
     }
 }
--- a/crates/mintlb-beanstalkd/src/hub/notices.rs
+++ b/crates/mintlb-beanstalkd/src/hub/notices.rs
@@ -1,14 +1,14 @@
-//! Notices: jobs that report how others have finished, for sessions that watch their tube.
+//! Notices: jobs that report how other jobs finished, for sessions that watch their tube.
 
 use super::Hub;
 use super::leases::NewLease;
 use crate::codec::{Put, Tube};
 use crate::job::{FinalStatus, Job, State};
-use crate::session::Leased;
+use crate::session::LeaseKind;
 use mintlb_core::work::Answer;
 
 impl Hub {
-    /// Adds a notice that a job has finished.
+    /// Adds a notice for a finished job.
     pub(super) fn add_notice(
         &mut self,
         now: f64,
@@ -38,9 +38,9 @@
         self.notice_ready(now, id);
     }
 
-    /// Makes a notice ready, and gives it to the reserve that has waited for longest for such.
+    /// Makes a notice ready and leases it to the longest-waiting reserve for its tube, if any.
     pub(super) fn notice_ready(&mut self, now: f64, id: u64) {
-        self.jobs.set(id, State::Ready);
+        self.jobs.set_state(id, State::Ready);
         let Some(notice) = self.jobs.get(id) else {
             return;
         };
@@ -53,7 +53,7 @@
         self.wake_session(session);
     }
 
-    /// Gives a session a notice as a lease.
+    /// Leases a notice to a session.
     pub(super) fn lease_notice(&mut self, now: f64, session: u64, job: u64) {
         let Some(notice) = self.jobs.get(job) else {
             return;
@@ -64,21 +64,21 @@
             session,
             NewLease {
                 job,
-                leased: Leased::Notice,
+                kind: LeaseKind::Notice,
                 deadline,
-                latest: f64::MAX,
+                max_deadline: f64::MAX,
                 body,
             },
         );
     }
 }
 
-/// The body of a notice: the job's id and status; for a deferred job, in how many seconds to put it again;
-/// the worker's result after a line break, if there is one.
+/// Body of a notice: the job's id and status; for a deferred job, the seconds after which to put it again; and after a
+/// line feed the worker's result, if there is one.
 fn notice_body(job: u64, status: FinalStatus, answer: &Answer) -> Vec<u8> {
-    let mut text = format!("{job} {}", status.word());
-    if let FinalStatus::Deferred(come_back) = status {
-        text += &format!(" {come_back:.3}");
+    let mut text = format!("{job} {}", status.as_str());
+    if let FinalStatus::Deferred(retry_after) = status {
+        text += &format!(" {retry_after:.3}");
     }
     let mut body = text.into_bytes();
     if let Answer::Completed(result) = answer
--- a/crates/mintlb-beanstalkd/src/hub/reply.rs
+++ b/crates/mintlb-beanstalkd/src/hub/reply.rs
@@ -1,20 +1,20 @@
-//! Replies to commands, as bytes.
+//! Encoding of replies.
 
 use crate::codec::Tube;
 use std::borrow::Cow;
 
-/// The bytes of a reply.
+/// An encoded reply.
 pub(super) type Reply = Cow<'static, [u8]>;
 
-/// The reply where a job or a tube is not there, or may not be touched by this session.
+/// Reply when a job or tube does not exist or is not available to the session.
 pub(super) const NOT_FOUND: &[u8] = b"NOT_FOUND\r\n";
 
-/// A reply of one line.
+/// Encodes a reply of one line.
 pub(super) fn line(text: String) -> Reply {
     Cow::Owned((text + "\r\n").into_bytes())
 }
 
-/// A reply with a body: the words and the body's length in a line, then the body.
+/// Encodes a reply with a body: a line with `words` and the body's length, then the body.
 pub(super) fn with_body(words: &str, body: &[u8]) -> Vec<u8> {
     let mut text = Vec::with_capacity(words.len() + body.len() + 16);
     text.extend_from_slice(words.as_bytes());
@@ -26,7 +26,7 @@
     text
 }
 
-/// A reply with a YAML list of tubes.
+/// Encodes a YAML list of tubes.
 pub(super) fn yaml_list<'a>(tubes: impl Iterator<Item = &'a Tube>) -> Reply {
     let text = tubes.fold(String::from("---\n"), |text, tube| {
         text + "- " + tube + "\n"
@@ -34,7 +34,7 @@
     Cow::Owned(with_body("OK", text.as_bytes()))
 }
 
-/// A reply with a YAML dictionary.
+/// Encodes a YAML dictionary.
 pub(super) fn yaml_dictionary(pairs: &[(&str, String)]) -> Reply {
     let mut text = String::from("---\n");
     for (key, value) in pairs {
--- a/crates/mintlb-beanstalkd/src/hub/sessions.rs
+++ b/crates/mintlb-beanstalkd/src/hub/sessions.rs
@@ -1,15 +1,15 @@
-//! Connections: their begin and end, and their output.
+//! Session lifecycle and output.
 
 use super::Hub;
 use crate::codec::Tube;
-use crate::session::{InFlight, Leased, PendingDelivery, Session};
+use crate::session::{InFlight, LeaseKind, PendingDelivery, Session};
 use mintlb_core::reducer::Event;
 use mintlb_scheduler::Outcome;
 use std::net::IpAddr;
 use std::sync::atomic::Ordering::Relaxed;
 
 impl Hub {
-    /// Opens a session for a connection from a machine; returns the session's id.
+    /// Opens a session for a new connection; returns the session's id.
     pub fn connect(&mut self, machine: IpAddr) -> u64 {
         self.totals.connections += 1;
         let id = self.next_number();
@@ -18,18 +18,18 @@
         id
     }
 
-    /// Closes a session whose connection has ended. What it held goes back to the core: as never run where a
-    /// job was not written whole.
-    pub fn closed(&mut self, now: f64, id: u64) {
+    /// Closes a session whose connection has ended and returns its attempts to the core. A job that was not written
+    /// completely is reported as never run.
+    pub fn connection_closed(&mut self, now: f64, id: u64) {
         self.stop_waiting(id);
         let Some(session) = self.sessions.remove(&id) else {
             return;
         };
-        if let Some(runs) = session.runs {
-            self.leave_group(now, session.machine, runs);
+        if let Some(type_set) = session.type_set {
+            self.leave_group(now, session.machine, type_set);
         }
         if let Some(pending) = session.pending {
-            self.return_attempt(pending.order.attempt_id, Outcome::NoConnection);
+            self.return_attempt(pending.request.attempt_id, Outcome::NoConnection);
         }
         for (job, lease) in session.leases {
             let outcome = if lease.written {
@@ -37,64 +37,64 @@
             } else {
                 Outcome::NoConnection
             };
-            self.settle_lease(now, job, lease.leased, outcome, None);
+            self.settle_lease(now, job, lease.kind, outcome, None);
         }
     }
 
-    /// Has a session closed once its output is written.
-    pub fn end(&mut self, session: u64) {
+    /// Marks a session to be closed once its output is written.
+    pub fn close_when_flushed(&mut self, session: u64) {
         if let Some(session) = self.sessions.get_mut(&session) {
             session.closing = true;
         }
     }
 
-    /// Has a session closed at once: a job that is being written to it must not arrive whole any more.
-    pub(super) fn cut(&mut self, id: u64) {
+    /// Marks a session to be closed at once, so that the job being written to it does not arrive completely.
+    pub(super) fn abort(&mut self, id: u64) {
         if let Some(session) = self.sessions.get_mut(&id) {
-            (session.closing, session.cut) = (true, true);
+            (session.closing, session.aborted) = (true, true);
         }
         self.wake_session(id);
     }
 
-    /// A session's next command must wait for the answer to its last one.
+    /// Whether a session's next command must wait for the reply to its last one.
     pub fn is_blocked(&self, session: u64) -> bool {
         self.sessions.get(&session).is_none_or(Session::is_blocked)
     }
 
-    /// Nothing more may be written to a session.
-    pub fn is_cut(&self, session: u64) -> bool {
+    /// Whether nothing more may be written to a session.
+    pub fn is_aborted(&self, session: u64) -> bool {
         self.sessions
             .get(&session)
-            .is_none_or(|session| session.cut)
+            .is_none_or(|session| session.aborted)
     }
 
-    /// A session is to be closed.
-    pub fn is_over(&self, session: u64) -> bool {
+    /// Whether a session is to be closed.
+    pub fn is_closing(&self, session: u64) -> bool {
         self.sessions
             .get(&session)
             .is_none_or(|session| session.closing)
     }
 
     /// Queues bytes for a session.
-    pub fn say(&mut self, session: u64, bytes: &[u8]) {
+    pub fn queue_output(&mut self, session: u64, bytes: &[u8]) {
         if let Some(session) = self.sessions.get_mut(&session) {
             session.output.push(bytes);
         }
     }
 
-    /// The number of bytes that are queued for a session and not taken yet.
+    /// Number of bytes queued for a session and not taken yet.
     pub fn queued_bytes(&self, session: u64) -> usize {
         self.sessions
             .get(&session)
             .map_or(0, |session| session.output.waiting.len())
     }
 
-    /// Takes the bytes to be sent to a session. Call it only once all bytes taken before are written.
+    /// Takes the bytes to send to a session. Call only when all bytes taken before are written.
     ///
-    /// A pending delivery becomes a lease only now, so that a machine that drains in the meantime gets
-    /// nothing new, and what was not queued never ran. The caller hands in an empty vector, whose memory is
-    /// used again.
-    pub fn take_out(&mut self, now: f64, id: u64, empty: Vec<u8>) -> Vec<u8> {
+    /// A pending delivery becomes a lease only here, so that a machine that has started draining gets no new job,
+    /// and an attempt that was not queued can be reported as never run. `empty` is an empty vector whose
+    /// memory is reused.
+    pub fn take_output(&mut self, now: f64, id: u64, empty: Vec<u8>) -> Vec<u8> {
         self.deliver_pending(now, id);
         match self.sessions.get_mut(&id) {
             Some(session) => std::mem::replace(&mut session.output.waiting, empty),
@@ -102,8 +102,8 @@
         }
     }
 
-    /// Queues a session's pending delivery if there is no output before it and its machine still accepts
-    /// work.
+    /// Leases a session's pending delivery once all earlier output is written. If the machine no longer accepts work,
+    /// the attempt is returned to the core and the reserve waits again.
     fn deliver_pending(&mut self, now: f64, id: u64) {
         let Some(session) = self.sessions.get_mut(&id) else {
             return;
@@ -113,22 +113,22 @@
         }
         let machine = session.machine;
         let Some(PendingDelivery {
-            order,
+            request,
             reserve_until,
         }) = session.pending.take()
         else {
             return;
         };
         if self.machines.accepts_work(machine) {
-            self.lease_attempt(now, id, order);
+            self.lease_attempt(now, id, request);
         } else {
-            self.return_attempt(order.attempt_id, Outcome::Full);
-            self.wait(now, id, reserve_until);
+            self.return_attempt(request.attempt_id, Outcome::Full);
+            self.start_waiting(now, id, reserve_until);
         }
     }
 
-    /// Counts bytes as written to a session.
-    pub fn wrote(&mut self, id: u64, bytes: usize) {
+    /// Records bytes as written to a session; reports an attempt as started once its job is completely written.
+    pub fn record_written(&mut self, id: u64, bytes: usize) {
         let Some(session) = self.sessions.get_mut(&id) else {
             return;
         };
@@ -142,18 +142,17 @@
             return;
         };
         lease.written = true;
-        if let Leased::Attempt(attempt) = lease.leased {
+        if let LeaseKind::Attempt(attempt) = lease.kind {
             self.sends.fetch_add(1, Relaxed);
-            // The session waited for this job, so the worker has nothing before it.
-            self.tell(Event::Started(attempt));
+            // The session was waiting in a reserve, so the worker starts on this job at once.
+            self.emit(Event::Started(attempt));
         }
     }
 
-    /// All output is written, no delivery is pending, and no notice is ready for a session that watches for
-    /// it.
-    pub fn is_quiet(&self) -> bool {
+    /// Whether all output is written, no delivery is pending, and no notice is ready in a watched tube.
+    pub fn is_idle(&self) -> bool {
         let has_notice = |tube: &Tube| {
-            self.plan.tells_ends(tube)
+            self.plan.is_notice_tube(tube)
                 && self
                     .jobs
                     .tube(tube)
--- a/crates/mintlb-beanstalkd/src/hub/stats.rs
+++ b/crates/mintlb-beanstalkd/src/hub/stats.rs
@@ -7,10 +7,10 @@
 use nix::sys::time::TimeVal;
 use nix::unistd::gethostname;
 
-/// A line of a YAML dictionary.
+/// Key and value of a YAML dictionary.
 type Pair = (&'static str, String);
 
-/// The command counters of `stats`: key and command.
+/// Command counters of `stats`: statistics key and command name.
 const COMMAND_COUNTERS: [(&str, &str); 22] = [
     ("cmd-put", "put"),
     ("cmd-peek", "peek"),
@@ -36,8 +36,8 @@
     ("cmd-pause-tube", "pause-tube"),
 ];
 
-/// The figures of the protocol's persistent log, which this server does not have.
-const BINLOG: [&str; 5] = [
+/// Statistics of beanstalkd's persistent log, which this server does not have; reported as 0.
+const BINLOG_KEYS: [&str; 5] = [
     "binlog-oldest-index",
     "binlog-current-index",
     "binlog-records-migrated",
@@ -46,7 +46,7 @@
 ];
 
 impl Hub {
-    /// `stats-job`: a job's state and counters.
+    /// `stats-job`: state and counters of a job.
     pub(super) fn stats_job(&self, now: f64, id: u64) -> Reply {
         let Some(job) = self.jobs.get(id) else {
             return Reply::Borrowed(NOT_FOUND);
@@ -69,20 +69,20 @@
             ("buries", counts.buries.to_string()),
             ("kicks", counts.kicks.to_string()),
         ];
-        // Beyond the protocol: the job's final status, and when to put a deferred job again.
+        // Extensions of the protocol: the final status, and the seconds after which to put a deferred job again.
         if let Some(status) = job.final_status {
-            pairs.push(("end", status.word().to_string()));
+            pairs.push(("end", status.as_str().to_string()));
         }
-        if let Some(FinalStatus::Deferred(come_back)) = job.final_status {
-            pairs.push(("come-back", format!("{come_back:.3}")));
+        if let Some(FinalStatus::Deferred(retry_after)) = job.final_status {
+            pairs.push(("come-back", format!("{retry_after:.3}")));
         }
         yaml_dictionary(&pairs)
     }
 
-    /// A job's state as `stats-job` names it, and the seconds until the state changes by itself.
+    /// A job's state as spelled in `stats-job`, and the seconds until the state changes by itself.
     fn state_of(&self, now: f64, id: u64, job: &Job) -> (&'static str, f64) {
         let holder = job
-            .last_holder
+            .last_session
             .and_then(|session| self.sessions.get(&session));
         let lease = holder.and_then(|session| session.leases.get(&id));
         match job.state {
@@ -90,11 +90,11 @@
             State::Ready => ("ready", 0.0),
             State::Reserved => ("reserved", lease.map_or(0.0, |lease| lease.deadline - now)),
             State::Buried(_) => ("buried", 0.0),
-            State::Finished(status) => (status.word(), 0.0),
+            State::Finished(status) => (status.as_str(), 0.0),
         }
     }
 
-    /// `stats-tube`: a tube's jobs and sessions.
+    /// `stats-tube`: job and session counts of a tube.
     pub(super) fn stats_tube(&self, now: f64, tube: &str) -> Reply {
         if !self.is_tube(tube) {
             return Reply::Borrowed(NOT_FOUND);
@@ -140,14 +140,14 @@
         ])
     }
 
-    /// `stats`: the whole server, in the protocol's order of lines.
+    /// `stats`: server-wide statistics, with lines in the protocol's order.
     pub(super) fn stats(&self, now: f64) -> Reply {
         let mut pairs = self.job_stats();
         pairs.extend(self.command_stats());
         pairs.extend(self.total_stats());
         pairs.extend(self.session_stats());
         pairs.extend(self.process_stats(now));
-        pairs.extend(BINLOG.map(|key| (key, "0".to_string())));
+        pairs.extend(BINLOG_KEYS.map(|key| (key, "0".to_string())));
         pairs.extend(self.server_stats());
         pairs.extend(self.extra_stats());
         yaml_dictionary(&pairs)
@@ -181,7 +181,7 @@
     fn total_stats(&self) -> [Pair; 4] {
         [
             ("job-timeouts", self.totals.timeouts.to_string()),
-            ("total-jobs", self.totals.taken.to_string()),
+            ("total-jobs", self.totals.accepted.to_string()),
             ("max-job-size", self.max_job_bytes.to_string()),
             ("current-tubes", self.jobs.tubes().count().to_string()),
         ]
@@ -249,14 +249,14 @@
         ]
     }
 
-    /// Lines beyond the protocol.
+    /// Lines that extend the protocol.
     fn extra_stats(&self) -> [Pair; 5] {
         [
             ("jobs-completed", self.totals.completed.to_string()),
             ("jobs-deferred", self.totals.deferred.to_string()),
             ("jobs-aborted", self.totals.aborted.to_string()),
             ("jobs-withdrawn", self.totals.withdrawn.to_string()),
-            ("machines", self.groups().to_string()),
+            ("machines", self.group_count().to_string()),
         ]
     }
 }
@@ -265,12 +265,12 @@
     format!("\"{text}\"")
 }
 
-/// Full seconds; 0 for a time that has passed.
+/// Rounds down to whole seconds; negative values give 0.
 fn whole_seconds(seconds: f64) -> String {
     (seconds.max(0.0) as u64).to_string()
 }
 
-/// Seconds with microseconds.
+/// Formats seconds with six decimals; empty if the time is not available.
 fn processor_time(time: Option<TimeVal>) -> String {
     time.map_or_else(String::new, |time| {
         format!("{}.{:06}", time.tv_sec(), time.tv_usec())
--- a/crates/mintlb-beanstalkd/src/hub/timers.rs
+++ b/crates/mintlb-beanstalkd/src/hub/timers.rs
@@ -1,61 +1,61 @@
-//! The queue of timers.
+//! Timer queue of the hub.
 
 use mintlb_core::work::AttemptId;
 use std::collections::BTreeMap;
 
-/// What is due when a timer expires.
+/// What to do when a timer expires.
 pub(super) enum Timer {
-    /// A session's lease on a job expires, if this is still the lease's timer.
+    /// Expire a session's lease on a job, if this is still the lease's timer.
     LeaseExpiry { session: u64, job: u64 },
-    /// A reserve times out or is told of a deadline, if it still waits under this sequence number.
+    /// Answer a reserve with a timeout or a deadline warning, if it still waits under this sequence number.
     ReserveTimeout { session: u64, sequence: u64 },
-    /// The delay of a job is over.
+    /// End the delay of a job that the core does not know: a put with a delay, or a released notice.
     DelayOver { job: u64 },
-    /// The delay of a release is over: its attempt goes back to the core.
+    /// End the delay of a release: return its attempt to the core.
     ReleaseDelayOver { attempt: AttemptId },
-    /// An attempt's time is over before anything of it was sent, since its session takes no output.
+    /// Return an attempt whose deadline passed before anything was sent, because its session accepts no output.
     DeliveryTimeout { session: u64, attempt: AttemptId },
-    /// Groups of workers without a connection may be forgotten.
-    ForgetGroups,
+    /// Remove worker groups that have had no connection for long enough.
+    RemoveIdleGroups,
 }
 
-/// Timers in the order of their times, and of their numbers where the times are equal.
+/// Timers ordered by time, then by id.
 #[derive(Default)]
 pub(super) struct Timers {
-    /// By the bits of the time, which sort as the times do since none is negative, and by number.
+    /// By the bits of the time, which sort like the times since none is negative, and by id.
     queue: BTreeMap<(u64, u64), Timer>,
 }
 
-/// The sorting key of a time in seconds of the clock.
+/// Sort key of a time in seconds of the clock.
 fn key(at: f64) -> u64 {
     at.max(0.0).to_bits()
 }
 
 impl Timers {
-    /// Sets a timer under a number that no other has.
-    pub(super) fn set(&mut self, at: f64, number: u64, timer: Timer) {
-        self.queue.insert((key(at), number), timer);
+    /// Sets a timer; the id must be unused.
+    pub(super) fn set(&mut self, at: f64, id: u64, timer: Timer) {
+        self.queue.insert((key(at), id), timer);
     }
 
-    /// Removes the timer that was set for this time under this number.
-    pub(super) fn cancel(&mut self, at: f64, number: u64) {
-        self.queue.remove(&(key(at), number));
+    /// Removes the timer that was set for this time with this id.
+    pub(super) fn cancel(&mut self, at: f64, id: u64) {
+        self.queue.remove(&(key(at), id));
     }
 
-    /// The time of the first timer.
+    /// Time of the earliest timer.
     pub(super) fn next_due(&self) -> Option<f64> {
         self.queue
             .first_key_value()
             .map(|((at, _), _)| f64::from_bits(*at))
     }
 
-    /// Takes the first timer if it is due, with its number.
+    /// Takes the earliest timer, with its id, if it is due.
     pub(super) fn pop_due(&mut self, now: f64) -> Option<(u64, Timer)> {
         let first = self
             .queue
             .first_entry()
             .filter(|first| f64::from_bits(first.key().0) <= now)?;
-        let ((_, number), timer) = first.remove_entry();
-        Some((number, timer))
+        let ((_, id), timer) = first.remove_entry();
+        Some((id, timer))
     }
 }
--- a/crates/mintlb-beanstalkd/src/hub/tubes.rs
+++ b/crates/mintlb-beanstalkd/src/hub/tubes.rs
@@ -1,4 +1,4 @@
-//! The commands on tubes: use, watch, ignore, pause, and the lists of tubes.
+//! Tube commands: use, watch, ignore, pause-tube, and the lists of tubes.
 
 use super::Hub;
 use super::reply::{NOT_FOUND, Reply, line, yaml_list};
@@ -7,7 +7,7 @@
 use std::collections::BTreeSet;
 
 impl Hub {
-    /// `use`: the tube for the session's puts, peeks and kicks.
+    /// `use`: selects the tube for the session's puts, peeks and kicks.
     pub(super) fn use_tube(&mut self, id: u64, tube: Tube) -> Reply {
         let Some(session) = self.sessions.get_mut(&id) else {
             return Reply::default();
@@ -16,7 +16,7 @@
         using(session)
     }
 
-    /// `watch`: one more tube for the session's reserves.
+    /// `watch`: adds a tube to those the session reserves from.
     pub(super) fn watch(&mut self, id: u64, tube: Tube) -> Reply {
         let Some(session) = self.sessions.get_mut(&id) else {
             return Reply::default();
@@ -30,7 +30,7 @@
         watching(session)
     }
 
-    /// `ignore`: one tube less for the session's reserves, but never none.
+    /// `ignore`: removes a tube from those the session reserves from, unless it is the last one.
     pub(super) fn ignore(&mut self, id: u64, tube: &Tube) -> Reply {
         let Some(session) = self.sessions.get_mut(&id) else {
             return Reply::default();
@@ -42,10 +42,10 @@
         watching(session)
     }
 
-    /// `pause-tube`: what is put into it in the next seconds is delayed until these are over.
+    /// `pause-tube`: jobs put during the pause are delayed until its end.
     pub(super) fn pause_tube(&mut self, now: f64, tube: Tube, delay: f64) -> Reply {
-        // Only tubes of the operator's file: memory must not grow with the names that clients make up.
-        if self.plan.route(&tube).is_none() && !self.plan.tells_ends(&tube) {
+        // Only configured tubes, so that memory does not grow with names chosen by clients.
+        if self.plan.route(&tube).is_none() && !self.plan.is_notice_tube(&tube) {
             return Reply::Borrowed(NOT_FOUND);
         }
         let seconds = delay.min(self.plan.table.longest_delay);
@@ -67,7 +67,7 @@
             .unwrap_or_default()
     }
 
-    /// `list-tubes`: the tubes of the operator's file, and those that are in use.
+    /// `list-tubes`: all configured tubes, and all others that exist.
     pub(super) fn list_tubes(&self) -> Reply {
         let mut tubes: BTreeSet<Tube> = self
             .plan
@@ -90,12 +90,12 @@
         yaml_list(tubes.iter())
     }
 
-    /// A tube exists while it is in the operator's file, holds jobs, or is used or watched.
+    /// Whether a tube exists: it is configured, has been given jobs, or is used or watched.
     pub(super) fn is_tube(&self, tube: &str) -> bool {
         tube == &*self.default_tube
             || self.jobs.tube(tube).is_some()
             || self.plan.route(tube).is_some()
-            || self.plan.tells_ends(tube)
+            || self.plan.is_notice_tube(tube)
             || self
                 .sessions
                 .values()
--- a/crates/mintlb-beanstalkd/src/hub/wake.rs
+++ b/crates/mintlb-beanstalkd/src/hub/wake.rs
@@ -1,11 +1,11 @@
-//! What is done when time has passed.
+//! Runs due timers and expires jobs.
 
 use super::Hub;
 use super::timers::Timer;
 use crate::job::State;
 
 impl Hub {
-    /// When [`Hub::woke`] is to be called next, in seconds of the clock.
+    /// When [`Hub::run_due`] must be called next, in seconds of the clock; `None` if nothing is scheduled.
     pub fn next_due(&self) -> Option<f64> {
         self.timers
             .next_due()
@@ -14,8 +14,8 @@
             .reduce(f64::min)
     }
 
-    /// Runs the timers that are due, and discards the jobs that have expired.
-    pub fn woke(&mut self, now: f64) {
+    /// Runs the due timers and discards the expired jobs.
+    pub fn run_due(&mut self, now: f64) {
         while let Some((number, timer)) = self.timers.pop_due(now) {
             self.run_timer(now, number, timer);
         }
@@ -35,11 +35,11 @@
             Timer::DeliveryTimeout { session, attempt } => {
                 self.delivery_timed_out(now, session, attempt)
             }
-            Timer::ForgetGroups => self.forget_groups(now),
+            Timer::RemoveIdleGroups => self.remove_idle_groups(now),
         }
     }
 
-    /// The delay of a put is over, or that of a notice's release.
+    /// Handles the end of the delay of a put, or of a notice's release.
     fn delay_over(&mut self, now: f64, id: u64) {
         let job = self
             .jobs
@@ -48,7 +48,8 @@
         match job.map(|job| (job.is_notice, job.counts.releases)) {
             Some((true, _)) => self.notice_ready(now, id),
             Some((false, 0)) => self.submit(now, id),
-            // It was kicked before its time and released with a delay since: the core knows it.
+            // The job was kicked before its delay ended and has since been released with a delay; the core knows
+            // it and its release has a timer of its own.
             Some((false, _)) | None => {}
         }
     }
--- a/crates/mintlb-beanstalkd/src/machines.rs
+++ b/crates/mintlb-beanstalkd/src/machines.rs
@@ -1,78 +1,78 @@
-//! Machines and their groups of workers: which project types a machine runs, and whether it may get jobs.
+//! Worker machines and their connection groups: which project types each runs, and whether it may receive jobs.
 //!
-//! A machine is the address that connections come from. All its connections that watch tubes of the same
-//! project types are one group, which is one worker to the core; a waiting `reserve` is room for one job
-//! there.
+//! A machine is identified by the address its connections come from. All of its connections that watch tubes of
+//! the same project types form one group, which the core sees as one worker; each waiting `reserve` is capacity
+//! for one job there.
 
 use mintlb_core::membership::worker_id;
 use mintlb_scheduler::{ListEntry, ListState, ProjectTypeSet};
 use std::collections::{BTreeMap, HashMap};
 use std::net::IpAddr;
 
-/// What the list service says of a machine.
+/// Location and state of a machine as reported by the list service.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Place {
+pub struct MachineInfo {
     pub zone: u16,
     pub cell: u64,
     pub kind: u16,
     pub listed: ListState,
-    /// When it started, in seconds of Unix time; 0 for long ago.
-    pub came_up: f64,
+    /// When the machine started, in seconds of Unix time; 0 if it started long ago.
+    pub start_time: f64,
 }
 
 /// The connections of one machine that run the same project types.
 #[derive(Debug)]
 pub struct Group {
-    /// The worker's id for the core.
+    /// The group's worker id in the core.
     pub worker: u64,
     pub machine: IpAddr,
-    pub runs: ProjectTypeSet,
-    /// It changes when the core is told of another worker or of a restart: orders to an earlier generation
-    /// are not this group's.
+    pub type_set: ProjectTypeSet,
+    /// Changes when the group becomes another worker to the core or restarts; attempts sent to an earlier generation
+    /// are rejected.
     pub generation: u64,
-    /// Sessions whose reserve waits, by sequence number: the first is served first.
+    /// Sessions with a waiting reserve, by sequence number; the lowest is served first.
     pub waiting: BTreeMap<u64, u64>,
-    /// The number of orders that have come for this generation.
-    pub orders: u64,
-    /// The number of its connections.
+    /// Number of attempts received for this generation.
+    pub requests_received: u64,
+    /// Number of connections in the group.
     pub sessions: usize,
-    /// When its last connection left, in seconds of the clock.
+    /// When the last connection left, in seconds of the clock.
     pub empty_since: f64,
-    /// The place that the core was last told.
-    announced: Place,
+    /// Location and state last announced to the core.
+    announced: MachineInfo,
 }
 
-/// All machines and groups that are known.
+/// Registry of known machines and groups.
 #[derive(Default)]
 pub struct Machines {
-    /// Only machines that the list service names get jobs.
+    /// Only machines reported by the list service get jobs.
     listed_only: bool,
-    /// A machine that the list does not name counts as started when it is first seen.
+    /// A machine that is not listed counts as started (cold) when it is first seen.
     cold: bool,
-    /// What the list says of the machines that it names, or has named.
-    listed: HashMap<IpAddr, Place>,
-    /// When a machine was first seen, and a zone of its own while the list does not name it: it is not known
-    /// then which machines share the deduplication of its keyed jobs, so none may count as sharing it.
+    /// Last report for each machine that is or was listed.
+    listed: HashMap<IpAddr, MachineInfo>,
+    /// When each machine was first seen, and a zone of its own that applies while it is not listed: it is then
+    /// unknown which machines share deduplication of keyed jobs with it, so none may count as sharing it.
     first_seen: HashMap<IpAddr, (f64, u16)>,
     groups: HashMap<(IpAddr, ProjectTypeSet), Group>,
-    /// The last generation given to a group.
+    /// The last generation number assigned to a group.
     generations: u64,
 }
 
-/// What the core is to be told of a group.
+/// Membership change of a group, to be announced to the core.
 #[derive(Clone, Debug)]
-pub struct Change {
+pub struct GroupChange {
     /// The worker's name.
     pub name: String,
-    /// The worker as a line of the list of workers.
-    pub line: ListEntry,
+    /// The worker's entry in the membership list.
+    pub list_entry: ListEntry,
     pub generation: u64,
     pub machine: IpAddr,
-    pub runs: ProjectTypeSet,
+    pub type_set: ProjectTypeSet,
 }
 
 impl Machines {
-    /// Without any machine; the arguments are `listed` and `cold` of the operator's table.
+    /// `listed_only` and `cold` are the settings `listed` and `cold` of `[beanstalkd]`.
     pub fn new(listed_only: bool, cold: bool) -> Machines {
         Machines {
             listed_only,
@@ -81,47 +81,51 @@
         }
     }
 
-    /// New jobs may go to a machine: it neither drains nor has gone, and is listed where it must be.
+    /// Whether a machine may receive new jobs: it is neither draining nor gone, and is listed if that is required.
     pub fn accepts_work(&self, machine: IpAddr) -> bool {
         match self.listed.get(&machine) {
-            Some(place) => place.listed == ListState::Ready,
+            Some(info) => info.listed == ListState::Ready,
             None => !self.listed_only,
         }
     }
 
-    /// The group of a machine's connections that run these project types.
-    pub fn group(&mut self, machine: IpAddr, runs: ProjectTypeSet) -> Option<&mut Group> {
-        self.groups.get_mut(&(machine, runs))
+    pub fn group(&mut self, machine: IpAddr, type_set: ProjectTypeSet) -> Option<&mut Group> {
+        self.groups.get_mut(&(machine, type_set))
     }
 
-    /// Counts a connection into a group. Returns what to tell the core if the group is new.
-    pub fn join(&mut self, now: f64, machine: IpAddr, runs: ProjectTypeSet) -> Option<Change> {
-        if let Some(group) = self.groups.get_mut(&(machine, runs)) {
+    /// Adds a connection to a group. Returns the change to announce if the group is new.
+    pub fn join(
+        &mut self,
+        now: f64,
+        machine: IpAddr,
+        type_set: ProjectTypeSet,
+    ) -> Option<GroupChange> {
+        if let Some(group) = self.groups.get_mut(&(machine, type_set)) {
             group.sessions += 1;
             return None;
         }
         let zone = u16::MAX - (self.generations % (u16::MAX as u64 / 2)) as u16;
         self.first_seen.entry(machine).or_insert((now, zone));
-        let place = self.place(machine);
+        let info = self.machine_info(machine);
         self.generations += 1;
         let group = Group {
-            worker: worker_id(&name(machine, runs, place)),
+            worker: worker_id(&worker_name(machine, type_set, info)),
             machine,
-            runs,
+            type_set,
             generation: self.generations,
             waiting: BTreeMap::new(),
-            orders: 0,
+            requests_received: 0,
             sessions: 1,
             empty_since: now,
-            announced: place,
+            announced: info,
         };
-        let change = group.change(place.listed);
-        self.groups.insert((machine, runs), group);
+        let change = group.change(info.listed);
+        self.groups.insert((machine, type_set), group);
         Some(change)
     }
 
-    /// A machine's place for the core: the list's, or else one that follows from when it was first seen.
-    fn place(&self, machine: IpAddr) -> Place {
+    /// Location and state to announce for a machine: as listed, or else derived from when it was first seen.
+    fn machine_info(&self, machine: IpAddr) -> MachineInfo {
         let (first_seen, zone) = self
             .first_seen
             .get(&machine)
@@ -132,28 +136,28 @@
         } else {
             ListState::Ready
         };
-        let came_up = if self.cold { first_seen } else { 0.0 };
-        let unlisted = Place {
+        let start_time = if self.cold { first_seen } else { 0.0 };
+        let unlisted = MachineInfo {
             zone,
             cell: 0,
             kind: u16::MAX,
             listed,
-            came_up,
+            start_time,
         };
-        let place = self.listed.get(&machine).copied().unwrap_or(unlisted);
-        // The connections of a machine that has gone from the list may finish their jobs, so it counts as
+        let info = self.listed.get(&machine).copied().unwrap_or(unlisted);
+        // Connections of a machine that was removed from the list may finish their jobs, so it is announced as
         // draining.
-        let listed = if place.listed == ListState::Ready {
+        let listed = if info.listed == ListState::Ready {
             ListState::Ready
         } else {
             ListState::Draining
         };
-        Place { listed, ..place }
+        MachineInfo { listed, ..info }
     }
 
-    /// Counts a connection out of a group. Returns true if it was the last.
-    pub fn leave(&mut self, now: f64, machine: IpAddr, runs: ProjectTypeSet) -> bool {
-        let Some(group) = self.groups.get_mut(&(machine, runs)) else {
+    /// Removes a connection from a group. Returns whether it was the last.
+    pub fn leave(&mut self, now: f64, machine: IpAddr, type_set: ProjectTypeSet) -> bool {
+        let Some(group) = self.groups.get_mut(&(machine, type_set)) else {
             return false;
         };
         group.sessions -= 1;
@@ -161,8 +165,8 @@
         group.sessions == 0
     }
 
-    /// Forgets groups that have had no connection for `after` seconds. Returns what to tell the core.
-    pub fn forget_empty(&mut self, now: f64, after: f64) -> Vec<Change> {
+    /// Removes groups that have had no connection for `after` seconds. Returns the changes to announce.
+    pub fn remove_idle(&mut self, now: f64, after: f64) -> Vec<GroupChange> {
         let is_old = |group: &Group| group.sessions == 0 && now >= group.empty_since + after;
         let gone: Vec<Group> = self
             .groups
@@ -172,7 +176,7 @@
         let groups = &self.groups;
         let has_group = |machine: &IpAddr| groups.keys().any(|(other, _)| other == machine);
         self.listed
-            .retain(|machine, place| place.listed != ListState::Gone || has_group(machine));
+            .retain(|machine, info| info.listed != ListState::Gone || has_group(machine));
         let has_left = |machine: &IpAddr| {
             gone.iter().any(|group| group.machine == *machine) && !has_group(machine)
         };
@@ -182,129 +186,126 @@
             .collect()
     }
 
-    /// Applies what the list service says of machines. With `full`, machines that it does not name have left
-    /// it. A machine with several processes is ready if any of them is. Returns what to tell the core.
+    /// Applies a report of the list service. If `full`, machines missing from it have left the list. A machine with
+    /// several processes is ready if any of them is. Returns the changes to announce.
     pub fn apply_list(
         &mut self,
         full: bool,
-        told: impl Iterator<Item = (IpAddr, Place)>,
-    ) -> Vec<Change> {
+        reported: impl Iterator<Item = (IpAddr, MachineInfo)>,
+    ) -> Vec<GroupChange> {
         let mut changes = Vec::new();
-        for (machine, place) in self.by_machine(full, told) {
-            if self.listed.insert(machine, place) != Some(place) {
-                self.move_groups(machine, &mut changes);
+        for (machine, info) in self.by_machine(full, reported) {
+            if self.listed.insert(machine, info) != Some(info) {
+                self.update_groups(machine, &mut changes);
             }
         }
         changes
     }
 
-    /// The list's places by machine, with those machines that have left it.
+    /// Merges the reported entries by machine; if `full`, adds as gone those machines that are no longer listed.
     fn by_machine(
         &self,
         full: bool,
-        told: impl Iterator<Item = (IpAddr, Place)>,
-    ) -> HashMap<IpAddr, Place> {
-        let mut places: HashMap<IpAddr, Place> = HashMap::new();
-        for (machine, place) in told {
-            let best = places.entry(machine).or_insert(place);
-            if best.listed != ListState::Ready && place.listed == ListState::Ready {
-                *best = place;
+        reported: impl Iterator<Item = (IpAddr, MachineInfo)>,
+    ) -> HashMap<IpAddr, MachineInfo> {
+        let mut infos: HashMap<IpAddr, MachineInfo> = HashMap::new();
+        for (machine, info) in reported {
+            let best = infos.entry(machine).or_insert(info);
+            if best.listed != ListState::Ready && info.listed == ListState::Ready {
+                *best = info;
             }
         }
         if full {
-            for (machine, place) in &self.listed {
-                // It gets nothing new until the list names it again.
-                places.entry(*machine).or_insert(Place {
+            for (machine, info) in &self.listed {
+                // The machine gets no new jobs until it is listed again.
+                infos.entry(*machine).or_insert(MachineInfo {
                     listed: ListState::Gone,
-                    ..*place
+                    ..*info
                 });
             }
         }
-        places
+        infos
     }
 
-    /// Gives a machine's groups its new place; adds what to tell the core.
-    fn move_groups(&mut self, machine: IpAddr, changes: &mut Vec<Change>) {
-        let place = self.place(machine);
+    /// Updates a machine's groups after a report and appends the changes to announce.
+    fn update_groups(&mut self, machine: IpAddr, changes: &mut Vec<GroupChange>) {
+        let info = self.machine_info(machine);
         for group in self
             .groups
             .values_mut()
             .filter(|group| group.machine == machine)
         {
-            let Place {
-                listed, came_up, ..
+            let MachineInfo {
+                listed, start_time, ..
             } = group.announced;
-            let is_moved = Place {
+            let is_relocated = MachineInfo {
                 listed,
-                came_up,
-                ..place
+                start_time,
+                ..info
             } != group.announced;
-            if is_moved {
-                // The core never changes the place of a worker that it knows, so this becomes another worker.
+            if is_relocated {
+                // The core never changes the location of a known worker, so the group becomes a new worker.
                 changes.push(group.change(ListState::Gone));
-                group.worker = worker_id(&name(machine, group.runs, place));
+                group.worker = worker_id(&worker_name(machine, group.type_set, info));
             }
-            if is_moved || came_up != place.came_up {
+            if is_relocated || start_time != info.start_time {
                 self.generations += 1;
-                (group.generation, group.orders) = (self.generations, 0);
+                (group.generation, group.requests_received) = (self.generations, 0);
             }
-            group.announced = place;
-            changes.push(group.change(place.listed));
+            group.announced = info;
+            changes.push(group.change(info.listed));
         }
     }
 
-    /// The number of groups.
     pub fn len(&self) -> usize {
         self.groups.len()
     }
 
-    /// There is no group.
     pub fn is_empty(&self) -> bool {
         self.groups.is_empty()
     }
 }
 
 impl Group {
-    /// The group as it was last announced, with the given state.
-    fn change(&self, listed: ListState) -> Change {
-        let Place {
+    /// Builds the change that announces the group at its last announced location, with the given state.
+    fn change(&self, listed: ListState) -> GroupChange {
+        let MachineInfo {
             zone,
             cell,
             kind,
-            came_up,
+            start_time,
             ..
         } = self.announced;
-        let (id, runs) = (self.worker, self.runs);
-        Change {
-            name: name(self.machine, runs, self.announced),
-            line: ListEntry {
+        let (id, type_set) = (self.worker, self.type_set);
+        GroupChange {
+            name: worker_name(self.machine, type_set, self.announced),
+            list_entry: ListEntry {
                 id,
                 zone,
                 cell,
                 machine_kind: kind,
                 state: listed,
-                started_at: came_up,
-                project_types: runs,
+                started_at: start_time,
+                project_types: type_set,
                 pulls_work: true,
             },
             generation: self.generation,
             machine: self.machine,
-            runs,
+            type_set,
         }
     }
 }
 
-/// The name of the worker that a group is to the core.
-fn name(machine: IpAddr, runs: ProjectTypeSet, place: Place) -> String {
-    let Place {
+/// Name of the worker that represents a group in the core.
+fn worker_name(machine: IpAddr, type_set: ProjectTypeSet, info: MachineInfo) -> String {
+    let MachineInfo {
         zone, cell, kind, ..
-    } = place;
-    // An unlisted machine's zone may be another after a restart of this program; its worker's name must not
-    // be.
-    let place = if kind == u16::MAX {
+    } = info;
+    // An unlisted machine's zone may differ after a restart of this program; its worker name must not.
+    let location = if kind == u16::MAX {
         String::new()
     } else {
         format!("/{zone}.{cell}.{kind}")
     };
-    format!("beanstalkd/{machine}/{runs}{place}")
+    format!("beanstalkd/{machine}/{type_set}{location}")
 }
--- a/crates/mintlb/src/subsystems.rs
+++ b/crates/mintlb/src/subsystems.rs
@@ -3,8 +3,8 @@
 
 use crate::operator_config::OperatorConfig;
 use crate::resource_limits::ResourceLimits;
-use mintlb_beanstalkd::front::{Bounds, Front as Beanstalkd, Joint};
 use mintlb_beanstalkd::hub::Hub;
+use mintlb_beanstalkd::server::{Server as Beanstalkd, ServerSubsystem, SocketLimits};
 use mintlb_beanstalkd::table::Plan as BeanstalkdPlan;
 use mintlb_core::budget::SharedBudgets;
 use mintlb_core::capacity::Capacity;
@@ -124,7 +124,7 @@
     plan: BeanstalkdPlan,
     resource_limits: &ResourceLimits,
     context: &Context<'_>,
-) -> Result<Joint, String> {
+) -> Result<ServerSubsystem, String> {
     let listen = plan.table.listen;
     let error = |e| format!("beanstalkd.listen: {listen}: {e}");
     let listener = TcpListener::bind(listen).await.map_err(error)?;
@@ -143,21 +143,21 @@
         capacity,
     );
     hub.sends = context.sends.clone();
-    let (connections, read, pause) = (
+    let (connections, read_timeout, accept_retry_delay) = (
         resource_limits.beanstalkd_connections,
         resource_limits.http.read_timeout,
         resource_limits.http.dial_timeout / 16,
     );
-    let bounds = Bounds {
+    let limits = SocketLimits {
         connections,
-        read,
-        pause,
+        read_timeout,
+        accept_retry_delay,
     };
     let (events, log) = (context.events.clone(), context.log.clone());
-    let front = Joint(Beanstalkd::new(
+    let server = ServerSubsystem(Beanstalkd::new(
         hub,
         context.project_types,
-        bounds,
+        limits,
         context.clock,
         events,
         log,
@@ -166,8 +166,8 @@
     context
         .initial_members
         .into_iter()
-        .for_each(|update| front.on_membership_update(update));
-    tokio::spawn(front.0.clone().listen(listener));
+        .for_each(|update| server.on_membership_update(update));
+    tokio::spawn(server.0.clone().listen(listener));
     info!(context.log, "beanstalkd is listening"; "listen" => %listen);
-    Ok(front)
+    Ok(server)
 }
--- a/crates/mintlb/tests/jobs.rs
+++ b/crates/mintlb/tests/jobs.rs
@@ -699,7 +699,7 @@
         (
             "connections = 256",
             "connections = 0",
-            "beanstalkd.connections: 0 is too little",
+            "beanstalkd.connections: must be at least 1, is 0",
         ),
         (
             "connections = 256",
@@ -719,22 +719,22 @@
         (
             "tube = \"create\"",
             "tube = \"lookup\"",
-            "beanstalkd.tubes[1].tube: \"lookup\" is there twice",
+            "beanstalkd.tubes[1].tube: \"lookup\" is configured twice",
         ),
         (
             "tube = \"create\"",
             "tube = \"-x\"",
-            "beanstalkd.tubes[1].tube: \"-x\" is no name of a tube",
+            "beanstalkd.tubes[1].tube: \"-x\" is not a valid tube name",
         ),
         (
             "project_type = \"create\"",
             "project_type = \"creat\"",
-            "beanstalkd.tubes[1].project_type: there is no project type \"creat\", only lookup, create, charge",
+            "beanstalkd.tubes[1].project_type: unknown project type \"creat\", expected one of: lookup, create, charge",
         ),
         (
             "project_type = \"create\"",
             "project_type = \"create\"\ncustomer = \"me\"",
-            "beanstalkd.tubes[1].customer: there is no customer \"me\"",
+            "beanstalkd.tubes[1].customer: unknown customer \"me\"",
         ),
         (
             "project_type = \"create\"",
@@ -754,7 +754,7 @@
         (
             "[beanstalkd]",
             "[beanstalkd]\nkeep_ends = -1.0",
-            "beanstalkd.keep_ends: -1 s is no time",
+            "beanstalkd.keep_ends: must be between 0 and 86400 s, is -1 s",
         ),
         (
             "[beanstalkd]",
--- a/crates/mintlb/tests/random_jobs.rs
+++ b/crates/mintlb/tests/random_jobs.rs
@@ -279,11 +279,11 @@
             "seed {seed}: lost, ended twice, late, executed twice, reserved after a drain"
         );
         assert_eq!(
-            totals.taken,
+            totals.accepted,
             totals.completed + totals.deferred + totals.aborted + totals.withdrawn,
             "seed {seed}"
         );
-        accepted += totals.taken;
+        accepted += totals.accepted;
         ends = [
             ends[0] + totals.completed,
             ends[1] + totals.deferred,
--- a/crates/mintlb/tests/virtual_time/mod.rs
+++ b/crates/mintlb/tests/virtual_time/mod.rs
@@ -5,9 +5,9 @@
 use mintlb::configuration::Configuration;
 use mintlb::operator_config::OperatorConfig;
 use mintlb::serve::StartupPlan;
-use mintlb_beanstalkd::codec::{Command, Fault, Item, Reader};
-use mintlb_beanstalkd::hub::{Deed, Hub};
-use mintlb_beanstalkd::machines::Place;
+use mintlb_beanstalkd::codec::{Command, CommandReader, Item, ProtocolError};
+use mintlb_beanstalkd::hub::{Effect, Hub};
+use mintlb_beanstalkd::machines::MachineInfo;
 use mintlb_core::capacity::Capacity;
 use mintlb_core::membership::{Member, MembershipUpdate, WorkerSource};
 use mintlb_core::project_types::ProjectTypes;
@@ -76,7 +76,7 @@
 /// A session of a producer or a worker.
 pub struct Peer {
     id: u64,
-    reader: Reader,
+    reader: CommandReader,
     bytes: BytesMut,
     /// Bytes that it has received since the test last read them.
     pub received: Vec<u8>,
@@ -199,10 +199,10 @@
     pub fn run_until_idle(&mut self) {
         loop {
             let mut progressed = false;
-            for deed in self.hub.deeds(Vec::new()) {
+            for effect in self.hub.take_effects(Vec::new()) {
                 progressed = true;
-                match deed {
-                    Deed::Arrive {
+                match effect {
+                    Effect::Submit {
                         id,
                         project_type,
                         customer,
@@ -213,10 +213,10 @@
                         assert!(customer.is_none() && arrived == self.now && time_budget == 3.0);
                         self.hand_in(id, project_type, body);
                     }
-                    Deed::Member(change) => {
+                    Effect::MemberChanged(change) => {
                         let route = WorkerRoute(
                             change.machine,
-                            change.runs,
+                            change.type_set,
                             change.generation,
                             self.messages.clone(),
                         );
@@ -226,7 +226,7 @@
                         );
                         let member = Member {
                             name: change.name,
-                            entry: change.line,
+                            entry: change.list_entry,
                             host,
                             endpoint,
                         };
@@ -237,8 +237,10 @@
                         };
                         self.reduce(Event::MembershipChanged(None, update));
                     }
-                    Deed::Tell(event) => self.reduce(event),
-                    Deed::Wake(id) => self.runnable.extend(self.session_names.get(&id).cloned()),
+                    Effect::CoreEvent(event) => self.reduce(event),
+                    Effect::WakeSession(id) => {
+                        self.runnable.extend(self.session_names.get(&id).cloned())
+                    }
                 }
             }
             let messages: Vec<CoreMessage> = self.messages.lock().unwrap().drain(..).collect();
@@ -246,12 +248,12 @@
                 progressed = true;
                 match message {
                     CoreMessage::Send(machine, runs, generation, request) => {
-                        self.hub.order(machine, runs, generation, request)
+                        self.hub.deliver_attempt(machine, runs, generation, request)
                     }
-                    CoreMessage::Cancel(attempt) => self.hub.recall(self.now, attempt),
+                    CoreMessage::Cancel(attempt) => self.hub.cancel_attempt(self.now, attempt),
                     CoreMessage::Answer(id, answer) => {
                         self.answers.entry(id).or_default().push(answer.clone());
-                        self.hub.ended(self.now, id, answer);
+                        self.hub.request_answered(self.now, id, answer);
                     }
                 }
             }
@@ -273,13 +275,13 @@
             return false;
         };
         let (mut progressed, mut room) = (false, None);
-        while !self.hub.is_blocked(peer.id) && !self.hub.is_over(peer.id) {
+        while !self.hub.is_blocked(peer.id) && !self.hub.is_closing(peer.id) {
             let Some(item) = peer.reader.next(&mut peer.bytes) else {
                 break;
             };
             progressed = true;
             match item {
-                Item::Coming(bytes) => room = self.hub.body_room(bytes),
+                Item::PutHeader(bytes) => room = self.hub.reserve_body(bytes),
                 Item::Command(command) => {
                     let room = if matches!(command, Command::Put(..)) {
                         room.take()
@@ -288,30 +290,30 @@
                     };
                     self.hub.command(self.now, peer.id, command, room);
                 }
-                Item::Fault(fault) => {
-                    self.hub.say(peer.id, fault.reply());
-                    if fault == Fault::Unframed {
-                        self.hub.end(peer.id);
+                Item::ProtocolError(fault) => {
+                    self.hub.queue_output(peer.id, fault.reply());
+                    if fault == ProtocolError::UnknownBodyLength {
+                        self.hub.close_when_flushed(peer.id);
                     }
                 }
             }
         }
         if !peer.stuck && peer.unconfirmed > 0 {
             self.hub
-                .wrote(peer.id, std::mem::take(&mut peer.unconfirmed));
+                .record_written(peer.id, std::mem::take(&mut peer.unconfirmed));
             progressed = true;
         }
-        let output = self.hub.take_out(self.now, peer.id, Vec::new());
+        let output = self.hub.take_output(self.now, peer.id, Vec::new());
         peer.received.extend_from_slice(&output);
         peer.unconfirmed += output.len();
         if !peer.stuck && peer.unconfirmed > 0 {
             self.hub
-                .wrote(peer.id, std::mem::take(&mut peer.unconfirmed));
+                .record_written(peer.id, std::mem::take(&mut peer.unconfirmed));
         }
         progressed |= !output.is_empty();
-        if self.hub.is_over(peer.id) {
+        if self.hub.is_closing(peer.id) {
             peer.open = false;
-            self.hub.closed(self.now, peer.id);
+            self.hub.connection_closed(self.now, peer.id);
             progressed = true;
         }
         progressed
@@ -330,7 +332,7 @@
     pub fn connect_from(&mut self, name: &str, machine: IpAddr) {
         let id = self.hub.connect(machine);
         let (reader, bytes, received) = (
-            Reader::new(self.hub.most_bytes()),
+            CommandReader::new(self.hub.max_body_bytes()),
             BytesMut::new(),
             Vec::new(),
         );
@@ -372,7 +374,7 @@
         let peer = self.peers.remove(name).unwrap();
         self.session_names.remove(&peer.id);
         if peer.open {
-            self.hub.closed(self.now, peer.id);
+            self.hub.connection_closed(self.now, peer.id);
         }
         self.run_until_idle();
     }
@@ -390,7 +392,7 @@
                 self.wake_at = f64::MAX;
                 self.reduce(Event::TimerFired);
             }
-            self.hub.woke(self.now);
+            self.hub.run_due(self.now);
             self.run_until_idle();
         }
         self.now = end;
@@ -399,26 +401,27 @@
 
     /// A message of the list service: for each machine its digit, its state and when it started.
     pub fn update_machines(&mut self, full: bool, machines: &[(u8, ListState, f64)]) {
-        let places = machines.iter().map(|&(digit, listed, came_up)| {
+        let places = machines.iter().map(|&(digit, listed, start_time)| {
             let (zone, cell, kind) = (0, u64::from(digit), 0);
             (
                 IpAddr::from([127, 0, 0, digit]),
-                Place {
+                MachineInfo {
                     zone,
                     cell,
                     kind,
                     listed,
-                    came_up,
+                    start_time,
                 },
             )
         });
-        self.hub.hear(full, places.collect::<Vec<_>>().into_iter());
+        self.hub
+            .apply_membership(full, places.collect::<Vec<_>>().into_iter());
         self.run_until_idle();
     }
 
     /// The start of the graceful shutdown.
     pub fn stop(&mut self) {
-        self.hub.stop(self.now);
+        self.hub.begin_shutdown(self.now);
         self.run_until_idle();
     }
 
